--- /dev/null
+++ b/internal/registry/data_folder_test.go
@@ -0,0 +1,130 @@
+package registry
+
+import (
+	"archive/tar"
+	"bytes"
+	"compress/gzip"
+	"context"
+	"errors"
+	"io"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"mulleinmux/internal/golden"
+)
+
+// recordedFolder is the folder of testdata with a data folder of an earlier version; its README says how it was made.
+const recordedFolder = "data-69ea924/"
+
+// The addresses of the recorded replica. A replica starts again only where the others know it. The host is one that
+// neither testnet nor the lab gives out, and the ports lie below those that the kernel does.
+const (
+	recordedListen = "127.252.69.92:8500"
+	recordedRaft   = "127.252.69.92:8501"
+)
+
+// A data folder of an earlier version opens with the list, the owners, the leases, the tombstones and the changes that
+// it was stopped with: from its snapshot and the log after it, and from the log alone.
+func TestEarlierDataFolder(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		snapshot bool
+	}{{"snapshot and log", true}, {"log alone", false}} {
+		t.Run(c.name, func(t *testing.T) {
+			dir := unpack(t, golden.Read(t, recordedFolder+"data.tar.gz"))
+			snapshots, err := filepath.Glob(filepath.Join(dir, "snapshots", "*"))
+			if err != nil || len(snapshots) != 1 {
+				t.Fatalf("snapshots %v, error %v", snapshots, err)
+			}
+			if !c.snapshot {
+				if err := os.RemoveAll(snapshots[0]); err != nil {
+					t.Fatal(err)
+				}
+			}
+			checkRecorded(t, startRecorded(t, dir))
+		})
+	}
+}
+
+// checkRecorded compares what a replica of the recorded folder answers with what the earlier version answered.
+func checkRecorded(t *testing.T, s *Server) {
+	t.Helper()
+	eventually(t, "the log is applied", func() bool { return s.Generation() == 7<<epochBits|15 })
+	base := "http://" + s.Addr() + "/registry/"
+	_, list := call(t, "GET", base+"instances", "")
+	golden.Same(t, "list", []byte(list), golden.Read(t, recordedFolder+"list.json"))
+	var standings strings.Builder
+	for _, id := range []string{"s-old", "s-weight", "s-drained", "s-leased", "s-again", "s-late"} {
+		_, text := call(t, "GET", base+"instances/"+id, "")
+		standings.WriteString(text)
+	}
+	golden.Same(t, "standings", []byte(standings.String()), golden.Read(t, recordedFolder+"standings.json"))
+	_, backup := call(t, "GET", base+"backup", "")
+	golden.Same(t, "backup", []byte(backup), golden.Read(t, recordedFolder+"backup.json"))
+	if m := watch(t, s.Addr(), 7<<epochBits|13).next(t); m.Generation != 7<<epochBits|14 || m.Reset {
+		t.Errorf("a watch goes on with %+v", m)
+	}
+	for path, want := range map[string]int{"s-expired/renew?incarnation=6": 409, "s-leased/renew?incarnation=5": 200} {
+		if status, text := call(t, "POST", base+"instances/"+path, ""); status != want {
+			t.Errorf("%s: %d %s", path, status, text)
+		}
+	}
+	if status, text := call(t, "POST", base+"instances", registration("s-removed", 9003, 4, 0)); status != 409 {
+		t.Errorf("a removed incarnation is registered again: %d %s", status, text)
+	}
+	if status, text := call(t, "POST", base+"instances", registration("s-new", 9100, 1, 0)); status != 200 || s.Generation() != 7<<epochBits|16 {
+		t.Errorf("a new entry: %d %s, generation %d", status, text, s.Generation())
+	}
+}
+
+// startRecorded starts a replica of the recorded folder. It waits while another process has the addresses.
+func startRecorded(t *testing.T, dir string) *Server {
+	t.Helper()
+	cfg := Config{Dir: dir, Listen: recordedListen, Raft: recordedRaft, Log: slog.New(slog.DiscardHandler)}
+	for end := time.Now().Add(patience); ; time.Sleep(20 * time.Millisecond) {
+		s, err := Start(context.Background(), cfg)
+		if err == nil {
+			t.Cleanup(func() { s.Close() })
+			return s
+		}
+		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(end) {
+			t.Fatal(err)
+		}
+	}
+}
+
+// unpack returns a folder of the test with the content of an archive's only folder.
+func unpack(t *testing.T, archive []byte) string {
+	t.Helper()
+	zipped, err := gzip.NewReader(bytes.NewReader(archive))
+	if err != nil {
+		t.Fatal(err)
+	}
+	root := t.TempDir()
+	for files := tar.NewReader(zipped); ; {
+		header, err := files.Next()
+		if err == io.EOF {
+			return filepath.Join(root, "data")
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+		path := filepath.Join(root, header.Name)
+		if header.Typeflag == tar.TypeDir {
+			err = os.MkdirAll(path, 0o700)
+		} else {
+			var text []byte
+			if text, err = io.ReadAll(files); err == nil {
+				err = os.WriteFile(path, text, 0o600)
+			}
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/registry/golden_test.go
@@ -0,0 +1,420 @@
+package registry
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/raft"
+
+	"mulleinmux/internal/golden"
+)
+
+// goldenTerm is the term of the recorded expire command.
+const goldenTerm = 2
+
+// goldenCommand is a command with the name of its golden file and its outcome.
+type goldenCommand struct {
+	name    string
+	command Command
+	code    Code
+}
+
+// goldenCommands returns commands of each kind, in an order in which each changes the list.
+func goldenCommands(t *testing.T) []goldenCommand {
+	t.Helper()
+	earlier := NewState(0)
+	old := Entry{InstanceID: "s-old", HostPort: "127.0.0.1:9000", Zone: "a", MachineType: "std-4c", Cell: 2, Lifecycle: Up, Weight: 1.5, StartedAtMs: 1700000000123}
+	earlier.Apply(Command{Kind: Register, Entry: old, Incarnation: 3})
+	earlier.Apply(Command{Kind: Register, Entry: entry("s-back", 9009), Incarnation: 1})
+	earlier.Apply(Command{Kind: Remove, ID: "s-back"})
+	restored, err := earlier.Restored(7)
+	if err != nil {
+		t.Fatal(err)
+	}
+	leased := Entry{InstanceID: "s-leased", HostPort: "[::1]:9001", Zone: "b", MachineType: "std-8c", Cell: 1 << 30, Lifecycle: Up, Weight: 1e6, StartedAtMs: 1 << 52}
+	return []goldenCommand{
+		{"load", Command{Kind: Load, Image: restored}, Done},
+		{"register", Command{Kind: Register, Entry: entry("s-plain", 9002), Incarnation: 1}, Done},
+		{"register-leased", Command{Kind: Register, Entry: leased, Incarnation: 1<<63 - 1, Lease: MostLease}, Done},
+		{"register-unweighted", Command{Kind: Register, Entry: Entry{InstanceID: "s-bare", HostPort: "127.0.0.1:9003", Lifecycle: Up}, Incarnation: 2, Lease: LeastLease * 5000}, Done},
+		{"drain", Command{Kind: Drain, ID: "s-old", Incarnation: 3}, Done},
+		{"drain-any", Command{Kind: Drain, ID: "s-plain"}, Done},
+		{"remove", Command{Kind: Remove, ID: "s-plain", Incarnation: 1}, Done},
+		{"expire", Command{Kind: Expire, Expired: []Owner{{"s-bare", 2}, {"s-gone", 1}}, Term: goldenTerm}, Done},
+		{"remove-any", Command{Kind: Remove, ID: "s-none"}, Missing},
+	}
+}
+
+// logged is a log store that keeps the commands written to it.
+type logged struct {
+	raft.LogStore
+	mu       sync.Mutex
+	commands [][]byte
+}
+
+func (l *logged) StoreLogs(logs []*raft.Log) error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, entry := range logs {
+		if entry.Type == raft.LogCommand {
+			l.commands = append(l.commands, bytes.Clone(entry.Data))
+		}
+	}
+	return l.LogStore.StoreLogs(logs)
+}
+
+// latest returns the command that was written last.
+func (l *logged) latest() []byte {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if len(l.commands) == 0 {
+		return nil
+	}
+	return l.commands[len(l.commands)-1]
+}
+
+// goldenReplica starts a replica that has carried out the golden commands, and compares its log entries.
+func goldenReplica(t *testing.T) *Server {
+	t.Helper()
+	log := &logged{}
+	s := replica(t, t.TempDir(), "", func(c *Config) {
+		c.Stores = func(logs raft.LogStore, stable raft.StableStore) (raft.LogStore, raft.StableStore) {
+			log.LogStore = logs
+			return log, stable
+		}
+	})
+	eventually(t, "the replica leads", func() bool { return s.raft.State() == raft.Leader })
+	for _, g := range goldenCommands(t) {
+		if _, err := s.commit(g.command); err != nil {
+			t.Fatalf("%s: %v", g.name, err)
+		}
+		golden.Check(t, "golden/command-"+g.name+".json", log.latest())
+		if g.command.Kind == Expire { // again, should the term be another than the recorded one
+			g.command.Term = s.raft.CurrentTerm()
+			if _, err := s.commit(g.command); err != nil {
+				t.Fatalf("%s: %v", g.name, err)
+			}
+		}
+	}
+	return s
+}
+
+// Commands go into the log, states into snapshots and backups, and lists to readers as they were recorded.
+func TestGoldenWrites(t *testing.T) {
+	s := goldenReplica(t)
+	if err := s.Snapshot(); err != nil {
+		t.Fatal(err)
+	}
+	files, err := filepath.Glob(filepath.Join(s.cfg.Dir, "snapshots", "*", "state.bin"))
+	if err != nil || len(files) != 1 {
+		t.Fatalf("snapshots %v, error %v", files, err)
+	}
+	snapshot, err := os.ReadFile(files[0])
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Check(t, "golden/snapshot.json", snapshot)
+	var backup bytes.Buffer
+	client := Client{Replicas: []string{s.Addr()}}
+	if err := client.Backup(t.Context(), &backup); err != nil {
+		t.Fatal(err)
+	}
+	golden.Check(t, "golden/backup.json", backup.Bytes())
+	_, list := call(t, "GET", "http://"+s.Addr()+"/registry/instances", "")
+	golden.Check(t, "golden/list.json", []byte(list))
+	golden.Check(t, "golden/watch-whole.txt", watchBytes(t, s.Addr(), 0, 1))
+	golden.Check(t, "golden/watch-changes.txt", watchBytes(t, s.Addr(), 7<<epochBits|1, 7))
+	golden.Check(t, "golden/watch-beat.txt", s.emptyLine)
+}
+
+// watchBytes returns the head of a watch's answer and its first chunks, without those of empty lines.
+func watchBytes(t *testing.T, addr string, from uint64, chunks int) []byte {
+	t.Helper()
+	conn, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(patience))
+	fmt.Fprintf(conn, "GET /registry/instances?watch=1&from=%d HTTP/1.1\r\nHost: registry\r\n\r\n", from)
+	in := bufio.NewReader(conn)
+	var got []byte
+	for !bytes.HasSuffix(got, []byte("\r\n\r\n")) {
+		line, err := in.ReadBytes('\n')
+		if err != nil {
+			t.Fatalf("after %q: %v", got, err)
+		}
+		got = append(got, line...)
+	}
+	for chunks > 0 {
+		size, err := in.ReadString('\n')
+		if err != nil {
+			t.Fatalf("after %q: %v", got, err)
+		}
+		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 20)
+		if err != nil {
+			t.Fatal(err)
+		}
+		content := make([]byte, n+2)
+		if _, err := io.ReadFull(in, content); err != nil {
+			t.Fatal(err)
+		}
+		if n > 1 {
+			got, chunks = append(append(got, size...), content...), chunks-1
+		}
+	}
+	return got
+}
+
+// The recorded log entries are decoded to the commands, which lead to the recorded state.
+func TestGoldenLogIsRead(t *testing.T) {
+	m := newMachine(func(Command, Outcome) {})
+	for _, g := range goldenCommands(t) {
+		data := golden.Read(t, "golden/command-"+g.name+".json")
+		var c Command
+		if err := json.Unmarshal(data, &c); err != nil {
+			t.Fatalf("%s: %v", g.name, err)
+		}
+		again, err := json.Marshal(c)
+		if err != nil {
+			t.Fatal(err)
+		}
+		golden.Same(t, g.name, again, data)
+		if o := m.Apply(&raft.Log{Term: goldenTerm, Data: data}).(Outcome); o.Code != g.code {
+			t.Errorf("%s: %s %s, want %s", g.name, o.Code, o.Message, g.code)
+		}
+	}
+	golden.Same(t, "state", persisted(t, m), golden.Read(t, "golden/snapshot.json"))
+}
+
+// persisted returns what a snapshot writes.
+func persisted(t *testing.T, m *machine) []byte {
+	t.Helper()
+	taken, err := m.Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	var written sink
+	if err := taken.Persist(&written); err != nil {
+		t.Fatal(err)
+	}
+	return written.Bytes()
+}
+
+// A recorded snapshot or backup is read to the state that it was written from.
+func TestGoldenStateIsRead(t *testing.T) {
+	for _, name := range []string{"golden/snapshot.json", "golden/backup.json"} {
+		text := golden.Read(t, name)
+		m := newMachine(func(Command, Outcome) {})
+		if err := m.Restore(io.NopCloser(bytes.NewReader(text))); err != nil {
+			t.Fatalf("%s: %v", name, err)
+		}
+		golden.Same(t, name, persisted(t, m), text)
+		golden.Same(t, name+" as a list", m.list().line(), golden.Read(t, "golden/list.json"))
+		checkGoldenState(t, name, m.state)
+	}
+}
+
+// checkGoldenState compares what the list does not show: owners, leases, tombstones, addresses and changes.
+func checkGoldenState(t *testing.T, name string, s *State) {
+	t.Helper()
+	if s.Epoch() != 7 || s.Generation() != 7<<epochBits|8 || s.Len() != 2 {
+		t.Errorf("%s: epoch %d, generation %d, %d entries", name, s.Epoch(), s.Generation(), s.Len())
+	}
+	if leases := s.Leased(); len(leases) != 1 || leases[0] != (Lease{Owner{"s-leased", 1<<63 - 1}, MostLease}) {
+		t.Errorf("%s: leases %v", name, leases)
+	}
+	if changes, ok := s.Since(7<<epochBits | 1); !ok || len(changes) != 7 {
+		t.Errorf("%s: %d changes, known %t", name, len(changes), ok)
+	}
+	for _, c := range []struct {
+		id          string
+		port        int
+		incarnation uint64
+		want        Code
+	}{
+		{"s-back", 9010, 1, Stale}, {"s-plain", 9010, 1, Stale}, {"s-bare", 9010, 2, Stale},
+		{"s-old", 9010, 2, Stale}, {"s-old", 9010, 3, Conflict}, {"s-new", 9000, 1, Taken}, {"s-plain", 9010, 2, Done},
+	} {
+		if o := s.Apply(Command{Kind: Register, Entry: entry(c.id, c.port), Incarnation: c.incarnation}); o.Code != c.want {
+			t.Errorf("%s: %s of incarnation %d is %s, want %s", name, c.id, c.incarnation, o.Code, c.want)
+		}
+	}
+}
+
+// A folder is prepared from a recorded backup as it was recorded.
+func TestGoldenRestore(t *testing.T) {
+	dir := filepath.Join(t.TempDir(), "new")
+	if _, err := Restore(dir, bytes.NewReader(golden.Read(t, "golden/backup.json")), 9); err != nil {
+		t.Fatal(err)
+	}
+	text, err := os.ReadFile(filepath.Join(dir, "restore.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Check(t, "golden/restore.json", text)
+}
+
+// The HTTP API's answers are as recorded.
+func TestGoldenAnswers(t *testing.T) {
+	s := replica(t, t.TempDir(), "")
+	var transcript bytes.Buffer
+	for _, c := range []struct{ method, path, body string }{
+		{"GET", "", ""},
+		{"POST", "", registration("s-a", 1, 5, time.Hour)},
+		{"POST", "", registration("s-a", 1, 5, time.Hour)},
+		{"POST", "", registration("s-a", 1, 4, 0)},
+		{"POST", "", registration("s-a", 2, 5, 0)},
+		{"POST", "", registration("s-b", 1, 1, 0)},
+		{"POST", "", `{"instanceId":"s-c","hostPort":"127.0.0.1:3","weight":2.5,"incarnation":1}`},
+		{"POST", "", `{"instanceId":"s-d","hostPort":"nowhere","incarnation":1}`},
+		{"GET", "/s-a", ""},
+		{"GET", "/s-none", ""},
+		{"POST", "/s-a/renew?incarnation=5", ""},
+		{"POST", "/s-a/renew?incarnation=6", ""},
+		{"POST", "/s-a/renew", ""},
+		{"POST", "/s-a/drain?incarnation=5", ""},
+		{"DELETE", "/s-c", ""},
+		{"DELETE", "/s-c", ""},
+		{"DELETE", "/s-c?incarnation=1", ""},
+		{"GET", "", ""},
+		{"GET", "?watch=1&from=x", ""},
+	} {
+		status, text := call(t, c.method, "http://"+s.Addr()+"/registry/instances"+c.path, c.body)
+		fmt.Fprintf(&transcript, "> %s %s %s\n%d %s", c.method, c.path, c.body, status, text)
+	}
+	golden.Check(t, "golden/answers.txt", transcript.Bytes())
+}
+
+// What a replica says of itself and of its members, and each code, is encoded as recorded and read back.
+func TestGoldenStatus(t *testing.T) {
+	status := Status{Replica: "r0123456789ab@127.0.0.1:8500", State: "follower", Leader: "127.0.0.2:8500", Epoch: 7, Generation: 7<<epochBits | 8, Entries: 3,
+		Leases: 2, Watches: 4, Paused: true, Applied: 17, LastWord: 0.25, Replicas: []Replica{{ID: "rba9876543210@127.0.0.2:8500", Raft: "127.0.0.2:8501#rba9876543210", Leader: true}}}
+	checkJSON(t, "golden/status.json", status)
+	checkJSON(t, "golden/join.json", Replica{ID: status.Replica, Raft: "127.0.0.1:8501#r0123456789ab"})
+	var outcomes []Outcome
+	for _, code := range []Code{Done, Same, Stale, Missing, Taken, Conflict, Invalid, TooMany, Later, Unknown} {
+		outcomes = append(outcomes, Outcome{Code: code, Generation: 1<<53 - 1, Message: "why"})
+	}
+	checkJSON(t, "golden/outcomes.json", append(outcomes, Outcome{Code: Done}))
+}
+
+// checkJSON compares a value's encoding with a golden file, and with that of what is decoded from the file.
+func checkJSON[T any](t *testing.T, name string, v T) {
+	t.Helper()
+	text, err := json.Marshal(v)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var decoded T
+	if err := json.Unmarshal(golden.Check(t, name, text), &decoded); err != nil {
+		t.Fatal(err)
+	}
+	if text, err = json.Marshal(decoded); err != nil {
+		t.Fatal(err)
+	}
+	golden.Same(t, name+" read and written", text, golden.Read(t, name))
+}
+
+// recordedService answers each request with a golden file or an outcome, and writes the requests down.
+func recordedService(t *testing.T, transcript io.Writer) *Client {
+	t.Helper()
+	answers := map[string]string{"/registry/instances": "golden/list.json", "/registry/backup": "golden/backup.json", "/registry/status": "golden/status.json"}
+	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		body, err := io.ReadAll(r.Body)
+		if err != nil {
+			t.Error(err)
+		}
+		fmt.Fprintf(transcript, "%s %s %s\n", r.Method, r.RequestURI, body)
+		if name := answers[r.URL.Path]; name != "" && r.Method == http.MethodGet {
+			w.Write(golden.Read(t, name))
+			return
+		}
+		io.WriteString(w, `{"code":"same","generation":41,"message":"why","instanceId":"s-a","weight":0.5,"incarnation":5,"leaseMs":1000}`)
+	}))
+	t.Cleanup(srv.Close)
+	return &Client{Replicas: []string{strings.TrimPrefix(srv.URL, "http://")}}
+}
+
+// A client's requests are as recorded, and it reads the recorded answers.
+func TestGoldenClient(t *testing.T) {
+	var transcript, backup bytes.Buffer
+	c, ctx := recordedService(t, &transcript), t.Context()
+	owner := Owner{"s-a", 5}
+	registered, err1 := c.Register(ctx, Registration{Entry: entry("s-a", 1), Incarnation: 5, LeaseMs: 1000})
+	renewed, err2 := c.Renew(ctx, owner)
+	drained, err3 := c.Drain(ctx, Owner{ID: "s-a"})
+	removed, err4 := c.Remove(ctx, owner)
+	dismissed, err5 := c.RemoveReplica(ctx, "r0123456789ab@127.0.0.1:8500")
+	shown, err6 := c.Show(ctx, "s-a")
+	generation, entries, err7 := c.List(ctx)
+	all, errs := c.Status(ctx)
+	if err := errors.Join(append(errs, err1, err2, err3, err4, err5, err6, err7, c.Backup(ctx, &backup))...); err != nil {
+		t.Fatal(err)
+	}
+	var heard uint64
+	c.Watch(ctx, 40, func(generation uint64, reset bool, entries []Entry) {
+		if reset && len(entries) == 2 {
+			heard = generation
+		}
+	})
+	golden.Check(t, "golden/client-requests.txt", transcript.Bytes())
+	for _, o := range []Outcome{registered, renewed, drained, removed, dismissed} {
+		if o != (Outcome{Same, 41, "why"}) {
+			t.Errorf("outcome %+v", o)
+		}
+	}
+	if shown.InstanceID != "s-a" || shown.Weight != 0.5 || shown.Incarnation != 5 || shown.LeaseMs != 1000 || shown.Generation != 41 {
+		t.Errorf("instance %+v", shown)
+	}
+	if generation != 7<<epochBits|8 || len(entries) != 2 || entries[1].StartedAtMs != 1700000000123 || heard != generation {
+		t.Errorf("list %d %+v, on a watch %d", generation, entries, heard)
+	}
+	if len(all) != 1 || all[0].Applied != 17 || !all[0].Paused || all[0].LastWord != 0.25 || !all[0].Replicas[0].Leader {
+		t.Errorf("status %+v", all)
+	}
+	golden.Same(t, "backup", backup.Bytes(), golden.Read(t, "golden/backup.json"))
+}
+
+// A connection between replicas begins with the recorded line.
+func TestGoldenGreeting(t *testing.T) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	address := raft.ServerAddress(ln.Addr().String() + "#r0123456789ab")
+	conn, err := stream{}.Dial(address, patience)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	accepted, err := ln.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer accepted.Close()
+	accepted.SetDeadline(time.Now().Add(patience))
+	line, err := bufio.NewReader(accepted).ReadBytes('\n')
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Check(t, "golden/greeting.txt", line)
+	if s := (stream{Listener: ln, name: "r0123456789ab"}); s.Addr().String() != string(address) {
+		t.Errorf("address %s, want %s", s.Addr(), address)
+	}
+}
