--- /dev/null
+++ b/internal/discovery/golden_test.go
@@ -0,0 +1,38 @@
+package discovery
+
+import (
+	"encoding/json"
+	"reflect"
+	"testing"
+
+	"mulleinmux/internal/golden"
+)
+
+// Messages are written as recorded, and the recorded ones are read to what they were written from.
+func TestGoldenMessages(t *testing.T) {
+	up := Entry{InstanceID: "s-a", HostPort: "127.0.0.1:9001", Zone: "a", MachineType: "std-4c", Cell: 3, Lifecycle: Up, Weight: 0.25, StartedAtMs: 1700000000123}
+	for _, c := range []struct {
+		name string
+		m    Message
+	}{
+		{"whole", Message{Generation: 7<<EpochBits | 2, Reset: true, Instances: []Entry{up, {InstanceID: "s-b", HostPort: "[::1]:9002", Lifecycle: Draining, Weight: 1e6}}}},
+		{"changes", Message{Generation: 1<<53 - 1, Instances: []Entry{{InstanceID: "s-c", HostPort: "127.0.0.1:9003", Lifecycle: Removed, Cell: 1 << 30, StartedAtMs: 1 << 52}}}},
+		{"empty", Message{Generation: 1, Reset: true, Instances: []Entry{}}},
+		{"zero", Message{}},
+	} {
+		text, err := json.Marshal(c.m)
+		if err != nil {
+			t.Fatal(err)
+		}
+		var read Message
+		if err := json.Unmarshal(golden.Check(t, "golden/"+c.name+".json", text), &read); err != nil {
+			t.Fatal(err)
+		}
+		if !reflect.DeepEqual(read, c.m) {
+			t.Errorf("%s is read as %+v, want %+v", c.name, read, c.m)
+		}
+	}
+	if epoch := Epoch(7<<EpochBits | 2); epoch != 7 {
+		t.Errorf("epoch %d", epoch)
+	}
+}
