--- /dev/null
+++ b/internal/wire/golden_test.go
@@ -0,0 +1,135 @@
+package wire
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"strings"
+	"testing"
+	"time"
+
+	"mulleinmux/choice"
+	"mulleinmux/internal/golden"
+)
+
+// The recorded script holds every kind of event, and each is read as recorded.
+func TestGoldenEvents(t *testing.T) {
+	in := NewReader(bytes.NewReader(golden.Read(t, "golden/script.txt")))
+	var described strings.Builder
+	kinds := map[string]bool{}
+	for {
+		event, err := in.Next()
+		if errors.Is(err, io.EOF) {
+			break
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+		text := describe(event)
+		fmt.Fprintf(&described, "%d: %s\n", in.Line(), text)
+		kind, _, _ := strings.Cut(text, " ")
+		kinds[kind] = true
+	}
+	golden.Check(t, "golden/events.txt", []byte(described.String()))
+	for _, kind := range []string{"clock", "commit", "launch", "halt", "list", "accept", "headers", "completed", "left", "timer", "probe", "message", "total"} {
+		if !kinds[kind] {
+			t.Errorf("no event of kind %s is read", kind)
+		}
+	}
+}
+
+// describe words an event by the values that the decision code gets, whatever the names of its fields are.
+func describe(event any) string {
+	switch e := event.(type) {
+	case Clock:
+		return fmt.Sprint("clock ", e.Now)
+	case Commit:
+		return "commit"
+	case Launch:
+		return fmt.Sprint("launch ", e.Inst, " seed ", e.Seed, describeSettings(e.Settings))
+	case Halt:
+		return fmt.Sprint("halt ", e.Inst)
+	case List:
+		text := fmt.Sprint("list ", e.Inst, " form ", int(e.Form))
+		for _, s := range e.Servers {
+			text += fmt.Sprintf("\n  %q state %d weight %v kind %q zone %q cell %d boot %v", s.ID, int(s.State), s.Weight, s.Kind, s.Zone, s.Cell, s.Boot)
+		}
+		return text
+	case Accept:
+		q := e.Request
+		return fmt.Sprintf("accept %d %q class %q plan %q customer %d grace %v units %v spread %d first %d", e.Inst, q.ID, q.Class, q.Plan, q.Customer, q.Grace, q.Units, q.Spread, q.First)
+	case Headers:
+		return fmt.Sprintf("headers %d %q attempt %d", e.Inst, e.ID, e.Attempt)
+	case Completed:
+		o := e.Outcome
+		return fmt.Sprintf("completed %d %q attempt %d closed %t result %d server %q took %v units %v since %v %s", e.Inst, o.ID, o.Attempt, o.Closed, int(o.Result), o.Server, o.Took, o.Units, o.Since, describeLoad(o.Load))
+	case Left:
+		return fmt.Sprintf("left %d %q", e.Inst, e.ID)
+	case TimerFired:
+		return fmt.Sprint("timer ", e.Inst, " ", e.Token)
+	case ProbeDone:
+		return fmt.Sprintf("probe %d %q result %d took %v %s", e.Inst, e.Server, int(e.Result), e.Took, describeLoad(e.Load))
+	case Whisper:
+		return fmt.Sprintf("message %d from %d %x", e.Inst, e.From, e.Payload)
+	case Total:
+		return fmt.Sprint("total ", e.Inst)
+	}
+	return fmt.Sprintf("unknown %T", event)
+}
+
+func describeLoad(l *choice.Load) string {
+	if l == nil {
+		return "no load"
+	}
+	return fmt.Sprint("in flight ", l.InFlight, " queue ", l.Queue, " util ", l.Util)
+}
+
+func describeSettings(s choice.Settings) string {
+	text := fmt.Sprintf("\n  me %d of %d zone %q answer slack %v drain grace %v cold from %v ramp %v fall %v overload %v", s.Me, s.Instances, s.Zone, s.AnswerSlack, s.DrainGrace, s.ColdFrom, s.RampTime, s.FallMultiple, s.OverloadFor)
+	text += fmt.Sprintf("\n  attempts %d parallel %t cancel %t peers %t probes %t retry after %t up to %v", s.MaxAttempts, s.Parallel, s.Cancel, s.Peers, s.Probes, s.RetryAfter, s.MaxRetryAfter)
+	text += fmt.Sprintf("\n  report %d ask list %t within %v inbox %v post-paid %t most units %v tick %v", int(s.Report), s.AskList, s.AskWithin, s.InboxPerS, s.PostPaid, s.MostUnits, s.Tick)
+	text += fmt.Sprintf("\n  prices: cross %v peer %v probe %v waste %v", s.PriceCross, s.PricePeer, s.PriceProbe, s.PriceWaste)
+	for _, c := range s.Classes {
+		text += fmt.Sprintf("\n  class %q effect %d group %d window %v aim %v deadline %v worth %v late %v stream %t", c.Name, int(c.Effect), int(c.Group), c.Window, c.Aim, c.Deadline, c.Worth, c.Late, c.Stream)
+	}
+	for _, p := range s.Plans {
+		text += fmt.Sprintf("\n  plan %q rate %v burst %v open %d ceiling %v %v %v price %v over %v %v", p.Name, p.Rate, p.Burst, p.Open, p.CeilingRate, p.CeilingBurst, p.CeilingSlack, p.Price, p.OverWorth, p.OverCost)
+	}
+	return text
+}
+
+// What the recorded settings say of connections is read as well.
+func TestGoldenTransport(t *testing.T) {
+	_, rest, _ := strings.Cut(string(golden.Read(t, "golden/script.txt")), "LAUNCH 3 18446744073709551615 ")
+	settings, _, _ := strings.Cut(rest, "\n")
+	_, transport, err := ParseSettings([]byte(settings))
+	if want := (Transport{ConnIdle: 30 * time.Second, ConnectTimeout: 250 * time.Millisecond}); err != nil || transport != want {
+		t.Errorf("%+v, error %v; want %+v", transport, err, want)
+	}
+}
+
+// Every kind of action is written as recorded.
+func TestGoldenActions(t *testing.T) {
+	r := Reply{Inst: 17}
+	var out choice.Actions = &r
+	out.Send("rq_1", "s.a", 80*time.Millisecond, time.Second)
+	out.Send("rq_1", "s.b", 0, 0)
+	out.Send("rq_1", "s.c", 1234567*time.Nanosecond, 0)
+	out.Refuse("rq_2", 250*time.Millisecond)
+	out.Refuse("rq_3", 0)
+	out.Fail("rq_4")
+	out.Cancel("rq_1", 2)
+	out.SetTimer(1<<62|5, 1500*time.Microsecond)
+	out.SetTimer(0, time.Hour)
+	out.Probe("s.d")
+	out.Tell(choice.AllPeers, []byte{0, 1, 254, 255})
+	out.Tell(0, []byte("hi"))
+	out.Tell(299, nil)
+	out.Watch(true)
+	out.Watch(false)
+	out.Log(" two\n lines\tand  spaces ")
+	r.Broken("panic:\nindex out of range")
+	golden.Check(t, "golden/reply.txt", r.Take())
+	golden.Check(t, "golden/reply-empty.txt", r.Take())
+}
