--- /dev/null
+++ b/choice/decisions_endpoints_test.go
@@ -0,0 +1,262 @@
+package choice_test
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"time"
+
+	"mulleinmux/choice"
+)
+
+// The endpoints of the world, the weather that they have, and the list of them.
+
+// weather is what goes wrong for a while.
+type weather struct {
+	rush    float64 // factor on the clients' requests
+	slow    float64 // factor on the endpoints' latency
+	loss    float64 // share of the messages between nodes that is lost
+	refuse  float64 // share of the endpoints that refuse connections,
+	silent  float64 // that answer nothing,
+	fail    float64 // that answer with errors,
+	full    float64 // that reject all,
+	reset   float64 // and whose connections break
+	noLists bool    // the list can't be had
+}
+
+var calm = weather{rush: 1, slow: 1, loss: 0.02}
+
+var weathers = []weather{
+	{rush: 6, slow: 1, loss: 0.02},
+	{rush: 2, slow: 8, loss: 0.02},
+	{rush: 4, slow: 3, loss: 0.3},
+	{rush: 1, slow: 1, loss: 1},
+	{rush: 3, slow: 1, loss: 1},
+	{rush: 1, slow: 1, loss: 0.3, refuse: 0.4},
+	{rush: 1, slow: 1, silent: 0.4, noLists: true},
+	{rush: 1, slow: 1, fail: 0.6},
+	{rush: 1, slow: 2, full: 0.5, reset: 0.3},
+	{rush: 2, slow: 1, refuse: 0.5, silent: 0.4},
+	{rush: 1, slow: 1, refuse: 0.2, silent: 0.7, fail: 0.1},
+}
+
+// changeWeather lets every other weather be calm.
+func (w *world) changeWeather() {
+	if w.ending {
+		return
+	}
+	if w.weather == calm {
+		w.weather = weathers[w.random.IntN(len(weathers))]
+	} else {
+		w.weather = calm
+	}
+	w.endpoints.turn = w.random.Float64()
+	w.after(500*time.Millisecond+w.upTo(1500*time.Millisecond), w.changeWeather)
+}
+
+// endpoint is an endpoint as it is, and what the list says of it.
+type endpoint struct {
+	listed    choice.Server
+	speed     float64
+	capacity  float64
+	inFlight  float64
+	luck      float64       // tells which weathers hit it
+	downUntil time.Duration // it restarts
+}
+
+// endpoints are all that there are, listed or not.
+type endpoints struct {
+	all  []*endpoint
+	byID map[string]*endpoint
+	turn float64 // tells whom the weather hits
+	old  []choice.Server
+}
+
+func newEndpoints(random *rand.Rand, count int) endpoints {
+	es := endpoints{byID: map[string]*endpoint{}}
+	for i := range count {
+		large := i%4 == 3
+		e := &endpoint{
+			listed: choice.Server{ID: fmt.Sprintf("e%d", i), Kind: "small", Zone: zones[i%len(zones)], Cell: i % 7},
+			speed:  1, capacity: 8, luck: random.Float64(),
+		}
+		if large {
+			e.listed.Kind, e.speed, e.capacity = "large", 0.7, 16
+		}
+		if large && count != 12 { // there all are listed as of one size
+			e.listed.Weight = 2
+		}
+		es.all = append(es.all, e)
+		es.byID[e.listed.ID] = e
+	}
+	es.old = es.listed()
+	return es
+}
+
+// listed returns the complete list.
+func (es *endpoints) listed() (list []choice.Server) {
+	for _, e := range es.all {
+		if e.listed.State != choice.Removed {
+			list = append(list, e.listed)
+		}
+	}
+	return list
+}
+
+// answer is the result of one attempt or health check, and how long it took.
+type answer struct {
+	result choice.Result
+	took   time.Duration
+}
+
+// answer draws how an endpoint answers something of a usual latency.
+func (w *world) answer(e *endpoint, usual, timeout time.Duration) answer {
+	const ms = time.Millisecond
+	hit := math.Mod(e.luck+w.endpoints.turn, 1)
+	below := func(share float64) bool {
+		hit -= share
+		return hit < 0 && hit >= -share
+	}
+	switch v := w.weather; {
+	case w.now < e.downUntil:
+		return answer{choice.ConnectFailed, ms}
+	case below(v.refuse):
+		return answer{choice.ConnectFailed, []time.Duration{ms, 100 * ms}[w.random.IntN(2)]}
+	case below(v.silent):
+		return answer{choice.TimedOut, timeout}
+	case below(v.fail):
+		return answer{choice.ErrorAnswer, 5 * ms}
+	case below(v.full), e.inFlight > 4*e.capacity:
+		return answer{choice.Full, 2 * ms}
+	case below(v.reset):
+		return answer{choice.Reset, 10 * ms}
+	}
+	load, deviation := 1+e.inFlight/e.capacity, 0.4
+	if w.scenario.variant.name == hedged.name { // what is slow there is seen soon
+		deviation = 0.05
+	}
+	took := time.Duration(float64(usual) * e.speed * w.weather.slow * load * math.Exp(deviation*w.random.NormFloat64()))
+	switch {
+	case took > timeout:
+		return answer{choice.TimedOut, timeout}
+	case w.chance(0.01):
+		return answer{choice.Result(w.random.IntN(int(choice.Moot) + 1)), took}
+	}
+	return answer{choice.OK, took}
+}
+
+// load draws a report of an endpoint's load, of which parts may be missing.
+func (w *world) load(e *endpoint) *choice.Load {
+	if w.chance(0.1) {
+		return nil
+	}
+	l := &choice.Load{
+		InFlight: e.inFlight, Queue: math.Max(e.inFlight-e.capacity, 0),
+		Util: math.Min((1+e.inFlight)/e.capacity*w.weather.slow, 1.1), // what is slow is busy, whoever keeps it so
+	}
+	for _, part := range []*float64{&l.InFlight, &l.Queue, &l.Util} {
+		if w.chance(0.1) {
+			*part = -1
+		}
+	}
+	return l
+}
+
+// probe answers a health check.
+func (w *world) probe(n *node, e *endpoint) {
+	a := w.answer(e, 5*time.Millisecond, 300*time.Millisecond)
+	w.after(a.took, func() {
+		var l *choice.Load
+		if a.result == choice.OK {
+			l = w.load(e)
+		}
+		n.probed(e.listed.ID, a.result, l)
+	})
+}
+
+// watch gives a node the list that it has subscribed to.
+func (w *world) watch(n *node) {
+	n.watching = true
+	w.after(20*time.Millisecond, func() {
+		if w.weather.noLists || w.chance(0.2) {
+			n.list(choice.ListError, nil)
+			return
+		}
+		n.list(choice.ListFull, w.endpoints.listed())
+	})
+}
+
+// changeList changes some endpoints and lets the nodes know, each a little later than the other.
+func (w *world) changeList() {
+	if w.ending {
+		return
+	}
+	form, entries := choice.ListChanges, w.changeEndpoints()
+	all := w.endpoints.listed()
+	switch draw := w.random.IntN(25); {
+	case draw < 2:
+		form, entries = choice.ListFull, all
+	case draw == 2:
+		form, entries = choice.ListSaved, w.endpoints.old
+	case draw == 3: // most are missing, for a while
+		form, entries = choice.ListSaved, all[:len(all)/50]
+		w.after(300*time.Millisecond, func() { w.tellList(choice.ListFull, w.endpoints.listed()) })
+	case draw == 4:
+		form, entries = choice.ListError, nil
+	case draw == 5:
+		w.endpoints.old = all
+	}
+	w.tellList(form, entries)
+	wait := 200*time.Millisecond + w.upTo(600*time.Millisecond)
+	if len(w.endpoints.all) == 1 && len(w.endpoints.listed()) == 1 {
+		wait += 2 * time.Second // without it there is little to decide
+	}
+	w.after(wait, w.changeList)
+}
+
+func (w *world) tellList(form choice.ListForm, entries []choice.Server) {
+	for _, n := range w.nodes {
+		w.after(w.upTo(50*time.Millisecond), func() { n.list(form, entries) })
+	}
+}
+
+// changeEndpoints changes a few endpoints and returns their entries.
+func (w *world) changeEndpoints() (entries []choice.Server) {
+	for range 1 + w.random.IntN(1+min(len(w.endpoints.all)/25, 20)) {
+		e := w.endpoints.all[w.random.IntN(len(w.endpoints.all))]
+		w.changeEndpoint(e)
+		entries = append(entries, e.listed)
+	}
+	if w.chance(0.1) {
+		entries = append(entries, choice.Server{ID: "unknown", State: choice.Removed})
+	}
+	return entries
+}
+
+// changeEndpoint drains, removes, restarts, resizes or moves one endpoint, or brings it back.
+func (w *world) changeEndpoint(e *endpoint) {
+	restart := func() {
+		e.listed.State, e.listed.Boot = choice.Up, w.now
+		e.downUntil = w.now + 100*time.Millisecond
+	}
+	if e.listed.State != choice.Up {
+		if e.listed.State == choice.Draining && w.chance(0.5) {
+			e.listed.State = choice.Removed
+			return
+		}
+		restart()
+		return
+	}
+	switch draw := w.random.IntN(10); {
+	case draw < 3:
+		e.listed.State = choice.Draining
+	case draw < 5:
+		e.listed.State = choice.Removed
+	case draw < 8:
+		restart()
+	case draw == 8:
+		e.listed.Weight = float64(w.random.IntN(4))
+	default:
+		e.listed.Zone, e.listed.Kind = zones[w.random.IntN(len(zones))], []string{"small", "large", "new"}[w.random.IntN(3)]
+	}
+}
--- /dev/null
+++ b/choice/decisions_faults_test.go
@@ -0,0 +1,100 @@
+package choice_test
+
+import (
+	"time"
+
+	"mulleinmux/choice"
+)
+
+// What a gateway must take without harm: events of nothing that it knows, bad requests, messages that are spoilt,
+// late or from nobody, and restarts of the gateways themselves.
+
+// disturb lets one odd thing happen, and the next one after it.
+func (w *world) disturb() {
+	if w.ending {
+		return
+	}
+	n := w.anyNode()
+	switch w.random.IntN(12) {
+	case 0:
+		n.timer(w.random.Uint64N(1 << 26))
+	case 1:
+		w.unknownOutcome(n)
+	case 2:
+		n.probed("unknown", choice.OK, nil)
+	case 3:
+		n.begins("unknown", 0)
+		n.gone("unknown")
+	case 4:
+		w.badRequest(n)
+	case 5:
+		if w.chance(0.06) {
+			n.restart()
+		}
+	default:
+		n.peer(w.spoilt(n))
+	}
+	w.after(w.upTo(60*time.Millisecond), w.disturb)
+}
+
+// unknownOutcome brings an outcome of a request or an attempt that there is not.
+func (w *world) unknownOutcome(n *node) {
+	o := choice.Outcome{ID: "unknown", Result: choice.OK}
+	if q := n.requests[w.anyRequest()]; q != nil && len(q.attempts) > 0 {
+		o.ID, o.Attempt = q.ID, w.random.IntN(4)*10-10
+		n.begins(q.ID, o.Attempt-1)
+	}
+	n.outcome(o)
+}
+
+// anyRequest draws the name of a request of late.
+func (w *world) anyRequest() string {
+	return requestID(max(w.requests-w.random.IntN(40), 1))
+}
+
+// badRequest brings a request that can't be, or one that is there already.
+func (w *world) badRequest(n *node) {
+	w.requests++
+	q := choice.Request{ID: requestID(w.requests), Class: "safe", Plan: "rate", Customer: 1, Grace: time.Second, Units: -1}
+	switch w.random.IntN(6) {
+	case 0:
+		q.Class = "unknown"
+	case 1:
+		q.Plan = "unknown"
+	case 2:
+		q.Grace = 0
+	case 3:
+		q.Plan, q.Spread = "open", 1000
+	case 4:
+		q.ID = w.anyRequest()
+		if old := n.requests[q.ID]; old == nil || old.life != n.life {
+			return // it would be new to this gateway
+		}
+		n.request(q)
+		return
+	}
+	w.try(n, q, 0, 3)
+}
+
+// spoilt returns a message that was sent before, as it was or spoilt, from whom it was not.
+func (w *world) spoilt(to *node) (from int, message []byte) {
+	from = w.nodes[0].number + w.random.IntN(len(w.nodes)+2) - 1
+	message = append(message, w.overheard[w.random.IntN(len(w.overheard))]...)
+	if w.chance(0.05) || len(message) == 0 {
+		return from, nil
+	}
+	at := w.random.IntN(len(message))
+	switch w.random.IntN(6) {
+	case 0:
+		message[at] ^= 1 << w.random.IntN(8)
+	case 1:
+		message = message[:at]
+	case 2:
+		message = append(message, byte(w.random.IntN(256)))
+	case 3:
+		message[0] = byte(w.random.IntN(6))
+	case 4:
+		message[at] = byte(w.random.IntN(256))
+	}
+	return from, message
+}
