--- a/choice/decisions_test.go
+++ b/choice/decisions_test.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"mulleinmux/choice"
+	"mulleinmux/internal/golden"
 )
 
 // The regression check of decisions. Each scenario plays a script of events, drawn from a seed, to a few
@@ -29,10 +30,7 @@
 //
 //	go test ./choice -run TestDecisions -trace-decisions DIRECTORY
 
-var (
-	updateDecisions = flag.Bool("update", false, "record the hashes of decisions anew")
-	traceDecisions  = flag.String("trace-decisions", "", "directory for a text of all events and actions")
-)
+var traceDecisions = flag.String("trace-decisions", "", "directory for a text of all events and actions")
 
 const decisionsFile = "testdata/decisions.json"
 
@@ -113,7 +111,7 @@
 
 func TestDecisions(t *testing.T) {
 	got := make([]digest, len(scenarios))
-	if *updateDecisions {
+	if golden.Updating() {
 		t.Cleanup(func() { writeDigests(t, got) })
 	}
 	want := wantedDigests(t)
@@ -122,7 +120,7 @@
 			t.Parallel()
 			got[i] = playTraced(t, s)
 			switch {
-			case *updateDecisions:
+			case golden.Updating():
 			case runtime.GOARCH == recordedOn:
 				compareDigests(t, got[i], want[i])
 			default: // the hashes hold for another machine: that a play repeats itself can be seen on all
@@ -171,7 +169,7 @@
 // wantedDigests returns what is recorded, a digest for each scenario.
 func wantedDigests(t *testing.T) (digests []digest) {
 	t.Helper()
-	if *updateDecisions {
+	if golden.Updating() {
 		return nil
 	}
 	text, err := os.ReadFile(decisionsFile)
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -15,6 +15,9 @@
 
 var update = flag.Bool("update", false, "record the golden files anew; the commit says why the format changes")
 
+// Updating reports whether golden files are to be recorded anew.
+func Updating() bool { return *update }
+
 // around is the number of bytes shown before and after the first difference.
 const around = 60
 
