--- a/choice/api.go
+++ b/balancer/api.go
@@ -14,7 +14,7 @@
 // clock that never goes backwards; its origin does not matter. Events that
 // name an unknown or finished request, server, timer or attempt are ignored.
 // The gateway keeps no reference to slices that it is given.
-package choice
+package balancer
 
 import "time"
 
--- a/choice/choice_test.go
+++ b/balancer/choice_test.go
@@ -1,4 +1,4 @@
-package choice
+package balancer
 
 import (
 	"encoding/json"
@@ -244,7 +244,7 @@
 			}
 		}
 	}
-	if !slices.Contains(names, "choice/choice.go") || !slices.Contains(names, "choice/subset.go") {
+	if !slices.Contains(names, "balancer/choice.go") || !slices.Contains(names, "balancer/subset.go") {
 		t.Fatalf("policy %v lacks a file that decides", names)
 	}
 	return names
--- a/choice/datagrams_test.go
+++ b/balancer/datagrams_test.go
@@ -1,4 +1,4 @@
-package choice
+package balancer
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"mulleinmux/internal/golden"
+	"opalhook/internal/golden"
 )
 
 // fleetLink connects gateways and writes down what they do. Each message is compared with the next one of a golden
--- a/choice/decisions_clients_test.go
+++ b/balancer/decisions_clients_test.go
@@ -1,4 +1,4 @@
-package choice_test
+package balancer_test
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"time"
 
-	"mulleinmux/choice"
+	"opalhook/balancer"
 )
 
 // The clients of the world, their requests and the attempts that nodes send for these.
@@ -20,7 +20,7 @@
 
 // clientRequest is a client's try.
 type clientRequest struct {
-	choice.Request
+	balancer.Request
 	node     *node
 	life     int // of the node, when it came
 	class    int
@@ -40,9 +40,9 @@
 	usual := time.Duration(20+10*q.class) * time.Millisecond
 	got := w.answer(e, usual, timeout)
 	if w.chance(0.005) || by > 0 && w.now > by {
-		got = answer{choice.Moot, 0}
+		got = answer{balancer.Moot, 0}
 	}
-	if decisionClasses()[q.class].Stream && got.result == choice.OK {
+	if decisionClasses()[q.class].Stream && got.result == balancer.OK {
 		w.after(got.took/2, func() {
 			if !a.done {
 				q.node.begins(q.ID, number)
@@ -53,28 +53,28 @@
 }
 
 // end brings the outcome of an attempt.
-func (w *world) end(q *clientRequest, number int, result choice.Result) {
+func (w *world) end(q *clientRequest, number int, result balancer.Result) {
 	a := q.attempts[number]
 	if a.done {
 		return
 	}
 	a.done = true
 	a.endpoint.inFlight--
-	o := choice.Outcome{ID: q.ID, Attempt: number, Result: result, Server: a.endpoint.listed.ID, Took: w.now - a.sent}
-	if result == choice.OK && !q.paid {
+	o := balancer.Outcome{ID: q.ID, Attempt: number, Result: result, Server: a.endpoint.listed.ID, Took: w.now - a.sent}
+	if result == balancer.OK && !q.paid {
 		q.paid = true
 		o.Units = q.Units * 2 * w.random.Float64()
 		if w.chance(0.02) {
 			o.Units = q.Units * 3
 		}
 	}
-	if result == choice.OK || result == choice.ErrorAnswer || result == choice.Full {
+	if result == balancer.OK || result == balancer.ErrorAnswer || result == balancer.Full {
 		o.Load = w.load(a.endpoint)
 		if w.chance(0.3) {
 			o.Since = w.now - w.upTo(3*time.Second)
 		}
 	}
-	q.closed = q.closed || result == choice.OK || w.chance(0.02)
+	q.closed = q.closed || result == balancer.OK || w.chance(0.02)
 	o.Closed = q.closed
 	q.node.outcome(o)
 }
@@ -82,7 +82,7 @@
 // cancel ends an attempt soon, unless its answer is there before.
 func (w *world) cancel(q *clientRequest, number int) {
 	if w.chance(0.9) {
-		w.after(w.upTo(5*time.Millisecond), func() { w.end(q, number, choice.Cancelled) })
+		w.after(w.upTo(5*time.Millisecond), func() { w.end(q, number, balancer.Cancelled) })
 	}
 }
 
@@ -153,7 +153,7 @@
 	class := w.random.IntN(len(decisionClasses()))
 	c := decisionClasses()[class]
 	w.requests++
-	q := choice.Request{ID: requestID(w.requests), Class: c.Name, Grace: c.Deadline}
+	q := balancer.Request{ID: requestID(w.requests), Class: c.Name, Grace: c.Deadline}
 	// A few customers are the source of most requests.
 	popular := w.random.Float64()
 	customer := w.customers[int(popular*popular*popular*customersMost)]
@@ -171,7 +171,7 @@
 }
 
 // try brings a client's request to a node. The client may leave before it is answered.
-func (w *world) try(n *node, request choice.Request, class, tries int) {
+func (w *world) try(n *node, request balancer.Request, class, tries int) {
 	q := &clientRequest{Request: request, node: n, life: n.life, class: class, arrived: w.now, tries: tries}
 	n.requests[request.ID] = q
 	n.request(request)
--- a/choice/decisions_endpoints_test.go
+++ b/balancer/decisions_endpoints_test.go
@@ -1,4 +1,4 @@
-package choice_test
+package balancer_test
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"time"
 
-	"mulleinmux/choice"
+	"opalhook/balancer"
 )
 
 // The endpoints of the world, the weather that they have, and the list of them.
@@ -56,7 +56,7 @@
 
 // endpoint is an endpoint as it is, and what the list says of it.
 type endpoint struct {
-	listed    choice.Server
+	listed    balancer.Server
 	speed     float64
 	capacity  float64
 	inFlight  float64
@@ -69,7 +69,7 @@
 	all  []*endpoint
 	byID map[string]*endpoint
 	turn float64 // tells whom the weather hits
-	old  []choice.Server
+	old  []balancer.Server
 }
 
 func newEndpoints(random *rand.Rand, count int) endpoints {
@@ -77,7 +77,7 @@
 	for i := range count {
 		large := i%4 == 3
 		e := &endpoint{
-			listed: choice.Server{ID: fmt.Sprintf("e%d", i), Kind: "small", Zone: zones[i%len(zones)], Cell: i % 7},
+			listed: balancer.Server{ID: fmt.Sprintf("e%d", i), Kind: "small", Zone: zones[i%len(zones)], Cell: i % 7},
 			speed:  1, capacity: 8, luck: random.Float64(),
 		}
 		if large {
@@ -94,9 +94,9 @@
 }
 
 // listed returns the complete list.
-func (es *endpoints) listed() (list []choice.Server) {
+func (es *endpoints) listed() (list []balancer.Server) {
 	for _, e := range es.all {
-		if e.listed.State != choice.Removed {
+		if e.listed.State != balancer.Removed {
 			list = append(list, e.listed)
 		}
 	}
@@ -105,7 +105,7 @@
 
 // answer is the result of one attempt or health check, and how long it took.
 type answer struct {
-	result choice.Result
+	result balancer.Result
 	took   time.Duration
 }
 
@@ -119,17 +119,17 @@
 	}
 	switch v := w.weather; {
 	case w.now < e.downUntil:
-		return answer{choice.ConnectFailed, ms}
+		return answer{balancer.ConnectFailed, ms}
 	case below(v.refuse):
-		return answer{choice.ConnectFailed, []time.Duration{ms, 100 * ms}[w.random.IntN(2)]}
+		return answer{balancer.ConnectFailed, []time.Duration{ms, 100 * ms}[w.random.IntN(2)]}
 	case below(v.silent):
-		return answer{choice.TimedOut, timeout}
+		return answer{balancer.TimedOut, timeout}
 	case below(v.fail):
-		return answer{choice.ErrorAnswer, 5 * ms}
+		return answer{balancer.ErrorAnswer, 5 * ms}
 	case below(v.full), e.inFlight > 4*e.capacity:
-		return answer{choice.Full, 2 * ms}
+		return answer{balancer.Full, 2 * ms}
 	case below(v.reset):
-		return answer{choice.Reset, 10 * ms}
+		return answer{balancer.Reset, 10 * ms}
 	}
 	load, deviation := 1+e.inFlight/e.capacity, 0.4
 	if w.scenario.variant.name == hedged.name { // what is slow there is seen soon
@@ -138,19 +138,19 @@
 	took := time.Duration(float64(usual) * e.speed * w.weather.slow * load * math.Exp(deviation*w.random.NormFloat64()))
 	switch {
 	case took > timeout:
-		return answer{choice.TimedOut, timeout}
+		return answer{balancer.TimedOut, timeout}
 	case w.chance(0.01):
-		return answer{choice.Result(w.random.IntN(int(choice.Moot) + 1)), took}
+		return answer{balancer.Result(w.random.IntN(int(balancer.Moot) + 1)), took}
 	}
-	return answer{choice.OK, took}
+	return answer{balancer.OK, took}
 }
 
 // load draws a report of an endpoint's load, of which parts may be missing.
-func (w *world) load(e *endpoint) *choice.Load {
+func (w *world) load(e *endpoint) *balancer.Load {
 	if w.chance(0.1) {
 		return nil
 	}
-	l := &choice.Load{
+	l := &balancer.Load{
 		InFlight: e.inFlight, Queue: math.Max(e.inFlight-e.capacity, 0),
 		Util: math.Min((1+e.inFlight)/e.capacity*w.weather.slow, 1.1), // what is slow is busy, whoever keeps it so
 	}
@@ -166,8 +166,8 @@
 func (w *world) probe(n *node, e *endpoint) {
 	a := w.answer(e, 5*time.Millisecond, 300*time.Millisecond)
 	w.after(a.took, func() {
-		var l *choice.Load
-		if a.result == choice.OK {
+		var l *balancer.Load
+		if a.result == balancer.OK {
 			l = w.load(e)
 		}
 		n.probed(e.listed.ID, a.result, l)
@@ -179,10 +179,10 @@
 	n.watching = true
 	w.after(20*time.Millisecond, func() {
 		if w.weather.noLists || w.chance(0.2) {
-			n.list(choice.ListError, nil)
+			n.list(balancer.ListError, nil)
 			return
 		}
-		n.list(choice.ListFull, w.endpoints.listed())
+		n.list(balancer.ListFull, w.endpoints.listed())
 	})
 }
 
@@ -191,18 +191,18 @@
 	if w.ending {
 		return
 	}
-	form, entries := choice.ListChanges, w.changeEndpoints()
+	form, entries := balancer.ListChanges, w.changeEndpoints()
 	all := w.endpoints.listed()
 	switch draw := w.random.IntN(25); {
 	case draw < 2:
-		form, entries = choice.ListFull, all
+		form, entries = balancer.ListFull, all
 	case draw == 2:
-		form, entries = choice.ListSaved, w.endpoints.old
+		form, entries = balancer.ListSaved, w.endpoints.old
 	case draw == 3: // most are missing, for a while
-		form, entries = choice.ListSaved, all[:len(all)/50]
-		w.after(300*time.Millisecond, func() { w.tellList(choice.ListFull, w.endpoints.listed()) })
+		form, entries = balancer.ListSaved, all[:len(all)/50]
+		w.after(300*time.Millisecond, func() { w.tellList(balancer.ListFull, w.endpoints.listed()) })
 	case draw == 4:
-		form, entries = choice.ListError, nil
+		form, entries = balancer.ListError, nil
 	case draw == 5:
 		w.endpoints.old = all
 	}
@@ -214,21 +214,21 @@
 	w.after(wait, w.changeList)
 }
 
-func (w *world) tellList(form choice.ListForm, entries []choice.Server) {
+func (w *world) tellList(form balancer.ListForm, entries []balancer.Server) {
 	for _, n := range w.nodes {
 		w.after(w.upTo(50*time.Millisecond), func() { n.list(form, entries) })
 	}
 }
 
 // changeEndpoints changes a few endpoints and returns their entries.
-func (w *world) changeEndpoints() (entries []choice.Server) {
+func (w *world) changeEndpoints() (entries []balancer.Server) {
 	for range 1 + w.random.IntN(1+min(len(w.endpoints.all)/25, 20)) {
 		e := w.endpoints.all[w.random.IntN(len(w.endpoints.all))]
 		w.changeEndpoint(e)
 		entries = append(entries, e.listed)
 	}
 	if w.chance(0.1) {
-		entries = append(entries, choice.Server{ID: "unknown", State: choice.Removed})
+		entries = append(entries, balancer.Server{ID: "unknown", State: balancer.Removed})
 	}
 	return entries
 }
@@ -236,12 +236,12 @@
 // changeEndpoint drains, removes, restarts, resizes or moves one endpoint, or brings it back.
 func (w *world) changeEndpoint(e *endpoint) {
 	restart := func() {
-		e.listed.State, e.listed.Boot = choice.Up, w.now
+		e.listed.State, e.listed.Boot = balancer.Up, w.now
 		e.downUntil = w.now + 100*time.Millisecond
 	}
-	if e.listed.State != choice.Up {
-		if e.listed.State == choice.Draining && w.chance(0.5) {
-			e.listed.State = choice.Removed
+	if e.listed.State != balancer.Up {
+		if e.listed.State == balancer.Draining && w.chance(0.5) {
+			e.listed.State = balancer.Removed
 			return
 		}
 		restart()
@@ -249,9 +249,9 @@
 	}
 	switch draw := w.random.IntN(10); {
 	case draw < 3:
-		e.listed.State = choice.Draining
+		e.listed.State = balancer.Draining
 	case draw < 5:
-		e.listed.State = choice.Removed
+		e.listed.State = balancer.Removed
 	case draw < 8:
 		restart()
 	case draw == 8:
--- a/choice/decisions_faults_test.go
+++ b/balancer/decisions_faults_test.go
@@ -1,9 +1,9 @@
-package choice_test
+package balancer_test
 
 import (
 	"time"
 
-	"mulleinmux/choice"
+	"opalhook/balancer"
 )
 
 // What a gateway must take without harm: events of nothing that it knows, bad requests, messages that are spoilt,
@@ -21,7 +21,7 @@
 	case 1:
 		w.unknownOutcome(n)
 	case 2:
-		n.probed("unknown", choice.OK, nil)
+		n.probed("unknown", balancer.OK, nil)
 	case 3:
 		n.begins("unknown", 0)
 		n.gone("unknown")
@@ -39,7 +39,7 @@
 
 // unknownOutcome brings an outcome of a request or an attempt that there is not.
 func (w *world) unknownOutcome(n *node) {
-	o := choice.Outcome{ID: "unknown", Result: choice.OK}
+	o := balancer.Outcome{ID: "unknown", Result: balancer.OK}
 	if q := n.requests[w.anyRequest()]; q != nil && len(q.attempts) > 0 {
 		o.ID, o.Attempt = q.ID, w.random.IntN(4)*10-10
 		n.begins(q.ID, o.Attempt-1)
@@ -55,7 +55,7 @@
 // badRequest brings a request that can't be, or one that is there already.
 func (w *world) badRequest(n *node) {
 	w.requests++
-	q := choice.Request{ID: requestID(w.requests), Class: "safe", Plan: "rate", Customer: 1, Grace: time.Second, Units: -1}
+	q := balancer.Request{ID: requestID(w.requests), Class: "safe", Plan: "rate", Customer: 1, Grace: time.Second, Units: -1}
 	switch w.random.IntN(6) {
 	case 0:
 		q.Class = "unknown"
--- a/choice/decisions_test.go
+++ b/balancer/decisions_test.go
@@ -1,4 +1,4 @@
-package choice_test
+package balancer_test
 
 import (
 	"bufio"
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"mulleinmux/choice"
-	"mulleinmux/internal/golden"
+	"opalhook/balancer"
+	"opalhook/internal/golden"
 )
 
 // The regression check of decisions. Each scenario plays a script of events, drawn from a seed, to a few
@@ -50,11 +50,11 @@
 // variant is a named change of the usual settings.
 type variant struct {
 	name  string
-	apply func(*choice.Settings)
+	apply func(*balancer.Settings)
 }
 
 var (
-	usual   = variant{"usual", func(*choice.Settings) {}}
+	usual   = variant{"usual", func(*balancer.Settings) {}}
 	mute    = variant{"mute", settingsWithoutExtras}
 	hedged  = variant{"hedged", settingsWithHedges}
 	asking  = variant{"asking", settingsWithWatch}
@@ -202,21 +202,21 @@
 }
 
 // decisionClasses has a class of each effect and group, and one of streams.
-func decisionClasses() []choice.Class {
+func decisionClasses() []balancer.Class {
 	const ms = time.Millisecond
-	return []choice.Class{
-		{Name: "safe", Effect: choice.Safe, Aim: 200 * ms, Deadline: time.Second, Worth: 1, Late: 0.3},
-		{Name: "zone", Effect: choice.Keyed, Group: choice.GroupZone, Window: 300 * ms, Aim: 300 * ms, Deadline: time.Second, Worth: 3},
-		{Name: "cell", Effect: choice.Keyed, Group: choice.GroupCell, Window: 500 * ms, Aim: 300 * ms, Deadline: time.Second, Worth: 2},
-		{Name: "any", Effect: choice.Keyed, Group: choice.GroupAll, Window: 800 * ms, Aim: 400 * ms, Deadline: 2 * time.Second, Worth: 2},
-		{Name: "unsafe", Effect: choice.Unsafe, Aim: 400 * ms, Deadline: time.Second, Worth: 4},
-		{Name: "stream", Effect: choice.Safe, Aim: 500 * ms, Deadline: 2 * time.Second, Worth: 2, Stream: true},
+	return []balancer.Class{
+		{Name: "safe", Effect: balancer.Safe, Aim: 200 * ms, Deadline: time.Second, Worth: 1, Late: 0.3},
+		{Name: "zone", Effect: balancer.Keyed, Group: balancer.GroupZone, Window: 300 * ms, Aim: 300 * ms, Deadline: time.Second, Worth: 3},
+		{Name: "cell", Effect: balancer.Keyed, Group: balancer.GroupCell, Window: 500 * ms, Aim: 300 * ms, Deadline: time.Second, Worth: 2},
+		{Name: "any", Effect: balancer.Keyed, Group: balancer.GroupAll, Window: 800 * ms, Aim: 400 * ms, Deadline: 2 * time.Second, Worth: 2},
+		{Name: "unsafe", Effect: balancer.Unsafe, Aim: 400 * ms, Deadline: time.Second, Worth: 4},
+		{Name: "stream", Effect: balancer.Safe, Aim: 500 * ms, Deadline: 2 * time.Second, Worth: 2, Stream: true},
 	}
 }
 
 // decisionPlans has a plan of each kind of quota.
-func decisionPlans() []choice.Plan {
-	return []choice.Plan{
+func decisionPlans() []balancer.Plan {
+	return []balancer.Plan{
 		{Name: "rate", Rate: 40, Burst: 40, Price: 1},
 		{Name: "hard", Rate: 20, Burst: 20, CeilingRate: 25, CeilingBurst: 24, CeilingSlack: 1, Price: 1},
 		{Name: "open", Open: 4, Price: 1},
@@ -228,41 +228,41 @@
 	}
 }
 
-func (s scenario) settings(node int) choice.Settings {
-	set := choice.Settings{
+func (s scenario) settings(node int) balancer.Settings {
+	set := balancer.Settings{
 		Me: node, Instances: s.nodes, Zone: zones[0], Classes: decisionClasses(), Plans: decisionPlans(),
 		AnswerSlack: 10 * time.Millisecond, DrainGrace: 200 * time.Millisecond, ColdFrom: 0.2,
 		RampTime: 2 * time.Second, FallMultiple: 2, OverloadFor: time.Second,
 		MaxAttempts: 4, Cancel: true, Peers: true, Probes: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
-		Report: choice.ReportAnswers, InboxPerS: 60, PostPaid: true, Tick: time.Millisecond,
+		Report: balancer.ReportAnswers, InboxPerS: 60, PostPaid: true, Tick: time.Millisecond,
 		PriceCross: 0.2, PricePeer: 0.1, PriceProbe: 0.1, PriceWaste: 1,
 	}
 	s.variant.apply(&set)
 	return set
 }
 
-func settingsWithoutExtras(s *choice.Settings) {
+func settingsWithoutExtras(s *balancer.Settings) {
 	s.Peers, s.Probes, s.Parallel, s.Cancel, s.RetryAfter, s.PostPaid = false, false, false, false, false, false
-	s.Report, s.MaxAttempts, s.InboxPerS, s.RampTime, s.PriceCross = choice.ReportNone, 2, 0, 0, 0
+	s.Report, s.MaxAttempts, s.InboxPerS, s.RampTime, s.PriceCross = balancer.ReportNone, 2, 0, 0, 0
 }
 
-func settingsWithHedges(s *choice.Settings) {
+func settingsWithHedges(s *balancer.Settings) {
 	s.Parallel, s.MaxAttempts, s.InboxPerS = true, 0, 1000
-	s.Report = choice.ReportProbes
+	s.Report = balancer.ReportProbes
 }
 
-func settingsWithWatch(s *choice.Settings) {
+func settingsWithWatch(s *balancer.Settings) {
 	s.AskList, s.AskWithin, s.Parallel, s.InboxPerS = true, time.Second, true, 100
-	s.Report, s.PostPaid = choice.ReportProbes, false
+	s.Report, s.PostPaid = balancer.ReportProbes, false
 }
 
-func settingsWithSmallInbox(s *choice.Settings) {
-	s.InboxPerS, s.Cancel, s.Report, s.Tick = 4, false, choice.ReportNone, 5*time.Millisecond
+func settingsWithSmallInbox(s *balancer.Settings) {
+	s.InboxPerS, s.Cancel, s.Report, s.Tick = 4, false, balancer.ReportNone, 5*time.Millisecond
 }
 
 // settingsWithNews are of a fleet so short of messages that even a few nodes ask owners and share news.
-func settingsWithNews(s *choice.Settings) { s.InboxPerS = 3 }
+func settingsWithNews(s *balancer.Settings) { s.InboxPerS = 3 }
 
-func settingsWithLargeUnits(s *choice.Settings) { s.MostUnits, s.InboxPerS = 400_000, 40 }
+func settingsWithLargeUnits(s *balancer.Settings) { s.MostUnits, s.InboxPerS = 400_000, 40 }
 
 var zones = []string{"a", "b", "c"}
--- a/choice/decisions_world_test.go
+++ b/balancer/decisions_world_test.go
@@ -1,4 +1,4 @@
-package choice_test
+package balancer_test
 
 import (
 	"container/heap"
@@ -10,7 +10,7 @@
 	"math/rand/v2"
 	"time"
 
-	"mulleinmux/choice"
+	"opalhook/balancer"
 )
 
 // The world in which decisions are checked: a virtual clock, the nodes that run a gateway, and what these ask
@@ -192,7 +192,7 @@
 type node struct {
 	world    *world
 	number   int
-	gateway  *choice.Gateway
+	gateway  *balancer.Gateway
 	life     int // gateways before this one
 	watching bool
 	requests map[string]*clientRequest
@@ -201,7 +201,7 @@
 // restart begins with a new gateway. Timers of the one before are lost with it.
 func (n *node) restart() {
 	w := n.world
-	g, err := choice.New(w.scenario.settings(n.number), w.random.Uint64())
+	g, err := balancer.New(w.scenario.settings(n.number), w.random.Uint64())
 	if err != nil {
 		panic(err)
 	}
@@ -209,9 +209,9 @@
 	n.life++
 	n.event("start")
 	g.Start(w.now, n)
-	form := choice.ListFull
+	form := balancer.ListFull
 	if w.chance(0.5) {
-		form = choice.ListSaved
+		form = balancer.ListSaved
 	}
 	w.after(w.upTo(50*time.Millisecond), func() { n.list(form, w.endpoints.listed()) })
 }
@@ -239,7 +239,7 @@
 	n.gateway.Peer(n.world.now, from, message, n)
 }
 
-func (n *node) list(form choice.ListForm, entries []choice.Server) {
+func (n *node) list(form balancer.ListForm, entries []balancer.Server) {
 	n.event("list of form %d with %d entries", form, len(entries))
 	n.gateway.List(n.world.now, form, entries, n)
 }
@@ -249,17 +249,17 @@
 	n.gateway.Timer(n.world.now, token, n)
 }
 
-func (n *node) request(q choice.Request) {
+func (n *node) request(q balancer.Request) {
 	n.event("request %+v", q)
 	n.gateway.Request(n.world.now, q, n)
 }
 
-func (n *node) outcome(o choice.Outcome) {
+func (n *node) outcome(o balancer.Outcome) {
 	n.event("outcome %+v", o)
 	n.gateway.Outcome(n.world.now, o, n)
 }
 
-func (n *node) probed(endpoint string, result choice.Result, load *choice.Load) {
+func (n *node) probed(endpoint string, result balancer.Result, load *balancer.Load) {
 	n.event("health check of %s: %d", endpoint, result)
 	n.gateway.Probed(n.world.now, endpoint, result, load, n)
 }
--- a/choice/example_test.go
+++ b/balancer/example_test.go
@@ -1,10 +1,10 @@
-package choice_test
+package balancer_test
 
 import (
 	"fmt"
 	"time"
 
-	"mulleinmux/choice"
+	"opalhook/balancer"
 )
 
 // printer is a host that only prints what it is asked to do.
@@ -23,12 +23,12 @@
 func (printer) Log(text string)                            { fmt.Println(text) }
 
 func Example() {
-	settings := choice.Settings{
+	settings := balancer.Settings{
 		Instances: 1,
-		Classes:   []choice.Class{{Name: "read", Effect: choice.Safe, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}},
-		Plans:     []choice.Plan{{Name: "basic", Rate: 1, Burst: 2, Price: 1}},
+		Classes:   []balancer.Class{{Name: "read", Effect: balancer.Safe, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}},
+		Plans:     []balancer.Plan{{Name: "basic", Rate: 1, Burst: 2, Price: 1}},
 	}
-	g, err := choice.New(settings, 1)
+	g, err := balancer.New(settings, 1)
 	if err != nil {
 		fmt.Println(err)
 		return
@@ -36,12 +36,12 @@
 	var host printer
 	now := time.Duration(0)
 	g.Start(now, host)
-	g.List(now, choice.ListFull, []choice.Server{{ID: "alpha"}}, host)
+	g.List(now, balancer.ListFull, []balancer.Server{{ID: "alpha"}}, host)
 	for _, id := range []string{"r1", "r2", "r3"} {
-		g.Request(now, choice.Request{ID: id, Class: "read", Plan: "basic", Customer: 7,
+		g.Request(now, balancer.Request{ID: id, Class: "read", Plan: "basic", Customer: 7,
 			Grace: time.Second, Units: 1, Spread: 1}, host)
 	}
-	g.Outcome(now, choice.Outcome{ID: "r1", Result: choice.OK, Closed: true, Took: 20 * time.Millisecond}, host)
+	g.Outcome(now, balancer.Outcome{ID: "r1", Result: balancer.OK, Closed: true, Took: 20 * time.Millisecond}, host)
 	// Output:
 	// send r1 to alpha
 	// send r2 to alpha
--- a/choice/gossip.go
+++ b/balancer/gossip.go
@@ -1,4 +1,4 @@
-package choice
+package balancer
 
 import (
 	"cmp"
--- a/choice/known.go
+++ b/balancer/known.go
@@ -1,4 +1,4 @@
-package choice
+package balancer
 
 // Of which servers more is kept than what the list says. Which these are is decided in subset.go.
 
--- a/choice/weights.go
+++ b/balancer/weights.go
@@ -1,4 +1,4 @@
-package choice
+package balancer
 
 // weightCounts counts servers by their weights.
 type weightCounts struct {
--- a/cmd/mulleinmux/main.go
+++ b/cmd/edge-node/main.go
@@ -1,4 +1,4 @@
-// Command mulleinmux is one edge node on real sockets.
+// Command edge-node is one edge node on real sockets.
 package main
 
 import (
@@ -10,7 +10,7 @@
 	"runtime/debug"
 	"syscall"
 
-	"mulleinmux/internal/node"
+	"opalhook/internal/edgenode"
 )
 
 // The collector's pace. The heap is a few megabytes, so that letting it grow
@@ -30,7 +30,7 @@
 	signal.Notify(reload, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	cfg, err := node.LoadConfig(os.Getenv)
+	cfg, err := edgenode.LoadConfig(os.Getenv)
 	if err != nil {
 		logger.Error("configuration", "err", err)
 		os.Exit(1)
@@ -40,7 +40,7 @@
 	if cfg.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(memoryShare * float64(cfg.MemoryMB) * (1 << 20)))
 	}
-	if err := node.Run(ctx, cfg, reload, logger); err != nil {
+	if err := edgenode.Run(ctx, cfg, reload, logger); err != nil {
 		logger.Error("the node ended", "err", err)
 		os.Exit(1)
 	}
--- a/cmd/mulleinmux/main_test.go
+++ b/cmd/edge-node/main_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"mulleinmux/internal/testnet"
+	"opalhook/internal/testnet"
 )
 
 // TestMain lets the test binary stand in for the program.
@@ -77,7 +77,7 @@
 	if err := os.Mkdir(filepath.Join(dir, "bin"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Symlink(self, filepath.Join(dir, "bin", "mulleinmux")); err != nil {
+	if err := os.Symlink(self, filepath.Join(dir, "bin", "edge-node")); err != nil {
 		t.Fatal(err)
 	}
 	config := func(discovery string) string {
@@ -110,7 +110,7 @@
 			if err != nil || time.Now().After(end) {
 				t.Fatalf("the program has not begun: %v", err)
 			}
-			if strings.TrimSpace(string(name)) == "mulleinmux" {
+			if strings.TrimSpace(string(name)) == "edge-node" {
 				break
 			}
 		}
--- a/cmd/opalhook/agent.go
+++ b/cmd/opalhook/agent.go
@@ -13,7 +13,7 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 	"github.com/spf13/cobra"
 
-	"mulleinmux/internal/agent"
+	"opalhook/internal/agent"
 )
 
 // defaultAgent is where the agent of this machine listens.
--- a/cmd/opalhook/main.go
+++ b/cmd/opalhook/main.go
@@ -70,7 +70,7 @@
 	c := &cobra.Command{
 		Use:           "opalhook",
 		Short:         "Run, watch and test a fleet of opalhook edge nodes",
-		Example:       "  opalhook up\n  opalhook lab run scenarios/quiet.toml --seed 1",
+		Example:       "  opalhook up\n  opalhook testbed run scenarios/quiet.toml --seed 1",
 		SilenceErrors: true,
 		SilenceUsage:  true,
 		PersistentPreRunE: func(*cobra.Command, []string) error {
@@ -82,6 +82,6 @@
 	}
 	c.PersistentFlags().StringVarP(&s.output, "output", "o", "text", "how results are written: text or json")
 	c.PersistentFlags().BoolVarP(&s.verbose, "verbose", "v", false, "log what goes on, not only what goes wrong")
-	c.AddCommand(agentCommand(&s), labCommand(&s), registryCommand(&s), upCommand(&s))
+	c.AddCommand(agentCommand(&s), testbedCommand(&s), registryCommand(&s), upCommand(&s))
 	return c
 }
--- a/cmd/opalhook/registry.go
+++ b/cmd/opalhook/registry.go
@@ -10,7 +10,7 @@
 
 	"github.com/spf13/cobra"
 
-	"mulleinmux/internal/registry"
+	"opalhook/internal/registry"
 )
 
 // defaultRegistry is where a service on this machine listens.
--- a/cmd/opalhook/scale.go
+++ b/cmd/opalhook/scale.go
@@ -11,11 +11,11 @@
 
 	"github.com/spf13/cobra"
 
-	"mulleinmux/internal/scale"
+	"opalhook/internal/scale"
 )
 
-// labScale measures how the program's parts grow with the fleet.
-func labScale(s *settings) *cobra.Command {
+// testbedScale measures how the program's parts grow with the fleet.
+func testbedScale(s *settings) *cobra.Command {
 	var names []string
 	var sizes, dir string
 	var seed uint64
@@ -27,7 +27,7 @@
 			"Parts:\n" + scaleParts() + "\n" +
 			"The exit code is 0 where all was measured, 2 where what was asked for can't be (a size that would pass half of this\n" +
 			"machine's memory among it), 1 where it could not be measured, 130 where a signal ended it.",
-		Example: "  opalhook lab scale\n  opalhook lab scale --part node-list --sizes 200,2000,20000\n  opalhook lab scale --part quota --seed 7 -o json",
+		Example: "  opalhook testbed scale\n  opalhook testbed scale --part node-list --sizes 200,2000,20000\n  opalhook testbed scale --part quota --seed 7 -o json",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			counts, err := parseSizes(sizes)
--- a/cmd/opalhook/scale_test.go
+++ b/cmd/opalhook/scale_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"mulleinmux/internal/scale"
+	"opalhook/internal/scale"
 )
 
 // What can't be measured is bad input, which ends the command with its own exit code.
--- a/cmd/opalhook/sweep.go
+++ b/cmd/opalhook/sweep.go
@@ -14,13 +14,13 @@
 
 	"github.com/spf13/cobra"
 
-	"mulleinmux/internal/lab"
+	"opalhook/internal/testbed"
 )
 
-// labSweep plays deployments and faults drawn by seed.
-func labSweep(s *settings) *cobra.Command {
+// testbedSweep plays deployments and faults drawn by seed.
+func testbedSweep(s *settings) *cobra.Command {
 	var seeds, aim, binary, broken, dir string
-	o := lab.SweepOptions{}
+	o := testbed.SweepOptions{}
 	c := &cobra.Command{
 		Use:   "sweep",
 		Short: "Play drawn deployments under drawn faults, and list the seeds that broke a rule",
@@ -28,16 +28,16 @@
 			"rules. A seed that breaks one is reduced to fewer faults, processes and seconds while it still does. A draw for which the\n" +
 			"machine was too slow is not judged, which is no pass. Ctrl-C leaves the report of what was played.\n\n" +
 			"The exit code is 0 where no rule was broken, 3 where one was, 2 where the range or the rule can't be.",
-		Example: "  opalhook lab sweep --seeds 1-200 --jobs 6\n  opalhook lab sweep --seeds 1-40 --rule drains --budget 5m -o json\n" +
-			"  opalhook lab sweep --seeds 1-20 --rule drains --broken late-watch",
+		Example: "  opalhook testbed sweep --seeds 1-200 --jobs 6\n  opalhook testbed sweep --seeds 1-40 --rule drains --budget 5m -o json\n" +
+			"  opalhook testbed sweep --seeds 1-20 --rule drains --broken late-watch",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			var err error
-			if o.From, o.To, err = lab.ParseSeeds(seeds); err != nil {
+			if o.From, o.To, err = testbed.ParseSeeds(seeds); err != nil {
 				return badInput{fmt.Errorf("--%w", err)}
 			}
-			if aim != "" && !slices.Contains(lab.Aims, aim) {
-				return badInput{fmt.Errorf("--rule: %q is none of %s", aim, strings.Join(lab.Aims, ", "))}
+			if aim != "" && !slices.Contains(testbed.Aims, aim) {
+				return badInput{fmt.Errorf("--rule: %q is none of %s", aim, strings.Join(testbed.Aims, ", "))}
 			}
 			if o.Jobs < 1 || o.Reduce < 0 || o.Budget < 0 {
 				return badInput{fmt.Errorf("--jobs %d, --reduce %d, --budget %v: 1 job or more and nothing below 0 is wanted", o.Jobs, o.Reduce, o.Budget)}
@@ -49,7 +49,7 @@
 				return err
 			}
 			o.Aim, o.Dir, o.Log, o.Live = aim, dir, s.logger(), sweepProgress(os.Stderr)
-			r, err := lab.Sweep(c.Context(), o)
+			r, err := testbed.Sweep(c.Context(), o)
 			if err != nil {
 				return err
 			}
@@ -70,7 +70,7 @@
 		},
 	}
 	c.Flags().StringVar(&seeds, "seeds", "1-20", "range of seeds, A-B, or one seed")
-	c.Flags().StringVar(&aim, "rule", "", "rule to strain: "+strings.Join(lab.Aims, ", ")+" (default: anything)")
+	c.Flags().StringVar(&aim, "rule", "", "rule to strain: "+strings.Join(testbed.Aims, ", ")+" (default: anything)")
 	c.Flags().IntVar(&o.Jobs, "jobs", 4, "trials played at once; each takes one to two cores")
 	c.Flags().DurationVar(&o.Budget, "budget", 0, "time after which no trial begins; 0: none")
 	c.Flags().IntVar(&o.Reduce, "reduce", 12, "plays that the reduction of a failing seed may take; 0: it is not reduced")
@@ -81,7 +81,7 @@
 }
 
 func breakageNames() string {
-	return strings.Join(slices.Sorted(maps.Keys(lab.Breakages())), ", ")
+	return strings.Join(slices.Sorted(maps.Keys(testbed.Breakages())), ", ")
 }
 
 // sweepNode is the node to run: one that is named, one that is broken on purpose, or the one
@@ -89,24 +89,24 @@
 func sweepNode(ctx context.Context, binary, broken, dir string) (string, error) {
 	switch {
 	case broken == "":
-		return lab.FindNode(ctx, binary, dir)
+		return testbed.FindNode(ctx, binary, dir)
 	case binary != "":
 		return "", badInput{fmt.Errorf("--broken: builds a node of its own; leave out --node-binary")}
-	case lab.Breakages()[broken] == "":
+	case testbed.Breakages()[broken] == "":
 		return "", badInput{fmt.Errorf("--broken: %q is none of %s", broken, breakageNames())}
 	}
-	return lab.BreakNode(ctx, broken, dir)
+	return testbed.BreakNode(ctx, broken, dir)
 }
 
 // sweepProgress writes a line as each trial ends.
-func sweepProgress(out io.Writer) func(done, of int, t lab.Trial) {
+func sweepProgress(out io.Writer) func(done, of int, t testbed.Trial) {
 	began := time.Now()
-	return func(done, of int, t lab.Trial) {
+	return func(done, of int, t testbed.Trial) {
 		fmt.Fprintf(out, "%5.0f s  %d of %d  seed %d: %s%s\n", time.Since(began).Seconds(), done, of, t.Seed, t.Verdict, because(t))
 	}
 }
 
-func because(t lab.Trial) string {
+func because(t testbed.Trial) string {
 	var words []string
 	for _, rule := range slices.Sorted(maps.Keys(t.Rules)) {
 		words = append(words, fmt.Sprintf("%s %d times", rule, t.Rules[rule]))
@@ -121,11 +121,11 @@
 }
 
 // sweepTable writes what failed, and the counts.
-func sweepTable(out io.Writer, r *lab.SweepReport, dir string) error {
+func sweepTable(out io.Writer, r *testbed.SweepReport, dir string) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	head := false
 	for _, t := range r.Trials {
-		if t.Verdict != lab.Broke && t.Verdict != lab.NotPlayed {
+		if t.Verdict != testbed.Broke && t.Verdict != testbed.NotPlayed {
 			continue
 		}
 		if !head {
@@ -144,7 +144,7 @@
 		return err
 	}
 	fmt.Fprintf(out, "%d played of seeds %d-%d: %d passed, %d broke a rule, %d not judged, %d not played\n", r.Played, r.From, r.To,
-		r.Counts[lab.Passed], r.Counts[lab.Broke], r.Counts[lab.NotJudged], r.Counts[lab.NotPlayed])
+		r.Counts[testbed.Passed], r.Counts[testbed.Broke], r.Counts[testbed.NotJudged], r.Counts[testbed.NotPlayed])
 	if r.Ended != "" {
 		fmt.Fprintln(out, r.Ended)
 	}
--- a/cmd/opalhook/lab.go
+++ b/cmd/opalhook/testbed.go
@@ -14,23 +14,24 @@
 	"github.com/spf13/cobra"
 	"golang.org/x/term"
 
-	"mulleinmux/internal/lab"
+	"opalhook/internal/testbed"
 )
 
-// labCommand is the group of the experiments.
-func labCommand(s *settings) *cobra.Command {
+// testbedCommand is the group of the experiments.
+func testbedCommand(s *settings) *cobra.Command {
 	c := &cobra.Command{
-		Use:     "lab",
+		Use:     "testbed",
+		Aliases: []string{"lab"}, // the name in earlier versions
 		Short:   "Run real edge nodes under load and faults, and judge them",
-		Example: "  opalhook lab list\n  opalhook lab run scenarios/killed.toml --seed 7\n  opalhook lab report runs/killed-7",
+		Example: "  opalhook testbed list\n  opalhook testbed run scenarios/killed.toml --seed 7\n  opalhook testbed report runs/killed-7",
 		Args:    cobra.NoArgs, // or a word that is no subcommand would pass
 		RunE:    func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
-	c.AddCommand(labRun(s), labFault(s), labList(s), labReport(s), labCompare(s), labSweep(s), labScale(s))
+	c.AddCommand(testbedRun(s), testbedFault(s), testbedList(s), testbedReport(s), testbedCompare(s), testbedSweep(s), testbedScale(s))
 	return c
 }
 
-func labRun(s *settings) *cobra.Command {
+func testbedRun(s *settings) *cobra.Command {
 	var seed uint64
 	var binary, dir, control string
 	var runs int
@@ -39,11 +40,11 @@
 		Short: "Play a scenario and leave its result in a folder",
 		Long: "Play a scenario with real edge nodes.\n\nThe exit code is 0 where no rule was broken, no node crashed and every expectation held,\n" +
 			"3 where not, 2 where the scenario can't be, 1 where it could not be played.",
-		Example: "  opalhook lab run scenarios/zone-cut.toml --seed 7\n  opalhook lab run scenarios/killed.toml --runs 4 --dir runs/new\n" +
-			"  opalhook lab run scenarios/killed.toml --node-binary old/mulleinmux --runs 4 --dir runs/old",
+		Example: "  opalhook testbed run scenarios/zone-cut.toml --seed 7\n  opalhook testbed run scenarios/killed.toml --runs 4 --dir runs/new\n" +
+			"  opalhook testbed run scenarios/killed.toml --node-binary old/edge-node --runs 4 --dir runs/old",
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			sc, err := lab.LoadScenario(args[0])
+			sc, err := testbed.LoadScenario(args[0])
 			if err != nil {
 				return badInput{err}
 			}
@@ -57,18 +58,18 @@
 			if err != nil {
 				return fmt.Errorf("this program's path: %w", err)
 			}
-			path, err := lab.FindNode(c.Context(), binary, dir)
+			path, err := testbed.FindNode(c.Context(), binary, dir)
 			if err != nil {
 				return err
 			}
 			met := true
-			var results []*lab.Result
+			var results []*testbed.Result
 			for i := range runs {
 				at := dir
 				if runs > 1 {
 					at = filepath.Join(dir, strconv.FormatUint(seed+uint64(i), 10))
 				}
-				r, err := lab.Run(c.Context(), sc, lab.Options{Seed: seed + uint64(i), Binary: path, Service: self, Dir: at, Log: s.logger(), Control: control, Live: live(os.Stderr)})
+				r, err := testbed.Run(c.Context(), sc, testbed.Options{Seed: seed + uint64(i), Binary: path, Service: self, Dir: at, Log: s.logger(), Control: control, Live: live(os.Stderr)})
 				if err != nil {
 					return err
 				}
@@ -91,24 +92,24 @@
 	}
 	c.Flags().Uint64Var(&seed, "seed", 1, "of everything that is drawn; further runs take the next ones")
 	c.Flags().IntVar(&runs, "runs", 1, "how many runs, each with a seed of its own")
-	c.Flags().StringVar(&control, "control", "", "loopback address for Prometheus and for `opalhook lab fault`, such as 127.0.0.1:9911")
+	c.Flags().StringVar(&control, "control", "", "loopback address for Prometheus and for `opalhook testbed fault`, such as 127.0.0.1:9911")
 	c.Flags().StringVar(&binary, "node-binary", "", "edge node to run (default: built from this repository)")
 	c.Flags().StringVar(&dir, "dir", "", "folder of the run (default: runs/NAME-SEED)")
 	return c
 }
 
-func labFault(s *settings) *cobra.Command {
+func testbedFault(s *settings) *cobra.Command {
 	var at string
-	var f lab.Commanded
+	var f testbed.Commanded
 	var last, late time.Duration
 	c := &cobra.Command{
 		Use:     "fault KIND [TARGET]",
 		Short:   "Begin a fault in a run that goes on",
 		Long:    "Begin a fault in a run that was started with --control. The target is the number of a node or an app server.",
-		Example: "  opalhook up --control 127.0.0.1:9911\n  opalhook lab fault slow 3 --size 5 --for 10s\n  opalhook lab fault kill 0 --for 4s",
+		Example: "  opalhook up --control 127.0.0.1:9911\n  opalhook testbed fault slow 3 --size 5 --for 10s\n  opalhook testbed fault kill 0 --for 4s",
 		Args:    cobra.RangeArgs(1, 2),
 		RunE: func(c *cobra.Command, args []string) error {
-			f.Kind, f.For, f.Late = args[0], lab.Duration(last), lab.Duration(late)
+			f.Kind, f.For, f.Late = args[0], testbed.Duration(last), testbed.Duration(late)
 			if len(args) > 1 {
 				n, err := strconv.Atoi(args[1])
 				if err != nil {
@@ -116,7 +117,7 @@
 				}
 				f.Target = n
 			}
-			what, err := lab.Command(c.Context(), at, f)
+			what, err := testbed.Command(c.Context(), at, f)
 			if err != nil {
 				return err
 			}
@@ -141,9 +142,9 @@
 
 // live returns a function that shows progress: one line that is written over on a terminal,
 // a line a second elsewhere.
-func live(out *os.File) func(lab.Progress) {
+func live(out *os.File) func(testbed.Progress) {
 	terminal := term.IsTerminal(int(out.Fd()))
-	return func(p lab.Progress) {
+	return func(p testbed.Progress) {
 		text := fmt.Sprintf("%5.0f of %.0f s  asked %5d  served %5d  refused %4d  failed %3d  p50 %4d ms  p99 %5d ms  nodes up %d  rules broken %d",
 			p.At.Seconds(), p.Of.Seconds(), p.Asked, p.Served, p.Refused, p.Failed, p.P50.Milliseconds(), p.P99.Milliseconds(), p.NodesUp, p.Violations)
 		if terminal {
@@ -157,7 +158,7 @@
 	}
 }
 
-func summary(out io.Writer, r *lab.Result, dir string) {
+func summary(out io.Writer, r *testbed.Result, dir string) {
 	verdict := "passed"
 	if !r.OK() {
 		verdict = "FAILED"
@@ -178,11 +179,11 @@
 	fmt.Fprintf(out, "  %s\n", dir)
 }
 
-func labList(s *settings) *cobra.Command {
+func testbedList(s *settings) *cobra.Command {
 	return &cobra.Command{
 		Use:     "list [FOLDER]",
 		Short:   "List the scenarios in a folder",
-		Example: "  opalhook lab list\n  opalhook lab list scenarios -o json",
+		Example: "  opalhook testbed list\n  opalhook testbed list scenarios -o json",
 		Args:    cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			dir := "scenarios"
@@ -202,7 +203,7 @@
 			var rows []row
 			var bad error
 			for _, p := range paths {
-				sc, err := lab.LoadScenario(p)
+				sc, err := testbed.LoadScenario(p)
 				if err != nil {
 					bad = errors.Join(bad, err)
 					rows = append(rows, row{File: p, Error: err.Error()})
@@ -222,21 +223,21 @@
 	}
 }
 
-func labReport(s *settings) *cobra.Command {
+func testbedReport(s *settings) *cobra.Command {
 	return &cobra.Command{
 		Use:     "report DIR",
 		Short:   "Write a run's report: Markdown with pictures",
-		Example: "  opalhook lab report runs/zone-cut-7",
+		Example: "  opalhook testbed report runs/zone-cut-7",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			if s.json() {
-				r, err := lab.ReadResult(args[0])
+				r, err := testbed.ReadResult(args[0])
 				if err != nil {
 					return err
 				}
 				return writeJSON(c.OutOrStdout(), r)
 			}
-			path, err := lab.Report(args[0])
+			path, err := testbed.Report(args[0])
 			if err != nil {
 				return err
 			}
@@ -246,15 +247,15 @@
 	}
 }
 
-func labCompare(s *settings) *cobra.Command {
+func testbedCompare(s *settings) *cobra.Command {
 	return &cobra.Command{
 		Use:     "compare DIR DIR",
 		Short:   "Hold two runs, or two folders of runs, against each other",
 		Long:    "Hold two runs against each other, figure by figure, as the ratio of the second to the first.\nA folder of runs over several seeds shows the spread as well.",
-		Example: "  opalhook lab compare runs/old runs/new",
+		Example: "  opalhook testbed compare runs/old runs/new",
 		Args:    cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
-			rows, err := lab.Compare(args[0], args[1])
+			rows, err := testbed.Compare(args[0], args[1])
 			if err != nil {
 				return err
 			}
--- a/cmd/opalhook/up.go
+++ b/cmd/opalhook/up.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"mulleinmux/internal/lab"
+	"opalhook/internal/testbed"
 )
 
 // upCommand is the first thing that a newcomer runs.
@@ -24,7 +24,7 @@
 		Example: "  opalhook up\n  opalhook up --for 10s",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			sc, err := lab.Demo(last)
+			sc, err := testbed.Demo(last)
 			if err != nil {
 				return err
 			}
@@ -34,11 +34,11 @@
 			}
 			defer os.RemoveAll(dir)
 			fmt.Fprintf(c.ErrOrStderr(), "building the edge node; then %d nodes and %d app servers run until Ctrl-C\n", sc.Fleet.Nodes, sc.Fleet.Servers)
-			path, err := lab.FindNode(c.Context(), binary, dir)
+			path, err := testbed.FindNode(c.Context(), binary, dir)
 			if err != nil {
 				return err
 			}
-			r, err := lab.Run(c.Context(), sc, lab.Options{Seed: uint64(time.Now().UnixNano()), Binary: path, Dir: dir, Log: s.logger(), Control: control, Live: live(os.Stderr)})
+			r, err := testbed.Run(c.Context(), sc, testbed.Options{Seed: uint64(time.Now().UnixNano()), Binary: path, Dir: dir, Log: s.logger(), Control: control, Live: live(os.Stderr)})
 			if errors.Is(err, context.Canceled) {
 				fmt.Fprintln(c.ErrOrStderr(), "\nended: no process is left")
 				return nil
@@ -53,7 +53,7 @@
 			return nil
 		},
 	}
-	c.Flags().StringVar(&control, "control", "", "loopback address for Prometheus and for `opalhook lab fault`, such as 127.0.0.1:9911")
+	c.Flags().StringVar(&control, "control", "", "loopback address for Prometheus and for `opalhook testbed fault`, such as 127.0.0.1:9911")
 	c.Flags().StringVar(&binary, "node-binary", "", "edge node to run (default: built from this repository)")
 	c.Flags().DurationVar(&last, "for", time.Hour, "how long it runs at most")
 	return c
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"mulleinmux/internal/discovery"
+	"opalhook/internal/discovery"
 )
 
 // patience bounds every wait; none is expected to come near it.
--- a/internal/agent/core_test.go
+++ b/internal/agent/core_test.go
@@ -10,7 +10,7 @@
 
 	"pgregory.net/rapid"
 
-	"mulleinmux/internal/discovery"
+	"opalhook/internal/discovery"
 )
 
 func server(n int, state string) Entry {
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"mulleinmux/internal/discovery"
-	"mulleinmux/internal/golden"
+	"opalhook/internal/discovery"
+	"opalhook/internal/golden"
 )
 
 // scripted is a replica on a bare listener: it hands on the bytes of each request, with HOST in place of its address,
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -5,7 +5,7 @@
 	"reflect"
 	"testing"
 
-	"mulleinmux/internal/golden"
+	"opalhook/internal/golden"
 )
 
 // Messages are written as recorded, and the recorded ones are read to what they were written from.
--- a/internal/node/answer.go
+++ b/internal/edgenode/answer.go
@@ -1,4 +1,4 @@
-package node
+package edgenode
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"os"
 	"time"
 
-	"mulleinmux/choice"
+	"opalhook/balancer"
 )
 
 // Bounds of an answer.
@@ -25,9 +25,9 @@
 type reply struct {
 	body        []byte
 	contentType string
-	load        *choice.Load // nil: it carried no report
-	units       float64      // that the request counted in the end; 0: not told
-	since       time.Time    // when the connection that it came on was made; zero: there was no answer
+	load        *balancer.Load // nil: it carried no report
+	units       float64        // that the request counted in the end; 0: not told
+	since       time.Time      // when the connection that it came on was made; zero: there was no answer
 }
 
 // settled is the true units of a request, 0 where they are not told or are more than any
@@ -88,12 +88,12 @@
 // An answer that came and can't be read is an error: only a connection that broke is
 // a reset, which hints at a server that has restarted. Nothing of a spoilt answer is
 // read to its end: the connection is closed instead.
-func (c *conn) read(req *http.Request) (rep reply, result choice.Result, reuse bool) {
-	failure := func() (reply, choice.Result, bool) {
+func (c *conn) read(req *http.Request) (rep reply, result balancer.Result, reuse bool) {
+	failure := func() (reply, balancer.Result, bool) {
 		if c.in.err == nil || c.in.hasDeadline && errors.Is(c.in.err, os.ErrDeadlineExceeded) {
-			return reply{}, choice.ErrorAnswer, false
+			return reply{}, balancer.ErrorAnswer, false
 		}
-		return reply{}, choice.Reset, false
+		return reply{}, balancer.Reset, false
 	}
 	resp, err := http.ReadResponse(c.br, req)
 	for err == nil && resp.StatusCode < 200 && resp.StatusCode != http.StatusSwitchingProtocols {
@@ -105,7 +105,7 @@
 		return failure()
 	}
 	if resp.ContentLength > maxReply {
-		return reply{}, choice.ErrorAnswer, false
+		return reply{}, balancer.ErrorAnswer, false
 	}
 	var body []byte
 	if resp.ContentLength < 0 { // it ends with its last chunk, or with its connection: a reset is no end
@@ -118,7 +118,7 @@
 		return failure()
 	}
 	if len(body) > maxReply {
-		return reply{}, choice.ErrorAnswer, false
+		return reply{}, balancer.ErrorAnswer, false
 	}
 	rep = reply{body: body, contentType: resp.Header.Get("Content-Type")}
 	if text := resp.Header.Get("Endpoint-Load-Metrics"); text != "" {
@@ -132,10 +132,10 @@
 	reuse = !resp.Close && c.br.Buffered() == 0
 	switch {
 	case resp.StatusCode == http.StatusOK:
-		return rep, choice.OK, reuse
+		return rep, balancer.OK, reuse
 	case (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
 		resp.Header.Get("X-Never-Ran") == "1":
-		return rep, choice.Full, reuse
+		return rep, balancer.Full, reuse
 	}
-	return rep, choice.ErrorAnswer, reuse
+	return rep, balancer.ErrorAnswer, reuse
 }
--- a/internal/node/attempt_test.go
+++ b/internal/edgenode/attempt_test.go
@@ -1,4 +1,4 @@
-package node
+package edgenode
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"mulleinmux/choice"
+	"opalhook/balancer"
 )
 
 // rest makes the idle connections to a server old enough to be used again.
@@ -45,7 +45,7 @@
 			eventually(t, "it has come", func() bool { return !c.quiet() })
 		}}
 		rep, res := exchange(t, u, "a")
-		if res != choice.OK || string(rep.body) != "body" {
+		if res != balancer.OK || string(rep.body) != "body" {
 			t.Errorf("%s: result %v, body %q", name, res, rep.body)
 		}
 		if n := len(s.requests()); n != 2 || u.open != 1 {
@@ -125,9 +125,9 @@
 	restarted.Boot = time.Hour
 	closeAll(u.update([]Instance{restarted}, false))
 	_, res := u.exchange(t.Context(), "a", &get, to)
-	wantResult(t, res, choice.ConnectFailed)
+	wantResult(t, res, balancer.ConnectFailed)
 	_, res = u.exchange(t.Context(), "a", &get, bounds{of: u.chosen("a")})
-	wantResult(t, res, choice.OK)
+	wantResult(t, res, balancer.OK)
 	if n := len(s.requests()); n != 1 {
 		t.Errorf("%d requests arrived", n)
 	}
@@ -143,7 +143,7 @@
 	})
 	n := idleFront(t, testConfig(s.instance("a"), s.instance("b"))).node
 	ask := func(id, class, method string) *flight {
-		q := choice.Request{ID: id, Class: class, Plan: "wide", Grace: 10 * time.Second, Units: 1, Spread: 1}
+		q := balancer.Request{ID: id, Class: class, Plan: "wide", Grace: 10 * time.Second, Units: 1, Spread: 1}
 		fl := n.begin(q, message{method: method, target: "/" + class, id: id}, time.Now().Add(patience))
 		await(t, "an answer", fl.answer)
 		return fl
@@ -190,7 +190,7 @@
 			conns <- c
 		}
 	}()
-	return Instance{Server: choice.Server{ID: "a"}, Addr: addrOf(ln)}, conns
+	return Instance{Server: balancer.Server{ID: "a"}, Addr: addrOf(ln)}, conns
 }
 
 // long is a request that no socket takes at once.
@@ -217,7 +217,7 @@
 	}
 	// What the first byte is too late for does not begin.
 	_, res := u.exchange(ctx, "a", &get, bounds{whole: time.Now()})
-	wantResult(t, res, choice.Moot)
+	wantResult(t, res, balancer.Moot)
 }
 
 // An answer to a request that is not written yet is no answer to it: the attempt ends, and has never run.
@@ -225,7 +225,7 @@
 	for _, text := range []string{okAnswer, "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 503 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"} {
 		in, conns := slowReader(t)
 		u := testUpstream(in)
-		result := make(chan choice.Result, 1)
+		result := make(chan balancer.Result, 1)
 		go func() {
 			_, res := u.exchange(context.Background(), "a", &long, bounds{})
 			result <- res
@@ -233,7 +233,7 @@
 		c := await(t, "a connection", conns)
 		io.ReadFull(c, make([]byte, 100))
 		io.WriteString(c, text)
-		wantResult(t, await(t, "a result", result), choice.ConnectFailed)
+		wantResult(t, await(t, "a result", result), balancer.ConnectFailed)
 	}
 }
 
@@ -241,7 +241,7 @@
 func TestLongRequest(t *testing.T) {
 	in, conns := slowReader(t)
 	u := testUpstream(in)
-	result := make(chan choice.Result, 1)
+	result := make(chan balancer.Result, 1)
 	go func() {
 		_, res := u.exchange(context.Background(), "a", &long, bounds{whole: time.Now().Add(time.Hour)})
 		result <- res
@@ -249,13 +249,13 @@
 	c := await(t, "a connection", conns)
 	s := &appServer{serve: say(okAnswer)}
 	go s.loop(c)
-	wantResult(t, await(t, "a result", result), choice.OK)
+	wantResult(t, await(t, "a result", result), balancer.OK)
 	u.rest("a")
 	go func() {
 		_, res := u.exchange(context.Background(), "a", &get, bounds{})
 		result <- res
 	}()
-	wantResult(t, await(t, "a result on the same connection", result), choice.OK)
+	wantResult(t, await(t, "a result on the same connection", result), balancer.OK)
 	if n := len(s.requests()); n != 2 {
 		t.Errorf("%d requests on the connection", n)
 	}
@@ -266,20 +266,20 @@
 	for name, c := range map[string]struct {
 		text  string
 		reset bool
-		want  choice.Result
+		want  balancer.Result
 	}{
-		"orderly end":            {"HTTP/1.1 200 OK\r\n\r\nbody", false, choice.OK},
-		"below HTTP/1.1":         {"HTTP/1.0 200 OK\r\n\r\nbody", false, choice.OK},
-		"reset":                  {"HTTP/1.1 200 OK\r\n\r\nbody", true, choice.Reset},
-		"turned away":            {"HTTP/1.1 503 F\r\nX-Never-Ran: 1\r\n\r\n", false, choice.Full},
-		"turned away, but reset": {"HTTP/1.1 503 F\r\nX-Never-Ran: 1\r\n\r\n", true, choice.Reset},
-		"too long":               {"HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", maxReply+1), false, choice.ErrorAnswer},
+		"orderly end":            {"HTTP/1.1 200 OK\r\n\r\nbody", false, balancer.OK},
+		"below HTTP/1.1":         {"HTTP/1.0 200 OK\r\n\r\nbody", false, balancer.OK},
+		"reset":                  {"HTTP/1.1 200 OK\r\n\r\nbody", true, balancer.Reset},
+		"turned away":            {"HTTP/1.1 503 F\r\nX-Never-Ran: 1\r\n\r\n", false, balancer.Full},
+		"turned away, but reset": {"HTTP/1.1 503 F\r\nX-Never-Ran: 1\r\n\r\n", true, balancer.Reset},
+		"too long":               {"HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", maxReply+1), false, balancer.ErrorAnswer},
 	} {
 		ln := listen(t)
-		u := testUpstream(Instance{Server: choice.Server{ID: "a"}, Addr: addrOf(ln)})
+		u := testUpstream(Instance{Server: balancer.Server{ID: "a"}, Addr: addrOf(ln)})
 		type outcome struct {
 			reply
-			choice.Result
+			balancer.Result
 		}
 		done := make(chan outcome, 1)
 		go func() {
@@ -297,7 +297,7 @@
 		}
 		server.Close()
 		o := await(t, "a result", done)
-		if o.Result != c.want || c.want == choice.OK && string(o.body) != "body" {
+		if o.Result != c.want || c.want == balancer.OK && string(o.body) != "body" {
 			t.Errorf("%s: result %v, body %q", name, o.Result, o.body)
 		}
 		if len(u.backends["a"].idle) != 0 || u.open != 0 {
--- a/internal/node/bench_test.go
+++ b/internal/edgenode/bench_test.go
@@ -1,4 +1,4 @@
-package node
+package edgenode
 
 import (
 	"fmt"
--- a/internal/node/config.go
+++ b/internal/edgenode/config.go
@@ -1,4 +1,4 @@
-package node
+package edgenode
 
 import (
 	"encoding/json"
@@ -10,8 +10,8 @@
 	"strconv"
 	"time"
 
-	"mulleinmux/choice"
-	"mulleinmux/internal/wire"
+	"opalhook/balancer"
+	"opalhook/internal/wire"
 )
 
 // Config is all that an edge node is told at its start.
@@ -28,7 +28,7 @@
 	PeersAll   netip.AddrPort   // every edge node of the tier
 
 	Known     List // the app servers as this node last had them
-	Settings  choice.Settings
+	Settings  balancer.Settings
 	Transport wire.Transport
 
 	reread   func() (*Config, error) // reads the configuration again, for a reload
--- a/internal/node/cross_test.go
+++ b/internal/edgenode/cross_test.go
@@ -1,4 +1,4 @@
-package node
+package edgenode
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"mulleinmux/choice"
+	"opalhook/balancer"
 )
 
 // Events that cross: each test holds one side until the other has acted.
@@ -444,7 +444,7 @@
 	at := blocked(t)
 	var servers []Instance
 	for i := range 300 { // so many that no request is refused for those that are out
-		servers = append(servers, Instance{Server: choice.Server{ID: fmt.Sprint("s", i), Weight: 1, Kind: "k", Zone: "z"}, Addr: at})
+		servers = append(servers, Instance{Server: balancer.Server{ID: fmt.Sprint("s", i), Weight: 1, Kind: "k", Zone: "z"}, Addr: at})
 	}
 	cfg := testConfig(servers...)
 	cfg.Transport.ConnectTimeout = time.Hour
@@ -535,9 +535,9 @@
 // Whatever becomes of the list's calls, and wherever a new configuration moves them in the middle of it, a
 // drain reaches the connections, where lists are pushed as where they are asked for.
 func TestIllListsTellTheDrain(t *testing.T) {
-	up := Instance{Server: choice.Server{ID: "a"}, Addr: netip.MustParseAddrPort("127.0.0.1:1")}
+	up := Instance{Server: balancer.Server{ID: "a"}, Addr: netip.MustParseAddrPort("127.0.0.1:1")}
 	draining := up
-	draining.State = choice.Draining
+	draining.State = balancer.Draining
 	whole, drain := listJSON(1, true, up), listJSON(2, false, draining)
 	indented := strings.NewReplacer("{", "{\n  ", ",", ",\n  ").Replace(drain)
 	reset := func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() }
@@ -606,7 +606,7 @@
 					}
 					for {
 						for _, s := range await(t, "the drain", told).Servers {
-							if s.ID == "a" && s.State == choice.Draining {
+							if s.ID == "a" && s.State == balancer.Draining {
 								return
 							}
 						}
--- a/internal/node/follow_test.go
+++ b/internal/edgenode/follow_test.go
@@ -1,4 +1,4 @@
-package node
+package edgenode
 
 import (
 	"cmp"
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"mulleinmux/choice"
+	"opalhook/balancer"
 )
 
 // sim is a discovery and edge nodes that follow its list, on a clock of their own. The list has
@@ -102,7 +102,7 @@
 
 func (n *simNode) apply(l List) {
 	for _, e := range l.Servers {
-		if e.ID == "a" && e.State == choice.Draining && n.told == 0 {
+		if e.ID == "a" && e.State == balancer.Draining && n.told == 0 {
 			n.told = n.sim.now
 		}
 	}
@@ -207,10 +207,10 @@
 }
 
 func (s *sim) list(from int) string {
-	a := Instance{Server: choice.Server{ID: "a", Weight: 1}, Addr: netip.MustParseAddrPort("127.0.0.1:1")}
-	b := Instance{Server: choice.Server{ID: "b", Weight: 1}, Addr: netip.MustParseAddrPort("127.0.0.1:2")}
+	a := Instance{Server: balancer.Server{ID: "a", Weight: 1}, Addr: netip.MustParseAddrPort("127.0.0.1:1")}
+	b := Instance{Server: balancer.Server{ID: "b", Weight: 1}, Addr: netip.MustParseAddrPort("127.0.0.1:2")}
 	if s.version >= 2 {
-		a.State = choice.Draining
+		a.State = balancer.Draining
 	}
 	if from == 0 {
 		return listJSON(s.version, true, a, b)
@@ -436,7 +436,7 @@
 		n.reg.moveTo(s.now, netip.MustParseAddrPort("127.0.0.1:2"))
 		n.step()
 		s.run(time.Second)
-		old.tell(event{kind: eventMessage, list: List{Generation: 900, Servers: []Instance{{Server: choice.Server{ID: "a", State: choice.Draining}}}}})
+		old.tell(event{kind: eventMessage, list: List{Generation: 900, Servers: []Instance{{Server: balancer.Server{ID: "a", State: balancer.Draining}}}}})
 		if n.told == 0 || n.reg.follow.version == 900 {
 			t.Errorf("pushed %v: news of the discovery that is left: told %v, version %d", pushed, n.told, n.reg.follow.version)
 		}
@@ -514,32 +514,32 @@
 	for _, c := range []struct {
 		entry string
 		id    string // "": it is left out
-		state choice.ServerState
+		state balancer.ServerState
 		field string
 	}{
 		{`{}`, "", 0, "instanceId"},
 		{`7`, "", 0, "instanceId"},
 		{`{"instanceId":7,"lifecycle":"draining"}`, "", 0, "instanceId"},
-		{`{"instanceId":"a","lifecycle":"odd","hostPort":"127.0.0.1:1"}`, "a", choice.Draining, "lifecycle"},
-		{`{"instanceId":"a","lifecycle":["up"],"hostPort":"127.0.0.1:1"}`, "a", choice.Draining, "lifecycle"},
-		{`{"instanceId":"a","hostPort":"127.0.0.1:1"}`, "a", choice.Draining, "lifecycle"},
-		{`{"instanceId":"a","lifecycle":"up","hostPort":"nowhere"}`, "a", choice.Draining, "hostPort"},
-		{`{"instanceId":"a","lifecycle":"up","hostPort":7}`, "a", choice.Draining, "hostPort"},
-		{`{"instanceId":"a","lifecycle":"draining","hostPort":7,"weight":"x","cell":[],"startedAtMs":{}}`, "a", choice.Draining, "hostPort"},
-		{`{"instanceId":"a","lifecycle":"removed","weight":"x"}`, "a", choice.Removed, "weight"},
-		{`{"instanceId":"a","lifecycle":"up","hostPort":"127.0.0.1:1","weight":"x"}`, "a", choice.Up, "weight"},
-		{`{"instanceId":"a","lifecycle":"up","hostPort":"127.0.0.1:1","weight":-1}`, "a", choice.Up, "weight"},
-		{`{"instanceId":"a","lifecycle":"up","hostPort":"127.0.0.1:1","weight":1e300}`, "a", choice.Up, "weight"},
-		{`{"instanceId":"a","lifecycle":"up","hostPort":"127.0.0.1:1","zone":4,"cell":"c"}`, "a", choice.Up, "zone"},
-		{`{"instanceId":"a","lifecycle":"up","hostPort":"127.0.0.1:1","startedAtMs":1e300}`, "a", choice.Draining, "startedAtMs"},
-		{`{"instanceId":"a","lifecycle":"up","hostPort":"127.0.0.1:1","startedAtMs":"soon"}`, "a", choice.Draining, "startedAtMs"},
+		{`{"instanceId":"a","lifecycle":"odd","hostPort":"127.0.0.1:1"}`, "a", balancer.Draining, "lifecycle"},
+		{`{"instanceId":"a","lifecycle":["up"],"hostPort":"127.0.0.1:1"}`, "a", balancer.Draining, "lifecycle"},
+		{`{"instanceId":"a","hostPort":"127.0.0.1:1"}`, "a", balancer.Draining, "lifecycle"},
+		{`{"instanceId":"a","lifecycle":"up","hostPort":"nowhere"}`, "a", balancer.Draining, "hostPort"},
+		{`{"instanceId":"a","lifecycle":"up","hostPort":7}`, "a", balancer.Draining, "hostPort"},
+		{`{"instanceId":"a","lifecycle":"draining","hostPort":7,"weight":"x","cell":[],"startedAtMs":{}}`, "a", balancer.Draining, "hostPort"},
+		{`{"instanceId":"a","lifecycle":"removed","weight":"x"}`, "a", balancer.Removed, "weight"},
+		{`{"instanceId":"a","lifecycle":"up","hostPort":"127.0.0.1:1","weight":"x"}`, "a", balancer.Up, "weight"},
+		{`{"instanceId":"a","lifecycle":"up","hostPort":"127.0.0.1:1","weight":-1}`, "a", balancer.Up, "weight"},
+		{`{"instanceId":"a","lifecycle":"up","hostPort":"127.0.0.1:1","weight":1e300}`, "a", balancer.Up, "weight"},
+		{`{"instanceId":"a","lifecycle":"up","hostPort":"127.0.0.1:1","zone":4,"cell":"c"}`, "a", balancer.Up, "zone"},
+		{`{"instanceId":"a","lifecycle":"up","hostPort":"127.0.0.1:1","startedAtMs":1e300}`, "a", balancer.Draining, "startedAtMs"},
+		{`{"instanceId":"a","lifecycle":"up","hostPort":"127.0.0.1:1","startedAtMs":"soon"}`, "a", balancer.Draining, "startedAtMs"},
 	} {
 		l, spoilt, err := parseList([]byte(`{"generation":8,"reset":true,"instances":[` + c.entry + `,` + good + `]}`))
 		if err != nil || len(spoilt) == 0 || !strings.Contains(errors.Join(spoilt...).Error(), "instances[0]."+c.field+": ") {
 			t.Errorf("%s: error %v, spoilt %v, want %s named", c.entry, err, spoilt, c.field)
 		}
 		last := len(l.Servers) - 1
-		if last < 0 || l.Servers[last].ID != "g" || l.Servers[last].State != choice.Draining {
+		if last < 0 || l.Servers[last].ID != "g" || l.Servers[last].State != balancer.Draining {
 			t.Errorf("%s: hides the drain of another: %v", c.entry, l.Servers)
 			continue
 		}
--- a/internal/node/front.go
+++ b/internal/edgenode/front.go
@@ -1,4 +1,4 @@
-package node
+package edgenode
 
 import (
 	"errors"
@@ -15,7 +15,7 @@
 	"sync/atomic"
 	"time"
 
-	"mulleinmux/choice"
+	"opalhook/balancer"
 )
 
 const (
@@ -49,13 +49,13 @@
 	ready    atomic.Bool
 	draining atomic.Bool
 	due      atomic.Pointer[time.Time] // once the listener is closed: when each request that comes has to be answered
-	classes  map[string]choice.Class
+	classes  map[string]balancer.Class
 	plans    map[string]bool
 }
 
 func newFront(n *Node) *front {
 	f := &front{node: n, slots: newSlots(clientSockets(n.cfg.Sockets)),
-		classes: map[string]choice.Class{}, plans: map[string]bool{}}
+		classes: map[string]balancer.Class{}, plans: map[string]bool{}}
 	for _, c := range n.cfg.Settings.Classes {
 		f.classes[c.Name] = c
 	}
@@ -265,7 +265,7 @@
 }
 
 // parse reads a request's head.
-func (f *front) parse(r *http.Request) (q choice.Request, m message, err error) {
+func (f *front) parse(r *http.Request) (q balancer.Request, m message, err error) {
 	header := func(name string) string {
 		v := r.Header[name]
 		if len(v) != 1 || v[0] == "" {
@@ -308,16 +308,16 @@
 	}
 	m = message{target: r.RequestURI, host: r.Host, id: q.ID, contentType: r.Header.Get("Content-Type")}
 	m.method = http.MethodPost
-	if class.Effect == choice.Safe {
+	if class.Effect == balancer.Safe {
 		m.method = http.MethodGet
 	}
 	if r.Method != m.method {
 		return q, m, &badRequest{http.StatusMethodNotAllowed, "method: the class wants " + m.method, m.method}
 	}
-	if class.Effect == choice.Safe && r.ContentLength != 0 {
+	if class.Effect == balancer.Safe && r.ContentLength != 0 {
 		return q, m, bad("body: the class has none")
 	}
-	if class.Effect == choice.Keyed {
+	if class.Effect == balancer.Keyed {
 		m.key = header("Idempotency-Key")
 	} else {
 		m.key = r.Header.Get("Idempotency-Key")
@@ -352,7 +352,7 @@
 
 // metering takes units, spread and first from X-Metering. What can't be of a usual client
 // must not reach the module: it would mark the customer's store in everybody's name.
-func (f *front) metering(text string, q *choice.Request) error {
+func (f *front) metering(text string, q *balancer.Request) error {
 	set := &f.node.cfg.Settings
 	number := func(val string, least, most int) (int, bool) {
 		x, ok := decimal(val)
--- a/internal/node/golden_test.go
+++ b/internal/edgenode/golden_test.go
@@ -1,4 +1,4 @@
-package node
+package edgenode
 
 import (
 	"bufio"
@@ -16,9 +16,9 @@
 	"testing"
 	"time"
 
-	"mulleinmux/choice"
-	"mulleinmux/internal/golden"
-	"mulleinmux/internal/wire"
+	"opalhook/balancer"
+	"opalhook/internal/golden"
+	"opalhook/internal/wire"
 )
 
 // recordRequests serves connections of one request each until the test ends. It hands on the bytes of each request,
@@ -100,7 +100,7 @@
 func TestGoldenServerRequests(t *testing.T) {
 	addr, heard := recordRequests(t, okAnswer)
 	u := newUpstream(wire.Transport{ConnectTimeout: patience}, 10)
-	u.update([]Instance{{Server: choice.Server{ID: "s"}, Addr: addr}}, true)
+	u.update([]Instance{{Server: balancer.Server{ID: "s"}, Addr: addr}}, true)
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	defer cancel()
 	left := regexp.MustCompile(`X-Expires-In: \d+\.\d{3}\r\n`)
@@ -111,7 +111,7 @@
 		{method: "GET", target: "/a?"},
 	} {
 		rep, result := u.exchange(ctx, "s", &m, bounds{})
-		if result != choice.OK || string(rep.body) != "body" {
+		if result != balancer.OK || string(rep.body) != "body" {
 			t.Errorf("%s: result %d, body %q", m.target, result, rep.body)
 		}
 		transcript.WriteString(left.ReplaceAllString(await(t, "request of "+m.target, heard), "X-Expires-In: SECONDS\r\n") + "\n")
@@ -188,7 +188,7 @@
 	u := newUpstream(wire.Transport{ConnectTimeout: time.Minute}, 10)
 	u.update([]Instance{s.instance("s")}, true)
 	rep, result := u.exchange(t.Context(), "s", &message{method: "GET", target: loadPath}, bounds{})
-	if result != choice.OK || rep.units != 2.5 || rep.load == nil || *rep.load != (choice.Load{InFlight: 7, Queue: 2, Util: 0.61}) {
+	if result != balancer.OK || rep.units != 2.5 || rep.load == nil || *rep.load != (balancer.Load{InFlight: 7, Queue: 2, Util: 0.61}) {
 		t.Errorf("result %d, units %v, load %v", result, rep.units, rep.load)
 	}
 }
--- a/internal/node/gone_test.go
+++ b/internal/edgenode/gone_test.go
@@ -1,4 +1,4 @@
-package node
+package edgenode
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"testing"
 
-	"mulleinmux/choice"
+	"opalhook/balancer"
 )
 
 // wantServed waits until a test's app server is through with a connection: what came on it has been taken down.
@@ -64,8 +64,8 @@
 				}
 				secondOnly := func() {
 					old := first.instance("a")
-					old.State = choice.Draining
-					n.list(List{Servers: []Instance{old, second.instance("b")}}, choice.ListChanges)
+					old.State = balancer.Draining
+					n.list(List{Servers: []Instance{old, second.instance("b")}}, balancer.ListChanges)
 					leaveAtTheWrite(t, n, "b", leave)
 				}
 				if further {
--- a/internal/node/harness_test.go
+++ b/internal/edgenode/harness_test.go
@@ -1,4 +1,4 @@
-package node
+package edgenode
 
 import (
 	"bufio"
@@ -18,8 +18,8 @@
 	"testing"
 	"time"
 
-	"mulleinmux/choice"
-	"mulleinmux/internal/wire"
+	"opalhook/balancer"
+	"opalhook/internal/wire"
 )
 
 // patience bounds every wait of a test; none is expected to come near it.
@@ -90,7 +90,7 @@
 }
 
 func (s *appServer) instance(id string) Instance {
-	return Instance{Server: choice.Server{ID: id, Weight: 1, Kind: "k", Zone: "z"}, Addr: addrOf(s.ln)}
+	return Instance{Server: balancer.Server{ID: id, Weight: 1, Kind: "k", Zone: "z"}, Addr: addrOf(s.ln)}
 }
 
 func addrOf(ln net.Listener) netip.AddrPort { return ln.Addr().(*net.TCPAddr).AddrPort() }
@@ -112,15 +112,15 @@
 		Name: "n0", Listen: netip.MustParseAddrPort("127.0.0.1:0"), Discovery: netip.MustParseAddrPort("127.0.0.1:1"),
 		Sockets: 256, Known: List{Generation: 7, Full: true, Servers: servers},
 		Transport: wire.Transport{ConnIdle: time.Minute, ConnectTimeout: 5 * time.Second},
-		Settings: choice.Settings{
+		Settings: balancer.Settings{
 			Instances: 1, Zone: "z", MaxAttempts: 3, Cancel: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
 			Tick: 2 * time.Millisecond, AnswerSlack: 8 * time.Millisecond,
-			Classes: []choice.Class{
-				{Name: "check", Effect: choice.Safe, Aim: 20 * time.Second, Deadline: 20 * time.Second, Worth: 1},
-				{Name: "book", Effect: choice.Keyed, Group: choice.GroupZone, Window: 4 * time.Second,
+			Classes: []balancer.Class{
+				{Name: "check", Effect: balancer.Safe, Aim: 20 * time.Second, Deadline: 20 * time.Second, Worth: 1},
+				{Name: "book", Effect: balancer.Keyed, Group: balancer.GroupZone, Window: 4 * time.Second,
 					Aim: 20 * time.Second, Deadline: 20 * time.Second, Worth: 1},
 			},
-			Plans: []choice.Plan{{Name: "wide", Rate: 1e6, Burst: 1e6, Price: 1}, {Name: "tight", Rate: 0.1, Burst: 1, Price: 1}},
+			Plans: []balancer.Plan{{Name: "wide", Rate: 1e6, Burst: 1e6, Price: 1}, {Name: "tight", Rate: 0.1, Burst: 1, Price: 1}},
 		},
 	}
 }
@@ -335,7 +335,7 @@
 func listJSON(generation int, full bool, servers ...Instance) string {
 	type entry map[string]any
 	list := []entry{}
-	words := map[choice.ServerState]string{choice.Up: "up", choice.Draining: "draining", choice.Removed: "removed"}
+	words := map[balancer.ServerState]string{balancer.Up: "up", balancer.Draining: "draining", balancer.Removed: "removed"}
 	for _, s := range servers {
 		list = append(list, entry{"instanceId": s.ID, "hostPort": s.Addr.String(), "zone": s.Zone, "machineType": s.Kind,
 			"cell": s.Cell, "lifecycle": words[s.State], "weight": s.Weight, "startedAtMs": s.Boot.Milliseconds()})
--- a/internal/node/list.go
+++ b/internal/edgenode/list.go
@@ -1,4 +1,4 @@
-package node
+package edgenode
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 	"net/netip"
 	"time"
 
-	"mulleinmux/choice"
+	"opalhook/balancer"
 )
 
 // List is one message of discovery.
@@ -21,7 +21,7 @@
 
 // Instance is one app server and where it listens.
 type Instance struct {
-	choice.Server
+	balancer.Server
 	Addr netip.AddrPort // invalid for one that is not up and whose address can't be read
 }
 
@@ -104,14 +104,14 @@
 	field("lifecycle", raw.Lifecycle, &lifecycle)
 	switch lifecycle {
 	case "up":
-		s.State = choice.Up
+		s.State = balancer.Up
 	case "draining":
-		s.State = choice.Draining
+		s.State = balancer.Draining
 	case "removed":
-		s.State = choice.Removed
+		s.State = balancer.Removed
 	default:
 		spoilt = append(spoilt, fmt.Errorf("lifecycle: %q is neither up, draining nor removed", lifecycle))
-		s.State = choice.Draining
+		s.State = balancer.Draining
 	}
 	doubted := !field("startedAtMs", raw.StartedAtMs, &started)
 	if started < 0 || started > math.MaxInt64/float64(time.Millisecond) {
@@ -121,11 +121,11 @@
 	s.Boot = time.Duration(started * float64(time.Millisecond))
 	field("hostPort", raw.HostPort, &hostPort)
 	var err error
-	if s.Addr, err = address("hostPort", hostPort); err != nil && s.State != choice.Removed {
+	if s.Addr, err = address("hostPort", hostPort); err != nil && s.State != balancer.Removed {
 		spoilt, doubted = append(spoilt, err), true
 	}
-	if doubted && s.State == choice.Up {
-		s.State = choice.Draining
+	if doubted && s.State == balancer.Up {
+		s.State = balancer.Draining
 	}
 	return s, spoilt
 }
@@ -152,7 +152,7 @@
 			continue
 		}
 		text = text[d.InputOffset():]
-		if s, _ := parseInstance(entry); s.ID != "" && s.State != choice.Up {
+		if s, _ := parseInstance(entry); s.ID != "" && s.State != balancer.Up {
 			leaving = append(leaving, s)
 		}
 	}
--- a/internal/node/load_report.go
+++ b/internal/edgenode/load_report.go
@@ -1,11 +1,11 @@
-package node
+package edgenode
 
 import (
 	"strconv"
 	"strings"
 	"time"
 
-	"mulleinmux/choice"
+	"opalhook/balancer"
 )
 
 // How a server is asked for its load.
@@ -24,12 +24,12 @@
 // parseLoad parses a load report such as "TEXT inflight=7, queue=2, util=0.61".
 // Unknown names and figures that can't be are skipped; nil means that there is no
 // report in the text.
-func parseLoad(text string) *choice.Load {
+func parseLoad(text string) *balancer.Load {
 	text, ok := strings.CutPrefix(strings.TrimSpace(text), "TEXT")
 	if !ok {
 		return nil
 	}
-	l := choice.Load{InFlight: -1, Queue: -1, Util: -1}
+	l := balancer.Load{InFlight: -1, Queue: -1, Util: -1}
 	for _, pair := range strings.Split(text, ",") {
 		name, val, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		x, ok := decimal(val)
--- a/internal/node/node.go
+++ b/internal/edgenode/node.go
@@ -1,7 +1,7 @@
-// Package node is the real edge node: the host of a [choice.Gateway] on sockets.
+// Package node is the real edge node: the host of a [balancer.Gateway] on sockets.
 // It moves bytes, keeps the clock and enforces what the module relies on; what is
 // sent where, refused or tried again is decided in package choice alone.
-package node
+package edgenode
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"mulleinmux/choice"
+	"opalhook/balancer"
 )
 
 // Node hosts the gateway of one edge node. Its events come from many goroutines;
@@ -25,7 +25,7 @@
 	peers *peers // nil where edge nodes don't message each other
 
 	mu      sync.Mutex
-	gw      *choice.Gateway
+	gw      *balancer.Gateway
 	flights map[string]*flight
 	after   []func() // what the event under way leaves to do without the mutex
 	closed  bool     // no more events
@@ -69,7 +69,7 @@
 
 // newNode makes a node whose goroutines end with ctx.
 func newNode(ctx context.Context, cfg *Config, logger *slog.Logger) (*Node, error) {
-	gw, err := choice.New(cfg.Settings, cfg.Seed)
+	gw, err := balancer.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -87,7 +87,7 @@
 // event runs one event of the gateway, then what its actions left to do. It tells
 // whether the event came through: a panic of the module is logged, with the stack
 // that names its cause, and costs the one event.
-func (n *Node) event(f func(now time.Duration, out choice.Actions)) bool {
+func (n *Node) event(f func(now time.Duration, out balancer.Actions)) bool {
 	n.mu.Lock()
 	ok := !n.closed && n.guarded(f)
 	after := n.after
@@ -99,7 +99,7 @@
 	return ok
 }
 
-func (n *Node) guarded(f func(now time.Duration, out choice.Actions)) (ok bool) {
+func (n *Node) guarded(f func(now time.Duration, out balancer.Actions)) (ok bool) {
 	defer func() {
 		if p := recover(); p != nil {
 			stack := string(debug.Stack())
@@ -122,18 +122,18 @@
 
 // boot starts the gateway with the saved list.
 func (n *Node) boot() {
-	n.event(func(now time.Duration, out choice.Actions) { n.gw.Start(now, out) })
-	n.list(n.cfg.Known, choice.ListSaved)
+	n.event(func(now time.Duration, out balancer.Actions) { n.gw.Start(now, out) })
+	n.list(n.cfg.Known, balancer.ListSaved)
 }
 
 // list hands a list to the connections and to the gateway, as one event.
-func (n *Node) list(l List, form choice.ListForm) {
-	servers := make([]choice.Server, len(l.Servers))
+func (n *Node) list(l List, form balancer.ListForm) {
+	servers := make([]balancer.Server, len(l.Servers))
 	for i, s := range l.Servers {
 		servers[i] = s.Server
 	}
-	n.event(func(now time.Duration, out choice.Actions) {
-		stale := n.up.update(l.Servers, form != choice.ListChanges)
+	n.event(func(now time.Duration, out balancer.Actions) {
+		stale := n.up.update(l.Servers, form != balancer.ListChanges)
 		n.after = append(n.after, func() { closeAll(stale) })
 		n.gw.List(now, form, servers, out)
 	})
@@ -141,24 +141,24 @@
 
 // heard hands a message of discovery on.
 func (n *Node) heard(l List) {
-	form := choice.ListChanges
+	form := balancer.ListChanges
 	if l.Full {
-		form = choice.ListFull
+		form = balancer.ListFull
 	}
 	n.list(l, form)
 }
 
 // whisper hands a message of a peer on.
 func (n *Node) whisper(from int, message []byte) {
-	n.event(func(now time.Duration, out choice.Actions) { n.gw.Peer(now, from, message, out) })
+	n.event(func(now time.Duration, out balancer.Actions) { n.gw.Peer(now, from, message, out) })
 }
 
 // begin takes a request of a client. It returns nil if its id is in use. The final
 // answer comes on the flight's channel, also where the gateway gives none in time.
-func (n *Node) begin(q choice.Request, m message, deadline time.Time) *flight {
+func (n *Node) begin(q balancer.Request, m message, deadline time.Time) *flight {
 	fl := &flight{id: q.ID, msg: m, deadline: deadline, answer: make(chan answer, 1)}
 	taken := false
-	ok := n.event(func(now time.Duration, out choice.Actions) {
+	ok := n.event(func(now time.Duration, out balancer.Actions) {
 		if taken = n.flights[q.ID] != nil; taken {
 			return
 		}
@@ -177,7 +177,7 @@
 // abandon ends a flight whose client has gone or for which no answer was given in time. The flight
 // has its answer then, also where the node is closed and takes no more events.
 func (n *Node) abandon(fl *flight) {
-	ok := n.event(func(now time.Duration, out choice.Actions) {
+	ok := n.event(func(now time.Duration, out balancer.Actions) {
 		n.end(fl, answer{kind: failed})
 		n.gw.Gone(now, fl.id, out)
 	})
@@ -212,12 +212,12 @@
 	rep, result := n.up.exchange(ctx, a.server, &fl.msg, a.to)
 	a.cancel()
 	units := rep.settled(n.cfg.Settings.MostUnits)
-	n.event(func(now time.Duration, out choice.Actions) {
-		if result == choice.OK {
+	n.event(func(now time.Duration, out balancer.Actions) {
+		if result == balancer.OK {
 			n.end(fl, answer{kind: served, reply: rep})
 		}
 		fl.out--
-		n.gw.Outcome(now, choice.Outcome{ID: fl.id, Attempt: a.number, Closed: fl.done, Result: result,
+		n.gw.Outcome(now, balancer.Outcome{ID: fl.id, Attempt: a.number, Closed: fl.done, Result: result,
 			Server: a.server, Took: now - a.sent, Units: units, Load: rep.load, Since: n.since(rep)}, out)
 		n.forget(fl)
 	})
@@ -241,7 +241,7 @@
 	if load == nil {
 		load = parseLoad(string(rep.body))
 	}
-	n.event(func(now time.Duration, out choice.Actions) { n.gw.Probed(now, server, result, load, out) })
+	n.event(func(now time.Duration, out balancer.Actions) { n.gw.Probed(now, server, result, load, out) })
 }
 
 // actions carries out what the gateway asks for. All are called under the mutex.
@@ -292,7 +292,7 @@
 func (a *actions) SetTimer(token uint64, after time.Duration) {
 	n := (*Node)(a)
 	time.AfterFunc(after, func() {
-		n.event(func(now time.Duration, out choice.Actions) { n.gw.Timer(now, token, out) })
+		n.event(func(now time.Duration, out balancer.Actions) { n.gw.Timer(now, token, out) })
 	})
 }
 
--- a/internal/node/peers.go
+++ b/internal/edgenode/peers.go
@@ -1,4 +1,4 @@
-package node
+package edgenode
 
 import (
 	"errors"
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"mulleinmux/choice"
+	"opalhook/balancer"
 )
 
 // errorPause is waited after an error of the socket.
@@ -55,7 +55,7 @@
 
 func (p *peers) send(peer int, message []byte) error {
 	to := p.all
-	if peer != choice.AllPeers {
+	if peer != balancer.AllPeers {
 		if peer < 0 || peer >= len(p.addrs) {
 			return fmt.Errorf("message to unknown peer %d", peer)
 		}
--- a/internal/node/side_test.go
+++ b/internal/edgenode/side_test.go
@@ -1,4 +1,4 @@
-package node
+package edgenode
 
 import (
 	"context"
@@ -18,7 +18,7 @@
 	"testing"
 	"time"
 
-	"mulleinmux/choice"
+	"opalhook/balancer"
 )
 
 // discovery is an agent that answers each watch with what script gives for it, and a call for
@@ -247,7 +247,7 @@
 		t.Errorf("heard %q, want the peer's message alone", got)
 	}
 
-	for peer, c := range map[int]*net.UDPConn{1: other, choice.AllPeers: all} {
+	for peer, c := range map[int]*net.UDPConn{1: other, balancer.AllPeers: all} {
 		if err := p.send(peer, []byte("hello")); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/node/upstream.go
+++ b/internal/edgenode/upstream.go
@@ -1,4 +1,4 @@
-package node
+package edgenode
 
 import (
 	"bytes"
@@ -11,8 +11,8 @@
 	"syscall"
 	"time"
 
-	"mulleinmux/choice"
-	"mulleinmux/internal/wire"
+	"opalhook/balancer"
+	"opalhook/internal/wire"
 )
 
 // staleWithin is the time from the write to the reset of a connection that was given up.
@@ -63,7 +63,7 @@
 	defer u.mu.Unlock()
 	listed := map[string]bool{}
 	for _, e := range entries {
-		if e.State == choice.Removed {
+		if e.State == balancer.Removed {
 			if b := u.backends[e.ID]; b != nil {
 				stale = append(stale, u.remove(e.ID, b)...)
 			}
@@ -79,7 +79,7 @@
 			b = &backend{addr: e.Addr, boot: e.Boot, zone: e.Zone, cell: e.Cell}
 			u.backends[e.ID] = b
 		}
-		if b.up = e.State == choice.Up; !b.up {
+		if b.up = e.State == balancer.Up; !b.up {
 			stale, b.idle = append(stale, b.idle...), nil
 		}
 	}
@@ -111,7 +111,7 @@
 
 // exchange writes the message to the server, once at most, and reads the whole
 // answer. It gives up when ctx ends, by closing the connection before it returns.
-func (u *upstream) exchange(ctx context.Context, server string, m *message, to bounds) (reply, choice.Result) {
+func (u *upstream) exchange(ctx context.Context, server string, m *message, to bounds) (reply, balancer.Result) {
 	if until, ok := ctx.Deadline(); ok {
 		to.until = until
 	}
@@ -122,7 +122,7 @@
 		var err error
 		c, err = u.take(ctx, server, to.of)
 		if errors.Is(err, errBudget) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
-			return reply{}, choice.Moot // no fault of the server's
+			return reply{}, balancer.Moot // no fault of the server's
 		}
 		if err != nil {
 			return reply{}, neverSent(ctx)
@@ -143,14 +143,14 @@
 		switch {
 		case errors.Is(err, errStale) && c.rested > 0: // since it was taken: another one may do
 		case errors.Is(err, errOver), errors.Is(err, errLate):
-			return reply{}, choice.Moot
+			return reply{}, balancer.Moot
 		default:
 			return reply{}, neverSent(ctx)
 		}
 	}
 	written := time.Now()
 	rep, result, reuse := c.read(req)
-	if result == choice.Reset && !c.in.begun && c.rested >= leastKeep && time.Since(written) < staleWithin {
+	if result == balancer.Reset && !c.in.begun && c.rested >= leastKeep && time.Since(written) < staleWithin {
 		u.shortenKeep(c)
 	}
 	// stop is false once the deadline has been tampered with.
@@ -159,20 +159,20 @@
 	} else {
 		u.discard(c)
 	}
-	if result == choice.Reset && ctx.Err() != nil {
+	if result == balancer.Reset && ctx.Err() != nil {
 		switch {
 		case errors.Is(ctx.Err(), context.Canceled):
-			result = choice.Cancelled
+			result = balancer.Cancelled
 		case c.in.begun: // half an answer is no silence
-			result = choice.ErrorAnswer
+			result = balancer.ErrorAnswer
 		default:
-			result = choice.TimedOut
+			result = balancer.TimedOut
 		}
 	}
 	switch result {
-	case choice.TimedOut:
+	case balancer.TimedOut:
 		u.closeIdle(c.of)
-	case choice.OK, choice.Full, choice.ErrorAnswer:
+	case balancer.OK, balancer.Full, balancer.ErrorAnswer:
 		rep.since = c.made
 	}
 	return rep, result
@@ -180,14 +180,14 @@
 
 // neverSent is the result of an attempt whose last byte was not written. Where its
 // own time ended first, that says nothing of the server.
-func neverSent(ctx context.Context) choice.Result {
+func neverSent(ctx context.Context) balancer.Result {
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
-		return choice.Cancelled
+		return balancer.Cancelled
 	case ctx.Err() != nil:
-		return choice.Moot
+		return balancer.Moot
 	}
-	return choice.ConnectFailed
+	return balancer.ConnectFailed
 }
 
 // shut closes all idle connections.
--- a/internal/node/upstream_test.go
+++ b/internal/edgenode/upstream_test.go
@@ -1,4 +1,4 @@
-package node
+package edgenode
 
 import (
 	"context"
@@ -15,8 +15,8 @@
 	"testing"
 	"time"
 
-	"mulleinmux/choice"
-	"mulleinmux/internal/wire"
+	"opalhook/balancer"
+	"opalhook/internal/wire"
 )
 
 func testUpstream(servers ...Instance) *upstream {
@@ -27,14 +27,14 @@
 
 var get = message{method: "GET", target: "/check?customer=1", id: "t1"}
 
-func exchange(t *testing.T, u *upstream, server string) (reply, choice.Result) {
+func exchange(t *testing.T, u *upstream, server string) (reply, balancer.Result) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	return u.exchange(ctx, server, &get, bounds{})
 }
 
-func wantResult(t *testing.T, got, want choice.Result) {
+func wantResult(t *testing.T, got, want balancer.Result) {
 	t.Helper()
 	if got != want {
 		t.Errorf("result %d, want %d", got, want)
@@ -62,22 +62,22 @@
 func TestResultsOfAnswers(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
-		want       choice.Result
+		want       balancer.Result
 		reused     bool
 	}{
-		{"served", okAnswer, choice.OK, true},
-		{"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n", choice.OK, true},
-		{"interim answer first", "HTTP/1.1 103 Early Hints\r\n\r\n" + okAnswer, choice.OK, true},
-		{"last on its connection", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\nbody", choice.OK, false},
-		{"more than asked for", okAnswer + okAnswer, choice.OK, false},
-		{"error", "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", choice.ErrorAnswer, true},
-		{"turned away, 503", "HTTP/1.1 503 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", choice.Full, true},
-		{"turned away, 504", "HTTP/1.1 504 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", choice.Full, true},
-		{"503 that may have run", "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n", choice.ErrorAnswer, true},
-		{"never ran, in other words", "HTTP/1.1 503 F\r\nX-Never-Ran: 0\r\nContent-Length: 0\r\n\r\n", choice.ErrorAnswer, true},
-		{"500 that claims it never ran", "HTTP/1.1 500 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", choice.ErrorAnswer, true},
-		{"unexpected", "HTTP/1.1 204 N\r\n\r\n", choice.ErrorAnswer, true},
-		{"body over the limit", "HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537), choice.ErrorAnswer, false},
+		{"served", okAnswer, balancer.OK, true},
+		{"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n", balancer.OK, true},
+		{"interim answer first", "HTTP/1.1 103 Early Hints\r\n\r\n" + okAnswer, balancer.OK, true},
+		{"last on its connection", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\nbody", balancer.OK, false},
+		{"more than asked for", okAnswer + okAnswer, balancer.OK, false},
+		{"error", "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", balancer.ErrorAnswer, true},
+		{"turned away, 503", "HTTP/1.1 503 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Full, true},
+		{"turned away, 504", "HTTP/1.1 504 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Full, true},
+		{"503 that may have run", "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n", balancer.ErrorAnswer, true},
+		{"never ran, in other words", "HTTP/1.1 503 F\r\nX-Never-Ran: 0\r\nContent-Length: 0\r\n\r\n", balancer.ErrorAnswer, true},
+		{"500 that claims it never ran", "HTTP/1.1 500 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.ErrorAnswer, true},
+		{"unexpected", "HTTP/1.1 204 N\r\n\r\n", balancer.ErrorAnswer, true},
+		{"body over the limit", "HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537), balancer.ErrorAnswer, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -85,7 +85,7 @@
 			u := testUpstream(s.instance("a"))
 			rep, res := exchange(t, u, "a")
 			wantResult(t, res, c.want)
-			if res == choice.OK && string(rep.body) != "body" {
+			if res == balancer.OK && string(rep.body) != "body" {
 				t.Errorf("body %q", rep.body)
 			}
 			if got := len(u.backends["a"].idle) == 1; got != c.reused {
@@ -101,7 +101,7 @@
 		"X-Settled: -1\r\n": 0, "X-Settled: many\r\n": 0, "X-Settled: 1e300\r\n": 0, "X-Settled: NaN\r\n": 0} {
 		s := newAppServer(t, say("HTTP/1.1 200 OK\r\n"+text+"Content-Length: 4\r\n\r\nbody"))
 		rep, res := exchange(t, testUpstream(s.instance("a")), "a")
-		wantResult(t, res, choice.OK)
+		wantResult(t, res, balancer.OK)
 		if got := rep.settled(8); got != want {
 			t.Errorf("%q: %v units, want %v", text, got, want)
 		}
@@ -119,7 +119,7 @@
 		})
 		u := testUpstream(s.instance("a"))
 		_, res := exchange(t, u, "a")
-		wantResult(t, res, choice.Reset)
+		wantResult(t, res, balancer.Reset)
 	}
 }
 
@@ -171,14 +171,14 @@
 				t.Fatal(err)
 			}
 			_, res := exchange(t, u, "a")
-			wantResult(t, res, choice.ErrorAnswer)
+			wantResult(t, res, balancer.ErrorAnswer)
 			u.giveBack(spare)
 			if b := u.backends["a"]; len(b.idle) != 1 || u.open != 1 {
 				t.Errorf("%d connections idle, %d counted, want the other one", len(b.idle), u.open)
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), patience)
 			defer cancel()
-			if _, res := u.exchange(ctx, "a", &message{method: "GET", target: "/check", id: "fine"}, bounds{}); res != choice.OK {
+			if _, res := u.exchange(ctx, "a", &message{method: "GET", target: "/check", id: "fine"}, bounds{}); res != balancer.OK {
 				t.Errorf("the next request: result %d", res)
 			}
 		})
@@ -205,7 +205,7 @@
 	u.open++
 	u.giveBack(other)
 	u.rest("a")
-	ctx, result := newEnding(), make(chan choice.Result, 1)
+	ctx, result := newEnding(), make(chan balancer.Result, 1)
 	go func() {
 		_, res := u.exchange(ctx, "a", &get, bounds{})
 		result <- res
@@ -213,7 +213,7 @@
 	await(t, "half an answer", written)
 	eventually(t, "it is read", func() bool { return drained(t, other.Conn) })
 	ctx.end(context.DeadlineExceeded)
-	wantResult(t, await(t, "a result", result), choice.ErrorAnswer)
+	wantResult(t, await(t, "a result", result), balancer.ErrorAnswer)
 	if len(u.backends["a"].idle) != 1 {
 		t.Error("the other idle connection is gone")
 	}
@@ -252,7 +252,7 @@
 			}
 			rest(c.rested)
 			_, res := exchange(t, u, "a")
-			wantResult(t, res, choice.Reset)
+			wantResult(t, res, balancer.Reset)
 			if got := b.keep != 0; got != c.learns {
 				t.Fatalf("kept for %v, learned: %v, want %v", b.keep, got, c.learns)
 			}
@@ -279,7 +279,7 @@
 	})
 	u := testUpstream(s.instance("a"))
 	_, res := exchange(t, u, "a")
-	wantResult(t, res, choice.OK)
+	wantResult(t, res, balancer.OK)
 }
 
 // An attempt whose own time ends before it is written says nothing of its server.
@@ -289,7 +289,7 @@
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(-time.Second))
 	defer cancel()
 	_, res := u.exchange(ctx, "a", &get, bounds{})
-	wantResult(t, res, choice.Moot)
+	wantResult(t, res, balancer.Moot)
 }
 
 // A kept connection that breaks under a request ends it as a reset. A client that
@@ -306,10 +306,10 @@
 	})
 	u := testUpstream(s.instance("a"))
 	_, res := exchange(t, u, "a")
-	wantResult(t, res, choice.OK)
+	wantResult(t, res, balancer.OK)
 	u.rest("a")
 	_, res = exchange(t, u, "a")
-	wantResult(t, res, choice.Reset)
+	wantResult(t, res, balancer.Reset)
 	if n := len(s.requests()); n != 2 {
 		t.Errorf("%d copies arrived of 2 requests", n)
 	}
@@ -323,7 +323,7 @@
 		return say(okAnswer)(c, nil, nil)
 	})
 	u := testUpstream(s.instance("a"))
-	done := make(chan choice.Result, 2)
+	done := make(chan balancer.Result, 2)
 	for range 2 {
 		go func() {
 			_, res := u.exchange(context.Background(), "a", &get, bounds{})
@@ -332,8 +332,8 @@
 	}
 	eventually(t, "two requests out", func() bool { return len(s.requests()) == 2 })
 	close(hold)
-	wantResult(t, await(t, "a result", done), choice.OK)
-	wantResult(t, await(t, "a result", done), choice.OK)
+	wantResult(t, await(t, "a result", done), balancer.OK)
+	wantResult(t, await(t, "a result", done), balancer.OK)
 	idle := u.backends["a"].idle
 	if len(idle) != 2 {
 		t.Fatalf("%d idle connections for two requests at once", len(idle))
@@ -357,7 +357,7 @@
 	eventually(t, "close arrived", func() bool { return !c.quiet() })
 	u.rest("a")
 	_, res := exchange(t, u, "a")
-	wantResult(t, res, choice.OK)
+	wantResult(t, res, balancer.OK)
 	if u.open != 1 {
 		t.Errorf("%d connections counted, 1 open", u.open)
 	}
@@ -388,11 +388,11 @@
 // what it ends has never run.
 func TestDialIsBounded(t *testing.T) {
 	u := newUpstream(wire.Transport{ConnIdle: time.Minute, ConnectTimeout: 50 * time.Millisecond}, 100)
-	u.update([]Instance{{Server: choice.Server{ID: "a"}, Addr: blocked(t)}}, true)
+	u.update([]Instance{{Server: balancer.Server{ID: "a"}, Addr: blocked(t)}}, true)
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	_, res := u.exchange(ctx, "a", &get, bounds{})
-	wantResult(t, res, choice.ConnectFailed)
+	wantResult(t, res, balancer.ConnectFailed)
 	if ctx.Err() != nil || u.open != 0 {
 		t.Errorf("context %v, %d connections counted", ctx.Err(), u.open)
 	}
@@ -401,12 +401,12 @@
 // Giving up closes the connection before the outcome is known, or the next attempt
 // would be a second copy.
 func TestGivingUpClosesTheConnection(t *testing.T) {
-	for want, reason := range map[choice.Result]error{
-		choice.TimedOut: context.DeadlineExceeded, choice.Cancelled: context.Canceled,
+	for want, reason := range map[balancer.Result]error{
+		balancer.TimedOut: context.DeadlineExceeded, balancer.Cancelled: context.Canceled,
 	} {
 		s := newAppServer(t, func(net.Conn, *http.Request, []byte) bool { select {} })
 		u := testUpstream(s.instance("a"))
-		ctx, result := newEnding(), make(chan choice.Result, 1)
+		ctx, result := newEnding(), make(chan balancer.Result, 1)
 		go func() {
 			_, res := u.exchange(ctx, "a", &get, bounds{})
 			result <- res
@@ -437,14 +437,14 @@
 	}
 	exchange(t, u, "a")
 	u.giveBack(c)
-	ctx, result := newEnding(), make(chan choice.Result, 1)
+	ctx, result := newEnding(), make(chan balancer.Result, 1)
 	go func() {
 		_, res := u.exchange(ctx, "a", &message{method: "GET", target: "/check", id: "silent"}, bounds{})
 		result <- res
 	}()
 	eventually(t, "request out", func() bool { return len(s.requests()) == 2 })
 	ctx.end(context.DeadlineExceeded)
-	wantResult(t, await(t, "a result", result), choice.TimedOut)
+	wantResult(t, await(t, "a result", result), balancer.TimedOut)
 	wantClosed(t, await(t, "a connection", s.conns))
 	wantClosed(t, await(t, "a second connection", s.conns))
 	if u.open != 0 {
@@ -461,8 +461,8 @@
 			return []Instance{i}, false
 		},
 		"restarted": func(i Instance) ([]Instance, bool) { i.Boot = time.Hour; return []Instance{i}, false },
-		"draining":  func(i Instance) ([]Instance, bool) { i.State = choice.Draining; return []Instance{i}, false },
-		"removed":   func(i Instance) ([]Instance, bool) { i.State = choice.Removed; return []Instance{i}, false },
+		"draining":  func(i Instance) ([]Instance, bool) { i.State = balancer.Draining; return []Instance{i}, false },
+		"removed":   func(i Instance) ([]Instance, bool) { i.State = balancer.Removed; return []Instance{i}, false },
 		"vanished":  func(Instance) ([]Instance, bool) { return nil, true },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -477,7 +477,7 @@
 			})
 			u := testUpstream(s.instance("a"))
 			exchange(t, u, "a") // leaves one idle
-			done := make(chan choice.Result)
+			done := make(chan balancer.Result)
 			go func() {
 				_, res := u.exchange(context.Background(), "a", &get, bounds{})
 				done <- res
@@ -485,7 +485,7 @@
 			eventually(t, "second request out", func() bool { return len(s.requests()) == 2 })
 			closeAll(u.update(change(s.instance("a"))))
 			close(hold)
-			wantResult(t, await(t, "a result", done), choice.OK)
+			wantResult(t, await(t, "a result", done), balancer.OK)
 			wantClosed(t, await(t, "a connection", s.conns))
 			if u.open != 0 {
 				t.Errorf("%d connections counted, none open", u.open)
@@ -500,14 +500,14 @@
 	u := testUpstream(s.instance("a"))
 	b := u.backends["a"]
 	drains := s.instance("a")
-	drains.State = choice.Draining
+	drains.State = balancer.Draining
 	u.update([]Instance{drains}, false)
 	u.open++
 	if _, err := u.dial(context.Background(), b); err != errUnknown {
 		t.Errorf("error %v, want %v", err, errUnknown)
 	}
 	_, res := exchange(t, u, "a")
-	wantResult(t, res, choice.ConnectFailed)
+	wantResult(t, res, balancer.ConnectFailed)
 	if len(s.requests()) != 0 || u.open != 0 {
 		t.Errorf("requests %q, %d connections counted", s.requests(), u.open)
 	}
@@ -531,7 +531,7 @@
 	n.end(fl, answer{kind: failed})
 	n.mu.Unlock()
 	n.up.giveBack(c)
-	if _, result := n.up.exchange(t.Context(), "a", &fl.msg, bounds{}); result != choice.Moot {
+	if _, result := n.up.exchange(t.Context(), "a", &fl.msg, bounds{}); result != balancer.Moot {
 		t.Errorf("result %v", result)
 	}
 	c, err = n.up.take(t.Context(), "a", nil)
@@ -544,7 +544,7 @@
 		t.Errorf("an attempt that was given up is written: %v", err)
 	}
 	n.up.giveBack(c)
-	if _, result := n.up.exchange(t.Context(), "a", &message{method: "GET", target: "/other"}, bounds{}); result != choice.OK {
+	if _, result := n.up.exchange(t.Context(), "a", &message{method: "GET", target: "/other"}, bounds{}); result != balancer.OK {
 		t.Errorf("another request: result %v", result)
 	}
 	if got := srv.requests(); len(got) != 1 || got[0] != "GET /other " {
@@ -562,7 +562,7 @@
 		u := newUpstream(wire.Transport{ConnIdle: time.Minute, ConnectTimeout: patience}, 10)
 		u.update([]Instance{in}, true)
 		if kept {
-			if _, result := u.exchange(t.Context(), "a", &message{method: "GET", target: "/first"}, bounds{}); result != choice.OK {
+			if _, result := u.exchange(t.Context(), "a", &message{method: "GET", target: "/first"}, bounds{}); result != balancer.OK {
 				t.Fatalf("first request: %v", result)
 			}
 			u.rest("a")
@@ -572,7 +572,7 @@
 			t.Fatal(err)
 		}
 		before := len(srv.requests())
-		in.State = choice.Draining
+		in.State = balancer.Draining
 		closeAll(u.update([]Instance{in}, false))
 		if err := u.write(t.Context(), c, &message{}, bounds{}, []byte("GET /late HTTP/1.1\r\nHost: a\r\n\r\n")); err != errUnknown {
 			t.Errorf("kept %v: written with error %v", kept, err)
@@ -598,14 +598,14 @@
 	u.most = 1
 	exchange(t, u, "a")
 	_, res := exchange(t, u, "b")
-	wantResult(t, res, choice.OK)
+	wantResult(t, res, balancer.OK)
 	wantClosed(t, await(t, "a connection", a.conns))
 	busy, err := u.take(context.Background(), "b", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, res = exchange(t, u, "a")
-	wantResult(t, res, choice.Moot)
+	wantResult(t, res, balancer.Moot)
 	u.giveBack(busy)
 	if u.open != 1 {
 		t.Errorf("%d connections counted, 1 open", u.open)
@@ -613,7 +613,7 @@
 }
 
 func TestLoadReports(t *testing.T) {
-	for text, want := range map[string]*choice.Load{
+	for text, want := range map[string]*balancer.Load{
 		"TEXT inflight=7, queue=2, util=0.61":     {InFlight: 7, Queue: 2, Util: 0.61},
 		"TEXT backlog=2,utilization=0.5,novel=1 ": {InFlight: -1, Queue: 2, Util: 0.5},
 		"TEXT util=x, queue=3":                    {InFlight: -1, Queue: 3, Util: -1},
@@ -645,7 +645,7 @@
 	// A queue this long outweighs any difference in latency, whatever the machine is busy with.
 	other := newAppServer(t, func(c net.Conn, r *http.Request, _ []byte) bool { return answerWithQueue(c, r, 10000) })
 	cfg := testConfig(preferred.instance("preferred"), other.instance("other"))
-	cfg.Settings.Probes, cfg.Settings.Report = true, choice.ReportProbes
+	cfg.Settings.Probes, cfg.Settings.Report = true, balancer.ReportProbes
 	r := run(t, cfg)
 	c, n := dial(t, r.addr), 0
 	ask := func() (byPreferred bool) {
--- a/internal/registry/cluster_test.go
+++ b/internal/registry/cluster_test.go
@@ -23,8 +23,8 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"mulleinmux/internal/lab"
-	"mulleinmux/internal/testnet"
+	"opalhook/internal/testbed"
+	"opalhook/internal/testnet"
 )
 
 // asReplica names the variable that makes the test binary a replica: its value is the
@@ -79,10 +79,10 @@
 	listen, raft string
 	cmd          *exec.Cmd
 	log          string
-	joins        float64               // watches that may be opened a second; 0: as the service has it
-	env          []string              // more of it
-	via          map[string]string     // to the others, through links
-	links        map[*member]*lab.Link // the same, by the other
+	joins        float64                   // watches that may be opened a second; 0: as the service has it
+	env          []string                  // more of it
+	via          map[string]string         // to the others, through links
+	links        map[*member]*testbed.Link // the same, by the other
 }
 
 func newMember(t testing.TB) *member {
@@ -129,12 +129,12 @@
 func connect(t testing.TB, all []*member) {
 	t.Helper()
 	for _, a := range all {
-		a.via, a.links = map[string]string{}, map[*member]*lab.Link{}
+		a.via, a.links = map[string]string{}, map[*member]*testbed.Link{}
 		for i, b := range all {
 			if a == b {
 				continue
 			}
-			l, err := lab.NewLink(b.raft, uint64(i))
+			l, err := testbed.NewLink(b.raft, uint64(i))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -152,7 +152,7 @@
 			continue
 		}
 		// A connection carries its maker's requests one way and the answers the other.
-		err := errors.Join(m.links[b].Set(lab.LinkState{Cut: out}, lab.LinkState{Cut: in}), b.links[m].Set(lab.LinkState{Cut: in}, lab.LinkState{Cut: out}))
+		err := errors.Join(m.links[b].Set(testbed.LinkState{Cut: out}, testbed.LinkState{Cut: in}), b.links[m].Set(testbed.LinkState{Cut: in}, testbed.LinkState{Cut: out}))
 		if err != nil {
 			m.t.Fatal(err)
 		}
--- a/internal/registry/core.go
+++ b/internal/registry/core.go
@@ -33,7 +33,7 @@
 	"slices"
 	"time"
 
-	"mulleinmux/internal/discovery"
+	"opalhook/internal/discovery"
 )
 
 // Lifecycles of an entry.
--- a/internal/registry/data_folder_test.go
+++ b/internal/registry/data_folder_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"mulleinmux/internal/golden"
+	"opalhook/internal/golden"
 )
 
 // recordedFolder is the folder of testdata with a data folder of an earlier version; its README says how it was made.
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -20,7 +20,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"mulleinmux/internal/golden"
+	"opalhook/internal/golden"
 )
 
 // goldenTerm is the term of the recorded expire command.
--- a/internal/registry/machine.go
+++ b/internal/registry/machine.go
@@ -13,7 +13,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"mulleinmux/internal/discovery"
+	"opalhook/internal/discovery"
 )
 
 // machine is the state behind the replicated log, with what readers of it need: each change
--- a/internal/registry/server_test.go
+++ b/internal/registry/server_test.go
@@ -20,7 +20,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"mulleinmux/internal/testnet"
+	"opalhook/internal/testnet"
 )
 
 // patience bounds every wait; none is expected to come near it.
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"mulleinmux/choice"
+	"opalhook/balancer"
 )
 
 // Servers of a simulated fleet: how long they take and how often they can't.
@@ -26,18 +26,18 @@
 
 // fleetSettings are the settings of an edge node of a large fleet: the form's sample with figures for
 // two classes, three plans and an inbox of 40 messages a second.
-func fleetSettings(instances, me int) choice.Settings {
-	return choice.Settings{
+func fleetSettings(instances, me int) balancer.Settings {
+	return balancer.Settings{
 		Me: me, Instances: instances, Zone: zoneOf(me),
-		Classes: []choice.Class{
-			{Name: "check", Effect: choice.Safe, Aim: time.Second, Deadline: secondsToAnswer, Worth: 3, Late: 0.2},
-			{Name: "issue", Effect: choice.Unsafe, Aim: time.Second, Deadline: secondsToAnswer, Worth: 5, Late: 0.2},
+		Classes: []balancer.Class{
+			{Name: "check", Effect: balancer.Safe, Aim: time.Second, Deadline: secondsToAnswer, Worth: 3, Late: 0.2},
+			{Name: "issue", Effect: balancer.Unsafe, Aim: time.Second, Deadline: secondsToAnswer, Worth: 5, Late: 0.2},
 		},
 		Plans:       fleetPlans(),
 		AnswerSlack: 8 * time.Millisecond, DrainGrace: 500 * time.Millisecond,
 		ColdFrom: 0.27, RampTime: 16 * time.Second, FallMultiple: 2.5, OverloadFor: 3 * time.Second,
 		MaxAttempts: 5, Parallel: true, Cancel: true, Peers: true, RetryAfter: true, MaxRetryAfter: 500 * time.Millisecond,
-		Report: choice.ReportAnswers, InboxPerS: 40, PostPaid: true, MostUnits: mostUnits, Tick: 2 * time.Millisecond,
+		Report: balancer.ReportAnswers, InboxPerS: 40, PostPaid: true, MostUnits: mostUnits, Tick: 2 * time.Millisecond,
 		PriceCross: 0.0091, PricePeer: 0.03, PriceWaste: 0.05,
 	}
 }
@@ -45,16 +45,16 @@
 func zoneOf(number int) string { return "zone-" + strconv.Itoa(number%serverZones) }
 
 // server returns the list's entry of a server by its number; the same each time.
-func server(number int) choice.Server {
-	return choice.Server{
+func server(number int) balancer.Server {
+	return balancer.Server{
 		ID: fmt.Sprintf("server-%06d", number), Weight: 1, Kind: "standard",
 		Zone: zoneOf(number), Cell: number / serversPerCell,
 	}
 }
 
 // serverList returns the list of the first servers.
-func serverList(count int) []choice.Server {
-	list := make([]choice.Server, count)
+func serverList(count int) []balancer.Server {
+	list := make([]balancer.Server, count)
 	for i := range list {
 		list[i] = server(i)
 	}
@@ -126,7 +126,7 @@
 // add makes an edge node and starts its gateway, which has no list yet.
 func (f *fleet) add(number int) (*node, error) {
 	settings := fleetSettings(f.instances, number)
-	gateway, err := choice.New(settings, f.seed<<16+uint64(number))
+	gateway, err := balancer.New(settings, f.seed<<16+uint64(number))
 	if err != nil {
 		return nil, fmt.Errorf("edge node %d: %w", number, err)
 	}
@@ -147,7 +147,7 @@
 		if err != nil {
 			return err
 		}
-		n.list(callFirstList, choice.ListFull, serverList(servers))
+		n.list(callFirstList, balancer.ListFull, serverList(servers))
 	}
 	return nil
 }
--- a/internal/scale/list.go
+++ b/internal/scale/list.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"mulleinmux/internal/registry"
+	"opalhook/internal/registry"
 )
 
 // Sizes of the list in entries, up to the plan's.
--- a/internal/scale/list_expiry.go
+++ b/internal/scale/list_expiry.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"mulleinmux/internal/registry"
+	"opalhook/internal/registry"
 )
 
 // The lease of the zone's instances must outlast the opening of all watches, of which a replica
--- a/internal/scale/list_expiry_test.go
+++ b/internal/scale/list_expiry_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"mulleinmux/internal/discovery"
-	"mulleinmux/internal/registry"
+	"opalhook/internal/discovery"
+	"opalhook/internal/registry"
 )
 
 // A zone whose leases run out is told in few messages, each once and in order, in the bytes of its
--- a/internal/scale/list_lost.go
+++ b/internal/scale/list_lost.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"mulleinmux/internal/registry"
+	"opalhook/internal/registry"
 )
 
 // comingBackDraws are the draws of the replicas at which watches come back, beside those of the seed.
--- a/internal/scale/list_service.go
+++ b/internal/scale/list_service.go
@@ -11,7 +11,7 @@
 	"path/filepath"
 	"time"
 
-	"mulleinmux/internal/registry"
+	"opalhook/internal/registry"
 )
 
 // Bounds of waits; none is expected to come near them.
--- a/internal/scale/list_test.go
+++ b/internal/scale/list_test.go
@@ -11,8 +11,8 @@
 	"strings"
 	"testing"
 
-	"mulleinmux/internal/discovery"
-	"mulleinmux/internal/registry"
+	"opalhook/internal/discovery"
+	"opalhook/internal/registry"
 )
 
 func listParts() []Part {
--- a/internal/scale/list_write.go
+++ b/internal/scale/list_write.go
@@ -9,7 +9,7 @@
 	"sync"
 	"sync/atomic"
 
-	"mulleinmux/internal/registry"
+	"opalhook/internal/registry"
 )
 
 // listWriter writes to one replica that leads, over connections that stay open.
--- a/internal/scale/node.go
+++ b/internal/scale/node.go
@@ -4,15 +4,15 @@
 	"strconv"
 	"time"
 
-	"mulleinmux/choice"
+	"opalhook/balancer"
 )
 
 // node is an edge node without sockets: a real gateway, and this type as its host.
 type node struct {
 	fleet   *fleet
 	number  int
-	gateway *choice.Gateway
-	classes []choice.Class
+	gateway *balancer.Gateway
+	classes []balancer.Class
 	inbox   inbox
 	open    map[string]*openRequest
 	met     map[string]bool // servers that were sent to
@@ -55,7 +55,7 @@
 	q.used = max(1, min(q.units+float64(f.rng.IntN(3)-1), mostUnits))
 	n.open[q.id] = q
 	n.counts.requests++
-	try := choice.Request{
+	try := balancer.Request{
 		ID: q.id, Class: class.Name, Plan: t.plan.Name, Customer: t.key, Grace: class.Deadline,
 		Units: q.units, Spread: f.spread, First: t.first,
 	}
@@ -91,7 +91,7 @@
 	n.watch.add(kind, took)
 }
 
-// Send implements [choice.Actions]: the server answers after a time that is drawn. The send itself takes
+// Send implements [balancer.Actions]: the server answers after a time that is drawn. The send itself takes
 // none, so that it is always on its way in time.
 func (n *node) Send(id, serverID string, timeout, _ time.Duration) {
 	q := n.open[id]
@@ -113,7 +113,7 @@
 	}
 	result, took := n.drawResult()
 	if took > left {
-		result, took = choice.TimedOut, left
+		result, took = balancer.TimedOut, left
 	}
 	f.clock.after(took, func() { n.outcome(q, number, result) })
 }
@@ -129,20 +129,20 @@
 }
 
 // drawResult draws what a server makes of an attempt.
-func (n *node) drawResult() (choice.Result, time.Duration) {
+func (n *node) drawResult() (balancer.Result, time.Duration) {
 	rng := n.fleet.rng
 	took := serverFastest + time.Duration(rng.ExpFloat64()*float64(serverMore))
 	switch x := rng.Float64(); {
 	case x < fullShare:
-		return choice.Full, serverFastest / 2
+		return balancer.Full, serverFastest / 2
 	case x < fullShare+errorShare:
-		return choice.ErrorAnswer, took
+		return balancer.ErrorAnswer, took
 	}
-	return choice.OK, took
+	return balancer.OK, took
 }
 
 // outcome is the end of an attempt.
-func (n *node) outcome(q *openRequest, number int, result choice.Result) {
+func (n *node) outcome(q *openRequest, number int, result balancer.Result) {
 	a := &q.attempts[number]
 	if a.done {
 		return
@@ -150,8 +150,8 @@
 	a.done = true
 	q.out--
 	f := n.fleet
-	o := choice.Outcome{ID: q.id, Attempt: number, Result: result, Server: a.server, Took: f.clock.now - a.sent}
-	if result == choice.OK && q.finals == 0 {
+	o := balancer.Outcome{ID: q.id, Attempt: number, Result: result, Server: a.server, Took: f.clock.now - a.sent}
+	if result == balancer.OK && q.finals == 0 {
 		q.finals++
 		n.counts.served++
 		if q.inside {
@@ -160,8 +160,8 @@
 		o.Units = q.used
 	}
 	o.Closed = q.finals > 0
-	if result == choice.OK || result == choice.Full || result == choice.ErrorAnswer {
-		o.Load = &choice.Load{InFlight: float64(f.rng.IntN(reportedMost)), Queue: -1, Util: -1}
+	if result == balancer.OK || result == balancer.Full || result == balancer.ErrorAnswer {
+		o.Load = &balancer.Load{InFlight: float64(f.rng.IntN(reportedMost)), Queue: -1, Util: -1}
 	}
 	n.call(callOutcome, func() { n.gateway.Outcome(f.clock.now, o, n) })
 	n.settle(q)
@@ -179,7 +179,7 @@
 	n.settle(q)
 }
 
-// Refuse implements [choice.Actions].
+// Refuse implements [balancer.Actions].
 func (n *node) Refuse(id string, _ time.Duration) {
 	if q := n.open[id]; q != nil && len(q.attempts) == 0 {
 		if level := q.tenant.fill(n.fleet.clock.now); level >= max(q.units, q.tenant.plan.Burst/2) {
@@ -189,17 +189,17 @@
 	n.final(id, &n.counts.refused)
 }
 
-// Fail implements [choice.Actions].
+// Fail implements [balancer.Actions].
 func (n *node) Fail(id string) { n.final(id, &n.counts.failed) }
 
-// Cancel implements [choice.Actions]: the attempt ends at once, after this call.
+// Cancel implements [balancer.Actions]: the attempt ends at once, after this call.
 func (n *node) Cancel(id string, attempt int) {
 	if q := n.open[id]; q != nil && attempt < len(q.attempts) {
-		n.fleet.clock.after(0, func() { n.outcome(q, attempt, choice.Cancelled) })
+		n.fleet.clock.after(0, func() { n.outcome(q, attempt, balancer.Cancelled) })
 	}
 }
 
-// SetTimer implements [choice.Actions].
+// SetTimer implements [balancer.Actions].
 func (n *node) SetTimer(token uint64, after time.Duration) {
 	if !n.ticking {
 		n.tick, n.ticking = token, true
@@ -213,12 +213,12 @@
 	})
 }
 
-// Probe implements [choice.Actions]; the settings allow none.
+// Probe implements [balancer.Actions]; the settings allow none.
 func (n *node) Probe(string) {}
 
-// Tell implements [choice.Actions]: the message crosses a link.
+// Tell implements [balancer.Actions]: the message crosses a link.
 func (n *node) Tell(peer int, message []byte) {
-	if peer != choice.AllPeers {
+	if peer != balancer.AllPeers {
 		n.tell(peer, message)
 		return
 	}
@@ -268,12 +268,12 @@
 }
 
 // list brings the list of servers or changes of it.
-func (n *node) list(kind callKind, form choice.ListForm, entries []choice.Server) {
+func (n *node) list(kind callKind, form balancer.ListForm, entries []balancer.Server) {
 	n.call(kind, func() { n.gateway.List(n.fleet.clock.now, form, entries, n) })
 }
 
-// Watch implements [choice.Actions]; lists come unasked.
+// Watch implements [balancer.Actions]; lists come unasked.
 func (n *node) Watch(bool) {}
 
-// Log implements [choice.Actions].
+// Log implements [balancer.Actions].
 func (n *node) Log(string) {}
--- a/internal/scale/node_test.go
+++ b/internal/scale/node_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"mulleinmux/choice"
+	"opalhook/balancer"
 )
 
 // hostAlone returns a node without a list, and a request that it has.
@@ -62,7 +62,7 @@
 
 // The true quota fills at its rate up to its burst, and what it can't cover counts as beyond it.
 func TestTrueQuota(t *testing.T) {
-	plan := &choice.Plan{Rate: 2, Burst: 10}
+	plan := &balancer.Plan{Rate: 2, Burst: 10}
 	q := &tenant{plan: plan, level: 10}
 	q.level -= 10
 	for _, c := range []struct {
--- a/internal/scale/nodelist.go
+++ b/internal/scale/nodelist.go
@@ -6,7 +6,7 @@
 	"runtime"
 	"time"
 
-	"mulleinmux/choice"
+	"opalhook/balancer"
 )
 
 const nodeListName = "node-list"
@@ -101,7 +101,7 @@
 		if err != nil {
 			return err
 		}
-		peer.list(callFirstList, choice.ListFull, serverList(min(b.size, peerServers)))
+		peer.list(callFirstList, balancer.ListFull, serverList(min(b.size, peerServers)))
 	}
 	end := b.fleet.clock.now + listWarmup + listLoad(b.size)
 	for _, t := range drawTenants(b.fleet.rng, fleetPlans(), firsts, planRequests*planSpread) {
@@ -113,7 +113,7 @@
 		return err
 	}
 	b.watch = newStopwatch()
-	b.list(callFirstList, choice.ListFull, serverList(b.size))
+	b.list(callFirstList, balancer.ListFull, serverList(b.size))
 	b.holding = b.heapMore()
 	return nil
 }
@@ -146,7 +146,7 @@
 // change drains servers that the node has sent to and lets them come back, then restarts others.
 func (b *listBench) change() error {
 	for _, met := range b.serversMet(listRestarts) {
-		for _, state := range []choice.ServerState{choice.Draining, choice.Up} {
+		for _, state := range []balancer.ServerState{balancer.Draining, balancer.Up} {
 			met.State = state
 			if err := b.apply(callMetChange, met); err != nil {
 				return err
@@ -157,7 +157,7 @@
 }
 
 // serversMet returns at most so many servers that the node has sent to.
-func (b *listBench) serversMet(most int) (met []choice.Server) {
+func (b *listBench) serversMet(most int) (met []balancer.Server) {
 	for i := 0; i < b.size && len(met) < most; i++ {
 		if s := server(i); b.node.met[s.ID] {
 			met = append(met, s)
@@ -171,11 +171,11 @@
 	restarts := min(listRestarts, b.size)
 	for i := range restarts {
 		leaving := server(i * (b.size / restarts))
-		leaving.State = choice.Draining
+		leaving.State = balancer.Draining
 		if err := b.apply(callChange, leaving); err != nil {
 			return err
 		}
-		leaving.State = choice.Removed
+		leaving.State = balancer.Removed
 		if err := b.apply(callChange, leaving); err != nil {
 			return err
 		}
@@ -190,13 +190,13 @@
 }
 
 // apply brings one change of the list, and lets some time pass.
-func (b *listBench) apply(kind callKind, entry choice.Server) error {
-	b.list(kind, choice.ListChanges, []choice.Server{entry})
+func (b *listBench) apply(kind callKind, entry balancer.Server) error {
+	b.list(kind, balancer.ListChanges, []balancer.Server{entry})
 	return b.fleet.clock.runUntil(b.ctx, b.fleet.clock.now+restartGap)
 }
 
 // list times what the list brings, and nothing else.
-func (b *listBench) list(kind callKind, form choice.ListForm, entries []choice.Server) {
+func (b *listBench) list(kind callKind, form balancer.ListForm, entries []balancer.Server) {
 	b.node.watch = b.watch
 	b.node.list(kind, form, entries)
 	b.node.watch = nil
@@ -208,7 +208,7 @@
 		if err := b.ctx.Err(); err != nil {
 			return err
 		}
-		b.list(callNextList, choice.ListFull, serverList(b.size))
+		b.list(callNextList, balancer.ListFull, serverList(b.size))
 	}
 	return nil
 }
--- a/internal/scale/quota.go
+++ b/internal/scale/quota.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"mulleinmux/choice"
+	"opalhook/balancer"
 )
 
 const quotaName = "quota"
@@ -147,7 +147,7 @@
 		if err != nil {
 			return 0, err
 		}
-		n.list(callFirstList, choice.ListFull, serverList(quotaServersPerNode*quotaNodes))
+		n.list(callFirstList, balancer.ListFull, serverList(quotaServersPerNode*quotaNodes))
 	}
 	plans := fleetPlans()
 	tenants := make([]tenant, heapTenants)
--- a/internal/scale/restart.go
+++ b/internal/scale/restart.go
@@ -10,8 +10,8 @@
 	"slices"
 	"time"
 
-	"mulleinmux/internal/discovery"
-	edgenode "mulleinmux/internal/node"
+	"opalhook/internal/discovery"
+	"opalhook/internal/edgenode"
 )
 
 // Figures of a restart.
--- a/internal/scale/tenant.go
+++ b/internal/scale/tenant.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"mulleinmux/choice"
+	"opalhook/balancer"
 )
 
 // Demand of the tenants, as shares of their plan's rate: most stay well inside, some ask for more.
@@ -26,8 +26,8 @@
 
 // fleetPlans are three sizes of customers, the largest with a hard ceiling. None may go beyond its
 // quota, so that all that is admitted beyond one is the protocol's doing.
-func fleetPlans() []choice.Plan {
-	return []choice.Plan{
+func fleetPlans() []balancer.Plan {
+	return []balancer.Plan{
 		{Name: "small", Rate: 2.6, Burst: 16, Price: 0.72},
 		{Name: "middle", Rate: 14, Burst: 29, Price: 1.1},
 		{Name: "large", Rate: 60, Burst: 97, CeilingRate: 100, CeilingBurst: 172, CeilingSlack: 17, Price: 1.8},
@@ -37,7 +37,7 @@
 // tenant is a customer with the true state of its quota, which no gateway sees.
 type tenant struct {
 	key    uint64
-	plan   *choice.Plan
+	plan   *balancer.Plan
 	first  int     // number of the first gateway that it comes in through
 	demand float64 // requests a second
 	level  float64 // units left of its quota
@@ -77,7 +77,7 @@
 
 // drawTenants draws tenants until they ask for so many requests a second. Their first gateways are
 // drawn from the numbers given. Demands are scaled at the end to meet the rate.
-func drawTenants(rng *rand.Rand, plans []choice.Plan, firsts []int, requestsPerS float64) []*tenant {
+func drawTenants(rng *rand.Rand, plans []balancer.Plan, firsts []int, requestsPerS float64) []*tenant {
 	var all []*tenant
 	sum := 0.0
 	for sum < requestsPerS {
--- a/internal/lab/binary.go
+++ b/internal/testbed/binary.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 )
 
 // nodePackage is the edge node's command in this module.
-const nodePackage = "./cmd/mulleinmux"
+const nodePackage = "./cmd/edge-node"
 
 // FindNode returns the path of the edge node's binary: the one named, else one that is built
 // into dir from the module that the working folder is in.
--- a/internal/lab/broken.go
+++ b/internal/testbed/broken.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"bytes"
@@ -21,18 +21,18 @@
 
 // Breakages by name.
 var breakages = map[string]breakage{
-	"drain-after-reset": {"drains are ignored once a call of discovery has ended by itself", "internal/node/registry.go", [][2]string{
+	"drain-after-reset": {"drains are ignored once a call of discovery has ended by itself", "internal/edgenode/registry.go", [][2]string{
 		{"	apply  func(List)\n", "	apply  func(List)\n	broke  bool\n"},
 		{"	case eventEnd:\n		f.ended(", "	case eventEnd:\n		r.broke = r.broke || e.id == f.watch.id\n		f.ended("},
 		{"			r.apply(e.list)\n		}\n	case eventGarbage:", "			for i := range e.list.Servers {\n				if r.broke && e.list.Servers[i].State == 1 {\n" +
 			"					e.list.Servers[i].State = 0\n				}\n			}\n			r.apply(e.list)\n		}\n	case eventGarbage:"},
 	}},
-	"late-watch": {"a watch that broke is opened anew a minute later, and nothing else is asked", "internal/node/follow.go", [][2]string{
+	"late-watch": {"a watch that broke is opened anew a minute later, and nothing else is asked", "internal/edgenode/follow.go", [][2]string{
 		{"	f.broke()\n	if !f.paced() {\n", "	f.down = true\n	f.watchAt = now + time.Minute\n	return\n	if !f.paced() {\n"},
 		{"	f.broke()\n	f.watchAt = now + max(", "	f.down = true\n	f.watchAt = now + time.Minute\n	return\n	f.watchAt = now + max("},
 		{"	if f.behind && f.fetch.id == 0 && ", "	if f.behind && f.version == 0 && f.fetch.id == 0 && "},
 	}},
-	"cap-128": {"no more than 128 entries of a message are read", "internal/node/list.go", [][2]string{
+	"cap-128": {"no more than 128 entries of a message are read", "internal/edgenode/list.go", [][2]string{
 		{"	for i, text := range raw.Instances {\n", "	for i, text := range raw.Instances {\n		if i >= 128 {\n			break\n		}\n"},
 	}},
 }
@@ -83,7 +83,7 @@
 	if err := errors.Join(os.WriteFile(changed, text, 0o644), os.WriteFile(list, overlay, 0o644)); err != nil {
 		return "", fmt.Errorf("broken node %s: %w", name, err)
 	}
-	return buildNode(ctx, root, filepath.Join(dir, "mulleinmux-"+name), "-overlay", list)
+	return buildNode(ctx, root, filepath.Join(dir, "edge-node-"+name), "-overlay", list)
 }
 
 // moduleRoot is the folder of the module that the working folder is in.
--- a/internal/lab/control_test.go
+++ b/internal/testbed/control_test.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"io"
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"mulleinmux/internal/testnet"
+	"opalhook/internal/testnet"
 )
 
 // A run takes faults by command while it goes, shows itself to Prometheus, and turns down a
--- a/internal/lab/doc.go
+++ b/internal/testbed/doc.go
@@ -30,4 +30,4 @@
 // counts from when a request was due, not from when it could be sent: a generator that
 // falls behind does not flatter the nodes (coordinated omission). How late it was is a
 // figure of its own, and a run in which it was too late is marked.
-package lab
+package testbed
--- a/internal/lab/referee_test.go
+++ b/internal/testbed/referee_test.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"bufio"
@@ -20,7 +20,7 @@
 	"testing"
 	"time"
 
-	"mulleinmux/internal/testnet"
+	"opalhook/internal/testnet"
 )
 
 // standIn names the variable that makes the test binary a node: a plain proxy that is
--- a/internal/lab/settings.go
+++ b/internal/testbed/settings.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"encoding/json"
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"mulleinmux/choice"
-	"mulleinmux/internal/golden"
+	"opalhook/balancer"
+	"opalhook/internal/golden"
 )
 
 // The recorded script holds every kind of event, and each is read as recorded.
@@ -78,14 +78,14 @@
 	return fmt.Sprintf("unknown %T", event)
 }
 
-func describeLoad(l *choice.Load) string {
+func describeLoad(l *balancer.Load) string {
 	if l == nil {
 		return "no load"
 	}
 	return fmt.Sprint("in flight ", l.InFlight, " queue ", l.Queue, " util ", l.Util)
 }
 
-func describeSettings(s choice.Settings) string {
+func describeSettings(s balancer.Settings) string {
 	text := fmt.Sprintf("\n  me %d of %d zone %q answer slack %v drain grace %v cold from %v ramp %v fall %v overload %v", s.Me, s.Instances, s.Zone, s.AnswerSlack, s.DrainGrace, s.ColdFrom, s.RampTime, s.FallMultiple, s.OverloadFor)
 	text += fmt.Sprintf("\n  attempts %d parallel %t cancel %t peers %t probes %t retry after %t up to %v", s.MaxAttempts, s.Parallel, s.Cancel, s.Peers, s.Probes, s.RetryAfter, s.MaxRetryAfter)
 	text += fmt.Sprintf("\n  report %d ask list %t within %v inbox %v post-paid %t most units %v tick %v", int(s.Report), s.AskList, s.AskWithin, s.InboxPerS, s.PostPaid, s.MostUnits, s.Tick)
@@ -112,7 +112,7 @@
 // Every kind of action is written as recorded.
 func TestGoldenActions(t *testing.T) {
 	r := Reply{Inst: 17}
-	var out choice.Actions = &r
+	var out balancer.Actions = &r
 	out.Send("rq_1", "s.a", 80*time.Millisecond, time.Second)
 	out.Send("rq_1", "s.b", 0, 0)
 	out.Send("rq_1", "s.c", 1234567*time.Nanosecond, 0)
@@ -123,7 +123,7 @@
 	out.SetTimer(1<<62|5, 1500*time.Microsecond)
 	out.SetTimer(0, time.Hour)
 	out.Probe("s.d")
-	out.Tell(choice.AllPeers, []byte{0, 1, 254, 255})
+	out.Tell(balancer.AllPeers, []byte{0, 1, 254, 255})
 	out.Tell(0, []byte("hi"))
 	out.Tell(299, nil)
 	out.Watch(true)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -14,7 +14,7 @@
 	"strings"
 	"time"
 
-	"mulleinmux/choice"
+	"opalhook/balancer"
 )
 
 // Events as they come off the wire, in order.
@@ -24,18 +24,18 @@
 	Launch struct {
 		Inst     int
 		Seed     uint64
-		Settings choice.Settings
+		Settings balancer.Settings
 	}
 	Halt struct{ Inst int }
 	// List is a FLEET event with the entries of its table resolved.
 	List struct {
 		Inst    int
-		Form    choice.ListForm
-		Servers []choice.Server
+		Form    balancer.ListForm
+		Servers []balancer.Server
 	}
 	Accept struct {
 		Inst    int
-		Request choice.Request
+		Request balancer.Request
 	}
 	Headers struct {
 		Inst    int
@@ -44,7 +44,7 @@
 	}
 	Completed struct {
 		Inst    int
-		Outcome choice.Outcome
+		Outcome balancer.Outcome
 	}
 	Left struct {
 		Inst int
@@ -57,9 +57,9 @@
 	ProbeDone struct {
 		Inst   int
 		Server string
-		Result choice.Result
+		Result balancer.Result
 		Took   time.Duration
-		Load   *choice.Load
+		Load   *balancer.Load
 	}
 	Whisper struct {
 		Inst, From int
@@ -75,14 +75,14 @@
 type Reader struct {
 	s      *bufio.Scanner
 	line   int
-	tables map[int][]choice.Server
+	tables map[int][]balancer.Server
 }
 
 // NewReader returns a Reader of r.
 func NewReader(r io.Reader) *Reader {
 	s := bufio.NewScanner(r)
 	s.Buffer(make([]byte, 1<<16), maxLine)
-	return &Reader{s: s, tables: map[int][]choice.Server{}}
+	return &Reader{s: s, tables: map[int][]balancer.Server{}}
 }
 
 // Line returns the number of the line read last.
@@ -204,7 +204,7 @@
 	if table < 0 || table > 15 || rows < 0 {
 		return fmt.Errorf("PAGE: table %d or row count %d out of range", table, rows)
 	}
-	var list []choice.Server
+	var list []balancer.Server
 	for i := 0; i < rows; i++ {
 		text, err := r.readLine()
 		if err != nil {
@@ -214,7 +214,7 @@
 		if e.vals[0] != "ITEM" {
 			return fmt.Errorf("expected ITEM, got %q", e.vals[0])
 		}
-		s := choice.Server{ID: e.str("server"), State: e.state("mode"), Weight: e.num("rating"), Kind: e.str("machine")}
+		s := balancer.Server{ID: e.str("server"), State: e.state("mode"), Weight: e.num("rating"), Kind: e.str("machine")}
 		s.Zone, s.Cell, s.Boot = e.str("regionPart"), e.int("pod"), e.dur("bootTime")
 		if e.err == nil && len(e.vals) > e.next {
 			e.err = errors.New("too many values")
@@ -242,13 +242,13 @@
 	if f.err != nil {
 		return nil, nil // reported by the caller
 	}
-	forms := map[string]choice.ListForm{"Partial": choice.ListChanges, "Complete": choice.ListFull,
-		"Persisted": choice.ListSaved, "Error": choice.ListError}
+	forms := map[string]balancer.ListForm{"Partial": balancer.ListChanges, "Complete": balancer.ListFull,
+		"Persisted": balancer.ListSaved, "Error": balancer.ListError}
 	var ok bool
 	if e.Form, ok = forms[form]; !ok {
 		return nil, fmt.Errorf("FLEET: unknown form %q", form)
 	}
-	if e.Form != choice.ListError {
+	if e.Form != balancer.ListError {
 		table, err := strconv.Atoi(ref)
 		if err != nil {
 			return nil, fmt.Errorf("FLEET: bad table %q", ref)
@@ -352,51 +352,51 @@
 	return b
 }
 
-func (f *fields) state(what string) choice.ServerState {
+func (f *fields) state(what string) balancer.ServerState {
 	switch v := f.str(what); v {
 	case "IN":
-		return choice.Up
+		return balancer.Up
 	case "LAME":
-		return choice.Draining
+		return balancer.Draining
 	case "OUT":
-		return choice.Removed
+		return balancer.Removed
 	default:
 		f.bad(what, v)
-		return choice.Up
+		return balancer.Up
 	}
 }
 
-func (f *fields) result(what string) choice.Result {
+func (f *fields) result(what string) balancer.Result {
 	switch v := f.str(what); v {
 	case "0":
-		return choice.OK
+		return balancer.OK
 	case "255":
-		return choice.ErrorAnswer
+		return balancer.ErrorAnswer
 	case "254":
-		return choice.Full
+		return balancer.Full
 	case "253":
-		return choice.TimedOut
+		return balancer.TimedOut
 	case "252":
-		return choice.ConnectFailed
+		return balancer.ConnectFailed
 	case "251":
-		return choice.Reset
+		return balancer.Reset
 	case "250":
-		return choice.Cancelled
+		return balancer.Cancelled
 	case "249":
-		return choice.Moot
+		return balancer.Moot
 	default:
 		f.bad(what, v)
-		return choice.Moot
+		return balancer.Moot
 	}
 }
 
 // load parses a load report. Unknown names are skipped.
-func (f *fields) load(what string) *choice.Load {
+func (f *fields) load(what string) *balancer.Load {
 	v := f.str(what)
 	if v == "" {
 		return nil
 	}
-	l := choice.Load{InFlight: -1, Queue: -1, Util: -1}
+	l := balancer.Load{InFlight: -1, Queue: -1, Util: -1}
 	for _, pair := range strings.Split(v, ",") {
 		name, val, ok := strings.Cut(pair, ":")
 		x, err := strconv.ParseFloat(val, 64)
@@ -479,19 +479,19 @@
 
 // ParseSettings parses the settings object, in the form in which both the
 // simulator and a real edge node's configuration give it.
-func ParseSettings(text []byte) (choice.Settings, Transport, error) {
+func ParseSettings(text []byte) (balancer.Settings, Transport, error) {
 	var in info
 	if err := json.Unmarshal(text, &in); err != nil {
-		return choice.Settings{}, Transport{}, err
+		return balancer.Settings{}, Transport{}, err
 	}
 	s, err := in.settings()
 	l := &in.PolicyLimits
 	return s, Transport{ConnIdle: seconds(l.ConnIdle), ConnectTimeout: seconds(l.ConnectTimeout)}, err
 }
 
-func (in *info) settings() (choice.Settings, error) {
+func (in *info) settings() (balancer.Settings, error) {
 	l, r := &in.PolicyLimits, &in.Rules
-	s := choice.Settings{
+	s := balancer.Settings{
 		Me: in.Me, Instances: in.Instances, Zone: in.Zone,
 		AnswerSlack: seconds(r.AnswerSlack), DrainGrace: seconds(r.DrainGrace),
 		ColdFrom: r.ColdFrom, RampTime: seconds(r.RampTime),
@@ -505,29 +505,29 @@
 	}
 	switch in.Feedback.How {
 	case "answers":
-		s.Report = choice.ReportAnswers
+		s.Report = balancer.ReportAnswers
 	case "probe":
-		s.Report = choice.ReportProbes
+		s.Report = balancer.ReportProbes
 	case "none", "":
 	default:
 		return s, fmt.Errorf("feedback.how: unknown word %q", in.Feedback.How)
 	}
 	for _, c := range in.Lanes {
-		k := choice.Class{Name: c.Name, Window: seconds(c.MemorySpan), Aim: seconds(c.OnTime),
+		k := balancer.Class{Name: c.Name, Window: seconds(c.MemorySpan), Aim: seconds(c.OnTime),
 			Deadline: seconds(c.Deadline), Worth: c.Worth, Late: c.LateWorth, Stream: c.Streamed}
-		effects := map[string]choice.Effect{"retryable": choice.Safe, "dedup": choice.Keyed, "fragile": choice.Unsafe}
-		groups := map[string]choice.Group{"all": choice.GroupAll, "zone": choice.GroupZone, "cell": choice.GroupCell}
+		effects := map[string]balancer.Effect{"retryable": balancer.Safe, "dedup": balancer.Keyed, "fragile": balancer.Unsafe}
+		groups := map[string]balancer.Group{"all": balancer.GroupAll, "zone": balancer.GroupZone, "cell": balancer.GroupCell}
 		var ok bool
 		if k.Effect, ok = effects[c.Idempotency]; !ok {
 			return s, fmt.Errorf("lanes: unknown idempotency %q", c.Idempotency)
 		}
-		if k.Group, ok = groups[c.KeyScope]; !ok && k.Effect == choice.Keyed {
+		if k.Group, ok = groups[c.KeyScope]; !ok && k.Effect == balancer.Keyed {
 			return s, fmt.Errorf("lanes: unknown keyScope %q", c.KeyScope)
 		}
 		s.Classes = append(s.Classes, k)
 	}
 	for _, t := range in.Tariffs {
-		s.Plans = append(s.Plans, choice.Plan{Name: t.Name, Rate: t.QuotaRate, Burst: t.PeakUnits, Open: t.MaxOut,
+		s.Plans = append(s.Plans, balancer.Plan{Name: t.Name, Rate: t.QuotaRate, Burst: t.PeakUnits, Open: t.MaxOut,
 			CeilingRate: t.NeverOverRate, CeilingBurst: t.HardBurst, CeilingSlack: t.CapSlack,
 			Price: t.WorthFactor, OverWorth: t.ExtraWorth, OverCost: t.OverCost})
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"mulleinmux/choice"
+	"opalhook/balancer"
 )
 
 func all(text string) (events []any, err error) {
@@ -40,24 +40,24 @@
 		t.Errorf("clock %v", c.Now)
 	}
 	l := events[1].(Launch)
-	if s := l.Settings; l.Seed != 99 || s.Me != 1 || s.Classes[0].Effect != choice.Keyed || s.Classes[0].Group != choice.GroupCell ||
-		s.Plans[0].Open != 3 || s.Plans[0].Burst != 7 || s.Report != choice.ReportAnswers || s.DrainGrace != 2*time.Second {
+	if s := l.Settings; l.Seed != 99 || s.Me != 1 || s.Classes[0].Effect != balancer.Keyed || s.Classes[0].Group != balancer.GroupCell ||
+		s.Plans[0].Open != 3 || s.Plans[0].Burst != 7 || s.Report != balancer.ReportAnswers || s.DrainGrace != 2*time.Second {
 		t.Errorf("launch %+v", l)
 	}
 	list := events[2].(List)
-	if len(list.Servers) != 2 || list.Servers[1].State != choice.Draining || list.Servers[1].Boot != 6100*time.Millisecond {
+	if len(list.Servers) != 2 || list.Servers[1].State != balancer.Draining || list.Servers[1].Boot != 6100*time.Millisecond {
 		t.Errorf("list %+v", list)
 	}
 	if q := events[3].(Accept).Request; q.Customer != 4569004829183723 || q.Units != 2 || q.Spread != 3 || q.First != 1 {
 		t.Errorf("request %+v", q)
 	}
-	if o := events[4].(Completed).Outcome; o.Result != choice.Full || !o.Closed || o.Load == nil || o.Load.Queue != 3 || o.Units != 3 {
+	if o := events[4].(Completed).Outcome; o.Result != balancer.Full || !o.Closed || o.Load == nil || o.Load.Queue != 3 || o.Units != 3 {
 		t.Errorf("outcome %+v", o)
 	}
 	if w := events[6].(Whisper); string(w.Payload) != "hi 7" {
 		t.Errorf("payload %q", w.Payload)
 	}
-	if e := events[7].(List); e.Form != choice.ListError {
+	if e := events[7].(List); e.Form != balancer.ListError {
 		t.Errorf("form %v", e.Form)
 	}
 }
@@ -85,7 +85,7 @@
 	r.Cancel("rq", 1)
 	r.SetTimer(77, 500*time.Millisecond)
 	r.Probe("s.a")
-	r.Tell(choice.AllPeers, []byte("hi 7"))
+	r.Tell(balancer.AllPeers, []byte("hi 7"))
 	r.Tell(2, nil)
 	r.Watch(true)
 	r.Log("two\nlines")
