--- a/balancer/gateway.go
+++ b/balancer/gateway.go
@@ -96,12 +96,13 @@
 	oks              float64       // answers since the last probe
 	okRate           float64       // answers per second, averaged
 	okWarm           float64       // work answered by warm servers since the last probe
-	warmRate         float64       // work answered per second and unit of weight of a warm server, by this gateway
-	probeDue         float64       // probes earned by sends
-	members          weightCounts  // of the subset's servers that take work
-	kindLat          []*kindMean
-	meanLoad         float64 // requests that a server holds, on average over those told of
-	logAt            time.Duration
+	// work answered per second and unit of weight of a warm server, by this gateway
+	warmRate float64
+	probeDue float64      // probes earned by sends
+	members  weightCounts // of the subset's servers that take work
+	kindLat  []*kindMean
+	meanLoad float64 // requests that a server holds, on average over those told of
+	logAt    time.Duration
 }
 
 // What goes into the pool.
@@ -131,9 +132,13 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	g := &Gateway{
-		set: s, rng: rand.New(rand.NewPCG(seed, 0x5ea)), list: newServerList(0), byID: map[string]*server{}, byHash: map[uint16]*server{}, reqs: map[string]*request{},
-		byNum: map[uint64]*request{}, class: map[string]int{}, plan: map[string]int{}, kinds: map[string]int{},
-		stores: map[uint64]*store{}, byChance: map[uint64]chanceAdmission{}, overQuota: map[uint16]overQuota{}, peers: make([]peer, s.Instances), lat: make([]classLatency, len(s.Classes)),
+		set: s, rng: rand.New(rand.NewPCG(seed, 0x5ea)), list: newServerList(0), byID: map[string]*server{},
+		byHash: map[uint16]*server{}, reqs: map[string]*request{},
+		byNum: map[uint64]*request{}, class: map[string]int{}, plan: map[string]int{},
+		kinds:  map[string]int{},
+		stores: map[uint64]*store{}, byChance: map[uint64]chanceAdmission{},
+		overQuota: map[uint16]overQuota{}, peers: make([]peer, s.Instances), lat: make([]classLatency,
+			len(s.Classes)),
 	}
 	g.set.Classes = append([]Class(nil), s.Classes...)
 	g.set.Plans = append([]Plan(nil), s.Plans...)
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -123,7 +123,8 @@
 	overQuota, news     []byte // entries of newsBytes each
 }
 
-// encodeAsk returns an ask: kind, number, customer, code of plan, spread and first, units, units refused unasked,
+// encodeAsk returns an ask: kind, number, customer, code of plan, spread and first, units, units refused
+// unasked,
 // the store's life and the units reconciled in it.
 func (g *Gateway) encodeAsk(r *request) []byte {
 	msg := binary.AppendUvarint([]byte{kindAsk}, r.num)
@@ -144,13 +145,16 @@
 	return binary.AppendVarint(binary.AppendUvarint(msg, st.born), int64(st.told))
 }
 
-// encodeAnswer returns an answer: kind, number, share of asks granted with 0 for granted or else 1 + the wait.
-func (g *Gateway) encodeAnswer(to int, num uint64, granted bool, wait time.Duration, admitted float64) []byte {
+// encodeAnswer returns an answer: kind, number, share of asks granted with 0 for granted or else 1 + the
+// wait.
+func (g *Gateway) encodeAnswer(to int, num uint64, granted bool, wait time.Duration,
+	admitted float64) []byte {
 	x := uint64(math.Round(admitted * admittedParts))
 	if !granted {
 		x += (1 + uint64(max(wait, 0)/waitUnit)) * (admittedParts + 1)
 	}
-	return g.appendNews(g.appendPool(binary.AppendUvarint(binary.AppendUvarint([]byte{kindAnswer}, num), x)), to)
+	return g.appendNews(g.appendPool(binary.AppendUvarint(binary.AppendUvarint([]byte{kindAnswer}, num), x)),
+		to)
 }
 
 // encodeBack returns units or a place to the holder: kind, number, customer, units.
@@ -243,7 +247,8 @@
 // gossipMost is the bytes of new entries in a tell; the repeat follows if it fits.
 const gossipMost = 180
 
-// gossipTo packs the stores to tell that about chooses, in as many messages as it takes, and returns their number.
+// gossipTo packs the stores to tell that about chooses, in as many messages as it takes, and returns their
+// number.
 func (g *Gateway) gossipTo(peer int, about func(*store) bool) (sent int) {
 	p, n := &g.peers[peer], 0
 	var body []byte
@@ -277,7 +282,8 @@
 	ageUnit   = 20 * time.Millisecond // in which ages are told; a byte holds five seconds
 )
 
-// appendOverQuota adds the latest news of customers: how many, and per customer the hash, the share and its age.
+// appendOverQuota adds the latest news of customers: how many, and per customer the hash, the share and its
+// age.
 func (g *Gateway) appendOverQuota(b []byte) []byte {
 	keys := make([]uint16, 0, len(g.overQuota))
 	for key, h := range g.overQuota {
@@ -298,7 +304,8 @@
 	return b
 }
 
-// appendNews adds the latest news of customers, and of the servers in another gateway's subset, however it was
+// appendNews adds the latest news of customers, and of the servers in another gateway's subset, however it
+// was
 // learnt.
 func (g *Gateway) appendNews(b []byte, to int) []byte {
 	b = g.appendOverQuota(b)
@@ -311,12 +318,14 @@
 			load |= newsBad
 		}
 		b = binary.BigEndian.AppendUint16(b, s.hash)
-		b = append(b, load, byte((g.now-s.loadAt+ageUnit-1)/ageUnit)) // rounded up, or old news would grow young
+		// rounded up, or old news would grow young
+		b = append(b, load, byte((g.now-s.loadAt+ageUnit-1)/ageUnit))
 	}
 	return b
 }
 
-// hashKey names a customer in few bytes. One that shares them with a hot one is taken for it while asks are lost.
+// hashKey names a customer in few bytes. One that shares them with a hot one is taken for it while asks are
+// lost.
 func hashKey(key uint64) uint16 {
 	x := (key + 1) * 0x9e3779b97f4a7c15
 	return uint16(x >> 48)
--- a/balancer/known.go
+++ b/balancer/known.go
@@ -109,7 +109,8 @@
 	}
 }
 
-// updateReserve puts a server into the reserve or takes it out: what waits there is unknown, takes work and is warm.
+// updateReserve puts a server into the reserve or takes it out: what waits there is unknown, takes work and
+// is warm.
 func (g *Gateway) updateReserve(at slot) {
 	e := &g.list.servers[at]
 	waits := ServerState(e.state) == Up && !e.known
@@ -190,7 +191,8 @@
 	}
 }
 
-// nameSubset holds by which names news has the servers of the subset, and which gateways share them, after the
+// nameSubset holds by which names news has the servers of the subset, and which gateways share them, after
+// the
 // subset has changed.
 func (g *Gateway) nameSubset() {
 	if !g.subsetChanged {
--- a/balancer/server.go
+++ b/balancer/server.go
@@ -24,22 +24,25 @@
 	loadAt        time.Duration // when its load was told
 	errs          float64       // share of failures, averaged
 	lat           float64       // latency as a multiple of its class's mean, averaged
-	load          float64       // requests that it holds, as reported to this or another gateway; below 0: not told
-	others        float64       // of them, those that are not this gateway's
-	queue         float64       // reported queue
-	credit        float64       // requests that may be sent while cold; below 0: not begun
-	credited      time.Duration
-	counted       float64 // weight with which it is counted in [Gateway.members]; 0: it is not
-	strikes       int     // ejections in a row
-	key           uint64  // from which its order of the gateways comes
-	hash          uint16  // its name in news
-	holders       int     // gateways whose subsets hold it, when last counted
-	lastRank      uint64  // of the last of these in its order
-	reported      time.Duration
-	breaks        []time.Duration // all connections that did not come up and may tell of a restart, oldest first
-	heard         time.Duration   // last sign of life: an answer of any kind
-	check         time.Duration   // a connection failed then, and a probe was sent at once to see why; 0: none is out
-	probed        time.Duration   // last probe
+	// requests that it holds, as reported to this or another gateway; below 0: not told
+	load     float64
+	others   float64 // of them, those that are not this gateway's
+	queue    float64 // reported queue
+	credit   float64 // requests that may be sent while cold; below 0: not begun
+	credited time.Duration
+	counted  float64 // weight with which it is counted in [Gateway.members]; 0: it is not
+	strikes  int     // ejections in a row
+	key      uint64  // from which its order of the gateways comes
+	hash     uint16  // its name in news
+	holders  int     // gateways whose subsets hold it, when last counted
+	lastRank uint64  // of the last of these in its order
+	reported time.Duration
+	// all connections that did not come up and may tell of a restart, oldest first
+	breaks []time.Duration
+	heard  time.Duration // last sign of life: an answer of any kind
+	// a connection failed then, and a probe was sent at once to see why; 0: none is out
+	check  time.Duration
+	probed time.Duration // last probe
 }
 
 // holds takes in how many requests the server holds.
@@ -161,7 +164,8 @@
 	return least
 }
 
-// aside tells whether the server is kept for when no other is left. An ejection ends too soon for a fleet that
+// aside tells whether the server is kept for when no other is left. An ejection ends too soon for a fleet
+// that
 // hears of the same server's errors from all its gateways: there it stays aside while its answers are bad.
 func (g *Gateway) aside(s *server) bool {
 	return g.now < s.ejected || s.errs > ejectAt && g.wide() || g.unresponsive(s)
@@ -240,7 +244,8 @@
 	for _, r := range g.reqs {
 		for i := range r.attempts {
 			a := &r.attempts[i]
-			n += b2f(!a.done && !g.unresponsive(a.server) && (g.now-a.sent).Seconds() < share*g.set.Classes[r.class].Aim.Seconds())
+			n += b2f(!a.done && !g.unresponsive(a.server) &&
+				(g.now-a.sent).Seconds() < share*g.set.Classes[r.class].Aim.Seconds())
 		}
 	}
 	return n
--- a/balancer/serverlist.go
+++ b/balancer/serverlist.go
@@ -150,7 +150,8 @@
 func (l *serverList) holds(at slot, e *Server) bool {
 	s := &l.servers[at]
 	return s.boot == e.Boot && s.state == listedState(e.State) && l.kinds.values[s.kind] == e.Kind &&
-		l.zones.values[s.zone] == e.Zone && l.cells.values[s.cell] == e.Cell && l.weight(at) == weightOr1(e.Weight)
+		l.zones.values[s.zone] == e.Zone && l.cells.values[s.cell] == e.Cell &&
+		l.weight(at) == weightOr1(e.Weight)
 }
 
 // grown returns a slice of at least a length.
@@ -185,7 +186,8 @@
 	}
 }
 
-// cleanNear drops from near what is gone or stands there twice, and lets as many slots come again before the next time.
+// cleanNear drops from near what is gone or stands there twice, and lets as many slots come again before the
+// next time.
 func (l *serverList) cleanNear() {
 	slices.Sort(l.near)
 	l.near = slices.Compact(l.near)
@@ -224,7 +226,8 @@
 // begin starts a whole list: what is not put until end is no longer listed.
 func (l *serverList) begin() { l.round, l.named, l.next = !l.round, 0, 0 }
 
-// end removes what a whole list has not named. A list that names all servers as before leaves nothing to look for.
+// end removes what a whole list has not named. A list that names all servers as before leaves nothing to look
+// for.
 func (l *serverList) end() {
 	if l.named == len(l.slots) {
 		return
@@ -358,7 +361,8 @@
 	return (x ^ x>>32) * 0xd6e8feb86659fd93
 }
 
-// position counts the gateways before one in a server's order, up to a most. It looks at all only where few are:
+// position counts the gateways before one in a server's order, up to a most. It looks at all only where few
+// are:
 // of n gateways at some most x (1 + ln(n / most)), on average.
 func position(key uint64, node, nodes, most int) (before int) {
 	mine := rank(key, node)
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -34,7 +34,8 @@
 			return fmt.Errorf("Plans: %q stands twice", p.Name)
 		}
 		names[p.Name] = true
-		if p.Rate < 0 || p.Burst < 0 || p.Open < 0 || p.CeilingRate < 0 || p.CeilingBurst < 0 || p.CeilingSlack < 0 {
+		if p.Rate < 0 || p.Burst < 0 || p.Open < 0 || p.CeilingRate < 0 || p.CeilingBurst < 0 ||
+			p.CeilingSlack < 0 {
 			return fmt.Errorf("Plans: %q has a negative figure", p.Name)
 		}
 	}
--- a/balancer/store.go
+++ b/balancer/store.go
@@ -9,16 +9,17 @@
 
 // store is a customer's quota as this gateway sees it.
 type store struct {
-	key        uint64
-	plan       int
-	spread     int
-	first      int
-	at         time.Duration
-	level      float64 // units left of the quota
-	ceiling    float64 // units left of this gateway's part of the ceiling
-	since      float64 // units sent since the last tell
-	untold     float64 // units to tell, settlements included
-	reconciled float64 // of this store's life: units that true figures left over or lacked, and those sent unasked
+	key     uint64
+	plan    int
+	spread  int
+	first   int
+	at      time.Duration
+	level   float64 // units left of the quota
+	ceiling float64 // units left of this gateway's part of the ceiling
+	since   float64 // units sent since the last tell
+	untold  float64 // units to tell, settlements included
+	// of this store's life: units that true figures left over or lacked, and those sent unasked
+	reconciled float64
 	told       float64 // of it, what was told last
 	born       uint64  // tells this life of the store from others
 	shunned    float64 // units refused unasked since the last ask
@@ -285,7 +286,8 @@
 	}
 }
 
-// admittedShare is the share of a customer's wants that can be granted, as far as is known: a customer of whom
+// admittedShare is the share of a customer's wants that can be granted, as far as is known: a customer of
+// whom
 // nobody tells is inside its quota.
 func (g *Gateway) admittedShare(st *store) float64 {
 	if h, known := g.overQuota[hashKey(st.key)]; known {
