--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -12,44 +12,44 @@
 // subsetSettings are those of a large fleet whose servers report their load in answers.
 func subsetSettings(nodes int) Settings {
 	s := testSettings()
-	s.Instances, s.InboxPerS, s.Report, s.Probes = nodes, 40, ReportAnswers, true
+	s.NodeCount, s.PeerMessagesPerSecond, s.LoadReports, s.HealthChecks = nodes, 40, LoadReportsInResponses, true
 	s.Plans[1].Rate, s.Plans[1].Burst = 1e5, 1e5
 	return s
 }
 
 // manyServers returns a list whose weights differ tenfold and whose zones differ in size.
-func manyServers(n int) []Server {
-	list := make([]Server, n)
+func manyServers(n int) []Endpoint {
+	list := make([]Endpoint, n)
 	for i := range list {
 		zone := []string{"a", "a", "a", "a", "a", "b", "b", "c"}[i%8]
-		list[i] = Server{ID: fmt.Sprintf("server-%06d", i), Kind: "k", Zone: zone, Cell: i % 5, Weight: float64(1 + 9*(i%2))}
+		list[i] = Endpoint{ID: fmt.Sprintf("server-%06d", i), MachineType: "k", Zone: zone, Cell: i % 5, Weight: float64(1 + 9*(i%2))}
 	}
 	return list
 }
 
 // wholeFleet returns all gateways of a fleet, each with the list.
-func wholeFleet(t *testing.T, nodes int, list []Server) []*Gateway {
+func wholeFleet(t *testing.T, nodes int, list []Endpoint) []*Balancer {
 	t.Helper()
-	gates := make([]*Gateway, nodes)
+	gates := make([]*Balancer, nodes)
 	for me := range gates {
 		s := subsetSettings(nodes)
-		s.Me = me
+		s.NodeIndex = me
 		g, err := New(s, uint64(me+1))
 		if err != nil {
 			t.Fatal(err)
 		}
 		g.Start(t0, &recorder{})
-		g.List(t0, ListFull, list, &recorder{})
+		g.EndpointsUpdated(t0, UpdateSnapshot, list, &recorder{})
 		gates[me] = g
 	}
 	return gates
 }
 
 // subsetOf returns the listed servers in a gateway's subset.
-func subsetOf(g *Gateway) map[string]bool {
+func subsetOf(g *Balancer) map[string]bool {
 	ids := map[string]bool{}
-	for _, s := range g.servers {
-		if s.member && s.listed {
+	for _, s := range g.tracked {
+		if s.inSubset && s.listed {
 			ids[s.ID] = true
 		}
 	}
@@ -77,7 +77,7 @@
 	counts := make([]float64, servers)
 	for server := range counts {
 		for node := range nodes {
-			counts[server] += b2f(holds(server, node))
+			counts[server] += oneIf(holds(server, node))
 		}
 	}
 	s := spreadOf(counts)
@@ -97,10 +97,10 @@
 		{1, 1, 1}, {2, 9, 9}, {25, 3, 3}, {300, 200, 200}, {1024, 1024, 256}, {4100, 200_000, 64},
 	} {
 		g, _ := newGate(t, subsetSettings(c.nodes))
-		per := g.subsetsPerServer(float64(c.servers))
+		per := g.subsetsPerEndpointFor(float64(c.servers))
 		list := manyServers(c.servers)
 		s, err := evenness(c.sample, c.nodes, func(server, node int) bool {
-			key := hashID(list[server*(c.servers/c.sample)].ID)
+			key := endpointKey(list[server*(c.servers/c.sample)].ID)
 			subsets := int(per + fraction(key))
 			return position(key, node, c.nodes, subsets) < subsets
 		})
@@ -125,12 +125,12 @@
 	held := map[string]float64{}
 	load := map[string]float64{} // share of a gateway's requests, drawn by weight, over all gateways
 	for n, g := range gates {
-		sizes[n] = float64(g.Stats().Subset)
+		sizes[n] = float64(g.Stats().SubsetEndpoints)
 		total := 0.0
-		for _, s := range g.servers {
+		for _, s := range g.tracked {
 			total += g.weight(s)
 		}
-		for _, s := range g.servers {
+		for _, s := range g.tracked {
 			held[s.ID]++
 			load[s.ID] += g.weight(s) / total
 		}
@@ -162,12 +162,12 @@
 		var sizes, inZoneA []float64
 		for n := range c.sample {
 			s := subsetSettings(c.nodes)
-			s.Me = n * (c.nodes / c.sample)
+			s.NodeIndex = n * (c.nodes / c.sample)
 			g, _ := newGate(t, s, list...)
 			own, zone := 0.0, 0.0
-			for _, sv := range g.servers {
-				own += b2f(sv.member)
-				zone += b2f(sv.member && sv.Zone == "a")
+			for _, sv := range g.tracked {
+				own += oneIf(sv.inSubset)
+				zone += oneIf(sv.inSubset && sv.Zone == "a")
 			}
 			sizes, inZoneA = append(sizes, own), append(inZoneA, zone)
 		}
@@ -189,16 +189,16 @@
 func changedMembers(before, after []map[string]bool) (n float64) {
 	for i := range before {
 		for id := range before[i] {
-			n += b2f(!after[i][id])
+			n += oneIf(!after[i][id])
 		}
 		for id := range after[i] {
-			n += b2f(!before[i][id])
+			n += oneIf(!before[i][id])
 		}
 	}
 	return n
 }
 
-func subsetsOf(gates []*Gateway) []map[string]bool {
+func subsetsOf(gates []*Balancer) []map[string]bool {
 	all := make([]map[string]bool, len(gates))
 	for n, g := range gates {
 		all[n] = subsetOf(g)
@@ -216,19 +216,19 @@
 }
 
 // apply brings a change of one server to all gateways of a fleet.
-func (c *serverChanges) apply(t *testing.T, gates []*Gateway, e Server) {
+func (c *serverChanges) apply(t *testing.T, gates []*Balancer, e Endpoint) {
 	t.Helper()
-	before, number := subsetsOf(gates), gates[0].perServer
+	before, number := subsetsOf(gates), gates[0].subsetsPerEndpoint
 	for _, g := range gates {
-		g.List(t0, ListChanges, []Server{e}, &recorder{})
+		g.EndpointsUpdated(t0, UpdateDelta, []Endpoint{e}, &recorder{})
 	}
 	after := subsetsOf(gates)
 	own := 0.0
 	for n := range gates {
-		own += b2f(before[n][e.ID] != after[n][e.ID])
+		own += oneIf(before[n][e.ID] != after[n][e.ID])
 	}
 	all := changedMembers(before, after)
-	if gates[0].perServer == number {
+	if gates[0].subsetsPerEndpoint == number {
 		if c.settled++; all != own {
 			t.Errorf("%s: %v members changed where %v must and the number of subsets stays", e.ID, all, own)
 		}
@@ -286,14 +286,14 @@
 	const nodes, servers, sample = 4100, 200_000, 4000
 	g, _ := newGate(t, subsetSettings(nodes))
 	larger, _ := newGate(t, subsetSettings(nodes+1))
-	per := g.subsetsPerServer(servers)
-	if per != subsetLeast || g.subsetsPerServer(servers+1) != per || larger.subsetsPerServer(servers) != per {
+	per := g.subsetsPerEndpointFor(servers)
+	if per != minSubsetSize || g.subsetsPerEndpointFor(servers+1) != per || larger.subsetsPerEndpointFor(servers) != per {
 		t.Fatalf("%v subsets a server, %v with one server more, %v with one node more", per,
-			g.subsetsPerServer(servers+1), larger.subsetsPerServer(servers))
+			g.subsetsPerEndpointFor(servers+1), larger.subsetsPerEndpointFor(servers))
 	}
 	entered, left := 0, 0
 	for n := range sample {
-		key := hashID(fmt.Sprintf("server-%06d", n*(servers/sample)))
+		key := endpointKey(fmt.Sprintf("server-%06d", n*(servers/sample)))
 		first := int(per + fraction(key))
 		before, after := lastRank(key, nodes, first), lastRank(key, nodes+1, first)
 		for node := range nodes + 1 {
@@ -304,7 +304,7 @@
 					t.Fatalf("node %d enters the subsets of server %d", node, n)
 				}
 			}
-			left += int(b2f(was && !is))
+			left += int(oneIf(was && !is))
 		}
 	}
 	if entered == 0 || left != entered {
@@ -321,22 +321,22 @@
 	check := func(n int) {
 		t.Helper()
 		perServer := func(length float64) float64 { return math.Max(3, 12*math.Sqrt(1.5*nodes/length)) }
-		least := int(perServer(float64(n) * lengthSlack))
-		most := int(math.Ceil(perServer(float64(n) / lengthSlack)))
-		g.Timer(g.now, timerProbe, r) // forgets what has left the subset
+		least := int(perServer(float64(n) * listLengthSlack))
+		most := int(math.Ceil(perServer(float64(n) / listLengthSlack)))
+		g.TimerFired(g.now, timerControlInterval, r) // forgets what has left the subset
 		own := subsetOf(g)
 		for _, e := range list[:n] {
-			before := position(hashID(e.ID), g.set.Me, nodes, most+1)
+			before := position(endpointKey(e.ID), g.settings.NodeIndex, nodes, most+1)
 			if before < least && !own[e.ID] || before > most && own[e.ID] {
 				t.Fatalf("%d servers: %s, with %d gateways before this one, is a member: %v", n, e.ID, before, own[e.ID])
 			}
 		}
-		if st := g.Stats(); st.Listed != n || st.Subset != len(own) || st.Known > len(own) {
+		if st := g.Stats(); st.ListedEndpoints != n || st.SubsetEndpoints != len(own) || st.TrackedEndpoints > len(own) {
 			t.Fatalf("%d servers: %+v, %d members", n, st, len(own))
 		}
 	}
 	for n := few; n < many; n++ {
-		g.List(t0, ListChanges, list[n:n+1], r)
+		g.EndpointsUpdated(t0, UpdateDelta, list[n:n+1], r)
 		if n%4000 == 0 {
 			check(n + 1)
 		}
@@ -344,7 +344,7 @@
 	for n := many - 1; n >= few; n-- {
 		e := list[n]
 		e.State = Removed
-		g.List(t0, ListChanges, []Server{e}, r)
+		g.EndpointsUpdated(t0, UpdateDelta, []Endpoint{e}, r)
 		if n%4000 == 0 || n == few {
 			check(n)
 		}
@@ -357,46 +357,46 @@
 	const nodes, servers, gone = 1024, 4000, 3000
 	list := manyServers(servers + 5*gone)
 	g, r := newGate(t, subsetSettings(nodes), list[:servers/2]...)
-	peak := nearRoom // of the servers that can enter the subset
+	peak := minSubsetCandidates // of the servers that can enter the subset
 	check := func(when string) {
 		t.Helper()
-		near := map[slot]bool{}
-		for _, at := range g.list.near {
+		near := map[slotIndex]bool{}
+		for _, at := range g.list.subsetCandidates {
 			near[at] = true
 		}
 		live := 0
-		for at := range g.list.servers {
-			if g.list.isFree(slot(at)) || g.list.servers[at].entersAt == never {
+		for at := range g.list.entries {
+			if g.list.isFree(slotIndex(at)) || g.list.entries[at].entersAt == never {
 				continue
 			}
-			if live++; !near[slot(at)] {
-				t.Fatalf("%s: %s can enter the subset and is not looked at", when, g.list.servers[at].id)
+			if live++; !near[slotIndex(at)] {
+				t.Fatalf("%s: %s can enter the subset and is not looked at", when, g.list.entries[at].id)
 			}
 		}
 		peak = max(peak, live)
-		if len(g.list.near) > 2*peak {
-			t.Errorf("%s: %d servers looked at, %d can enter the subset", when, len(g.list.near), live)
+		if len(g.list.subsetCandidates) > 2*peak {
+			t.Errorf("%s: %d servers looked at, %d can enter the subset", when, len(g.list.subsetCandidates), live)
 		}
-		if st := g.Stats(); live < st.Subset || live*10 > st.Listed {
-			t.Errorf("%s: %d of %d servers can enter the subset of %d", when, live, st.Listed, st.Subset)
+		if st := g.Stats(); live < st.SubsetEndpoints || live*10 > st.ListedEndpoints {
+			t.Errorf("%s: %d of %d servers can enter the subset of %d", when, live, st.ListedEndpoints, st.SubsetEndpoints)
 		}
 	}
 	check("short")
 	for n := servers / 2; n < servers; n++ {
-		g.List(t0, ListChanges, list[n:n+1], r)
+		g.EndpointsUpdated(t0, UpdateDelta, list[n:n+1], r)
 	}
 	check("grown")
 	for n := range 5 * gone { // a server is replaced by a new one, which takes its slot
 		old := list[n]
 		old.State = Removed
-		g.List(t0, ListChanges, []Server{old, list[servers+n]}, r)
+		g.EndpointsUpdated(t0, UpdateDelta, []Endpoint{old, list[servers+n]}, r)
 	}
 	check("replaced")
-	for at := range g.list.servers[:100] { // one after another, each comes back under its name
+	for at := range g.list.entries[:100] { // one after another, each comes back under its name
 		for range 100 {
-			e := g.list.server(slot(at))
-			for _, e.State = range []ServerState{Removed, Up} {
-				g.List(t0, ListChanges, []Server{e}, r)
+			e := g.list.endpointAt(slotIndex(at))
+			for _, e.State = range []EndpointState{Removed, Up} {
+				g.EndpointsUpdated(t0, UpdateDelta, []Endpoint{e}, r)
 			}
 		}
 	}
@@ -404,33 +404,33 @@
 	for n := 5 * gone; n < 5*gone+servers*3/4; n++ {
 		old := list[n]
 		old.State = Removed
-		g.List(t0, ListChanges, []Server{old}, r)
+		g.EndpointsUpdated(t0, UpdateDelta, []Endpoint{old}, r)
 	}
 	check("shrunk")
-	g.List(t0, ListFull, list[:servers], r)
+	g.EndpointsUpdated(t0, UpdateSnapshot, list[:servers], r)
 	check("replaced by a whole list")
 }
 
 // lose has every server of a gateway's subset be of no use in one of the ways in which that happens.
-var lose = map[string]func(g *Gateway, s *server, r *recorder){
-	"draining": func(g *Gateway, s *server, r *recorder) {
-		e := s.Server
+var lose = map[string]func(g *Balancer, s *endpoint, r *recorder){
+	"draining": func(g *Balancer, s *endpoint, r *recorder) {
+		e := s.Endpoint
 		e.State = Draining
-		g.List(g.now, ListChanges, []Server{e}, r)
+		g.EndpointsUpdated(g.now, UpdateDelta, []Endpoint{e}, r)
 	},
-	"gone": func(g *Gateway, s *server, r *recorder) {
-		e := s.Server
+	"gone": func(g *Balancer, s *endpoint, r *recorder) {
+		e := s.Endpoint
 		e.State = Removed
-		g.List(g.now, ListChanges, []Server{e}, r)
+		g.EndpointsUpdated(g.now, UpdateDelta, []Endpoint{e}, r)
 	},
-	"cold": func(g *Gateway, s *server, r *recorder) {
-		e := s.Server
-		e.Boot = g.now
-		g.List(g.now, ListChanges, []Server{e}, r)
-		s.credit, s.credited = 0, g.now // nothing saved up yet
+	"cold": func(g *Balancer, s *endpoint, r *recorder) {
+		e := s.Endpoint
+		e.StartedAt = g.now
+		g.EndpointsUpdated(g.now, UpdateDelta, []Endpoint{e}, r)
+		s.slowStartTokens, s.slowStartAccruedAt = 0, g.now // nothing saved up yet
 	},
-	"silent": func(g *Gateway, s *server, r *recorder) { g.silent(s, g.now) },
-	"errors": func(g *Gateway, s *server, r *recorder) { g.eject(s) },
+	"silent": func(g *Balancer, s *endpoint, r *recorder) { g.recordNoResponse(s, g.now) },
+	"errors": func(g *Balancer, s *endpoint, r *recorder) { g.eject(s) },
 }
 
 // Where a whole subset is of no use, the same decision must find another server, and the gateways that have
@@ -443,28 +443,28 @@
 		to, heavy := map[string]int{}, 0
 		for _, g := range gates {
 			r := &recorder{}
-			g.now, g.out = t0, r
-			members := slices.Clone(g.servers)
+			g.now, g.actions = t0, r
+			members := slices.Clone(g.tracked)
 			for _, s := range members {
 				loseOne(g, s, r)
 			}
 			for n := range each {
 				q := newRequest(n, "safe", "rate", uint64(n))
-				g.Request(t0, q, r)
-				if req := g.reqs[q.ID]; req == nil || req.attempts[0].server.member {
+				g.RequestArrived(t0, q, r)
+				if req := g.requests[q.ID]; req == nil || req.attempts[0].endpoint.inSubset {
 					t.Fatalf("%s: not sent to the reserve: %v", way, r.acts)
 				}
-				s := g.reqs[q.ID].attempts[0].server
+				s := g.requests[q.ID].attempts[0].endpoint
 				to[s.ID]++
-				heavy += int(b2f(s.Weight > 1))
+				heavy += int(oneIf(s.Weight > 1))
 			}
 			for n := each; n < each+more; n++ {
 				q := newRequest(n, "safe", "rate", uint64(n))
-				g.Request(t0, q, r)
-				g.Outcome(t0, Outcome{ID: q.ID, Result: OK, Closed: true, Took: ms}, r)
+				g.RequestArrived(t0, q, r)
+				g.AttemptFinished(t0, Outcome{ID: q.ID, Result: OK, Answered: true, Elapsed: ms}, r)
 			}
 			// As many as a subset holds stand in for it, and one may have been drawn beside them.
-			if known := g.Stats().Known; known > len(members)+g.subsetSize()+1 {
+			if known := g.Stats().TrackedEndpoints; known > len(members)+g.subsetSize()+1 {
 				t.Errorf("%s: %d servers known, %d of them in the subset", way, known, len(members))
 			}
 		}
@@ -485,7 +485,7 @@
 	const nodes, servers, each = 100, 400, 10
 	list := manyServers(servers)
 	to, left := map[string]int{}, 0
-	var lost []Server
+	var lost []Endpoint
 	for _, e := range list {
 		if e.Zone == "a" {
 			e.State = Removed
@@ -496,15 +496,15 @@
 	}
 	for _, g := range wholeFleet(t, nodes, list) {
 		r := &recorder{}
-		g.List(t0, ListChanges, lost, r)
+		g.EndpointsUpdated(t0, UpdateDelta, lost, r)
 		for n := range each {
 			q := newRequest(n, "safe", "rate", uint64(n))
-			g.Request(t0, q, r)
-			if req := g.reqs[q.ID]; req == nil || req.attempts[0].server.Zone == "a" {
-				t.Fatalf("gateway %d: %v", g.set.Me, r.acts)
+			g.RequestArrived(t0, q, r)
+			if req := g.requests[q.ID]; req == nil || req.attempts[0].endpoint.Zone == "a" {
+				t.Fatalf("gateway %d: %v", g.settings.NodeIndex, r.acts)
 			}
-			to[g.reqs[q.ID].attempts[0].server.ID]++
-			g.Outcome(t0, Outcome{ID: q.ID, Result: OK, Closed: true, Took: ms}, r)
+			to[g.requests[q.ID].attempts[0].endpoint.ID]++
+			g.AttemptFinished(t0, Outcome{ID: q.ID, Result: OK, Answered: true, Elapsed: ms}, r)
 		}
 	}
 	most := 0
@@ -520,74 +520,74 @@
 // What was used of the reserve is forgotten once the subset is back, and its servers wait in the reserve again.
 func TestReserveIsForgotten(t *testing.T) {
 	g, r := newGate(t, subsetSettings(100), manyServers(400)...)
-	members, waiting := g.Stats().Known, len(g.list.all)
-	for _, s := range g.servers {
+	members, waiting := g.Stats().TrackedEndpoints, len(g.list.reserve)
+	for _, s := range g.tracked {
 		g.eject(s)
 	}
-	g.Request(t0, newRequest(1, "safe", "rate", 1), r)
-	if known := g.Stats().Known; known != members+1 || len(g.list.all) != waiting-1 {
-		t.Fatalf("%d known, %d in the reserve", known, len(g.list.all))
+	g.RequestArrived(t0, newRequest(1, "safe", "rate", 1), r)
+	if known := g.Stats().TrackedEndpoints; known != members+1 || len(g.list.reserve) != waiting-1 {
+		t.Fatalf("%d known, %d in the reserve", known, len(g.list.reserve))
 	}
-	g.Timer(t0+time.Minute, timerProbe, r)
-	if g.Stats().Known != members+1 {
+	g.TimerFired(t0+time.Minute, timerControlInterval, r)
+	if g.Stats().TrackedEndpoints != members+1 {
 		t.Error("a server with an attempt out was forgotten")
 	}
-	g.Outcome(t0+time.Minute, Outcome{ID: "r1", Result: OK, Closed: true, Took: ms}, r)
-	g.Timer(t0+2*time.Minute, timerProbe, r)
-	if known := g.Stats().Known; known != members || len(g.list.all) != waiting {
-		t.Errorf("%d known, %d in the reserve, want %d and %d", known, len(g.list.all), members, waiting)
+	g.AttemptFinished(t0+time.Minute, Outcome{ID: "r1", Result: OK, Answered: true, Elapsed: ms}, r)
+	g.TimerFired(t0+2*time.Minute, timerControlInterval, r)
+	if known := g.Stats().TrackedEndpoints; known != members || len(g.list.reserve) != waiting {
+		t.Errorf("%d known, %d in the reserve, want %d and %d", known, len(g.list.reserve), members, waiting)
 	}
 }
 
 // drawReads counts the entries of the list that are read out to find a server outside the subset.
-func drawReads(g *Gateway, draw func(*request) *server) int {
-	before := g.list.reads
+func drawReads(g *Balancer, draw func(*request) *endpoint) int {
+	before := g.list.entryReads
 	draw(&request{Request: newRequest(1, "safe", "rate", 1)})
-	return g.list.reads - before
+	return g.list.entryReads - before
 }
 
 // A server of the reserve must be found without going through the list.
 func TestReserveIsNotScanned(t *testing.T) {
 	g, _ := newGate(t, subsetSettings(100), manyServers(20_000)...)
-	if n := drawReads(g, g.draw); n < 1 || n > drawsMost {
+	if n := drawReads(g, g.sampleReserve); n < 1 || n > maxReserveSamples {
 		t.Errorf("%d entries read", n)
 	}
-	scan := func(r *request) (found *server) {
-		var fit []slot
-		for at := range g.list.servers {
-			if s := (&server{Server: g.list.server(slot(at))}); s.State == Up && g.maySend(r, s) {
-				fit = append(fit, slot(at))
+	scan := func(r *request) (found *endpoint) {
+		var fit []slotIndex
+		for at := range g.list.entries {
+			if s := (&endpoint{Endpoint: g.list.endpointAt(slotIndex(at))}); s.State == Up && g.mayAttempt(r, s) {
+				fit = append(fit, slotIndex(at))
 			}
 		}
 		return g.track(fit[g.rng.IntN(len(fit))])
 	}
-	if n := drawReads(g, scan); n <= drawsMost {
+	if n := drawReads(g, scan); n <= maxReserveSamples {
 		t.Errorf("a scan passes: %d entries read", n)
 	}
 }
 
 // A request whose repeats are dropped in one zone or cell only must stay there, in the reserve too.
 func TestRepeatFindsItsZoneOrCellInTheReserve(t *testing.T) {
-	for _, group := range []Group{GroupZone, GroupCell} {
+	for _, group := range []DedupScope{DedupZone, DedupCell} {
 		s := subsetSettings(100)
-		s.Classes[1].Group = group
+		s.Classes[1].DedupScope = group
 		for seed := range 20 {
 			g, r := newGate(t, s, manyServers(400)...)
 			g.rng = rand.New(rand.NewPCG(uint64(seed), 1))
-			g.retries = 5
-			g.Request(t0, newRequest(1, "keyed", "rate", 1), r)
-			first := g.reqs["r1"].attempts[0]
-			for _, sv := range g.servers {
+			g.retryTokens = 5
+			g.RequestArrived(t0, newRequest(1, "keyed", "rate", 1), r)
+			first := g.requests["r1"].attempts[0]
+			for _, sv := range g.tracked {
 				g.eject(sv)
 			}
-			g.Outcome(t0+ms, Outcome{ID: "r1", Result: Reset, Took: ms}, r)
-			req := g.reqs["r1"]
+			g.AttemptFinished(t0+ms, Outcome{ID: "r1", Result: Reset, Elapsed: ms}, r)
+			req := g.requests["r1"]
 			if req == nil || len(req.attempts) != 2 {
 				t.Fatalf("no repeat: %v", r.acts)
 			}
 			again := req.attempts[1]
-			if again.server.member || group == GroupZone && again.zone != first.zone || group == GroupCell && again.cell != first.cell {
-				t.Errorf("group %d: first %s/%d, then %s/%d, member %v", group, first.zone, first.cell, again.zone, again.cell, again.server.member)
+			if again.endpoint.inSubset || group == DedupZone && again.zone != first.zone || group == DedupCell && again.cell != first.cell {
+				t.Errorf("group %d: first %s/%d, then %s/%d, member %v", group, first.zone, first.cell, again.zone, again.cell, again.endpoint.inSubset)
 			}
 		}
 	}
@@ -601,39 +601,39 @@
 	for i := range list {
 		list[i].State = Draining // listed, but nothing else takes work
 	}
-	cold := Server{ID: "cold", Kind: "k", Zone: "a", Boot: t0 + time.Second}
+	cold := Endpoint{ID: "cold", MachineType: "k", Zone: "a", StartedAt: t0 + time.Second}
 	gates := wholeFleet(t, nodes, list)
 	now, sends := t0+time.Second, 0
 	for _, g := range gates {
-		g.List(now, ListChanges, []Server{cold}, &recorder{})
+		g.EndpointsUpdated(now, UpdateDelta, []Endpoint{cold}, &recorder{})
 	}
 	before := len(holders(gates, "cold"))
 	for step := range steps {
-		now += probeEvery
+		now += controlInterval
 		for _, g := range gates {
 			r := &recorder{}
-			g.Timer(now, timerProbe, r)
+			g.TimerFired(now, timerControlInterval, r)
 			for gone := step * goneEach; gone < (step+1)*goneEach; gone++ {
 				e := list[gone]
 				e.State = Removed
-				g.List(now, ListChanges, []Server{e}, r)
+				g.EndpointsUpdated(now, UpdateDelta, []Endpoint{e}, r)
 			}
 			for n := range 40 { // all that is let through goes there
 				q := newRequest(step*100+n, "safe", "rate", uint64(n))
-				g.Request(now, q, r)
-				if req := g.reqs[q.ID]; req != nil && req.attempts[0].server.ID == "cold" {
+				g.RequestArrived(now, q, r)
+				if req := g.requests[q.ID]; req != nil && req.attempts[0].endpoint.ID == "cold" {
 					sends++
 				}
-				g.Outcome(now, Outcome{ID: q.ID, Result: OK, Closed: true, Took: 200 * ms}, r)
+				g.AttemptFinished(now, Outcome{ID: q.ID, Result: OK, Answered: true, Elapsed: 200 * ms}, r)
 			}
 		}
 	}
 	if after := len(holders(gates, "cold")); after < 2*before {
 		t.Fatalf("in %d subsets, then in %d: the list does not shrink enough", before, after)
 	}
-	s := gates[0].set
-	share := s.ColdFrom + (1-s.ColdFrom)*1/s.RampTime.Seconds()
-	allowed := s.FallMultiple * share * s.OverloadFor.Seconds() / gates[0].work(2)
+	s := gates[0].settings
+	share := s.SlowStartInitialFraction + (1-s.SlowStartInitialFraction)*1/s.SlowStartDuration.Seconds()
+	allowed := s.OverloadFactor * share * s.OverloadWindow.Seconds() / gates[0].workOf(2)
 	if most := allowed + 2*math.Sqrt(allowed) + 2; sends == 0 || float64(sends) > most {
 		t.Errorf("%d requests to a cold server in a second, at most %.1f", sends, most)
 	}
@@ -644,25 +644,25 @@
 func TestColdServerThatEntersASubsetStartsFromNothing(t *testing.T) {
 	const nodes, servers, left = 60, 90, 20
 	list := manyServers(servers)
-	cold := Server{ID: "cold", Kind: "k", Zone: "a", Boot: t0}
+	cold := Endpoint{ID: "cold", MachineType: "k", Zone: "a", StartedAt: t0}
 	gates := wholeFleet(t, nodes, append(slices.Clone(list), cold))
 	first := holders(gates, "cold")
 	for _, g := range gates {
 		for _, e := range list[left:] {
 			e.State = Removed
-			g.List(t0, ListChanges, []Server{e}, &recorder{})
+			g.EndpointsUpdated(t0, UpdateDelta, []Endpoint{e}, &recorder{})
 		}
-		g.Timer(t0, timerProbe, &recorder{})
+		g.TimerFired(t0, timerControlInterval, &recorder{})
 	}
 	entered := 0
 	for _, g := range holders(gates, "cold") {
-		credit := g.byID["cold"].credit
+		credit := g.trackedByID["cold"].slowStartTokens
 		if slices.Contains(first, g) {
 			continue
 		}
 		entered++
 		if credit != 0 {
-			t.Errorf("gateway %d enters with %v", g.set.Me, credit)
+			t.Errorf("gateway %d enters with %v", g.settings.NodeIndex, credit)
 		}
 	}
 	if entered == 0 {
@@ -674,57 +674,57 @@
 func TestReplacedListsLeaveNothingBehind(t *testing.T) {
 	g, r := newGate(t, subsetSettings(100), manyServers(20_000)...)
 	for n := range 2000 {
-		var list []Server
+		var list []Endpoint
 		for i := range 10 {
 			id := fmt.Sprintf("s%d-%d", n, i)
-			list = append(list, Server{ID: id, Kind: id, Zone: id, Cell: n*10 + i, Weight: float64(n*10 + i + 1)})
+			list = append(list, Endpoint{ID: id, MachineType: id, Zone: id, Cell: n*10 + i, Weight: float64(n*10 + i + 1)})
 		}
-		g.List(t0, ListFull, list, r)
+		g.EndpointsUpdated(t0, UpdateSnapshot, list, r)
 	}
 	l := g.list
-	for what, n := range map[string]int{"servers": len(l.servers), "zones": len(l.zones.values), "kinds": len(l.kinds.values),
-		"cells": len(l.cells.values), "weights": len(l.weights.values), "pools": len(l.byZone)} {
-		if n > 4*(10+staleRoom)+10 {
+	for what, n := range map[string]int{"servers": len(l.entries), "zones": len(l.zones.values), "kinds": len(l.machineTypes.values),
+		"cells": len(l.cells.values), "weights": len(l.weights.values), "pools": len(l.reserveByZone)} {
+		if n > 4*(10+staleSlack)+10 {
 			t.Errorf("%d %s for a list of ten servers", n, what)
 		}
 	}
-	if len(l.slots) != 10 || g.Stats().Known > 10 {
-		t.Errorf("%d listed, %+v", len(l.slots), g.Stats())
+	if len(l.slotByID) != 10 || g.Stats().TrackedEndpoints > 10 {
+		t.Errorf("%d listed, %+v", len(l.slotByID), g.Stats())
 	}
 }
 
 // A whole list removes what it does not name, whatever else it says, and however its servers were listed before.
 func TestWholeListRemovesWhatItDoesNotName(t *testing.T) {
-	a, b, c := Server{ID: "a"}, Server{ID: "b"}, Server{ID: "c"}
-	gone := func(e Server) Server {
+	a, b, c := Endpoint{ID: "a"}, Endpoint{ID: "b"}, Endpoint{ID: "c"}
+	gone := func(e Endpoint) Endpoint {
 		e.State = Removed
 		return e
 	}
 	for name, test := range map[string]struct {
-		before  [][]Server // the first is a whole list, the others are changes
-		list    []Server
+		before  [][]Endpoint // the first is a whole list, the others are changes
+		list    []Endpoint
 		removed []string
 	}{
-		"all named":                    {before: [][]Server{{a, b, c}}, list: []Server{a, b, c}},
-		"one missing":                  {before: [][]Server{{a, b, c}}, list: []Server{a, b}, removed: []string{"c"}},
-		"one named twice, one missing": {before: [][]Server{{a, b, c}}, list: []Server{a, a, b}, removed: []string{"c"}},
-		"a new one for a missing one":  {before: [][]Server{{a, b}}, list: []Server{a, c}, removed: []string{"b"}},
-		"named and taken back":         {before: [][]Server{{a, b, c}}, list: []Server{a, b, gone(b)}, removed: []string{"b", "c"}},
-		"taken back unnamed":           {before: [][]Server{{a, b, c}}, list: []Server{gone(a), b}, removed: []string{"a", "c"}},
-		"listed by a change":           {before: [][]Server{{a}, {b, c}}, list: []Server{a, b}, removed: []string{"c"}},
-		"changed to as it was":         {before: [][]Server{{a, b}, {gone(b)}, {b, c}}, list: []Server{a, b}, removed: []string{"c"}},
-		"removed by a change":          {before: [][]Server{{a, b, c}, {gone(c)}}, list: []Server{a}, removed: []string{"b", "c"}},
+		"all named":                    {before: [][]Endpoint{{a, b, c}}, list: []Endpoint{a, b, c}},
+		"one missing":                  {before: [][]Endpoint{{a, b, c}}, list: []Endpoint{a, b}, removed: []string{"c"}},
+		"one named twice, one missing": {before: [][]Endpoint{{a, b, c}}, list: []Endpoint{a, a, b}, removed: []string{"c"}},
+		"a new one for a missing one":  {before: [][]Endpoint{{a, b}}, list: []Endpoint{a, c}, removed: []string{"b"}},
+		"named and taken back":         {before: [][]Endpoint{{a, b, c}}, list: []Endpoint{a, b, gone(b)}, removed: []string{"b", "c"}},
+		"taken back unnamed":           {before: [][]Endpoint{{a, b, c}}, list: []Endpoint{gone(a), b}, removed: []string{"a", "c"}},
+		"listed by a change":           {before: [][]Endpoint{{a}, {b, c}}, list: []Endpoint{a, b}, removed: []string{"c"}},
+		"changed to as it was":         {before: [][]Endpoint{{a, b}, {gone(b)}, {b, c}}, list: []Endpoint{a, b}, removed: []string{"c"}},
+		"removed by a change":          {before: [][]Endpoint{{a, b, c}, {gone(c)}}, list: []Endpoint{a}, removed: []string{"b", "c"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g, r := newGate(t, subsetSettings(100), test.before[0]...)
 			for _, changes := range test.before[1:] {
-				g.List(t0, ListChanges, changes, r)
+				g.EndpointsUpdated(t0, UpdateDelta, changes, r)
 			}
 			for round := range 2 { // a list that comes again finds things as it left them
-				g.List(t0, ListFull, test.list, r)
+				g.EndpointsUpdated(t0, UpdateSnapshot, test.list, r)
 				for _, id := range []string{"a", "b", "c"} {
-					wanted := !slices.Contains(test.removed, id) && slices.ContainsFunc(test.list, func(e Server) bool { return e.ID == id })
-					if _, listed := g.list.slots[id]; listed != wanted {
+					wanted := !slices.Contains(test.removed, id) && slices.ContainsFunc(test.list, func(e Endpoint) bool { return e.ID == id })
+					if _, listed := g.list.slotByID[id]; listed != wanted {
 						t.Errorf("list %d: %s is listed: %v", round+1, id, listed)
 					}
 				}
@@ -739,28 +739,28 @@
 	const servers = 20_000
 	list := manyServers(servers)
 	g, r := newGate(t, subsetSettings(1000), list...)
-	lookups := func(form ListForm, list []Server) int {
+	lookups := func(form UpdateKind, list []Endpoint) int {
 		before := g.list.lookups
-		g.List(t0, form, list, r)
+		g.EndpointsUpdated(t0, form, list, r)
 		return g.list.lookups - before
 	}
-	if n := lookups(ListFull, list); n != 0 {
+	if n := lookups(UpdateSnapshot, list); n != 0 {
 		t.Errorf("%d look-ups for the same list", n)
 	}
 	fewer := slices.Delete(slices.Clone(list), servers/2, servers/2+3)
-	if n := lookups(ListFull, fewer); n != 1 {
+	if n := lookups(UpdateSnapshot, fewer); n != 1 {
 		t.Errorf("%d look-ups for a list with a gap", n)
 	}
-	more := slices.Insert(slices.Clone(fewer), 7, Server{ID: "new", Kind: "k", Zone: "a", Weight: 1})
-	if n := lookups(ListFull, more); n > 4 {
+	more := slices.Insert(slices.Clone(fewer), 7, Endpoint{ID: "new", MachineType: "k", Zone: "a", Weight: 1})
+	if n := lookups(UpdateSnapshot, more); n > 4 {
 		t.Errorf("%d look-ups for a list with an entry more", n)
 	}
-	if listed := g.Stats().Listed; listed != len(more) {
+	if listed := g.Stats().ListedEndpoints; listed != len(more) {
 		t.Errorf("%d listed of %d", listed, len(more))
 	}
 	slices.Reverse(more)
-	if n := lookups(ListFull, more); n < servers/2 || g.Stats().Listed != len(more) {
-		t.Errorf("%d look-ups for a list in another order, %d listed", n, g.Stats().Listed)
+	if n := lookups(UpdateSnapshot, more); n < servers/2 || g.Stats().ListedEndpoints != len(more) {
+		t.Errorf("%d look-ups for a list in another order, %d listed", n, g.Stats().ListedEndpoints)
 	}
 }
 
@@ -770,14 +770,14 @@
 	g, r := newGate(t, subsetSettings(100), list...)
 	gone := list[1]
 	gone.State = Removed
-	g.List(t0, ListChanges, []Server{list[0], gone}, r)
-	g.List(t0, ListChanges, []Server{list[0], {Kind: "k", Zone: "a"}}, r)
-	if st := g.Stats(); st.Listed != 4 || g.list.up.total != 4 {
-		t.Errorf("%d listed, %d up, want 4", st.Listed, g.list.up.total)
+	g.EndpointsUpdated(t0, UpdateDelta, []Endpoint{list[0], gone}, r)
+	g.EndpointsUpdated(t0, UpdateDelta, []Endpoint{list[0], {MachineType: "k", Zone: "a"}}, r)
+	if st := g.Stats(); st.ListedEndpoints != 4 || g.list.activeWeights.total != 4 {
+		t.Errorf("%d listed, %d up, want 4", st.ListedEndpoints, g.list.activeWeights.total)
 	}
-	g.List(t0, ListFull, list, r)
-	if st := g.Stats(); st.Listed != 4 || g.byID[""] != nil {
-		t.Errorf("%d listed, want 4; without an id: %v", st.Listed, g.byID[""])
+	g.EndpointsUpdated(t0, UpdateSnapshot, list, r)
+	if st := g.Stats(); st.ListedEndpoints != 4 || g.trackedByID[""] != nil {
+		t.Errorf("%d listed, want 4; without an id: %v", st.ListedEndpoints, g.trackedByID[""])
 	}
 }
 
@@ -787,23 +787,23 @@
 	for _, nodes := range []int{1, 100} {
 		g, r := newGate(t, subsetSettings(nodes), fleet(2)...)
 		moved := fleet(2)[1]
-		moved.Kind = "other"
-		g.List(t0, ListChanges, []Server{moved}, r)
-		first, other := g.kindLat[g.kinds["k"]], g.kindLat[g.kinds["other"]]
-		if _, known := g.kinds["other"]; !known || first == other {
-			t.Fatalf("%d nodes: kinds %v", nodes, g.kinds)
+		moved.MachineType = "other"
+		g.EndpointsUpdated(t0, UpdateDelta, []Endpoint{moved}, r)
+		first, other := g.machineTypeLatencies[g.machineTypeIndex["k"]], g.machineTypeLatencies[g.machineTypeIndex["other"]]
+		if _, known := g.machineTypeIndex["other"]; !known || first == other {
+			t.Fatalf("%d nodes: kinds %v", nodes, g.machineTypeIndex)
 		}
-		g.observe(0, g.byID[moved.ID], 50*ms)
-		if first.n != 0 || other.n != 1 {
-			t.Errorf("%d nodes: %v latencies of the first kind, %v of the new one", nodes, first.n, other.n)
+		g.recordLatency(0, g.trackedByID[moved.ID], 50*ms)
+		if first.samples != 0 || other.samples != 1 {
+			t.Errorf("%d nodes: %v latencies of the first kind, %v of the new one", nodes, first.samples, other.samples)
 		}
 	}
 }
 
 // holders returns the gateways in whose subsets a server is.
-func holders(gates []*Gateway, id string) (in []*Gateway) {
+func holders(gates []*Balancer, id string) (in []*Balancer) {
 	for _, g := range gates {
-		if s := g.byID[id]; s != nil && s.member {
+		if s := g.trackedByID[id]; s != nil && s.inSubset {
 			in = append(in, g)
 		}
 	}
@@ -813,18 +813,18 @@
 // A server that has been removed must be known until its attempts have ended, whatever the list does.
 func TestRemovedServerIsKeptWhileAttemptsAreOut(t *testing.T) {
 	g, r := newGate(t, subsetSettings(100), manyServers(400)...)
-	g.Request(t0, newRequest(1, "safe", "rate", 1), r)
-	s := g.reqs["r1"].attempts[0].server
-	e := s.Server
+	g.RequestArrived(t0, newRequest(1, "safe", "rate", 1), r)
+	s := g.requests["r1"].attempts[0].endpoint
+	e := s.Endpoint
 	e.State = Removed
-	g.List(t0, ListChanges, []Server{e}, r)
-	g.Timer(t0+time.Minute, timerProbe, r)
-	if g.byID[s.ID] != s || s.takes() {
+	g.EndpointsUpdated(t0, UpdateDelta, []Endpoint{e}, r)
+	g.TimerFired(t0+time.Minute, timerControlInterval, r)
+	if g.trackedByID[s.ID] != s || s.acceptsRequests() {
 		t.Fatal("forgotten with an attempt out, or still sent to")
 	}
-	g.Outcome(t0+time.Minute, Outcome{ID: "r1", Result: OK, Closed: true, Took: ms}, r)
-	g.Timer(t0+time.Minute+probeEvery, timerProbe, r)
-	if g.byID[s.ID] != nil {
+	g.AttemptFinished(t0+time.Minute, Outcome{ID: "r1", Result: OK, Answered: true, Elapsed: ms}, r)
+	g.TimerFired(t0+time.Minute+controlInterval, timerControlInterval, r)
+	if g.trackedByID[s.ID] != nil {
 		t.Error("known after its attempts have ended")
 	}
 }
@@ -834,22 +834,22 @@
 func TestRemovedServerIsDroppedOnceItsAttemptsEnd(t *testing.T) {
 	for _, nodes := range []int{1, 100} {
 		g, r := newGate(t, subsetSettings(nodes), fleet(3)...)
-		g.Request(t0, newRequest(1, "safe", "rate", 1), r)
-		s := g.reqs["r1"].attempts[0].server
-		gone, other := s.Server, fleet(3)[0]
+		g.RequestArrived(t0, newRequest(1, "safe", "rate", 1), r)
+		s := g.requests["r1"].attempts[0].endpoint
+		gone, other := s.Endpoint, fleet(3)[0]
 		if other.ID == gone.ID {
 			other = fleet(3)[1]
 		}
 		gone.State, other.State = Removed, Draining
-		g.List(t0, ListChanges, []Server{gone}, r)
-		g.List(t0, ListChanges, []Server{other}, r)
-		if g.byID[s.ID] != s {
+		g.EndpointsUpdated(t0, UpdateDelta, []Endpoint{gone}, r)
+		g.EndpointsUpdated(t0, UpdateDelta, []Endpoint{other}, r)
+		if g.trackedByID[s.ID] != s {
 			t.Fatalf("%d nodes: dropped with an attempt out", nodes)
 		}
-		g.Outcome(t0+ms, Outcome{ID: "r1", Result: OK, Closed: true, Took: ms}, r)
+		g.AttemptFinished(t0+ms, Outcome{ID: "r1", Result: OK, Answered: true, Elapsed: ms}, r)
 		other.State = Up
-		g.List(t0+ms, ListChanges, []Server{other}, r)
-		if g.byID[s.ID] != nil || slices.Contains(g.servers, s) {
+		g.EndpointsUpdated(t0+ms, UpdateDelta, []Endpoint{other}, r)
+		if g.trackedByID[s.ID] != nil || slices.Contains(g.tracked, s) {
 			t.Errorf("%d nodes: known after its attempts have ended", nodes)
 		}
 	}
@@ -860,22 +860,22 @@
 	const nodes = 100
 	gates := wholeFleet(t, nodes, manyServers(100))
 	from, named := gates[3], 0
-	for _, s := range from.servers {
-		s.holds(1, t0)
+	for _, s := range from.tracked {
+		s.recordLoad(1, t0)
 	}
 	for to, g := range gates {
 		from.now = t0 + ms
-		news := from.freshest(newsMost, to)
+		news := from.freshestLoads(maxLoadEntries, to)
 		for _, s := range news {
-			if other := g.byID[s.ID]; other == nil || !other.member {
+			if other := g.trackedByID[s.ID]; other == nil || !other.inSubset {
 				t.Fatalf("gateway %d is told of %s, which its subset has not", to, s.ID)
 			}
 		}
 		both := 0
-		for _, s := range from.servers {
-			both += int(b2f(g.byID[s.ID] != nil))
+		for _, s := range from.tracked {
+			both += int(oneIf(g.trackedByID[s.ID] != nil))
 		}
-		if to != 3 && len(news) != min(both, newsMost) {
+		if to != 3 && len(news) != min(both, maxLoadEntries) {
 			t.Errorf("gateway %d is told of %d servers of %d in common", to, len(news), both)
 		}
 		named += len(news)
@@ -890,18 +890,18 @@
 	list := manyServers(20_000)
 	g, r := newGate(t, subsetSettings(410), list...)
 	st := g.Stats()
-	if pairs := float64(st.Subset*st.Subset) / 2 / (1 << 16); float64(st.SharedNames) > 2*(pairs+3*math.Sqrt(pairs)+1) {
+	if pairs := float64(st.SubsetEndpoints*st.SubsetEndpoints) / 2 / (1 << 16); float64(st.HashCollisions) > 2*(pairs+3*math.Sqrt(pairs)+1) {
 		t.Errorf("%+v, about %.2f pairs expected", st, pairs)
 	}
-	member := g.servers[0]
+	member := g.tracked[0]
 	for n := 0; ; n++ { // another member of the same short hash
-		e := Server{ID: fmt.Sprintf("other-%d", n), Kind: "k", Zone: "a"}
-		if shortHash(e.ID) == member.hash && g.entersAt(e.ID) <= g.perServer {
-			g.List(t0, ListChanges, []Server{e}, r)
+		e := Endpoint{ID: fmt.Sprintf("other-%d", n), MachineType: "k", Zone: "a"}
+		if shortEndpointHash(e.ID) == member.shortHash && g.entersAt(e.ID) <= g.subsetsPerEndpoint {
+			g.EndpointsUpdated(t0, UpdateDelta, []Endpoint{e}, r)
 			break
 		}
 	}
-	if now := g.Stats(); now.SharedNames != st.SharedNames+2 {
-		t.Errorf("%d shared names, then %d", st.SharedNames, now.SharedNames)
+	if now := g.Stats(); now.HashCollisions != st.HashCollisions+2 {
+		t.Errorf("%d shared names, then %d", st.HashCollisions, now.HashCollisions)
 	}
 }
--- a/cmd/sim-adapter/main.go
+++ b/cmd/sim-adapter/main.go
@@ -23,7 +23,7 @@
 
 // host is the state of the process: its instances and the reply being written.
 type host struct {
-	gates map[int]*balancer.Gateway
+	gates map[int]*balancer.Balancer
 	now   time.Duration
 	open  bool // inside a batch
 	reply wire.Reply
@@ -32,7 +32,7 @@
 func run(in io.Reader, out io.Writer) error {
 	r := wire.NewReader(in)
 	w := bufio.NewWriterSize(out, 1<<16)
-	h := host{gates: map[int]*balancer.Gateway{}}
+	h := host{gates: map[int]*balancer.Balancer{}}
 	for {
 		ev, err := r.Next()
 		if err == io.EOF && h.open {
@@ -83,36 +83,36 @@
 			return err
 		}
 		h.gates[e.Inst] = g
-		return h.deliver(e.Inst, func(g *balancer.Gateway) { g.Start(h.now, &h.reply) })
+		return h.deliver(e.Inst, func(g *balancer.Balancer) { g.Start(h.now, &h.reply) })
 	case wire.Halt:
 		if _, ok := h.gates[e.Inst]; !ok {
 			return fmt.Errorf("unknown instance %d", e.Inst)
 		}
 		delete(h.gates, e.Inst)
 	case wire.List:
-		return h.deliver(e.Inst, func(g *balancer.Gateway) { g.List(h.now, e.Form, e.Servers, &h.reply) })
+		return h.deliver(e.Inst, func(g *balancer.Balancer) { g.EndpointsUpdated(h.now, e.Form, e.Servers, &h.reply) })
 	case wire.Accept:
-		return h.deliver(e.Inst, func(g *balancer.Gateway) { g.Request(h.now, e.Request, &h.reply) })
+		return h.deliver(e.Inst, func(g *balancer.Balancer) { g.RequestArrived(h.now, e.Request, &h.reply) })
 	case wire.Headers:
-		return h.deliver(e.Inst, func(g *balancer.Gateway) { g.First(h.now, e.ID, e.Attempt, &h.reply) })
+		return h.deliver(e.Inst, func(g *balancer.Balancer) { g.ResponseStarted(h.now, e.ID, e.Attempt, &h.reply) })
 	case wire.Completed:
-		return h.deliver(e.Inst, func(g *balancer.Gateway) { g.Outcome(h.now, e.Outcome, &h.reply) })
+		return h.deliver(e.Inst, func(g *balancer.Balancer) { g.AttemptFinished(h.now, e.Outcome, &h.reply) })
 	case wire.Left:
-		return h.deliver(e.Inst, func(g *balancer.Gateway) { g.Gone(h.now, e.ID, &h.reply) })
+		return h.deliver(e.Inst, func(g *balancer.Balancer) { g.ClientGone(h.now, e.ID, &h.reply) })
 	case wire.TimerFired:
-		return h.deliver(e.Inst, func(g *balancer.Gateway) { g.Timer(h.now, e.Token, &h.reply) })
+		return h.deliver(e.Inst, func(g *balancer.Balancer) { g.TimerFired(h.now, e.Token, &h.reply) })
 	case wire.ProbeDone:
-		return h.deliver(e.Inst, func(g *balancer.Gateway) { g.Probed(h.now, e.Server, e.Result, e.Load, &h.reply) })
+		return h.deliver(e.Inst, func(g *balancer.Balancer) { g.HealthChecked(h.now, e.Server, e.Result, e.Load, &h.reply) })
 	case wire.Whisper:
-		return h.deliver(e.Inst, func(g *balancer.Gateway) { g.Peer(h.now, e.From, e.Payload, &h.reply) })
+		return h.deliver(e.Inst, func(g *balancer.Balancer) { g.PeerMessage(h.now, e.From, e.Payload, &h.reply) })
 	case wire.Total:
-		return h.deliver(e.Inst, func(*balancer.Gateway) {})
+		return h.deliver(e.Inst, func(*balancer.Balancer) {})
 	}
 	return nil
 }
 
 // deliver hands one event to an instance; a panic of the module becomes BROKEN.
-func (h *host) deliver(inst int, f func(*balancer.Gateway)) error {
+func (h *host) deliver(inst int, f func(*balancer.Balancer)) error {
 	g, ok := h.gates[inst]
 	if !ok {
 		return fmt.Errorf("unknown instance %d", inst)
--- a/internal/edgenode/answer.go
+++ b/internal/edgenode/answer.go
@@ -25,9 +25,9 @@
 type reply struct {
 	body        []byte
 	contentType string
-	load        *balancer.Load // nil: it carried no report
-	units       float64        // that the request counted in the end; 0: not told
-	since       time.Time      // when the connection that it came on was made; zero: there was no answer
+	load        *balancer.LoadReport // nil: it carried no report
+	units       float64              // that the request counted in the end; 0: not told
+	since       time.Time            // when the connection that it came on was made; zero: there was no answer
 }
 
 // settled is the true units of a request, 0 where they are not told or are more than any
@@ -91,7 +91,7 @@
 func (c *conn) read(req *http.Request) (rep reply, result balancer.Result, reuse bool) {
 	failure := func() (reply, balancer.Result, bool) {
 		if c.in.err == nil || c.in.hasDeadline && errors.Is(c.in.err, os.ErrDeadlineExceeded) {
-			return reply{}, balancer.ErrorAnswer, false
+			return reply{}, balancer.ErrorResponse, false
 		}
 		return reply{}, balancer.Reset, false
 	}
@@ -105,7 +105,7 @@
 		return failure()
 	}
 	if resp.ContentLength > maxReply {
-		return reply{}, balancer.ErrorAnswer, false
+		return reply{}, balancer.ErrorResponse, false
 	}
 	var body []byte
 	if resp.ContentLength < 0 { // it ends with its last chunk, or with its connection: a reset is no end
@@ -118,7 +118,7 @@
 		return failure()
 	}
 	if len(body) > maxReply {
-		return reply{}, balancer.ErrorAnswer, false
+		return reply{}, balancer.ErrorResponse, false
 	}
 	rep = reply{body: body, contentType: resp.Header.Get("Content-Type")}
 	if text := resp.Header.Get("Endpoint-Load-Metrics"); text != "" {
@@ -135,7 +135,7 @@
 		return rep, balancer.OK, reuse
 	case (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
 		resp.Header.Get("X-Never-Ran") == "1":
-		return rep, balancer.Full, reuse
+		return rep, balancer.Overloaded, reuse
 	}
-	return rep, balancer.ErrorAnswer, reuse
+	return rep, balancer.ErrorResponse, reuse
 }
--- a/internal/edgenode/attempt_test.go
+++ b/internal/edgenode/attempt_test.go
@@ -88,7 +88,7 @@
 		"no bounds":                 {},
 		"its time is over":          {to: bounds{until: past}, want: errLate},
 		"its repeat is too late":    {to: bounds{until: later, whole: past}, want: errLate},
-		"the server restarted":      {happens: as(func(in *Instance) { in.Boot = time.Hour }), want: errUnknown},
+		"the server restarted":      {happens: as(func(in *Instance) { in.StartedAt = time.Hour }), want: errUnknown},
 		"it is in another zone":     {happens: as(func(in *Instance) { in.Zone = "other" }), want: errUnknown},
 		"it is in another cell":     {happens: as(func(in *Instance) { in.Cell++ }), want: errUnknown},
 		"it is at another address":  {happens: as(func(in *Instance) { in.Addr = netip.MustParseAddrPort("127.0.0.1:1") }), want: errUnknown},
@@ -122,7 +122,7 @@
 	u := testUpstream(s.instance("a"))
 	to := bounds{of: u.chosen("a")}
 	restarted := s.instance("a")
-	restarted.Boot = time.Hour
+	restarted.StartedAt = time.Hour
 	closeAll(u.update([]Instance{restarted}, false))
 	_, res := u.exchange(t.Context(), "a", &get, to)
 	wantResult(t, res, balancer.ConnectFailed)
@@ -143,7 +143,7 @@
 	})
 	n := idleFront(t, testConfig(s.instance("a"), s.instance("b"))).node
 	ask := func(id, class, method string) *flight {
-		q := balancer.Request{ID: id, Class: class, Plan: "wide", Grace: 10 * time.Second, Units: 1, Spread: 1}
+		q := balancer.Request{ID: id, Class: class, Plan: "wide", Timeout: 10 * time.Second, Units: 1, EntryNodes: 1}
 		fl := n.begin(q, message{method: method, target: "/" + class, id: id}, time.Now().Add(patience))
 		await(t, "an answer", fl.answer)
 		return fl
@@ -160,7 +160,7 @@
 	if at := fl.attempts[0]; !at.to.whole.IsZero() {
 		t.Errorf("the first attempt is bound to %v", at.to.whole)
 	}
-	window := n.cfg.Settings.Classes[1].Window - 2*n.cfg.Settings.Tick
+	window := n.cfg.Settings.Classes[1].DedupWindow - 2*n.cfg.Settings.Tick
 	for _, at := range fl.attempts[1:] {
 		if got := at.to.whole.Sub(n.start) + time.Duration(n.start.UnixNano()) - fl.attempts[0].sent; got > window || got < window-time.Millisecond {
 			t.Errorf("a repeat is bound to %v behind the first send, want %v", got, window)
@@ -190,7 +190,7 @@
 			conns <- c
 		}
 	}()
-	return Instance{Server: balancer.Server{ID: "a"}, Addr: addrOf(ln)}, conns
+	return Instance{Endpoint: balancer.Endpoint{ID: "a"}, Addr: addrOf(ln)}, conns
 }
 
 // long is a request that no socket takes at once.
@@ -217,7 +217,7 @@
 	}
 	// What the first byte is too late for does not begin.
 	_, res := u.exchange(ctx, "a", &get, bounds{whole: time.Now()})
-	wantResult(t, res, balancer.Moot)
+	wantResult(t, res, balancer.NotSent)
 }
 
 // An answer to a request that is not written yet is no answer to it: the attempt ends, and has never run.
@@ -271,12 +271,12 @@
 		"orderly end":            {"HTTP/1.1 200 OK\r\n\r\nbody", false, balancer.OK},
 		"below HTTP/1.1":         {"HTTP/1.0 200 OK\r\n\r\nbody", false, balancer.OK},
 		"reset":                  {"HTTP/1.1 200 OK\r\n\r\nbody", true, balancer.Reset},
-		"turned away":            {"HTTP/1.1 503 F\r\nX-Never-Ran: 1\r\n\r\n", false, balancer.Full},
+		"turned away":            {"HTTP/1.1 503 F\r\nX-Never-Ran: 1\r\n\r\n", false, balancer.Overloaded},
 		"turned away, but reset": {"HTTP/1.1 503 F\r\nX-Never-Ran: 1\r\n\r\n", true, balancer.Reset},
-		"too long":               {"HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", maxReply+1), false, balancer.ErrorAnswer},
+		"too long":               {"HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", maxReply+1), false, balancer.ErrorResponse},
 	} {
 		ln := listen(t)
-		u := testUpstream(Instance{Server: balancer.Server{ID: "a"}, Addr: addrOf(ln)})
+		u := testUpstream(Instance{Endpoint: balancer.Endpoint{ID: "a"}, Addr: addrOf(ln)})
 		type outcome struct {
 			reply
 			balancer.Result
--- a/internal/edgenode/config.go
+++ b/internal/edgenode/config.go
@@ -141,7 +141,7 @@
 	if c.Settings, c.Transport, err = wire.ParseSettings(raw.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if c.listFor = pushedList; c.Settings.AskList {
+	if c.listFor = pushedList; c.Settings.PollEndpoints {
 		c.listFor = askedList
 	}
 	if c.Transport.ConnIdle <= 0 {
@@ -150,12 +150,12 @@
 	if c.Transport.ConnectTimeout <= 0 {
 		c.Transport.ConnectTimeout = defaultConnectTimeout
 	}
-	if c.Settings.Peers && c.Settings.Instances > 1 {
+	if c.Settings.Gossip && c.Settings.NodeCount > 1 {
 		if c.PeerListen, err = address("peer_listen", raw.PeerListen); err != nil {
 			return nil, err
 		}
-		if len(raw.Peers) != c.Settings.Instances {
-			return nil, fmt.Errorf("peers: %d addresses for %d instances", len(raw.Peers), c.Settings.Instances)
+		if len(raw.Peers) != c.Settings.NodeCount {
+			return nil, fmt.Errorf("peers: %d addresses for %d instances", len(raw.Peers), c.Settings.NodeCount)
 		}
 		for i, p := range raw.Peers {
 			a, err := address(fmt.Sprintf("peers[%d]", i), p)
--- a/internal/edgenode/cross_test.go
+++ b/internal/edgenode/cross_test.go
@@ -444,12 +444,12 @@
 	at := blocked(t)
 	var servers []Instance
 	for i := range 300 { // so many that no request is refused for those that are out
-		servers = append(servers, Instance{Server: balancer.Server{ID: fmt.Sprint("s", i), Weight: 1, Kind: "k", Zone: "z"}, Addr: at})
+		servers = append(servers, Instance{Endpoint: balancer.Endpoint{ID: fmt.Sprint("s", i), Weight: 1, MachineType: "k", Zone: "z"}, Addr: at})
 	}
 	cfg := testConfig(servers...)
 	cfg.Transport.ConnectTimeout = time.Hour
 	for i := range cfg.Settings.Classes {
-		cfg.Settings.Classes[i].Aim, cfg.Settings.Classes[i].Deadline = time.Hour, time.Hour
+		cfg.Settings.Classes[i].LatencyObjective, cfg.Settings.Classes[i].Deadline = time.Hour, time.Hour
 	}
 	cfg.Sockets = 2048
 	f, addr := serveHooked(t, cfg, func(*front, *slotConn) {})
@@ -535,7 +535,7 @@
 // Whatever becomes of the list's calls, and wherever a new configuration moves them in the middle of it, a
 // drain reaches the connections, where lists are pushed as where they are asked for.
 func TestIllListsTellTheDrain(t *testing.T) {
-	up := Instance{Server: balancer.Server{ID: "a"}, Addr: netip.MustParseAddrPort("127.0.0.1:1")}
+	up := Instance{Endpoint: balancer.Endpoint{ID: "a"}, Addr: netip.MustParseAddrPort("127.0.0.1:1")}
 	draining := up
 	draining.State = balancer.Draining
 	whole, drain := listJSON(1, true, up), listJSON(2, false, draining)
--- a/internal/edgenode/follow_test.go
+++ b/internal/edgenode/follow_test.go
@@ -207,8 +207,8 @@
 }
 
 func (s *sim) list(from int) string {
-	a := Instance{Server: balancer.Server{ID: "a", Weight: 1}, Addr: netip.MustParseAddrPort("127.0.0.1:1")}
-	b := Instance{Server: balancer.Server{ID: "b", Weight: 1}, Addr: netip.MustParseAddrPort("127.0.0.1:2")}
+	a := Instance{Endpoint: balancer.Endpoint{ID: "a", Weight: 1}, Addr: netip.MustParseAddrPort("127.0.0.1:1")}
+	b := Instance{Endpoint: balancer.Endpoint{ID: "b", Weight: 1}, Addr: netip.MustParseAddrPort("127.0.0.1:2")}
 	if s.version >= 2 {
 		a.State = balancer.Draining
 	}
@@ -436,7 +436,7 @@
 		n.reg.moveTo(s.now, netip.MustParseAddrPort("127.0.0.1:2"))
 		n.step()
 		s.run(time.Second)
-		old.tell(event{kind: eventMessage, list: List{Generation: 900, Servers: []Instance{{Server: balancer.Server{ID: "a", State: balancer.Draining}}}}})
+		old.tell(event{kind: eventMessage, list: List{Generation: 900, Servers: []Instance{{Endpoint: balancer.Endpoint{ID: "a", State: balancer.Draining}}}}})
 		if n.told == 0 || n.reg.follow.version == 900 {
 			t.Errorf("pushed %v: news of the discovery that is left: told %v, version %d", pushed, n.told, n.reg.follow.version)
 		}
@@ -514,7 +514,7 @@
 	for _, c := range []struct {
 		entry string
 		id    string // "": it is left out
-		state balancer.ServerState
+		state balancer.EndpointState
 		field string
 	}{
 		{`{}`, "", 0, "instanceId"},
--- a/internal/edgenode/front.go
+++ b/internal/edgenode/front.go
@@ -113,7 +113,7 @@
 	for _, c := range f.node.cfg.Settings.Classes {
 		longest = max(longest, c.Deadline)
 	}
-	return longest + f.node.cfg.Settings.AnswerSlack
+	return longest + f.node.cfg.Settings.ResponseSlack
 }
 
 // ServeHTTP answers one request of a client.
@@ -154,11 +154,11 @@
 		// Closed for another: nothing was sent on. The library would take a return for an empty 200.
 		panic(http.ErrAbortHandler)
 	}
-	q.Grace -= time.Since(began)
+	q.Timeout -= time.Since(began)
 	if due := f.due.Load(); due != nil {
-		q.Grace = min(q.Grace, time.Until(*due))
+		q.Timeout = min(q.Timeout, time.Until(*due))
 	}
-	deadline := time.Now().Add(q.Grace + f.node.cfg.Settings.AnswerSlack)
+	deadline := time.Now().Add(q.Timeout + f.node.cfg.Settings.ResponseSlack)
 	fl := f.node.begin(q, m, deadline)
 	if fl == nil {
 		plain(w, http.StatusConflict, "X-Trace-Id is in use")
@@ -299,7 +299,7 @@
 	}
 	// Nobody waits for longer than the class's clients do: requests must not pile up.
 	seconds = math.Min(seconds, class.Deadline.Seconds())
-	q.Grace = time.Duration(seconds*float64(time.Second)) - transit
+	q.Timeout = time.Duration(seconds*float64(time.Second)) - transit
 	if q.Customer, err = customer(r.URL.RawQuery); err != nil {
 		return q, m, err
 	}
@@ -308,16 +308,16 @@
 	}
 	m = message{target: r.RequestURI, host: r.Host, id: q.ID, contentType: r.Header.Get("Content-Type")}
 	m.method = http.MethodPost
-	if class.Effect == balancer.Safe {
+	if class.Idempotency == balancer.Idempotent {
 		m.method = http.MethodGet
 	}
 	if r.Method != m.method {
 		return q, m, &badRequest{http.StatusMethodNotAllowed, "method: the class wants " + m.method, m.method}
 	}
-	if class.Effect == balancer.Safe && r.ContentLength != 0 {
+	if class.Idempotency == balancer.Idempotent && r.ContentLength != 0 {
 		return q, m, bad("body: the class has none")
 	}
-	if class.Effect == balancer.Keyed {
+	if class.Idempotency == balancer.IdempotentWithKey {
 		m.key = header("Idempotency-Key")
 	} else {
 		m.key = r.Header.Get("Idempotency-Key")
@@ -358,7 +358,7 @@
 		x, ok := decimal(val)
 		return int(x), ok && x == math.Trunc(x) && x >= float64(least) && x <= float64(most)
 	}
-	most := set.MostUnits
+	most := set.MaxUnits
 	if most <= 0 {
 		most = mostUnits
 	}
@@ -375,9 +375,9 @@
 			q.Units, ok = decimal(val)
 			ok = ok && q.Units > 0 && q.Units <= most
 		case "spread":
-			q.Spread, ok = number(val, 1, set.Instances)
+			q.EntryNodes, ok = number(val, 1, set.NodeCount)
 		case "first":
-			q.First, ok = number(val, 0, set.Instances-1)
+			q.FirstEntryNode, ok = number(val, 0, set.NodeCount-1)
 		}
 		if !ok {
 			return bad("X-Metering: %s is malformed or out of range", name)
@@ -386,7 +386,7 @@
 	if !seen["units"] || !seen["spread"] || !seen["first"] {
 		return bad("X-Metering: units, spread or first is missing")
 	}
-	if (set.Me-q.First+set.Instances)%set.Instances >= q.Spread {
+	if (set.NodeIndex-q.FirstEntryNode+set.NodeCount)%set.NodeCount >= q.EntryNodes {
 		return bad("X-Metering: the customer does not come through this node")
 	}
 	return nil
--- a/internal/edgenode/front_test.go
+++ b/internal/edgenode/front_test.go
@@ -51,7 +51,7 @@
 func TestBadRequests(t *testing.T) {
 	s := newAppServer(t, say(okAnswer))
 	cfg := testConfig(s.instance("a"))
-	cfg.Settings.Instances, cfg.Settings.MostUnits = 2, 8
+	cfg.Settings.NodeCount, cfg.Settings.MaxUnits = 2, 8
 	n := run(t, cfg)
 	const path = "/check?customer=00000000b4d65521"
 	for _, c := range []struct {
@@ -241,7 +241,7 @@
 		cfg := testConfig()
 		cfg.Settings.Classes[1].Deadline = deadline
 		f := idleFront(t, cfg)
-		if limit, least := f.srv.WriteTimeout, max(deadline, cfg.Settings.Classes[0].Deadline)+cfg.Settings.AnswerSlack+time.Second; limit < least {
+		if limit, least := f.srv.WriteTimeout, max(deadline, cfg.Settings.Classes[0].Deadline)+cfg.Settings.ResponseSlack+time.Second; limit < least {
 			t.Errorf("deadline of %v: connections are closed after %v", deadline, limit)
 		}
 	}
@@ -446,7 +446,7 @@
 	}
 	none := func(string) string { return "" }
 	c, err := parseConfig(text("", ""), none)
-	if err != nil || c.Seed != 0x8c1f30d27a5be964 || c.Known.Generation != 41 || c.Settings.Me != 1 || len(c.Peers) != 2 || c.MemoryMB != 192 {
+	if err != nil || c.Seed != 0x8c1f30d27a5be964 || c.Known.Generation != 41 || c.Settings.NodeIndex != 1 || len(c.Peers) != 2 || c.MemoryMB != 192 {
 		t.Fatalf("%+v, error %v", c, err)
 	}
 	for _, b := range [][3]string{
--- a/internal/edgenode/golden_test.go
+++ b/internal/edgenode/golden_test.go
@@ -100,7 +100,7 @@
 func TestGoldenServerRequests(t *testing.T) {
 	addr, heard := recordRequests(t, okAnswer)
 	u := newUpstream(wire.Transport{ConnectTimeout: patience}, 10)
-	u.update([]Instance{{Server: balancer.Server{ID: "s"}, Addr: addr}}, true)
+	u.update([]Instance{{Endpoint: balancer.Endpoint{ID: "s"}, Addr: addr}}, true)
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	defer cancel()
 	left := regexp.MustCompile(`X-Expires-In: \d+\.\d{3}\r\n`)
@@ -166,7 +166,7 @@
 		text = fmt.Sprintf("list %d whole %t, %d spoilt\n", e.list.Generation, e.list.Full, len(e.spoilt))
 	}
 	for _, s := range e.list.Servers {
-		text += fmt.Sprintf("  %q at %v state %d weight %v kind %q zone %q cell %d boot %v\n", s.ID, s.Addr, int(s.State), s.Weight, s.Kind, s.Zone, s.Cell, s.Boot)
+		text += fmt.Sprintf("  %q at %v state %d weight %v kind %q zone %q cell %d boot %v\n", s.ID, s.Addr, int(s.State), s.Weight, s.MachineType, s.Zone, s.Cell, s.StartedAt)
 	}
 	return text
 }
@@ -181,14 +181,14 @@
 			fmt.Fprintf(&described, "%q: none\n", text)
 			continue
 		}
-		fmt.Fprintf(&described, "%q: in flight %v queue %v util %v\n", text, load.InFlight, load.Queue, load.Util)
+		fmt.Fprintf(&described, "%q: in flight %v queue %v util %v\n", text, load.InFlight, load.Queued, load.Utilization)
 	}
 	golden.Check(t, "golden/load-reports-read.txt", described.Bytes())
 	s := newAppServer(t, say("HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT inflight=7, queue=2, util=0.61\r\nX-Settled: 2.5\r\nContent-Length: 0\r\n\r\n"))
 	u := newUpstream(wire.Transport{ConnectTimeout: time.Minute}, 10)
 	u.update([]Instance{s.instance("s")}, true)
 	rep, result := u.exchange(t.Context(), "s", &message{method: "GET", target: loadPath}, bounds{})
-	if result != balancer.OK || rep.units != 2.5 || rep.load == nil || *rep.load != (balancer.Load{InFlight: 7, Queue: 2, Util: 0.61}) {
+	if result != balancer.OK || rep.units != 2.5 || rep.load == nil || *rep.load != (balancer.LoadReport{InFlight: 7, Queued: 2, Utilization: 0.61}) {
 		t.Errorf("result %d, units %v, load %v", result, rep.units, rep.load)
 	}
 }
--- a/internal/edgenode/gone_test.go
+++ b/internal/edgenode/gone_test.go
@@ -65,7 +65,7 @@
 				secondOnly := func() {
 					old := first.instance("a")
 					old.State = balancer.Draining
-					n.list(List{Servers: []Instance{old, second.instance("b")}}, balancer.ListChanges)
+					n.list(List{Servers: []Instance{old, second.instance("b")}}, balancer.UpdateDelta)
 					leaveAtTheWrite(t, n, "b", leave)
 				}
 				if further {
--- a/internal/edgenode/harness_test.go
+++ b/internal/edgenode/harness_test.go
@@ -90,7 +90,7 @@
 }
 
 func (s *appServer) instance(id string) Instance {
-	return Instance{Server: balancer.Server{ID: id, Weight: 1, Kind: "k", Zone: "z"}, Addr: addrOf(s.ln)}
+	return Instance{Endpoint: balancer.Endpoint{ID: id, Weight: 1, MachineType: "k", Zone: "z"}, Addr: addrOf(s.ln)}
 }
 
 func addrOf(ln net.Listener) netip.AddrPort { return ln.Addr().(*net.TCPAddr).AddrPort() }
@@ -113,14 +113,14 @@
 		Sockets: 256, Known: List{Generation: 7, Full: true, Servers: servers},
 		Transport: wire.Transport{ConnIdle: time.Minute, ConnectTimeout: 5 * time.Second},
 		Settings: balancer.Settings{
-			Instances: 1, Zone: "z", MaxAttempts: 3, Cancel: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
-			Tick: 2 * time.Millisecond, AnswerSlack: 8 * time.Millisecond,
+			NodeCount: 1, Zone: "z", MaxAttempts: 3, Cancellation: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
+			Tick: 2 * time.Millisecond, ResponseSlack: 8 * time.Millisecond,
 			Classes: []balancer.Class{
-				{Name: "check", Effect: balancer.Safe, Aim: 20 * time.Second, Deadline: 20 * time.Second, Worth: 1},
-				{Name: "book", Effect: balancer.Keyed, Group: balancer.GroupZone, Window: 4 * time.Second,
-					Aim: 20 * time.Second, Deadline: 20 * time.Second, Worth: 1},
+				{Name: "check", Idempotency: balancer.Idempotent, LatencyObjective: 20 * time.Second, Deadline: 20 * time.Second, PriorityWeight: 1},
+				{Name: "book", Idempotency: balancer.IdempotentWithKey, DedupScope: balancer.DedupZone, DedupWindow: 4 * time.Second,
+					LatencyObjective: 20 * time.Second, Deadline: 20 * time.Second, PriorityWeight: 1},
 			},
-			Plans: []balancer.Plan{{Name: "wide", Rate: 1e6, Burst: 1e6, Price: 1}, {Name: "tight", Rate: 0.1, Burst: 1, Price: 1}},
+			Plans: []balancer.Plan{{Name: "wide", Rate: 1e6, Burst: 1e6, WeightFactor: 1}, {Name: "tight", Rate: 0.1, Burst: 1, WeightFactor: 1}},
 		},
 	}
 }
@@ -335,10 +335,10 @@
 func listJSON(generation int, full bool, servers ...Instance) string {
 	type entry map[string]any
 	list := []entry{}
-	words := map[balancer.ServerState]string{balancer.Up: "up", balancer.Draining: "draining", balancer.Removed: "removed"}
+	words := map[balancer.EndpointState]string{balancer.Up: "up", balancer.Draining: "draining", balancer.Removed: "removed"}
 	for _, s := range servers {
-		list = append(list, entry{"instanceId": s.ID, "hostPort": s.Addr.String(), "zone": s.Zone, "machineType": s.Kind,
-			"cell": s.Cell, "lifecycle": words[s.State], "weight": s.Weight, "startedAtMs": s.Boot.Milliseconds()})
+		list = append(list, entry{"instanceId": s.ID, "hostPort": s.Addr.String(), "zone": s.Zone, "machineType": s.MachineType,
+			"cell": s.Cell, "lifecycle": words[s.State], "weight": s.Weight, "startedAtMs": s.StartedAt.Milliseconds()})
 	}
 	b, err := json.Marshal(map[string]any{"generation": generation, "reset": full, "instances": list})
 	if err != nil {
--- a/internal/edgenode/list.go
+++ b/internal/edgenode/list.go
@@ -21,7 +21,7 @@
 
 // Instance is one app server and where it listens.
 type Instance struct {
-	balancer.Server
+	balancer.Endpoint
 	Addr netip.AddrPort // invalid for one that is not up and whose address can't be read
 }
 
@@ -95,7 +95,7 @@
 		return Instance{}, append(spoilt, errors.New("instanceId: is empty"))
 	}
 	field("zone", raw.Zone, &s.Zone)
-	field("machineType", raw.MachineType, &s.Kind)
+	field("machineType", raw.MachineType, &s.MachineType)
 	field("cell", raw.Cell, &s.Cell)
 	if field("weight", raw.Weight, &s.Weight); !(s.Weight >= 0 && s.Weight <= mostWeight) {
 		spoilt = append(spoilt, fmt.Errorf("weight: %v is not from 0 to %v", s.Weight, mostWeight))
@@ -118,7 +118,7 @@
 		spoilt = append(spoilt, fmt.Errorf("startedAtMs: %v is out of range", started))
 		doubted, started = true, 0
 	}
-	s.Boot = time.Duration(started * float64(time.Millisecond))
+	s.StartedAt = time.Duration(started * float64(time.Millisecond))
 	field("hostPort", raw.HostPort, &hostPort)
 	var err error
 	if s.Addr, err = address("hostPort", hostPort); err != nil && s.State != balancer.Removed {
--- a/internal/edgenode/load_report.go
+++ b/internal/edgenode/load_report.go
@@ -24,12 +24,12 @@
 // parseLoad parses a load report such as "TEXT inflight=7, queue=2, util=0.61".
 // Unknown names and figures that can't be are skipped; nil means that there is no
 // report in the text.
-func parseLoad(text string) *balancer.Load {
+func parseLoad(text string) *balancer.LoadReport {
 	text, ok := strings.CutPrefix(strings.TrimSpace(text), "TEXT")
 	if !ok {
 		return nil
 	}
-	l := balancer.Load{InFlight: -1, Queue: -1, Util: -1}
+	l := balancer.LoadReport{InFlight: -1, Queued: -1, Utilization: -1}
 	for _, pair := range strings.Split(text, ",") {
 		name, val, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		x, ok := decimal(val)
@@ -41,9 +41,9 @@
 		case name == "inflight" || name == "outstanding":
 			l.InFlight = x
 		case name == "queue" || name == "backlog":
-			l.Queue = x
+			l.Queued = x
 		case (name == "util" || name == "utilization") && x <= mostUtil:
-			l.Util = x
+			l.Utilization = x
 		}
 	}
 	return &l
--- a/internal/edgenode/node.go
+++ b/internal/edgenode/node.go
@@ -25,7 +25,7 @@
 	peers *peers // nil where edge nodes don't message each other
 
 	mu      sync.Mutex
-	gw      *balancer.Gateway
+	gw      *balancer.Balancer
 	flights map[string]*flight
 	after   []func() // what the event under way leaves to do without the mutex
 	closed  bool     // no more events
@@ -123,34 +123,34 @@
 // boot starts the gateway with the saved list.
 func (n *Node) boot() {
 	n.event(func(now time.Duration, out balancer.Actions) { n.gw.Start(now, out) })
-	n.list(n.cfg.Known, balancer.ListSaved)
+	n.list(n.cfg.Known, balancer.UpdateCached)
 }
 
 // list hands a list to the connections and to the gateway, as one event.
-func (n *Node) list(l List, form balancer.ListForm) {
-	servers := make([]balancer.Server, len(l.Servers))
+func (n *Node) list(l List, form balancer.UpdateKind) {
+	servers := make([]balancer.Endpoint, len(l.Servers))
 	for i, s := range l.Servers {
-		servers[i] = s.Server
+		servers[i] = s.Endpoint
 	}
 	n.event(func(now time.Duration, out balancer.Actions) {
-		stale := n.up.update(l.Servers, form != balancer.ListChanges)
+		stale := n.up.update(l.Servers, form != balancer.UpdateDelta)
 		n.after = append(n.after, func() { closeAll(stale) })
-		n.gw.List(now, form, servers, out)
+		n.gw.EndpointsUpdated(now, form, servers, out)
 	})
 }
 
 // heard hands a message of discovery on.
 func (n *Node) heard(l List) {
-	form := balancer.ListChanges
+	form := balancer.UpdateDelta
 	if l.Full {
-		form = balancer.ListFull
+		form = balancer.UpdateSnapshot
 	}
 	n.list(l, form)
 }
 
 // whisper hands a message of a peer on.
 func (n *Node) whisper(from int, message []byte) {
-	n.event(func(now time.Duration, out balancer.Actions) { n.gw.Peer(now, from, message, out) })
+	n.event(func(now time.Duration, out balancer.Actions) { n.gw.PeerMessage(now, from, message, out) })
 }
 
 // begin takes a request of a client. It returns nil if its id is in use. The final
@@ -163,7 +163,7 @@
 			return
 		}
 		n.flights[q.ID] = fl
-		n.gw.Request(now, q, out)
+		n.gw.RequestArrived(now, q, out)
 	})
 	if taken {
 		return nil
@@ -179,7 +179,7 @@
 func (n *Node) abandon(fl *flight) {
 	ok := n.event(func(now time.Duration, out balancer.Actions) {
 		n.end(fl, answer{kind: failed})
-		n.gw.Gone(now, fl.id, out)
+		n.gw.ClientGone(now, fl.id, out)
 	})
 	if !ok {
 		n.mu.Lock()
@@ -211,14 +211,14 @@
 	defer n.work.Done()
 	rep, result := n.up.exchange(ctx, a.server, &fl.msg, a.to)
 	a.cancel()
-	units := rep.settled(n.cfg.Settings.MostUnits)
+	units := rep.settled(n.cfg.Settings.MaxUnits)
 	n.event(func(now time.Duration, out balancer.Actions) {
 		if result == balancer.OK {
 			n.end(fl, answer{kind: served, reply: rep})
 		}
 		fl.out--
-		n.gw.Outcome(now, balancer.Outcome{ID: fl.id, Attempt: a.number, Closed: fl.done, Result: result,
-			Server: a.server, Took: now - a.sent, Units: units, Load: rep.load, Since: n.since(rep)}, out)
+		n.gw.AttemptFinished(now, balancer.Outcome{ID: fl.id, Attempt: a.number, Answered: fl.done, Result: result,
+			EndpointID: a.server, Elapsed: now - a.sent, Units: units, LoadReport: rep.load, ConnectedAt: n.since(rep)}, out)
 		n.forget(fl)
 	})
 }
@@ -241,14 +241,14 @@
 	if load == nil {
 		load = parseLoad(string(rep.body))
 	}
-	n.event(func(now time.Duration, out balancer.Actions) { n.gw.Probed(now, server, result, load, out) })
+	n.event(func(now time.Duration, out balancer.Actions) { n.gw.HealthChecked(now, server, result, load, out) })
 }
 
 // actions carries out what the gateway asks for. All are called under the mutex.
 type actions Node
 
-// Send starts an attempt, bounded by its timeout and by the client's deadline.
-func (a *actions) Send(id, server string, timeout, by time.Duration) {
+// SendAttempt starts an attempt, bounded by its timeout and by the client's deadline.
+func (a *actions) SendAttempt(id, server string, timeout, by time.Duration) {
 	n := (*Node)(a)
 	fl := n.flights[id]
 	if fl == nil || fl.done {
@@ -271,7 +271,7 @@
 	go n.try(ctx, fl, at)
 }
 
-func (a *actions) Refuse(id string, retryAfter time.Duration) {
+func (a *actions) Reject(id string, retryAfter time.Duration) {
 	if fl := a.flights[id]; fl != nil {
 		(*Node)(a).end(fl, answer{kind: refused, retryAfter: retryAfter})
 	}
@@ -283,7 +283,7 @@
 	}
 }
 
-func (a *actions) Cancel(id string, attempt int) {
+func (a *actions) CancelAttempt(id string, attempt int) {
 	if fl := a.flights[id]; fl != nil && attempt >= 0 && attempt < len(fl.attempts) {
 		a.up.cancel(fl.attempts[attempt].cancel)
 	}
@@ -292,17 +292,17 @@
 func (a *actions) SetTimer(token uint64, after time.Duration) {
 	n := (*Node)(a)
 	time.AfterFunc(after, func() {
-		n.event(func(now time.Duration, out balancer.Actions) { n.gw.Timer(now, token, out) })
+		n.event(func(now time.Duration, out balancer.Actions) { n.gw.TimerFired(now, token, out) })
 	})
 }
 
-func (a *actions) Probe(server string) {
+func (a *actions) HealthCheck(server string) {
 	n := (*Node)(a)
 	n.work.Add(1)
 	go n.probe(server)
 }
 
-func (a *actions) Tell(peer int, message []byte) {
+func (a *actions) SendPeer(peer int, message []byte) {
 	n := (*Node)(a)
 	message = append([]byte(nil), message...)
 	if n.peers != nil {
@@ -310,8 +310,8 @@
 	}
 }
 
-// Watch has nothing to do: the list is always watched.
-func (a *actions) Watch(bool) {}
+// WatchEndpoints has nothing to do: the list is always watched.
+func (a *actions) WatchEndpoints(bool) {}
 
 func (a *actions) Log(text string) { (*Node)(a).logLater(slog.LevelInfo, "module", "says", text) }
 
--- a/internal/edgenode/peers.go
+++ b/internal/edgenode/peers.go
@@ -35,7 +35,7 @@
 	}
 	p := &peers{conn: conn, addrs: c.Peers, all: c.PeersAll, from: map[netip.AddrPort]int{}}
 	for i, a := range c.Peers {
-		if i != c.Settings.Me {
+		if i != c.Settings.NodeIndex {
 			p.from[a] = i
 		}
 	}
--- a/internal/edgenode/run.go
+++ b/internal/edgenode/run.go
@@ -43,8 +43,8 @@
 	if n.peers != nil {
 		side.Go(func() { n.peers.receive(n.whisper) })
 	}
-	reg := newRegistry(cfg.Discovery, follower{pushed: !cfg.Settings.AskList, fleet: cfg.Settings.Instances,
-		within: cfg.Settings.AskWithin, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Known.Generation)),
+	reg := newRegistry(cfg.Discovery, follower{pushed: !cfg.Settings.PollEndpoints, fleet: cfg.Settings.NodeCount,
+		within: cfg.Settings.PollInterval, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Known.Generation)),
 		version: cfg.Known.Generation}, n.heard, logger)
 	side.Go(func() { reg.run(life) })
 	side.Go(func() { n.up.reap(life) })
@@ -69,7 +69,7 @@
 	side.Go(func() { failed <- f.serve(ln) })
 	f.ready.Store(true)
 	logger.Info("ready", "node", cfg.Name, "listen", cfg.Listen, "servers", len(cfg.Known.Servers),
-		"pushed", !cfg.Settings.AskList)
+		"pushed", !cfg.Settings.PollEndpoints)
 	ending := ctx.Done()
 	drained := make(chan struct{})
 	for {
--- a/internal/edgenode/upstream.go
+++ b/internal/edgenode/upstream.go
@@ -71,12 +71,12 @@
 		}
 		listed[e.ID] = true
 		b := u.backends[e.ID]
-		if b != nil && (b.addr != e.Addr || b.boot != e.Boot || b.zone != e.Zone || b.cell != e.Cell) {
+		if b != nil && (b.addr != e.Addr || b.boot != e.StartedAt || b.zone != e.Zone || b.cell != e.Cell) {
 			stale = append(stale, u.remove(e.ID, b)...)
 			b = nil
 		}
 		if b == nil {
-			b = &backend{addr: e.Addr, boot: e.Boot, zone: e.Zone, cell: e.Cell}
+			b = &backend{addr: e.Addr, boot: e.StartedAt, zone: e.Zone, cell: e.Cell}
 			u.backends[e.ID] = b
 		}
 		if b.up = e.State == balancer.Up; !b.up {
@@ -122,7 +122,7 @@
 		var err error
 		c, err = u.take(ctx, server, to.of)
 		if errors.Is(err, errBudget) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
-			return reply{}, balancer.Moot // no fault of the server's
+			return reply{}, balancer.NotSent // no fault of the server's
 		}
 		if err != nil {
 			return reply{}, neverSent(ctx)
@@ -143,7 +143,7 @@
 		switch {
 		case errors.Is(err, errStale) && c.rested > 0: // since it was taken: another one may do
 		case errors.Is(err, errOver), errors.Is(err, errLate):
-			return reply{}, balancer.Moot
+			return reply{}, balancer.NotSent
 		default:
 			return reply{}, neverSent(ctx)
 		}
@@ -164,7 +164,7 @@
 		case errors.Is(ctx.Err(), context.Canceled):
 			result = balancer.Cancelled
 		case c.in.begun: // half an answer is no silence
-			result = balancer.ErrorAnswer
+			result = balancer.ErrorResponse
 		default:
 			result = balancer.TimedOut
 		}
@@ -172,7 +172,7 @@
 	switch result {
 	case balancer.TimedOut:
 		u.closeIdle(c.of)
-	case balancer.OK, balancer.Full, balancer.ErrorAnswer:
+	case balancer.OK, balancer.Overloaded, balancer.ErrorResponse:
 		rep.since = c.made
 	}
 	return rep, result
@@ -185,7 +185,7 @@
 	case errors.Is(ctx.Err(), context.Canceled):
 		return balancer.Cancelled
 	case ctx.Err() != nil:
-		return balancer.Moot
+		return balancer.NotSent
 	}
 	return balancer.ConnectFailed
 }
--- a/internal/edgenode/upstream_test.go
+++ b/internal/edgenode/upstream_test.go
@@ -70,14 +70,14 @@
 		{"interim answer first", "HTTP/1.1 103 Early Hints\r\n\r\n" + okAnswer, balancer.OK, true},
 		{"last on its connection", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\nbody", balancer.OK, false},
 		{"more than asked for", okAnswer + okAnswer, balancer.OK, false},
-		{"error", "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", balancer.ErrorAnswer, true},
-		{"turned away, 503", "HTTP/1.1 503 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Full, true},
-		{"turned away, 504", "HTTP/1.1 504 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Full, true},
-		{"503 that may have run", "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n", balancer.ErrorAnswer, true},
-		{"never ran, in other words", "HTTP/1.1 503 F\r\nX-Never-Ran: 0\r\nContent-Length: 0\r\n\r\n", balancer.ErrorAnswer, true},
-		{"500 that claims it never ran", "HTTP/1.1 500 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.ErrorAnswer, true},
-		{"unexpected", "HTTP/1.1 204 N\r\n\r\n", balancer.ErrorAnswer, true},
-		{"body over the limit", "HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537), balancer.ErrorAnswer, false},
+		{"error", "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", balancer.ErrorResponse, true},
+		{"turned away, 503", "HTTP/1.1 503 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Overloaded, true},
+		{"turned away, 504", "HTTP/1.1 504 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Overloaded, true},
+		{"503 that may have run", "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n", balancer.ErrorResponse, true},
+		{"never ran, in other words", "HTTP/1.1 503 F\r\nX-Never-Ran: 0\r\nContent-Length: 0\r\n\r\n", balancer.ErrorResponse, true},
+		{"500 that claims it never ran", "HTTP/1.1 500 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.ErrorResponse, true},
+		{"unexpected", "HTTP/1.1 204 N\r\n\r\n", balancer.ErrorResponse, true},
+		{"body over the limit", "HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537), balancer.ErrorResponse, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -171,7 +171,7 @@
 				t.Fatal(err)
 			}
 			_, res := exchange(t, u, "a")
-			wantResult(t, res, balancer.ErrorAnswer)
+			wantResult(t, res, balancer.ErrorResponse)
 			u.giveBack(spare)
 			if b := u.backends["a"]; len(b.idle) != 1 || u.open != 1 {
 				t.Errorf("%d connections idle, %d counted, want the other one", len(b.idle), u.open)
@@ -213,7 +213,7 @@
 	await(t, "half an answer", written)
 	eventually(t, "it is read", func() bool { return drained(t, other.Conn) })
 	ctx.end(context.DeadlineExceeded)
-	wantResult(t, await(t, "a result", result), balancer.ErrorAnswer)
+	wantResult(t, await(t, "a result", result), balancer.ErrorResponse)
 	if len(u.backends["a"].idle) != 1 {
 		t.Error("the other idle connection is gone")
 	}
@@ -289,7 +289,7 @@
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(-time.Second))
 	defer cancel()
 	_, res := u.exchange(ctx, "a", &get, bounds{})
-	wantResult(t, res, balancer.Moot)
+	wantResult(t, res, balancer.NotSent)
 }
 
 // A kept connection that breaks under a request ends it as a reset. A client that
@@ -388,7 +388,7 @@
 // what it ends has never run.
 func TestDialIsBounded(t *testing.T) {
 	u := newUpstream(wire.Transport{ConnIdle: time.Minute, ConnectTimeout: 50 * time.Millisecond}, 100)
-	u.update([]Instance{{Server: balancer.Server{ID: "a"}, Addr: blocked(t)}}, true)
+	u.update([]Instance{{Endpoint: balancer.Endpoint{ID: "a"}, Addr: blocked(t)}}, true)
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	_, res := u.exchange(ctx, "a", &get, bounds{})
@@ -460,7 +460,7 @@
 			i.Addr = netip.MustParseAddrPort("127.0.0.1:1")
 			return []Instance{i}, false
 		},
-		"restarted": func(i Instance) ([]Instance, bool) { i.Boot = time.Hour; return []Instance{i}, false },
+		"restarted": func(i Instance) ([]Instance, bool) { i.StartedAt = time.Hour; return []Instance{i}, false },
 		"draining":  func(i Instance) ([]Instance, bool) { i.State = balancer.Draining; return []Instance{i}, false },
 		"removed":   func(i Instance) ([]Instance, bool) { i.State = balancer.Removed; return []Instance{i}, false },
 		"vanished":  func(Instance) ([]Instance, bool) { return nil, true },
@@ -531,7 +531,7 @@
 	n.end(fl, answer{kind: failed})
 	n.mu.Unlock()
 	n.up.giveBack(c)
-	if _, result := n.up.exchange(t.Context(), "a", &fl.msg, bounds{}); result != balancer.Moot {
+	if _, result := n.up.exchange(t.Context(), "a", &fl.msg, bounds{}); result != balancer.NotSent {
 		t.Errorf("result %v", result)
 	}
 	c, err = n.up.take(t.Context(), "a", nil)
@@ -605,7 +605,7 @@
 		t.Fatal(err)
 	}
 	_, res = exchange(t, u, "a")
-	wantResult(t, res, balancer.Moot)
+	wantResult(t, res, balancer.NotSent)
 	u.giveBack(busy)
 	if u.open != 1 {
 		t.Errorf("%d connections counted, 1 open", u.open)
@@ -613,14 +613,14 @@
 }
 
 func TestLoadReports(t *testing.T) {
-	for text, want := range map[string]*balancer.Load{
-		"TEXT inflight=7, queue=2, util=0.61":     {InFlight: 7, Queue: 2, Util: 0.61},
-		"TEXT backlog=2,utilization=0.5,novel=1 ": {InFlight: -1, Queue: 2, Util: 0.5},
-		"TEXT util=x, queue=3":                    {InFlight: -1, Queue: 3, Util: -1},
-		"TEXT util=NaN, queue=-1":                 {InFlight: -1, Queue: -1, Util: -1},
-		"TEXT util=1e9, queue=0x1p4":              {InFlight: -1, Queue: -1, Util: -1},
-		"TEXT util=1000000, queue=999999999":      {InFlight: -1, Queue: -1, Util: -1},
-		"TEXT util=1.059, queue=1.674":            {InFlight: -1, Queue: 1.674, Util: 1.059},
+	for text, want := range map[string]*balancer.LoadReport{
+		"TEXT inflight=7, queue=2, util=0.61":     {InFlight: 7, Queued: 2, Utilization: 0.61},
+		"TEXT backlog=2,utilization=0.5,novel=1 ": {InFlight: -1, Queued: 2, Utilization: 0.5},
+		"TEXT util=x, queue=3":                    {InFlight: -1, Queued: 3, Utilization: -1},
+		"TEXT util=NaN, queue=-1":                 {InFlight: -1, Queued: -1, Utilization: -1},
+		"TEXT util=1e9, queue=0x1p4":              {InFlight: -1, Queued: -1, Utilization: -1},
+		"TEXT util=1000000, queue=999999999":      {InFlight: -1, Queued: -1, Utilization: -1},
+		"TEXT util=1.059, queue=1.674":            {InFlight: -1, Queued: 1.674, Utilization: 1.059},
 		"":                                        nil, "JSON {}": nil,
 	} {
 		got := parseLoad(text)
@@ -645,7 +645,7 @@
 	// A queue this long outweighs any difference in latency, whatever the machine is busy with.
 	other := newAppServer(t, func(c net.Conn, r *http.Request, _ []byte) bool { return answerWithQueue(c, r, 10000) })
 	cfg := testConfig(preferred.instance("preferred"), other.instance("other"))
-	cfg.Settings.Probes, cfg.Settings.Report = true, balancer.ReportProbes
+	cfg.Settings.HealthChecks, cfg.Settings.LoadReports = true, balancer.LoadReportsInHealthChecks
 	r := run(t, cfg)
 	c, n := dial(t, r.addr), 0
 	ask := func() (byPreferred bool) {
@@ -702,8 +702,8 @@
 		return err == nil
 	})
 	cfg := testConfig(s.instance("a"))
-	cfg.Settings.RampTime, cfg.Settings.ColdFrom = time.Hour, 0.01
-	cfg.Settings.FallMultiple, cfg.Settings.OverloadFor = 2, time.Second
+	cfg.Settings.SlowStartDuration, cfg.Settings.SlowStartInitialFraction = time.Hour, 0.01
+	cfg.Settings.OverloadFactor, cfg.Settings.OverloadWindow = 2, time.Second
 	r := run(t, cfg)
 	c, other := dial(t, r.addr), dial(t, r.addr)
 	c.send(request("check", "held")) // on the server's one connection
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -28,33 +28,33 @@
 // two classes, three plans and an inbox of 40 messages a second.
 func fleetSettings(instances, me int) balancer.Settings {
 	return balancer.Settings{
-		Me: me, Instances: instances, Zone: zoneOf(me),
+		NodeIndex: me, NodeCount: instances, Zone: zoneOf(me),
 		Classes: []balancer.Class{
-			{Name: "check", Effect: balancer.Safe, Aim: time.Second, Deadline: secondsToAnswer, Worth: 3, Late: 0.2},
-			{Name: "issue", Effect: balancer.Unsafe, Aim: time.Second, Deadline: secondsToAnswer, Worth: 5, Late: 0.2},
+			{Name: "check", Idempotency: balancer.Idempotent, LatencyObjective: time.Second, Deadline: secondsToAnswer, PriorityWeight: 3, LateWeightFraction: 0.2},
+			{Name: "issue", Idempotency: balancer.NonIdempotent, LatencyObjective: time.Second, Deadline: secondsToAnswer, PriorityWeight: 5, LateWeightFraction: 0.2},
 		},
-		Plans:       fleetPlans(),
-		AnswerSlack: 8 * time.Millisecond, DrainGrace: 500 * time.Millisecond,
-		ColdFrom: 0.27, RampTime: 16 * time.Second, FallMultiple: 2.5, OverloadFor: 3 * time.Second,
-		MaxAttempts: 5, Parallel: true, Cancel: true, Peers: true, RetryAfter: true, MaxRetryAfter: 500 * time.Millisecond,
-		Report: balancer.ReportAnswers, InboxPerS: 40, PostPaid: true, MostUnits: mostUnits, Tick: 2 * time.Millisecond,
-		PriceCross: 0.0091, PricePeer: 0.03, PriceWaste: 0.05,
+		Plans:         fleetPlans(),
+		ResponseSlack: 8 * time.Millisecond, DrainTimeout: 500 * time.Millisecond,
+		SlowStartInitialFraction: 0.27, SlowStartDuration: 16 * time.Second, OverloadFactor: 2.5, OverloadWindow: 3 * time.Second,
+		MaxAttempts: 5, Hedging: true, Cancellation: true, Gossip: true, RetryAfter: true, MaxRetryAfter: 500 * time.Millisecond,
+		LoadReports: balancer.LoadReportsInResponses, PeerMessagesPerSecond: 40, PostPaid: true, MaxUnits: mostUnits, Tick: 2 * time.Millisecond,
+		CrossZonePrice: 0.0091, PeerMessagePrice: 0.03, WastedWorkPrice: 0.05,
 	}
 }
 
 func zoneOf(number int) string { return "zone-" + strconv.Itoa(number%serverZones) }
 
 // server returns the list's entry of a server by its number; the same each time.
-func server(number int) balancer.Server {
-	return balancer.Server{
-		ID: fmt.Sprintf("server-%06d", number), Weight: 1, Kind: "standard",
+func server(number int) balancer.Endpoint {
+	return balancer.Endpoint{
+		ID: fmt.Sprintf("server-%06d", number), Weight: 1, MachineType: "standard",
 		Zone: zoneOf(number), Cell: number / serversPerCell,
 	}
 }
 
 // serverList returns the list of the first servers.
-func serverList(count int) []balancer.Server {
-	list := make([]balancer.Server, count)
+func serverList(count int) []balancer.Endpoint {
+	list := make([]balancer.Endpoint, count)
 	for i := range list {
 		list[i] = server(i)
 	}
@@ -119,7 +119,7 @@
 	rng := rand.New(rand.NewPCG(seed, 0x5ca1e))
 	return &fleet{
 		rng: rng, link: link{rng}, seed: seed, instances: instances, spread: spread,
-		inboxRate: fleetSettings(instances, 0).InboxPerS, nodes: map[int]*node{}, clock: clock{now: time.Hour}, // servers started long ago
+		inboxRate: fleetSettings(instances, 0).PeerMessagesPerSecond, nodes: map[int]*node{}, clock: clock{now: time.Hour}, // servers started long ago
 	}
 }
 
@@ -147,7 +147,7 @@
 		if err != nil {
 			return err
 		}
-		n.list(callFirstList, balancer.ListFull, serverList(servers))
+		n.list(callFirstList, balancer.UpdateSnapshot, serverList(servers))
 	}
 	return nil
 }
--- a/internal/scale/node.go
+++ b/internal/scale/node.go
@@ -11,7 +11,7 @@
 type node struct {
 	fleet   *fleet
 	number  int
-	gateway *balancer.Gateway
+	gateway *balancer.Balancer
 	classes []balancer.Class
 	inbox   inbox
 	open    map[string]*openRequest
@@ -56,10 +56,10 @@
 	n.open[q.id] = q
 	n.counts.requests++
 	try := balancer.Request{
-		ID: q.id, Class: class.Name, Plan: t.plan.Name, Customer: t.key, Grace: class.Deadline,
-		Units: q.units, Spread: f.spread, First: t.first,
+		ID: q.id, Class: class.Name, Plan: t.plan.Name, Customer: t.key, Timeout: class.Deadline,
+		Units: q.units, EntryNodes: f.spread, FirstEntryNode: t.first,
 	}
-	n.call(callRequest, func() { n.gateway.Request(f.clock.now, try, n) })
+	n.call(callRequest, func() { n.gateway.RequestArrived(f.clock.now, try, n) })
 	n.settle(q)
 }
 
@@ -91,9 +91,9 @@
 	n.watch.add(kind, took)
 }
 
-// Send implements [balancer.Actions]: the server answers after a time that is drawn. The send itself takes
+// SendAttempt implements [balancer.Actions]: the server answers after a time that is drawn. The send itself takes
 // none, so that it is always on its way in time.
-func (n *node) Send(id, serverID string, timeout, _ time.Duration) {
+func (n *node) SendAttempt(id, serverID string, timeout, _ time.Duration) {
 	q := n.open[id]
 	if q == nil {
 		return
@@ -134,9 +134,9 @@
 	took := serverFastest + time.Duration(rng.ExpFloat64()*float64(serverMore))
 	switch x := rng.Float64(); {
 	case x < fullShare:
-		return balancer.Full, serverFastest / 2
+		return balancer.Overloaded, serverFastest / 2
 	case x < fullShare+errorShare:
-		return balancer.ErrorAnswer, took
+		return balancer.ErrorResponse, took
 	}
 	return balancer.OK, took
 }
@@ -150,7 +150,7 @@
 	a.done = true
 	q.out--
 	f := n.fleet
-	o := balancer.Outcome{ID: q.id, Attempt: number, Result: result, Server: a.server, Took: f.clock.now - a.sent}
+	o := balancer.Outcome{ID: q.id, Attempt: number, Result: result, EndpointID: a.server, Elapsed: f.clock.now - a.sent}
 	if result == balancer.OK && q.finals == 0 {
 		q.finals++
 		n.counts.served++
@@ -159,11 +159,11 @@
 		}
 		o.Units = q.used
 	}
-	o.Closed = q.finals > 0
-	if result == balancer.OK || result == balancer.Full || result == balancer.ErrorAnswer {
-		o.Load = &balancer.Load{InFlight: float64(f.rng.IntN(reportedMost)), Queue: -1, Util: -1}
+	o.Answered = q.finals > 0
+	if result == balancer.OK || result == balancer.Overloaded || result == balancer.ErrorResponse {
+		o.LoadReport = &balancer.LoadReport{InFlight: float64(f.rng.IntN(reportedMost)), Queued: -1, Utilization: -1}
 	}
-	n.call(callOutcome, func() { n.gateway.Outcome(f.clock.now, o, n) })
+	n.call(callOutcome, func() { n.gateway.AttemptFinished(f.clock.now, o, n) })
 	n.settle(q)
 }
 
@@ -179,8 +179,8 @@
 	n.settle(q)
 }
 
-// Refuse implements [balancer.Actions].
-func (n *node) Refuse(id string, _ time.Duration) {
+// Reject implements [balancer.Actions].
+func (n *node) Reject(id string, _ time.Duration) {
 	if q := n.open[id]; q != nil && len(q.attempts) == 0 {
 		if level := q.tenant.fill(n.fleet.clock.now); level >= max(q.units, q.tenant.plan.Burst/2) {
 			n.counts.refusedRoom++
@@ -192,8 +192,8 @@
 // Fail implements [balancer.Actions].
 func (n *node) Fail(id string) { n.final(id, &n.counts.failed) }
 
-// Cancel implements [balancer.Actions]: the attempt ends at once, after this call.
-func (n *node) Cancel(id string, attempt int) {
+// CancelAttempt implements [balancer.Actions]: the attempt ends at once, after this call.
+func (n *node) CancelAttempt(id string, attempt int) {
 	if q := n.open[id]; q != nil && attempt < len(q.attempts) {
 		n.fleet.clock.after(0, func() { n.outcome(q, attempt, balancer.Cancelled) })
 	}
@@ -209,15 +209,15 @@
 		if token == n.tick {
 			kind = callTick
 		}
-		n.call(kind, func() { n.gateway.Timer(n.fleet.clock.now, token, n) })
+		n.call(kind, func() { n.gateway.TimerFired(n.fleet.clock.now, token, n) })
 	})
 }
 
-// Probe implements [balancer.Actions]; the settings allow none.
-func (n *node) Probe(string) {}
+// HealthCheck implements [balancer.Actions]; the settings allow none.
+func (n *node) HealthCheck(string) {}
 
-// Tell implements [balancer.Actions]: the message crosses a link.
-func (n *node) Tell(peer int, message []byte) {
+// SendPeer implements [balancer.Actions]: the message crosses a link.
+func (n *node) SendPeer(peer int, message []byte) {
 	if peer != balancer.AllPeers {
 		n.tell(peer, message)
 		return
@@ -264,16 +264,16 @@
 	case messageAnswer:
 		kind = callAnswer
 	}
-	n.call(kind, func() { n.gateway.Peer(n.fleet.clock.now, from, message, n) })
+	n.call(kind, func() { n.gateway.PeerMessage(n.fleet.clock.now, from, message, n) })
 }
 
 // list brings the list of servers or changes of it.
-func (n *node) list(kind callKind, form balancer.ListForm, entries []balancer.Server) {
-	n.call(kind, func() { n.gateway.List(n.fleet.clock.now, form, entries, n) })
+func (n *node) list(kind callKind, form balancer.UpdateKind, entries []balancer.Endpoint) {
+	n.call(kind, func() { n.gateway.EndpointsUpdated(n.fleet.clock.now, form, entries, n) })
 }
 
-// Watch implements [balancer.Actions]; lists come unasked.
-func (n *node) Watch(bool) {}
+// WatchEndpoints implements [balancer.Actions]; lists come unasked.
+func (n *node) WatchEndpoints(bool) {}
 
 // Log implements [balancer.Actions].
 func (n *node) Log(string) {}
--- a/internal/scale/node_test.go
+++ b/internal/scale/node_test.go
@@ -28,13 +28,13 @@
 // A final answer too many, of whatever kind, is counted as such.
 func TestNodeCountsFinalAnswersOnce(t *testing.T) {
 	for name, second := range map[string]func(n *node, q *openRequest){
-		"refused twice":         func(n *node, q *openRequest) { n.Refuse(q.id, 0) },
+		"refused twice":         func(n *node, q *openRequest) { n.Reject(q.id, 0) },
 		"failed after":          func(n *node, q *openRequest) { n.Fail(q.id) },
-		"of a request not held": func(n *node, _ *openRequest) { n.Refuse("other", 0) },
+		"of a request not held": func(n *node, _ *openRequest) { n.Reject("other", 0) },
 	} {
 		n, q := hostAlone(t)
-		n.Send(q.id, "server", 0, 0) // keeps the request open
-		n.Refuse(q.id, 0)
+		n.SendAttempt(q.id, "server", 0, 0) // keeps the request open
+		n.Reject(q.id, 0)
 		second(n, q)
 		if c := n.counts; c.refused != 1 || c.failed != 0 || c.finalAgain != 1 {
 			t.Errorf("%s: %+v", name, c)
@@ -45,9 +45,9 @@
 // An attempt that the gateway gives up ends as cancelled, once, and a late answer changes nothing.
 func TestNodeEndsEachAttemptOnce(t *testing.T) {
 	n, q := hostAlone(t)
-	n.Send(q.id, "server", 0, 0)
-	n.Cancel(q.id, 0)
-	n.Cancel(q.id, 0)
+	n.SendAttempt(q.id, "server", 0, 0)
+	n.CancelAttempt(q.id, 0)
+	n.CancelAttempt(q.id, 0)
 	if err := n.fleet.clock.runUntil(t.Context(), q.due+time.Second); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scale/nodelist.go
+++ b/internal/scale/nodelist.go
@@ -101,7 +101,7 @@
 		if err != nil {
 			return err
 		}
-		peer.list(callFirstList, balancer.ListFull, serverList(min(b.size, peerServers)))
+		peer.list(callFirstList, balancer.UpdateSnapshot, serverList(min(b.size, peerServers)))
 	}
 	end := b.fleet.clock.now + listWarmup + listLoad(b.size)
 	for _, t := range drawTenants(b.fleet.rng, fleetPlans(), firsts, planRequests*planSpread) {
@@ -113,7 +113,7 @@
 		return err
 	}
 	b.watch = newStopwatch()
-	b.list(callFirstList, balancer.ListFull, serverList(b.size))
+	b.list(callFirstList, balancer.UpdateSnapshot, serverList(b.size))
 	b.holding = b.heapMore()
 	return nil
 }
@@ -146,7 +146,7 @@
 // change drains servers that the node has sent to and lets them come back, then restarts others.
 func (b *listBench) change() error {
 	for _, met := range b.serversMet(listRestarts) {
-		for _, state := range []balancer.ServerState{balancer.Draining, balancer.Up} {
+		for _, state := range []balancer.EndpointState{balancer.Draining, balancer.Up} {
 			met.State = state
 			if err := b.apply(callMetChange, met); err != nil {
 				return err
@@ -157,7 +157,7 @@
 }
 
 // serversMet returns at most so many servers that the node has sent to.
-func (b *listBench) serversMet(most int) (met []balancer.Server) {
+func (b *listBench) serversMet(most int) (met []balancer.Endpoint) {
 	for i := 0; i < b.size && len(met) < most; i++ {
 		if s := server(i); b.node.met[s.ID] {
 			met = append(met, s)
@@ -181,7 +181,7 @@
 		}
 		b.last++
 		arriving := server(b.last)
-		arriving.Boot = b.fleet.clock.now
+		arriving.StartedAt = b.fleet.clock.now
 		if err := b.apply(callChange, arriving); err != nil {
 			return err
 		}
@@ -190,13 +190,13 @@
 }
 
 // apply brings one change of the list, and lets some time pass.
-func (b *listBench) apply(kind callKind, entry balancer.Server) error {
-	b.list(kind, balancer.ListChanges, []balancer.Server{entry})
+func (b *listBench) apply(kind callKind, entry balancer.Endpoint) error {
+	b.list(kind, balancer.UpdateDelta, []balancer.Endpoint{entry})
 	return b.fleet.clock.runUntil(b.ctx, b.fleet.clock.now+restartGap)
 }
 
 // list times what the list brings, and nothing else.
-func (b *listBench) list(kind callKind, form balancer.ListForm, entries []balancer.Server) {
+func (b *listBench) list(kind callKind, form balancer.UpdateKind, entries []balancer.Endpoint) {
 	b.node.watch = b.watch
 	b.node.list(kind, form, entries)
 	b.node.watch = nil
@@ -208,7 +208,7 @@
 		if err := b.ctx.Err(); err != nil {
 			return err
 		}
-		b.list(callNextList, balancer.ListFull, serverList(b.size))
+		b.list(callNextList, balancer.UpdateSnapshot, serverList(b.size))
 	}
 	return nil
 }
@@ -275,7 +275,7 @@
 	r.add("requests measured", float64(c.requests), "")
 	r.add("servers met", float64(b.met), "")
 	holds := b.node.gateway.Stats()
-	r.add("servers in the subset", float64(holds.Subset), "")
-	r.add("servers kept in full", float64(holds.Known), "")
-	r.add("servers of the subset that share a name", float64(holds.SharedNames), "")
+	r.add("servers in the subset", float64(holds.SubsetEndpoints), "")
+	r.add("servers kept in full", float64(holds.TrackedEndpoints), "")
+	r.add("servers of the subset that share a name", float64(holds.HashCollisions), "")
 }
--- a/internal/scale/nodelist_test.go
+++ b/internal/scale/nodelist_test.go
@@ -54,7 +54,7 @@
 		if requests < 0.9*planRequests || requests > 1.1*planRequests {
 			t.Errorf("size %d: %v requests a second", size, requests)
 		}
-		inboxes := fleetSettings(1, 0).InboxPerS * (1 + 1/listLoad(size).Seconds()) // and a second's messages in store
+		inboxes := fleetSettings(1, 0).PeerMessagesPerSecond * (1 + 1/listLoad(size).Seconds()) // and a second's messages in store
 		if taken := value(t, rows, "messages taken in"); taken == 0 || taken > inboxes {
 			t.Errorf("size %d: %v messages a second taken in, more than %v", size, taken, inboxes)
 		}
--- a/internal/scale/quota.go
+++ b/internal/scale/quota.go
@@ -30,7 +30,7 @@
 	return Part{
 		Name: quotaName,
 		Title: fmt.Sprintf("Quota messages a node in a fleet of %d, inbox %g a second, against requests and spread",
-			quotaNodes, fleetSettings(1, 0).InboxPerS),
+			quotaNodes, fleetSettings(1, 0).PeerMessagesPerSecond),
 		Size:    "requests a second on a node",
 		Sizes:   []int{10, 40, 160, 512},
 		Small:   []int{1, 2},
@@ -147,7 +147,7 @@
 		if err != nil {
 			return 0, err
 		}
-		n.list(callFirstList, balancer.ListFull, serverList(quotaServersPerNode*quotaNodes))
+		n.list(callFirstList, balancer.UpdateSnapshot, serverList(quotaServersPerNode*quotaNodes))
 	}
 	plans := fleetPlans()
 	tenants := make([]tenant, heapTenants)
--- a/internal/scale/quota_test.go
+++ b/internal/scale/quota_test.go
@@ -47,7 +47,7 @@
 	}
 	c := &run.counts
 	seconds := quotaLoad.Seconds()
-	if taken := float64(c.arrived - c.discarded); taken > fleetSettings(1, 0).InboxPerS*(seconds+1)*24 {
+	if taken := float64(c.arrived - c.discarded); taken > fleetSettings(1, 0).PeerMessagesPerSecond*(seconds+1)*24 {
 		t.Errorf("%v messages taken in", taken)
 	}
 	if c.discarded == 0 {
--- a/internal/scale/tenant.go
+++ b/internal/scale/tenant.go
@@ -28,9 +28,9 @@
 // quota, so that all that is admitted beyond one is the protocol's doing.
 func fleetPlans() []balancer.Plan {
 	return []balancer.Plan{
-		{Name: "small", Rate: 2.6, Burst: 16, Price: 0.72},
-		{Name: "middle", Rate: 14, Burst: 29, Price: 1.1},
-		{Name: "large", Rate: 60, Burst: 97, CeilingRate: 100, CeilingBurst: 172, CeilingSlack: 17, Price: 1.8},
+		{Name: "small", Rate: 2.6, Burst: 16, WeightFactor: 0.72},
+		{Name: "middle", Rate: 14, Burst: 29, WeightFactor: 1.1},
+		{Name: "large", Rate: 60, Burst: 97, HardLimitRate: 100, HardLimitBurst: 172, HardLimitSlack: 17, WeightFactor: 1.8},
 	}
 }
 
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -53,17 +53,17 @@
 	case List:
 		text := fmt.Sprint("list ", e.Inst, " form ", int(e.Form))
 		for _, s := range e.Servers {
-			text += fmt.Sprintf("\n  %q state %d weight %v kind %q zone %q cell %d boot %v", s.ID, int(s.State), s.Weight, s.Kind, s.Zone, s.Cell, s.Boot)
+			text += fmt.Sprintf("\n  %q state %d weight %v kind %q zone %q cell %d boot %v", s.ID, int(s.State), s.Weight, s.MachineType, s.Zone, s.Cell, s.StartedAt)
 		}
 		return text
 	case Accept:
 		q := e.Request
-		return fmt.Sprintf("accept %d %q class %q plan %q customer %d grace %v units %v spread %d first %d", e.Inst, q.ID, q.Class, q.Plan, q.Customer, q.Grace, q.Units, q.Spread, q.First)
+		return fmt.Sprintf("accept %d %q class %q plan %q customer %d grace %v units %v spread %d first %d", e.Inst, q.ID, q.Class, q.Plan, q.Customer, q.Timeout, q.Units, q.EntryNodes, q.FirstEntryNode)
 	case Headers:
 		return fmt.Sprintf("headers %d %q attempt %d", e.Inst, e.ID, e.Attempt)
 	case Completed:
 		o := e.Outcome
-		return fmt.Sprintf("completed %d %q attempt %d closed %t result %d server %q took %v units %v since %v %s", e.Inst, o.ID, o.Attempt, o.Closed, int(o.Result), o.Server, o.Took, o.Units, o.Since, describeLoad(o.Load))
+		return fmt.Sprintf("completed %d %q attempt %d closed %t result %d server %q took %v units %v since %v %s", e.Inst, o.ID, o.Attempt, o.Answered, int(o.Result), o.EndpointID, o.Elapsed, o.Units, o.ConnectedAt, describeLoad(o.LoadReport))
 	case Left:
 		return fmt.Sprintf("left %d %q", e.Inst, e.ID)
 	case TimerFired:
@@ -78,23 +78,23 @@
 	return fmt.Sprintf("unknown %T", event)
 }
 
-func describeLoad(l *balancer.Load) string {
+func describeLoad(l *balancer.LoadReport) string {
 	if l == nil {
 		return "no load"
 	}
-	return fmt.Sprint("in flight ", l.InFlight, " queue ", l.Queue, " util ", l.Util)
+	return fmt.Sprint("in flight ", l.InFlight, " queue ", l.Queued, " util ", l.Utilization)
 }
 
 func describeSettings(s balancer.Settings) string {
-	text := fmt.Sprintf("\n  me %d of %d zone %q answer slack %v drain grace %v cold from %v ramp %v fall %v overload %v", s.Me, s.Instances, s.Zone, s.AnswerSlack, s.DrainGrace, s.ColdFrom, s.RampTime, s.FallMultiple, s.OverloadFor)
-	text += fmt.Sprintf("\n  attempts %d parallel %t cancel %t peers %t probes %t retry after %t up to %v", s.MaxAttempts, s.Parallel, s.Cancel, s.Peers, s.Probes, s.RetryAfter, s.MaxRetryAfter)
-	text += fmt.Sprintf("\n  report %d ask list %t within %v inbox %v post-paid %t most units %v tick %v", int(s.Report), s.AskList, s.AskWithin, s.InboxPerS, s.PostPaid, s.MostUnits, s.Tick)
-	text += fmt.Sprintf("\n  prices: cross %v peer %v probe %v waste %v", s.PriceCross, s.PricePeer, s.PriceProbe, s.PriceWaste)
+	text := fmt.Sprintf("\n  me %d of %d zone %q answer slack %v drain grace %v cold from %v ramp %v fall %v overload %v", s.NodeIndex, s.NodeCount, s.Zone, s.ResponseSlack, s.DrainTimeout, s.SlowStartInitialFraction, s.SlowStartDuration, s.OverloadFactor, s.OverloadWindow)
+	text += fmt.Sprintf("\n  attempts %d parallel %t cancel %t peers %t probes %t retry after %t up to %v", s.MaxAttempts, s.Hedging, s.Cancellation, s.Gossip, s.HealthChecks, s.RetryAfter, s.MaxRetryAfter)
+	text += fmt.Sprintf("\n  report %d ask list %t within %v inbox %v post-paid %t most units %v tick %v", int(s.LoadReports), s.PollEndpoints, s.PollInterval, s.PeerMessagesPerSecond, s.PostPaid, s.MaxUnits, s.Tick)
+	text += fmt.Sprintf("\n  prices: cross %v peer %v probe %v waste %v", s.CrossZonePrice, s.PeerMessagePrice, s.HealthCheckPrice, s.WastedWorkPrice)
 	for _, c := range s.Classes {
-		text += fmt.Sprintf("\n  class %q effect %d group %d window %v aim %v deadline %v worth %v late %v stream %t", c.Name, int(c.Effect), int(c.Group), c.Window, c.Aim, c.Deadline, c.Worth, c.Late, c.Stream)
+		text += fmt.Sprintf("\n  class %q effect %d group %d window %v aim %v deadline %v worth %v late %v stream %t", c.Name, int(c.Idempotency), int(c.DedupScope), c.DedupWindow, c.LatencyObjective, c.Deadline, c.PriorityWeight, c.LateWeightFraction, c.Stream)
 	}
 	for _, p := range s.Plans {
-		text += fmt.Sprintf("\n  plan %q rate %v burst %v open %d ceiling %v %v %v price %v over %v %v", p.Name, p.Rate, p.Burst, p.Open, p.CeilingRate, p.CeilingBurst, p.CeilingSlack, p.Price, p.OverWorth, p.OverCost)
+		text += fmt.Sprintf("\n  plan %q rate %v burst %v open %d ceiling %v %v %v price %v over %v %v", p.Name, p.Rate, p.Burst, p.MaxConcurrent, p.HardLimitRate, p.HardLimitBurst, p.HardLimitSlack, p.WeightFactor, p.OverQuotaValue, p.OverQuotaCost)
 	}
 	return text
 }
@@ -113,21 +113,21 @@
 func TestGoldenActions(t *testing.T) {
 	r := Reply{Inst: 17}
 	var out balancer.Actions = &r
-	out.Send("rq_1", "s.a", 80*time.Millisecond, time.Second)
-	out.Send("rq_1", "s.b", 0, 0)
-	out.Send("rq_1", "s.c", 1234567*time.Nanosecond, 0)
-	out.Refuse("rq_2", 250*time.Millisecond)
-	out.Refuse("rq_3", 0)
+	out.SendAttempt("rq_1", "s.a", 80*time.Millisecond, time.Second)
+	out.SendAttempt("rq_1", "s.b", 0, 0)
+	out.SendAttempt("rq_1", "s.c", 1234567*time.Nanosecond, 0)
+	out.Reject("rq_2", 250*time.Millisecond)
+	out.Reject("rq_3", 0)
 	out.Fail("rq_4")
-	out.Cancel("rq_1", 2)
+	out.CancelAttempt("rq_1", 2)
 	out.SetTimer(1<<62|5, 1500*time.Microsecond)
 	out.SetTimer(0, time.Hour)
-	out.Probe("s.d")
-	out.Tell(balancer.AllPeers, []byte{0, 1, 254, 255})
-	out.Tell(0, []byte("hi"))
-	out.Tell(299, nil)
-	out.Watch(true)
-	out.Watch(false)
+	out.HealthCheck("s.d")
+	out.SendPeer(balancer.AllPeers, []byte{0, 1, 254, 255})
+	out.SendPeer(0, []byte("hi"))
+	out.SendPeer(299, nil)
+	out.WatchEndpoints(true)
+	out.WatchEndpoints(false)
 	out.Log(" two\n lines\tand  spaces ")
 	r.Broken("panic:\nindex out of range")
 	golden.Check(t, "golden/reply.txt", r.Take())
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -30,8 +30,8 @@
 	// List is a FLEET event with the entries of its table resolved.
 	List struct {
 		Inst    int
-		Form    balancer.ListForm
-		Servers []balancer.Server
+		Form    balancer.UpdateKind
+		Servers []balancer.Endpoint
 	}
 	Accept struct {
 		Inst    int
@@ -59,7 +59,7 @@
 		Server string
 		Result balancer.Result
 		Took   time.Duration
-		Load   *balancer.Load
+		Load   *balancer.LoadReport
 	}
 	Whisper struct {
 		Inst, From int
@@ -75,14 +75,14 @@
 type Reader struct {
 	s      *bufio.Scanner
 	line   int
-	tables map[int][]balancer.Server
+	tables map[int][]balancer.Endpoint
 }
 
 // NewReader returns a Reader of r.
 func NewReader(r io.Reader) *Reader {
 	s := bufio.NewScanner(r)
 	s.Buffer(make([]byte, 1<<16), maxLine)
-	return &Reader{s: s, tables: map[int][]balancer.Server{}}
+	return &Reader{s: s, tables: map[int][]balancer.Endpoint{}}
 }
 
 // Line returns the number of the line read last.
@@ -158,8 +158,8 @@
 		e := Accept{Inst: f.int("i")}
 		q := &e.Request
 		q.ID, q.Class, q.Plan = f.str("ref"), f.str("tierClass"), f.str("tier")
-		q.Customer, q.Grace, q.Units = f.uint("holder"), f.dur("grace"), f.num("weight")
-		q.Spread, q.First = f.int("entryPoints"), f.int("fromNo")
+		q.Customer, q.Timeout, q.Units = f.uint("holder"), f.dur("grace"), f.num("weight")
+		q.EntryNodes, q.FirstEntryNode = f.int("entryPoints"), f.int("fromNo")
 		f.uint("bits")
 		return e, nil
 	case "HEADERS":
@@ -170,10 +170,10 @@
 	case "COMPLETED":
 		e := Completed{Inst: f.int("i")}
 		o := &e.Outcome
-		o.ID, o.Closed, o.Result, o.Server = f.str("ref"), f.bool("closed"), f.result("reason"), f.str("server")
-		o.Took, o.Attempt = f.dur("spent"), f.int("roundNo")
+		o.ID, o.Answered, o.Result, o.EndpointID = f.str("ref"), f.bool("closed"), f.result("reason"), f.str("server")
+		o.Elapsed, o.Attempt = f.dur("spent"), f.int("roundNo")
 		f.num("fleetUse")
-		o.Units, o.Load = f.num("actual"), f.load("feedback")
+		o.Units, o.LoadReport = f.num("actual"), f.load("feedback")
 		return e, nil
 	case "LEFT":
 		return Left{f.int("i"), f.str("ref")}, nil
@@ -204,7 +204,7 @@
 	if table < 0 || table > 15 || rows < 0 {
 		return fmt.Errorf("PAGE: table %d or row count %d out of range", table, rows)
 	}
-	var list []balancer.Server
+	var list []balancer.Endpoint
 	for i := 0; i < rows; i++ {
 		text, err := r.readLine()
 		if err != nil {
@@ -214,8 +214,8 @@
 		if e.vals[0] != "ITEM" {
 			return fmt.Errorf("expected ITEM, got %q", e.vals[0])
 		}
-		s := balancer.Server{ID: e.str("server"), State: e.state("mode"), Weight: e.num("rating"), Kind: e.str("machine")}
-		s.Zone, s.Cell, s.Boot = e.str("regionPart"), e.int("pod"), e.dur("bootTime")
+		s := balancer.Endpoint{ID: e.str("server"), State: e.state("mode"), Weight: e.num("rating"), MachineType: e.str("machine")}
+		s.Zone, s.Cell, s.StartedAt = e.str("regionPart"), e.int("pod"), e.dur("bootTime")
 		if e.err == nil && len(e.vals) > e.next {
 			e.err = errors.New("too many values")
 		}
@@ -242,13 +242,13 @@
 	if f.err != nil {
 		return nil, nil // reported by the caller
 	}
-	forms := map[string]balancer.ListForm{"Partial": balancer.ListChanges, "Complete": balancer.ListFull,
-		"Persisted": balancer.ListSaved, "Error": balancer.ListError}
+	forms := map[string]balancer.UpdateKind{"Partial": balancer.UpdateDelta, "Complete": balancer.UpdateSnapshot,
+		"Persisted": balancer.UpdateCached, "Error": balancer.UpdateFailed}
 	var ok bool
 	if e.Form, ok = forms[form]; !ok {
 		return nil, fmt.Errorf("FLEET: unknown form %q", form)
 	}
-	if e.Form != balancer.ListError {
+	if e.Form != balancer.UpdateFailed {
 		table, err := strconv.Atoi(ref)
 		if err != nil {
 			return nil, fmt.Errorf("FLEET: bad table %q", ref)
@@ -352,7 +352,7 @@
 	return b
 }
 
-func (f *fields) state(what string) balancer.ServerState {
+func (f *fields) state(what string) balancer.EndpointState {
 	switch v := f.str(what); v {
 	case "IN":
 		return balancer.Up
@@ -371,9 +371,9 @@
 	case "0":
 		return balancer.OK
 	case "255":
-		return balancer.ErrorAnswer
+		return balancer.ErrorResponse
 	case "254":
-		return balancer.Full
+		return balancer.Overloaded
 	case "253":
 		return balancer.TimedOut
 	case "252":
@@ -383,20 +383,20 @@
 	case "250":
 		return balancer.Cancelled
 	case "249":
-		return balancer.Moot
+		return balancer.NotSent
 	default:
 		f.bad(what, v)
-		return balancer.Moot
+		return balancer.NotSent
 	}
 }
 
 // load parses a load report. Unknown names are skipped.
-func (f *fields) load(what string) *balancer.Load {
+func (f *fields) load(what string) *balancer.LoadReport {
 	v := f.str(what)
 	if v == "" {
 		return nil
 	}
-	l := balancer.Load{InFlight: -1, Queue: -1, Util: -1}
+	l := balancer.LoadReport{InFlight: -1, Queued: -1, Utilization: -1}
 	for _, pair := range strings.Split(v, ",") {
 		name, val, ok := strings.Cut(pair, ":")
 		x, err := strconv.ParseFloat(val, 64)
@@ -408,9 +408,9 @@
 		case "outstanding":
 			l.InFlight = x
 		case "backlog":
-			l.Queue = x
+			l.Queued = x
 		case "utilization":
-			l.Util = x
+			l.Utilization = x
 		}
 	}
 	return &l
@@ -492,44 +492,44 @@
 func (in *info) settings() (balancer.Settings, error) {
 	l, r := &in.PolicyLimits, &in.Rules
 	s := balancer.Settings{
-		Me: in.Me, Instances: in.Instances, Zone: in.Zone,
-		AnswerSlack: seconds(r.AnswerSlack), DrainGrace: seconds(r.DrainGrace),
-		ColdFrom: r.ColdFrom, RampTime: seconds(r.RampTime),
-		FallMultiple: r.FallMultiple, OverloadFor: seconds(r.OverloadFor),
-		MaxAttempts: l.MostTries, Parallel: l.ParallelTries, Cancel: l.Cancel, Peers: l.Peers, Probes: l.Probes,
+		NodeIndex: in.Me, NodeCount: in.Instances, Zone: in.Zone,
+		ResponseSlack: seconds(r.AnswerSlack), DrainTimeout: seconds(r.DrainGrace),
+		SlowStartInitialFraction: r.ColdFrom, SlowStartDuration: seconds(r.RampTime),
+		OverloadFactor: r.FallMultiple, OverloadWindow: seconds(r.OverloadFor),
+		MaxAttempts: l.MostTries, Hedging: l.ParallelTries, Cancellation: l.Cancel, Gossip: l.Peers, HealthChecks: l.Probes,
 		RetryAfter: l.RetryAfter, MaxRetryAfter: seconds(l.MaxRetryAfter),
-		AskList: in.RegistryMode == "subscribe", AskWithin: seconds(r.AskWithin),
-		InboxPerS: in.FamilyInfo.InboxPerS, PostPaid: in.FamilyInfo.PostPaid, MostUnits: in.FamilyInfo.UnitsTop, Tick: seconds(in.Tick),
-		PriceCross: in.Penalties.CrossZone, PricePeer: in.Penalties.Peer,
-		PriceProbe: in.Penalties.Probe, PriceWaste: in.Penalties.Waste,
+		PollEndpoints: in.RegistryMode == "subscribe", PollInterval: seconds(r.AskWithin),
+		PeerMessagesPerSecond: in.FamilyInfo.InboxPerS, PostPaid: in.FamilyInfo.PostPaid, MaxUnits: in.FamilyInfo.UnitsTop, Tick: seconds(in.Tick),
+		CrossZonePrice: in.Penalties.CrossZone, PeerMessagePrice: in.Penalties.Peer,
+		HealthCheckPrice: in.Penalties.Probe, WastedWorkPrice: in.Penalties.Waste,
 	}
 	switch in.Feedback.How {
 	case "answers":
-		s.Report = balancer.ReportAnswers
+		s.LoadReports = balancer.LoadReportsInResponses
 	case "probe":
-		s.Report = balancer.ReportProbes
+		s.LoadReports = balancer.LoadReportsInHealthChecks
 	case "none", "":
 	default:
 		return s, fmt.Errorf("feedback.how: unknown word %q", in.Feedback.How)
 	}
 	for _, c := range in.Lanes {
-		k := balancer.Class{Name: c.Name, Window: seconds(c.MemorySpan), Aim: seconds(c.OnTime),
-			Deadline: seconds(c.Deadline), Worth: c.Worth, Late: c.LateWorth, Stream: c.Streamed}
-		effects := map[string]balancer.Effect{"retryable": balancer.Safe, "dedup": balancer.Keyed, "fragile": balancer.Unsafe}
-		groups := map[string]balancer.Group{"all": balancer.GroupAll, "zone": balancer.GroupZone, "cell": balancer.GroupCell}
+		k := balancer.Class{Name: c.Name, DedupWindow: seconds(c.MemorySpan), LatencyObjective: seconds(c.OnTime),
+			Deadline: seconds(c.Deadline), PriorityWeight: c.Worth, LateWeightFraction: c.LateWorth, Stream: c.Streamed}
+		effects := map[string]balancer.Idempotency{"retryable": balancer.Idempotent, "dedup": balancer.IdempotentWithKey, "fragile": balancer.NonIdempotent}
+		groups := map[string]balancer.DedupScope{"all": balancer.DedupFleet, "zone": balancer.DedupZone, "cell": balancer.DedupCell}
 		var ok bool
-		if k.Effect, ok = effects[c.Idempotency]; !ok {
+		if k.Idempotency, ok = effects[c.Idempotency]; !ok {
 			return s, fmt.Errorf("lanes: unknown idempotency %q", c.Idempotency)
 		}
-		if k.Group, ok = groups[c.KeyScope]; !ok && k.Effect == balancer.Keyed {
+		if k.DedupScope, ok = groups[c.KeyScope]; !ok && k.Idempotency == balancer.IdempotentWithKey {
 			return s, fmt.Errorf("lanes: unknown keyScope %q", c.KeyScope)
 		}
 		s.Classes = append(s.Classes, k)
 	}
 	for _, t := range in.Tariffs {
-		s.Plans = append(s.Plans, balancer.Plan{Name: t.Name, Rate: t.QuotaRate, Burst: t.PeakUnits, Open: t.MaxOut,
-			CeilingRate: t.NeverOverRate, CeilingBurst: t.HardBurst, CeilingSlack: t.CapSlack,
-			Price: t.WorthFactor, OverWorth: t.ExtraWorth, OverCost: t.OverCost})
+		s.Plans = append(s.Plans, balancer.Plan{Name: t.Name, Rate: t.QuotaRate, Burst: t.PeakUnits, MaxConcurrent: t.MaxOut,
+			HardLimitRate: t.NeverOverRate, HardLimitBurst: t.HardBurst, HardLimitSlack: t.CapSlack,
+			WeightFactor: t.WorthFactor, OverQuotaValue: t.ExtraWorth, OverQuotaCost: t.OverCost})
 	}
 	return s, nil
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -40,24 +40,24 @@
 		t.Errorf("clock %v", c.Now)
 	}
 	l := events[1].(Launch)
-	if s := l.Settings; l.Seed != 99 || s.Me != 1 || s.Classes[0].Effect != balancer.Keyed || s.Classes[0].Group != balancer.GroupCell ||
-		s.Plans[0].Open != 3 || s.Plans[0].Burst != 7 || s.Report != balancer.ReportAnswers || s.DrainGrace != 2*time.Second {
+	if s := l.Settings; l.Seed != 99 || s.NodeIndex != 1 || s.Classes[0].Idempotency != balancer.IdempotentWithKey || s.Classes[0].DedupScope != balancer.DedupCell ||
+		s.Plans[0].MaxConcurrent != 3 || s.Plans[0].Burst != 7 || s.LoadReports != balancer.LoadReportsInResponses || s.DrainTimeout != 2*time.Second {
 		t.Errorf("launch %+v", l)
 	}
 	list := events[2].(List)
-	if len(list.Servers) != 2 || list.Servers[1].State != balancer.Draining || list.Servers[1].Boot != 6100*time.Millisecond {
+	if len(list.Servers) != 2 || list.Servers[1].State != balancer.Draining || list.Servers[1].StartedAt != 6100*time.Millisecond {
 		t.Errorf("list %+v", list)
 	}
-	if q := events[3].(Accept).Request; q.Customer != 4569004829183723 || q.Units != 2 || q.Spread != 3 || q.First != 1 {
+	if q := events[3].(Accept).Request; q.Customer != 4569004829183723 || q.Units != 2 || q.EntryNodes != 3 || q.FirstEntryNode != 1 {
 		t.Errorf("request %+v", q)
 	}
-	if o := events[4].(Completed).Outcome; o.Result != balancer.Full || !o.Closed || o.Load == nil || o.Load.Queue != 3 || o.Units != 3 {
+	if o := events[4].(Completed).Outcome; o.Result != balancer.Overloaded || !o.Answered || o.LoadReport == nil || o.LoadReport.Queued != 3 || o.Units != 3 {
 		t.Errorf("outcome %+v", o)
 	}
 	if w := events[6].(Whisper); string(w.Payload) != "hi 7" {
 		t.Errorf("payload %q", w.Payload)
 	}
-	if e := events[7].(List); e.Form != balancer.ListError {
+	if e := events[7].(List); e.Form != balancer.UpdateFailed {
 		t.Errorf("form %v", e.Form)
 	}
 }
@@ -79,15 +79,15 @@
 
 func TestWriteActions(t *testing.T) {
 	r := Reply{Inst: 3}
-	r.Send("rq", "s.a", 80*time.Millisecond, 0)
-	r.Refuse("rq", 0)
+	r.SendAttempt("rq", "s.a", 80*time.Millisecond, 0)
+	r.Reject("rq", 0)
 	r.Fail("rq")
-	r.Cancel("rq", 1)
+	r.CancelAttempt("rq", 1)
 	r.SetTimer(77, 500*time.Millisecond)
-	r.Probe("s.a")
-	r.Tell(balancer.AllPeers, []byte("hi 7"))
-	r.Tell(2, nil)
-	r.Watch(true)
+	r.HealthCheck("s.a")
+	r.SendPeer(balancer.AllPeers, []byte("hi 7"))
+	r.SendPeer(2, nil)
+	r.WatchEndpoints(true)
 	r.Log("two\nlines")
 	want := "CALL_OUT 3 rq s.a 0.08\nTURN_AWAY 3 rq 0\nSURRENDER 3 rq\nWITHDRAW 3 rq 1\nSET_ALARM 3 77 0.5\nPROBE 3 s.a\n" +
 		"SIGNAL 3 all aGkgNw==\nSIGNAL 3 2 -\nSTREAM_CHANGES 3 1\nPRINT 3 two lines\nFINISHED\n"
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -45,7 +45,7 @@
 
 func (r *Reply) end() { r.buf = append(r.buf, '\n') }
 
-func (r *Reply) Send(id, server string, timeout, _ time.Duration) { // the simulator sends at once
+func (r *Reply) SendAttempt(id, server string, timeout, _ time.Duration) { // the simulator sends at once
 	r.begin("CALL_OUT")
 	r.str(id)
 	r.str(server)
@@ -53,7 +53,7 @@
 	r.end()
 }
 
-func (r *Reply) Refuse(id string, retryAfter time.Duration) {
+func (r *Reply) Reject(id string, retryAfter time.Duration) {
 	r.begin("TURN_AWAY")
 	r.str(id)
 	r.dur(retryAfter)
@@ -66,7 +66,7 @@
 	r.end()
 }
 
-func (r *Reply) Cancel(id string, attempt int) {
+func (r *Reply) CancelAttempt(id string, attempt int) {
 	r.begin("WITHDRAW")
 	r.str(id)
 	r.int(int64(attempt))
@@ -80,13 +80,13 @@
 	r.end()
 }
 
-func (r *Reply) Probe(server string) {
+func (r *Reply) HealthCheck(server string) {
 	r.begin("PROBE")
 	r.str(server)
 	r.end()
 }
 
-func (r *Reply) Tell(peer int, message []byte) {
+func (r *Reply) SendPeer(peer int, message []byte) {
 	r.begin("SIGNAL")
 	if peer < 0 {
 		r.str("all")
@@ -102,7 +102,7 @@
 	r.end()
 }
 
-func (r *Reply) Watch(on bool) {
+func (r *Reply) WatchEndpoints(on bool) {
 	r.begin("STREAM_CHANGES")
 	if on {
 		r.int(1)
