--- a/balancer/choice_test.go
+++ b/balancer/balancer_test.go
@@ -211,7 +211,7 @@
 
 // Bounds on a source file of the package.
 const (
-	maxFileLines   = 1200 // that are not blank
+	maxFileLines   = 400 // that are not blank
 	maxLineColumns = 110
 )
 
--- a/balancer/serverlist.go
+++ b/balancer/endpoint_list.go
@@ -1,15 +1,10 @@
 package balancer
 
 import (
-	"container/heap"
-	"math"
 	"slices"
 	"time"
 )
 
-// What the list says of all servers, in few bytes each. Only the servers of the subset, and those that are
-// sent to meanwhile, have a [server] with all that is learned of them (subset.go).
-
 // slotIndex is the number of a listed server. One that is removed leaves its slot to the next that comes.
 type slotIndex int32
 
@@ -279,141 +274,9 @@
 	return l.weights.values[l.entries[at].weight]
 }
 
-// pools returns the pools that a server belongs to.
-func (l *endpointList) pools(at slotIndex) [poolsPerEndpoint]*pool {
-	s := &l.entries[at]
-	return [poolsPerEndpoint]*pool{&l.reserve, &l.reserveByZone[s.zone], &l.reserveByCell[s.cell]}
-}
-
-// addToReserve enters a server into the reserve.
-func (l *endpointList) addToReserve(at slotIndex) {
-	s := &l.entries[at]
-	if s.inReserve {
-		return
-	}
-	for n, p := range l.pools(at) {
-		s.poolPositions[n] = int32(len(*p))
-		*p = append(*p, at)
-	}
-	s.inReserve = true
-}
-
-// removeFromReserve takes a server out of the reserve.
-func (l *endpointList) removeFromReserve(at slotIndex) {
-	s := &l.entries[at]
-	if !s.inReserve {
-		return
-	}
-	for n, p := range l.pools(at) {
-		end := len(*p) - 1
-		last := (*p)[end]
-		(*p)[s.poolPositions[n]] = last
-		l.entries[last].poolPositions[n] = s.poolPositions[n]
-		*p = (*p)[:end]
-	}
-	s.inReserve = false
-}
-
-// reserveInZone returns the reserve in a zone.
-func (l *endpointList) reserveInZone(name string) pool {
-	if number, known := l.zones.numbers[name]; known {
-		return l.reserveByZone[number]
-	}
-	return nil
-}
-
-// reserveInCell returns the reserve in a cell.
-func (l *endpointList) reserveInCell(cell int) pool {
-	if number, known := l.cells.numbers[cell]; known {
-		return l.reserveByCell[number]
-	}
-	return nil
-}
-
-// warmUp is when a server that has started is warm.
-type warmUp struct {
-	at   time.Duration
-	slot slotIndex
-}
-
-// warmUpQueue orders cold servers by when they are warm. A slot may stand in it more than once, or have gone.
-type warmUpQueue []warmUp
-
-func (q warmUpQueue) Len() int           { return len(q) }
-func (q warmUpQueue) Less(i, j int) bool { return q[i].at < q[j].at }
-func (q warmUpQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
-func (q *warmUpQueue) Push(x any)        { *q = append(*q, x.(warmUp)) }
-
-func (q *warmUpQueue) Pop() any {
-	last := len(*q) - 1
-	x := (*q)[last]
-	*q = (*q)[:last]
-	return x
-}
-
-// queueWarmUp notes when a server will be warm.
-func (l *endpointList) queueWarmUp(at slotIndex, when time.Duration) {
-	heap.Push(&l.warmUps, warmUp{when, at})
-}
-
-// nextWarmedUp returns a slot whose server may be warm by now; ok is false where there is none.
-func (l *endpointList) nextWarmedUp(now time.Duration) (at slotIndex, ok bool) {
-	if len(l.warmUps) == 0 || l.warmUps[0].at > now {
-		return 0, false
-	}
-	return heap.Pop(&l.warmUps).(warmUp).slot, true
-}
-
-// Rendezvous hashing: each server ranks all gateways by a hash of both.
-
-// rank is the place of a gateway in a server's order, as a number; the lowest is first. No two are the same.
-func rank(key uint64, node int) uint64 {
-	x := (key + uint64(node+1)*0x9e3779b97f4a7c15) * 0xd6e8feb86659fd93
-	return (x ^ x>>32) * 0xd6e8feb86659fd93
-}
-
-// position counts the gateways before one in a server's order, up to a most. It looks at all only where few
-// are:
-// of n gateways at some most x (1 + ln(n / most)), on average.
-func position(key uint64, node, nodes, most int) (before int) {
-	mine := rank(key, node)
-	for other := 0; other < nodes && before < most; other++ {
-		if rank(key, other) < mine {
-			before++
-		}
-	}
-	return before
-}
-
-// lastRank returns the rank of the last of the first gateways in a server's order.
-func lastRank(key uint64, nodes, first int) uint64 {
-	if first >= nodes {
-		return math.MaxUint64
-	}
-	lowest := make([]uint64, 0, first+1)
-	for node := range nodes {
-		mine := rank(key, node)
-		if len(lowest) == first && mine >= lowest[first-1] {
-			continue
-		}
-		at, _ := slices.BinarySearch(lowest, mine)
-		lowest = slices.Insert(lowest, at, mine)
-		lowest = lowest[:min(len(lowest), first)]
-	}
-	return lowest[first-1]
-}
-
-// fraction is a number of a server's own from 0 to below 1.
-func fraction(key uint64) float64 {
-	return float64(rank(key, -1)>>11) / (1 << 53)
-}
-
 func weightOr1(weight float64) float64 {
 	if weight > 0 {
 		return weight
 	}
 	return 1
 }
-
-// never is the number of nodes from which a server that is not among the nearest enters a subset.
-var never = math.Inf(1)
--- a/balancer/store.go
+++ b/balancer/quota_bucket.go
@@ -5,7 +5,20 @@
 	"time"
 )
 
-// What is known of a customer's quota. How it is used is decided in choice.go.
+const (
+	congestionPeriod = time.Second // a customer refused counts as crowded for so long
+	// a store without a rate is dropped when idle so long
+	idleConcurrencyQuota = 5 * time.Second
+	// time constant of what a customer wants and is granted
+	demandDecay    = 3 * time.Second
+	maxIncarnation = 1 << 14 // lives of stores that a holder tells apart
+	// of the largest request, in a mean one: small ones are the most
+	meanUnitsFraction = 0.25
+	// share of an inbox for a customer's asks granted or refused
+	quotaInboxFraction = 0.5
+	// of hearing nobody a holder counts what it would have granted
+	isolatedAfter = time.Second / 2
+)
 
 // quotaBucket is a customer's quota as this gateway sees it.
 type quotaBucket struct {
@@ -46,147 +59,128 @@
 	congestedUntil time.Duration
 }
 
-// requesterIncarnation is what a member has settled in one life of its store.
-type requesterIncarnation struct {
-	incarnation     uint64
-	reconciledUnits float64
-}
-
-// answeredRequest is an ask that was answered.
-type answeredRequest struct {
-	from    int
-	number  uint64
-	granted bool
-	wait    time.Duration
-}
-
-// unansweredAdmission is a request that went without its holder's answer.
-type unansweredAdmission struct {
-	quota         *quotaBucket
-	quotaOwner    int
-	units         float64
-	sent          bool
-	reportedUnits float64 // what its holder was told to add for it
-	at            time.Duration
-}
-
-// unreconciledUnits is what the holder must add to its store for it, granted by the holder or not.
-func (d *unansweredAdmission) unreconciledUnits(granted bool) float64 {
-	switch {
-	case granted && !d.sent:
-		return d.units
-	case !granted && d.sent:
-		return -d.units
-	}
-	return 0
-}
-
-// clampTokens keeps a holder's level between a whole burst owed and its part of one.
-func (st *quotaBucket) clampTokens(level, burst float64) float64 {
-	return math.Max(math.Min(level, burst/st.ownerCount), -burst)
-}
-
-// overQuotaTenant is what was told of a customer who wants more than can be granted.
-type overQuotaTenant struct {
-	grantedFraction float64
-	at              time.Duration
+type peerInFlight struct {
+	attempts   int
+	reportedAt time.Duration
 }
 
-// reconcile takes in a member's sum and returns what it adds to the store. Sums make up for asks that were
-// lost.
-func (st *quotaBucket) reconcile(from int, m quotaMessage) (more float64) {
-	was, known := st.requesters[from]
-	if st.requesters == nil {
-		st.requesters = map[int]requesterIncarnation{}
-	}
-	st.requesters[from] = requesterIncarnation{m.incarnation, m.reconciledUnits}
-	switch {
-	case !known:
-		return 0 // what it settled before is in no store of this holder's
-	case was.incarnation != m.incarnation:
-		return m.reconciledUnits
+// quotaFor returns the customer's store, filled up to now.
+func (g *Balancer) quotaFor(key uint64, plan, spread, first int) *quotaBucket {
+	st := g.quotas[key]
+	p := &g.settings.Plans[plan]
+	if st == nil {
+		st = &quotaBucket{tenant: key, plan: plan, entryNodes: spread, firstEntryNode: first,
+			refilledAt: g.now, grantedFraction: 1}
+		st.incarnation = g.rng.Uint64N(maxIncarnation)
+		if st.sharers = spread; spread > 1 && g.ownsQuotas() {
+			// As many holders as it takes for their inboxes to hold the asks that can be granted.
+			asks := p.Rate / math.Max(1, meanUnitsFraction*g.settings.MaxUnits)
+			st.owned, st.sharers = true, min(max(1,
+				int(math.Ceil(asks/(quotaInboxFraction*g.settings.PeerMessagesPerSecond)))), spread)
+		}
+		// Filled since this gateway's start: a store dropped when full comes back full.
+		st.tokens = math.Min(p.Burst, p.Burst/float64(st.sharers)+p.Rate*(g.now-g.started).Seconds())
+		if st.ownerCount = 1; st.owned {
+			st.ownerCount = float64(st.sharers)
+			if st.tokens = p.Burst / st.ownerCount; g.grantedFraction(st) < overQuotaThreshold {
+				st.tokens = 0 // used up, as others tell: one that has restarted would grant it again
+			}
+		}
+		// Rule 5: the parts of a ceiling sum to the whole. Each counts as empty at its gateway's start, since
+		// one killed before may have spent it, and has filled since. A holder has most of it, for its grants.
+		st.hardLimitBurstFraction = 1 / float64(spread)
+		st.hardLimitRateFraction = st.hardLimitBurstFraction
+		if st.owned { // what its quota leaves of the ceiling is for members that have no answer
+			held := float64(g.partsOwned(st)) / st.ownerCount
+			burst := 1 - math.Min(p.Burst/math.Max(p.HardLimitBurst, 1e-9), 1)
+			rate := 1 - math.Min(p.Rate/math.Max(p.HardLimitRate, 1e-9), 1)
+			st.hardLimitBurstFraction = burst*st.hardLimitBurstFraction + (1-burst)*held
+			st.hardLimitRateFraction = rate*st.hardLimitRateFraction + (1-rate)*held
+		}
+		st.hardLimitTokens = math.Min(p.HardLimitBurst*st.hardLimitBurstFraction,
+			p.HardLimitRate*st.hardLimitRateFraction*(g.now-g.started).Seconds())
+		g.quotas[key] = st
+		g.quotaList = append(g.quotaList, st)
 	}
-	return m.reconciledUnits - was.reconciledUnits
+	g.refill(st)
+	return st
 }
 
-// previousAnswer returns the ask if it was answered before, or nil.
-func (st *quotaBucket) previousAnswer(from int, num uint64) *answeredRequest {
-	for i := range st.answeredRequests {
-		if d := &st.answeredRequests[i]; d.from == from && d.number == num {
-			return d
+// checkQuota tells whether units are inside the customer's quota and, if not, when to come back.
+func (g *Balancer) checkQuota(st *quotaBucket, units float64) (bool, time.Duration) {
+	p := &g.settings.Plans[st.plan]
+	n := float64(st.sharers)
+	if st.owned {
+		n = 1
+		// nothing is spent here without the store's knowing
+		st.acquiredSinceGossip, st.startedSinceGossip, st.congestedUntil = 0, 0, 0
+	}
+	if p.MaxConcurrent > 0 {
+		room := g.concurrencyHeadroom(st)
+		least := 1
+		if g.now < st.congestedUntil {
+			least = max(min(st.entryNodes, p.MaxConcurrent/2), 1)
+		}
+		if room < least || st.startedSinceGossip > 0 &&
+			float64(st.startedSinceGossip+1) > float64(room+st.startedSinceGossip)/n {
+			st.congestedUntil = g.now + congestionPeriod
+			return false, min(g.gossipInterval, quotaRequestTimeout)
 		}
 	}
-	return nil
-}
-
-// rememberAnswer keeps an ask that was answered.
-func (st *quotaBucket) rememberAnswer(d answeredRequest) {
-	if len(st.answeredRequests) == maxAnsweredRequests {
-		st.answeredRequests = append(st.answeredRequests[:0], st.answeredRequests[1:]...)
+	if p.Rate > 0 {
+		room := (st.tokens + st.acquiredSinceGossip) / n
+		// Exception: one request between tells needs only its units, or the split of a small
+		// store would hold none. Not so for a customer that was refused of late: its gateways
+		// would all send that one. There the store must have it for each, as far as it can.
+		least := units
+		if g.now < st.congestedUntil {
+			least = math.Max(units, math.Min(units*n, p.Burst/2))
+		}
+		if st.tokens < least || st.acquiredSinceGossip > 0 && st.acquiredSinceGossip+units > room {
+			st.congestedUntil = g.now + congestionPeriod
+			return false, max(refillTime(units-st.tokens, p.Rate/st.ownerCount), min(g.gossipInterval,
+				quotaRequestTimeout))
+		}
 	}
-	st.answeredRequests = append(st.answeredRequests, d)
+	return true, 0
 }
 
-// recordDemand and granted count units into the averages.
-func (st *quotaBucket) recordDemand(now time.Duration, units float64) {
-	st.decayRates(now)
-	st.demandRate += units / demandDecay.Seconds()
-}
-
-func (st *quotaBucket) recordGrant(now time.Duration, units float64) {
-	st.decayRates(now)
-	st.grantRate += units / demandDecay.Seconds()
-}
-
-func (st *quotaBucket) decayRates(now time.Duration) {
-	keep := math.Exp(-(now - st.ratesAt).Seconds() / demandDecay.Seconds())
-	st.demandRate, st.grantRate, st.ratesAt = st.demandRate*keep, st.grantRate*keep, now
-}
-
-// concurrencyLease is a place under an open cap that a holder gave to a gateway.
-type concurrencyLease struct {
-	from      int
-	number    uint64
-	expiresAt time.Duration
-}
-
-type peerInFlight struct {
-	attempts   int
-	reportedAt time.Duration
-}
-
-func refillTime(units, rate float64) time.Duration {
-	return time.Duration(math.Min(math.Max(units/rate, 0), 60) * float64(time.Second))
-}
-
-func refillTimeIfLimited(units, rate float64) time.Duration {
-	if rate <= 0 {
-		return 0
+func (g *Balancer) refill(st *quotaBucket) {
+	p := &g.settings.Plans[st.plan]
+	dt := (g.now - st.refilledAt).Seconds()
+	st.refilledAt = g.now
+	rate := p.Rate / st.ownerCount
+	if len(st.requesters) > 0 && g.now-g.lastPeerMessage > isolatedAfter {
+		// Members that it does not hear go on as before.
+		rate = math.Max(rate-st.grantRate, -math.Max(st.tokens, 0)/math.Max(dt, 1e-9))
+		st.ratesAt = g.now
 	}
-	return refillTime(units, rate)
-}
-
-// isEntryNode tells whether a gateway is one of a customer's.
-func (g *Balancer) isEntryNode(i, first, spread int) bool {
-	return (i-first+g.settings.NodeCount)%g.settings.NodeCount < spread
+	st.tokens = math.Min(st.tokens+rate*dt, p.Burst/st.ownerCount)
+	st.hardLimitTokens = math.Min(st.hardLimitTokens+p.HardLimitRate*st.hardLimitRateFraction*dt,
+		p.HardLimitBurst*st.hardLimitBurstFraction)
 }
 
-func (g *Balancer) markUnreported(st *quotaBucket) {
-	if !st.dirty && !st.owned && g.settings.Gossip && g.settings.NodeCount > 1 {
-		st.dirty = true
-		g.unreported = append(g.unreported, st)
+// acquire takes units of a request inside the quota, now or when it settles.
+func (g *Balancer) acquire(st *quotaBucket, units float64) {
+	if g.settings.Plans[st.plan].Rate > 0 {
+		st.tokens -= units
+		st.acquiredSinceGossip += units
+		st.unreportedUnits += units
 	}
+	g.markUnreported(st)
 }
 
-// dropConcurrencyLeases removes the leases for which gone holds.
-func (st *quotaBucket) dropConcurrencyLeases(gone func(concurrencyLease) bool) {
-	kept := st.leases[:0]
-	for _, l := range st.leases {
-		if !gone(l) {
-			kept = append(kept, l)
+// concurrencyHeadroom is how many more attempts the customer may have out, as far as is known.
+func (g *Balancer) concurrencyHeadroom(st *quotaBucket) int {
+	room := g.settings.Plans[st.plan].MaxConcurrent - st.inFlight
+	for i, l := range st.peerInFlight {
+		// An unheard peer counts as nought.
+		if i != g.settings.NodeIndex && g.now-l.reportedAt < maxMissedGossipIntervals*g.gossipInterval {
+			room -= l.attempts
 		}
 	}
-	st.leases = kept
+	st.dropConcurrencyLeases(func(l concurrencyLease) bool { return g.now >= l.expiresAt })
+	return room - len(st.leases)
 }
 
 // dropIdleQuotas drops idle stores among the next eighth, and what is no longer believed of customers.
@@ -228,84 +222,34 @@
 	return st.inFlight == 0 && !st.dirty && len(st.leases) == 0 && g.now-st.refilledAt >= idle
 }
 
-// concurrencyHeadroom is how many more attempts the customer may have out, as far as is known.
-func (g *Balancer) concurrencyHeadroom(st *quotaBucket) int {
-	room := g.settings.Plans[st.plan].MaxConcurrent - st.inFlight
-	for i, l := range st.peerInFlight {
-		// An unheard peer counts as nought.
-		if i != g.settings.NodeIndex && g.now-l.reportedAt < maxMissedGossipIntervals*g.gossipInterval {
-			room -= l.attempts
-		}
-	}
-	st.dropConcurrencyLeases(func(l concurrencyLease) bool { return g.now >= l.expiresAt })
-	return room - len(st.leases)
-}
-
-func (g *Balancer) refill(st *quotaBucket) {
-	p := &g.settings.Plans[st.plan]
-	dt := (g.now - st.refilledAt).Seconds()
-	st.refilledAt = g.now
-	rate := p.Rate / st.ownerCount
-	if len(st.requesters) > 0 && g.now-g.lastPeerMessage > isolatedAfter {
-		// Members that it does not hear go on as before.
-		rate = math.Max(rate-st.grantRate, -math.Max(st.tokens, 0)/math.Max(dt, 1e-9))
-		st.ratesAt = g.now
-	}
-	st.tokens = math.Min(st.tokens+rate*dt, p.Burst/st.ownerCount)
-	st.hardLimitTokens = math.Min(st.hardLimitTokens+p.HardLimitRate*st.hardLimitRateFraction*dt,
-		p.HardLimitBurst*st.hardLimitBurstFraction)
-}
-
-// acquire takes units of a request inside the quota, now or when it settles.
-func (g *Balancer) acquire(st *quotaBucket, units float64) {
-	if g.settings.Plans[st.plan].Rate > 0 {
-		st.tokens -= units
-		st.acquiredSinceGossip += units
-		st.unreportedUnits += units
-	}
-	g.markUnreported(st)
-}
-
-func (g *Balancer) ownerOfPart(st *quotaBucket, part int) int {
-	x := (st.tenant + 1 + uint64(part)<<40) * 0x9e3779b97f4a7c15
-	x = (x ^ x>>32) * 0xd6e8feb86659fd93
-	return (st.firstEntryNode + int((x^x>>32)%uint64(st.entryNodes))) % g.settings.NodeCount
+// clampTokens keeps a holder's level between a whole burst owed and its part of one.
+func (st *quotaBucket) clampTokens(level, burst float64) float64 {
+	return math.Max(math.Min(level, burst/st.ownerCount), -burst)
 }
 
-func (g *Balancer) partsOwned(st *quotaBucket) (n int) {
-	for part := range st.sharers {
-		n += int(oneIf(g.ownerOfPart(st, part) == g.settings.NodeIndex))
-	}
-	return n
+// recordDemand and granted count units into the averages.
+func (st *quotaBucket) recordDemand(now time.Duration, units float64) {
+	st.decayRates(now)
+	st.demandRate += units / demandDecay.Seconds()
 }
 
-func (g *Balancer) ownerFor(st *quotaBucket) int {
-	return g.ownerOfPart(st, g.settings.NodeIndex%st.sharers)
+func (st *quotaBucket) recordGrant(now time.Duration, units float64) {
+	st.decayRates(now)
+	st.grantRate += units / demandDecay.Seconds()
 }
 
-// recordOverQuota takes in what can be granted of a customer's wants.
-func (g *Balancer) recordOverQuota(key uint64, admitted float64) {
-	if _, known := g.overQuotaTenants[tenantHash(key)]; known || admitted < overQuotaThreshold {
-		g.overQuotaTenants[tenantHash(key)] = overQuotaTenant{admitted, g.now}
-	}
+func (st *quotaBucket) decayRates(now time.Duration) {
+	keep := math.Exp(-(now - st.ratesAt).Seconds() / demandDecay.Seconds())
+	st.demandRate, st.grantRate, st.ratesAt = st.demandRate*keep, st.grantRate*keep, now
 }
 
-// grantedFraction is the share of a customer's wants that can be granted, as far as is known: a customer of
-// whom
-// nobody tells is inside its quota.
-func (g *Balancer) grantedFraction(st *quotaBucket) float64 {
-	if h, known := g.overQuotaTenants[tenantHash(st.tenant)]; known {
-		return h.grantedFraction
-	}
-	return 1
+func refillTime(units, rate float64) time.Duration {
+	return time.Duration(math.Min(math.Max(units/rate, 0), 60) * float64(time.Second))
 }
 
-// receiveLateGrant takes in an answer that nobody waited for any more: it says what the holder has taken.
-func (g *Balancer) receiveLateGrant(from int, m quotaMessage) {
-	d, ok := g.unansweredAdmissions[m.number]
-	if !ok || d.quotaOwner != from {
-		return
+func refillTimeIfLimited(units, rate float64) time.Duration {
+	if rate <= 0 {
+		return 0
 	}
-	delete(g.unansweredAdmissions, m.number)
-	d.quota.reconciledUnits += d.unreconciledUnits(m.granted) - d.reportedUnits
+	return refillTime(units, rate)
 }
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -1,17 +1,10 @@
 package balancer
 
 import (
-	"cmp"
 	"math"
-	"slices"
 	"time"
 )
 
-// The subset. Each gateway of a large fleet sends to a subset of the servers, so that its work costs the
-// same however long the list is. Subsets come from rendezvous hashing: a server is in those of the first
-// gateways in its own order. The others are the reserve, for when none of the subset is in service: one is
-// drawn, and is known while it is used. A small fleet's subsets hold all servers.
-
 const (
 	// servers in a subset, on average, with usualRatio gateways to a server
 	referenceSubsetSize = 12
@@ -23,7 +16,6 @@
 	listLengthSlack = 1.25
 	// times the subsets of a server for which its entry is worked out ahead
 	rankedNodesFactor = 2
-	maxReserveSamples = 4 // draws from the reserve for one that is accepted by its weight
 	// for which a server of the reserve stays known when it is no longer used
 	reserveRetention = 5 * time.Second
 )
@@ -55,6 +47,54 @@
 	g.indexSubset()
 }
 
+// beginSnapshot begins a whole list: servers that it does not name are gone.
+func (g *Balancer) beginSnapshot(length int) {
+	if g.list.stale() || len(g.list.slotByID) == 0 {
+		g.list = newEndpointList(length)
+	}
+	g.list.beginSnapshot()
+	for _, s := range g.tracked {
+		s.listed = false
+	}
+}
+
+// endSnapshot ends a whole list.
+func (g *Balancer) endSnapshot() {
+	g.list.endSnapshot()
+	g.hasUnlisted = true
+	for _, s := range g.tracked {
+		g.countInSubset(s)
+	}
+}
+
+// applyEntry takes in one entry of a list.
+func (g *Balancer) applyEntry(e *Endpoint) {
+	at, listed := g.list.find(e.ID)
+	switch {
+	case listed && !g.list.entries[at].tracked && g.list.confirm(at, e):
+		return
+	case e.State != Removed:
+		g.listEndpoint(at, listed, *e)
+	case listed:
+		g.list.remove(at)
+	}
+	if s := g.trackedByID[e.ID]; s != nil {
+		g.updateTracked(s, *e)
+	}
+}
+
+// listEndpoint enters what the list says of a server, at its slot if it was listed before.
+func (g *Balancer) listEndpoint(at slotIndex, before bool, e Endpoint) {
+	if !before {
+		at = g.list.add(e.ID)
+		g.list.setEntersAt(at, g.entersAt(e.ID))
+		g.list.entries[at].tracked = g.trackedByID[e.ID] != nil
+	}
+	g.list.update(at, e)
+	g.updateMembership(at, before)
+	g.updateReserve(at)
+}
+
 // subsetsPerEndpointFor is in how many subsets a server is, for a list of a length. Connections cost work,
 // and a
 // server takes few: gateways that share it are few enough to keep theirs, and to meet it often. By the root,
@@ -129,61 +169,26 @@
 	g.updateReserve(at)
 }
 
-// freshestLoads returns the servers last told of that another gateway's subset holds too, at most n, newest
-// first.
-func (g *Balancer) freshestLoads(n, node int) []*endpoint {
-	var news []*endpoint
-	for i := range g.sharedEndpoints {
-		s := &g.sharedEndpoints[i]
-		if rank(s.rendezvousKey, node) <= s.lastSubsetRank && s.acceptsRequests() && s.loadReportedAt > 0 &&
-			g.now-s.loadReportedAt < loadGossipMaxAge {
-			news = append(news, s.endpoint)
-		}
-	}
-	slices.SortFunc(news, func(a, b *endpoint) int {
-		return cmp.Or(cmp.Compare(b.loadReportedAt, a.loadReportedAt), cmp.Compare(a.ID, b.ID))
-	})
-	return news[:min(n, len(news))]
-}
-
-// sampleReserve returns a server of the reserve that the request may go to, or nil.
-func (g *Balancer) sampleReserve(r *request) *endpoint {
-	g.moveWarmedUpToReserve()
-	from := g.list.reserve
-	for i := range r.attempts { // a keyed request that may have run stays where its repeats are dropped
-		a, c := &r.attempts[i], &g.settings.Classes[r.class]
-		switch {
-		case a.neverRan || c.Idempotency != IdempotentWithKey:
-		case c.DedupScope == DedupZone:
-			from = g.list.reserveInZone(a.zone)
-		case c.DedupScope == DedupCell:
-			from = g.list.reserveInCell(a.cell)
-		}
-	}
-	if len(from) == 0 {
-		return nil
-	}
-	at := from[g.rng.IntN(len(from))]
-	for n := 1; n < maxReserveSamples &&
-		g.rng.Float64()*g.list.activeWeights.largest > g.list.weight(at); n++ {
-		at = from[g.rng.IntN(len(from))]
-	}
-	if !g.mayAttempt(r, &endpoint{Endpoint: g.list.endpointAt(at)}) {
-		return nil
+// updateReserve puts a server into the reserve or takes it out: what waits there is unknown, takes work and
+// is warm.
+func (g *Balancer) updateReserve(at slotIndex) {
+	e := &g.list.entries[at]
+	waits := EndpointState(e.state) == Up && !e.tracked
+	warmAt := e.startedAt + g.settings.SlowStartDuration
+	switch {
+	case !waits:
+		g.list.removeFromReserve(at)
+	case e.startedAt != 0 && warmAt > g.now:
+		g.list.removeFromReserve(at)
+		g.list.queueWarmUp(at, warmAt)
+	default:
+		g.list.addToReserve(at)
 	}
-	s := g.track(at)
-	s.lastProgress = g.now
-	g.updateReserve(at)
-	return s
 }
 
-// isInUse tells whether what is known of a server is still of use.
-func (g *Balancer) isInUse(s *endpoint) bool {
-	switch {
-	case s.inSubset && s.listed, s.inFlight > 0:
-		return true
-	case !s.listed:
-		return false
+// moveWarmedUpToReserve puts the servers into the reserve that have become warm.
+func (g *Balancer) moveWarmedUpToReserve() {
+	for at, ok := g.list.nextWarmedUp(g.now); ok; at, ok = g.list.nextWarmedUp(g.now) {
+		g.updateReserve(at)
 	}
-	return g.now-s.lastProgress <= reserveRetention || g.now < s.ejectedUntil || g.warmUpFraction(s) < 1
 }
