--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -22,7 +22,7 @@
 					other.Zone = "a"
 				}
 				g, r := newGate(t, testSettings(), first)
-				g.retryTokens = 5
+				g.retries.tokens = 5
 				g.RequestArrived(t0, newRequest(1, class, "rate", 1), r)
 				g.EndpointsUpdated(t0, UpdateSnapshot, []Endpoint{{ID: "s0", State: Draining, MachineType: "k", Zone: "a"}, other}, r)
 				r.acts = nil
@@ -47,7 +47,7 @@
 
 func TestKeyedNotSentAfterItsWindow(t *testing.T) {
 	g, r := newGate(t, testSettings(), fleet(3)...)
-	g.retryTokens = 5
+	g.retries.tokens = 5
 	g.RequestArrived(t0, newRequest(1, "keyed", "rate", 1), r)
 	g.AttemptFinished(t0+300*ms, Outcome{ID: "r1", Result: Reset}, r)
 	if r.last() != "fail r1" {
@@ -86,10 +86,10 @@
 		s.Hedging = true
 		s.Plans[2].MaxConcurrent = 2
 		g, r := newGate(t, s, fleet(4)...)
-		g.retryTokens = 5
+		g.retries.tokens = 5
 		g.RequestArrived(t0, newRequest(1, "safe", plan, 1), r)
 		r.acts = nil
-		g.TimerFired(t0+ms, g.lastRequestNumber<<timerBits|timerHedge, r)
+		g.TimerFired(t0+ms, g.requests.lastNumber<<timerBits|timerHedge, r)
 		if n := r.count("send"); n != want {
 			t.Errorf("%s: %d second copies, want %d", plan, n, want)
 		}
@@ -103,7 +103,7 @@
 		s.Hedging = parallel
 		g, r := newGate(t, s, fleet(2)...)
 		g.RequestArrived(t0, newRequest(1, "safe", "rate", 1), r)
-		if got := g.mayAttempt(g.requests["r1"], g.tracked[0]); got != parallel {
+		if got := g.mayAttempt(g.requests.byID["r1"], g.endpoints.tracked[0]); got != parallel {
 			t.Errorf("parallel %v: second copy %v", parallel, got)
 		}
 	}
@@ -130,8 +130,8 @@
 		}
 		g.TimerFired(t0+due.after, due.token, r)
 		g.AttemptFinished(t0+due.after, Outcome{ID: "r1", Result: Cancelled}, r)
-		if len(r.acts) != 2 || len(g.requests) != 0 {
-			t.Errorf("%s: %q, %d requests kept", class, r.acts, len(g.requests))
+		if len(r.acts) != 2 || len(g.requests.byID) != 0 {
+			t.Errorf("%s: %q, %d requests kept", class, r.acts, len(g.requests.byID))
 		}
 	}
 }
@@ -142,7 +142,7 @@
 	r.acts = nil
 	g.AttemptFinished(t0, Outcome{ID: "r1", Attempt: 1, Result: ErrorResponse}, r)
 	g.AttemptFinished(t0, Outcome{ID: "r1", Attempt: -1, Result: ErrorResponse}, r)
-	if g.requests["r1"] == nil || g.requests["r1"].inFlight != 1 {
+	if g.requests.byID["r1"] == nil || g.requests.byID["r1"].inFlight != 1 {
 		t.Error("an attempt never made ended the request")
 	}
 	g.AttemptFinished(t0, Outcome{ID: "r1", Result: OK, Answered: true, EndpointID: "s0"}, r)
--- a/balancer/cold_fleet_test.go
+++ b/balancer/cold_fleet_test.go
@@ -184,7 +184,7 @@
 func (p coldPort) SendAttempt(id, server string, timeout, _ time.Duration) {
 	f := p.f
 	g := f.gates[p.me]
-	r := g.requests[id]
+	r := g.requests.byID[id]
 	number, at, end := f.attempts[id], f.now, r.deadline
 	f.attempts[id]++
 	if timeout > 0 {
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -14,38 +14,45 @@
 	rateSmoothing = 0.1
 )
 
+// concurrencyLimit is the state of the bound on attempts in flight.
+type concurrencyLimit struct {
+	inFlight     int     // attempts in flight
+	responses    float64 // since the last control interval
+	responseRate float64 // per second, averaged
+}
+
 // exceedsConcurrencyLimit is an exception to ARO, whose f follows what has been answered and so comes late
 // when work
 // piles up. By Little's law the attempts out over the answers per second are the delay that a new
 // request meets; where that leaves no hope of its aim, it is refused. It covers overload, stalls,
 // lost servers and retry storms alike; it harms where latency is long by nature, not by waiting.
-func (g *Balancer) exceedsConcurrencyLimit(class int) bool {
+func (b *Balancer) exceedsConcurrencyLimit(class int) bool {
 	best := 0.0
-	for c := range g.settings.Classes {
-		best = math.Max(best, g.settings.Classes[c].PriorityWeight/g.workOf(c))
+	for c := range b.settings.Classes {
+		best = math.Max(best, b.settings.Classes[c].PriorityWeight/b.workOf(c))
 	}
-	c := &g.settings.Classes[class]
+	c := &b.settings.Classes[class]
 	rank := 1.0
 	if best > 0 {
-		rank = (1 + c.PriorityWeight/g.workOf(class)/best) / 2
+		rank = (1 + c.PriorityWeight/b.workOf(class)/best) / 2
 	}
 	wait := maxQueueingFraction * rank * c.LatencyObjective.Seconds()
-	bound := g.responseRate * wait
-	if bound >= minOwnSamples && float64(g.inFlight) < bound {
+	bound := b.concurrency.responseRate * wait
+	if bound >= minOwnSamples && float64(b.concurrency.inFlight) < bound {
 		return false // as nearly always, and far sooner known
 	}
-	out, servers := g.reachable()
-	floor := minConcurrencyPerEndpoint * servers / float64(g.settings.NodeCount)
-	if g.isolated() {
+	out, servers := b.reachable()
+	floor := minConcurrencyPerEndpoint * servers / float64(b.settings.NodeCount)
+	if b.isolated() {
 		floor = math.Max(floor, minConcurrencyWhenIsolated)
 	}
-	if bound < minOwnSamples && (g.ownsQuotas() || g.peerMessageRate > 1) {
+	if bound < minOwnSamples && (b.ownsQuotas() || b.gossip.messageRate > 1) {
 		// Few attempts are out by chance or not: the mean over the gateways it hears from, or over its own
 		// last seconds where it hears none, must say so too. That comes late: what can't be chance doesn't
 		// wait for it, or a burst would come in whole. A gateway that refuses has few answers of its own.
-		least := math.Max(g.overload.pooledMeans[poolResponses]/controlInterval.Seconds()*wait, floor)
+		least := math.Max(b.overload.pooledMeans[poolResponses]/controlInterval.Seconds()*wait, floor)
 		if out < certainExcessFactor*math.Max(bound, least) {
-			return out >= least && g.overload.pooledMeans[poolInFlight] >= least
+			return out >= least && b.overload.pooledMeans[poolInFlight] >= least
 		}
 	}
 	return out >= math.Max(bound, floor)
@@ -54,33 +61,33 @@
 // reachable counts the attempts out at servers that are held to be alive, and these servers, a cold one as
 // the
 // part of one that it is. The subset stands for all that are listed, unless nothing in it is alive.
-func (g *Balancer) reachable() (out, servers float64) {
-	out = float64(g.inFlight)
+func (b *Balancer) reachable() (out, servers float64) {
+	out = float64(b.concurrency.inFlight)
 	members := 0.0
-	for _, s := range g.tracked {
+	for _, s := range b.endpoints.tracked {
 		taking := s.inSubset && s.acceptsRequests()
 		members += oneIf(taking)
-		if g.unresponsive(s) {
+		if b.unresponsive(s) {
 			out -= float64(s.inFlight)
 		} else if taking {
-			servers += g.warmUpFraction(s)
+			servers += b.warmUpFraction(s)
 		}
 	}
 	if servers == 0 {
-		return out, float64(g.list.activeWeights.total) - members
+		return out, float64(b.endpoints.list.activeWeights.total) - members
 	}
-	return out, servers * (float64(g.list.activeWeights.total) / members)
+	return out, servers * (float64(b.endpoints.list.activeWeights.total) / members)
 }
 
 // recentAttempts counts the attempts out that were sent less than a share of their class's aim ago, but for
 // those at
 // servers known to answer nothing.
-func (g *Balancer) recentAttempts(share float64) (n float64) {
-	for _, r := range g.requests {
+func (b *Balancer) recentAttempts(share float64) (n float64) {
+	for _, r := range b.requests.byID {
 		for i := range r.attempts {
 			a := &r.attempts[i]
-			n += oneIf(!a.done && !g.unresponsive(a.endpoint) &&
-				(g.now-a.sentAt).Seconds() < share*g.settings.Classes[r.class].LatencyObjective.Seconds())
+			n += oneIf(!a.done && !b.unresponsive(a.endpoint) &&
+				(b.now-a.sentAt).Seconds() < share*b.settings.Classes[r.class].LatencyObjective.Seconds())
 		}
 	}
 	return n
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -84,6 +84,6 @@
 // acceptsRequests tells whether the server is in the list and not draining.
 func (s *endpoint) acceptsRequests() bool { return s.listed && s.State == Up }
 
-func (g *Balancer) weight(s *endpoint) float64 {
+func (b *Balancer) weight(s *endpoint) float64 {
 	return weightOr1(s.Weight)
 }
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -17,13 +17,13 @@
 // learns lets a gateway hear a result of a request that it sent to a server, with a report of its load.
 func learns(t *testing.T, g *Balancer, r *recorder, now time.Duration, server string, res Result, l *LoadReport) {
 	t.Helper()
-	q := newRequest(int(g.lastRequestNumber)+1, "unsafe", "rate", 5)
+	q := newRequest(int(g.requests.lastNumber)+1, "unsafe", "rate", 5)
 	q.Units = 0
-	for _, s := range g.tracked {
+	for _, s := range g.endpoints.tracked {
 		s.listed = s.ID == server // the only one that it may go to
 	}
 	g.RequestArrived(now, q, r)
-	for _, s := range g.tracked {
+	for _, s := range g.endpoints.tracked {
 		s.listed = true
 	}
 	g.AttemptFinished(now+ms, Outcome{ID: q.ID, Result: res, Answered: res == OK, EndpointID: server, Elapsed: ms, LoadReport: l}, r)
@@ -32,8 +32,8 @@
 // whispers returns a message that a gateway sends to another, as an ask.
 func whispers(g *Balancer, r *recorder, now time.Duration) []byte {
 	r.tells = nil
-	g.RequestArrived(now, wideRequest(int(g.lastRequestNumber)+1, 77), r)
-	return r.tells[g.ownerFor(g.quotas[77])][0]
+	g.RequestArrived(now, wideRequest(int(g.requests.lastNumber)+1, 77), r)
+	return r.tells[g.ownerFor(g.quotas.buckets[77])][0]
 }
 
 // sendsTo counts the requests of many that a gateway sends to a server first.
@@ -42,7 +42,7 @@
 	for n := range 200 {
 		q := newRequest(10000+n, "safe", "rate", uint64(1000+n))
 		g.RequestArrived(now, q, r)
-		if req := g.requests[q.ID]; req != nil {
+		if req := g.requests.byID[q.ID]; req != nil {
 			to += int(oneIf(req.attempts[0].endpoint.ID == server))
 			all++
 			g.AttemptFinished(now, Outcome{ID: q.ID, Result: OK, Answered: true, Elapsed: ms}, r)
@@ -79,9 +79,9 @@
 		t.Errorf("%d of %d went to a server told to take no connection", to, all)
 	}
 	// What is told again is no news, and must not keep the server out for longer.
-	until := g.trackedByID["s0"].ejectedUntil
+	until := g.endpoints.trackedByID["s0"].ejectedUntil
 	g.PeerMessage(until+10*ms, 10, whispers(teller, tr, until), r)
-	if g.trackedByID["s0"].ejectedUntil != until {
+	if g.endpoints.trackedByID["s0"].ejectedUntil != until {
 		t.Error("old news counted twice")
 	}
 }
@@ -94,7 +94,7 @@
 	entry := func(hash uint16, load, age byte) []byte {
 		return append(binary.BigEndian.AppendUint16(nil, hash), load, age)
 	}
-	s := g.trackedByID["s0"]
+	s := g.endpoints.trackedByID["s0"]
 	g.now = t0 + 2*time.Second
 	g.receiveLoadGossip(entry(s.shortHash, 50, byte(1500*ms/ageUnit)))
 	g.receiveLoadGossip(entry(s.shortHash^1, 50, 0))
@@ -105,7 +105,7 @@
 	if s.reportedLoad != 50 {
 		t.Errorf("load %v after news", s.reportedLoad)
 	}
-	g.subsetByHash[s.shortHash] = nil
+	g.endpoints.subsetByHash[s.shortHash] = nil
 	g.receiveLoadGossip(entry(s.shortHash, 60, 0))
 	if s.reportedLoad != 50 {
 		t.Errorf("load %v after news that may be of another server", s.reportedLoad)
@@ -134,7 +134,7 @@
 		}
 		g.RequestArrived(t0+known, newRequest(1, "safe", "rate", uint64(me)), r)
 		sent += r.count("send")
-		share = g.warmUpFraction(g.tracked[0])
+		share = g.warmUpFraction(g.endpoints.tracked[0])
 	}
 	work := s.Classes[1].LatencyObjective.Seconds() / 4 // the longest of the classes, as long as none is known better
 	most := s.OverloadFactor * share * known.Seconds() / work
@@ -169,17 +169,17 @@
 	}{{0.4, false}, {0.9, true}} {
 		member, r := wideGate(t, 10)
 		member.RequestArrived(t0, wideRequest(1, 77), r)
-		holder := member.ownerFor(member.quotas[77])
+		holder := member.ownerFor(member.quotas.buckets[77])
 		h, hr := wideGate(t, holder)
 		h.quotaFor(77, h.planIndex["rate"], 100, 10).tokens = 0
-		h.peerMessageRate = c.inbox * h.settings.PeerMessagesPerSecond
+		h.gossip.messageRate = c.inbox * h.settings.PeerMessagesPerSecond
 		h.PeerMessage(t0, 10, r.tells[holder][0], hr)
 		member.PeerMessage(t0+ms, holder, hr.tells[10][0], r)
 		if r.count("refuse") != 1 {
 			t.Fatalf("%v", r.acts)
 		}
-		if got := member.quotas[77].rejectedUntil > t0+time.Second; got != c.pause {
-			t.Errorf("inbox %v: no ask until %v", c.inbox, member.quotas[77].rejectedUntil-t0)
+		if got := member.quotas.buckets[77].rejectedUntil > t0+time.Second; got != c.pause {
+			t.Errorf("inbox %v: no ask until %v", c.inbox, member.quotas.buckets[77].rejectedUntil-t0)
 		}
 	}
 }
@@ -192,7 +192,7 @@
 	q := wideRequest(1, 77)
 	q.Units = 7
 	member.RequestArrived(t0, q, r)
-	holder := member.ownerFor(member.quotas[77])
+	holder := member.ownerFor(member.quotas.buckets[77])
 	h, hr := wideGate(t, holder)
 	st := h.quotaFor(77, h.planIndex["rate"], 100, 10)
 	full := st.tokens
@@ -219,7 +219,7 @@
 		for range times {
 			now += 100 * ms
 			learns(t, teller, tr, now, "s0", res, &LoadReport{InFlight: 0, Queued: -1, Utilization: -1})
-			teller.trackedByID["s0"].ejectedUntil = 0 // the teller goes on trying
+			teller.endpoints.trackedByID["s0"].ejectedUntil = 0 // the teller goes on trying
 			g.PeerMessage(now+10*ms, 10, whispers(teller, tr, now+5*ms), r)
 		}
 	}
@@ -228,7 +228,7 @@
 		t.Errorf("%d of %d went to a server told to fail", to, all)
 	}
 	applyGossip(OK, 8)
-	if g.deprioritized(g.trackedByID["s0"]) {
+	if g.deprioritized(g.endpoints.trackedByID["s0"]) {
 		t.Error("a server told to be well again is kept aside")
 	}
 }
@@ -244,19 +244,19 @@
 			s.NodeIndex = me
 			g, r := newGate(t, s, fleet(60)...)
 			own := g.Stats().SubsetEndpoints
-			for _, sv := range g.tracked {
+			for _, sv := range g.endpoints.tracked {
 				homes[sv.ID] += int(oneIf(sv.inSubset))
 			}
 			for n := 0; n < 20; n++ {
 				q := newRequest(n, "safe", "rate", uint64(n))
 				g.RequestArrived(t0, q, r)
-				if req := g.requests[q.ID]; req == nil || own > 0 && !req.attempts[0].endpoint.inSubset {
+				if req := g.requests.byID[q.ID]; req == nil || own > 0 && !req.attempts[0].endpoint.inSubset {
 					t.Fatalf("%d gateways: %v", instances, r.acts)
 				}
 				g.AttemptFinished(t0+ms, Outcome{ID: q.ID, Result: OK, Answered: true, Elapsed: ms}, r)
 			}
 			var drained []Endpoint
-			for _, sv := range g.tracked {
+			for _, sv := range g.endpoints.tracked {
 				if sv.inSubset {
 					drained = append(drained, Endpoint{ID: sv.ID, State: Draining, MachineType: "k", Zone: "a", Cell: 1})
 				}
@@ -282,14 +282,14 @@
 	if held := g.Stats().SubsetEndpoints; held != 4 {
 		t.Fatalf("the subset holds %d of the 4 servers: the test wants a gateway with all", held)
 	}
-	g.responseRate = 100 // as of a gateway in service
-	for _, s := range g.tracked {
+	g.concurrency.responseRate = 100 // as of a gateway in service
+	for _, s := range g.endpoints.tracked {
 		s.listed = s.ID == "s0"
 	}
 	for n := range 3 {
 		g.RequestArrived(t0, newRequest(n, "unsafe", "rate", uint64(n)), r)
 	}
-	for _, s := range g.tracked {
+	for _, s := range g.endpoints.tracked {
 		s.listed = true
 	}
 	if out, servers := g.reachable(); out != 3 || servers != 4 {
@@ -302,7 +302,7 @@
 	if to, all := sendsTo(g, r, t0+time.Second, "s0"); all < 100 || to > 0 {
 		t.Errorf("%d of %d went to a server that nobody hears of", to, all)
 	}
-	g.receiveLoadGossip(append(binary.BigEndian.AppendUint16(nil, g.trackedByID["s0"].shortHash), 3, 1))
+	g.receiveLoadGossip(append(binary.BigEndian.AppendUint16(nil, g.endpoints.trackedByID["s0"].shortHash), 3, 1))
 	if out, _ := g.reachable(); out != 3 {
 		t.Errorf("%v out after another gateway was answered, want 3", out)
 	}
@@ -310,7 +310,7 @@
 
 // lapse lets the time of a gateway's latest ask pass with no answer.
 func lapse(g *Balancer, r *recorder, asked time.Duration) {
-	num := g.lastRequestNumber
+	num := g.requests.lastNumber
 	g.TimerFired(asked+quotaRequestRepeatAfter, num<<timerBits|timerQuotaRequest, r)
 	g.TimerFired(asked+quotaRequestTimeout, num<<timerBits|timerQuotaRequest, r)
 }
@@ -319,7 +319,7 @@
 func asks(t *testing.T) (member, h *Balancer, r, hr *recorder, st *quotaBucket, holder int) {
 	member, r = wideGate(t, 10)
 	member.RequestArrived(t0, wideRequest(1, 77), r)
-	holder = member.ownerFor(member.quotas[77])
+	holder = member.ownerFor(member.quotas.buckets[77])
 	h, hr = wideGate(t, holder)
 	return member, h, r, hr, h.quotaFor(77, h.planIndex["rate"], 100, 10), holder
 }
@@ -330,7 +330,7 @@
 	member, h, r, hr, st, holder := asks(t)
 	full := st.tokens
 	h.PeerMessage(t0, 10, r.tells[holder][0], hr) // the answer is lost
-	member.TimerFired(t0+quotaRequestRepeatAfter, member.lastRequestNumber<<timerBits|timerQuotaRequest, r)
+	member.TimerFired(t0+quotaRequestRepeatAfter, member.requests.lastNumber<<timerBits|timerQuotaRequest, r)
 	if len(r.tells[holder]) != 2 {
 		t.Fatalf("%d asks", len(r.tells[holder]))
 	}
@@ -354,7 +354,7 @@
 	}{"ask lost": {false, false, 2.5}, "answer lost": {true, false, 7.5}, "answer late": {true, true, 5}} {
 		member, h, r, hr, st, holder := asks(t)
 		h.PeerMessage(t0, 10, r.tells[holder][0], hr) // the holder knows the member
-		member.responseRate = 100                     // as of a gateway in service
+		member.concurrency.responseRate = 100         // as of a gateway in service
 		st.tokens, st.refilledAt = 10, h.now
 		q := wideRequest(50, 77)
 		q.Units = 5
@@ -390,7 +390,7 @@
 func TestCutNeitherWaitsNorFillsStores(t *testing.T) {
 	member, h, r, hr, st, _ := asks(t)
 	for range maxUnansweredQuotaRequests {
-		member.consecutiveUnanswered++
+		member.gossip.consecutiveUnanswered++
 	}
 	r.acts = nil
 	member.RequestArrived(t0+ms, wideRequest(2, 77), r)
@@ -401,9 +401,9 @@
 	for n := range 40 { // the customer uses all that the holder has, for seconds
 		now += 100 * ms
 		q := wideRequest(100+n, 77)
-		member.consecutiveUnanswered = 0
+		member.gossip.consecutiveUnanswered = 0
 		member.RequestArrived(now, q, r)
-		h.PeerMessage(now, 10, r.tells[member.ownerFor(member.quotas[77])][len(r.tells[member.ownerFor(member.quotas[77])])-1], hr)
+		h.PeerMessage(now, 10, r.tells[member.ownerFor(member.quotas.buckets[77])][len(r.tells[member.ownerFor(member.quotas.buckets[77])])-1], hr)
 	}
 	before := st.tokens
 	h.now = now + 5*time.Second
@@ -417,12 +417,12 @@
 func TestRestartedHolderGrantsNoSecondBurst(t *testing.T) {
 	for _, pass := range []float64{1, 0.5} {
 		member, r := wideGate(t, 10)
-		member.overQuotaTenants[tenantHash(77)] = overQuotaTenant{pass, t0}
+		member.quotas.overQuotaTenants[tenantHash(77)] = overQuotaTenant{pass, t0}
 		member.RequestArrived(t0, wideRequest(1, 77), r)
-		holder := member.ownerFor(member.quotas[77])
+		holder := member.ownerFor(member.quotas.buckets[77])
 		h, hr := wideGate(t, holder)
 		h.PeerMessage(t0, 10, r.tells[holder][0], hr)
-		if st := h.quotas[77]; st.tokens > 0 != (pass == 1) {
+		if st := h.quotas.buckets[77]; st.tokens > 0 != (pass == 1) {
 			t.Errorf("share %v: level %v", pass, st.tokens)
 		}
 	}
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -16,6 +16,18 @@
 // maxNewEntryBytes is the bytes of new entries in a tell; the repeat follows if it fits.
 const maxNewEntryBytes = 180
 
+// gossipState is the state of the exchange of messages with the other nodes.
+type gossipState struct {
+	epoch                 uint64 // of this process: tells its sequence numbers from those before a restart
+	peers                 []peerState
+	interval              time.Duration
+	unreported            []*quotaBucket // buckets with something to report
+	consecutiveUnanswered int            // quota requests without a grant since the last message
+	lastMessage           time.Duration  // when that came
+	messages              float64        // received since the last control interval
+	messageRate           float64        // received per second, averaged
+}
+
 // peerState is the state of tells to and from one peer.
 type peerState struct {
 	sentSequence            uint64
@@ -29,24 +41,24 @@
 }
 
 // PeerMessage brings a message of another gateway. A malformed one is ignored whole.
-func (g *Balancer) PeerMessage(now time.Duration, from int, message []byte, out Actions) {
-	g.now, g.actions = now, out
-	if from < 0 || from >= len(g.peers) || from == g.settings.NodeIndex || len(message) == 0 {
+func (b *Balancer) PeerMessage(now time.Duration, from int, message []byte, out Actions) {
+	b.now, b.actions = now, out
+	if from < 0 || from >= len(b.gossip.peers) || from == b.settings.NodeIndex || len(message) == 0 {
 		return
 	}
-	g.peerMessages++
-	g.consecutiveUnanswered, g.lastPeerMessage = 0, now
+	b.gossip.messages++
+	b.gossip.consecutiveUnanswered, b.gossip.lastMessage = 0, now
 	if message[0] != kindGossip {
-		g.receiveQuotaMessage(from, message)
+		b.receiveQuotaMessage(from, message)
 		return
 	}
-	g.receiveGossip(from, message)
+	b.receiveGossip(from, message)
 }
 
 // receiveGossip takes in a tell, by its number and that of the sender's process.
-func (g *Balancer) receiveGossip(from int, message []byte) {
-	epoch, seq, cur, prev, ok := g.decodeGossip(message)
-	p := &g.peers[from]
+func (b *Balancer) receiveGossip(from int, message []byte) {
+	epoch, seq, cur, prev, ok := b.decodeGossip(message)
+	p := &b.gossip.peers[from]
 	if !ok || p.received && epoch == p.previousEpoch && epoch != p.epoch {
 		return
 	}
@@ -58,74 +70,75 @@
 		return
 	}
 	if seq > p.receivedSequence+1 {
-		g.applyGossipEntries(from, prev)
+		b.applyGossipEntries(from, prev)
 	}
 	p.receivedSequence = seq
-	g.applyGossipEntries(from, cur)
+	b.applyGossipEntries(from, cur)
 }
 
-func (g *Balancer) applyGossipEntries(from int, es []gossipEntry) {
+func (b *Balancer) applyGossipEntries(from int, es []gossipEntry) {
 	for _, e := range es {
-		if st := g.quotas[e.tenant]; st != nil && st.plan != e.plan {
+		if st := b.quotas.buckets[e.tenant]; st != nil && st.plan != e.plan {
 			continue
 		}
-		st := g.quotaFor(e.tenant, e.plan, e.entryNodes, e.firstEntryNode)
-		if g.settings.Plans[e.plan].Rate > 0 {
-			st.tokens = math.Max(st.tokens-e.units, -g.settings.Plans[e.plan].Burst)
+		st := b.quotaFor(e.tenant, e.plan, e.entryNodes, e.firstEntryNode)
+		if b.settings.Plans[e.plan].Rate > 0 {
+			st.tokens = math.Max(st.tokens-e.units, -b.settings.Plans[e.plan].Burst)
 		}
-		if g.settings.Plans[e.plan].MaxConcurrent > 0 {
+		if b.settings.Plans[e.plan].MaxConcurrent > 0 {
 			if st.peerInFlight == nil {
-				st.peerInFlight = make([]peerInFlight, g.settings.NodeCount)
+				st.peerInFlight = make([]peerInFlight, b.settings.NodeCount)
 			}
-			st.peerInFlight[from] = peerInFlight{e.inFlight, g.now}
+			st.peerInFlight[from] = peerInFlight{e.inFlight, b.now}
 		}
 	}
 }
 
 // gossip tells each peer of the stores whose sets it is in, and returns the most messages that one was sent.
-func (g *Balancer) gossip() (most int) {
-	for i := range g.peers {
-		if i != g.settings.NodeIndex {
-			most = max(most, g.gossipTo(i, func(st *quotaBucket) bool {
-				return g.isEntryNode(i,
+func (b *Balancer) sendGossip() (most int) {
+	for i := range b.gossip.peers {
+		if i != b.settings.NodeIndex {
+			most = max(most, b.gossipTo(i, func(st *quotaBucket) bool {
+				return b.isEntryNode(i,
 					st.firstEntryNode, st.entryNodes)
 			}))
 		}
 	}
-	kept := g.unreported[:0]
-	for _, st := range g.unreported {
+	kept := b.gossip.unreported[:0]
+	for _, st := range b.gossip.unreported {
 		st.unreportedUnits -= math.Round(st.unreportedUnits)
 		st.acquiredSinceGossip, st.startedSinceGossip = 0, 0
 		if st.idleReports++; st.inFlight > 0 {
 			st.idleReports = 0
 		}
 		// Levels are told until two tells have said that nothing is out.
-		if st.dirty = g.settings.Plans[st.plan].MaxConcurrent > 0 && st.idleReports < 3; st.dirty {
+		if st.dirty = b.settings.Plans[st.plan].MaxConcurrent > 0 && st.idleReports < 3; st.dirty {
 			kept = append(kept, st)
 		}
 	}
-	g.unreported = kept
+	b.gossip.unreported = kept
 	return most
 }
 
 // gossipTo packs the stores to tell that about chooses, in as many messages as it takes, and returns their
 // number.
-func (g *Balancer) gossipTo(peer int, about func(*quotaBucket) bool) (sent int) {
-	p, n := &g.peers[peer], 0
+func (b *Balancer) gossipTo(peer int, about func(*quotaBucket) bool) (sent int) {
+	p, n := &b.gossip.peers[peer], 0
 	var body []byte
 	flush := func() {
 		if n > 0 || p.previousEntryCount > 0 {
 			p.sentSequence++
-			g.actions.SendPeer(peer, encodeGossip(g.epoch, p.sentSequence, n, body, p.previousEntryCount,
+			b.actions.SendPeer(peer, encodeGossip(b.gossip.epoch, p.sentSequence, n, body,
+				p.previousEntryCount,
 				p.previousEntries))
 			p.previousEntries, p.previousEntryCount, body, n = body, n, nil, 0
 			sent++
 		}
 	}
-	for _, st := range g.unreported {
+	for _, st := range b.gossip.unreported {
 		if about(st) {
 			n++
-			if body = g.appendEntry(body, st); len(body) > maxNewEntryBytes-maxEntryBytes {
+			if body = b.appendEntry(body, st); len(body) > maxNewEntryBytes-maxEntryBytes {
 				flush()
 			}
 		}
@@ -136,44 +149,44 @@
 	return sent
 }
 
-func (g *Balancer) markUnreported(st *quotaBucket) {
-	if !st.dirty && !st.owned && g.settings.Gossip && g.settings.NodeCount > 1 {
+func (b *Balancer) markUnreported(st *quotaBucket) {
+	if !st.dirty && !st.owned && b.settings.Gossip && b.settings.NodeCount > 1 {
 		st.dirty = true
-		g.unreported = append(g.unreported, st)
+		b.gossip.unreported = append(b.gossip.unreported, st)
 	}
 }
 
 // ownsQuotas tells whether the fleet is so large that tells to all of it come too late to go by.
-func (g *Balancer) ownsQuotas() bool {
-	return g.settings.Gossip && g.gossipInterval > assessmentIntervals*controlInterval
+func (b *Balancer) ownsQuotas() bool {
+	return b.settings.Gossip && b.gossip.interval > assessmentIntervals*controlInterval
 }
 
 // receiveQuotaMessage takes an ask of a member, the answer of a holder, or what a member gives back.
-func (g *Balancer) receiveQuotaMessage(from int, message []byte) {
-	m, ok := g.decodeQuotaMessage(message)
+func (b *Balancer) receiveQuotaMessage(from int, message []byte) {
+	m, ok := b.decodeQuotaMessage(message)
 	if !ok {
 		return
 	}
 	if m.kind == kindQuotaRequest || m.kind == kindQuotaGrant {
-		g.overload.mixIntoPool(peerPoolSmoothing, m.pooledMeans)
-		g.receiveOverQuota(m.overQuota)
-		g.receiveLoadGossip(m.loadGossip)
+		b.overload.mixIntoPool(peerPoolSmoothing, m.pooledMeans)
+		b.receiveOverQuota(m.overQuota)
+		b.receiveLoadGossip(m.loadGossip)
 	}
 	switch m.kind {
 	case kindQuotaRequest:
-		g.answerQuotaRequest(from, m)
+		b.answerQuotaRequest(from, m)
 	case kindQuotaGrant:
-		g.receiveQuotaGrant(from, m)
+		b.receiveQuotaGrant(from, m)
 	case kindReconciliation:
-		if st := g.quotas[m.tenant]; st != nil && st.owned &&
-			g.isEntryNode(from, st.firstEntryNode, st.entryNodes) {
-			g.refill(st)
-			st.tokens = st.clampTokens(st.tokens+st.reconcile(from, m), g.settings.Plans[st.plan].Burst)
+		if st := b.quotas.buckets[m.tenant]; st != nil && st.owned &&
+			b.isEntryNode(from, st.firstEntryNode, st.entryNodes) {
+			b.refill(st)
+			st.tokens = st.clampTokens(st.tokens+st.reconcile(from, m), b.settings.Plans[st.plan].Burst)
 		}
 	case kindQuotaRelease:
-		if st := g.quotas[m.tenant]; st != nil && st.owned {
-			g.refill(st)
-			st.tokens = math.Min(st.tokens+m.units, g.settings.Plans[st.plan].Burst/st.ownerCount)
+		if st := b.quotas.buckets[m.tenant]; st != nil && st.owned {
+			b.refill(st)
+			st.tokens = math.Min(st.tokens+m.units, b.settings.Plans[st.plan].Burst/st.ownerCount)
 			st.dropConcurrencyLeases(func(l concurrencyLease) bool {
 				return l.from == from &&
 					l.number == m.number
--- a/balancer/gossip_codec.go
+++ b/balancer/gossip_codec.go
@@ -76,15 +76,15 @@
 }
 
 // entryCode packs a store's plan, spread and first.
-func (g *Balancer) entryCode(st *quotaBucket) uint64 {
-	n := uint64(g.settings.NodeCount)
-	return (uint64(st.plan)*n+uint64(st.entryNodes-1))*n + uint64(st.firstEntryNode%g.settings.NodeCount)
+func (b *Balancer) entryCode(st *quotaBucket) uint64 {
+	n := uint64(b.settings.NodeCount)
+	return (uint64(st.plan)*n+uint64(st.entryNodes-1))*n + uint64(st.firstEntryNode%b.settings.NodeCount)
 }
 
 // decodeEntryCode unpacks a code; it is false for one that names no plan.
-func (g *Balancer) decodeEntryCode(code uint64, plan, spread, first *int) bool {
-	n := uint64(g.settings.NodeCount)
-	if code/n/n >= uint64(len(g.settings.Plans)) {
+func (b *Balancer) decodeEntryCode(code uint64, plan, spread, first *int) bool {
+	n := uint64(b.settings.NodeCount)
+	if code/n/n >= uint64(len(b.settings.Plans)) {
 		return false
 	}
 	*first, *spread, *plan = int(code%n), int(code/n%n)+1, int(code/n/n)
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -97,7 +97,7 @@
 	for i := 0; i < n; i++ {
 		q.ID = fmt.Sprintf("%s-%d-%v-%d", q.Class, q.Customer, now, i)
 		q.Units = max(q.Units, 1)
-		g.inFlight = 0 // the quota alone is looked at
+		g.concurrency.inFlight = 0 // the quota alone is looked at
 		g.RequestArrived(now, q, r)
 	}
 	return r.count("send") - before
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -21,49 +21,54 @@
 	slowConnect          = 100 * time.Millisecond // a connection refused at once is no silence
 )
 
+// healthChecker paces health checks.
+type healthChecker struct {
+	checkTokens float64 // health checks earned by attempts
+}
+
 // recordOutcome keeps a server's health.
-func (g *Balancer) recordOutcome(r *request, s *endpoint, o Outcome) {
-	if g.settings.LoadReports == LoadReportsInResponses { // elsewhere an answer has none to give
-		g.recordLoadReport(s, o.LoadReport)
+func (b *Balancer) recordOutcome(r *request, s *endpoint, o Outcome) {
+	if b.settings.LoadReports == LoadReportsInResponses { // elsewhere an answer has none to give
+		b.recordLoadReport(s, o.LoadReport)
 	}
 	bad := 1.0
 	switch o.Result {
 	case OK, Overloaded, ErrorResponse:
-		g.recordResponse(s)
+		b.recordResponse(s)
 		if o.ConnectedAt > 0 {
 			s.confirmUpSince(o.ConnectedAt)
 		}
 	case TimedOut, ConnectFailed:
-		g.recordNoResponse(s, g.now-o.Elapsed)
+		b.recordNoResponse(s, b.now-o.Elapsed)
 		if o.Elapsed >= slowConnect {
-			g.ejectUnresponsive(s, g.now-o.Elapsed)
+			b.ejectUnresponsive(s, b.now-o.Elapsed)
 		}
 	}
 	switch o.Result {
 	case OK:
 		bad = 0
-		s.lastProgress, s.consecutiveEjections = g.now, 0
-		g.responses++
-		g.recordLatency(r.class, s, o.Elapsed)
+		s.lastProgress, s.consecutiveEjections = b.now, 0
+		b.concurrency.responses++
+		b.recordLatency(r.class, s, o.Elapsed)
 		// Rule 4: only of servers that count in the mean, and only work that is known: answers of
 		// draining servers or a guess that proves too high would inflate what cold ones may be sent.
-		if g.warmUpFraction(s) >= 1 && s.acceptsRequests() && s.inSubset {
-			g.warmWorkDone += g.learnedWork(r.class)
+		if b.warmUpFraction(s) >= 1 && s.acceptsRequests() && s.inSubset {
+			b.slowStart.warmWorkDone += b.learnedWork(r.class)
 		}
 	case NotSent, Cancelled:
 		return
 	case Overloaded:
-		s.lastProgress = g.now
-		g.overload.sampleOccupancy(1)
-		s.ejectedUntil = max(s.ejectedUntil, g.now+controlInterval)
+		s.lastProgress = b.now
+		b.overload.sampleOccupancy(1)
+		s.ejectedUntil = max(s.ejectedUntil, b.now+controlInterval)
 		return
 	case TimedOut:
-		g.overload.sampleOccupancy(1)
-		s.latencyRatio += latencySmoothing * (o.Elapsed.Seconds()/math.Max(g.latencies[r.class].mean,
+		b.overload.sampleOccupancy(1)
+		s.latencyRatio += latencySmoothing * (o.Elapsed.Seconds()/math.Max(b.latency.classes[r.class].mean,
 			1e-3) - s.latencyRatio)
 		bad = 0.5
 	case ErrorResponse:
-		s.lastProgress, s.lastResponseFailed, s.loadReportedAt = g.now, true, g.now
+		s.lastProgress, s.lastResponseFailed, s.loadReportedAt = b.now, true, b.now
 	}
 	if o.Result == ConnectFailed {
 		// The process may have restarted and be cold, long before the list says so. Also covers one
@@ -71,23 +76,23 @@
 		// all servers would count as cold, and one that dies refuses new connections as well.
 		// Single connections fail at servers that live too: an answer on one made before takes it back, or
 		// that to a probe sent at once, before any process could have started.
-		s.suspectRestart(g.now)
-		s.refusesConnections, s.loadReportedAt = true, g.now
-		if g.settings.HealthChecks && g.settings.LoadReports != NoLoadReports && s.confirmingSince == 0 &&
+		s.suspectRestart(b.now)
+		s.refusesConnections, s.loadReportedAt = true, b.now
+		if b.settings.HealthChecks && b.settings.LoadReports != NoLoadReports && s.confirmingSince == 0 &&
 			s.acceptsRequests() {
-			s.confirmingSince, s.lastHealthCheck = g.now, g.now
-			g.actions.HealthCheck(s.ID)
+			s.confirmingSince, s.lastHealthCheck = b.now, b.now
+			b.actions.HealthCheck(s.ID)
 		}
 	}
 	s.errorRate += errorSmoothing * (bad - s.errorRate)
-	if (s.errorRate > ejectionErrorRate || o.Result == ConnectFailed) && g.now >= s.ejectedUntil {
-		g.eject(s)
-		g.log("ejected server %s after result %d, strike %d", s.ID, o.Result, s.consecutiveEjections)
+	if (s.errorRate > ejectionErrorRate || o.Result == ConnectFailed) && b.now >= s.ejectedUntil {
+		b.eject(s)
+		b.log("ejected server %s after result %d, strike %d", s.ID, o.Result, s.consecutiveEjections)
 	}
 }
 
 // recordLoadReport takes in a load report.
-func (g *Balancer) recordLoadReport(s *endpoint, l *LoadReport) {
+func (b *Balancer) recordLoadReport(s *endpoint, l *LoadReport) {
 	if l == nil {
 		return
 	}
@@ -95,24 +100,24 @@
 		s.reportedQueue = l.Queued
 	}
 	if l.InFlight >= 0 {
-		s.recordLoad(l.InFlight, g.now)
+		s.recordLoad(l.InFlight, b.now)
 	}
 	if l.Utilization >= 0 {
-		s.utilizationReportedAt = g.now
-		g.overload.sampleOccupancy(math.Min(l.Utilization, 1))
+		s.utilizationReportedAt = b.now
+		b.overload.sampleOccupancy(math.Min(l.Utilization, 1))
 	}
 }
 
 // recordResponse takes in an answer of any kind.
-func (g *Balancer) recordResponse(s *endpoint) {
+func (b *Balancer) recordResponse(s *endpoint) {
 	if s.ejectedAsUnresponsive {
 		s.ejectedAsUnresponsive, s.ejectedUntil = false, 0
 	}
 	if s.unreachable {
 		s.unreachable, s.ejectedUntil, s.consecutiveEjections = false, 0, 0
-		g.log("server %s answers again", s.ID)
+		b.log("server %s answers again", s.ID)
 	}
-	s.lastResponse = g.now
+	s.lastResponse = b.now
 }
 
 // recordNoResponse takes in that something sent to the server at a time came to nothing. If all else sent
@@ -121,37 +126,37 @@
 // it is heard again: probes find that out, where an ejection's end would risk a request, or several at once,
 // each time. It covers lost halls, single machines and cut links; it harms where servers answer nothing at
 // all for as long as a probe waits and then go on: for a round of probes the others carry their load.
-func (g *Balancer) recordNoResponse(s *endpoint, sent time.Duration) {
-	if !g.settings.HealthChecks || g.settings.LoadReports == NoLoadReports || s.lastResponse >= sent ||
+func (b *Balancer) recordNoResponse(s *endpoint, sent time.Duration) {
+	if !b.settings.HealthChecks || b.settings.LoadReports == NoLoadReports || s.lastResponse >= sent ||
 		s.unreachable {
 		return
 	}
 	s.unreachable = true
-	g.log("server %s is silent: out until it answers a probe", s.ID)
+	b.log("server %s is silent: out until it answers a probe", s.ID)
 }
 
 // unresponsive tells whether the server is known to answer nothing: it was silent to probes or, in a large
 // fleet, no gateway has told of an answer since this one's attempts there have been out for several times
 // the mean. One gateway's silence may be chance, but a server that lives answers some gateway many times a
 // second.
-func (g *Balancer) unresponsive(s *endpoint) bool {
+func (b *Balancer) unresponsive(s *endpoint) bool {
 	switch {
 	case s.unreachable:
 		return true
-	case !g.ownsQuotas():
+	case !b.ownsQuotas():
 		return false
-	case s.ejectedAsUnresponsive && g.now < s.ejectedUntil:
+	case s.ejectedAsUnresponsive && b.now < s.ejectedUntil:
 		return true
 	case s.inFlight == 0:
 		return false
 	}
-	aim := recentAttemptFraction * g.longestLatencyObjective().Seconds()
-	wait := math.Min(math.Max(unresponsiveAfterMeans*g.meanLatency(), aim/4), aim)
-	return (g.now - max(s.lastProgress, s.loadReportedAt)).Seconds() > wait
+	aim := recentAttemptFraction * b.longestLatencyObjective().Seconds()
+	wait := math.Min(math.Max(unresponsiveAfterMeans*b.meanLatency(), aim/4), aim)
+	return (b.now - max(s.lastProgress, s.loadReportedAt)).Seconds() > wait
 }
 
-func (g *Balancer) eject(s *endpoint) {
-	s.ejectedUntil = g.now + min(baseEjection<<min(s.consecutiveEjections, 10), maxEjection)
+func (b *Balancer) eject(s *endpoint) {
+	s.ejectedUntil = b.now + min(baseEjection<<min(s.consecutiveEjections, 10), maxEjection)
 	s.consecutiveEjections++
 	s.errorRate = ejectionErrorRate / 2
 }
@@ -159,9 +164,9 @@
 // ejectUnresponsive takes in that an attempt came to nothing at a server of which no gateway has told since
 // it was
 // sent. To try such a server costs a request; news ends that sooner than a try would.
-func (g *Balancer) ejectUnresponsive(s *endpoint, sent time.Duration) {
-	if g.ownsQuotas() && max(s.lastResponse, s.loadReportedAt) <= sent {
-		s.ejectedAsUnresponsive, s.ejectedUntil = true, max(s.ejectedUntil, g.now+unresponsiveEjection)
+func (b *Balancer) ejectUnresponsive(s *endpoint, sent time.Duration) {
+	if b.ownsQuotas() && max(s.lastResponse, s.loadReportedAt) <= sent {
+		s.ejectedAsUnresponsive, s.ejectedUntil = true, max(s.ejectedUntil, b.now+unresponsiveEjection)
 	}
 }
 
@@ -169,51 +174,51 @@
 // fleet
 // that
 // hears of the same server's errors from all its gateways: there it stays aside while its answers are bad.
-func (g *Balancer) deprioritized(s *endpoint) bool {
-	return g.now < s.ejectedUntil || s.errorRate > ejectionErrorRate && g.ownsQuotas() || g.unresponsive(s)
+func (b *Balancer) deprioritized(s *endpoint) bool {
+	return b.now < s.ejectedUntil || s.errorRate > ejectionErrorRate && b.ownsQuotas() || b.unresponsive(s)
 }
 
 // HealthChecked brings the result of a probe.
-func (g *Balancer) HealthChecked(now time.Duration, id string, res Result, l *LoadReport, out Actions) {
-	g.now, g.actions = now, out
-	s := g.trackedByID[id]
+func (b *Balancer) HealthChecked(now time.Duration, id string, res Result, l *LoadReport, out Actions) {
+	b.now, b.actions = now, out
+	s := b.endpoints.trackedByID[id]
 	if s == nil {
 		return
 	}
 	switch res {
 	case OK:
-		g.recordLoadReport(s, l)
+		b.recordLoadReport(s, l)
 		fallthrough
 	case Overloaded, ErrorResponse:
-		g.recordResponse(s)
+		b.recordResponse(s)
 		if s.confirmingSince > 0 {
 			s.confirmUpSince(s.confirmingSince)
 		}
 	case ConnectFailed:
-		s.suspectRestart(g.now)
+		s.suspectRestart(b.now)
 		fallthrough
 	case TimedOut:
-		g.recordNoResponse(s, s.lastHealthCheck)
+		b.recordNoResponse(s, s.lastHealthCheck)
 	}
 	s.confirmingSince = 0
 }
 
 // sendHealthCheck probes the server least lately probed. A gateway probes at most half as often as it sends.
-func (g *Balancer) sendHealthCheck() {
-	g.healthCheckTokens = math.Min(g.healthCheckTokens+g.overload.pooledMeans[poolSent]/2, 1)
-	if !g.settings.HealthChecks || g.settings.LoadReports == NoLoadReports || len(g.tracked) == 0 ||
-		g.healthCheckTokens < 1 {
+func (b *Balancer) sendHealthCheck() {
+	b.health.checkTokens = math.Min(b.health.checkTokens+b.overload.pooledMeans[poolSent]/2, 1)
+	if !b.settings.HealthChecks || b.settings.LoadReports == NoLoadReports || len(b.endpoints.tracked) == 0 ||
+		b.health.checkTokens < 1 {
 		return
 	}
-	g.healthCheckTokens = 0
+	b.health.checkTokens = 0
 	var next *endpoint
-	for _, s := range g.tracked {
+	for _, s := range b.endpoints.tracked {
 		if s.acceptsRequests() && (next == nil || s.lastHealthCheck < next.lastHealthCheck) {
 			next = s
 		}
 	}
 	if next != nil {
-		next.lastHealthCheck = g.now
-		g.actions.HealthCheck(next.ID)
+		next.lastHealthCheck = b.now
+		b.actions.HealthCheck(next.ID)
 	}
 }
--- a/balancer/health_test.go
+++ b/balancer/health_test.go
@@ -11,7 +11,7 @@
 // A refused connection ejects at once, for longer each time, and an answer ends it.
 func TestEjectionGrows(t *testing.T) {
 	g, r := newGate(t, testSettings(), fleet(2)...)
-	s := g.trackedByID["s0"]
+	s := g.endpoints.trackedByID["s0"]
 	q := &request{}
 	var last time.Duration
 	for i := 1; i <= 6; i++ {
@@ -90,7 +90,7 @@
 		g, r := newGate(t, testSettings(), fleet(1)...)
 		g.RequestArrived(t0, newRequest(1, "unsafe", "rate", 1), r)
 		g.AttemptFinished(t0+ms, Outcome{ID: "r1", Result: res, EndpointID: "s0"}, r)
-		if got := g.warmUpFraction(g.tracked[0]) < 1; got != cold {
+		if got := g.warmUpFraction(g.endpoints.tracked[0]) < 1; got != cold {
 			t.Errorf("after result %d: cold %v, want %v", res, got, cold)
 		}
 		r.acts = nil
@@ -158,11 +158,11 @@
 		"was reset": func(s *endpoint) { s.suspectedRestart = t0 },
 	} {
 		g, _ := newGate(t, testSettings(), fleet(2)...)
-		a, b := g.tracked[0], g.tracked[1]
-		for _, s := range g.tracked {
+		a, b := g.endpoints.tracked[0], g.endpoints.tracked[1]
+		for _, s := range g.endpoints.tracked {
 			s.inFlight, s.lastProgress = 1, t0
 		}
-		g.latencies[0].mean = 0.1
+		g.latency.classes[0].mean = 0.1
 		spoil(b)
 		if g.cost(b) < 1.3*g.cost(a) {
 			t.Errorf("%s: cost %v against %v", name, g.cost(b), g.cost(a))
@@ -174,7 +174,7 @@
 // one; an answer that came meanwhile tells that it lives.
 func TestSilentServerIsOutUntilItAnswers(t *testing.T) {
 	g, r := newGate(t, probing(), fleet(2)...)
-	s, now := g.trackedByID["s0"], t0
+	s, now := g.endpoints.trackedByID["s0"], t0
 	sentTo := func(id string) (n int) {
 		for i := range 30 {
 			now += 50 * ms
@@ -219,13 +219,13 @@
 		if i%10 == 9 {
 			g.overload.pooledMeans[poolSent] = 2
 			g.TimerFired(now, timerControlInterval, r)
-			for id := range g.trackedByID {
+			for id := range g.endpoints.trackedByID {
 				probes[id] += r.count("probe " + id)
 			}
 			r.acts = nil
 		}
 	}
-	for id := range g.trackedByID {
+	for id := range g.endpoints.trackedByID {
 		if probes[id] != 2 {
 			t.Errorf("%d probes of %s, want 2 of each in 20", probes[id], id)
 		}
@@ -237,10 +237,10 @@
 	g, r := newGate(t, testSettings(), fleet(12)...)
 	g.settings.NodeCount = 6
 	for i := range 9 {
-		g.trackedByID[fmt.Sprintf("s%d", i)].ejectedUntil = t0 + time.Hour
+		g.endpoints.trackedByID[fmt.Sprintf("s%d", i)].ejectedUntil = t0 + time.Hour
 	}
 	for _, id := range []string{"s9", "s10"} {
-		g.trackedByID[id].inFlight, g.trackedByID[id].lastProgress = 9, t0
+		g.endpoints.trackedByID[id].inFlight, g.endpoints.trackedByID[id].lastProgress = 9, t0
 	}
 	blind := 0
 	for i := range 100 {
@@ -263,7 +263,7 @@
 		g.AttemptFinished(at, Outcome{ID: fmt.Sprint("r", n), Result: ConnectFailed, EndpointID: "s0"}, r)
 	}
 	g, r := newGate(t, probing(), fleet(1)...)
-	s := g.tracked[0]
+	s := g.endpoints.tracked[0]
 	fail(g, r, 1, t0)
 	if r.count("probe s0") != 1 || g.warmUpFraction(s) == 1 {
 		t.Errorf("%d probes sent, warmth %v after a failed connection", r.count("probe s0"), g.warmUpFraction(s))
@@ -282,7 +282,7 @@
 	}
 
 	g, r = newGate(t, testSettings(), fleet(1)...)
-	s = g.tracked[0]
+	s = g.endpoints.tracked[0]
 	for i := range 2 * maxSuspectedRestarts {
 		s.suspectRestart(t0 + time.Duration(i+1)*ms)
 	}
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -15,6 +15,17 @@
 	baselineGrowth = 0.01
 )
 
+// latencyTracker holds the latencies learned for each class and machine type.
+type latencyTracker struct {
+	classes          []classLatency // by class index
+	machineTypeIndex map[string]int
+	machineTypes     []*machineTypeLatency // by machine type index
+}
+
+func newLatencyTracker(classes int) latencyTracker {
+	return latencyTracker{classes: make([]classLatency, classes), machineTypeIndex: map[string]int{}}
+}
+
 // machineTypeLatency is the latency of a kind as a multiple of the mean.
 type machineTypeLatency struct{ meanRatio, samples float64 }
 
@@ -34,8 +45,8 @@
 }
 
 // recordLatency learns from one answered attempt.
-func (g *Balancer) recordLatency(class int, s *endpoint, took time.Duration) {
-	c := &g.latencies[class]
+func (b *Balancer) recordLatency(class int, s *endpoint, took time.Duration) {
+	c := &b.latency.classes[class]
 	x := took.Seconds()
 	if c.mean == 0 {
 		c.mean, c.deviation = x, x/2
@@ -44,13 +55,13 @@
 	c.deviation += meanSmoothing * (math.Abs(x-c.mean) - c.deviation)
 	c.mean += meanSmoothing * (x - c.mean)
 	s.latencyRatio += latencySmoothing * (x/math.Max(c.mean, 1e-6) - s.latencyRatio)
-	for len(c.byMachineType) <= g.machineTypeIndex[s.MachineType] {
+	for len(c.byMachineType) <= b.latency.machineTypeIndex[s.MachineType] {
 		c.byMachineType = append(c.byMachineType, baselineLatency{})
 	}
-	l := g.machineTypeLatencies[g.machineTypeIndex[s.MachineType]]
+	l := b.latency.machineTypes[b.latency.machineTypeIndex[s.MachineType]]
 	l.samples++
 	l.meanRatio += math.Max(1/(l.samples+1), meanSmoothing) * (x/math.Max(c.mean, 1e-6) - l.meanRatio)
-	k := &c.byMachineType[g.machineTypeIndex[s.MachineType]]
+	k := &c.byMachineType[b.latency.machineTypeIndex[s.MachineType]]
 	k.sum += x
 	if k.samples++; k.samples >= minBaselineSamples {
 		k.lowest *= 1 + baselineGrowth
@@ -59,32 +70,32 @@
 		}
 		k.sum, k.samples = 0, 0
 	}
-	if g.settings.LoadReports == NoLoadReports || s.utilizationReportedAt == 0 {
+	if b.settings.LoadReports == NoLoadReports || s.utilizationReportedAt == 0 {
 		if k.lowest > 0 {
 			// Each latency weighs by its length, which makes the mean over a probe 1 - lowest/mean.
-			g.overload.occupancySums[g.overload.intervalIndex()] += x/k.lowest - 1
-			g.overload.occupancyCounts[g.overload.intervalIndex()] += x / k.lowest
+			b.overload.occupancySums[b.overload.intervalIndex()] += x/k.lowest - 1
+			b.overload.occupancyCounts[b.overload.intervalIndex()] += x / k.lowest
 		} else {
 			// or a few full refusals would be all there is
-			g.overload.occupancyCounts[g.overload.intervalIndex()]++
+			b.overload.occupancyCounts[b.overload.intervalIndex()]++
 		}
 	}
 }
 
-func (g *Balancer) meanLatency() float64 {
+func (b *Balancer) meanLatency() float64 {
 	var sum, n float64
-	for i := range g.latencies {
-		if g.latencies[i].mean > 0 {
-			sum, n = sum+g.latencies[i].mean, n+1
+	for i := range b.latency.classes {
+		if b.latency.classes[i].mean > 0 {
+			sum, n = sum+b.latency.classes[i].mean, n+1
 		}
 	}
 	return sum / math.Max(n, 1)
 }
 
 // learnedWork is 0 as long as nothing is known of the class.
-func (g *Balancer) learnedWork(class int) float64 {
+func (b *Balancer) learnedWork(class int) float64 {
 	least := 0.0
-	for _, k := range g.latencies[class].byMachineType {
+	for _, k := range b.latency.classes[class].byMachineType {
 		if k.lowest > 0 && (least == 0 || k.lowest < least) {
 			least = k.lowest
 		}
@@ -93,25 +104,25 @@
 }
 
 // workOf is the work of one request of a class, in seconds of the lowest latency seen.
-func (g *Balancer) workOf(class int) float64 {
-	if w := g.learnedWork(class); w > 0 {
+func (b *Balancer) workOf(class int) float64 {
+	if w := b.learnedWork(class); w > 0 {
 		return w
 	}
-	return g.settings.Classes[class].LatencyObjective.Seconds() / 4
+	return b.settings.Classes[class].LatencyObjective.Seconds() / 4
 }
 
-func (g *Balancer) longestLatencyObjective() (d time.Duration) {
-	for _, c := range g.settings.Classes {
+func (b *Balancer) longestLatencyObjective() (d time.Duration) {
+	for _, c := range b.settings.Classes {
 		d = max(d, c.LatencyObjective)
 	}
 	return d
 }
 
 // relativeCapacity is the server's size: as listed or, where all are listed alike, by the speed of its kind.
-func (g *Balancer) relativeCapacity(s *endpoint) float64 {
-	if k := g.machineTypeIndex[s.MachineType]; !g.list.activeWeights.differ() &&
-		g.machineTypeLatencies[k].samples > 0 {
-		return g.weight(s) * math.Min(1/g.machineTypeLatencies[k].meanRatio, 1)
+func (b *Balancer) relativeCapacity(s *endpoint) float64 {
+	if k := b.latency.machineTypeIndex[s.MachineType]; !b.endpoints.list.activeWeights.differ() &&
+		b.latency.machineTypes[k].samples > 0 {
+		return b.weight(s) * math.Min(1/b.latency.machineTypes[k].meanRatio, 1)
 	}
-	return g.weight(s)
+	return b.weight(s)
 }
--- a/balancer/load_codec.go
+++ b/balancer/load_codec.go
@@ -20,19 +20,20 @@
 // appendOverQuota adds the latest news of customers: how many, and per customer the hash, the share and its
 // age.
 func (g *Balancer) appendOverQuota(b []byte) []byte {
-	keys := make([]uint16, 0, len(g.overQuotaTenants))
-	for key, h := range g.overQuotaTenants {
+	keys := make([]uint16, 0, len(g.quotas.overQuotaTenants))
+	for key, h := range g.quotas.overQuotaTenants {
 		if g.now-h.at < loadGossipMaxAge {
 			keys = append(keys, key)
 		}
 	}
 	slices.SortFunc(keys, func(a, b uint16) int {
-		return cmp.Or(cmp.Compare(g.overQuotaTenants[b].at, g.overQuotaTenants[a].at), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(g.quotas.overQuotaTenants[b].at, g.quotas.overQuotaTenants[a].at),
+			cmp.Compare(a, b))
 	})
 	keys = keys[:min(len(keys), maxOverQuotaEntries)]
 	b = append(b, byte(len(keys)))
 	for _, key := range keys {
-		h := g.overQuotaTenants[key]
+		h := g.quotas.overQuotaTenants[key]
 		b = binary.BigEndian.AppendUint16(b, key)
 		b = append(b, byte(math.Round(h.grantedFraction*math.MaxUint8)), byte((g.now-h.at+ageUnit-1)/ageUnit))
 	}
--- a/balancer/load_gossip.go
+++ b/balancer/load_gossip.go
@@ -22,7 +22,7 @@
 // receiveLoadGossip takes in what another gateway knows of servers, where it is newer.
 func (g *Balancer) receiveLoadGossip(b []byte) {
 	for ; len(b) >= loadEntryBytes; b = b[loadEntryBytes:] {
-		s := g.subsetByHash[binary.BigEndian.Uint16(b)]
+		s := g.endpoints.subsetByHash[binary.BigEndian.Uint16(b)]
 		at := g.now - time.Duration(b[3])*ageUnit - peerMessageDelay
 		if s == nil || at <= s.loadReportedAt+ageUnit+peerMessageDelay || g.now-at > loadGossipMaxAge {
 			continue // within the precision of ages it may be what is known already
@@ -41,8 +41,8 @@
 func (g *Balancer) receiveOverQuota(b []byte) {
 	for ; len(b) >= loadEntryBytes; b = b[loadEntryBytes:] {
 		key, at := binary.BigEndian.Uint16(b), g.now-time.Duration(b[3])*ageUnit-peerMessageDelay
-		if was, known := g.overQuotaTenants[key]; !known || at > was.at+ageUnit+peerMessageDelay {
-			g.overQuotaTenants[key] = overQuotaTenant{float64(b[2]) / math.MaxUint8, at}
+		if was, known := g.quotas.overQuotaTenants[key]; !known || at > was.at+ageUnit+peerMessageDelay {
+			g.quotas.overQuotaTenants[key] = overQuotaTenant{float64(b[2]) / math.MaxUint8, at}
 		}
 	}
 }
@@ -51,8 +51,8 @@
 // first.
 func (g *Balancer) freshestLoads(n, node int) []*endpoint {
 	var news []*endpoint
-	for i := range g.sharedEndpoints {
-		s := &g.sharedEndpoints[i]
+	for i := range g.endpoints.shared {
+		s := &g.endpoints.shared[i]
 		if rank(s.rendezvousKey, node) <= s.lastSubsetRank && s.acceptsRequests() && s.loadReportedAt > 0 &&
 			g.now-s.loadReportedAt < loadGossipMaxAge {
 			news = append(news, s.endpoint)
@@ -67,15 +67,16 @@
 // expectedOtherLoad is the number of requests that the server is expected to hold besides this gateway's own:
 // what
 // was told of it, the less the older that is.
-func (g *Balancer) expectedOtherLoad(s *endpoint) float64 {
+func (b *Balancer) expectedOtherLoad(s *endpoint) float64 {
 	switch {
-	case !g.ownsQuotas():
+	case !b.ownsQuotas():
 		return 0 // its own attempts tell a gateway of a small fleet more, and sooner
 	case s.reportedLoad < 0:
 		return 0 // nobody has had an answer from it: it has just come
 	}
-	age := g.now - s.loadReportedAt
-	return g.meanLoad + (s.otherNodesLoad-g.meanLoad)*math.Exp(-age.Seconds()/loadGossipDecay.Seconds())
+	age := b.now - s.loadReportedAt
+	mean := b.endpoints.meanLoad
+	return mean + (s.otherNodesLoad-mean)*math.Exp(-age.Seconds()/loadGossipDecay.Seconds())
 }
 
 // sharedEndpoint is a server of the subset with what tells whether another gateway's subset holds it.
@@ -85,37 +86,37 @@
 }
 
 // recordSharers notes which gateways' subsets hold a server of this one's.
-func (g *Balancer) recordSharers(s *endpoint) {
-	if first := int(g.subsetsPerEndpoint + fraction(s.rendezvousKey)); first != s.subsetsWithIt &&
-		g.ownsQuotas() {
-		s.subsetsWithIt, s.lastSubsetRank = first, lastRank(s.rendezvousKey, g.settings.NodeCount, first)
+func (b *Balancer) recordSharers(s *endpoint) {
+	if first := int(b.endpoints.subsetsPerEndpoint + fraction(s.rendezvousKey)); first != s.subsetsWithIt &&
+		b.ownsQuotas() {
+		s.subsetsWithIt, s.lastSubsetRank = first, lastRank(s.rendezvousKey, b.settings.NodeCount, first)
 	}
-	g.sharedEndpoints = append(g.sharedEndpoints, sharedEndpoint{s.rendezvousKey, s.lastSubsetRank, s})
+	b.endpoints.shared = append(b.endpoints.shared, sharedEndpoint{s.rendezvousKey, s.lastSubsetRank, s})
 }
 
 // indexSubset holds by which names news has the servers of the subset, and which gateways share them, after
 // the
 // subset has changed.
-func (g *Balancer) indexSubset() {
-	if !g.subsetDirty {
+func (b *Balancer) indexSubset() {
+	if !b.endpoints.subsetDirty {
 		return
 	}
-	g.subsetDirty = false
-	clear(g.subsetByHash)
-	g.sharedEndpoints = g.sharedEndpoints[:0]
-	for _, s := range g.tracked {
+	b.endpoints.subsetDirty = false
+	clear(b.endpoints.subsetByHash)
+	b.endpoints.shared = b.endpoints.shared[:0]
+	for _, s := range b.endpoints.tracked {
 		if s.inSubset {
-			g.indexByHash(s)
-			g.recordSharers(s)
+			b.indexByHash(s)
+			b.recordSharers(s)
 		}
 	}
 }
 
 // indexByHash enters a server of the subset by its name in news. Two that share one are known by neither.
-func (g *Balancer) indexByHash(s *endpoint) {
-	if _, shared := g.subsetByHash[s.shortHash]; shared {
-		g.subsetByHash[s.shortHash] = nil
+func (b *Balancer) indexByHash(s *endpoint) {
+	if _, shared := b.endpoints.subsetByHash[s.shortHash]; shared {
+		b.endpoints.subsetByHash[s.shortHash] = nil
 		return
 	}
-	g.subsetByHash[s.shortHash] = s
+	b.endpoints.subsetByHash[s.shortHash] = s
 }
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -17,8 +17,8 @@
 			g.TimerFired(now, timerControlInterval, r)
 		}
 	}
-	if g.responseRate < 500 {
-		t.Errorf("rate %v after 200 ms at 1000 a second", g.responseRate)
+	if g.concurrency.responseRate < 500 {
+		t.Errorf("rate %v after 200 ms at 1000 a second", g.concurrency.responseRate)
 	}
 }
 
@@ -87,7 +87,7 @@
 // A try whose client leaves before answers usually come is refused at once.
 func TestShortPatienceIsRefused(t *testing.T) {
 	g, r := newGate(t, testSettings(), fleet(4)...)
-	c := &g.latencies[g.classIndex["safe"]]
+	c := &g.latency.classes[g.classIndex["safe"]]
 	c.samples, c.mean, c.deviation = minBaselineSamples, 0.2, 0.01
 	q := newRequest(1, "safe", "rate", 1)
 	q.Timeout = 100 * ms
@@ -126,7 +126,7 @@
 	for refill := time.Duration(2.5 / p.Rate * float64(time.Second)); n < 100; n += 4 {
 		send(n, fresh, at+2*ms) // refused
 		at = g.now + refill
-		g.quotas[1].congestedUntil = at + time.Second
+		g.quotas.buckets[1].congestedUntil = at + time.Second
 		if send(n+1, old, at) {
 			t.Fatal("a late try took the units of a crowded store")
 		}
@@ -152,11 +152,11 @@
 // Attempts at silent servers wait for nothing that the others do.
 func TestSilentServersAreNoJam(t *testing.T) {
 	g, _ := newGate(t, probing(), fleet(2)...)
-	g.trackedByID["s0"].inFlight, g.inFlight = 9, 9
+	g.endpoints.trackedByID["s0"].inFlight, g.concurrency.inFlight = 9, 9
 	if !g.exceedsConcurrencyLimit(0) {
 		t.Fatal("9 attempts out at two servers are no jam")
 	}
-	g.trackedByID["s0"].unreachable = true
+	g.endpoints.trackedByID["s0"].unreachable = true
 	if g.exceedsConcurrencyLimit(0) {
 		t.Error("attempts at a silent server read as a jam of all")
 	}
@@ -168,21 +168,21 @@
 	const n = 12
 	g, _ := newGate(t, probing(), fleet(n)...)
 	most := func() (out int) {
-		for g.inFlight = 0; !g.exceedsConcurrencyLimit(0); g.inFlight++ {
+		for g.concurrency.inFlight = 0; !g.exceedsConcurrencyLimit(0); g.concurrency.inFlight++ {
 		}
-		return g.inFlight
+		return g.concurrency.inFlight
 	}
 	if got := most(); got != minConcurrencyPerEndpoint*n {
 		t.Errorf("%d out with all servers up, want %v", got, minConcurrencyPerEndpoint*n)
 	}
 	for i := range n / 2 {
-		g.trackedByID[fmt.Sprintf("s%d", i)].unreachable = true
+		g.endpoints.trackedByID[fmt.Sprintf("s%d", i)].unreachable = true
 	}
 	if got := most(); got != minConcurrencyPerEndpoint*n/2 {
 		t.Errorf("%d out with half of the servers silent, want %v", got, minConcurrencyPerEndpoint*n/2)
 	}
 	g.now = t0
-	for _, s := range g.tracked {
+	for _, s := range g.endpoints.tracked {
 		s.unreachable = false
 		if s.ID < "s5" {
 			s.suspectedRestart = t0
@@ -198,7 +198,7 @@
 func TestBurstIsNotLetInWhole(t *testing.T) {
 	const n = 4
 	g, r := newGate(t, testSettings(), fleet(n)...)
-	g.peerMessageRate = 10
+	g.gossip.messageRate = 10
 	for i := range 200 {
 		q := newRequest(i, "safe", "rate", uint64(i))
 		q.EntryNodes = 1
--- a/balancer/pick_law_test.go
+++ b/balancer/pick_law_test.go
@@ -12,13 +12,13 @@
 // plainlyAdmissible tells by the rules alone whether a request may go to a listed server: the way of a gateway
 // that keeps all servers and goes through them.
 func plainlyAdmissible(g *Balancer, r *request, e Endpoint) bool {
-	s := g.trackedByID[e.ID]
+	s := g.endpoints.trackedByID[e.ID]
 	if s == nil {
 		s = &endpoint{Endpoint: e, listed: true, slowStartTokens: -1}
 	}
 	takes := e.State == Up
 	warm := g.warmUpFraction(s) >= 1
-	holds := position(endpointKey(e.ID), g.settings.NodeIndex, g.settings.NodeCount, g.settings.NodeCount) < int(g.subsetsPerEndpoint+fraction(endpointKey(e.ID)))
+	holds := position(endpointKey(e.ID), g.settings.NodeIndex, g.settings.NodeCount, g.settings.NodeCount) < int(g.endpoints.subsetsPerEndpoint+fraction(endpointKey(e.ID)))
 	saved := warm || holds && s.slowStartTokens >= 1
 	return takes && g.mayAttempt(r, s) && saved && !(s.unreachable && len(r.attempts) > 0)
 }
@@ -108,7 +108,7 @@
 func (m *pickMachine) request(t *rapid.T) {
 	g := m.g
 	r := &request{Request: newRequest(0, "safe", "rate", 1), class: rapid.IntRange(0, 2).Draw(t, "class")}
-	if known := g.tracked; len(known) > 0 && rapid.Bool().Draw(t, "further") {
+	if known := g.endpoints.tracked; len(known) > 0 && rapid.Bool().Draw(t, "further") {
 		s := known[rapid.IntRange(0, len(known)-1).Draw(t, "tried")]
 		r.attempts = append(r.attempts, attempt{endpoint: s, sentAt: m.now, zone: s.Zone, cell: s.Cell, done: true,
 			neverRan: rapid.Bool().Draw(t, "never ran"), result: Reset})
@@ -139,7 +139,7 @@
 // tier is 0 for a server of the subset in service, 1 for another in service and 2 for one that is kept for when
 // no other is left.
 func (m *pickMachine) tier(id string) int {
-	s := m.g.trackedByID[id]
+	s := m.g.endpoints.trackedByID[id]
 	switch {
 	case s != nil && m.g.deprioritized(s):
 		return 2
@@ -158,15 +158,15 @@
 }
 
 // tryCredit brings what may be sent to a cold server up to date, as a choice does.
-func (g *Balancer) tryCredit(id string) {
-	if s := g.trackedByID[id]; s != nil {
-		g.accrueSlowStartTokens(s)
+func (b *Balancer) tryCredit(id string) {
+	if s := b.endpoints.trackedByID[id]; s != nil {
+		b.accrueSlowStartTokens(s)
 	}
 }
 
 func (m *pickMachine) outcome(t *rapid.T) {
 	id := fmt.Sprintf("r%d", rapid.IntRange(1, max(m.sent, 1)).Draw(t, "request"))
-	r := m.g.requests[id]
+	r := m.g.requests.byID[id]
 	if r == nil || len(r.attempts) == 0 {
 		return
 	}
@@ -178,33 +178,33 @@
 // check holds the state against the list.
 func (m *pickMachine) check(t *rapid.T) {
 	g := m.g
-	if len(g.list.slotByID) != len(m.listed) {
-		t.Fatalf("%d listed, want %d", len(g.list.slotByID), len(m.listed))
+	if len(g.endpoints.list.slotByID) != len(m.listed) {
+		t.Fatalf("%d listed, want %d", len(g.endpoints.list.slotByID), len(m.listed))
 	}
 	m.checkWeights(t)
 	g.now = m.now
 	g.moveWarmedUpToReserve()
 	waiting := map[string]bool{}
-	for _, at := range g.list.reserve {
-		waiting[g.list.entries[at].id] = true
+	for _, at := range g.endpoints.list.reserve {
+		waiting[g.endpoints.list.entries[at].id] = true
 	}
 	for id, e := range m.listed {
-		if got := g.list.endpointAt(g.list.slotByID[id]); got != e {
+		if got := g.endpoints.list.endpointAt(g.endpoints.list.slotByID[id]); got != e {
 			t.Fatalf("%+v is listed as %+v", e, got)
 		}
-		s := g.trackedByID[id]
-		if s != nil && (s.Endpoint != e || !s.listed) || g.trackedAt(g.list.slotByID[id]) != s {
-			t.Fatalf("%+v is known as %+v, at its slot as %+v", e, s, g.trackedAt(g.list.slotByID[id]))
+		s := g.endpoints.trackedByID[id]
+		if s != nil && (s.Endpoint != e || !s.listed) || g.trackedAt(g.endpoints.list.slotByID[id]) != s {
+			t.Fatalf("%+v is known as %+v, at its slot as %+v", e, s, g.trackedAt(g.endpoints.list.slotByID[id]))
 		}
 		cold := e.StartedAt != 0 && m.now < e.StartedAt+g.settings.SlowStartDuration
 		if fit := s == nil && e.State == Up && !cold; waiting[id] != fit {
 			t.Fatalf("%+v waits in the reserve: %v", e, waiting[id])
 		}
-		if s == nil && position(endpointKey(id), g.settings.NodeIndex, g.settings.NodeCount, g.settings.NodeCount) < int(g.subsetsPerEndpoint+fraction(endpointKey(id))) {
+		if s == nil && position(endpointKey(id), g.settings.NodeIndex, g.settings.NodeCount, g.settings.NodeCount) < int(g.endpoints.subsetsPerEndpoint+fraction(endpointKey(id))) {
 			t.Fatalf("%s is not known, and the subset is to hold it", id)
 		}
 	}
-	if len(waiting) != len(g.list.reserve) {
+	if len(waiting) != len(g.endpoints.list.reserve) {
 		t.Fatal("a server waits twice")
 	}
 	m.checkNames(t)
@@ -214,23 +214,23 @@
 func (m *pickMachine) checkNames(t *rapid.T) {
 	named := map[uint16][]*endpoint{}
 	members := 0
-	for _, s := range m.g.tracked {
+	for _, s := range m.g.endpoints.tracked {
 		if s.inSubset {
 			members++
 			named[s.shortHash] = append(named[s.shortHash], s)
 		}
 	}
-	if len(m.g.sharedEndpoints) != members || len(m.g.subsetByHash) != len(named) {
-		t.Fatalf("%d members, %d shared, %d named", members, len(m.g.sharedEndpoints), len(m.g.subsetByHash))
+	if len(m.g.endpoints.shared) != members || len(m.g.endpoints.subsetByHash) != len(named) {
+		t.Fatalf("%d members, %d shared, %d named", members, len(m.g.endpoints.shared), len(m.g.endpoints.subsetByHash))
 	}
-	for _, s := range m.g.sharedEndpoints {
-		first := int(m.g.subsetsPerEndpoint + fraction(s.rendezvousKey))
+	for _, s := range m.g.endpoints.shared {
+		first := int(m.g.endpoints.subsetsPerEndpoint + fraction(s.rendezvousKey))
 		if m.g.ownsQuotas() && s.lastSubsetRank != lastRank(s.rendezvousKey, m.g.settings.NodeCount, first) {
 			t.Fatalf("%s is shared with others than the first %d gateways", s.ID, first)
 		}
 	}
 	for hash, servers := range named {
-		if got := m.g.subsetByHash[hash]; len(servers) == 1 && got != servers[0] || len(servers) > 1 && got != nil {
+		if got := m.g.endpoints.subsetByHash[hash]; len(servers) == 1 && got != servers[0] || len(servers) > 1 && got != nil {
 			t.Fatalf("%v has the name of %v", got, servers)
 		}
 	}
@@ -244,14 +244,14 @@
 			continue
 		}
 		listed.add(e.Weight, 1)
-		if s := m.g.trackedByID[id]; s != nil && s.inSubset {
+		if s := m.g.endpoints.trackedByID[id]; s != nil && s.inSubset {
 			members.add(e.Weight, 1)
 		}
 	}
 	for _, c := range []struct {
 		name      string
 		got, want weightCounts
-	}{{"the list", m.g.list.activeWeights, listed}, {"the subset", m.g.subsetWeights, members}} {
+	}{{"the list", m.g.endpoints.list.activeWeights, listed}, {"the subset", m.g.endpoints.subsetWeights, members}} {
 		if c.got.total != c.want.total || c.got.largest != c.want.largest || !maps.Equal(c.got.byWeight, c.want.byWeight) {
 			t.Fatalf("weights of %s: %+v, want %+v", c.name, c.got, c.want)
 		}
--- a/balancer/quota_bucket.go
+++ b/balancer/quota_bucket.go
@@ -20,6 +20,24 @@
 	isolatedAfter = time.Second / 2
 )
 
+// quotaTable holds the buckets of all tenants seen lately, and what is known of tenants over their quota.
+type quotaTable struct {
+	buckets map[uint64]*quotaBucket
+	// the buckets in the order in which they are checked for idleness
+	list                 []*quotaBucket
+	sweepPosition        int                            // in list
+	unansweredAdmissions map[uint64]unansweredAdmission // by number of the request
+	overQuotaTenants     map[uint16]overQuotaTenant     // by hash of the tenant
+}
+
+func newQuotaTable() quotaTable {
+	return quotaTable{
+		buckets:              map[uint64]*quotaBucket{},
+		unansweredAdmissions: map[uint64]unansweredAdmission{},
+		overQuotaTenants:     map[uint16]overQuotaTenant{},
+	}
+}
+
 // quotaBucket is a customer's quota as this gateway sees it.
 type quotaBucket struct {
 	tenant              uint64
@@ -65,24 +83,24 @@
 }
 
 // quotaFor returns the customer's store, filled up to now.
-func (g *Balancer) quotaFor(key uint64, plan, spread, first int) *quotaBucket {
-	st := g.quotas[key]
-	p := &g.settings.Plans[plan]
+func (b *Balancer) quotaFor(key uint64, plan, spread, first int) *quotaBucket {
+	st := b.quotas.buckets[key]
+	p := &b.settings.Plans[plan]
 	if st == nil {
 		st = &quotaBucket{tenant: key, plan: plan, entryNodes: spread, firstEntryNode: first,
-			refilledAt: g.now, grantedFraction: 1}
-		st.incarnation = g.rng.Uint64N(maxIncarnation)
-		if st.sharers = spread; spread > 1 && g.ownsQuotas() {
+			refilledAt: b.now, grantedFraction: 1}
+		st.incarnation = b.rng.Uint64N(maxIncarnation)
+		if st.sharers = spread; spread > 1 && b.ownsQuotas() {
 			// As many holders as it takes for their inboxes to hold the asks that can be granted.
-			asks := p.Rate / math.Max(1, meanUnitsFraction*g.settings.MaxUnits)
+			asks := p.Rate / math.Max(1, meanUnitsFraction*b.settings.MaxUnits)
 			st.owned, st.sharers = true, min(max(1,
-				int(math.Ceil(asks/(quotaInboxFraction*g.settings.PeerMessagesPerSecond)))), spread)
+				int(math.Ceil(asks/(quotaInboxFraction*b.settings.PeerMessagesPerSecond)))), spread)
 		}
 		// Filled since this gateway's start: a store dropped when full comes back full.
-		st.tokens = math.Min(p.Burst, p.Burst/float64(st.sharers)+p.Rate*(g.now-g.started).Seconds())
+		st.tokens = math.Min(p.Burst, p.Burst/float64(st.sharers)+p.Rate*(b.now-b.started).Seconds())
 		if st.ownerCount = 1; st.owned {
 			st.ownerCount = float64(st.sharers)
-			if st.tokens = p.Burst / st.ownerCount; g.grantedFraction(st) < overQuotaThreshold {
+			if st.tokens = p.Burst / st.ownerCount; b.grantedFraction(st) < overQuotaThreshold {
 				st.tokens = 0 // used up, as others tell: one that has restarted would grant it again
 			}
 		}
@@ -91,24 +109,24 @@
 		st.hardLimitBurstFraction = 1 / float64(spread)
 		st.hardLimitRateFraction = st.hardLimitBurstFraction
 		if st.owned { // what its quota leaves of the ceiling is for members that have no answer
-			held := float64(g.partsOwned(st)) / st.ownerCount
+			held := float64(b.partsOwned(st)) / st.ownerCount
 			burst := 1 - math.Min(p.Burst/math.Max(p.HardLimitBurst, 1e-9), 1)
 			rate := 1 - math.Min(p.Rate/math.Max(p.HardLimitRate, 1e-9), 1)
 			st.hardLimitBurstFraction = burst*st.hardLimitBurstFraction + (1-burst)*held
 			st.hardLimitRateFraction = rate*st.hardLimitRateFraction + (1-rate)*held
 		}
 		st.hardLimitTokens = math.Min(p.HardLimitBurst*st.hardLimitBurstFraction,
-			p.HardLimitRate*st.hardLimitRateFraction*(g.now-g.started).Seconds())
-		g.quotas[key] = st
-		g.quotaList = append(g.quotaList, st)
+			p.HardLimitRate*st.hardLimitRateFraction*(b.now-b.started).Seconds())
+		b.quotas.buckets[key] = st
+		b.quotas.list = append(b.quotas.list, st)
 	}
-	g.refill(st)
+	b.refill(st)
 	return st
 }
 
 // checkQuota tells whether units are inside the customer's quota and, if not, when to come back.
-func (g *Balancer) checkQuota(st *quotaBucket, units float64) (bool, time.Duration) {
-	p := &g.settings.Plans[st.plan]
+func (b *Balancer) checkQuota(st *quotaBucket, units float64) (bool, time.Duration) {
+	p := &b.settings.Plans[st.plan]
 	n := float64(st.sharers)
 	if st.owned {
 		n = 1
@@ -116,15 +134,15 @@
 		st.acquiredSinceGossip, st.startedSinceGossip, st.congestedUntil = 0, 0, 0
 	}
 	if p.MaxConcurrent > 0 {
-		room := g.concurrencyHeadroom(st)
+		room := b.concurrencyHeadroom(st)
 		least := 1
-		if g.now < st.congestedUntil {
+		if b.now < st.congestedUntil {
 			least = max(min(st.entryNodes, p.MaxConcurrent/2), 1)
 		}
 		if room < least || st.startedSinceGossip > 0 &&
 			float64(st.startedSinceGossip+1) > float64(room+st.startedSinceGossip)/n {
-			st.congestedUntil = g.now + congestionPeriod
-			return false, min(g.gossipInterval, quotaRequestTimeout)
+			st.congestedUntil = b.now + congestionPeriod
+			return false, min(b.gossip.interval, quotaRequestTimeout)
 		}
 	}
 	if p.Rate > 0 {
@@ -133,27 +151,27 @@
 		// store would hold none. Not so for a customer that was refused of late: its gateways
 		// would all send that one. There the store must have it for each, as far as it can.
 		least := units
-		if g.now < st.congestedUntil {
+		if b.now < st.congestedUntil {
 			least = math.Max(units, math.Min(units*n, p.Burst/2))
 		}
 		if st.tokens < least || st.acquiredSinceGossip > 0 && st.acquiredSinceGossip+units > room {
-			st.congestedUntil = g.now + congestionPeriod
-			return false, max(refillTime(units-st.tokens, p.Rate/st.ownerCount), min(g.gossipInterval,
+			st.congestedUntil = b.now + congestionPeriod
+			return false, max(refillTime(units-st.tokens, p.Rate/st.ownerCount), min(b.gossip.interval,
 				quotaRequestTimeout))
 		}
 	}
 	return true, 0
 }
 
-func (g *Balancer) refill(st *quotaBucket) {
-	p := &g.settings.Plans[st.plan]
-	dt := (g.now - st.refilledAt).Seconds()
-	st.refilledAt = g.now
+func (b *Balancer) refill(st *quotaBucket) {
+	p := &b.settings.Plans[st.plan]
+	dt := (b.now - st.refilledAt).Seconds()
+	st.refilledAt = b.now
 	rate := p.Rate / st.ownerCount
-	if len(st.requesters) > 0 && g.now-g.lastPeerMessage > isolatedAfter {
+	if len(st.requesters) > 0 && b.now-b.gossip.lastMessage > isolatedAfter {
 		// Members that it does not hear go on as before.
 		rate = math.Max(rate-st.grantRate, -math.Max(st.tokens, 0)/math.Max(dt, 1e-9))
-		st.ratesAt = g.now
+		st.ratesAt = b.now
 	}
 	st.tokens = math.Min(st.tokens+rate*dt, p.Burst/st.ownerCount)
 	st.hardLimitTokens = math.Min(st.hardLimitTokens+p.HardLimitRate*st.hardLimitRateFraction*dt,
@@ -161,65 +179,65 @@
 }
 
 // acquire takes units of a request inside the quota, now or when it settles.
-func (g *Balancer) acquire(st *quotaBucket, units float64) {
-	if g.settings.Plans[st.plan].Rate > 0 {
+func (b *Balancer) acquire(st *quotaBucket, units float64) {
+	if b.settings.Plans[st.plan].Rate > 0 {
 		st.tokens -= units
 		st.acquiredSinceGossip += units
 		st.unreportedUnits += units
 	}
-	g.markUnreported(st)
+	b.markUnreported(st)
 }
 
 // concurrencyHeadroom is how many more attempts the customer may have out, as far as is known.
-func (g *Balancer) concurrencyHeadroom(st *quotaBucket) int {
-	room := g.settings.Plans[st.plan].MaxConcurrent - st.inFlight
+func (b *Balancer) concurrencyHeadroom(st *quotaBucket) int {
+	room := b.settings.Plans[st.plan].MaxConcurrent - st.inFlight
 	for i, l := range st.peerInFlight {
 		// An unheard peer counts as nought.
-		if i != g.settings.NodeIndex && g.now-l.reportedAt < maxMissedGossipIntervals*g.gossipInterval {
+		if i != b.settings.NodeIndex && b.now-l.reportedAt < maxMissedGossipIntervals*b.gossip.interval {
 			room -= l.attempts
 		}
 	}
-	st.dropConcurrencyLeases(func(l concurrencyLease) bool { return g.now >= l.expiresAt })
+	st.dropConcurrencyLeases(func(l concurrencyLease) bool { return b.now >= l.expiresAt })
 	return room - len(st.leases)
 }
 
 // dropIdleQuotas drops idle stores among the next eighth, and what is no longer believed of customers.
-func (g *Balancer) dropIdleQuotas() {
-	for key, h := range g.overQuotaTenants {
-		if g.now-h.at > overQuotaRetention {
-			delete(g.overQuotaTenants, key)
+func (b *Balancer) dropIdleQuotas() {
+	for key, h := range b.quotas.overQuotaTenants {
+		if b.now-h.at > overQuotaRetention {
+			delete(b.quotas.overQuotaTenants, key)
 		}
 	}
-	for num, d := range g.unansweredAdmissions {
-		if g.now-d.at > unansweredAdmissionRetention {
-			delete(g.unansweredAdmissions, num)
+	for num, d := range b.quotas.unansweredAdmissions {
+		if b.now-d.at > unansweredAdmissionRetention {
+			delete(b.quotas.unansweredAdmissions, num)
 		}
 	}
-	for n := len(g.quotaList)/8 + 1; n > 0 && len(g.quotaList) > 0; n-- {
-		if g.sweepPosition >= len(g.quotaList) {
-			g.sweepPosition = 0
+	for n := len(b.quotas.list)/8 + 1; n > 0 && len(b.quotas.list) > 0; n-- {
+		if b.quotas.sweepPosition >= len(b.quotas.list) {
+			b.quotas.sweepPosition = 0
 		}
-		st := g.quotaList[g.sweepPosition]
-		if !g.isIdle(st) {
-			g.sweepPosition++
+		st := b.quotas.list[b.quotas.sweepPosition]
+		if !b.isIdle(st) {
+			b.quotas.sweepPosition++
 			continue
 		}
-		delete(g.quotas, st.tenant)
-		g.quotaList[g.sweepPosition] = g.quotaList[len(g.quotaList)-1]
-		g.quotaList = g.quotaList[:len(g.quotaList)-1]
+		delete(b.quotas.buckets, st.tenant)
+		b.quotas.list[b.quotas.sweepPosition] = b.quotas.list[len(b.quotas.list)-1]
+		b.quotas.list = b.quotas.list[:len(b.quotas.list)-1]
 	}
 }
 
 // isIdle tells whether a store may be dropped: full for a burst's time, with nothing out and nothing to tell.
 // Memory stays bounded when customers come once only.
-func (g *Balancer) isIdle(st *quotaBucket) bool {
-	p := &g.settings.Plans[st.plan]
+func (b *Balancer) isIdle(st *quotaBucket) bool {
+	p := &b.settings.Plans[st.plan]
 	idle := idleConcurrencyQuota
 	if p.Rate > 0 {
 		idle = refillTime(2*p.Burst-st.tokens, p.Rate)
 	}
 	idle = max(idle, refillTimeIfLimited(p.HardLimitBurst, p.HardLimitRate))
-	return st.inFlight == 0 && !st.dirty && len(st.leases) == 0 && g.now-st.refilledAt >= idle
+	return st.inFlight == 0 && !st.dirty && len(st.leases) == 0 && b.now-st.refilledAt >= idle
 }
 
 // clampTokens keeps a holder's level between a whole burst owed and its part of one.
--- a/balancer/quota_codec.go
+++ b/balancer/quota_codec.go
@@ -31,18 +31,18 @@
 // refused
 // unasked,
 // the store's life and the units reconciled in it.
-func (g *Balancer) encodeQuotaRequest(r *request) []byte {
+func (b *Balancer) encodeQuotaRequest(r *request) []byte {
 	msg := binary.AppendUvarint([]byte{kindQuotaRequest}, r.number)
 	msg = binary.AppendUvarint(msg, r.quota.tenant)
-	msg = binary.AppendUvarint(msg, g.entryCode(r.quota))
+	msg = binary.AppendUvarint(msg, b.entryCode(r.quota))
 	msg = binary.AppendVarint(msg, int64(math.Round(r.Units)))
 	msg = binary.AppendUvarint(msg, uint64(math.Round(math.Min(r.quota.locallyRejectedUnits, 1e6))))
-	return g.appendLoadGossip(g.appendPool(appendReconciliation(msg, r.quota)), r.quotaOwner)
+	return b.appendLoadGossip(b.appendPool(appendReconciliation(msg, r.quota)), r.quotaOwner)
 }
 
 // encodeReconciliation returns what is reconciled in a member's store: kind, number 0, customer, life and
 // sum.
-func (g *Balancer) encodeReconciliation(st *quotaBucket) []byte {
+func (b *Balancer) encodeReconciliation(st *quotaBucket) []byte {
 	return appendReconciliation(binary.AppendUvarint([]byte{kindReconciliation, 0}, st.tenant), st)
 }
 
@@ -53,13 +53,13 @@
 
 // encodeQuotaGrant returns an answer: kind, number, share of asks granted with 0 for granted or else 1 + the
 // wait.
-func (g *Balancer) encodeQuotaGrant(to int, num uint64, granted bool, wait time.Duration,
+func (b *Balancer) encodeQuotaGrant(to int, num uint64, granted bool, wait time.Duration,
 	admitted float64) []byte {
 	x := uint64(math.Round(admitted * grantedFractionSteps))
 	if !granted {
 		x += (1 + uint64(max(wait, 0)/retryAfterUnit)) * (grantedFractionSteps + 1)
 	}
-	return g.appendLoadGossip(g.appendPool(binary.AppendUvarint(binary.AppendUvarint([]byte{kindQuotaGrant},
+	return b.appendLoadGossip(b.appendPool(binary.AppendUvarint(binary.AppendUvarint([]byte{kindQuotaGrant},
 		num), x)),
 		to)
 }
--- a/balancer/quota_owner.go
+++ b/balancer/quota_owner.go
@@ -44,65 +44,65 @@
 }
 
 // answerQuotaRequest answers a member's ask out of this holder's store.
-func (g *Balancer) answerQuotaRequest(from int, m quotaMessage) {
-	if !g.isEntryNode(from, m.firstEntryNode, m.entryNodes) ||
-		!g.isEntryNode(g.settings.NodeIndex, m.firstEntryNode, m.entryNodes) {
+func (b *Balancer) answerQuotaRequest(from int, m quotaMessage) {
+	if !b.isEntryNode(from, m.firstEntryNode, m.entryNodes) ||
+		!b.isEntryNode(b.settings.NodeIndex, m.firstEntryNode, m.entryNodes) {
 		return
 	}
-	st := g.quotaFor(m.tenant, m.plan, m.entryNodes, m.firstEntryNode)
+	st := b.quotaFor(m.tenant, m.plan, m.entryNodes, m.firstEntryNode)
 	if st.plan != m.plan || !st.owned {
 		return
 	}
-	p := &g.settings.Plans[m.plan]
+	p := &b.settings.Plans[m.plan]
 	st.tokens = st.clampTokens(st.tokens+st.reconcile(from, m), p.Burst)
 	if done := st.previousAnswer(from, m.number); done != nil {
-		g.actions.SendPeer(from, g.encodeQuotaGrant(from, m.number, done.granted, done.wait,
+		b.actions.SendPeer(from, b.encodeQuotaGrant(from, m.number, done.granted, done.wait,
 			st.grantedFraction))
 		return // the answer was lost
 	}
-	st.recordDemand(g.now, m.units+m.locallyRejectedUnits)
-	in, wait := g.checkQuota(st, m.units)
+	st.recordDemand(b.now, m.units+m.locallyRejectedUnits)
+	in, wait := b.checkQuota(st, m.units)
 	if in = in && (p.HardLimitRate <= 0 || st.hardLimitTokens >= m.units); in {
 		wait, st.hardLimitTokens = 0, st.hardLimitTokens-m.units
-		g.acquire(st, m.units)
-		st.recordGrant(g.now, m.units)
+		b.acquire(st, m.units)
+		st.recordGrant(b.now, m.units)
 		if p.MaxConcurrent > 0 {
 			st.leases = append(st.leases, concurrencyLease{from, m.number,
-				g.now + g.longestLatencyObjective()})
+				b.now + b.longestLatencyObjective()})
 		}
-	} else if g.peerMessageRate > inboxPressureFraction*g.settings.PeerMessagesPerSecond {
+	} else if b.gossip.messageRate > inboxPressureFraction*b.settings.PeerMessagesPerSecond {
 		// More members ask in vain than the inbox takes: each pauses until it is their turn again.
 		wait = max(wait, refillTime(float64(st.entryNodes/st.sharers),
-			quotaInboxFraction*g.settings.PeerMessagesPerSecond))
+			quotaInboxFraction*b.settings.PeerMessagesPerSecond))
 	}
 	// A member that hears nothing spends its part of what is there and of what comes within a while.
 	room := math.Max(st.tokens, 0)/isolatedSpendPeriod.Seconds() + p.Rate/st.ownerCount
 	st.grantedFraction = math.Min(1, room/math.Max(st.demandRate, 1e-9))
-	g.recordOverQuota(st.tenant, st.grantedFraction)
+	b.recordOverQuota(st.tenant, st.grantedFraction)
 	st.rememberAnswer(answeredRequest{from, m.number, in, wait})
-	g.actions.SendPeer(from, g.encodeQuotaGrant(from, m.number, in, wait, st.grantedFraction))
+	b.actions.SendPeer(from, b.encodeQuotaGrant(from, m.number, in, wait, st.grantedFraction))
 }
 
-func (g *Balancer) ownerFor(st *quotaBucket) int {
-	return g.ownerOfPart(st, g.settings.NodeIndex%st.sharers)
+func (b *Balancer) ownerFor(st *quotaBucket) int {
+	return b.ownerOfPart(st, b.settings.NodeIndex%st.sharers)
 }
 
-func (g *Balancer) ownerOfPart(st *quotaBucket, part int) int {
+func (b *Balancer) ownerOfPart(st *quotaBucket, part int) int {
 	x := (st.tenant + 1 + uint64(part)<<40) * 0x9e3779b97f4a7c15
 	x = (x ^ x>>32) * 0xd6e8feb86659fd93
-	return (st.firstEntryNode + int((x^x>>32)%uint64(st.entryNodes))) % g.settings.NodeCount
+	return (st.firstEntryNode + int((x^x>>32)%uint64(st.entryNodes))) % b.settings.NodeCount
 }
 
-func (g *Balancer) partsOwned(st *quotaBucket) (n int) {
+func (b *Balancer) partsOwned(st *quotaBucket) (n int) {
 	for part := range st.sharers {
-		n += int(oneIf(g.ownerOfPart(st, part) == g.settings.NodeIndex))
+		n += int(oneIf(b.ownerOfPart(st, part) == b.settings.NodeIndex))
 	}
 	return n
 }
 
 // isEntryNode tells whether a gateway is one of a customer's.
-func (g *Balancer) isEntryNode(i, first, spread int) bool {
-	return (i-first+g.settings.NodeCount)%g.settings.NodeCount < spread
+func (b *Balancer) isEntryNode(i, first, spread int) bool {
+	return (i-first+b.settings.NodeCount)%b.settings.NodeCount < spread
 }
 
 // reconcile takes in a member's sum and returns what it adds to the store. Sums make up for asks that were
@@ -152,17 +152,17 @@
 }
 
 // recordOverQuota takes in what can be granted of a customer's wants.
-func (g *Balancer) recordOverQuota(key uint64, admitted float64) {
-	if _, known := g.overQuotaTenants[tenantHash(key)]; known || admitted < overQuotaThreshold {
-		g.overQuotaTenants[tenantHash(key)] = overQuotaTenant{admitted, g.now}
+func (b *Balancer) recordOverQuota(key uint64, admitted float64) {
+	if _, known := b.quotas.overQuotaTenants[tenantHash(key)]; known || admitted < overQuotaThreshold {
+		b.quotas.overQuotaTenants[tenantHash(key)] = overQuotaTenant{admitted, b.now}
 	}
 }
 
 // grantedFraction is the share of a customer's wants that can be granted, as far as is known: a customer of
 // whom
 // nobody tells is inside its quota.
-func (g *Balancer) grantedFraction(st *quotaBucket) float64 {
-	if h, known := g.overQuotaTenants[tenantHash(st.tenant)]; known {
+func (b *Balancer) grantedFraction(st *quotaBucket) float64 {
+	if h, known := b.quotas.overQuotaTenants[tenantHash(st.tenant)]; known {
 		return h.grantedFraction
 	}
 	return 1
--- a/balancer/quota_requester.go
+++ b/balancer/quota_requester.go
@@ -39,24 +39,24 @@
 	return 0
 }
 
-func (g *Balancer) requestQuota(r *request) {
+func (b *Balancer) requestQuota(r *request) {
 	if math.Abs(r.quota.reconciledUnits) > maxReconciledUnits {
 		r.quota.reconciledUnits, r.quota.reportedReconciliation, r.quota.incarnation = 0, 0,
-			g.rng.Uint64N(maxIncarnation) // it must fit
+			b.rng.Uint64N(maxIncarnation) // it must fit
 	}
-	g.actions.SendPeer(r.quotaOwner, g.encodeQuotaRequest(r))
+	b.actions.SendPeer(r.quotaOwner, b.encodeQuotaRequest(r))
 	r.quota.locallyRejectedUnits = 0
 	switch {
-	case g.isolated() || g.peers[r.quotaOwner].unansweredQuotaRequests >= maxUnansweredQuotaRequests:
-		g.decideWithoutOwner(r)
-	case r.finalQuotaRequest, g.peers[r.quotaOwner].unansweredQuotaRequests > 0,
-		g.peerMessageRate > inboxPressureFraction*g.settings.PeerMessagesPerSecond:
+	case b.isolated() || b.gossip.peers[r.quotaOwner].unansweredQuotaRequests >= maxUnansweredQuotaRequests:
+		b.decideWithoutOwner(r)
+	case r.finalQuotaRequest, b.gossip.peers[r.quotaOwner].unansweredQuotaRequests > 0,
+		b.gossip.messageRate > inboxPressureFraction*b.settings.PeerMessagesPerSecond:
 		// Where inboxes are full, asks that come again would fill them more.
 		r.finalQuotaRequest = true
-		g.actions.SetTimer(r.number<<timerBits|timerQuotaRequest,
+		b.actions.SetTimer(r.number<<timerBits|timerQuotaRequest,
 			quotaRequestTimeout-time.Duration(oneIf(r.quotaRequestRepeated))*quotaRequestRepeatAfter)
 	default:
-		g.actions.SetTimer(r.number<<timerBits|timerQuotaRequest, quotaRequestRepeatAfter)
+		b.actions.SetTimer(r.number<<timerBits|timerQuotaRequest, quotaRequestRepeatAfter)
 	}
 }
 
@@ -64,69 +64,71 @@
 // told.
 // It covers lost messages, holders that are down, stalled or flooded, and cuts; it harms while that share
 // changes unheard. What it sends counts at the holder later, unless the holder counts that itself (fillUp).
-func (g *Balancer) decideWithoutOwner(r *request) {
+func (b *Balancer) decideWithoutOwner(r *request) {
 	r.decidedWithoutOwner = true
-	g.peers[r.quotaOwner].unansweredQuotaRequests++
-	g.consecutiveUnanswered++
-	share := g.grantedFraction(r.quota)
-	g.admit(r, g.rng.Float64() < share, quotaRequestTimeout)
+	b.gossip.peers[r.quotaOwner].unansweredQuotaRequests++
+	b.gossip.consecutiveUnanswered++
+	share := b.grantedFraction(r.quota)
+	b.admit(r, b.rng.Float64() < share, quotaRequestTimeout)
 	sent := len(r.attempts) > 0
-	d := unansweredAdmission{quota: r.quota, quotaOwner: r.quotaOwner, units: r.Units, sent: sent, at: g.now}
-	if !g.isolated() {
+	d := unansweredAdmission{quota: r.quota, quotaOwner: r.quotaOwner, units: r.Units, sent: sent, at: b.now}
+	if !b.isolated() {
 		// The ask was lost or its answer, as likely one as the other: half of what either would change.
 		d.reportedUnits = (d.unreconciledUnits(true)*share + d.unreconciledUnits(false)*(2-share)) / 2
 		r.quota.reconciledUnits += d.reportedUnits
-		g.sendReconciliation(r.quota, r.quotaOwner)
+		b.sendReconciliation(r.quota, r.quotaOwner)
 	}
-	g.unansweredAdmissions[r.number] = d
+	b.quotas.unansweredAdmissions[r.number] = d
 }
 
 // isolated tells whether asks come to nothing whomever they go to: then none is waited for.
-func (g *Balancer) isolated() bool { return g.consecutiveUnanswered >= maxUnansweredQuotaRequests }
+func (b *Balancer) isolated() bool {
+	return b.gossip.consecutiveUnanswered >= maxUnansweredQuotaRequests
+}
 
 // receiveQuotaGrant takes in a holder's answer.
-func (g *Balancer) receiveQuotaGrant(from int, m quotaMessage) {
-	g.peers[from].unansweredQuotaRequests = 0
-	r := g.requestsByNumber[m.number]
+func (b *Balancer) receiveQuotaGrant(from int, m quotaMessage) {
+	b.gossip.peers[from].unansweredQuotaRequests = 0
+	r := b.requests.byNumber[m.number]
 	if r == nil || r.answered || r.quotaOwner != from || r.decidedWithoutOwner || len(r.attempts) > 0 {
-		g.receiveLateGrant(from, m)
+		b.receiveLateGrant(from, m)
 		return
 	}
-	g.recordOverQuota(r.quota.tenant, m.grantedFraction)
+	b.recordOverQuota(r.quota.tenant, m.grantedFraction)
 	if !m.granted {
-		r.quota.rejectedUntil = g.now + m.retryAfter
+		r.quota.rejectedUntil = b.now + m.retryAfter
 	}
 	r.grantedByOwner = m.granted
-	g.admit(r, m.granted, m.retryAfter)
+	b.admit(r, m.granted, m.retryAfter)
 }
 
 // receiveLateGrant takes in an answer that nobody waited for any more: it says what the holder has taken.
-func (g *Balancer) receiveLateGrant(from int, m quotaMessage) {
-	d, ok := g.unansweredAdmissions[m.number]
+func (b *Balancer) receiveLateGrant(from int, m quotaMessage) {
+	d, ok := b.quotas.unansweredAdmissions[m.number]
 	if !ok || d.quotaOwner != from {
 		return
 	}
-	delete(g.unansweredAdmissions, m.number)
+	delete(b.quotas.unansweredAdmissions, m.number)
 	d.quota.reconciledUnits += d.unreconciledUnits(m.granted) - d.reportedUnits
 }
 
 // releaseQuota returns units that were not sent, and a place under an open cap.
-func (g *Balancer) releaseQuota(r *request, units float64) {
-	open := g.settings.Plans[r.quota.plan].MaxConcurrent > 0
+func (b *Balancer) releaseQuota(r *request, units float64) {
+	open := b.settings.Plans[r.quota.plan].MaxConcurrent > 0
 	// whether its ask was granted is not known: only the place is surely free
 	units *= 1 - oneIf(r.decidedWithoutOwner)
 	if !r.inQuota && !r.decidedWithoutOwner || units == 0 && !open {
 		return
 	}
-	if !r.quota.owned || r.quotaOwner == g.settings.NodeIndex {
-		g.refill(r.quota)
-		g.acquire(r.quota, -units)
+	if !r.quota.owned || r.quotaOwner == b.settings.NodeIndex {
+		b.refill(r.quota)
+		b.acquire(r.quota, -units)
 		return
 	}
 	msg := encodeQuotaRelease(r.quota.tenant, r.number, units)
-	g.actions.SendPeer(r.quotaOwner, msg)
+	b.actions.SendPeer(r.quotaOwner, msg)
 	if open && units == 0 {
-		g.actions.SendPeer(r.quotaOwner, msg) // a lost one would block a place for long
+		b.actions.SendPeer(r.quotaOwner, msg) // a lost one would block a place for long
 	}
 }
 
@@ -134,19 +136,19 @@
 // with the
 // next ask of its customer, since a message for each answer would fill the inboxes by half as much again, or
 // sooner where the quota is nearly used and the sum is large: it would go by a store that is not so.
-func (g *Balancer) reconcileUnits(r *request, units float64) {
-	g.refill(r.quota)
-	if !r.quota.owned || r.quotaOwner == g.settings.NodeIndex {
-		g.releaseQuota(r, units)
+func (b *Balancer) reconcileUnits(r *request, units float64) {
+	b.refill(r.quota)
+	if !r.quota.owned || r.quotaOwner == b.settings.NodeIndex {
+		b.releaseQuota(r, units)
 		return
 	}
 	r.quota.reconciledUnits += units
-	g.sendReconciliation(r.quota, r.quotaOwner)
+	b.sendReconciliation(r.quota, r.quotaOwner)
 }
 
-func (g *Balancer) sendReconciliation(st *quotaBucket, holder int) {
-	if g.grantedFraction(st) < 1 &&
-		math.Abs(st.reconciledUnits-st.reportedReconciliation) >= minReconciliationUnits && !g.isolated() {
-		g.actions.SendPeer(holder, g.encodeReconciliation(st))
+func (b *Balancer) sendReconciliation(st *quotaBucket, holder int) {
+	if b.grantedFraction(st) < 1 &&
+		math.Abs(st.reconciledUnits-st.reportedReconciliation) >= minReconciliationUnits && !b.isolated() {
+		b.actions.SendPeer(holder, b.encodeReconciliation(st))
 	}
 }
--- a/balancer/quota_test.go
+++ b/balancer/quota_test.go
@@ -54,7 +54,7 @@
 		for _, i := range order {
 			b.PeerMessage(t0, 0, ra.tells[1][i], rb)
 		}
-		if got := 20 - b.quotas[1].tokens; got != 9 {
+		if got := 20 - b.quotas.buckets[1].tokens; got != 9 {
 			t.Errorf("%s: %v units taken, want 9", name, got)
 		}
 	}
@@ -71,7 +71,7 @@
 		q := newRequest(0, "safe", "rate", c<<25)
 		q.EntryNodes = 2
 		flood(a, ra, t0, 1, q)
-		a.inFlight = 0
+		a.concurrency.inFlight = 0
 	}
 	a.TimerFired(t0, timerGossip, ra)
 	for _, m := range ra.tells[1] {
@@ -80,8 +80,8 @@
 		}
 		b.PeerMessage(t0, 0, m, rb)
 	}
-	if len(b.quotas) != 100 {
-		t.Errorf("%d of 100 customers heard of", len(b.quotas))
+	if len(b.quotas.buckets) != 100 {
+		t.Errorf("%d of 100 customers heard of", len(b.quotas.buckets))
 	}
 }
 
@@ -106,8 +106,8 @@
 	for _, m := range ra.tells[1] {
 		b.PeerMessage(t0+6*ms, 0, m, rb)
 	}
-	if b.quotas[1].tokens >= 0 {
-		t.Errorf("level %v after both spent most of it", b.quotas[1].tokens)
+	if b.quotas.buckets[1].tokens >= 0 {
+		t.Errorf("level %v after both spent most of it", b.quotas.buckets[1].tokens)
 	}
 }
 
@@ -119,7 +119,7 @@
 	q := newRequest(0, "safe", "rate", 1)
 	q.EntryNodes = 3
 	flood(g, r, t0, 30, q)
-	g.quotas[1].tokens = 1.5
+	g.quotas.buckets[1].tokens = 1.5
 	g.TimerFired(t0, timerGossip, r)
 	if n := flood(g, r, t0+ms, 5, q); n != 0 {
 		t.Errorf("%d sent with units for one gateway of three", n)
@@ -145,7 +145,7 @@
 		b.PeerMessage(t0, 7, good, rb)
 		b.PeerMessage(t0, 1, good, rb)
 		b.PeerMessage(t0, 0, append([]byte{0xff, 0xff}, good[:n]...), rb)
-		if len(b.quotas) != 0 || len(rb.acts) != 0 {
+		if len(b.quotas.buckets) != 0 || len(rb.acts) != 0 {
 			t.Fatalf("%d bytes of %d were believed", n, len(good))
 		}
 	}
@@ -165,8 +165,8 @@
 		r := &recorder{}
 		g.Start(t0, r)
 		g.PeerMessage(t0, 1, b, r)
-		if len(g.quotas) > len(b) {
-			t.Errorf("%d stores from %d bytes", len(g.quotas), len(b))
+		if len(g.quotas.buckets) > len(b) {
+			t.Errorf("%d stores from %d bytes", len(g.quotas.buckets), len(b))
 		}
 	})
 }
@@ -212,7 +212,7 @@
 	g, r := newGate(t, s, fleet(2)...)
 	g.RequestArrived(t0, newRequest(1, "safe", "rate", 1), r)
 	g.AttemptFinished(t0, Outcome{ID: "r1", Result: OK, Answered: true, Units: 4}, r)
-	if got := g.quotas[1].tokens; got != 36 {
+	if got := g.quotas.buckets[1].tokens; got != 36 {
 		t.Errorf("level %v, want 36", got)
 	}
 }
@@ -228,8 +228,8 @@
 			g.TimerFired(now, timerControlInterval, r)
 		}
 	}
-	if len(g.quotas) > 5000 || len(g.quotas) != len(g.quotaList) {
-		t.Errorf("%d stores, %d in order", len(g.quotas), len(g.quotaList))
+	if len(g.quotas.buckets) > 5000 || len(g.quotas.buckets) != len(g.quotas.list) {
+		t.Errorf("%d stores, %d in order", len(g.quotas.buckets), len(g.quotas.list))
 	}
 }
 
@@ -239,7 +239,7 @@
 	member, r := wideGate(t, 10)
 	q := wideRequest(1, customer)
 	member.RequestArrived(t0, q, r)
-	holder := member.ownerFor(member.quotas[customer])
+	holder := member.ownerFor(member.quotas.buckets[customer])
 	if !member.isEntryNode(holder, q.FirstEntryNode, q.EntryNodes) || r.count("send")+r.count("refuse") != 0 || r.tells[holder] == nil {
 		t.Fatalf("holder %d, actions %v", holder, r.acts)
 	}
@@ -264,7 +264,7 @@
 	const customer = 77
 	first, r := wideGate(t, 10)
 	first.RequestArrived(t0, wideRequest(1, customer), r)
-	holder := first.ownerFor(first.quotas[customer])
+	holder := first.ownerFor(first.quotas.buckets[customer])
 	h, hr := wideGate(t, holder)
 	sent := 0.0
 	for me := 10; me < 110; me++ {
@@ -294,7 +294,7 @@
 func TestUnansweredAskGoesByTheShareGranted(t *testing.T) {
 	for _, pass := range []float64{0, 1} {
 		g, r := wideGate(t, 10)
-		g.overQuotaTenants[tenantHash(77)] = overQuotaTenant{pass, t0}
+		g.quotas.overQuotaTenants[tenantHash(77)] = overQuotaTenant{pass, t0}
 		g.RequestArrived(t0, wideRequest(1, 77), r)
 		lapse(g, r, t0)
 		if got := r.count("send"); got != int(pass) || r.count("refuse") != 1-got {
@@ -307,12 +307,12 @@
 func TestBadAsksChangeNothing(t *testing.T) {
 	member, r := wideGate(t, 10)
 	member.RequestArrived(t0, wideRequest(1, 77), r)
-	good := r.tells[member.ownerFor(member.quotas[77])][0]
+	good := r.tells[member.ownerFor(member.quotas.buckets[77])][0]
 	for _, c := range []struct{ me, from int }{{5, 10}, {20, 5}, {20, 250}} {
 		g, r := wideGate(t, c.me)
 		g.PeerMessage(t0, c.from, good, r)
-		if len(g.quotas) != 0 || len(r.tells) != 0 {
-			t.Errorf("%+v: %d stores, %d answers", c, len(g.quotas), len(r.tells))
+		if len(g.quotas.buckets) != 0 || len(r.tells) != 0 {
+			t.Errorf("%+v: %d stores, %d answers", c, len(g.quotas.buckets), len(r.tells))
 		}
 	}
 	g, gr := wideGate(t, 20)
@@ -320,7 +320,7 @@
 		g.PeerMessage(t0, 10, good[:n], gr)
 	}
 	g.PeerMessage(t0, 10, append(append([]byte{}, good...), 0), gr)
-	if len(g.quotas) != 0 {
+	if len(g.quotas.buckets) != 0 {
 		t.Error("a malformed ask made a store")
 	}
 }
@@ -345,10 +345,10 @@
 	q := wideRequest(1, 77)
 	q.Plan = "open"
 	member.RequestArrived(t0, q, r)
-	holder := member.ownerFor(member.quotas[77])
+	holder := member.ownerFor(member.quotas.buckets[77])
 	h, hr := wideGate(t, holder)
 	h.PeerMessage(t0, 10, r.tells[holder][0], hr)
-	if n := len(h.quotas[77].leases); n != 1 {
+	if n := len(h.quotas.buckets[77].leases); n != 1 {
 		t.Fatalf("%d leases", n)
 	}
 	r.tells = nil
@@ -357,11 +357,11 @@
 	for _, m := range r.tells[holder] {
 		h.PeerMessage(t0+200*ms, 10, m, hr)
 	}
-	if n := len(h.quotas[77].leases); n != 0 {
+	if n := len(h.quotas.buckets[77].leases); n != 0 {
 		t.Errorf("%d leases after the answer", n)
 	}
-	h.quotas[77].inFlight = h.settings.Plans[h.planIndex["open"]].MaxConcurrent
-	if in, wait := h.checkQuota(h.quotas[77], 1); in || wait > quotaRequestTimeout {
+	h.quotas.buckets[77].inFlight = h.settings.Plans[h.planIndex["open"]].MaxConcurrent
+	if in, wait := h.checkQuota(h.quotas.buckets[77], 1); in || wait > quotaRequestTimeout {
 		t.Errorf("in %v, wait %v", in, wait)
 	}
 }
@@ -372,7 +372,7 @@
 	q := wideRequest(1, 77)
 	q.Plan = "hard"
 	member.RequestArrived(t0, q, r)
-	holder := member.ownerFor(member.quotas[77])
+	holder := member.ownerFor(member.quotas.buckets[77])
 	h, hr := wideGate(t, holder)
 	h.PeerMessage(t0, 10, r.tells[holder][0], hr)
 	member.PeerMessage(t0+ms, holder, hr.tells[10][0], r)
@@ -388,7 +388,7 @@
 	q.Timeout = 30 * ms
 	g.RequestArrived(t0, q, r)
 	for _, s := range r.timers {
-		if s.token == g.lastRequestNumber<<timerBits|timerDeadline && s.after < q.Timeout {
+		if s.token == g.requests.lastNumber<<timerBits|timerDeadline && s.after < q.Timeout {
 			g.TimerFired(t0+s.after, s.token, r)
 		}
 	}
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -2,6 +2,17 @@
 
 import "time"
 
+// requestTable holds the requests that have no final answer yet or have attempts in flight.
+type requestTable struct {
+	byID       map[string]*request
+	byNumber   map[uint64]*request
+	lastNumber uint64
+}
+
+func newRequestTable() requestTable {
+	return requestTable{byID: map[string]*request{}, byNumber: map[uint64]*request{}}
+}
+
 type attempt struct {
 	endpoint *endpoint
 	sentAt   time.Duration
@@ -32,9 +43,9 @@
 }
 
 // AttemptFinished is the end of an attempt.
-func (g *Balancer) AttemptFinished(now time.Duration, o Outcome, out Actions) {
-	g.now, g.actions = now, out
-	r := g.requests[o.ID]
+func (b *Balancer) AttemptFinished(now time.Duration, o Outcome, out Actions) {
+	b.now, b.actions = now, out
+	r := b.requests.byID[o.ID]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].done {
 		return
 	}
@@ -42,91 +53,91 @@
 	a.done, a.result, a.neverRan = true, o.Result, resultNeverRan(o.Result)
 	s := a.endpoint
 	s.inFlight--
-	g.inFlight--
+	b.concurrency.inFlight--
 	r.inFlight--
 	r.quota.inFlight--
-	g.markUnreported(r.quota)
-	g.recordOutcome(r, s, o)
-	if o.Result == OK && g.settings.PostPaid && o.Units > 0 && r.inQuota && !r.reconciled {
+	b.markUnreported(r.quota)
+	b.recordOutcome(r, s, o)
+	if o.Result == OK && b.settings.PostPaid && o.Units > 0 && r.inQuota && !r.reconciled {
 		r.reconciled = true
-		g.reconcileUnits(r, r.Units-o.Units)
+		b.reconcileUnits(r, r.Units-o.Units)
 	}
 	if o.Answered || o.Result == OK {
-		g.finishRequest(r)
+		b.finishRequest(r)
 	}
 	if r.answered {
-		g.finishRequest(r)
+		b.finishRequest(r)
 		return
 	}
 	if r.inFlight > 0 {
 		return
 	}
-	if o.Result == NotSent || !g.retry(r) {
-		g.giveUp(r)
+	if o.Result == NotSent || !b.retry(r) {
+		b.giveUp(r)
 	}
 }
 
 // ResponseStarted tells that the answer of an attempt has begun to stream: it is the client's now.
-func (g *Balancer) ResponseStarted(now time.Duration, id string, n int, out Actions) {
-	g.now, g.actions = now, out
-	if r := g.requests[id]; r != nil && n >= 0 && n < len(r.attempts) {
+func (b *Balancer) ResponseStarted(now time.Duration, id string, n int, out Actions) {
+	b.now, b.actions = now, out
+	if r := b.requests.byID[id]; r != nil && n >= 0 && n < len(r.attempts) {
 		r.responseStarted = true
 		r.attempts[n].endpoint.lastProgress = now
 	}
 }
 
 // ClientGone tells that a request is over without an answer of the gateway.
-func (g *Balancer) ClientGone(now time.Duration, id string, out Actions) {
-	g.now, g.actions = now, out
-	r := g.requests[id]
+func (b *Balancer) ClientGone(now time.Duration, id string, out Actions) {
+	b.now, b.actions = now, out
+	r := b.requests.byID[id]
 	if r == nil || r.answered {
 		return
 	}
-	g.finishRequest(r)
+	b.finishRequest(r)
 	if !r.responseStarted {
-		g.cancelAttempts(r)
+		b.cancelAttempts(r)
 	}
 }
 
 // giveUp gives the final answer: a refusal where that promise holds.
-func (g *Balancer) giveUp(r *request) {
+func (b *Balancer) giveUp(r *request) {
 	if r.answered {
 		return
 	}
-	if g.mayReject(r) {
-		g.reject(r.ID, assessmentIntervals*controlInterval)
+	if b.mayReject(r) {
+		b.reject(r.ID, assessmentIntervals*controlInterval)
 	} else {
-		g.actions.Fail(r.ID)
+		b.actions.Fail(r.ID)
 	}
-	g.finishRequest(r)
-	g.cancelAttempts(r)
+	b.finishRequest(r)
+	b.cancelAttempts(r)
 }
 
 // reject refuses a request of which nothing was sent.
-func (g *Balancer) reject(id string, wait time.Duration) {
-	if !g.settings.RetryAfter {
+func (b *Balancer) reject(id string, wait time.Duration) {
+	if !b.settings.RetryAfter {
 		wait = 0
 	}
-	g.actions.Reject(id, min(wait, g.settings.MaxRetryAfter))
+	b.actions.Reject(id, min(wait, b.settings.MaxRetryAfter))
 }
 
 // finishRequest marks the request answered; it is kept until its attempts have ended.
-func (g *Balancer) finishRequest(r *request) {
+func (b *Balancer) finishRequest(r *request) {
 	r.answered = true
-	delete(g.requestsByNumber, r.number)
+	delete(b.requests.byNumber, r.number)
 	if r.inFlight == 0 {
-		delete(g.requests, r.ID)
-		if len(r.attempts) > 0 && g.settings.Plans[r.quota.plan].MaxConcurrent > 0 && r.quota.owned {
-			g.releaseQuota(r, 0)
+		delete(b.requests.byID, r.ID)
+		if len(r.attempts) > 0 && b.settings.Plans[r.quota.plan].MaxConcurrent > 0 && r.quota.owned {
+			b.releaseQuota(r, 0)
 		}
 	}
 }
 
 // cancelAttempts asks to stop waiting for the attempts that are still out.
-func (g *Balancer) cancelAttempts(r *request) {
+func (b *Balancer) cancelAttempts(r *request) {
 	for i := range r.attempts {
-		if g.settings.Cancellation && !r.attempts[i].done {
-			g.actions.CancelAttempt(r.ID, i)
+		if b.settings.Cancellation && !r.attempts[i].done {
+			b.actions.CancelAttempt(r.ID, i)
 		}
 	}
 }
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -12,22 +12,27 @@
 	maxRetryTokens        = 20  // further attempts that can be saved up
 )
 
+// retryBudget bounds retries to a fraction of the first attempts. The zero value is an empty budget.
+type retryBudget struct {
+	tokens float64
+}
+
 // resultNeverRan tells which results prove that the attempt did not run.
 func resultNeverRan(r Result) bool { return r == Overloaded || r == ConnectFailed || r == NotSent }
 
 // mayAttempt is rule 2 for a further attempt of the request at the server.
-func (g *Balancer) mayAttempt(r *request, s *endpoint) bool {
-	if r.answered || r.responseStarted || r.inFlight > 0 && !g.settings.Hedging ||
-		g.settings.MaxAttempts > 0 && len(r.attempts) >= g.settings.MaxAttempts {
+func (b *Balancer) mayAttempt(r *request, s *endpoint) bool {
+	if r.answered || r.responseStarted || r.inFlight > 0 && !b.settings.Hedging ||
+		b.settings.MaxAttempts > 0 && len(r.attempts) >= b.settings.MaxAttempts {
 		return false
 	}
-	c := &g.settings.Classes[r.class]
+	c := &b.settings.Classes[r.class]
 	for i := range r.attempts {
 		a := &r.attempts[i]
 		if a.neverRan || c.Idempotency == Idempotent {
 			continue
 		}
-		if c.Idempotency == NonIdempotent || g.now > g.retryDeadline(r) ||
+		if c.Idempotency == NonIdempotent || b.now > b.retryDeadline(r) ||
 			c.DedupScope == DedupZone && a.zone != s.Zone || c.DedupScope == DedupCell && a.cell != s.Cell {
 			return false
 		}
@@ -36,18 +41,18 @@
 }
 
 // retryDeadline is until when a request of which an attempt may have run may be sent again, 0 if none has.
-func (g *Balancer) retryDeadline(r *request) time.Duration {
+func (b *Balancer) retryDeadline(r *request) time.Duration {
 	for i := range r.attempts {
-		if c := &g.settings.Classes[r.class]; c.Idempotency == IdempotentWithKey && !r.attempts[i].neverRan {
-			return r.attempts[i].sentAt + c.DedupWindow - 2*g.settings.Tick
+		if c := &b.settings.Classes[r.class]; c.Idempotency == IdempotentWithKey && !r.attempts[i].neverRan {
+			return r.attempts[i].sentAt + c.DedupWindow - 2*b.settings.Tick
 		}
 	}
 	return 0
 }
 
 // mayReject is rule 2 for a refusal, which promises that trying again is harmless.
-func (g *Balancer) mayReject(r *request) bool {
-	c := &g.settings.Classes[r.class]
+func (b *Balancer) mayReject(r *request) bool {
+	c := &b.settings.Classes[r.class]
 	if c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && c.DedupScope == DedupFleet {
 		return true
 	}
@@ -59,46 +64,47 @@
 	return true
 }
 
-func (g *Balancer) startAttempt(r *request, s *endpoint) {
-	c := &g.settings.Classes[r.class]
-	l := &g.latencies[r.class]
-	timeout := max(r.deadline-g.now, g.settings.Tick)
-	more := g.settings.MaxAttempts == 0 || len(r.attempts)+1 < g.settings.MaxAttempts
+func (b *Balancer) startAttempt(r *request, s *endpoint) {
+	c := &b.settings.Classes[r.class]
+	l := &b.latency.classes[r.class]
+	timeout := max(r.deadline-b.now, b.settings.Tick)
+	more := b.settings.MaxAttempts == 0 || len(r.attempts)+1 < b.settings.MaxAttempts
 	if c.Idempotency != NonIdempotent && more && l.samples >= minBaselineSamples &&
-		g.overload.occupancy < overloadedOccupancy {
+		b.overload.occupancy < overloadedOccupancy {
 		slow := max(time.Duration((l.mean+slowAttemptDeviations*l.deviation)*float64(time.Second)),
 			c.LatencyObjective/4)
-		if g.settings.Hedging {
-			g.actions.SetTimer(r.number<<timerBits|timerHedge, slow)
+		if b.settings.Hedging {
+			b.actions.SetTimer(r.number<<timerBits|timerHedge, slow)
 		} else if slow < timeout/2 && slow < c.LatencyObjective {
 			timeout = slow
 		}
 	}
 	if s.inFlight == 0 {
-		s.lastProgress = g.now
+		s.lastProgress = b.now
 	}
 	s.inFlight++
-	g.inFlight++
+	b.concurrency.inFlight++
 	r.inFlight++
 	r.quota.inFlight++
-	g.markUnreported(r.quota)
-	if g.warmUpFraction(s) < 1 {
+	b.markUnreported(r.quota)
+	if b.warmUpFraction(s) < 1 {
 		s.slowStartTokens = math.Max(s.slowStartTokens-1, 0)
 	}
-	by := g.retryDeadline(r)
-	r.attempts = append(r.attempts, attempt{endpoint: s, sentAt: g.now, zone: s.Zone, cell: s.Cell})
-	g.actions.SendAttempt(r.ID, s.ID, timeout, by)
+	by := b.retryDeadline(r)
+	r.attempts = append(r.attempts, attempt{endpoint: s, sentAt: b.now, zone: s.Zone, cell: s.Cell})
+	b.actions.SendAttempt(r.ID, s.ID, timeout, by)
 }
 
 // retry sends a further attempt if one is legal, affordable and of use.
-func (g *Balancer) retry(r *request) bool {
-	if g.retryTokens < 1 || g.now+time.Duration(g.latencies[r.class].mean*float64(time.Second)) > r.deadline {
+func (b *Balancer) retry(r *request) bool {
+	if b.retries.tokens < 1 ||
+		b.now+time.Duration(b.latency.classes[r.class].mean*float64(time.Second)) > r.deadline {
 		return false
 	}
-	s := g.selectEndpoint(r)
+	s := b.selectEndpoint(r)
 	if s != nil {
-		g.retryTokens--
-		g.startAttempt(r, s)
+		b.retries.tokens--
+		b.startAttempt(r, s)
 	}
 	return s != nil
 }
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -16,32 +16,32 @@
 )
 
 // selectEndpoint returns the server with the least expected delay that the request may go to, or nil.
-func (g *Balancer) selectEndpoint(r *request) *endpoint {
+func (b *Balancer) selectEndpoint(r *request) *endpoint {
 	var best *endpoint
 	bestCost, spares := math.Inf(1), 0
 	// Gateways that all took the best of all servers would crowd it. Each looks at a random part.
-	samples := max(len(g.tracked)/g.settings.NodeCount+1, 2)
-	for i := range g.tracked {
-		if best != nil && samples == 0 && !g.deprioritized(best) {
+	samples := max(len(b.endpoints.tracked)/b.settings.NodeCount+1, 2)
+	for i := range b.endpoints.tracked {
+		if best != nil && samples == 0 && !b.deprioritized(best) {
 			break
 		}
-		j := i + g.rng.IntN(len(g.tracked)-i)
-		g.tracked[i], g.tracked[j] = g.tracked[j], g.tracked[i]
-		s := g.tracked[i]
-		if !s.acceptsRequests() || !g.mayAttempt(r, s) || !g.slowStartAllows(s) {
+		j := i + b.rng.IntN(len(b.endpoints.tracked)-i)
+		b.endpoints.tracked[i], b.endpoints.tracked[j] = b.endpoints.tracked[j], b.endpoints.tracked[i]
+		s := b.endpoints.tracked[i]
+		if !s.acceptsRequests() || !b.mayAttempt(r, s) || !b.slowStartAllows(s) {
 			continue
 		}
-		cost := g.cost(s)
+		cost := b.cost(s)
 		switch {
 		case s.unreachable && len(r.attempts) > 0:
 			continue // a further attempt there would only cost the client time
-		case g.deprioritized(s):
+		case b.deprioritized(s):
 			// only if no other is left; no look, or those in service would be taken blindly
 			cost += deprioritizedCost
 		case !s.inSubset:
 			cost += outsideSubsetCost // only if none of the subset is in service
 			spares++
-		case g.rng.Float64()*g.subsetWeights.largest > g.relativeCapacity(s):
+		case b.rng.Float64()*b.endpoints.subsetWeights.largest > b.relativeCapacity(s):
 			cost += notSampledCost // candidates are drawn by their size
 		default:
 			samples = max(samples-1, 0)
@@ -55,58 +55,58 @@
 			best, bestCost = s, cost
 		}
 	}
-	if best != nil && best.inSubset && !g.deprioritized(best) || spares >= g.subsetSize() {
+	if best != nil && best.inSubset && !b.deprioritized(best) || spares >= b.subsetSize() {
 		return best
 	}
 	// As many of the reserve take the place of the subset as that has servers.
-	if s := g.sampleReserve(r); s != nil && (best == nil || g.cost(s)+outsideSubsetCost <= bestCost) {
+	if s := b.sampleReserve(r); s != nil && (best == nil || b.cost(s)+outsideSubsetCost <= bestCost) {
 		best = s
 	}
 	return best
 }
 
-func (g *Balancer) cost(s *endpoint) float64 {
+func (b *Balancer) cost(s *endpoint) float64 {
 	lat := s.latencyRatio
 	if s.inFlight > 0 {
 		// Silence with work out counts as latency: it covers pauses, silent death and cut links alike.
-		lat = math.Max(lat, (g.now-s.lastProgress).Seconds()/math.Max(g.meanLatency(), 1e-3))
+		lat = math.Max(lat, (b.now-s.lastProgress).Seconds()/math.Max(b.meanLatency(), 1e-3))
 	}
-	held := float64(s.inFlight) + math.Max(s.reportedQueue, 0) + g.expectedOtherLoad(s)
+	held := float64(s.inFlight) + math.Max(s.reportedQueue, 0) + b.expectedOtherLoad(s)
 	cost := math.Max(lat, 0.1) * (1 + held) * (1 + errorCostFactor*s.errorRate)
-	cost /= g.warmUpFraction(s)
-	if s.Zone != g.settings.Zone && g.settings.CrossZonePrice > 0 {
+	cost /= b.warmUpFraction(s)
+	if s.Zone != b.settings.Zone && b.settings.CrossZonePrice > 0 {
 		cost *= crossZoneFactor
 	}
 	return cost
 }
 
 // sampleReserve returns a server of the reserve that the request may go to, or nil.
-func (g *Balancer) sampleReserve(r *request) *endpoint {
-	g.moveWarmedUpToReserve()
-	from := g.list.reserve
+func (b *Balancer) sampleReserve(r *request) *endpoint {
+	b.moveWarmedUpToReserve()
+	from := b.endpoints.list.reserve
 	for i := range r.attempts { // a keyed request that may have run stays where its repeats are dropped
-		a, c := &r.attempts[i], &g.settings.Classes[r.class]
+		a, c := &r.attempts[i], &b.settings.Classes[r.class]
 		switch {
 		case a.neverRan || c.Idempotency != IdempotentWithKey:
 		case c.DedupScope == DedupZone:
-			from = g.list.reserveInZone(a.zone)
+			from = b.endpoints.list.reserveInZone(a.zone)
 		case c.DedupScope == DedupCell:
-			from = g.list.reserveInCell(a.cell)
+			from = b.endpoints.list.reserveInCell(a.cell)
 		}
 	}
 	if len(from) == 0 {
 		return nil
 	}
-	at := from[g.rng.IntN(len(from))]
+	at := from[b.rng.IntN(len(from))]
 	for n := 1; n < maxReserveSamples &&
-		g.rng.Float64()*g.list.activeWeights.largest > g.list.weight(at); n++ {
-		at = from[g.rng.IntN(len(from))]
+		b.rng.Float64()*b.endpoints.list.activeWeights.largest > b.endpoints.list.weight(at); n++ {
+		at = from[b.rng.IntN(len(from))]
 	}
-	if !g.mayAttempt(r, &endpoint{Endpoint: g.list.endpointAt(at)}) {
+	if !b.mayAttempt(r, &endpoint{Endpoint: b.endpoints.list.endpointAt(at)}) {
 		return nil
 	}
-	s := g.track(at)
-	s.lastProgress = g.now
-	g.updateReserve(at)
+	s := b.track(at)
+	s.lastProgress = b.now
+	b.updateReserve(at)
 	return s
 }
--- a/balancer/subset_bench_test.go
+++ b/balancer/subset_bench_test.go
@@ -34,7 +34,7 @@
 		changed := map[string][]Endpoint{}
 		for _, e := range list {
 			name := "reserve"
-			if g.trackedByID[e.ID] != nil {
+			if g.endpoints.trackedByID[e.ID] != nil {
 				name = "subset"
 			}
 			if len(changed[name]) < others {
@@ -71,9 +71,9 @@
 					g.EndpointsUpdated(t0, UpdateDelta, list[int(float64(servers)/listLengthSlack):servers], r)
 					b.StartTimer()
 				}
-				number := g.subsetsPerEndpoint
+				number := g.endpoints.subsetsPerEndpoint
 				g.EndpointsUpdated(t0, UpdateDelta, list[at:at+1], r)
-				if g.subsetsPerEndpoint == number {
+				if g.endpoints.subsetsPerEndpoint == number {
 					b.Fatalf("the number of subsets stays at %v", number)
 				}
 			}
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -48,7 +48,7 @@
 // subsetOf returns the listed servers in a gateway's subset.
 func subsetOf(g *Balancer) map[string]bool {
 	ids := map[string]bool{}
-	for _, s := range g.tracked {
+	for _, s := range g.endpoints.tracked {
 		if s.inSubset && s.listed {
 			ids[s.ID] = true
 		}
@@ -127,10 +127,10 @@
 	for n, g := range gates {
 		sizes[n] = float64(g.Stats().SubsetEndpoints)
 		total := 0.0
-		for _, s := range g.tracked {
+		for _, s := range g.endpoints.tracked {
 			total += g.weight(s)
 		}
-		for _, s := range g.tracked {
+		for _, s := range g.endpoints.tracked {
 			held[s.ID]++
 			load[s.ID] += g.weight(s) / total
 		}
@@ -165,7 +165,7 @@
 			s.NodeIndex = n * (c.nodes / c.sample)
 			g, _ := newGate(t, s, list...)
 			own, zone := 0.0, 0.0
-			for _, sv := range g.tracked {
+			for _, sv := range g.endpoints.tracked {
 				own += oneIf(sv.inSubset)
 				zone += oneIf(sv.inSubset && sv.Zone == "a")
 			}
@@ -218,7 +218,7 @@
 // apply brings a change of one server to all gateways of a fleet.
 func (c *serverChanges) apply(t *testing.T, gates []*Balancer, e Endpoint) {
 	t.Helper()
-	before, number := subsetsOf(gates), gates[0].subsetsPerEndpoint
+	before, number := subsetsOf(gates), gates[0].endpoints.subsetsPerEndpoint
 	for _, g := range gates {
 		g.EndpointsUpdated(t0, UpdateDelta, []Endpoint{e}, &recorder{})
 	}
@@ -228,7 +228,7 @@
 		own += oneIf(before[n][e.ID] != after[n][e.ID])
 	}
 	all := changedMembers(before, after)
-	if gates[0].subsetsPerEndpoint == number {
+	if gates[0].endpoints.subsetsPerEndpoint == number {
 		if c.settled++; all != own {
 			t.Errorf("%s: %v members changed where %v must and the number of subsets stays", e.ID, all, own)
 		}
@@ -361,21 +361,21 @@
 	check := func(when string) {
 		t.Helper()
 		near := map[slotIndex]bool{}
-		for _, at := range g.list.subsetCandidates {
+		for _, at := range g.endpoints.list.subsetCandidates {
 			near[at] = true
 		}
 		live := 0
-		for at := range g.list.entries {
-			if g.list.isFree(slotIndex(at)) || g.list.entries[at].entersAt == never {
+		for at := range g.endpoints.list.entries {
+			if g.endpoints.list.isFree(slotIndex(at)) || g.endpoints.list.entries[at].entersAt == never {
 				continue
 			}
 			if live++; !near[slotIndex(at)] {
-				t.Fatalf("%s: %s can enter the subset and is not looked at", when, g.list.entries[at].id)
+				t.Fatalf("%s: %s can enter the subset and is not looked at", when, g.endpoints.list.entries[at].id)
 			}
 		}
 		peak = max(peak, live)
-		if len(g.list.subsetCandidates) > 2*peak {
-			t.Errorf("%s: %d servers looked at, %d can enter the subset", when, len(g.list.subsetCandidates), live)
+		if len(g.endpoints.list.subsetCandidates) > 2*peak {
+			t.Errorf("%s: %d servers looked at, %d can enter the subset", when, len(g.endpoints.list.subsetCandidates), live)
 		}
 		if st := g.Stats(); live < st.SubsetEndpoints || live*10 > st.ListedEndpoints {
 			t.Errorf("%s: %d of %d servers can enter the subset of %d", when, live, st.ListedEndpoints, st.SubsetEndpoints)
@@ -392,9 +392,9 @@
 		g.EndpointsUpdated(t0, UpdateDelta, []Endpoint{old, list[servers+n]}, r)
 	}
 	check("replaced")
-	for at := range g.list.entries[:100] { // one after another, each comes back under its name
+	for at := range g.endpoints.list.entries[:100] { // one after another, each comes back under its name
 		for range 100 {
-			e := g.list.endpointAt(slotIndex(at))
+			e := g.endpoints.list.endpointAt(slotIndex(at))
 			for _, e.State = range []EndpointState{Removed, Up} {
 				g.EndpointsUpdated(t0, UpdateDelta, []Endpoint{e}, r)
 			}
@@ -444,17 +444,17 @@
 		for _, g := range gates {
 			r := &recorder{}
 			g.now, g.actions = t0, r
-			members := slices.Clone(g.tracked)
+			members := slices.Clone(g.endpoints.tracked)
 			for _, s := range members {
 				loseOne(g, s, r)
 			}
 			for n := range each {
 				q := newRequest(n, "safe", "rate", uint64(n))
 				g.RequestArrived(t0, q, r)
-				if req := g.requests[q.ID]; req == nil || req.attempts[0].endpoint.inSubset {
+				if req := g.requests.byID[q.ID]; req == nil || req.attempts[0].endpoint.inSubset {
 					t.Fatalf("%s: not sent to the reserve: %v", way, r.acts)
 				}
-				s := g.requests[q.ID].attempts[0].endpoint
+				s := g.requests.byID[q.ID].attempts[0].endpoint
 				to[s.ID]++
 				heavy += int(oneIf(s.Weight > 1))
 			}
@@ -500,10 +500,10 @@
 		for n := range each {
 			q := newRequest(n, "safe", "rate", uint64(n))
 			g.RequestArrived(t0, q, r)
-			if req := g.requests[q.ID]; req == nil || req.attempts[0].endpoint.Zone == "a" {
+			if req := g.requests.byID[q.ID]; req == nil || req.attempts[0].endpoint.Zone == "a" {
 				t.Fatalf("gateway %d: %v", g.settings.NodeIndex, r.acts)
 			}
-			to[g.requests[q.ID].attempts[0].endpoint.ID]++
+			to[g.requests.byID[q.ID].attempts[0].endpoint.ID]++
 			g.AttemptFinished(t0, Outcome{ID: q.ID, Result: OK, Answered: true, Elapsed: ms}, r)
 		}
 	}
@@ -520,13 +520,13 @@
 // What was used of the reserve is forgotten once the subset is back, and its servers wait in the reserve again.
 func TestReserveIsForgotten(t *testing.T) {
 	g, r := newGate(t, subsetSettings(100), manyServers(400)...)
-	members, waiting := g.Stats().TrackedEndpoints, len(g.list.reserve)
-	for _, s := range g.tracked {
+	members, waiting := g.Stats().TrackedEndpoints, len(g.endpoints.list.reserve)
+	for _, s := range g.endpoints.tracked {
 		g.eject(s)
 	}
 	g.RequestArrived(t0, newRequest(1, "safe", "rate", 1), r)
-	if known := g.Stats().TrackedEndpoints; known != members+1 || len(g.list.reserve) != waiting-1 {
-		t.Fatalf("%d known, %d in the reserve", known, len(g.list.reserve))
+	if known := g.Stats().TrackedEndpoints; known != members+1 || len(g.endpoints.list.reserve) != waiting-1 {
+		t.Fatalf("%d known, %d in the reserve", known, len(g.endpoints.list.reserve))
 	}
 	g.TimerFired(t0+time.Minute, timerControlInterval, r)
 	if g.Stats().TrackedEndpoints != members+1 {
@@ -534,16 +534,16 @@
 	}
 	g.AttemptFinished(t0+time.Minute, Outcome{ID: "r1", Result: OK, Answered: true, Elapsed: ms}, r)
 	g.TimerFired(t0+2*time.Minute, timerControlInterval, r)
-	if known := g.Stats().TrackedEndpoints; known != members || len(g.list.reserve) != waiting {
-		t.Errorf("%d known, %d in the reserve, want %d and %d", known, len(g.list.reserve), members, waiting)
+	if known := g.Stats().TrackedEndpoints; known != members || len(g.endpoints.list.reserve) != waiting {
+		t.Errorf("%d known, %d in the reserve, want %d and %d", known, len(g.endpoints.list.reserve), members, waiting)
 	}
 }
 
 // drawReads counts the entries of the list that are read out to find a server outside the subset.
 func drawReads(g *Balancer, draw func(*request) *endpoint) int {
-	before := g.list.entryReads
+	before := g.endpoints.list.entryReads
 	draw(&request{Request: newRequest(1, "safe", "rate", 1)})
-	return g.list.entryReads - before
+	return g.endpoints.list.entryReads - before
 }
 
 // A server of the reserve must be found without going through the list.
@@ -554,8 +554,8 @@
 	}
 	scan := func(r *request) (found *endpoint) {
 		var fit []slotIndex
-		for at := range g.list.entries {
-			if s := (&endpoint{Endpoint: g.list.endpointAt(slotIndex(at))}); s.State == Up && g.mayAttempt(r, s) {
+		for at := range g.endpoints.list.entries {
+			if s := (&endpoint{Endpoint: g.endpoints.list.endpointAt(slotIndex(at))}); s.State == Up && g.mayAttempt(r, s) {
 				fit = append(fit, slotIndex(at))
 			}
 		}
@@ -574,14 +574,14 @@
 		for seed := range 20 {
 			g, r := newGate(t, s, manyServers(400)...)
 			g.rng = rand.New(rand.NewPCG(uint64(seed), 1))
-			g.retryTokens = 5
+			g.retries.tokens = 5
 			g.RequestArrived(t0, newRequest(1, "keyed", "rate", 1), r)
-			first := g.requests["r1"].attempts[0]
-			for _, sv := range g.tracked {
+			first := g.requests.byID["r1"].attempts[0]
+			for _, sv := range g.endpoints.tracked {
 				g.eject(sv)
 			}
 			g.AttemptFinished(t0+ms, Outcome{ID: "r1", Result: Reset, Elapsed: ms}, r)
-			req := g.requests["r1"]
+			req := g.requests.byID["r1"]
 			if req == nil || len(req.attempts) != 2 {
 				t.Fatalf("no repeat: %v", r.acts)
 			}
@@ -621,7 +621,7 @@
 			for n := range 40 { // all that is let through goes there
 				q := newRequest(step*100+n, "safe", "rate", uint64(n))
 				g.RequestArrived(now, q, r)
-				if req := g.requests[q.ID]; req != nil && req.attempts[0].endpoint.ID == "cold" {
+				if req := g.requests.byID[q.ID]; req != nil && req.attempts[0].endpoint.ID == "cold" {
 					sends++
 				}
 				g.AttemptFinished(now, Outcome{ID: q.ID, Result: OK, Answered: true, Elapsed: 200 * ms}, r)
@@ -656,7 +656,7 @@
 	}
 	entered := 0
 	for _, g := range holders(gates, "cold") {
-		credit := g.trackedByID["cold"].slowStartTokens
+		credit := g.endpoints.trackedByID["cold"].slowStartTokens
 		if slices.Contains(first, g) {
 			continue
 		}
@@ -681,7 +681,7 @@
 		}
 		g.EndpointsUpdated(t0, UpdateSnapshot, list, r)
 	}
-	l := g.list
+	l := g.endpoints.list
 	for what, n := range map[string]int{"servers": len(l.entries), "zones": len(l.zones.values), "kinds": len(l.machineTypes.values),
 		"cells": len(l.cells.values), "weights": len(l.weights.values), "pools": len(l.reserveByZone)} {
 		if n > 4*(10+staleSlack)+10 {
@@ -724,7 +724,7 @@
 				g.EndpointsUpdated(t0, UpdateSnapshot, test.list, r)
 				for _, id := range []string{"a", "b", "c"} {
 					wanted := !slices.Contains(test.removed, id) && slices.ContainsFunc(test.list, func(e Endpoint) bool { return e.ID == id })
-					if _, listed := g.list.slotByID[id]; listed != wanted {
+					if _, listed := g.endpoints.list.slotByID[id]; listed != wanted {
 						t.Errorf("list %d: %s is listed: %v", round+1, id, listed)
 					}
 				}
@@ -740,9 +740,9 @@
 	list := manyServers(servers)
 	g, r := newGate(t, subsetSettings(1000), list...)
 	lookups := func(form UpdateKind, list []Endpoint) int {
-		before := g.list.lookups
+		before := g.endpoints.list.lookups
 		g.EndpointsUpdated(t0, form, list, r)
-		return g.list.lookups - before
+		return g.endpoints.list.lookups - before
 	}
 	if n := lookups(UpdateSnapshot, list); n != 0 {
 		t.Errorf("%d look-ups for the same list", n)
@@ -772,12 +772,12 @@
 	gone.State = Removed
 	g.EndpointsUpdated(t0, UpdateDelta, []Endpoint{list[0], gone}, r)
 	g.EndpointsUpdated(t0, UpdateDelta, []Endpoint{list[0], {MachineType: "k", Zone: "a"}}, r)
-	if st := g.Stats(); st.ListedEndpoints != 4 || g.list.activeWeights.total != 4 {
-		t.Errorf("%d listed, %d up, want 4", st.ListedEndpoints, g.list.activeWeights.total)
+	if st := g.Stats(); st.ListedEndpoints != 4 || g.endpoints.list.activeWeights.total != 4 {
+		t.Errorf("%d listed, %d up, want 4", st.ListedEndpoints, g.endpoints.list.activeWeights.total)
 	}
 	g.EndpointsUpdated(t0, UpdateSnapshot, list, r)
-	if st := g.Stats(); st.ListedEndpoints != 4 || g.trackedByID[""] != nil {
-		t.Errorf("%d listed, want 4; without an id: %v", st.ListedEndpoints, g.trackedByID[""])
+	if st := g.Stats(); st.ListedEndpoints != 4 || g.endpoints.trackedByID[""] != nil {
+		t.Errorf("%d listed, want 4; without an id: %v", st.ListedEndpoints, g.endpoints.trackedByID[""])
 	}
 }
 
@@ -789,11 +789,11 @@
 		moved := fleet(2)[1]
 		moved.MachineType = "other"
 		g.EndpointsUpdated(t0, UpdateDelta, []Endpoint{moved}, r)
-		first, other := g.machineTypeLatencies[g.machineTypeIndex["k"]], g.machineTypeLatencies[g.machineTypeIndex["other"]]
-		if _, known := g.machineTypeIndex["other"]; !known || first == other {
-			t.Fatalf("%d nodes: kinds %v", nodes, g.machineTypeIndex)
+		first, other := g.latency.machineTypes[g.latency.machineTypeIndex["k"]], g.latency.machineTypes[g.latency.machineTypeIndex["other"]]
+		if _, known := g.latency.machineTypeIndex["other"]; !known || first == other {
+			t.Fatalf("%d nodes: kinds %v", nodes, g.latency.machineTypeIndex)
 		}
-		g.recordLatency(0, g.trackedByID[moved.ID], 50*ms)
+		g.recordLatency(0, g.endpoints.trackedByID[moved.ID], 50*ms)
 		if first.samples != 0 || other.samples != 1 {
 			t.Errorf("%d nodes: %v latencies of the first kind, %v of the new one", nodes, first.samples, other.samples)
 		}
@@ -803,7 +803,7 @@
 // holders returns the gateways in whose subsets a server is.
 func holders(gates []*Balancer, id string) (in []*Balancer) {
 	for _, g := range gates {
-		if s := g.trackedByID[id]; s != nil && s.inSubset {
+		if s := g.endpoints.trackedByID[id]; s != nil && s.inSubset {
 			in = append(in, g)
 		}
 	}
@@ -814,17 +814,17 @@
 func TestRemovedServerIsKeptWhileAttemptsAreOut(t *testing.T) {
 	g, r := newGate(t, subsetSettings(100), manyServers(400)...)
 	g.RequestArrived(t0, newRequest(1, "safe", "rate", 1), r)
-	s := g.requests["r1"].attempts[0].endpoint
+	s := g.requests.byID["r1"].attempts[0].endpoint
 	e := s.Endpoint
 	e.State = Removed
 	g.EndpointsUpdated(t0, UpdateDelta, []Endpoint{e}, r)
 	g.TimerFired(t0+time.Minute, timerControlInterval, r)
-	if g.trackedByID[s.ID] != s || s.acceptsRequests() {
+	if g.endpoints.trackedByID[s.ID] != s || s.acceptsRequests() {
 		t.Fatal("forgotten with an attempt out, or still sent to")
 	}
 	g.AttemptFinished(t0+time.Minute, Outcome{ID: "r1", Result: OK, Answered: true, Elapsed: ms}, r)
 	g.TimerFired(t0+time.Minute+controlInterval, timerControlInterval, r)
-	if g.trackedByID[s.ID] != nil {
+	if g.endpoints.trackedByID[s.ID] != nil {
 		t.Error("known after its attempts have ended")
 	}
 }
@@ -835,7 +835,7 @@
 	for _, nodes := range []int{1, 100} {
 		g, r := newGate(t, subsetSettings(nodes), fleet(3)...)
 		g.RequestArrived(t0, newRequest(1, "safe", "rate", 1), r)
-		s := g.requests["r1"].attempts[0].endpoint
+		s := g.requests.byID["r1"].attempts[0].endpoint
 		gone, other := s.Endpoint, fleet(3)[0]
 		if other.ID == gone.ID {
 			other = fleet(3)[1]
@@ -843,13 +843,13 @@
 		gone.State, other.State = Removed, Draining
 		g.EndpointsUpdated(t0, UpdateDelta, []Endpoint{gone}, r)
 		g.EndpointsUpdated(t0, UpdateDelta, []Endpoint{other}, r)
-		if g.trackedByID[s.ID] != s {
+		if g.endpoints.trackedByID[s.ID] != s {
 			t.Fatalf("%d nodes: dropped with an attempt out", nodes)
 		}
 		g.AttemptFinished(t0+ms, Outcome{ID: "r1", Result: OK, Answered: true, Elapsed: ms}, r)
 		other.State = Up
 		g.EndpointsUpdated(t0+ms, UpdateDelta, []Endpoint{other}, r)
-		if g.trackedByID[s.ID] != nil || slices.Contains(g.tracked, s) {
+		if g.endpoints.trackedByID[s.ID] != nil || slices.Contains(g.endpoints.tracked, s) {
 			t.Errorf("%d nodes: known after its attempts have ended", nodes)
 		}
 	}
@@ -860,20 +860,20 @@
 	const nodes = 100
 	gates := wholeFleet(t, nodes, manyServers(100))
 	from, named := gates[3], 0
-	for _, s := range from.tracked {
+	for _, s := range from.endpoints.tracked {
 		s.recordLoad(1, t0)
 	}
 	for to, g := range gates {
 		from.now = t0 + ms
 		news := from.freshestLoads(maxLoadEntries, to)
 		for _, s := range news {
-			if other := g.trackedByID[s.ID]; other == nil || !other.inSubset {
+			if other := g.endpoints.trackedByID[s.ID]; other == nil || !other.inSubset {
 				t.Fatalf("gateway %d is told of %s, which its subset has not", to, s.ID)
 			}
 		}
 		both := 0
-		for _, s := range from.tracked {
-			both += int(oneIf(g.trackedByID[s.ID] != nil))
+		for _, s := range from.endpoints.tracked {
+			both += int(oneIf(g.endpoints.trackedByID[s.ID] != nil))
 		}
 		if to != 3 && len(news) != min(both, maxLoadEntries) {
 			t.Errorf("gateway %d is told of %d servers of %d in common", to, len(news), both)
@@ -893,10 +893,10 @@
 	if pairs := float64(st.SubsetEndpoints*st.SubsetEndpoints) / 2 / (1 << 16); float64(st.HashCollisions) > 2*(pairs+3*math.Sqrt(pairs)+1) {
 		t.Errorf("%+v, about %.2f pairs expected", st, pairs)
 	}
-	member := g.tracked[0]
+	member := g.endpoints.tracked[0]
 	for n := 0; ; n++ { // another member of the same short hash
 		e := Endpoint{ID: fmt.Sprintf("other-%d", n), MachineType: "k", Zone: "a"}
-		if shortEndpointHash(e.ID) == member.shortHash && g.entersAt(e.ID) <= g.subsetsPerEndpoint {
+		if shortEndpointHash(e.ID) == member.shortHash && g.entersAt(e.ID) <= g.endpoints.subsetsPerEndpoint {
 			g.EndpointsUpdated(t0, UpdateDelta, []Endpoint{e}, r)
 			break
 		}
