--- a/cmd/sim-adapter/main.go
+++ b/cmd/sim-adapter/main.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"opalhook/balancer"
-	"opalhook/internal/wire"
+	"opalhook/internal/simwire"
 )
 
 func main() {
@@ -26,11 +26,11 @@
 	gates map[int]*balancer.Balancer
 	now   time.Duration
 	open  bool // inside a batch
-	reply wire.Reply
+	reply simwire.Reply
 }
 
 func run(in io.Reader, out io.Writer) error {
-	r := wire.NewReader(in)
+	r := simwire.NewReader(in)
 	w := bufio.NewWriterSize(out, 1<<16)
 	h := host{gates: map[int]*balancer.Balancer{}}
 	for {
@@ -50,7 +50,7 @@
 		if err != nil {
 			return err
 		}
-		if _, ok := ev.(wire.Commit); ok {
+		if _, ok := ev.(simwire.Commit); ok {
 			w.Write(h.reply.Take())
 			if err := w.Flush(); err != nil {
 				return fmt.Errorf("writing the reply: %w", err)
@@ -61,7 +61,7 @@
 
 func (h *host) handle(ev any) error {
 	switch e := ev.(type) {
-	case wire.Clock:
+	case simwire.Clock:
 		if h.open {
 			return errors.New("CLOCK inside a batch")
 		}
@@ -75,37 +75,37 @@
 		return errors.New("message outside a batch")
 	}
 	switch e := ev.(type) {
-	case wire.Commit:
+	case simwire.Commit:
 		h.open = false
-	case wire.Launch:
+	case simwire.Launch:
 		g, err := balancer.New(e.Settings, e.Seed)
 		if err != nil {
 			return err
 		}
 		h.gates[e.Inst] = g
 		return h.deliver(e.Inst, func(g *balancer.Balancer) { g.Start(h.now, &h.reply) })
-	case wire.Halt:
+	case simwire.Halt:
 		if _, ok := h.gates[e.Inst]; !ok {
 			return fmt.Errorf("unknown instance %d", e.Inst)
 		}
 		delete(h.gates, e.Inst)
-	case wire.List:
+	case simwire.List:
 		return h.deliver(e.Inst, func(g *balancer.Balancer) { g.EndpointsUpdated(h.now, e.Form, e.Servers, &h.reply) })
-	case wire.Accept:
+	case simwire.Accept:
 		return h.deliver(e.Inst, func(g *balancer.Balancer) { g.RequestArrived(h.now, e.Request, &h.reply) })
-	case wire.Headers:
+	case simwire.Headers:
 		return h.deliver(e.Inst, func(g *balancer.Balancer) { g.ResponseStarted(h.now, e.ID, e.Attempt, &h.reply) })
-	case wire.Completed:
+	case simwire.Completed:
 		return h.deliver(e.Inst, func(g *balancer.Balancer) { g.AttemptFinished(h.now, e.Outcome, &h.reply) })
-	case wire.Left:
+	case simwire.Left:
 		return h.deliver(e.Inst, func(g *balancer.Balancer) { g.ClientGone(h.now, e.ID, &h.reply) })
-	case wire.TimerFired:
+	case simwire.TimerFired:
 		return h.deliver(e.Inst, func(g *balancer.Balancer) { g.TimerFired(h.now, e.Token, &h.reply) })
-	case wire.ProbeDone:
+	case simwire.ProbeDone:
 		return h.deliver(e.Inst, func(g *balancer.Balancer) { g.HealthChecked(h.now, e.Server, e.Result, e.Load, &h.reply) })
-	case wire.Whisper:
+	case simwire.Whisper:
 		return h.deliver(e.Inst, func(g *balancer.Balancer) { g.PeerMessage(h.now, e.From, e.Payload, &h.reply) })
-	case wire.Total:
+	case simwire.Total:
 		return h.deliver(e.Inst, func(*balancer.Balancer) {})
 	}
 	return nil
--- a/internal/edgenode/config.go
+++ b/internal/edgenode/config.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"opalhook/balancer"
-	"opalhook/internal/wire"
+	"opalhook/internal/settings"
 )
 
 // Config is all that an edge node is told at its start.
@@ -29,7 +29,7 @@
 
 	Known     List // the app servers as this node last had them
 	Settings  balancer.Settings
-	Transport wire.Transport
+	Transport settings.Transport
 
 	reread   func() (*Config, error) // reads the configuration again, for a reload
 	left     []error                 // what of Known is spoilt
@@ -138,7 +138,7 @@
 	if len(raw.Settings) == 0 {
 		return nil, errors.New("settings: is missing")
 	}
-	if c.Settings, c.Transport, err = wire.ParseSettings(raw.Settings); err != nil {
+	if c.Settings, c.Transport, err = settings.Parse(raw.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	if c.listFor = pushedList; c.Settings.PollEndpoints {
--- a/internal/edgenode/golden_test.go
+++ b/internal/edgenode/golden_test.go
@@ -18,7 +18,7 @@
 
 	"opalhook/balancer"
 	"opalhook/internal/golden"
-	"opalhook/internal/wire"
+	"opalhook/internal/settings"
 )
 
 // recordRequests serves connections of one request each until the test ends. It hands on the bytes of each request,
@@ -99,7 +99,7 @@
 // A node sends a server the recorded bytes: a probe for its load and requests of clients.
 func TestGoldenServerRequests(t *testing.T) {
 	addr, heard := recordRequests(t, okAnswer)
-	u := newUpstream(wire.Transport{ConnectTimeout: patience}, 10)
+	u := newUpstream(settings.Transport{ConnectTimeout: patience}, 10)
 	u.update([]Instance{{Endpoint: balancer.Endpoint{ID: "s"}, Addr: addr}}, true)
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	defer cancel()
@@ -185,7 +185,7 @@
 	}
 	golden.Check(t, "golden/load-reports-read.txt", described.Bytes())
 	s := newAppServer(t, say("HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT inflight=7, queue=2, util=0.61\r\nX-Settled: 2.5\r\nContent-Length: 0\r\n\r\n"))
-	u := newUpstream(wire.Transport{ConnectTimeout: time.Minute}, 10)
+	u := newUpstream(settings.Transport{ConnectTimeout: time.Minute}, 10)
 	u.update([]Instance{s.instance("s")}, true)
 	rep, result := u.exchange(t.Context(), "s", &message{method: "GET", target: loadPath}, bounds{})
 	if result != balancer.OK || rep.units != 2.5 || rep.load == nil || *rep.load != (balancer.LoadReport{InFlight: 7, Queued: 2, Utilization: 0.61}) {
--- a/internal/edgenode/harness_test.go
+++ b/internal/edgenode/harness_test.go
@@ -19,7 +19,7 @@
 	"time"
 
 	"opalhook/balancer"
-	"opalhook/internal/wire"
+	"opalhook/internal/settings"
 )
 
 // patience bounds every wait of a test; none is expected to come near it.
@@ -111,7 +111,7 @@
 	return &Config{
 		Name: "n0", Listen: netip.MustParseAddrPort("127.0.0.1:0"), Discovery: netip.MustParseAddrPort("127.0.0.1:1"),
 		Sockets: 256, Known: List{Generation: 7, Full: true, Servers: servers},
-		Transport: wire.Transport{ConnIdle: time.Minute, ConnectTimeout: 5 * time.Second},
+		Transport: settings.Transport{ConnIdle: time.Minute, ConnectTimeout: 5 * time.Second},
 		Settings: balancer.Settings{
 			NodeCount: 1, Zone: "z", MaxAttempts: 3, Cancellation: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
 			Tick: 2 * time.Millisecond, ResponseSlack: 8 * time.Millisecond,
--- a/internal/edgenode/upstream.go
+++ b/internal/edgenode/upstream.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"opalhook/balancer"
-	"opalhook/internal/wire"
+	"opalhook/internal/settings"
 )
 
 // staleWithin is the time from the write to the reset of a connection that was given up.
@@ -46,7 +46,7 @@
 }
 
 // newUpstream returns an upstream without servers that opens so many connections at most.
-func newUpstream(t wire.Transport, most int) *upstream {
+func newUpstream(t settings.Transport, most int) *upstream {
 	return &upstream{
 		dialer:   net.Dialer{Timeout: t.ConnectTimeout, KeepAlive: -1},
 		maxIdle:  time.Duration(idleShare * float64(t.ConnIdle)),
--- a/internal/edgenode/upstream_test.go
+++ b/internal/edgenode/upstream_test.go
@@ -16,11 +16,11 @@
 	"time"
 
 	"opalhook/balancer"
-	"opalhook/internal/wire"
+	"opalhook/internal/settings"
 )
 
 func testUpstream(servers ...Instance) *upstream {
-	u := newUpstream(wire.Transport{ConnIdle: time.Minute, ConnectTimeout: 5 * time.Second}, 100)
+	u := newUpstream(settings.Transport{ConnIdle: time.Minute, ConnectTimeout: 5 * time.Second}, 100)
 	u.update(servers, true)
 	return u
 }
@@ -387,7 +387,7 @@
 // A server whose machine is gone says nothing: the dial has a bound of its own, and
 // what it ends has never run.
 func TestDialIsBounded(t *testing.T) {
-	u := newUpstream(wire.Transport{ConnIdle: time.Minute, ConnectTimeout: 50 * time.Millisecond}, 100)
+	u := newUpstream(settings.Transport{ConnIdle: time.Minute, ConnectTimeout: 50 * time.Millisecond}, 100)
 	u.update([]Instance{{Endpoint: balancer.Endpoint{ID: "a"}, Addr: blocked(t)}}, true)
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
@@ -559,7 +559,7 @@
 	srv := newAppServer(t, say(okAnswer))
 	for _, kept := range []bool{false, true} {
 		in := srv.instance("a")
-		u := newUpstream(wire.Transport{ConnIdle: time.Minute, ConnectTimeout: patience}, 10)
+		u := newUpstream(settings.Transport{ConnIdle: time.Minute, ConnectTimeout: patience}, 10)
 		u.update([]Instance{in}, true)
 		if kept {
 			if _, result := u.exchange(t.Context(), "a", &message{method: "GET", target: "/first"}, bounds{}); result != balancer.OK {
--- a/internal/wire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bytes"
@@ -11,6 +11,7 @@
 
 	"opalhook/balancer"
 	"opalhook/internal/golden"
+	"opalhook/internal/settings"
 )
 
 // The recorded script holds every kind of event, and each is read as recorded.
@@ -102,9 +103,9 @@
 // What the recorded settings say of connections is read as well.
 func TestGoldenTransport(t *testing.T) {
 	_, rest, _ := strings.Cut(string(golden.Read(t, "golden/script.txt")), "LAUNCH 3 18446744073709551615 ")
-	settings, _, _ := strings.Cut(rest, "\n")
-	_, transport, err := ParseSettings([]byte(settings))
-	if want := (Transport{ConnIdle: 30 * time.Second, ConnectTimeout: 250 * time.Millisecond}); err != nil || transport != want {
+	object, _, _ := strings.Cut(rest, "\n")
+	_, transport, err := settings.Parse([]byte(object))
+	if want := (settings.Transport{ConnIdle: 30 * time.Second, ConnectTimeout: 250 * time.Millisecond}); err != nil || transport != want {
 		t.Errorf("%+v, error %v; want %+v", transport, err, want)
 	}
 }
--- a/internal/wire/wire.go
+++ b/internal/simwire/reader.go
@@ -1,11 +1,10 @@
-// Package wire is the codec of the simulator's line protocol: it turns lines
+// Package simwire is the codec of the simulator's line protocol: it turns lines
 // into typed events and the gateway's actions into lines. It decides nothing.
-package wire
+package simwire
 
 import (
 	"bufio"
 	"encoding/base64"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
@@ -15,6 +14,7 @@
 	"time"
 
 	"opalhook/balancer"
+	"opalhook/internal/settings"
 )
 
 // Events as they come off the wire, in order.
@@ -311,7 +311,7 @@
 		f.bad(what, strconv.FormatFloat(x, 'g', -1, 64))
 		return 0
 	}
-	return seconds(x)
+	return settings.Duration(x)
 }
 
 func (f *fields) int(what string) int {
@@ -416,44 +416,6 @@
 	return &l
 }
 
-func seconds(x float64) time.Duration {
-	return time.Duration(math.Round(x*1e6)) * time.Microsecond
-}
-
-// info mirrors the settings object; keys that are not named here are skipped.
-type info struct {
-	Instances, Me int
-	Zone          string
-	Tick          float64
-	RegistryMode  string
-	FamilyInfo    struct {
-		InboxPerS, UnitsTop float64
-		PostPaid            bool
-	}
-	Feedback struct{ How string }
-	Lanes    []struct {
-		Name, Idempotency, KeyScope             string
-		Deadline, OnTime, LateWorth, MemorySpan float64
-		Worth                                   float64
-		Streamed                                bool
-	}
-	Penalties    struct{ CrossZone, Peer, Probe, Waste float64 }
-	PolicyLimits struct {
-		Cancel, ParallelTries, Peers, Probes, RetryAfter bool
-		MostTries                                        int
-		MaxRetryAfter, ConnIdle, ConnectTimeout          float64
-	}
-	Rules struct {
-		AnswerSlack, AskWithin, ColdFrom, DrainGrace, FallMultiple, OverloadFor, RampTime float64
-	}
-	Tariffs []struct {
-		Name                                                     string
-		QuotaRate, PeakUnits, NeverOverRate, HardBurst, CapSlack float64
-		WorthFactor, ExtraWorth, OverCost                        float64
-		MaxOut                                                   int
-	}
-}
-
 func parseLaunch(rest string) (any, error) {
 	inst, rest, _ := strings.Cut(rest, " ")
 	seed, text, _ := strings.Cut(rest, " ")
@@ -462,74 +424,10 @@
 	if f.err != nil {
 		return nil, fmt.Errorf("LAUNCH: %w", f.err)
 	}
-	s, _, err := ParseSettings([]byte(text))
+	s, _, err := settings.Parse([]byte(text))
 	if err != nil {
 		return nil, fmt.Errorf("LAUNCH: info: %w", err)
 	}
 	e.Settings = s
 	return e, nil
 }
-
-// Transport is the part of the settings that concerns connections: the host's
-// business, not the module's.
-type Transport struct {
-	ConnIdle       time.Duration // a server closes a connection that has stood idle this long
-	ConnectTimeout time.Duration // a connection that is not made within this has failed
-}
-
-// ParseSettings parses the settings object, in the form in which both the
-// simulator and a real edge node's configuration give it.
-func ParseSettings(text []byte) (balancer.Settings, Transport, error) {
-	var in info
-	if err := json.Unmarshal(text, &in); err != nil {
-		return balancer.Settings{}, Transport{}, err
-	}
-	s, err := in.settings()
-	l := &in.PolicyLimits
-	return s, Transport{ConnIdle: seconds(l.ConnIdle), ConnectTimeout: seconds(l.ConnectTimeout)}, err
-}
-
-func (in *info) settings() (balancer.Settings, error) {
-	l, r := &in.PolicyLimits, &in.Rules
-	s := balancer.Settings{
-		NodeIndex: in.Me, NodeCount: in.Instances, Zone: in.Zone,
-		ResponseSlack: seconds(r.AnswerSlack), DrainTimeout: seconds(r.DrainGrace),
-		SlowStartInitialFraction: r.ColdFrom, SlowStartDuration: seconds(r.RampTime),
-		OverloadFactor: r.FallMultiple, OverloadWindow: seconds(r.OverloadFor),
-		MaxAttempts: l.MostTries, Hedging: l.ParallelTries, Cancellation: l.Cancel, Gossip: l.Peers, HealthChecks: l.Probes,
-		RetryAfter: l.RetryAfter, MaxRetryAfter: seconds(l.MaxRetryAfter),
-		PollEndpoints: in.RegistryMode == "subscribe", PollInterval: seconds(r.AskWithin),
-		PeerMessagesPerSecond: in.FamilyInfo.InboxPerS, PostPaid: in.FamilyInfo.PostPaid, MaxUnits: in.FamilyInfo.UnitsTop, Tick: seconds(in.Tick),
-		CrossZonePrice: in.Penalties.CrossZone, PeerMessagePrice: in.Penalties.Peer,
-		HealthCheckPrice: in.Penalties.Probe, WastedWorkPrice: in.Penalties.Waste,
-	}
-	switch in.Feedback.How {
-	case "answers":
-		s.LoadReports = balancer.LoadReportsInResponses
-	case "probe":
-		s.LoadReports = balancer.LoadReportsInHealthChecks
-	case "none", "":
-	default:
-		return s, fmt.Errorf("feedback.how: unknown word %q", in.Feedback.How)
-	}
-	for _, c := range in.Lanes {
-		k := balancer.Class{Name: c.Name, DedupWindow: seconds(c.MemorySpan), LatencyObjective: seconds(c.OnTime),
-			Deadline: seconds(c.Deadline), PriorityWeight: c.Worth, LateWeightFraction: c.LateWorth, Stream: c.Streamed}
-		effects := map[string]balancer.Idempotency{"retryable": balancer.Idempotent, "dedup": balancer.IdempotentWithKey, "fragile": balancer.NonIdempotent}
-		groups := map[string]balancer.DedupScope{"all": balancer.DedupFleet, "zone": balancer.DedupZone, "cell": balancer.DedupCell}
-		var ok bool
-		if k.Idempotency, ok = effects[c.Idempotency]; !ok {
-			return s, fmt.Errorf("lanes: unknown idempotency %q", c.Idempotency)
-		}
-		if k.DedupScope, ok = groups[c.KeyScope]; !ok && k.Idempotency == balancer.IdempotentWithKey {
-			return s, fmt.Errorf("lanes: unknown keyScope %q", c.KeyScope)
-		}
-		s.Classes = append(s.Classes, k)
-	}
-	for _, t := range in.Tariffs {
-		s.Plans = append(s.Plans, balancer.Plan{Name: t.Name, Rate: t.QuotaRate, Burst: t.PeakUnits, MaxConcurrent: t.MaxOut,
-			HardLimitRate: t.NeverOverRate, HardLimitBurst: t.HardBurst, HardLimitSlack: t.CapSlack,
-			WeightFactor: t.WorthFactor, OverQuotaValue: t.ExtraWorth, OverQuotaCost: t.OverCost})
-	}
-	return s, nil
-}
--- a/internal/wire/writer.go
+++ b/internal/simwire/writer.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"encoding/base64"
