--- a/cmd/sim-adapter/main.go
+++ b/cmd/sim-adapter/main.go
@@ -77,36 +77,36 @@
 	switch e := ev.(type) {
 	case simwire.Commit:
 		h.open = false
-	case simwire.Launch:
+	case simwire.StartNode:
 		g, err := balancer.New(e.Settings, e.Seed)
 		if err != nil {
 			return err
 		}
-		h.gates[e.Inst] = g
-		return h.deliver(e.Inst, func(g *balancer.Balancer) { g.Start(h.now, &h.reply) })
-	case simwire.Halt:
-		if _, ok := h.gates[e.Inst]; !ok {
-			return fmt.Errorf("unknown instance %d", e.Inst)
+		h.gates[e.Node] = g
+		return h.deliver(e.Node, func(g *balancer.Balancer) { g.Start(h.now, &h.reply) })
+	case simwire.StopNode:
+		if _, ok := h.gates[e.Node]; !ok {
+			return fmt.Errorf("unknown instance %d", e.Node)
 		}
-		delete(h.gates, e.Inst)
-	case simwire.List:
-		return h.deliver(e.Inst, func(g *balancer.Balancer) { g.EndpointsUpdated(h.now, e.Form, e.Servers, &h.reply) })
-	case simwire.Accept:
-		return h.deliver(e.Inst, func(g *balancer.Balancer) { g.RequestArrived(h.now, e.Request, &h.reply) })
-	case simwire.Headers:
-		return h.deliver(e.Inst, func(g *balancer.Balancer) { g.ResponseStarted(h.now, e.ID, e.Attempt, &h.reply) })
-	case simwire.Completed:
-		return h.deliver(e.Inst, func(g *balancer.Balancer) { g.AttemptFinished(h.now, e.Outcome, &h.reply) })
-	case simwire.Left:
-		return h.deliver(e.Inst, func(g *balancer.Balancer) { g.ClientGone(h.now, e.ID, &h.reply) })
+		delete(h.gates, e.Node)
+	case simwire.EndpointList:
+		return h.deliver(e.Node, func(g *balancer.Balancer) { g.EndpointsUpdated(h.now, e.Kind, e.Endpoints, &h.reply) })
+	case simwire.RequestArrived:
+		return h.deliver(e.Node, func(g *balancer.Balancer) { g.RequestArrived(h.now, e.Request, &h.reply) })
+	case simwire.ResponseStarted:
+		return h.deliver(e.Node, func(g *balancer.Balancer) { g.ResponseStarted(h.now, e.ID, e.Attempt, &h.reply) })
+	case simwire.AttemptFinished:
+		return h.deliver(e.Node, func(g *balancer.Balancer) { g.AttemptFinished(h.now, e.Outcome, &h.reply) })
+	case simwire.ClientGone:
+		return h.deliver(e.Node, func(g *balancer.Balancer) { g.ClientGone(h.now, e.ID, &h.reply) })
 	case simwire.TimerFired:
-		return h.deliver(e.Inst, func(g *balancer.Balancer) { g.TimerFired(h.now, e.Token, &h.reply) })
-	case simwire.ProbeDone:
-		return h.deliver(e.Inst, func(g *balancer.Balancer) { g.HealthChecked(h.now, e.Server, e.Result, e.Load, &h.reply) })
-	case simwire.Whisper:
-		return h.deliver(e.Inst, func(g *balancer.Balancer) { g.PeerMessage(h.now, e.From, e.Payload, &h.reply) })
-	case simwire.Total:
-		return h.deliver(e.Inst, func(*balancer.Balancer) {})
+		return h.deliver(e.Node, func(g *balancer.Balancer) { g.TimerFired(h.now, e.Token, &h.reply) })
+	case simwire.HealthChecked:
+		return h.deliver(e.Node, func(g *balancer.Balancer) { g.HealthChecked(h.now, e.EndpointID, e.Result, e.LoadReport, &h.reply) })
+	case simwire.PeerMessage:
+		return h.deliver(e.Node, func(g *balancer.Balancer) { g.PeerMessage(h.now, e.From, e.Payload, &h.reply) })
+	case simwire.CounterRead:
+		return h.deliver(e.Node, func(*balancer.Balancer) {})
 	}
 	return nil
 }
@@ -117,10 +117,10 @@
 	if !ok {
 		return fmt.Errorf("unknown instance %d", inst)
 	}
-	h.reply.Inst = inst
+	h.reply.Node = inst
 	defer func() {
 		if p := recover(); p != nil {
-			h.reply.Broken(fmt.Sprint(p))
+			h.reply.Crash(fmt.Sprint(p))
 		}
 	}()
 	f(g)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -11,8 +11,8 @@
 	"opalhook/balancer"
 )
 
-// info mirrors the settings object; keys that are not named here are skipped.
-type info struct {
+// object mirrors the settings object; keys that are not named here are skipped.
+type object struct {
 	Instances, Me int
 	Zone          string
 	Tick          float64
@@ -55,7 +55,7 @@
 // Parse parses the settings object, in the form in which both the
 // simulator and a real edge node's configuration give it.
 func Parse(text []byte) (balancer.Settings, Transport, error) {
-	var in info
+	var in object
 	if err := json.Unmarshal(text, &in); err != nil {
 		return balancer.Settings{}, Transport{}, err
 	}
@@ -64,7 +64,7 @@
 	return s, Transport{ConnIdle: Duration(l.ConnIdle), ConnectTimeout: Duration(l.ConnectTimeout)}, err
 }
 
-func (in *info) settings() (balancer.Settings, error) {
+func (in *object) settings() (balancer.Settings, error) {
 	l, r := &in.PolicyLimits, &in.Rules
 	s := balancer.Settings{
 		NodeIndex: in.Me, NodeCount: in.Instances, Zone: in.Zone,
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -47,34 +47,34 @@
 		return fmt.Sprint("clock ", e.Now)
 	case Commit:
 		return "commit"
-	case Launch:
-		return fmt.Sprint("launch ", e.Inst, " seed ", e.Seed, describeSettings(e.Settings))
-	case Halt:
-		return fmt.Sprint("halt ", e.Inst)
-	case List:
-		text := fmt.Sprint("list ", e.Inst, " form ", int(e.Form))
-		for _, s := range e.Servers {
+	case StartNode:
+		return fmt.Sprint("launch ", e.Node, " seed ", e.Seed, describeSettings(e.Settings))
+	case StopNode:
+		return fmt.Sprint("halt ", e.Node)
+	case EndpointList:
+		text := fmt.Sprint("list ", e.Node, " form ", int(e.Kind))
+		for _, s := range e.Endpoints {
 			text += fmt.Sprintf("\n  %q state %d weight %v kind %q zone %q cell %d boot %v", s.ID, int(s.State), s.Weight, s.MachineType, s.Zone, s.Cell, s.StartedAt)
 		}
 		return text
-	case Accept:
+	case RequestArrived:
 		q := e.Request
-		return fmt.Sprintf("accept %d %q class %q plan %q customer %d grace %v units %v spread %d first %d", e.Inst, q.ID, q.Class, q.Plan, q.Customer, q.Timeout, q.Units, q.EntryNodes, q.FirstEntryNode)
-	case Headers:
-		return fmt.Sprintf("headers %d %q attempt %d", e.Inst, e.ID, e.Attempt)
-	case Completed:
+		return fmt.Sprintf("accept %d %q class %q plan %q customer %d grace %v units %v spread %d first %d", e.Node, q.ID, q.Class, q.Plan, q.Customer, q.Timeout, q.Units, q.EntryNodes, q.FirstEntryNode)
+	case ResponseStarted:
+		return fmt.Sprintf("headers %d %q attempt %d", e.Node, e.ID, e.Attempt)
+	case AttemptFinished:
 		o := e.Outcome
-		return fmt.Sprintf("completed %d %q attempt %d closed %t result %d server %q took %v units %v since %v %s", e.Inst, o.ID, o.Attempt, o.Answered, int(o.Result), o.EndpointID, o.Elapsed, o.Units, o.ConnectedAt, describeLoad(o.LoadReport))
-	case Left:
-		return fmt.Sprintf("left %d %q", e.Inst, e.ID)
+		return fmt.Sprintf("completed %d %q attempt %d closed %t result %d server %q took %v units %v since %v %s", e.Node, o.ID, o.Attempt, o.Answered, int(o.Result), o.EndpointID, o.Elapsed, o.Units, o.ConnectedAt, describeLoad(o.LoadReport))
+	case ClientGone:
+		return fmt.Sprintf("left %d %q", e.Node, e.ID)
 	case TimerFired:
-		return fmt.Sprint("timer ", e.Inst, " ", e.Token)
-	case ProbeDone:
-		return fmt.Sprintf("probe %d %q result %d took %v %s", e.Inst, e.Server, int(e.Result), e.Took, describeLoad(e.Load))
-	case Whisper:
-		return fmt.Sprintf("message %d from %d %x", e.Inst, e.From, e.Payload)
-	case Total:
-		return fmt.Sprint("total ", e.Inst)
+		return fmt.Sprint("timer ", e.Node, " ", e.Token)
+	case HealthChecked:
+		return fmt.Sprintf("probe %d %q result %d took %v %s", e.Node, e.EndpointID, int(e.Result), e.Took, describeLoad(e.LoadReport))
+	case PeerMessage:
+		return fmt.Sprintf("message %d from %d %x", e.Node, e.From, e.Payload)
+	case CounterRead:
+		return fmt.Sprint("total ", e.Node)
 	}
 	return fmt.Sprintf("unknown %T", event)
 }
@@ -112,7 +112,7 @@
 
 // Every kind of action is written as recorded.
 func TestGoldenActions(t *testing.T) {
-	r := Reply{Inst: 17}
+	r := Reply{Node: 17}
 	var out balancer.Actions = &r
 	out.SendAttempt("rq_1", "s.a", 80*time.Millisecond, time.Second)
 	out.SendAttempt("rq_1", "s.b", 0, 0)
@@ -130,7 +130,7 @@
 	out.WatchEndpoints(true)
 	out.WatchEndpoints(false)
 	out.Log(" two\n lines\tand  spaces ")
-	r.Broken("panic:\nindex out of range")
+	r.Crash("panic:\nindex out of range")
 	golden.Check(t, "golden/reply.txt", r.Take())
 	golden.Check(t, "golden/reply-empty.txt", r.Take())
 }
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -19,53 +19,53 @@
 
 // Events as they come off the wire, in order.
 type (
-	Clock  struct{ Now time.Duration }
-	Commit struct{}
-	Launch struct {
-		Inst     int
+	Clock     struct{ Now time.Duration }
+	Commit    struct{}
+	StartNode struct {
+		Node     int
 		Seed     uint64
 		Settings balancer.Settings
 	}
-	Halt struct{ Inst int }
-	// List is a FLEET event with the entries of its table resolved.
-	List struct {
-		Inst    int
-		Form    balancer.UpdateKind
-		Servers []balancer.Endpoint
+	StopNode struct{ Node int }
+	// EndpointList is a FLEET event with the entries of its table resolved.
+	EndpointList struct {
+		Node      int
+		Kind      balancer.UpdateKind
+		Endpoints []balancer.Endpoint
 	}
-	Accept struct {
-		Inst    int
+	RequestArrived struct {
+		Node    int
 		Request balancer.Request
 	}
-	Headers struct {
-		Inst    int
+	ResponseStarted struct {
+		Node    int
 		ID      string
 		Attempt int
 	}
-	Completed struct {
-		Inst    int
+	AttemptFinished struct {
+		Node    int
 		Outcome balancer.Outcome
 	}
-	Left struct {
-		Inst int
+	ClientGone struct {
+		Node int
 		ID   string
 	}
 	TimerFired struct {
-		Inst  int
+		Node  int
 		Token uint64
 	}
-	ProbeDone struct {
-		Inst   int
-		Server string
-		Result balancer.Result
-		Took   time.Duration
-		Load   *balancer.LoadReport
+	HealthChecked struct {
+		Node       int
+		EndpointID string
+		Result     balancer.Result
+		Took       time.Duration
+		LoadReport *balancer.LoadReport
 	}
-	Whisper struct {
-		Inst, From int
+	PeerMessage struct {
+		Node, From int
 		Payload    []byte
 	}
-	Total struct{ Inst int }
+	CounterRead struct{ Node int }
 )
 
 // maxLine bounds one line; settings and lists of entries are the longest.
@@ -149,13 +149,13 @@
 	case "COMMIT":
 		return Commit{}, nil
 	case "HALT":
-		return Halt{f.int("i")}, nil
+		return StopNode{f.int("i")}, nil
 	case "PAGE":
 		return nil, r.page(f)
 	case "FLEET":
 		return r.fleet(f)
 	case "ACCEPT":
-		e := Accept{Inst: f.int("i")}
+		e := RequestArrived{Node: f.int("i")}
 		q := &e.Request
 		q.ID, q.Class, q.Plan = f.str("ref"), f.str("tierClass"), f.str("tier")
 		q.Customer, q.Timeout, q.Units = f.uint("holder"), f.dur("grace"), f.num("weight")
@@ -163,12 +163,12 @@
 		f.uint("bits")
 		return e, nil
 	case "HEADERS":
-		e := Headers{Inst: f.int("i"), ID: f.str("ref"), Attempt: f.int("roundNo")}
+		e := ResponseStarted{Node: f.int("i"), ID: f.str("ref"), Attempt: f.int("roundNo")}
 		f.str("server")
 		f.dur("spent")
 		return e, nil
 	case "COMPLETED":
-		e := Completed{Inst: f.int("i")}
+		e := AttemptFinished{Node: f.int("i")}
 		o := &e.Outcome
 		o.ID, o.Answered, o.Result, o.EndpointID = f.str("ref"), f.bool("closed"), f.result("reason"), f.str("server")
 		o.Elapsed, o.Attempt = f.dur("spent"), f.int("roundNo")
@@ -176,17 +176,17 @@
 		o.Units, o.LoadReport = f.num("actual"), f.load("feedback")
 		return e, nil
 	case "LEFT":
-		return Left{f.int("i"), f.str("ref")}, nil
+		return ClientGone{f.int("i"), f.str("ref")}, nil
 	case "TIMEOUT_FIRED":
 		return TimerFired{f.int("i"), f.uint("ctx")}, nil
 	case "PROBE_DONE":
-		e := ProbeDone{Inst: f.int("i"), Result: f.result("reason"), Server: f.str("server")}
-		e.Took, e.Load = f.dur("spent"), f.load("feedback")
+		e := HealthChecked{Node: f.int("i"), Result: f.result("reason"), EndpointID: f.str("server")}
+		e.Took, e.LoadReport = f.dur("spent"), f.load("feedback")
 		return e, nil
 	case "WHISPER":
-		return Whisper{f.int("i"), f.int("neighbour"), f.bytes("payload")}, nil
+		return PeerMessage{f.int("i"), f.int("neighbour"), f.bytes("payload")}, nil
 	case "TOTAL":
-		e := Total{f.int("i")}
+		e := CounterRead{f.int("i")}
 		f.num("level")
 		f.result("reason")
 		f.dur("spent")
@@ -236,7 +236,7 @@
 }
 
 func (r *Reader) fleet(f *fields) (any, error) {
-	e := List{Inst: f.int("i")}
+	e := EndpointList{Node: f.int("i")}
 	f.num("seqNo")
 	ref, form := f.str("table"), f.str("form")
 	if f.err != nil {
@@ -245,15 +245,15 @@
 	forms := map[string]balancer.UpdateKind{"Partial": balancer.UpdateDelta, "Complete": balancer.UpdateSnapshot,
 		"Persisted": balancer.UpdateCached, "Error": balancer.UpdateFailed}
 	var ok bool
-	if e.Form, ok = forms[form]; !ok {
+	if e.Kind, ok = forms[form]; !ok {
 		return nil, fmt.Errorf("FLEET: unknown form %q", form)
 	}
-	if e.Form != balancer.UpdateFailed {
+	if e.Kind != balancer.UpdateFailed {
 		table, err := strconv.Atoi(ref)
 		if err != nil {
 			return nil, fmt.Errorf("FLEET: bad table %q", ref)
 		}
-		if e.Servers, ok = r.tables[table]; !ok {
+		if e.Endpoints, ok = r.tables[table]; !ok {
 			return nil, fmt.Errorf("FLEET: unknown table %d", table)
 		}
 	}
@@ -420,7 +420,7 @@
 	inst, rest, _ := strings.Cut(rest, " ")
 	seed, text, _ := strings.Cut(rest, " ")
 	f := fields{name: "LAUNCH", vals: []string{inst, seed}}
-	e := Launch{Inst: f.int("i"), Seed: f.uint("prng")}
+	e := StartNode{Node: f.int("i"), Seed: f.uint("prng")}
 	if f.err != nil {
 		return nil, fmt.Errorf("LAUNCH: %w", f.err)
 	}
--- a/internal/simwire/reader_test.go
+++ b/internal/simwire/reader_test.go
@@ -39,26 +39,26 @@
 	if c := events[0].(Clock); c.Now != 8412250*time.Microsecond {
 		t.Errorf("clock %v", c.Now)
 	}
-	l := events[1].(Launch)
+	l := events[1].(StartNode)
 	if s := l.Settings; l.Seed != 99 || s.NodeIndex != 1 || s.Classes[0].Idempotency != balancer.IdempotentWithKey || s.Classes[0].DedupScope != balancer.DedupCell ||
 		s.Plans[0].MaxConcurrent != 3 || s.Plans[0].Burst != 7 || s.LoadReports != balancer.LoadReportsInResponses || s.DrainTimeout != 2*time.Second {
 		t.Errorf("launch %+v", l)
 	}
-	list := events[2].(List)
-	if len(list.Servers) != 2 || list.Servers[1].State != balancer.Draining || list.Servers[1].StartedAt != 6100*time.Millisecond {
+	list := events[2].(EndpointList)
+	if len(list.Endpoints) != 2 || list.Endpoints[1].State != balancer.Draining || list.Endpoints[1].StartedAt != 6100*time.Millisecond {
 		t.Errorf("list %+v", list)
 	}
-	if q := events[3].(Accept).Request; q.Customer != 4569004829183723 || q.Units != 2 || q.EntryNodes != 3 || q.FirstEntryNode != 1 {
+	if q := events[3].(RequestArrived).Request; q.Customer != 4569004829183723 || q.Units != 2 || q.EntryNodes != 3 || q.FirstEntryNode != 1 {
 		t.Errorf("request %+v", q)
 	}
-	if o := events[4].(Completed).Outcome; o.Result != balancer.Overloaded || !o.Answered || o.LoadReport == nil || o.LoadReport.Queued != 3 || o.Units != 3 {
+	if o := events[4].(AttemptFinished).Outcome; o.Result != balancer.Overloaded || !o.Answered || o.LoadReport == nil || o.LoadReport.Queued != 3 || o.Units != 3 {
 		t.Errorf("outcome %+v", o)
 	}
-	if w := events[6].(Whisper); string(w.Payload) != "hi 7" {
+	if w := events[6].(PeerMessage); string(w.Payload) != "hi 7" {
 		t.Errorf("payload %q", w.Payload)
 	}
-	if e := events[7].(List); e.Form != balancer.UpdateFailed {
-		t.Errorf("form %v", e.Form)
+	if e := events[7].(EndpointList); e.Kind != balancer.UpdateFailed {
+		t.Errorf("form %v", e.Kind)
 	}
 }
 
@@ -78,7 +78,7 @@
 }
 
 func TestWriteActions(t *testing.T) {
-	r := Reply{Inst: 3}
+	r := Reply{Node: 3}
 	r.SendAttempt("rq", "s.a", 80*time.Millisecond, 0)
 	r.Reject("rq", 0)
 	r.Fail("rq")
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -10,7 +10,7 @@
 // Reply gathers the lines of one reply. Its methods are the actions of the
 // instance Inst, which the adapter sets before it hands over an event.
 type Reply struct {
-	Inst int
+	Node int
 	buf  []byte
 }
 
@@ -25,7 +25,7 @@
 func (r *Reply) begin(name string) {
 	r.buf = append(r.buf, name...)
 	r.buf = append(r.buf, ' ')
-	r.buf = strconv.AppendInt(r.buf, int64(r.Inst), 10)
+	r.buf = strconv.AppendInt(r.buf, int64(r.Node), 10)
 }
 
 func (r *Reply) str(s string) {
@@ -118,8 +118,8 @@
 	r.end()
 }
 
-// Broken reports a failure of the decision code.
-func (r *Reply) Broken(text string) {
+// Crash reports a failure of the decision code.
+func (r *Reply) Crash(text string) {
 	r.begin("BROKEN")
 	r.str(oneLine(text))
 	r.end()
