--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -28,7 +28,7 @@
 	}
 	q.Units = math.Max(q.Units, 0)
 	q.EntryNodes = min(max(q.EntryNodes, 1), b.settings.NodeCount)
-	st := b.quotaFor(q.Customer, pi, q.EntryNodes, q.FirstEntryNode)
+	st := b.quotaFor(q.Tenant, pi, q.EntryNodes, q.FirstEntryNode)
 	b.requests.lastNumber++
 	r := &request{Request: q, number: b.requests.lastNumber, class: ci, quota: st,
 		deadline: now + q.Timeout - 2*b.settings.Tick}
--- a/balancer/decisions_clients_test.go
+++ b/balancer/decisions_clients_test.go
@@ -157,10 +157,10 @@
 	// A few customers are the source of most requests.
 	popular := w.random.Float64()
 	customer := w.customers[int(popular*popular*popular*customersMost)]
-	q.Plan, q.Customer, q.EntryNodes, q.FirstEntryNode = customer.plan, customer.key, customer.spread, customer.first
+	q.Plan, q.Tenant, q.EntryNodes, q.FirstEntryNode = customer.plan, customer.key, customer.spread, customer.first
 	q.Units = math.Ceil(customer.units * (0.5 + 2.5*math.Pow(w.random.Float64(), 3)))
 	if w.chance(0.05) {
-		q.Customer = w.random.Uint64() // that comes once
+		q.Tenant = w.random.Uint64() // that comes once
 	}
 	if w.chance(0.2) {
 		q.Timeout = w.upTo(c.Deadline) + time.Millisecond
--- a/balancer/decisions_faults_test.go
+++ b/balancer/decisions_faults_test.go
@@ -55,7 +55,7 @@
 // badRequest brings a request that can't be, or one that is there already.
 func (w *world) badRequest(n *node) {
 	w.requests++
-	q := balancer.Request{ID: requestID(w.requests), Class: "safe", Plan: "rate", Customer: 1, Timeout: time.Second, Units: -1}
+	q := balancer.Request{ID: requestID(w.requests), Class: "safe", Plan: "rate", Tenant: 1, Timeout: time.Second, Units: -1}
 	switch w.random.IntN(6) {
 	case 0:
 		q.Class = "unknown"
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -37,7 +37,7 @@
 	ID             string
 	Class          string
 	Plan           string
-	Customer       uint64
+	Tenant         uint64
 	Timeout        time.Duration // the client leaves after this
 	Units          float64       // that it draws from the quota
 	EntryNodes     int           // number of gateways the customer comes in through
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -38,7 +38,7 @@
 	g.Start(now, host)
 	g.EndpointsUpdated(now, balancer.UpdateSnapshot, []balancer.Endpoint{{ID: "alpha"}}, host)
 	for _, id := range []string{"r1", "r2", "r3"} {
-		g.RequestArrived(now, balancer.Request{ID: id, Class: "read", Plan: "basic", Customer: 7,
+		g.RequestArrived(now, balancer.Request{ID: id, Class: "read", Plan: "basic", Tenant: 7,
 			Timeout: time.Second, Units: 1, EntryNodes: 1}, host)
 	}
 	g.AttemptFinished(now, balancer.Outcome{ID: "r1", Result: balancer.OK, Answered: true, Elapsed: 20 * time.Millisecond}, host)
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -80,7 +80,7 @@
 }
 
 func newRequest(n int, class, plan string, customer uint64) Request {
-	return Request{ID: fmt.Sprintf("r%d", n), Class: class, Plan: plan, Customer: customer,
+	return Request{ID: fmt.Sprintf("r%d", n), Class: class, Plan: plan, Tenant: customer,
 		Timeout: 2 * time.Second, Units: 1, EntryNodes: 1}
 }
 
@@ -95,7 +95,7 @@
 func flood(g *Balancer, r *recorder, now time.Duration, n int, q Request) int {
 	before := r.count("send")
 	for i := 0; i < n; i++ {
-		q.ID = fmt.Sprintf("%s-%d-%v-%d", q.Class, q.Customer, now, i)
+		q.ID = fmt.Sprintf("%s-%d-%v-%d", q.Class, q.Tenant, now, i)
 		q.Units = max(q.Units, 1)
 		g.concurrency.inFlight = 0 // the quota alone is looked at
 		g.RequestArrived(now, q, r)
--- a/balancer/quota_test.go
+++ b/balancer/quota_test.go
@@ -97,7 +97,7 @@
 	for i := 0; i < 6; i++ {
 		flood(a, ra, t0, 9, q)
 		a.TimerFired(t0, timerGossip, ra)
-		q.Customer = 1
+		q.Tenant = 1
 		q.ID = ""
 		q.Units = 1
 		flood(b, rb, t0+time.Duration(i)*ms, 9, q)
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -213,15 +213,15 @@
 	if q.Plan != p.Name {
 		return
 	}
-	s := w.ceil[q.Customer]
+	s := w.ceil[q.Tenant]
 	if s == nil {
 		s = &ceilingStore{p.HardLimitBurst, 0}
-		w.ceil[q.Customer] = s
+		w.ceil[q.Tenant] = s
 	}
 	s.level = math.Min(p.HardLimitBurst, s.level+p.HardLimitRate*(w.now-s.at).Seconds()) - q.Units
 	s.at = w.now
 	if s.level < -p.HardLimitSlack-1e-6 {
-		w.fail("rule 5: ceiling of customer %d at %.2f", q.Customer, s.level)
+		w.fail("rule 5: ceiling of customer %d at %.2f", q.Tenant, s.level)
 	}
 }
 
@@ -376,14 +376,14 @@
 		w.after(time.Duration(w.rng.ExpFloat64()*float64(5*ms)), arrive)
 		q := Request{ID: fmt.Sprintf("r%d", w.n), Class: w.set.Classes[w.rng.IntN(3)].Name, Plan: w.set.Plans[w.rng.IntN(3)].Name,
 			Timeout: time.Duration(300+w.rng.IntN(1700)) * ms, Units: float64(1 + w.rng.IntN(3)), EntryNodes: min(gates, 12)}
-		q.Customer = uint64(w.rng.IntN(4))
+		q.Tenant = uint64(w.rng.IntN(4))
 		if q.Plan != w.set.Plans[0].Name {
-			q.Customer += 100 * uint64(1+w.rng.IntN(2))
+			q.Tenant += 100 * uint64(1+w.rng.IntN(2))
 			if q.Plan == w.set.Plans[2].Name {
-				q.Customer += 1000
+				q.Tenant += 1000
 			}
 		}
-		q.FirstEntryNode = int(q.Customer*7) % gates
+		q.FirstEntryNode = int(q.Tenant*7) % gates
 		g := (q.FirstEntryNode + w.rng.IntN(q.EntryNodes)) % gates
 		w.reqs[q.ID] = &tracked{q: q, gate: g, life: w.lives[g], at: w.now}
 		w.gates[g].RequestArrived(w.now, q, port{w, g, w.lives[g]})
--- a/internal/edgenode/front.go
+++ b/internal/edgenode/front.go
@@ -300,7 +300,7 @@
 	// Nobody waits for longer than the class's clients do: requests must not pile up.
 	seconds = math.Min(seconds, class.Deadline.Seconds())
 	q.Timeout = time.Duration(seconds*float64(time.Second)) - transit
-	if q.Customer, err = customer(r.URL.RawQuery); err != nil {
+	if q.Tenant, err = customer(r.URL.RawQuery); err != nil {
 		return q, m, err
 	}
 	if err = f.metering(metering, &q); err != nil {
--- a/internal/scale/node.go
+++ b/internal/scale/node.go
@@ -56,7 +56,7 @@
 	n.open[q.id] = q
 	n.counts.requests++
 	try := balancer.Request{
-		ID: q.id, Class: class.Name, Plan: t.plan.Name, Customer: t.key, Timeout: class.Deadline,
+		ID: q.id, Class: class.Name, Plan: t.plan.Name, Tenant: t.key, Timeout: class.Deadline,
 		Units: q.units, EntryNodes: f.spread, FirstEntryNode: t.first,
 	}
 	n.call(callRequest, func() { n.gateway.RequestArrived(f.clock.now, try, n) })
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -59,7 +59,7 @@
 		return text
 	case RequestArrived:
 		q := e.Request
-		return fmt.Sprintf("accept %d %q class %q plan %q customer %d grace %v units %v spread %d first %d", e.Node, q.ID, q.Class, q.Plan, q.Customer, q.Timeout, q.Units, q.EntryNodes, q.FirstEntryNode)
+		return fmt.Sprintf("accept %d %q class %q plan %q customer %d grace %v units %v spread %d first %d", e.Node, q.ID, q.Class, q.Plan, q.Tenant, q.Timeout, q.Units, q.EntryNodes, q.FirstEntryNode)
 	case ResponseStarted:
 		return fmt.Sprintf("headers %d %q attempt %d", e.Node, e.ID, e.Attempt)
 	case AttemptFinished:
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -158,7 +158,7 @@
 		e := RequestArrived{Node: f.int("i")}
 		q := &e.Request
 		q.ID, q.Class, q.Plan = f.str("ref"), f.str("tierClass"), f.str("tier")
-		q.Customer, q.Timeout, q.Units = f.uint("holder"), f.dur("grace"), f.num("weight")
+		q.Tenant, q.Timeout, q.Units = f.uint("holder"), f.dur("grace"), f.num("weight")
 		q.EntryNodes, q.FirstEntryNode = f.int("entryPoints"), f.int("fromNo")
 		f.uint("bits")
 		return e, nil
--- a/internal/simwire/reader_test.go
+++ b/internal/simwire/reader_test.go
@@ -48,7 +48,7 @@
 	if len(list.Endpoints) != 2 || list.Endpoints[1].State != balancer.Draining || list.Endpoints[1].StartedAt != 6100*time.Millisecond {
 		t.Errorf("list %+v", list)
 	}
-	if q := events[3].(RequestArrived).Request; q.Customer != 4569004829183723 || q.Units != 2 || q.EntryNodes != 3 || q.FirstEntryNode != 1 {
+	if q := events[3].(RequestArrived).Request; q.Tenant != 4569004829183723 || q.Units != 2 || q.EntryNodes != 3 || q.FirstEntryNode != 1 {
 		t.Errorf("request %+v", q)
 	}
 	if o := events[4].(AttemptFinished).Outcome; o.Result != balancer.Overloaded || !o.Answered || o.LoadReport == nil || o.LoadReport.Queued != 3 || o.Units != 3 {
