--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -1,6 +1,9 @@
 package balancer
 
-import "time"
+import (
+	"log/slog"
+	"time"
+)
 
 // AllPeers as the peer of a [Actions.Tell] means every other gateway.
 const AllPeers = -1
@@ -26,5 +29,5 @@
 	// WatchEndpoints subscribes to changes of the list.
 	WatchEndpoints(on bool)
 	// Log adds a line for the operators.
-	Log(text string)
+	Log(level slog.Level, message string, attributes ...slog.Attr)
 }
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -18,14 +18,17 @@
 
 import (
 	"fmt"
+	"log/slog"
 	"math"
 	"math/rand/v2"
 	"time"
 )
 
-const (
-	controlInterval = 100 * time.Millisecond // a probe of the occupancy: the paper's figure
-)
+// controlInterval is the time between two samples of the occupancy, as in the paper.
+const controlInterval = 100 * time.Millisecond
+
+// logInterval is the least time between two log lines.
+const logInterval = time.Second
 
 // Balancer decides for one edge node.
 type Balancer struct {
@@ -155,8 +158,9 @@
 	// attempts at a few silent servers must not read as overload
 	b.overload.assessInterval(b.concurrency.responses, b.recentAttempts(recentAttemptFraction))
 	if f >= 1 && b.overload.admittedFraction < 1 {
-		b.log("overload: sending on %.2f of what quotas admit, occupancy %.2f", b.overload.admittedFraction,
-			b.overload.occupancy)
+		b.log(slog.LevelInfo, "overloaded: rejecting a fraction of the requests",
+			slog.Float64("admitted_fraction", b.overload.admittedFraction),
+			slog.Float64("occupancy", b.overload.occupancy))
 	}
 	b.dropIdleQuotas()
 	if b.ownsQuotas() {
@@ -192,11 +196,13 @@
 	b.sendHealthCheck()
 }
 
-func (b *Balancer) log(format string, args ...any) {
-	if b.now-b.lastLogged >= time.Second {
-		b.lastLogged = b.now
-		b.actions.Log(fmt.Sprintf(format, args...))
+// log passes a line on unless another was logged less than logInterval ago.
+func (b *Balancer) log(level slog.Level, message string, attributes ...slog.Attr) {
+	if b.now-b.lastLogged < logInterval {
+		return
 	}
+	b.lastLogged = b.now
+	b.actions.Log(level, message, attributes...)
 }
 
 func oneIf(b bool) float64 {
--- a/balancer/cold_fleet_test.go
+++ b/balancer/cold_fleet_test.go
@@ -3,6 +3,7 @@
 import (
 	"container/heap"
 	"fmt"
+	"log/slog"
 	"math"
 	"math/rand/v2"
 	"testing"
@@ -257,12 +258,12 @@
 	p.f.after(d, func() { p.f.gates[p.me].TimerFired(p.f.now, token, p) })
 }
 
-func (coldPort) Reject(string, time.Duration) {}
-func (coldPort) Fail(string)                  {}
-func (coldPort) CancelAttempt(string, int)    {}
-func (coldPort) HealthCheck(string)           {}
-func (coldPort) WatchEndpoints(bool)          {}
-func (coldPort) Log(string)                   {}
+func (coldPort) Reject(string, time.Duration)         {}
+func (coldPort) Fail(string)                          {}
+func (coldPort) CancelAttempt(string, int)            {}
+func (coldPort) HealthCheck(string)                   {}
+func (coldPort) WatchEndpoints(bool)                  {}
+func (coldPort) Log(slog.Level, string, ...slog.Attr) {}
 
 // Rule 4 for a fleet of twenty to thirty gateways: what all of them send together leaves each cold server
 // standing, also where new servers join and others come back cold under a burst.
--- a/balancer/datagrams_test.go
+++ b/balancer/datagrams_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"encoding/hex"
 	"fmt"
+	"log/slog"
 	"strings"
 	"testing"
 	"time"
@@ -54,7 +55,7 @@
 
 func (e linkEnd) WatchEndpoints(bool) {}
 
-func (e linkEnd) Log(string) {}
+func (e linkEnd) Log(slog.Level, string, ...slog.Attr) {}
 
 func (e linkEnd) SendPeer(peer int, message []byte) {
 	e.note("tell %d %x", peer, message)
--- a/balancer/decisions_world_test.go
+++ b/balancer/decisions_world_test.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"hash"
 	"io"
+	"log/slog"
 	"math/rand/v2"
 	"time"
 
@@ -330,4 +331,4 @@
 }
 
 // Log is not hashed: the text may change.
-func (n *node) Log(string) {}
+func (n *node) Log(slog.Level, string, ...slog.Attr) {}
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -1,6 +1,9 @@
 package balancer
 
-import "time"
+import (
+	"fmt"
+	"time"
+)
 
 // EndpointState is a server's state in the list.
 type EndpointState int
@@ -58,6 +61,29 @@
 	NotSent              // not sent at all: never ran
 )
 
+// String returns the result in words, for logs.
+func (r Result) String() string {
+	switch r {
+	case OK:
+		return "ok"
+	case ErrorResponse:
+		return "error response"
+	case Overloaded:
+		return "overloaded"
+	case TimedOut:
+		return "timed out"
+	case ConnectFailed:
+		return "connect failed"
+	case Reset:
+		return "reset"
+	case Cancelled:
+		return "cancelled"
+	case NotSent:
+		return "not sent"
+	}
+	return fmt.Sprintf("result %d", int(r))
+}
+
 // LoadReport is a server's load report. A value below 0 was not reported.
 type LoadReport struct {
 	InFlight    float64 // requests in hand
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"log/slog"
 	"time"
 
 	"opalhook/balancer"
@@ -13,14 +14,14 @@
 func (printer) SendAttempt(id, server string, timeout, by time.Duration) {
 	fmt.Println("send", id, "to", server)
 }
-func (printer) Reject(id string, retryAfter time.Duration) { fmt.Println("refuse", id) }
-func (printer) Fail(id string)                             { fmt.Println("fail", id) }
-func (printer) CancelAttempt(id string, attempt int)       { fmt.Println("cancel", id, attempt) }
-func (printer) SetTimer(token uint64, after time.Duration) {}
-func (printer) HealthCheck(server string)                  {}
-func (printer) SendPeer(peer int, message []byte)          {}
-func (printer) WatchEndpoints(on bool)                     {}
-func (printer) Log(text string)                            { fmt.Println(text) }
+func (printer) Reject(id string, retryAfter time.Duration)       { fmt.Println("refuse", id) }
+func (printer) Fail(id string)                                   { fmt.Println("fail", id) }
+func (printer) CancelAttempt(id string, attempt int)             { fmt.Println("cancel", id, attempt) }
+func (printer) SetTimer(token uint64, after time.Duration)       {}
+func (printer) HealthCheck(server string)                        {}
+func (printer) SendPeer(peer int, message []byte)                {}
+func (printer) WatchEndpoints(on bool)                           {}
+func (printer) Log(_ slog.Level, message string, _ ...slog.Attr) { fmt.Println(message) }
 
 func Example() {
 	settings := balancer.Settings{
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"log/slog"
 	"strings"
 	"testing"
 	"time"
@@ -37,7 +38,7 @@
 
 func (r *recorder) WatchEndpoints(on bool) { r.add("watch %v", on) }
 
-func (r *recorder) Log(string) {}
+func (r *recorder) Log(slog.Level, string, ...slog.Attr) {}
 
 func (r *recorder) SendPeer(p int, m []byte) {
 	if r.tells == nil {
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -1,6 +1,7 @@
 package balancer
 
 import (
+	"log/slog"
 	"math"
 	"time"
 )
@@ -87,7 +88,8 @@
 	s.errorRate += errorSmoothing * (bad - s.errorRate)
 	if (s.errorRate > ejectionErrorRate || o.Result == ConnectFailed) && b.now >= s.ejectedUntil {
 		b.eject(s)
-		b.log("ejected server %s after result %d, strike %d", s.ID, o.Result, s.consecutiveEjections)
+		b.log(slog.LevelInfo, "endpoint ejected", slog.String("endpoint", s.ID), slog.Any("result", o.Result),
+			slog.Int("consecutive_ejections", s.consecutiveEjections))
 	}
 }
 
@@ -115,7 +117,7 @@
 	}
 	if s.unreachable {
 		s.unreachable, s.ejectedUntil, s.consecutiveEjections = false, 0, 0
-		b.log("server %s answers again", s.ID)
+		b.log(slog.LevelInfo, "endpoint responds again", slog.String("endpoint", s.ID))
 	}
 	s.lastResponse = b.now
 }
@@ -132,7 +134,7 @@
 		return
 	}
 	s.unreachable = true
-	b.log("server %s is silent: out until it answers a probe", s.ID)
+	b.log(slog.LevelInfo, "endpoint unreachable until a health check succeeds", slog.String("endpoint", s.ID))
 }
 
 // unresponsive tells whether the server is known to answer nothing: it was silent to probes or, in a large
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -3,6 +3,7 @@
 import (
 	"container/heap"
 	"fmt"
+	"log/slog"
 	"math"
 	"math/rand/v2"
 	"testing"
@@ -313,8 +314,8 @@
 	}
 }
 
-func (p port) WatchEndpoints(bool) {}
-func (p port) Log(string)          {}
+func (p port) WatchEndpoints(bool)                  {}
+func (p port) Log(slog.Level, string, ...slog.Attr) {}
 
 func (w *world) start(i int) {
 	w.lives[i]++
--- a/internal/edgenode/front_test.go
+++ b/internal/edgenode/front_test.go
@@ -326,7 +326,7 @@
 	go f.serve(newSlotListener(ln, f.slots))
 	t.Cleanup(func() { f.srv.Close() })
 	a := dial(t, ln.Addr().String()).ask(request("check", "t1"))
-	if a.status != 502 || !strings.Contains(logs.String(), "balancer.(*Gateway).Request") {
+	if a.status != 502 || !strings.Contains(logs.String(), "balancer.(*Balancer).RequestArrived") {
 		t.Errorf("status %d, logged %q", a.status, logs.String())
 	}
 	// One of the host's own.
--- a/internal/edgenode/node.go
+++ b/internal/edgenode/node.go
@@ -313,7 +313,10 @@
 // WatchEndpoints has nothing to do: the list is always watched.
 func (a *actions) WatchEndpoints(bool) {}
 
-func (a *actions) Log(text string) { (*Node)(a).logLater(slog.LevelInfo, "module", "says", text) }
+func (a *actions) Log(level slog.Level, message string, attributes ...slog.Attr) {
+	n := (*Node)(a)
+	n.after = append(n.after, func() { n.log.LogAttrs(n.ctx, level, message, attributes...) })
+}
 
 func (n *Node) logLater(level slog.Level, text string, attrs ...any) {
 	n.after = append(n.after, func() { n.log.Log(n.ctx, level, text, attrs...) })
--- a/internal/edgenode/upstream_test.go
+++ b/internal/edgenode/upstream_test.go
@@ -663,7 +663,7 @@
 	before, logged := met.Load(), len(r.logs.String())
 	gone.Store(true)
 	eventually(t, "a probe finds the silent server", func() bool {
-		return strings.Contains(r.logs.String()[logged:], "server preferred is silent")
+		return strings.Contains(r.logs.String()[logged:], `msg="endpoint unreachable until a health check succeeds" endpoint=preferred`)
 	})
 	for range whileSilent {
 		ask()
--- a/internal/scale/node.go
+++ b/internal/scale/node.go
@@ -1,6 +1,7 @@
 package scale
 
 import (
+	"log/slog"
 	"strconv"
 	"time"
 
@@ -276,4 +277,4 @@
 func (n *node) WatchEndpoints(bool) {}
 
 // Log implements [balancer.Actions].
-func (n *node) Log(string) {}
+func (n *node) Log(slog.Level, string, ...slog.Attr) {}
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"log/slog"
 	"strings"
 	"testing"
 	"time"
@@ -129,7 +130,7 @@
 	out.SendPeer(299, nil)
 	out.WatchEndpoints(true)
 	out.WatchEndpoints(false)
-	out.Log(" two\n lines\tand  spaces ")
+	out.Log(slog.LevelInfo, " two\n lines\tand  spaces ")
 	r.Crash("panic:\nindex out of range")
 	golden.Check(t, "golden/reply.txt", r.Take())
 	golden.Check(t, "golden/reply-empty.txt", r.Take())
--- a/internal/simwire/reader_test.go
+++ b/internal/simwire/reader_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"io"
+	"log/slog"
 	"strings"
 	"testing"
 	"time"
@@ -88,7 +89,7 @@
 	r.SendPeer(balancer.AllPeers, []byte("hi 7"))
 	r.SendPeer(2, nil)
 	r.WatchEndpoints(true)
-	r.Log("two\nlines")
+	r.Log(slog.LevelInfo, "two\nlines")
 	want := "CALL_OUT 3 rq s.a 0.08\nTURN_AWAY 3 rq 0\nSURRENDER 3 rq\nWITHDRAW 3 rq 1\nSET_ALARM 3 77 0.5\nPROBE 3 s.a\n" +
 		"SIGNAL 3 all aGkgNw==\nSIGNAL 3 2 -\nSTREAM_CHANGES 3 1\nPRINT 3 two lines\nFINISHED\n"
 	if got := string(r.Take()); got != want {
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/base64"
+	"log/slog"
 	"strconv"
 	"strings"
 	"time"
@@ -112,9 +113,15 @@
 	r.end()
 }
 
-func (r *Reply) Log(text string) {
+// Log writes the message and its attributes as one line of text; the simulator knows no levels.
+func (r *Reply) Log(_ slog.Level, message string, attributes ...slog.Attr) {
+	var text strings.Builder
+	text.WriteString(message)
+	for _, attribute := range attributes {
+		text.WriteString(" " + attribute.String())
+	}
 	r.begin("PRINT")
-	r.str(oneLine(text))
+	r.str(oneLine(text.String()))
 	r.end()
 }
 
