--- a/internal/edgenode/attempt_test.go
+++ b/internal/edgenode/attempt_test.go
@@ -20,7 +20,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, c := range u.backends[server].idle {
-		c.idle = c.idle.Add(-leastRest)
+		c.idleSince = c.idleSince.Add(-minRest)
 	}
 }
 
@@ -61,12 +61,12 @@
 	exchange(t, u, "a")
 	b := u.backends["a"]
 	used := b.idle[0]
-	now := used.idle
+	now := used.idleSince
 	for _, at := range []struct {
 		after time.Duration
 		want  int
-	}{{0, 0}, {leastRest - 1, 0}, {leastRest, 1}} {
-		if n := b.rested(now.Add(at.after)); n != at.want {
+	}{{0, 0}, {minRest - 1, 0}, {minRest, 1}} {
+		if n := b.restedCount(now.Add(at.after)); n != at.want {
 			t.Errorf("%v after its answer %d connections may be used, want %d", at.after, n, at.want)
 		}
 	}
@@ -80,30 +80,30 @@
 		return func(u *upstream, in Instance) { change(&in); closeAll(u.update([]Instance{in}, false)) }
 	}
 	for name, c := range map[string]struct {
-		to      bounds
+		to      writeLimits
 		happens func(*upstream, Instance)
 		want    error
 	}{
-		"in time":                   {to: bounds{until: later, whole: later}},
+		"in time":                   {to: writeLimits{startBefore: later, completeBefore: later}},
 		"no bounds":                 {},
-		"its time is over":          {to: bounds{until: past}, want: errLate},
-		"its repeat is too late":    {to: bounds{until: later, whole: past}, want: errLate},
-		"the server restarted":      {happens: as(func(in *Instance) { in.StartedAt = time.Hour }), want: errUnknown},
-		"it is in another zone":     {happens: as(func(in *Instance) { in.Zone = "other" }), want: errUnknown},
-		"it is in another cell":     {happens: as(func(in *Instance) { in.Cell++ }), want: errUnknown},
-		"it is at another address":  {happens: as(func(in *Instance) { in.Addr = netip.MustParseAddrPort("127.0.0.1:1") }), want: errUnknown},
+		"its time is over":          {to: writeLimits{startBefore: past}, want: errTooLate},
+		"its repeat is too late":    {to: writeLimits{startBefore: later, completeBefore: past}, want: errTooLate},
+		"the server restarted":      {happens: as(func(in *Instance) { in.StartedAt = time.Hour }), want: errNotUp},
+		"it is in another zone":     {happens: as(func(in *Instance) { in.Zone = "other" }), want: errNotUp},
+		"it is in another cell":     {happens: as(func(in *Instance) { in.Cell++ }), want: errNotUp},
+		"it is at another address":  {happens: as(func(in *Instance) { in.Addr = netip.MustParseAddrPort("127.0.0.1:1") }), want: errNotUp},
 		"the list says nothing new": {happens: as(func(*Instance) {})},
 	} {
 		s := newAppServer(t, say(okAnswer))
 		u := testUpstream(s.instance("a"))
-		conn, err := u.take(t.Context(), "a", nil)
+		conn, err := u.acquire(t.Context(), "a", nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if c.happens != nil {
 			c.happens(u, s.instance("a"))
 		}
-		if err := u.write(t.Context(), conn, &message{}, c.to, []byte("GET /x HTTP/1.1\r\nHost: a\r\n\r\n")); err != c.want {
+		if err := u.writeRequest(t.Context(), conn, &message{}, c.to, []byte("GET /x HTTP/1.1\r\nHost: a\r\n\r\n")); err != c.want {
 			t.Errorf("%s: error %v, want %v", name, err, c.want)
 		}
 		conn.Conn.(*net.TCPConn).CloseWrite()
@@ -120,13 +120,13 @@
 func TestRepeatGoesToTheServerThatWasChosen(t *testing.T) {
 	s := newAppServer(t, say(okAnswer))
 	u := testUpstream(s.instance("a"))
-	to := bounds{of: u.chosen("a")}
+	to := writeLimits{backend: u.lookup("a")}
 	restarted := s.instance("a")
 	restarted.StartedAt = time.Hour
 	closeAll(u.update([]Instance{restarted}, false))
 	_, res := u.exchange(t.Context(), "a", &get, to)
 	wantResult(t, res, balancer.ConnectFailed)
-	_, res = u.exchange(t.Context(), "a", &get, bounds{of: u.chosen("a")})
+	_, res = u.exchange(t.Context(), "a", &get, writeLimits{backend: u.lookup("a")})
 	wantResult(t, res, balancer.OK)
 	if n := len(s.requests()); n != 1 {
 		t.Errorf("%d requests arrived", n)
@@ -142,10 +142,10 @@
 		return say(okAnswer)(c, r, body)
 	})
 	n := idleFront(t, testConfig(s.instance("a"), s.instance("b"))).node
-	ask := func(id, class, method string) *flight {
+	ask := func(id, class, method string) *inflightRequest {
 		q := balancer.Request{ID: id, Class: class, Plan: "wide", Timeout: 10 * time.Second, Units: 1, EntryNodes: 1}
-		fl := n.begin(q, message{method: method, target: "/" + class, id: id}, time.Now().Add(patience))
-		await(t, "an answer", fl.answer)
+		fl := n.startRequest(q, message{method: method, target: "/" + class, id: id}, time.Now().Add(patience))
+		await(t, "an answer", fl.response)
 		return fl
 	}
 	for i := range 10 { // by which repeats are earned
@@ -157,12 +157,12 @@
 	if len(fl.attempts) < 2 {
 		t.Fatalf("%d attempts, want a repeat", len(fl.attempts))
 	}
-	if at := fl.attempts[0]; !at.to.whole.IsZero() {
-		t.Errorf("the first attempt is bound to %v", at.to.whole)
+	if at := fl.attempts[0]; !at.limits.completeBefore.IsZero() {
+		t.Errorf("the first attempt is bound to %v", at.limits.completeBefore)
 	}
 	window := n.cfg.Settings.Classes[1].DedupWindow - 2*n.cfg.Settings.Tick
 	for _, at := range fl.attempts[1:] {
-		if got := at.to.whole.Sub(n.start) + time.Duration(n.start.UnixNano()) - fl.attempts[0].sent; got > window || got < window-time.Millisecond {
+		if got := at.limits.completeBefore.Sub(n.startedAt) + time.Duration(n.startedAt.UnixNano()) - fl.attempts[0].sentAt; got > window || got < window-time.Millisecond {
 			t.Errorf("a repeat is bound to %v behind the first send, want %v", got, window)
 		}
 	}
@@ -200,14 +200,14 @@
 func TestLongRepeatEndsBeforeItsLastByte(t *testing.T) {
 	in, conns := slowReader(t)
 	u := testUpstream(in)
-	conn, err := u.take(t.Context(), "a", nil)
+	conn, err := u.acquire(t.Context(), "a", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	defer cancel()
-	if err := conn.writeRest(ctx, bounds{whole: time.Now().Add(50 * time.Millisecond)}, long.body); err != errLate || ctx.Err() != nil {
-		t.Errorf("error %v, want %v; the attempt's own time: %v", err, errLate, ctx.Err())
+	if err := conn.writeRemainder(ctx, writeLimits{completeBefore: time.Now().Add(50 * time.Millisecond)}, long.body); err != errTooLate || ctx.Err() != nil {
+		t.Errorf("error %v, want %v; the attempt's own time: %v", err, errTooLate, ctx.Err())
 	}
 	u.discard(conn)
 	c := await(t, "a connection", conns)
@@ -216,7 +216,7 @@
 		t.Errorf("%d bytes arrived: all of it", n)
 	}
 	// What the first byte is too late for does not begin.
-	_, res := u.exchange(ctx, "a", &get, bounds{whole: time.Now()})
+	_, res := u.exchange(ctx, "a", &get, writeLimits{completeBefore: time.Now()})
 	wantResult(t, res, balancer.NotSent)
 }
 
@@ -227,7 +227,7 @@
 		u := testUpstream(in)
 		result := make(chan balancer.Result, 1)
 		go func() {
-			_, res := u.exchange(context.Background(), "a", &long, bounds{})
+			_, res := u.exchange(context.Background(), "a", &long, writeLimits{})
 			result <- res
 		}()
 		c := await(t, "a connection", conns)
@@ -243,7 +243,7 @@
 	u := testUpstream(in)
 	result := make(chan balancer.Result, 1)
 	go func() {
-		_, res := u.exchange(context.Background(), "a", &long, bounds{whole: time.Now().Add(time.Hour)})
+		_, res := u.exchange(context.Background(), "a", &long, writeLimits{completeBefore: time.Now().Add(time.Hour)})
 		result <- res
 	}()
 	c := await(t, "a connection", conns)
@@ -252,7 +252,7 @@
 	wantResult(t, await(t, "a result", result), balancer.OK)
 	u.rest("a")
 	go func() {
-		_, res := u.exchange(context.Background(), "a", &get, bounds{})
+		_, res := u.exchange(context.Background(), "a", &get, writeLimits{})
 		result <- res
 	}()
 	wantResult(t, await(t, "a result on the same connection", result), balancer.OK)
@@ -273,17 +273,17 @@
 		"reset":                  {"HTTP/1.1 200 OK\r\n\r\nbody", true, balancer.Reset},
 		"turned away":            {"HTTP/1.1 503 F\r\nX-Never-Ran: 1\r\n\r\n", false, balancer.Overloaded},
 		"turned away, but reset": {"HTTP/1.1 503 F\r\nX-Never-Ran: 1\r\n\r\n", true, balancer.Reset},
-		"too long":               {"HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", maxReply+1), false, balancer.ErrorResponse},
+		"too long":               {"HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", maxResponseBody+1), false, balancer.ErrorResponse},
 	} {
 		ln := listen(t)
 		u := testUpstream(Instance{Endpoint: balancer.Endpoint{ID: "a"}, Addr: addrOf(ln)})
 		type outcome struct {
-			reply
+			serverResponse
 			balancer.Result
 		}
 		done := make(chan outcome, 1)
 		go func() {
-			rep, res := u.exchange(context.Background(), "a", &get, bounds{})
+			rep, res := u.exchange(context.Background(), "a", &get, writeLimits{})
 			done <- outcome{rep, res}
 		}()
 		server, err := ln.Accept()
--- a/internal/edgenode/config.go
+++ b/internal/edgenode/config.go
@@ -27,29 +27,29 @@
 	Peers      []netip.AddrPort // by number, this node's own among them
 	PeersAll   netip.AddrPort   // every edge node of the tier
 
-	Known     List // the app servers as this node last had them
-	Settings  balancer.Settings
-	Transport settings.Transport
+	CachedList List // the app servers as this node last had them
+	Settings   balancer.Settings
+	Transport  settings.Transport
 
-	reread   func() (*Config, error) // reads the configuration again, for a reload
-	left     []error                 // what of Known is spoilt
-	drainFor time.Duration           // drainTime but in tests
-	listFor  time.Duration           // how long a new process waits for what discovery has to tell
+	reload      func() (*Config, error) // reads the configuration again, for a reload
+	knownErrors []error                 // what of Known is spoilt
+	drainPeriod time.Duration           // drainTime but in tests
+	listWait    time.Duration           // how long a new process waits for what discovery has to tell
 }
 
 // How long a new process waits for its first list before it takes clients: an agent answers
 // within milliseconds, and one that is down must not keep the node from serving. A service
 // that lists are asked from may have nothing to tell.
 const (
-	pushedList = time.Second
-	askedList  = 250 * time.Millisecond
+	pushedListWait = time.Second
+	polledListWait = 250 * time.Millisecond
 )
 
 // defaultSockets is the descriptor budget where no limit is told.
 const defaultSockets = 1024
 
-// leastSockets is the smallest budget that leaves room for clients and servers.
-const leastSockets = 64
+// minSockets is the smallest budget that leaves room for clients and servers.
+const minSockets = 64
 
 // defaultConnIdle and defaultConnectTimeout hold where the settings are silent.
 const (
@@ -76,7 +76,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c.reread = func() (*Config, error) {
+	c.reload = func() (*Config, error) {
 		// The environment is that of the start: it would hide the address in a file replaced since.
 		return load(func(name string) string {
 			if name == "PROXY_DISCOVERY" {
@@ -111,7 +111,7 @@
 			*field = v
 		}
 	}
-	c := &Config{Name: raw.Name, drainFor: drainTime}
+	c := &Config{Name: raw.Name, drainPeriod: drainListenPeriod}
 	if c.Name == "" {
 		return nil, errors.New("name: is empty")
 	}
@@ -132,7 +132,7 @@
 	if c.Sockets = int(raw.Limits.Sockets); c.Sockets == 0 {
 		c.Sockets = defaultSockets
 	}
-	if c.Sockets < leastSockets || c.Sockets > 1<<20 {
+	if c.Sockets < minSockets || c.Sockets > 1<<20 {
 		return nil, fmt.Errorf("limits.sockets: %v is out of range", raw.Limits.Sockets)
 	}
 	if len(raw.Settings) == 0 {
@@ -141,8 +141,8 @@
 	if c.Settings, c.Transport, err = settings.Parse(raw.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if c.listFor = pushedList; c.Settings.PollEndpoints {
-		c.listFor = askedList
+	if c.listWait = pushedListWait; c.Settings.PollEndpoints {
+		c.listWait = polledListWait
 	}
 	if c.Transport.ConnIdle <= 0 {
 		c.Transport.ConnIdle = defaultConnIdle
@@ -169,7 +169,7 @@
 		}
 	}
 	if len(raw.Known) > 0 && string(raw.Known) != "null" {
-		if c.Known, c.left, err = parseList(raw.Known); err != nil {
+		if c.CachedList, c.knownErrors, err = parseList(raw.Known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
--- a/internal/edgenode/cross_test.go
+++ b/internal/edgenode/cross_test.go
@@ -79,29 +79,29 @@
 
 // hooked is a listener whose connections a test may change before they are served.
 type hooked struct {
-	*slotListener
-	change func(*slotConn)
+	*clientListener
+	change func(*clientConn)
 }
 
 func (h hooked) Accept() (net.Conn, error) {
-	c, err := h.slotListener.Accept()
+	c, err := h.clientListener.Accept()
 	if err == nil {
-		h.change(c.(*slotConn))
+		h.change(c.(*clientConn))
 	}
 	return c, err
 }
 
-func serveHooked(t *testing.T, cfg *Config, change func(f *front, c *slotConn)) (*front, string) {
+func serveHooked(t *testing.T, cfg *Config, change func(f *frontend, c *clientConn)) (*frontend, string) {
 	t.Helper()
 	f := idleFront(t, cfg)
 	ln := listen(t)
-	go f.srv.Serve(hooked{newSlotListener(ln, f.slots), func(c *slotConn) { change(f, c) }})
-	t.Cleanup(func() { f.srv.Close() })
+	go f.server.Serve(hooked{newClientListener(ln, f.conns), func(c *clientConn) { change(f, c) }})
+	t.Cleanup(func() { f.server.Close() })
 	return f, ln.Addr().String()
 }
 
 // all returns the connections of clients.
-func (s *slots) all() (all []*slotConn) {
+func (s *connTable) all() (all []*clientConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
@@ -111,16 +111,16 @@
 }
 
 // taken tells whether all that has come of clients was read.
-func (s *slots) taken() bool {
+func (s *connTable) taken() bool {
 	for _, c := range s.all() {
-		if c.waiting() {
+		if c.hasUnread() {
 			return false
 		}
 	}
 	return true
 }
 
-func (s *slots) in(state slotState) (n int) {
+func (s *connTable) in(state connState) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
@@ -137,10 +137,10 @@
 	for _, before := range []bool{true, false} {
 		s := newAppServer(t, say(okAnswer))
 		var looks atomic.Bool
-		_, addr := serveHooked(t, testConfig(s.instance("a")), func(f *front, c *slotConn) {
+		_, addr := serveHooked(t, testConfig(s.instance("a")), func(f *frontend, c *clientConn) {
 			look := func() {
-				if looks.Load() && (c.waiting() || !before) {
-					f.slots.closeIdle()
+				if looks.Load() && (c.hasUnread() || !before) {
+					f.conns.closeIdle()
 				}
 			}
 			hook := between{RawConn: c.raw, readDone: look}
@@ -164,21 +164,21 @@
 	s := newAppServer(t, say(okAnswer))
 	unread := make(chan bool, 1)
 	var asks atomic.Bool
-	_, addr := serveHooked(t, testConfig(s.instance("a")), func(f *front, c *slotConn) {
+	_, addr := serveHooked(t, testConfig(s.instance("a")), func(f *frontend, c *clientConn) {
 		c.raw = between{RawConn: c.raw, read: func() {
 			if !asks.Load() {
 				return
 			}
-			eventually(t, "the next request has come", c.waiting) // or it could come behind the close
-			f.slots.mu.Lock()
-			defer f.slots.mu.Unlock()
-			if c.state != ended {
-				f.slots.leave(c, ended)
-				delete(f.slots.conns, c)
+			eventually(t, "the next request has come", c.hasUnread) // or it could come behind the close
+			f.conns.mu.Lock()
+			defer f.conns.mu.Unlock()
+			if c.state != connClosed {
+				f.conns.changeState(c, connClosed)
+				delete(f.conns.conns, c)
 			}
 		}, readDone: func() {
 			if asks.Load() {
-				unread <- c.waiting()
+				unread <- c.hasUnread()
 			}
 		}}
 	})
@@ -201,21 +201,21 @@
 // an empty 200 is no answer of a server.
 func TestRequestOnAConnectionGivenUpIsNotAnswered(t *testing.T) {
 	var last atomic.Bool
-	f, addr := serveHooked(t, testConfig(), func(f *front, c *slotConn) {
+	f, addr := serveHooked(t, testConfig(), func(f *frontend, c *clientConn) {
 		c.raw = between{RawConn: c.raw, readDone: func() {
 			if !last.Load() {
 				return
 			}
-			f.slots.mu.Lock()
-			defer f.slots.mu.Unlock()
-			f.slots.leave(c, ended)
-			delete(f.slots.conns, c)
+			f.conns.mu.Lock()
+			defer f.conns.mu.Unlock()
+			f.conns.changeState(c, connClosed)
+			delete(f.conns.conns, c)
 		}}
 	})
 	c := dial(t, addr)
 	text := request("book", "t1")
 	c.send(text[:len(text)-2])
-	eventually(t, "the rest is waited for", func() bool { return f.slots.in(reading) == 1 && f.slots.taken() })
+	eventually(t, "the rest is waited for", func() bool { return f.conns.in(connReading) == 1 && f.conns.taken() })
 	last.Store(true)
 	c.send(text[len(text)-2:])
 	if b, err := c.br.ReadByte(); err == nil {
@@ -226,8 +226,8 @@
 // While an answer is on its way its connection is not taken for a resting one.
 func TestAnswerUnderWayIsNotClosed(t *testing.T) {
 	s := newAppServer(t, say(okAnswer))
-	_, addr := serveHooked(t, testConfig(s.instance("a")), func(f *front, c *slotConn) {
-		c.Conn = &writing{TCPConn: c.Conn.(*net.TCPConn), before: func() { f.slots.closeIdle() }}
+	_, addr := serveHooked(t, testConfig(s.instance("a")), func(f *frontend, c *clientConn) {
+		c.Conn = &writing{TCPConn: c.Conn.(*net.TCPConn), before: func() { f.conns.closeIdle() }}
 	})
 	if a := dial(t, addr).ask(request("check", "t1")); a.status != http.StatusOK {
 		t.Errorf("answer %+v", a)
@@ -242,17 +242,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := newSlots(1)
-	c, err := newSlotConn(nc, s)
+	s := newConnTable(1)
+	c, err := newClientConn(nc, s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(c.end)
+	t.Cleanup(c.closeNow)
 	s.add(c)
 	looks := make(chan struct{}, 10)
 	c.raw = between{RawConn: c.raw, looked: func() { looks <- struct{}{} }}
-	c.become(open)
-	c.become(answering)
+	c.transition(connActive)
+	c.transition(connResponding)
 	ended := make(chan error, 1)
 	go func() {
 		var b [1]byte
@@ -260,7 +260,7 @@
 		ended <- err
 	}()
 	await(t, "the look", looks)
-	if n := s.in(answering); n != 1 {
+	if n := s.in(connResponding); n != 1 {
 		t.Error("the connection does not count as one with an answer under way")
 	}
 	client.Close()
@@ -273,10 +273,10 @@
 func TestUnreadBytesDoNotResetTheAnswer(t *testing.T) {
 	s := newAppServer(t, say(okAnswer))
 	var c *client
-	f, addr := serveHooked(t, testConfig(s.instance("a")), func(f *front, conn *slotConn) {
+	f, addr := serveHooked(t, testConfig(s.instance("a")), func(f *frontend, conn *clientConn) {
 		conn.Conn = &writing{TCPConn: conn.Conn.(*net.TCPConn), behind: func() {
 			c.send("bytes that nobody reads")
-			eventually(t, "they have come", conn.waiting)
+			eventually(t, "they have come", conn.hasUnread)
 		}}
 	})
 	f.draining.Store(true) // so that the answer is the connection's last
@@ -287,15 +287,15 @@
 	if _, err := c.br.ReadByte(); err != io.EOF {
 		t.Errorf("behind the answer: %v, want an orderly end", err)
 	}
-	eventually(t, "its slot is free", func() bool { return len(f.slots.all()) == 0 })
+	eventually(t, "its slot is free", func() bool { return len(f.conns.all()) == 0 })
 }
 
 // Connections that stand in the listener's queue when it is to close are taken and answered.
 func TestQueueIsEmptiedBeforeTheListenerCloses(t *testing.T) {
 	f := idleFront(t, testConfig())
 	f.ready.Store(true)
-	t.Cleanup(func() { f.srv.Close() })
-	ln := newSlotListener(listen(t), f.slots)
+	t.Cleanup(func() { f.server.Close() })
+	ln := newClientListener(listen(t), f.conns)
 	var clients []*client
 	for range 20 {
 		c := dial(t, ln.Addr().String())
@@ -303,8 +303,8 @@
 		clients = append(clients, c)
 	}
 	closed := make(chan struct{})
-	go func() { ln.closeEmpty(); close(closed) }()
-	eventually(t, "the listener is told", func() bool { return ln.last.Load() != nil })
+	go func() { ln.closeWhenQueueEmpty(); close(closed) }()
+	eventually(t, "the listener is told", func() bool { return ln.closingSince.Load() != nil })
 	go f.serve(ln) // nobody accepted until now
 	for i, c := range clients {
 		if a := c.read(); a.status != http.StatusOK {
@@ -321,9 +321,9 @@
 // The drain may have closed all before the library sees that its listener is closed: that is no failure.
 func TestDrainOvertakesTheListener(t *testing.T) {
 	f := idleFront(t, testConfig())
-	ln := newSlotListener(listen(t), f.slots)
+	ln := newClientListener(listen(t), f.conns)
 	f.draining.Store(true)
-	f.srv.Close()
+	f.server.Close()
 	if err := f.serve(ln); err != nil {
 		t.Errorf("error %v", err)
 	}
@@ -332,13 +332,13 @@
 // An order to end that comes before the node is ready ends it, with no listener opened.
 func TestEndBeforeReady(t *testing.T) {
 	cfg := testConfig()
-	cfg.listFor = patience
+	cfg.listWait = patience
 	var asked chan struct{}
 	cfg.Discovery, asked = silentAgent(t)
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() {
-		done <- runOn(ctx, cfg, nil, slog.New(slog.DiscardHandler), func() (*net.TCPListener, error) {
+		done <- runWithListener(ctx, cfg, nil, slog.New(slog.DiscardHandler), func() (*net.TCPListener, error) {
 			return nil, errors.New("the listener was opened")
 		})
 	}()
@@ -371,13 +371,13 @@
 	t.Run("before it is ready", func(t *testing.T) {
 		s := newAppServer(t, say(okAnswer))
 		cfg := testConfig()
-		cfg.listFor = patience
+		cfg.listWait = patience
 		var called chan struct{}
 		cfg.Discovery, called = silentAgent(t)
 		moved := *cfg
 		moved.Discovery = discovery(t, func() string { return listJSON(8, true, s.instance("a")) },
 			func(_ int, _ string, w io.Writer, ctx context.Context) { beat(ctx, w) })
-		cfg.reread = func() (*Config, error) { return &moved, nil }
+		cfg.reload = func() (*Config, error) { return &moved, nil }
 		n := run(t, cfg)
 		await(t, "the first agent is asked", called)
 		n.hup <- syscall.SIGHUP
@@ -395,7 +395,7 @@
 		moved := *cfg
 		var called chan struct{}
 		moved.Discovery, called = silentAgent(t)
-		cfg.reread = func() (*Config, error) { return &moved, nil }
+		cfg.reload = func() (*Config, error) { return &moved, nil }
 		n := run(t, cfg)
 		c := dial(t, n.addr)
 		c.send(request("check", "t1"))
@@ -452,11 +452,11 @@
 		cfg.Settings.Classes[i].LatencyObjective, cfg.Settings.Classes[i].Deadline = time.Hour, time.Hour
 	}
 	cfg.Sockets = 2048
-	f, addr := serveHooked(t, cfg, func(*front, *slotConn) {})
+	f, addr := serveHooked(t, cfg, func(*frontend, *clientConn) {})
 	open := func() int {
 		f.node.mu.Lock()
 		defer f.node.mu.Unlock()
-		return len(f.node.flights)
+		return len(f.node.inflight)
 	}
 	ways := map[string]func(*client){
 		"closes": func(c *client) { c.Close() },
@@ -471,14 +471,14 @@
 	ask := func(id, behind string) *client {
 		c := dial(t, addr)
 		c.send(request("check", id, "X-Expires-In", "3600"))
-		eventually(t, "the request waits", func() bool { return open() > 0 && f.slots.in(reading) == 0 })
+		eventually(t, "the request waits", func() bool { return open() > 0 && f.conns.in(connReading) == 0 })
 		c.send(behind)
 		return c
 	}
 	for name, leave := range ways {
 		for _, behind := range []string{"", "x", request("check", "next")} {
 			c := ask("t1", behind)
-			eventually(t, "it is read", f.slots.taken)
+			eventually(t, "it is read", f.conns.taken)
 			leave(c)
 			eventually(t, fmt.Sprintf("a client that has sent %d bytes more and %s is noticed", len(behind), name),
 				func() bool { return open() == 0 })
@@ -488,7 +488,7 @@
 	for i := range 300 {
 		burst = append(burst, ask(fmt.Sprint("b", i), "more"))
 	}
-	eventually(t, "all wait", func() bool { return open() == len(burst) && f.slots.taken() })
+	eventually(t, "all wait", func() bool { return open() == len(burst) && f.conns.taken() })
 	for _, c := range burst {
 		c.Close()
 	}
@@ -502,15 +502,15 @@
 		<-hold
 		return say(okAnswer)(c, r, body)
 	})
-	f, addr := serveHooked(t, testConfig(s.instance("a")), func(*front, *slotConn) {})
+	f, addr := serveHooked(t, testConfig(s.instance("a")), func(*frontend, *clientConn) {})
 	c, flood := dial(t, addr), dial(t, addr)
 	c.send(request("book", "t1"))
 	eventually(t, "request out", func() bool { return len(s.requests()) == 1 })
 	c.send(request("book", "t2"))
-	eventually(t, "what stands behind it is read", f.slots.taken)
+	eventually(t, "what stands behind it is read", f.conns.taken)
 	flood.send(request("check", "t3"))
 	eventually(t, "requests out", func() bool { return len(s.requests()) == 2 })
-	flood.send(strings.Repeat("x", 2*mostAhead))
+	flood.send(strings.Repeat("x", 2*maxReadAhead))
 	if a := flood.read(); a.status != http.StatusBadGateway {
 		t.Errorf("answer to a flood %+v", a)
 	}
@@ -524,9 +524,9 @@
 
 // Requests that come as the drain ends are due before the process may be killed, whatever wait they ask for.
 func TestLateRequestOfADrainIsDue(t *testing.T) {
-	f, addr := serveHooked(t, testConfig(newAppServer(t, say(okAnswer)).instance("a")), func(*front, *slotConn) {})
+	f, addr := serveHooked(t, testConfig(newAppServer(t, say(okAnswer)).instance("a")), func(*frontend, *clientConn) {})
 	past := time.Now()
-	f.due.Store(&past)
+	f.answerBy.Store(&past)
 	if a := dial(t, addr).ask(request("check", "t1")); a.status != http.StatusTooManyRequests {
 		t.Errorf("answer %+v, want a refusal at once", a)
 	}
@@ -595,7 +595,7 @@
 						return addrOf(ln)
 					}
 					told := make(chan List, 100)
-					r := newRegistry(agent(true), follower{pushed: pushed, fleet: 1, rng: rand.New(rand.NewPCG(1, 1))},
+					r := newDiscoveryClient(agent(true), follower{pushed: pushed, fleetSize: 1, rng: rand.New(rand.NewPCG(1, 1))},
 						func(l List) { told <- l }, slog.New(slog.DiscardHandler))
 					ctx, end := context.WithCancel(t.Context())
 					defer end()
@@ -650,7 +650,7 @@
 	s := newAppServer(t, say(okAnswer))
 	cfg := testConfig(s.instance("a"))
 	cfg.Discovery, _ = silentAgent(t)
-	cfg.listFor = askedList
+	cfg.listWait = polledListWait
 	n := run(t, cfg)
 	if a := dial(t, n.addr).ask(request("check", "t1")); a.status != http.StatusOK {
 		t.Errorf("answer %+v", a)
--- a/internal/edgenode/crowd_test.go
+++ b/internal/edgenode/crowd_test.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return err
 	}
-	return runOn(ctx, cfg, nil, logger, func() (*net.TCPListener, error) {
+	return runWithListener(ctx, cfg, nil, logger, func() (*net.TCPListener, error) {
 		file := os.NewFile(processListen, "listener")
 		defer file.Close()
 		ln, err := net.FileListener(file)
@@ -168,7 +168,7 @@
 			closed <- struct{}{}
 		}()
 	}
-	for range crowd - clientSockets(descriptors) {
+	for range crowd - maxClientConns(descriptors) {
 		await(t, "the crowd is more than there is room for", closed)
 	}
 	answeredInCrowd := func(what string) {
--- a/internal/edgenode/follow.go
+++ b/internal/edgenode/follow.go
@@ -9,7 +9,7 @@
 //
 // A follower is the state machine that keeps an edge node on the list: what its calls of
 // discovery bring goes in, the calls to be made come out. It has no clock, no socket and no
-// source of chance but what it is given; [registry] is its host.
+// source of chance but what it is given; [discoveryClient] is its host.
 //
 // There are two kinds of calls. A watch stays open and brings changes. A fetch brings the whole
 // list, at once or not at all. Discovery comes in two kinds as well, which the settings tell:
@@ -29,24 +29,24 @@
 
 // Figures of the platform's pages.
 const (
-	lineEvery = 2 * time.Second // an empty line comes so often on a watch that works
-	toldAfter = 6 * time.Second // what a watch misses counts as told so long after it fell silent
+	emptyLineInterval = 2 * time.Second // an empty line comes so often on a watch that works
+	reportedAfter     = 6 * time.Second // what a watch misses counts as told so long after it fell silent
 )
 
 // Pace of the calls.
 const (
-	pushSilent = lineEvery + 300*time.Millisecond // silence after which a pushed watch is in doubt
-	askSilent  = lineEvery + time.Second          // and after which one of the service has broken
-	pushWhole  = 200 * time.Millisecond           // in which an agent writes a whole message, or answers a call
-	askWhole   = 3 * time.Second                  // and the service
-	callMost   = 3 * time.Second                  // after which a call without an answer, or a watch in doubt, is given up
-	fetchEvery = 150 * time.Millisecond           // most pause from one fetch to the next; half of it at least
-	callRoom   = time.Second                      // of toldAfter that is left for the call's answer
-	callGap    = 100 * time.Millisecond           // from one edge node's new try to the next one's, over the fleet
-	spanMost   = time.Second                      // of the pause of a small fleet
-	spanTimes  = 2                                // most span of a large fleet, as a multiple of the first
-	rereadMost = time.Minute                      // most pause from one reading of a spoilt list to the next
-	askWithin  = 10 * time.Second                 // where the settings don't tell within what an edge node has to ask
+	pushedSilenceLimit   = emptyLineInterval + 300*time.Millisecond // silence after which a pushed watch is in doubt
+	polledSilenceLimit   = emptyLineInterval + time.Second          // and after which one of the service has broken
+	pushedMessageTimeout = 200 * time.Millisecond                   // in which an agent writes a whole message, or answers a call
+	polledMessageTimeout = 3 * time.Second                          // and the service
+	maxCallDuration      = 3 * time.Second                          // after which a call without an answer, or a watch in doubt, is given up
+	maxFetchInterval     = 150 * time.Millisecond                   // most pause from one fetch to the next; half of it at least
+	responseReserve      = time.Second                              // of toldAfter that is left for the call's answer
+	fleetCallInterval    = 100 * time.Millisecond                   // from one edge node's new try to the next one's, over the fleet
+	smallFleetMaxWindow  = time.Second                              // of the pause of a small fleet
+	maxWindowFactor      = 2                                        // most span of a large fleet, as a multiple of the first
+	maxRereadInterval    = time.Minute                              // most pause from one reading of a spoilt list to the next
+	defaultPollInterval  = 10 * time.Second                         // where the settings don't tell within what an edge node has to ask
 )
 
 // callKind is what a call asks for.
@@ -59,19 +59,19 @@
 
 // call is a call of discovery that is out.
 type call struct {
-	id       uint64 // 0: there is none
-	kind     callKind
-	from     uint64 // of a watch: the version that it went on from
-	opened   time.Duration
-	answered bool          // its head has come, with status 200
-	heard    bool          // a message or an empty line has come whole
-	last     time.Duration // when anything came last, or when it was opened
-	begun    time.Duration // when the message began that is not whole
-	partial  bool          // there is one
+	id             uint64 // 0: there is none
+	kind           callKind
+	from           uint64 // of a watch: the version that it went on from
+	opened         time.Duration
+	answered       bool          // its head has come, with status 200
+	confirmed      bool          // a message or an empty line has come whole
+	lastActivity   time.Duration // when anything came last, or when it was opened
+	messageStarted time.Duration // when the message began that is not whole
+	partial        bool          // there is one
 }
 
-// order is what the host has to do: open a call, or end one.
-type order struct {
+// command is what the host has to do: open a call, or end one.
+type command struct {
 	open bool
 	kind callKind
 	id   uint64
@@ -80,64 +80,64 @@
 
 // follower decides which calls are out. The zero value of its state is that of a new process.
 type follower struct {
-	pushed bool
-	fleet  int           // edge nodes
-	within time.Duration // lists asked for: how often a node without a watch has to ask
-	rng    *rand.Rand
-
-	version uint64 // of the list that is held
-	behind  bool   // the node may not have what discovery has
-	whole   bool   // and only a whole list can mend that
-	down    bool   // nothing has been heard since the latest call ended
-	lined   bool   // it turns calls away
-	deaf    bool   // the watch is to be opened anew, from the version that a fetch has told
+	pushed       bool
+	fleetSize    int           // edge nodes
+	pollInterval time.Duration // lists asked for: how often a node without a watch has to ask
+	rng          *rand.Rand
+
+	version      uint64 // of the list that is held
+	stale        bool   // the node may not have what discovery has
+	needSnapshot bool   // and only a whole list can mend that
+	down         bool   // nothing has been heard since the latest call ended
+	throttled    bool   // it turns calls away
+	reopenWatch  bool   // the watch is to be opened anew, from the version that a fetch has told
 
 	watch, fetch     call
 	watchAt, fetchAt time.Duration // not before
-	heardAt          time.Duration // when discovery was last heard
-	span             time.Duration // from which the next pause is drawn; 0: the first
+	lastHeard        time.Duration // when discovery was last heard
+	backoffWindow    time.Duration // from which the next pause is drawn; 0: the first
 	rereadAt         time.Duration // when a list of which some was spoilt is read again; 0: never
-	rereadPause      time.Duration // from one such reading to the next; 0: the first
-	ids              uint64
+	rereadInterval   time.Duration // from one such reading to the next; 0: the first
+	lastID           uint64
 }
 
 // start begins with a list that may be old.
 func (f *follower) start(now time.Duration) {
-	f.heardAt = now
-	f.doubt(false)
-	if !f.paced() {
-		f.watchAt = now + pushWhole // the fetch tells the version to go on from
+	f.lastHeard = now
+	f.suspectStale(false)
+	if !f.rateLimited() {
+		f.watchAt = now + pushedMessageTimeout // the fetch tells the version to go on from
 	}
 }
 
-// paced tells whether calls cost those of others.
-func (f *follower) paced() bool { return !f.pushed || f.lined }
+// rateLimited tells whether calls cost those of others.
+func (f *follower) rateLimited() bool { return !f.pushed || f.throttled }
 
-// doubt notes that the node may not have what discovery has.
-func (f *follower) doubt(whole bool) { f.behind, f.whole = true, f.whole || whole }
+// suspectStale notes that the node may not have what discovery has.
+func (f *follower) suspectStale(whole bool) { f.stale, f.needSnapshot = true, f.needSnapshot || whole }
 
-// moved tells that another agent or service is to be followed, which counts its versions in
+// addressChanged tells that another agent or service is to be followed, which counts its versions in
 // its own way. The host ends the calls of the one before.
-func (f *follower) moved(now time.Duration) {
-	*f = follower{pushed: f.pushed, fleet: f.fleet, within: f.within, rng: f.rng, ids: f.ids}
+func (f *follower) addressChanged(now time.Duration) {
+	*f = follower{pushed: f.pushed, fleetSize: f.fleetSize, pollInterval: f.pollInterval, rng: f.rng, lastID: f.lastID}
 	f.start(now)
-	f.whole = true
+	f.needSnapshot = true
 }
 
 // refresh has the list read again where that is free.
 func (f *follower) refresh() {
-	if !f.paced() {
-		f.doubt(true)
+	if !f.rateLimited() {
+		f.suspectStale(true)
 	}
 }
 
-// step gives the orders that are due and the time by which it has to be called again.
-func (f *follower) step(now time.Duration) (do []order, wake time.Duration) {
+// advance gives the orders that are due and the time by which it has to be called again.
+func (f *follower) advance(now time.Duration) (do []command, wake time.Duration) {
 	end := func(c *call) {
-		do = append(do, order{id: c.id})
+		do = append(do, command{id: c.id})
 		*c = call{}
 	}
-	wake = now + callMost
+	wake = now + maxCallDuration
 	until := func(t time.Duration) bool {
 		if t > now {
 			wake = min(wake, t)
@@ -146,78 +146,78 @@
 	}
 	if f.rereadAt != 0 && until(f.rereadAt) {
 		f.rereadAt = 0
-		f.doubt(true)
-		f.deaf = f.paced()
+		f.suspectStale(true)
+		f.reopenWatch = f.rateLimited()
 	}
-	if f.deaf && f.watch.id != 0 {
+	if f.reopenWatch && f.watch.id != 0 {
 		end(&f.watch)
 	}
-	f.deaf = false
+	f.reopenWatch = false
 	if w := &f.watch; w.id != 0 {
-		if f.paced() {
-			silent := w.last + askWhole
-			if w.heard {
-				silent = w.last + askSilent
+		if f.rateLimited() {
+			silent := w.lastActivity + polledMessageTimeout
+			if w.confirmed {
+				silent = w.lastActivity + polledSilenceLimit
 			}
-			if until(silent) || w.partial && until(w.begun+askWhole) {
+			if until(silent) || w.partial && until(w.messageStarted+polledMessageTimeout) {
 				opened := w.opened
 				end(w)
-				f.failed(now, opened)
+				f.scheduleReopen(now, opened)
 			}
 		} else {
-			if until(f.doubtAt(w)) {
-				f.doubt(false)
-				f.down = f.down || w.heard
+			if until(f.suspectDeadline(w)) {
+				f.suspectStale(false)
+				f.down = f.down || w.confirmed
 			}
-			if gone := w.last + callMost; until(gone) || w.partial && until(w.begun+callMost) {
+			if gone := w.lastActivity + maxCallDuration; until(gone) || w.partial && until(w.messageStarted+maxCallDuration) {
 				opened := w.opened
 				end(w)
-				f.failed(now, opened)
+				f.scheduleReopen(now, opened)
 			}
 		}
 	}
-	if c := &f.fetch; c.id != 0 && (until(c.last+pushWhole) || until(c.opened+callMost) || f.paced()) {
+	if c := &f.fetch; c.id != 0 && (until(c.lastActivity+pushedMessageTimeout) || until(c.opened+maxCallDuration) || f.rateLimited()) {
 		end(c)
 	}
-	if f.behind && f.fetch.id == 0 && !f.paced() && until(f.fetchAt) {
-		f.fetchAt = now + f.draw(fetchEvery/2) + fetchEvery/2
-		f.fetch = f.open(&do, now, fetchCall, 0)
+	if f.stale && f.fetch.id == 0 && !f.rateLimited() && until(f.fetchAt) {
+		f.fetchAt = now + f.randomDuration(maxFetchInterval/2) + maxFetchInterval/2
+		f.fetch = f.openCall(&do, now, fetchCall, 0)
 	}
 	if f.watch.id == 0 && until(f.watchAt) {
 		from := f.version
-		if f.whole {
+		if f.needSnapshot {
 			from = 0
 		}
-		f.watch = f.open(&do, now, watchCall, from)
-		if !f.paced() {
-			until(f.doubtAt(&f.watch))
+		f.watch = f.openCall(&do, now, watchCall, from)
+		if !f.rateLimited() {
+			until(f.suspectDeadline(&f.watch))
 		}
 	}
 	if f.fetch.id != 0 {
-		until(f.fetch.last + pushWhole)
+		until(f.fetch.lastActivity + pushedMessageTimeout)
 	}
 	return do, wake
 }
 
-// doubtAt is when a pushed watch is in doubt unless something comes.
-func (f *follower) doubtAt(w *call) time.Duration {
+// suspectDeadline is when a pushed watch is in doubt unless something comes.
+func (f *follower) suspectDeadline(w *call) time.Duration {
 	switch {
 	case w.partial:
-		return w.begun + pushWhole
+		return w.messageStarted + pushedMessageTimeout
 	case !w.answered:
-		return w.opened + pushWhole
+		return w.opened + pushedMessageTimeout
 	}
-	return w.last + pushSilent
+	return w.lastActivity + pushedSilenceLimit
 }
 
-func (f *follower) open(do *[]order, now time.Duration, kind callKind, from uint64) call {
-	f.ids++
-	*do = append(*do, order{open: true, kind: kind, id: f.ids, from: from})
-	return call{id: f.ids, kind: kind, from: from, opened: now, last: now}
+func (f *follower) openCall(do *[]command, now time.Duration, kind callKind, from uint64) call {
+	f.lastID++
+	*do = append(*do, command{open: true, kind: kind, id: f.lastID, from: from})
+	return call{id: f.lastID, kind: kind, from: from, opened: now, lastActivity: now}
 }
 
-// of returns the call of that number, or nil if it is no longer out.
-func (f *follower) of(id uint64) *call {
+// callByID returns the call of that number, or nil if it is no longer out.
+func (f *follower) callByID(id uint64) *call {
 	switch id {
 	case 0:
 	case f.watch.id:
@@ -228,80 +228,80 @@
 	return nil
 }
 
-// got tells that something has come on a call: its head, or part of a message.
-func (f *follower) got(now time.Duration, id uint64, partial bool) {
-	c := f.of(id)
+// received tells that something has come on a call: its head, or part of a message.
+func (f *follower) received(now time.Duration, id uint64, partial bool) {
+	c := f.callByID(id)
 	if c == nil {
 		return
 	}
-	c.answered, c.last = true, now
+	c.answered, c.lastActivity = true, now
 	if partial && !c.partial {
-		c.partial, c.begun = true, now
+		c.partial, c.messageStarted = true, now
 	}
 }
 
-// beat tells that an empty line has come on a call.
-func (f *follower) beat(now time.Duration, id uint64) {
-	if c := f.of(id); c != nil && c.kind == watchCall {
-		f.hear(now, c)
+// emptyLine tells that an empty line has come on a call.
+func (f *follower) emptyLine(now time.Duration, id uint64) {
+	if c := f.callByID(id); c != nil && c.kind == watchCall {
+		f.watchConfirmed(now, c)
 	}
 }
 
-// hear notes that a watch works: the node has what it brings.
-func (f *follower) hear(now time.Duration, c *call) {
-	c.answered, c.heard, c.last, c.partial = true, true, now, false
-	f.back(now)
-	if !f.whole || c.from == 0 { // changes from the beginning on are the whole list
-		f.behind, f.whole = false, false
+// watchConfirmed notes that a watch works: the node has what it brings.
+func (f *follower) watchConfirmed(now time.Duration, c *call) {
+	c.answered, c.confirmed, c.lastActivity, c.partial = true, true, now, false
+	f.markResponsive(now)
+	if !f.needSnapshot || c.from == 0 { // changes from the beginning on are the whole list
+		f.stale, f.needSnapshot = false, false
 	}
 }
 
-// back notes that discovery answers.
-func (f *follower) back(now time.Duration) {
-	f.heardAt, f.down, f.lined, f.span = now, false, false, 0
+// markResponsive notes that discovery answers.
+func (f *follower) markResponsive(now time.Duration) {
+	f.lastHeard, f.down, f.throttled, f.backoffWindow = now, false, false, 0
 }
 
 // message tells that a whole message has come on a call: its version, whether it is the whole
 // list, and whether some of it could not be read. It is to be applied if take is true.
 func (f *follower) message(now time.Duration, id uint64, version uint64, whole, spoilt bool) (take bool) {
-	c := f.of(id)
+	c := f.callByID(id)
 	if c == nil {
 		return false
 	}
 	if c.kind == fetchCall {
 		asked := c.opened
 		f.fetch = call{}
-		f.back(now)
-		if f.watch.heard && f.watch.last >= asked && version < f.version {
+		f.markResponsive(now)
+		if f.watch.confirmed && f.watch.lastActivity >= asked && version < f.version {
 			return false // the watch has told more since
 		}
-		f.deaf, f.watchAt = true, now // one that goes on from here takes its place
+		f.reopenWatch, f.watchAt = true, now // one that goes on from here takes its place
 		whole = true
 	} else {
-		f.hear(now, c)
+		f.watchConfirmed(now, c)
 	}
 	if whole {
-		f.behind, f.whole = false, false
+		f.stale, f.needSnapshot = false, false
 	}
 	f.version = version
 	switch {
 	case spoilt:
-		pause := f.rereadPause
-		if f.paced() { // all edge nodes may have been told the same
-			pause = max(pause, f.draw(min(f.first(), toldAfter-callRoom)))
+		pause := f.rereadInterval
+		if f.rateLimited() { // all edge nodes may have been told the same
+			pause = max(pause, f.randomDuration(min(f.firstBackoffWindow(), reportedAfter-responseReserve)))
 		}
 		f.rereadAt = now + pause + 1
-		f.rereadPause = min(max(2*pause, fetchEvery), rereadMost)
+		f.rereadInterval = min(max(2*pause, maxFetchInterval), maxRereadInterval)
 	case whole:
-		f.rereadAt, f.rereadPause = 0, 0
+		f.rereadAt, f.rereadInterval = 0, 0
 	}
 	return true
 }
 
 // malformed tells that what comes on a call can't be read on: some may be lost with it.
 func (f *follower) malformed(now time.Duration, id uint64) {
-	if f.of(id) != nil {
-		f.doubt(true)
+	if f.callByID(id) != nil {
+		f.suspectStale(true)
 		f.ended(now, id, false, 0)
 	}
 }
@@ -309,73 +309,75 @@
 // ended tells that a call has ended by itself. turnedAway means that discovery had no room for
 // it, with the pause that it asks for.
 func (f *follower) ended(now time.Duration, id uint64, turnedAway bool, pause time.Duration) {
-	c := f.of(id)
+	c := f.callByID(id)
 	if c == nil {
 		return
 	}
 	watch, opened := c.kind == watchCall, c.opened
 	*c = call{}
-	f.lined = f.lined || turnedAway
+	f.throttled = f.throttled || turnedAway
 	switch {
 	case turnedAway:
-		f.turnedAway(now, pause)
+		f.scheduleReopenAfterRejection(now, pause)
 	case watch:
-		f.failed(now, opened)
+		f.scheduleReopen(now, opened)
 	}
 }
 
-// failed decides when the watch is opened anew after a call that was opened then has ended, or has said nothing
+// scheduleReopen decides when the watch is opened anew after a call that was opened then has ended, or has said nothing
 // for too long. The call after it begins soon enough for its answer to come within toldAfter of the moment in
 // which discovery could be reached again, which may be any since that call was opened or discovery was heard.
-func (f *follower) failed(now, opened time.Duration) {
-	f.broke()
-	if !f.paced() {
-		f.watchAt = now + f.draw(fetchEvery/2) + fetchEvery/2
+func (f *follower) scheduleReopen(now, opened time.Duration) {
+	f.watchBroken()
+	if !f.rateLimited() {
+		f.watchAt = now + f.randomDuration(maxFetchInterval/2) + maxFetchInterval/2
 		return
 	}
-	due := max(opened, f.heardAt) + toldAfter - callRoom
-	f.watchAt = now + f.draw(min(f.nextSpan(now), max(due-now, spanMost)))
+	due := max(opened, f.lastHeard) + reportedAfter - responseReserve
+	f.watchAt = now + f.randomDuration(min(f.nextBackoffWindow(now), max(due-now, smallFleetMaxWindow)))
 }
 
 // turnedAway decides when the watch is opened anew after a call for which discovery had no room, with the pause
 // that it asks for.
-func (f *follower) turnedAway(now, pause time.Duration) {
-	f.broke()
-	f.watchAt = now + max(f.draw(f.nextSpan(now)), min(pause, f.pauseMost()))
+func (f *follower) scheduleReopenAfterRejection(now, pause time.Duration) {
+	f.watchBroken()
+	f.watchAt = now + max(f.randomDuration(f.nextBackoffWindow(now)), min(pause, f.maxBackoff()))
 }
 
-// nextSpan is the span from which the pause before the next call is drawn. It grows with the fleet and from one
+// nextBackoffWindow is the span from which the pause before the next call is drawn. It grows with the fleet and from one
 // call without an answer to the next.
-func (f *follower) nextSpan(now time.Duration) time.Duration {
-	first := f.first()
-	most := min(max(spanMost, spanTimes*first), f.pauseMost())
-	span := f.span
+func (f *follower) nextBackoffWindow(now time.Duration) time.Duration {
+	first := f.firstBackoffWindow()
+	most := min(max(smallFleetMaxWindow, maxWindowFactor*first), f.maxBackoff())
+	span := f.backoffWindow
 	if span == 0 { // the first after a watch that worked
-		span = min(first, max(f.heardAt+toldAfter-callRoom-now, spanMost))
+		span = min(first, max(f.lastHeard+reportedAfter-responseReserve-now, smallFleetMaxWindow))
 	}
-	f.span = min(max(2*span, min(first, most)), most)
+	f.backoffWindow = min(max(2*span, min(first, most)), most)
 	return span
 }
 
-// pauseMost is the longest pause: four times the period within which a node has to ask follows a failed call.
-func (f *follower) pauseMost() time.Duration {
-	if f.within <= 0 {
-		return 2 * askWithin
+// maxBackoff is the longest pause: four times the period within which a node has to ask follows a failed call.
+func (f *follower) maxBackoff() time.Duration {
+	if f.pollInterval <= 0 {
+		return 2 * defaultPollInterval
 	}
-	return 2 * f.within
+	return 2 * f.pollInterval
 }
 
-// broke notes that the watch is to be opened anew.
-func (f *follower) broke() {
+// watchBroken notes that the watch is to be opened anew.
+func (f *follower) watchBroken() {
 	f.down = true
-	f.doubt(false)
+	f.suspectStale(false)
 }
 
-// first is the span of the first pause where calls are paced.
-func (f *follower) first() time.Duration { return time.Duration(f.fleet) * callGap }
+// firstBackoffWindow is the span of the first pause where calls are paced.
+func (f *follower) firstBackoffWindow() time.Duration {
+	return time.Duration(f.fleetSize) * fleetCallInterval
+}
 
-// draw draws a time from 0 up to a span.
-func (f *follower) draw(span time.Duration) time.Duration {
+// randomDuration draws a time from 0 up to a span.
+func (f *follower) randomDuration(span time.Duration) time.Duration {
 	if span <= 0 {
 		return 0
 	}
--- a/internal/edgenode/follow_test.go
+++ b/internal/edgenode/follow_test.go
@@ -48,7 +48,7 @@
 // simNode is an edge node: the registry without its sockets.
 type simNode struct {
 	sim  *sim
-	reg  *registry
+	reg  *discoveryClient
 	wake int           // number of the latest wake-up asked for
 	told time.Duration // when it learnt that a drains; 0: it has not
 }
@@ -56,8 +56,8 @@
 // simCall is a call as discovery sees it.
 type simCall struct {
 	node   *simNode
-	order  order
-	in     reader
+	order  command
+	in     messageReader
 	over   bool
 	deaf   bool // nothing comes on it any more
 	head   bool // is answered
@@ -71,7 +71,7 @@
 	s := &sim{version: 1, wording: func(message string, _ bool) []chunk { return []chunk{{0, message + "\n"}} }}
 	for i := range nodes {
 		n := &simNode{sim: s}
-		n.reg = newRegistry(netip.MustParseAddrPort("127.0.0.1:1"), follower{pushed: pushed, fleet: fleet, within: askWithin,
+		n.reg = newDiscoveryClient(netip.MustParseAddrPort("127.0.0.1:1"), follower{pushed: pushed, fleetSize: fleet, pollInterval: defaultPollInterval,
 			rng: rand.New(rand.NewPCG(uint64(i), 1)), version: 1}, n.apply, slog.New(slog.DiscardHandler))
 		s.nodes = append(s.nodes, n)
 		s.after(hop+time.Duration(i)*time.Millisecond/10, func() { n.reg.follow.start(s.now); n.step() })
@@ -110,10 +110,10 @@
 
 // step carries out the follower's orders.
 func (n *simNode) step() {
-	do, wake := n.reg.follow.step(n.sim.now)
+	do, wake := n.reg.follow.advance(n.sim.now)
 	for _, o := range do {
 		if !o.open {
-			n.reg.hang(n.reg.calls, o.id)
+			n.reg.closeCall(n.reg.calls, o.id)
 			continue
 		}
 		c := &simCall{node: n, order: o, from: int(o.from)}
@@ -129,13 +129,13 @@
 	})
 }
 
-func (c *simCall) tell(e event) {
+func (c *simCall) tell(e callEvent) {
 	if c.over {
 		return
 	}
 	e.id = c.order.id
-	c.over = e.kind == eventEnd || e.kind == eventGarbage
-	c.node.reg.take(c.node.sim.now, e)
+	c.over = e.kind == eventEnd || e.kind == eventMalformed
+	c.node.reg.handleEvent(c.node.sim.now, e)
 	c.node.step()
 }
 
@@ -147,9 +147,9 @@
 	s.taken = append(s.taken, s.now)
 	switch {
 	case s.refuse != nil:
-		s.after(hop, func() { c.tell(event{kind: eventEnd, err: s.refuse}) })
+		s.after(hop, func() { c.tell(callEvent{kind: eventEnd, err: s.refuse}) })
 	case s.full:
-		s.after(hop, func() { c.tell(event{kind: eventEnd, turnedAway: true}) })
+		s.after(hop, func() { c.tell(callEvent{kind: eventEnd, rejected: true}) })
 	default:
 		s.calls = append(s.calls, c)
 		s.serve(c)
@@ -166,7 +166,7 @@
 	}
 	if !c.head {
 		c.head = true
-		s.after(hop, func() { c.tell(event{kind: eventHead}) })
+		s.after(hop, func() { c.tell(callEvent{kind: eventHead}) })
 	}
 	if c.order.kind == fetchCall || c.from != s.version {
 		text := s.list(c.from)
@@ -187,7 +187,7 @@
 }
 
 func (s *sim) bytes(c *simCall, text string, end error) {
-	if s.mute || c.deaf || c.over || c.in.over {
+	if s.mute || c.deaf || c.over || c.in.done {
 		return
 	}
 	for _, e := range c.in.read([]byte(text), end) {
@@ -196,7 +196,7 @@
 }
 
 func (s *sim) beat(c *simCall) {
-	s.after(lineEvery, func() {
+	s.after(emptyLineInterval, func() {
 		if !c.over && !c.deaf {
 			if !s.mute {
 				s.write(c, "\n", 0)
@@ -229,7 +229,7 @@
 
 func (s *sim) drain() { s.version = 2; s.each(s.serve) }
 func (s *sim) reset() {
-	s.each(func(c *simCall) { c.tell(event{kind: eventEnd, err: io.ErrUnexpectedEOF}) })
+	s.each(func(c *simCall) { c.tell(callEvent{kind: eventEnd, err: io.ErrUnexpectedEOF}) })
 }
 func (s *sim) silence() { s.each(func(c *simCall) { c.deaf = true }) }
 
@@ -286,8 +286,8 @@
 		{"open watch", (*sim).drain, 0},
 		{"reset as it drains", func(s *sim) { s.reset(); s.drain() }, 0},
 		{"reset before", func(s *sim) { s.reset(); s.run(time.Second); s.drain() }, 0},
-		{"watches silent", func(s *sim) { s.silence(); s.drain() }, toldAfter},
-		{"watches long silent", func(s *sim) { s.silence(); s.run(toldAfter); s.drain() }, 0},
+		{"watches silent", func(s *sim) { s.silence(); s.drain() }, reportedAfter},
+		{"watches long silent", func(s *sim) { s.silence(); s.run(reportedAfter); s.drain() }, 0},
 		{"agent mute for 8 s", mute(8*time.Second, false), 0},
 		{"agent mute for 8 s, and for ever on the calls of that time", mute(8*time.Second, true), 0},
 		{"agent mute for 61 s", mute(61*time.Second, false), 0},
@@ -344,7 +344,7 @@
 		s.version = version
 		s.run(10 * time.Millisecond)
 		select {
-		case <-s.nodes[0].reg.heard:
+		case <-s.nodes[0].reg.responded:
 		default:
 			t.Errorf("version %d: no list after 10 ms", version)
 		}
@@ -381,7 +381,7 @@
 			s.drain()
 			broke := s.now
 			s.run(20 * time.Second)
-			if late := s.latest(broke); late < 0 || late > toldAfter+inTime {
+			if late := s.latest(broke); late < 0 || late > reportedAfter+inTime {
 				t.Errorf("%s, fleet of %d: the last node has it %v after its watch broke", fault, fleet, late)
 			}
 			most, tenths := 0, map[time.Duration]int{}
@@ -418,7 +418,7 @@
 			s.drain()
 			back := s.now
 			s.run(time.Minute)
-			if late := s.latest(back); late < 0 || late > 2*askWithin+callMost {
+			if late := s.latest(back); late < 0 || late > 2*defaultPollInterval+maxCallDuration {
 				t.Errorf("%d nodes, pushed %v: the last one has it %v after there is room", fleet, pushed, late)
 			}
 		}
@@ -436,7 +436,7 @@
 		n.reg.moveTo(s.now, netip.MustParseAddrPort("127.0.0.1:2"))
 		n.step()
 		s.run(time.Second)
-		old.tell(event{kind: eventMessage, list: List{Generation: 900, Servers: []Instance{{Endpoint: balancer.Endpoint{ID: "a", State: balancer.Draining}}}}})
+		old.tell(callEvent{kind: eventMessage, list: List{Generation: 900, Servers: []Instance{{Endpoint: balancer.Endpoint{ID: "a", State: balancer.Draining}}}}})
 		if n.told == 0 || n.reg.follow.version == 900 {
 			t.Errorf("pushed %v: news of the discovery that is left: told %v, version %d", pushed, n.told, n.reg.follow.version)
 		}
@@ -470,24 +470,24 @@
 
 // A fetch may be overtaken: what a watch has told since must not be taken back.
 func TestOvertakenFetchIsNotTaken(t *testing.T) {
-	f := follower{pushed: true, fleet: 1, rng: rand.New(rand.NewPCG(1, 1)), version: 4}
+	f := follower{pushed: true, fleetSize: 1, rng: rand.New(rand.NewPCG(1, 1)), version: 4}
 	f.start(0)
-	f.step(0)
+	f.advance(0)
 	fetch := f.fetch.id
-	f.step(pushWhole - 1)
-	f.got(pushWhole-1, fetch, true)
-	f.step(pushWhole)
+	f.advance(pushedMessageTimeout - 1)
+	f.received(pushedMessageTimeout-1, fetch, true)
+	f.advance(pushedMessageTimeout)
 	watch := f.watch.id
 	if fetch == 0 || watch == 0 || f.fetch.id != fetch {
 		t.Fatalf("fetch %d, watch %d are not both out", fetch, watch)
 	}
-	if !f.message(pushWhole+1, watch, 6, false, false) {
+	if !f.message(pushedMessageTimeout+1, watch, 6, false, false) {
 		t.Error("the watch's message is not taken")
 	}
-	if f.message(pushWhole+2, fetch, 5, true, false) || f.version != 6 || f.watch.id != watch {
+	if f.message(pushedMessageTimeout+2, fetch, 5, true, false) || f.version != 6 || f.watch.id != watch {
 		t.Errorf("an older list is taken: version %d", f.version)
 	}
-	if f.message(pushWhole+3, fetch, 9, true, false) {
+	if f.message(pushedMessageTimeout+3, fetch, 9, true, false) {
 		t.Error("a call that is over is heard")
 	}
 }
--- a/internal/edgenode/follower.go
+++ b/internal/edgenode/follower.go
@@ -9,8 +9,8 @@
 // clock and discovery of its own: a measurement of many edge nodes. Times count from any origin.
 type Follower struct{ state follower }
 
-// Order is a call that a [Follower] wants opened or ended.
-type Order struct {
+// Command is a call that a [Follower] wants opened or ended.
+type Command struct {
 	Open  bool
 	Watch bool // of one to be opened: a watch, not a fetch of the whole list
 	ID    uint64
@@ -21,23 +21,25 @@
 // shares. It holds the list of a version, 0 for none; within is how often it has to ask without a
 // watch, as the settings have it.
 func NewFollower(fleet int, within time.Duration, version uint64, rng *rand.Rand) *Follower {
-	return &Follower{follower{fleet: fleet, within: within, version: version, rng: rng}}
+	return &Follower{follower{fleetSize: fleet, pollInterval: within, version: version, rng: rng}}
 }
 
 // Start begins, with a list that may be old.
 func (f *Follower) Start(now time.Duration) { f.state.start(now) }
 
 // Step returns the orders that are due and the time by which it has to be called again.
-func (f *Follower) Step(now time.Duration) (due []Order, wake time.Duration) {
-	orders, wake := f.state.step(now)
+func (f *Follower) Step(now time.Duration) (due []Command, wake time.Duration) {
+	orders, wake := f.state.advance(now)
 	for _, o := range orders {
-		due = append(due, Order{Open: o.open, Watch: o.kind == watchCall, ID: o.id, From: o.from})
+		due = append(due, Command{Open: o.open, Watch: o.kind == watchCall, ID: o.id, From: o.from})
 	}
 	return due, wake
 }
 
 // Got tells that the head of a call's answer has come, or part of a message.
-func (f *Follower) Got(now time.Duration, id uint64, partial bool) { f.state.got(now, id, partial) }
+func (f *Follower) Got(now time.Duration, id uint64, partial bool) {
+	f.state.received(now, id, partial)
+}
 
 // Message tells that a message without a fault has come whole, and returns whether it is to be
 // applied.
--- a/internal/edgenode/front_test.go
+++ b/internal/edgenode/front_test.go
@@ -156,8 +156,8 @@
 // socket for a bounded time.
 func TestHalfSentRequestsEnd(t *testing.T) {
 	t.Parallel()
-	if headLimit+bodyLimit >= 3*time.Second {
-		t.Errorf("limits of %v and %v: an error or a close is owed within 3 s", headLimit, bodyLimit)
+	if headerTimeout+bodyTimeout >= 3*time.Second {
+		t.Errorf("limits of %v and %v: an error or a close is owed within 3 s", headerTimeout, bodyTimeout)
 	}
 	n := run(t, testConfig())
 	whole := request("book", "t1")
@@ -220,16 +220,16 @@
 // A request that the module sits on gets its answer from the host all the same.
 func TestHeldRequestIsAnswered(t *testing.T) {
 	cfg := testConfig()
-	front, fl := idleFront(t, cfg), &flight{id: "t1", answer: make(chan answer, 1)}
-	front.node.flights["t1"] = fl
-	front.node.abandon(fl)
-	if a := await(t, "an answer", fl.answer); a.kind != failed {
+	front, fl := idleFront(t, cfg), &inflightRequest{id: "t1", response: make(chan clientResponse, 1)}
+	front.node.inflight["t1"] = fl
+	front.node.abortRequest(fl)
+	if a := await(t, "an answer", fl.response); a.kind != responseFailed {
 		t.Errorf("answer %+v", a)
 	}
-	if len(front.node.flights) != 0 {
+	if len(front.node.inflight) != 0 {
 		t.Error("the flight is still held")
 	}
-	if front.node.abandon(fl); len(fl.answer) != 0 {
+	if front.node.abortRequest(fl); len(fl.response) != 0 {
 		t.Error("a second final answer")
 	}
 }
@@ -241,7 +241,7 @@
 		cfg := testConfig()
 		cfg.Settings.Classes[1].Deadline = deadline
 		f := idleFront(t, cfg)
-		if limit, least := f.srv.WriteTimeout, max(deadline, cfg.Settings.Classes[0].Deadline)+cfg.Settings.ResponseSlack+time.Second; limit < least {
+		if limit, least := f.server.WriteTimeout, max(deadline, cfg.Settings.Classes[0].Deadline)+cfg.Settings.ResponseSlack+time.Second; limit < least {
 			t.Errorf("deadline of %v: connections are closed after %v", deadline, limit)
 		}
 	}
@@ -320,11 +320,11 @@
 	logs := &syncBuffer{}
 	f.node.log = slog.New(slog.NewTextHandler(logs, nil))
 	f.node.mu.Lock() // its timers fire meanwhile
-	f.node.gw = nil
+	f.node.balancer = nil
 	f.node.mu.Unlock()
 	ln := listen(t)
-	go f.serve(newSlotListener(ln, f.slots))
-	t.Cleanup(func() { f.srv.Close() })
+	go f.serve(newClientListener(ln, f.conns))
+	t.Cleanup(func() { f.server.Close() })
 	a := dial(t, ln.Addr().String()).ask(request("check", "t1"))
 	if a.status != 502 || !strings.Contains(logs.String(), "balancer.(*Balancer).RequestArrived") {
 		t.Errorf("status %d, logged %q", a.status, logs.String())
@@ -347,7 +347,7 @@
 		return say(okAnswer)(c, r, body)
 	})
 	cfg := testConfig(s.instance("a"))
-	cfg.drainFor = 4 * time.Second
+	cfg.drainPeriod = 4 * time.Second
 	n := run(t, cfg)
 	idle, held := dial(t, n.addr), dial(t, n.addr)
 	if a := idle.ask("GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n"); a.status != 200 || a.close {
@@ -388,14 +388,14 @@
 }
 
 // idleFront is the client side of a node that has no goroutines of its own.
-func idleFront(t *testing.T, cfg *Config) *front {
+func idleFront(t *testing.T, cfg *Config) *frontend {
 	t.Helper()
 	n, err := newNode(t.Context(), cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.boot()
-	return newFront(n)
+	n.startBalancer()
+	return newFrontend(n)
 }
 
 // The descriptors of both sides and the rest stay inside the limit together.
@@ -420,8 +420,8 @@
 }
 
 func TestDescriptorShares(t *testing.T) {
-	for _, all := range []int{leastSockets, 1024} {
-		if c, s := clientSockets(all), serverSockets(all); c < 1 || s < c || c+s+otherFiles > all {
+	for _, all := range []int{minSockets, 1024} {
+		if c, s := maxClientConns(all), maxServerConns(all); c < 1 || s < c || c+s+reservedDescriptors > all {
 			t.Errorf("of %d: %d for clients, %d for servers", all, c, s)
 		}
 	}
@@ -446,7 +446,7 @@
 	}
 	none := func(string) string { return "" }
 	c, err := parseConfig(text("", ""), none)
-	if err != nil || c.Seed != 0x8c1f30d27a5be964 || c.Known.Generation != 41 || c.Settings.NodeIndex != 1 || len(c.Peers) != 2 || c.MemoryMB != 192 {
+	if err != nil || c.Seed != 0x8c1f30d27a5be964 || c.CachedList.Generation != 41 || c.Settings.NodeIndex != 1 || len(c.Peers) != 2 || c.MemoryMB != 192 {
 		t.Fatalf("%+v, error %v", c, err)
 	}
 	for _, b := range [][3]string{
--- a/internal/edgenode/golden_test.go
+++ b/internal/edgenode/golden_test.go
@@ -68,7 +68,7 @@
 	t.Helper()
 	const list = `{"generation":41,"reset":true,"instances":[]}`
 	addr, heard := recordRequests(t, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s\n", len(list)+1, list))
-	r := newRegistry(addr, follower{pushed: pushed, fleet: 1, within: askWithin, rng: rand.New(rand.NewPCG(1, 1))}, func(List) {}, slog.New(slog.DiscardHandler))
+	r := newDiscoveryClient(addr, follower{pushed: pushed, fleetSize: 1, pollInterval: defaultPollInterval, rng: rand.New(rand.NewPCG(1, 1))}, func(List) {}, slog.New(slog.DiscardHandler))
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
@@ -110,7 +110,7 @@
 		{method: "POST", target: "/a%2fb?c=%20d", host: "app.example", id: "rq-1", key: "key-1", contentType: "text/plain", body: []byte("body")},
 		{method: "GET", target: "/a?"},
 	} {
-		rep, result := u.exchange(ctx, "s", &m, bounds{})
+		rep, result := u.exchange(ctx, "s", &m, writeLimits{})
 		if result != balancer.OK || string(rep.body) != "body" {
 			t.Errorf("%s: result %d, body %q", m.target, result, rep.body)
 		}
@@ -135,8 +135,8 @@
 // readStream describes the events of a stream that comes in pieces, but for those that a message has begun.
 func readStream(text []byte, piece int) string {
 	var described strings.Builder
-	var in reader
-	for len(text) > 0 && !in.over {
+	var in messageReader
+	for len(text) > 0 && !in.done {
 		n := min(piece, len(text))
 		var end error
 		if n == len(text) {
@@ -151,19 +151,19 @@
 }
 
 // describeEvent words an event by the values that the node gets, whatever the names of its fields are.
-func describeEvent(e event) string {
+func describeEvent(e callEvent) string {
 	var text string
 	switch e.kind {
-	case eventPart:
+	case eventPartial:
 		return ""
-	case eventBeat:
+	case eventEmptyLine:
 		return "beat\n"
 	case eventEnd:
 		return fmt.Sprintf("end: %v\n", e.err)
-	case eventGarbage:
+	case eventMalformed:
 		text = fmt.Sprintf("malformed %t %t %t\n", errors.Is(e.err, errListCut), errors.Is(e.err, errListGarbage), errors.Is(e.err, errListTooLong))
 	case eventMessage:
-		text = fmt.Sprintf("list %d whole %t, %d spoilt\n", e.list.Generation, e.list.Full, len(e.spoilt))
+		text = fmt.Sprintf("list %d whole %t, %d spoilt\n", e.list.Generation, e.list.Full, len(e.entryErrors))
 	}
 	for _, s := range e.list.Servers {
 		text += fmt.Sprintf("  %q at %v state %d weight %v kind %q zone %q cell %d boot %v\n", s.ID, s.Addr, int(s.State), s.Weight, s.MachineType, s.Zone, s.Cell, s.StartedAt)
@@ -176,7 +176,7 @@
 	var described bytes.Buffer
 	for line := range strings.Lines(string(golden.Read(t, "golden/load-reports.txt"))) {
 		text := strings.TrimSuffix(line, "\n")
-		load := parseLoad(text)
+		load := parseLoadReport(text)
 		if load == nil {
 			fmt.Fprintf(&described, "%q: none\n", text)
 			continue
@@ -187,8 +187,8 @@
 	s := newAppServer(t, say("HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT inflight=7, queue=2, util=0.61\r\nX-Settled: 2.5\r\nContent-Length: 0\r\n\r\n"))
 	u := newUpstream(settings.Transport{ConnectTimeout: time.Minute}, 10)
 	u.update([]Instance{s.instance("s")}, true)
-	rep, result := u.exchange(t.Context(), "s", &message{method: "GET", target: loadPath}, bounds{})
-	if result != balancer.OK || rep.units != 2.5 || rep.load == nil || *rep.load != (balancer.LoadReport{InFlight: 7, Queued: 2, Utilization: 0.61}) {
-		t.Errorf("result %d, units %v, load %v", result, rep.units, rep.load)
+	rep, result := u.exchange(t.Context(), "s", &message{method: "GET", target: loadPath}, writeLimits{})
+	if result != balancer.OK || rep.units != 2.5 || rep.loadReport == nil || *rep.loadReport != (balancer.LoadReport{InFlight: 7, Queued: 2, Utilization: 0.61}) {
+		t.Errorf("result %d, units %v, load %v", result, rep.units, rep.loadReport)
 	}
 }
--- a/internal/edgenode/gone_test.go
+++ b/internal/edgenode/gone_test.go
@@ -25,14 +25,14 @@
 // leave in the moment in which that attempt's first byte would go out.
 func leaveAtTheWrite(t *testing.T, n *Node, server string, leave func()) {
 	t.Helper()
-	c, err := n.up.take(t.Context(), server, nil)
+	c, err := n.upstream.acquire(t.Context(), server, nil)
 	if err != nil {
 		t.Error(err)
 		return
 	}
 	c.raw = between{RawConn: c.raw, write: leave}
-	n.up.giveBack(c)
-	n.up.rest(server)
+	n.upstream.release(c)
+	n.upstream.rest(server)
 }
 
 // No attempt begins once its client has closed: not the first one, and not a further one either, which is decided
@@ -50,7 +50,7 @@
 					return say(okAnswer)(c, r, body)
 				})
 				second := newAppServer(t, say(okAnswer))
-				f, addr := serveHooked(t, testConfig(first.instance("a")), func(*front, *slotConn) {})
+				f, addr := serveHooked(t, testConfig(first.instance("a")), func(*frontend, *clientConn) {})
 				n := f.node
 				for i := range 20 { // by which further attempts are earned
 					dial(t, addr).ask(request("check", fmt.Sprint("t", i)))
@@ -65,7 +65,7 @@
 				secondOnly := func() {
 					old := first.instance("a")
 					old.State = balancer.Draining
-					n.list(List{Servers: []Instance{old, second.instance("b")}}, balancer.UpdateDelta)
+					n.updateEndpoints(List{Servers: []Instance{old, second.instance("b")}}, balancer.UpdateDelta)
 					leaveAtTheWrite(t, n, "b", leave)
 				}
 				if further {
@@ -79,13 +79,13 @@
 				eventually(t, "the node has noticed", func() bool {
 					n.mu.Lock()
 					defer n.mu.Unlock()
-					return n.flights["gone"].done
+					return n.inflight["gone"].answered
 				})
 				close(noticed)
 				eventually(t, "the request is over", func() bool {
 					n.mu.Lock()
 					defer n.mu.Unlock()
-					return len(n.flights) == 0
+					return len(n.inflight) == 0
 				})
 				wantServed(t, await(t, "the connection to the second server", second.conns))
 				if got := second.requests(); len(got) != 0 {
@@ -108,16 +108,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.boot()
-	f := newFront(n)
+	n.startBalancer()
+	f := newFrontend(n)
 	handled := make(chan struct{}, 2)
-	f.srv.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	f.server.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		defer func() { handled <- struct{}{} }()
 		f.ServeHTTP(w, r)
 	})
 	ln := listen(t)
-	go f.serve(newSlotListener(ln, f.slots))
-	t.Cleanup(func() { f.srv.Close() })
+	go f.serve(newClientListener(ln, f.conns))
+	t.Cleanup(func() { f.server.Close() })
 	open := dial(t, ln.Addr().String())
 	open.send(request("check", "open"))
 	eventually(t, "request out", func() bool { return len(s.requests()) == 1 })
--- a/internal/edgenode/harness_test.go
+++ b/internal/edgenode/harness_test.go
@@ -110,7 +110,7 @@
 func testConfig(servers ...Instance) *Config {
 	return &Config{
 		Name: "n0", Listen: netip.MustParseAddrPort("127.0.0.1:0"), Discovery: netip.MustParseAddrPort("127.0.0.1:1"),
-		Sockets: 256, Known: List{Generation: 7, Full: true, Servers: servers},
+		Sockets: 256, CachedList: List{Generation: 7, Full: true, Servers: servers},
 		Transport: settings.Transport{ConnIdle: time.Minute, ConnectTimeout: 5 * time.Second},
 		Settings: balancer.Settings{
 			NodeCount: 1, Zone: "z", MaxAttempts: 3, Cancellation: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
@@ -155,7 +155,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	r := &running{addr: ln.Addr().String(), stop: stop, done: make(chan error, 1), logs: &syncBuffer{}, hup: make(chan os.Signal, 1)}
 	go func() {
-		r.done <- runOn(ctx, cfg, r.hup, slog.New(slog.NewTextHandler(r.logs, nil)), func() (*net.TCPListener, error) { return ln, nil })
+		r.done <- runWithListener(ctx, cfg, r.hup, slog.New(slog.NewTextHandler(r.logs, nil)), func() (*net.TCPListener, error) { return ln, nil })
 	}()
 	t.Cleanup(func() {
 		stop()
@@ -350,6 +350,6 @@
 // quiet tells whether an idle connection is as it was left: open, with nothing to read.
 func (c *conn) quiet() bool {
 	quiet := false
-	err := c.raw.Control(func(fd uintptr) { quiet = nothingIn(fd) })
+	err := c.raw.Control(func(fd uintptr) { quiet = socketQuiet(fd) })
 	return err == nil && quiet
 }
--- a/internal/edgenode/list_bench_test.go
+++ b/internal/edgenode/list_bench_test.go
@@ -35,20 +35,20 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				n.boot()
+				n.startBalancer()
 				b.ReportAllocs()
 				b.SetBytes(int64(len(c.text)))
 				for b.Loop() {
-					var in reader
+					var in messageReader
 					for rest := c.text; len(rest) > 0; rest = rest[min(c.piece, len(rest)):] {
 						for _, e := range in.read(rest[:min(c.piece, len(rest))], nil) {
 							if e.kind == eventMessage {
-								n.heard(e.list)
+								n.receiveList(e.list)
 							}
 						}
 					}
-					if len(n.up.backends) != size {
-						b.Fatalf("%d of %d servers", len(n.up.backends), size)
+					if len(n.upstream.backends) != size {
+						b.Fatalf("%d of %d servers", len(n.upstream.backends), size)
 					}
 				}
 			})
--- a/internal/edgenode/pool.go
+++ b/internal/edgenode/pool.go
@@ -11,27 +11,27 @@
 
 // How long idle connections rest, and are kept.
 const (
-	idleShare   = 0.8                   // of connIdle after which an idle connection is not used again
-	leastKeep   = 50 * time.Millisecond // one that rested for less is not reset for that
-	leastRest   = 20 * time.Millisecond // from an answer to the next request: a second answer may come that late
-	keepDoubles = 10 * time.Second      // after which idle connections are kept for twice as long again
+	idleFraction       = 0.8                   // of connIdle after which an idle connection is not used again
+	minKeepIdle        = 50 * time.Millisecond // one that rested for less is not reset for that
+	minRest            = 20 * time.Millisecond // from an answer to the next request: a second answer may come that late
+	keepDoublingPeriod = 10 * time.Second      // after which idle connections are kept for twice as long again
 )
 
 // Why a server gets no connection.
 var (
-	errUnknown = errors.New("server is not up in the list")
-	errBudget  = errors.New("no descriptor left for a connection")
+	errNotUp        = errors.New("server is not up in the list")
+	errNoDescriptor = errors.New("no descriptor left for a connection")
 )
 
 // conn is a connection to a backend. It carries one request at a time.
 type conn struct {
 	net.Conn
-	raw  syscall.RawConn
-	in   *answerReader
-	br   *bufio.Reader // over in
-	of   *backend      // to which it may return; connections of a moved or restarted server belong to none
-	idle time.Time
-	made time.Time
+	raw         syscall.RawConn
+	reader      *responseReader
+	buffered    *bufio.Reader // over in
+	backend     *backend      // to which it may return; connections of a moved or restarted server belong to none
+	idleSince   time.Time
+	connectedAt time.Time
 
 	rested time.Duration // how long it stood idle before the exchange under way; 0 for a new one
 }
@@ -39,20 +39,20 @@
 // take returns a connection to the server: of the idle ones that have rested, or will have in a
 // moment, the one used last, or else a new one. Whether it still lives, write tells. A server that is
 // not any more what it was when it was chosen gets none.
-func (u *upstream) take(ctx context.Context, server string, of *backend) (*conn, error) {
+func (u *upstream) acquire(ctx context.Context, server string, of *backend) (*conn, error) {
 	for waited := false; ; {
 		u.mu.Lock()
 		b := u.backends[server]
 		if b == nil || !b.up || of != nil && b != of {
 			u.mu.Unlock()
-			return nil, errUnknown
+			return nil, errNotUp
 		}
-		if n := b.rested(time.Now()); n > 0 {
+		if n := b.restedCount(time.Now()); n > 0 {
 			c := b.idle[n-1]
 			b.idle = append(b.idle[:n-1], b.idle[n:]...)
-			keep := u.keepFor(b)
+			keep := u.keepIdleFor(b)
 			u.mu.Unlock()
-			if c.rested = time.Since(c.idle); c.rested < keep {
+			if c.rested = time.Since(c.idleSince); c.rested < keep {
 				return c, nil
 			}
 			u.discard(c)
@@ -61,14 +61,14 @@
 		if len(b.idle) > 0 && !waited { // a moment's rest costs less than a new connection
 			u.mu.Unlock()
 			waited = true
-			u.waitRested(ctx, b)
+			u.awaitRested(ctx, b)
 			continue
 		}
 		var spare *conn
-		if u.open >= u.most {
-			if spare = u.longestIdle(); spare == nil {
+		if u.open >= u.maxOpen {
+			if spare = u.takeLongestIdle(); spare == nil {
 				u.mu.Unlock()
-				return nil, errBudget
+				return nil, errNoDescriptor
 			}
 			u.open--
 		}
@@ -79,20 +79,20 @@
 		}
 		c, err := u.dial(ctx, b)
 		// A server that takes no new connection may still answer on one that rests for a moment.
-		if err == nil || !u.waitRested(ctx, b) {
+		if err == nil || !u.awaitRested(ctx, b) {
 			return c, err
 		}
 	}
 }
 
-// waitRested waits until an idle connection of the backend has rested, and tells whether there is one.
-func (u *upstream) waitRested(ctx context.Context, b *backend) bool {
+// awaitRested waits until an idle connection of the backend has rested, and tells whether there is one.
+func (u *upstream) awaitRested(ctx context.Context, b *backend) bool {
 	u.mu.Lock()
 	if len(b.idle) == 0 {
 		u.mu.Unlock()
 		return false
 	}
-	wait := time.NewTimer(leastRest - time.Since(b.idle[0].idle))
+	wait := time.NewTimer(minRest - time.Since(b.idle[0].idleSince))
 	u.mu.Unlock()
 	defer wait.Stop()
 	select {
@@ -102,22 +102,22 @@
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return b.rested(time.Now()) > 0
+	return b.restedCount(time.Now()) > 0
 }
 
-// rested counts the idle connections that were not used a moment ago. They are the first ones.
-func (b *backend) rested(now time.Time) (n int) {
-	for n = len(b.idle); n > 0 && now.Sub(b.idle[n-1].idle) < leastRest; n-- {
+// restedCount counts the idle connections that were not used a moment ago. They are the first ones.
+func (b *backend) restedCount(now time.Time) (n int) {
+	for n = len(b.idle); n > 0 && now.Sub(b.idle[n-1].idleSince) < minRest; n-- {
 	}
 	return n
 }
 
-// longestIdle takes the connection that has been idle for longest out of its pool,
+// takeLongestIdle takes the connection that has been idle for longest out of its pool,
 // or returns nil. Called under the mutex.
-func (u *upstream) longestIdle() *conn {
+func (u *upstream) takeLongestIdle() *conn {
 	var of *backend
 	for _, b := range u.backends {
-		if len(b.idle) > 0 && (of == nil || b.idle[0].idle.Before(of.idle[0].idle)) {
+		if len(b.idle) > 0 && (of == nil || b.idle[0].idleSince.Before(of.idle[0].idleSince)) {
 			of = b
 		}
 	}
@@ -136,8 +136,8 @@
 		u.uncount()
 		return nil, err
 	}
-	in := &answerReader{conn: nc}
-	c := &conn{Conn: nc, in: in, br: bufio.NewReader(in), of: b, made: time.Now()}
+	in := &responseReader{conn: nc}
+	c := &conn{Conn: nc, reader: in, buffered: bufio.NewReader(in), backend: b, connectedAt: time.Now()}
 	if c.raw, err = nc.(*net.TCPConn).SyscallConn(); err != nil {
 		u.discard(c)
 		return nil, err
@@ -148,7 +148,7 @@
 	if !up {
 		// The list changed while the connection came up: nothing new may go there.
 		u.discard(c)
-		return nil, errUnknown
+		return nil, errNotUp
 	}
 	return c, nil
 }
@@ -166,12 +166,12 @@
 	u.uncount()
 }
 
-// giveBack returns a connection whose exchange is over to its pool.
-func (u *upstream) giveBack(c *conn) {
+// release returns a connection whose exchange is over to its pool.
+func (u *upstream) release(c *conn) {
 	u.mu.Lock()
-	if c.of.up {
-		c.idle = time.Now()
-		c.of.idle = append(c.of.idle, c)
+	if c.backend.up {
+		c.idleSince = time.Now()
+		c.backend.idle = append(c.backend.idle, c)
 		u.mu.Unlock()
 		return
 	}
@@ -179,8 +179,8 @@
 	u.discard(c)
 }
 
-// reap closes what has been idle for too long, once every period until ctx ends.
-func (u *upstream) reap(ctx context.Context) {
+// reapIdle closes what has been idle for too long, once every period until ctx ends.
+func (u *upstream) reapIdle(ctx context.Context) {
 	tick := time.NewTicker(max(u.maxIdle/8, 10*time.Millisecond))
 	defer tick.Stop()
 	for {
@@ -193,7 +193,7 @@
 		u.mu.Lock()
 		for _, b := range u.backends {
 			fresh := 0
-			for fresh < len(b.idle) && time.Since(b.idle[fresh].idle) >= u.maxIdle {
+			for fresh < len(b.idle) && time.Since(b.idle[fresh].idleSince) >= u.maxIdle {
 				fresh++
 			}
 			stale = append(stale, b.idle[:fresh]...)
@@ -205,30 +205,30 @@
 	}
 }
 
-// shortenKeep learns from a kept connection that was reset as soon as it was written to: the
+// shortenKeepIdle learns from a kept connection that was reset as soon as it was written to: the
 // server, or something on the way, gives idle connections up sooner than it tells. A
 // request that meets one may have run. From then on the server's connections are kept
 // for half as long as this one stood idle, which doubles again in time.
-func (u *upstream) shortenKeep(c *conn) {
+func (u *upstream) shortenKeepIdle(c *conn) {
 	u.mu.Lock()
-	b := c.of
-	b.keep, b.keepAt = max(c.rested/2, leastKeep), time.Now()
+	b := c.backend
+	b.keepIdle, b.keepIdleSetAt = max(c.rested/2, minKeepIdle), time.Now()
 	u.mu.Unlock()
 	u.closeIdle(b)
 }
 
-// keepFor is how long an idle connection of the backend may be used again. Called under
+// keepIdleFor is how long an idle connection of the backend may be used again. Called under
 // the mutex.
-func (u *upstream) keepFor(b *backend) time.Duration {
-	if b.keep == 0 {
+func (u *upstream) keepIdleFor(b *backend) time.Duration {
+	if b.keepIdle == 0 {
 		return u.maxIdle
 	}
-	doubled := time.Since(b.keepAt) / keepDoubles
-	if doubled > 20 || b.keep<<doubled >= u.maxIdle {
-		b.keep = 0
+	doubled := time.Since(b.keepIdleSetAt) / keepDoublingPeriod
+	if doubled > 20 || b.keepIdle<<doubled >= u.maxIdle {
+		b.keepIdle = 0
 		return u.maxIdle
 	}
-	return b.keep << doubled
+	return b.keepIdle << doubled
 }
 
 // closeIdle closes a backend's idle connections after silence on one. A machine that
--- a/internal/edgenode/ready_test.go
+++ b/internal/edgenode/ready_test.go
@@ -53,7 +53,7 @@
 			return nil, errors.New("refused")
 		},
 		"gives no sign": func(context.Context, string, string) (net.Conn, error) {
-			time.Sleep(callMost)
+			time.Sleep(maxCallDuration)
 			return nil, errors.New("no answer")
 		},
 		"closes":           discoveryAnswering(0, ""),
@@ -89,7 +89,7 @@
 // timeToList is how long a new process waits before it opens its listener.
 func timeToList(t *testing.T, cfg *Config, seed uint64, dial func(ctx context.Context, network, addr string) (net.Conn, error), reloads bool) time.Duration {
 	ctx, stop := context.WithTimeout(t.Context(), 6*readyWithin) // a node that is not ready by then never is
-	reg := newRegistry(cfg.Discovery, follower{pushed: !cfg.Settings.PollEndpoints, fleet: cfg.Settings.NodeCount,
+	reg := newDiscoveryClient(cfg.Discovery, follower{pushed: !cfg.Settings.PollEndpoints, fleetSize: cfg.Settings.NodeCount,
 		rng: rand.New(rand.NewPCG(seed, 1))}, func(List) {}, slog.New(slog.DiscardHandler))
 	reg.dial = dial
 	done := make(chan struct{})
@@ -108,7 +108,7 @@
 		}()
 	}
 	began, port := time.Now(), uint16(2)
-	awaitList(ctx, cfg.listFor, reg.heard, reload, func() {
+	waitForList(ctx, cfg.listWait, reg.responded, reload, func() {
 		port++
 		reg.move(ctx, netip.AddrPortFrom(cfg.Discovery.Addr(), port))
 	}, slog.New(slog.DiscardHandler))
--- a/internal/edgenode/registry.go
+++ b/internal/edgenode/registry.go
@@ -12,54 +12,54 @@
 	"time"
 )
 
-// registry follows the list of app servers: the host of a [follower]. One goroutine has the
+// discoveryClient follows the list of app servers: the host of a [follower]. One goroutine has the
 // follower, each call one that reads.
-type registry struct {
+type discoveryClient struct {
 	addr   netip.AddrPort
 	follow follower
 	apply  func(List)
 	log    *slog.Logger
 
-	moves  chan netip.AddrPort // where to follow the list from now on
-	heard  chan struct{}       // closed once a list, or that nothing has changed, has come
-	dial   func(ctx context.Context, network, addr string) (net.Conn, error)
-	events chan event
-	calls  map[uint64]context.CancelFunc
-	left   map[uint64]context.CancelFunc // watches of a discovery that was left, until the next one answers
+	moves         chan netip.AddrPort // where to follow the list from now on
+	responded     chan struct{}       // closed once a list, or that nothing has changed, has come
+	dial          func(ctx context.Context, network, addr string) (net.Conn, error)
+	events        chan callEvent
+	calls         map[uint64]context.CancelFunc
+	previousCalls map[uint64]context.CancelFunc // watches of a discovery that was left, until the next one answers
 }
 
-// event is what a call brings.
-type event struct {
+// callEvent is what a call brings.
+type callEvent struct {
 	id   uint64
 	kind eventKind
 	list List // of a message; of what is malformed: what could be read of it
 	err  error
 
-	spoilt     []error // of a message
-	turnedAway bool    // of an end
-	pause      time.Duration
+	entryErrors []error // of a message
+	rejected    bool    // of an end
+	retryAfter  time.Duration
 }
 
 type eventKind int
 
 const (
-	eventHead    eventKind = iota // an answer has begun
-	eventPart                     // part of a message has come
-	eventBeat                     // an empty line
-	eventMessage                  // a whole message
-	eventEnd                      // the call has ended
-	eventGarbage                  // the call has ended with what can't be read
+	eventHead      eventKind = iota // an answer has begun
+	eventPartial                    // part of a message has come
+	eventEmptyLine                  // an empty line
+	eventMessage                    // a whole message
+	eventEnd                        // the call has ended
+	eventMalformed                  // the call has ended with what can't be read
 )
 
-func newRegistry(addr netip.AddrPort, f follower, apply func(List), log *slog.Logger) *registry {
-	return &registry{addr: addr, follow: f, apply: apply, log: log, moves: make(chan netip.AddrPort),
-		heard: make(chan struct{}), dial: (&net.Dialer{Timeout: callMost}).DialContext, events: make(chan event),
-		calls: map[uint64]context.CancelFunc{}, left: map[uint64]context.CancelFunc{}}
+func newDiscoveryClient(addr netip.AddrPort, f follower, apply func(List), log *slog.Logger) *discoveryClient {
+	return &discoveryClient{addr: addr, follow: f, apply: apply, log: log, moves: make(chan netip.AddrPort),
+		responded: make(chan struct{}), dial: (&net.Dialer{Timeout: maxCallDuration}).DialContext, events: make(chan callEvent),
+		calls: map[uint64]context.CancelFunc{}, previousCalls: map[uint64]context.CancelFunc{}}
 }
 
 // move follows the list at another address from now on, or reads it again at the same one. It
 // returns once that is taken in, or ctx has ended.
-func (r *registry) move(ctx context.Context, to netip.AddrPort) {
+func (r *discoveryClient) move(ctx context.Context, to netip.AddrPort) {
 	select {
 	case r.moves <- to:
 	case <-ctx.Done():
@@ -67,7 +67,7 @@
 }
 
 // run follows until ctx ends. Nothing is applied after it has returned.
-func (r *registry) run(ctx context.Context) {
+func (r *discoveryClient) run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	var reading sync.WaitGroup
 	defer reading.Wait()
@@ -80,7 +80,7 @@
 	wake := time.NewTimer(0)
 	defer wake.Stop()
 	for {
-		wasDown, wasLined, cause := f.down, f.lined, errSilent
+		wasDown, wasLined, cause := f.down, f.throttled, errSilence
 		select {
 		case <-ctx.Done():
 			return
@@ -88,25 +88,25 @@
 		case to := <-r.moves:
 			r.moveTo(now(), to)
 		case e := <-r.events:
-			r.take(now(), e)
+			r.handleEvent(now(), e)
 			if e.err != nil {
 				cause = e.err
 			}
 		}
-		do, at := f.step(now())
+		do, at := f.advance(now())
 		for _, o := range do {
 			if !o.open {
-				r.hang(r.calls, o.id)
+				r.closeCall(r.calls, o.id)
 				continue
 			}
 			callCtx, end := context.WithCancel(ctx)
 			r.calls[o.id] = end
 			addr := r.addr
-			reading.Go(func() { r.call(callCtx, client, addr, o) })
+			reading.Go(func() { r.runCall(callCtx, client, addr, o) })
 		}
 		wake.Reset(at - now())
 		switch { // one line for an outage, however often it is called
-		case f.lined && !wasLined:
+		case f.throttled && !wasLined:
 			r.log.Warn("discovery: turned away", "err", cause)
 		case f.down && !wasDown:
 			r.log.Warn("discovery: watch broken", "err", cause)
@@ -116,9 +116,9 @@
 	}
 }
 
-var errSilent = errors.New("silent for too long")
+var errSilence = errors.New("silent for too long")
 
-func (r *registry) hang(calls map[uint64]context.CancelFunc, id uint64) {
+func (r *discoveryClient) closeCall(calls map[uint64]context.CancelFunc, id uint64) {
 	if end := calls[id]; end != nil {
 		end()
 		delete(calls, id)
@@ -127,76 +127,76 @@
 
 // moveTo leaves the address for another one. The watches there are heard until that one
 // answers: it may be late, and they still bring news.
-func (r *registry) moveTo(now time.Duration, to netip.AddrPort) {
+func (r *discoveryClient) moveTo(now time.Duration, to netip.AddrPort) {
 	if to == r.addr {
 		r.follow.refresh()
 		return
 	}
 	for id, end := range r.calls {
-		r.left[id] = end
+		r.previousCalls[id] = end
 	}
 	clear(r.calls)
 	r.addr = to
-	r.follow.moved(now)
+	r.follow.addressChanged(now)
 }
 
-// take takes in what a call has brought.
-func (r *registry) take(now time.Duration, e event) {
+// handleEvent takes in what a call has brought.
+func (r *discoveryClient) handleEvent(now time.Duration, e callEvent) {
 	f := &r.follow
-	if _, left := r.left[e.id]; left {
+	if _, left := r.previousCalls[e.id]; left {
 		switch e.kind {
 		case eventMessage:
 			r.apply(e.list)
-		case eventEnd, eventGarbage:
-			r.hang(r.left, e.id)
+		case eventEnd, eventMalformed:
+			r.closeCall(r.previousCalls, e.id)
 		}
 		return
 	}
 	switch e.kind {
 	case eventHead:
-		f.got(now, e.id, false)
-	case eventPart:
-		f.got(now, e.id, true)
-	case eventBeat:
-		f.beat(now, e.id)
+		f.received(now, e.id, false)
+	case eventPartial:
+		f.received(now, e.id, true)
+	case eventEmptyLine:
+		f.emptyLine(now, e.id)
 	case eventMessage:
-		if f.message(now, e.id, e.list.Generation, e.list.Full, len(e.spoilt) > 0) {
-			if len(e.spoilt) > 0 { // one line for each list, however many entries
-				r.log.Warn("discovery: some of the list is spoilt", "count", len(e.spoilt), "first", e.spoilt[0])
+		if f.message(now, e.id, e.list.Generation, e.list.Full, len(e.entryErrors) > 0) {
+			if len(e.entryErrors) > 0 { // one line for each list, however many entries
+				r.log.Warn("discovery: some of the list is spoilt", "count", len(e.entryErrors), "first", e.entryErrors[0])
 			}
 			r.apply(e.list)
 		}
-	case eventGarbage:
-		if f.of(e.id) != nil && len(e.list.Servers) > 0 {
+	case eventMalformed:
+		if f.callByID(e.id) != nil && len(e.list.Servers) > 0 {
 			r.apply(e.list)
 		}
 		f.malformed(now, e.id)
 	case eventEnd:
-		f.ended(now, e.id, e.turnedAway, e.pause)
+		f.ended(now, e.id, e.rejected, e.retryAfter)
 	}
-	if f.of(e.id) == nil { // a fetch is over with its message
-		r.hang(r.calls, e.id)
+	if f.callByID(e.id) == nil { // a fetch is over with its message
+		r.closeCall(r.calls, e.id)
 	}
-	if (e.kind == eventMessage || e.kind == eventBeat) && f.heardAt == now {
-		r.answered()
+	if (e.kind == eventMessage || e.kind == eventEmptyLine) && f.lastHeard == now {
+		r.markResponded()
 	}
 }
 
-// answered notes that discovery, as it is followed now, has told what it has.
-func (r *registry) answered() {
+// markResponded notes that discovery, as it is followed now, has told what it has.
+func (r *discoveryClient) markResponded() {
 	select {
-	case <-r.heard:
+	case <-r.responded:
 	default:
-		close(r.heard)
+		close(r.responded)
 	}
-	for id := range r.left {
-		r.hang(r.left, id)
+	for id := range r.previousCalls {
+		r.closeCall(r.previousCalls, id)
 	}
 }
 
-// call makes one call and tells what it brings, to its end.
-func (r *registry) call(ctx context.Context, client *http.Client, addr netip.AddrPort, o order) {
-	tell := func(e event) {
+// runCall makes one call and tells what it brings, to its end.
+func (r *discoveryClient) runCall(ctx context.Context, client *http.Client, addr netip.AddrPort, o command) {
+	tell := func(e callEvent) {
 		e.id = o.id
 		select {
 		case r.events <- e:
@@ -209,30 +209,30 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		tell(event{kind: eventEnd, err: err})
+		tell(callEvent{kind: eventEnd, err: err})
 		return
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		tell(event{kind: eventEnd, err: err})
+		tell(callEvent{kind: eventEnd, err: err})
 		return
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		e := event{kind: eventEnd, err: fmt.Errorf("status %s", resp.Status)}
-		if e.turnedAway = resp.StatusCode == http.StatusServiceUnavailable ||
-			resp.StatusCode == http.StatusTooManyRequests; e.turnedAway {
-			if seconds, ok := decimal(resp.Header.Get("Retry-After")); ok && seconds < 1e6 {
-				e.pause = time.Duration(seconds * float64(time.Second))
+		e := callEvent{kind: eventEnd, err: fmt.Errorf("status %s", resp.Status)}
+		if e.rejected = resp.StatusCode == http.StatusServiceUnavailable ||
+			resp.StatusCode == http.StatusTooManyRequests; e.rejected {
+			if seconds, ok := parseDecimal(resp.Header.Get("Retry-After")); ok && seconds < 1e6 {
+				e.retryAfter = time.Duration(seconds * float64(time.Second))
 			}
 		}
 		tell(e)
 		return
 	}
-	tell(event{kind: eventHead})
-	var in reader
+	tell(callEvent{kind: eventHead})
+	var in messageReader
 	buf := make([]byte, 16<<10)
-	for !in.over {
+	for !in.done {
 		n, err := resp.Body.Read(buf)
 		for _, e := range in.read(buf[:n], err) {
 			tell(e)
@@ -240,21 +240,21 @@
 	}
 }
 
-// reader makes events of what comes on a call.
-type reader struct {
+// messageReader makes events of what comes on a call.
+type messageReader struct {
 	split splitter
-	over  bool // the call has ended, or is to be
+	done  bool // the call has ended, or is to be
 }
 
 // read takes what has come, and the error that has ended it, if any.
-func (r *reader) read(text []byte, end error) (events []event) {
+func (r *messageReader) read(text []byte, end error) (events []callEvent) {
 	garbage := func(err error, text []byte) {
-		events = append(events, event{kind: eventGarbage, err: fmt.Errorf("malformed message: %w", err),
+		events = append(events, callEvent{kind: eventMalformed, err: fmt.Errorf("malformed message: %w", err),
 			list: List{Servers: salvage(text)}})
-		r.over = true
+		r.done = true
 	}
 	message := func(text []byte) {
-		if r.over {
+		if r.done {
 			return
 		}
 		l, spoilt, err := parseList(text)
@@ -262,11 +262,11 @@
 			garbage(err, text)
 			return
 		}
-		events = append(events, event{kind: eventMessage, list: l, spoilt: spoilt})
+		events = append(events, callEvent{kind: eventMessage, list: l, entryErrors: spoilt})
 	}
 	beat := func() {
-		if !r.over {
-			events = append(events, event{kind: eventBeat})
+		if !r.done {
+			events = append(events, callEvent{kind: eventEmptyLine})
 		}
 	}
 	err := r.split.feed(text, message, beat)
@@ -274,14 +274,14 @@
 		err = errListCut
 	}
 	switch {
-	case r.over:
+	case r.done:
 	case err != nil:
 		garbage(err, r.split.part)
 	case end != nil:
-		events = append(events, event{kind: eventEnd, err: end})
-		r.over = true
+		events = append(events, callEvent{kind: eventEnd, err: end})
+		r.done = true
 	case r.split.begun():
-		events = append(events, event{kind: eventPart})
+		events = append(events, callEvent{kind: eventPartial})
 	}
 	return events
 }
--- a/internal/edgenode/request.go
+++ b/internal/edgenode/request.go
@@ -16,10 +16,10 @@
 
 // Why a request is not written, or not to its end.
 var (
-	errOver  = errors.New("the request has its final answer")
-	errLate  = errors.New("too late to be sent")
-	errStale = errors.New("the connection was closed, or brought something unasked")
-	errEarly = errors.New("the server answers before it has the request")
+	errAnswered      = errors.New("the request has its final answer")
+	errTooLate       = errors.New("too late to be sent")
+	errConnStale     = errors.New("the connection was closed, or brought something unasked")
+	errEarlyResponse = errors.New("the server answers before it has the request")
 )
 
 // message is what goes on to an app server.
@@ -31,12 +31,12 @@
 	key         string // Idempotency-Key
 	contentType string
 	body        []byte
-	over        bool // nothing of it may be sent any more; under the mutex of upstream
+	withdrawn   bool // nothing of it may be sent any more; under the mutex of upstream
 }
 
-// request words the message. The target goes on as it came: as the opaque part of
+// httpRequest words the message. The target goes on as it came: as the opaque part of
 // an address it is not encoded anew.
-func (m *message) request(ctx context.Context) *http.Request {
+func (m *message) httpRequest(ctx context.Context) *http.Request {
 	path, query, force := strings.Cut(m.target, "?")
 	h := http.Header{"User-Agent": {""}} // none, rather than the library's own
 	if m.id != "" {
@@ -63,17 +63,17 @@
 	return req
 }
 
-// bounds is what an attempt is held to as it is written, however long ago it was decided on.
-type bounds struct {
-	of    *backend  // the server as it was when it was chosen; nil: as it is
-	until time.Time // an attempt not begun by then must not begin
-	whole time.Time // by when its last byte has to be written; zero: no bound
+// writeLimits is what an attempt is held to as it is written, however long ago it was decided on.
+type writeLimits struct {
+	backend        *backend  // the server as it was when it was chosen; nil: as it is
+	startBefore    time.Time // an attempt not begun by then must not begin
+	completeBefore time.Time // by when its last byte has to be written; zero: no bound
 }
 
-// write writes a request, unless by the time its first byte would go out its server has left
+// writeRequest writes a request, unless by the time its first byte would go out its server has left
 // the list, it has its final answer, its attempt was given up, its time is over or something has come on
 // the connection: a send that has not begun by then must not begin any more, however long ago it was decided.
-func (u *upstream) write(ctx context.Context, c *conn, m *message, to bounds, text []byte) error {
+func (u *upstream) writeRequest(ctx context.Context, c *conn, m *message, to writeLimits, text []byte) error {
 	var n int
 	var err error
 	if failed := c.raw.Write(func(fd uintptr) bool {
@@ -82,15 +82,15 @@
 		err = ctx.Err()
 		now := time.Now()
 		switch {
-		case m.over:
-			err = errOver
-		case !c.of.up:
-			err = errUnknown
+		case m.withdrawn:
+			err = errAnswered
+		case !c.backend.up:
+			err = errNotUp
 		case err != nil:
-		case past(to.until, now), past(to.whole, now):
-			err = errLate
-		case !nothingIn(fd):
-			err = errStale
+		case isPast(to.startBefore, now), isPast(to.completeBefore, now):
+			err = errTooLate
+		case !socketQuiet(fd):
+			err = errConnStale
 		}
 		if err != nil {
 			return true
@@ -107,23 +107,23 @@
 		return err
 	}
 	if n < len(text) {
-		return c.writeRest(ctx, to, text[n:])
+		return c.writeRemainder(ctx, to, text[n:])
 	}
 	return nil
 }
 
-// writeRest writes what the socket did not take at once. It ends early if the server answers, which
+// writeRemainder writes what the socket did not take at once. It ends early if the server answers, which
 // can't be to a request that it does not have, or if the last byte would come too late.
-func (c *conn) writeRest(ctx context.Context, to bounds, text []byte) error {
-	if !to.whole.IsZero() {
-		c.SetWriteDeadline(to.whole)
+func (c *conn) writeRemainder(ctx context.Context, to writeLimits, text []byte) error {
+	if !to.completeBefore.IsZero() {
+		c.SetWriteDeadline(to.completeBefore)
 	}
 	early := false
 	looked := make(chan struct{})
 	go func() {
 		defer close(looked)
 		c.raw.Read(func(fd uintptr) bool {
-			early = !nothingIn(fd)
+			early = !socketQuiet(fd)
 			return early
 		})
 		c.SetWriteDeadline(time.Unix(1, 0)) // also behind the last byte, where it changes nothing
@@ -142,20 +142,20 @@
 	case err == nil:
 		return nil
 	case early:
-		return errEarly
-	case past(to.whole, time.Now()):
-		return errLate
+		return errEarlyResponse
+	case isPast(to.completeBefore, time.Now()):
+		return errTooLate
 	}
 	return err
 }
 
-// past tells whether a time that was set is over.
-func past(t, now time.Time) bool { return !t.IsZero() && !now.Before(t) }
+// isPast tells whether a time that was set is over.
+func isPast(t, now time.Time) bool { return !t.IsZero() && !now.Before(t) }
 
-// nothingIn tells whether a socket is open with nothing to read. An idle connection that the server has
+// socketQuiet tells whether a socket is open with nothing to read. An idle connection that the server has
 // closed, or on which something came unasked, would end a request written to it as a reset, which may not
 // be repeated freely.
-func nothingIn(fd uintptr) bool {
+func socketQuiet(fd uintptr) bool {
 	var b [1]byte
 	_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return err == syscall.EAGAIN
@@ -164,12 +164,12 @@
 // withdraw has nothing of a message sent from now on; what has been begun goes on.
 func (u *upstream) withdraw(m *message) {
 	u.mu.Lock()
-	m.over = true
+	m.withdrawn = true
 	u.mu.Unlock()
 }
 
-// cancel gives an attempt up.
-func (u *upstream) cancel(attempt context.CancelFunc) {
+// cancelAttempt gives an attempt up.
+func (u *upstream) cancelAttempt(attempt context.CancelFunc) {
 	u.mu.Lock()
 	attempt()
 	u.mu.Unlock()
--- a/internal/edgenode/run.go
+++ b/internal/edgenode/run.go
@@ -15,13 +15,13 @@
 // Run runs an edge node until ctx ends, then drains it. At each signal on reload it
 // reads its configuration again.
 func Run(ctx context.Context, cfg *Config, reload <-chan os.Signal, logger *slog.Logger) error {
-	return runOn(ctx, cfg, reload, logger, func() (*net.TCPListener, error) {
+	return runWithListener(ctx, cfg, reload, logger, func() (*net.TCPListener, error) {
 		return net.ListenTCP("tcp", net.TCPAddrFromAddrPort(cfg.Listen))
 	})
 }
 
-// runOn is Run on the listener that listen opens.
-func runOn(ctx context.Context, cfg *Config, reload <-chan os.Signal, logger *slog.Logger, listen func() (*net.TCPListener, error)) error {
+// runWithListener is Run on the listener that listen opens.
+func runWithListener(ctx context.Context, cfg *Config, reload <-chan os.Signal, logger *slog.Logger, listen func() (*net.TCPListener, error)) error {
 	life, stop := context.WithCancel(context.Background())
 	defer stop()
 	n, err := newNode(life, cfg, logger)
@@ -36,23 +36,23 @@
 		}
 		defer n.peers.conn.Close()
 	}
-	if len(cfg.left) > 0 {
-		logger.Warn("known: some of the list is spoilt", "count", len(cfg.left), "first", cfg.left[0])
+	if len(cfg.knownErrors) > 0 {
+		logger.Warn("known: some of the list is spoilt", "count", len(cfg.knownErrors), "first", cfg.knownErrors[0])
 	}
-	n.boot()
+	n.startBalancer()
 	if n.peers != nil {
-		side.Go(func() { n.peers.receive(n.whisper) })
+		side.Go(func() { n.peers.receive(n.receivePeerMessage) })
 	}
-	reg := newRegistry(cfg.Discovery, follower{pushed: !cfg.Settings.PollEndpoints, fleet: cfg.Settings.NodeCount,
-		within: cfg.Settings.PollInterval, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Known.Generation)),
-		version: cfg.Known.Generation}, n.heard, logger)
+	reg := newDiscoveryClient(cfg.Discovery, follower{pushed: !cfg.Settings.PollEndpoints, fleetSize: cfg.Settings.NodeCount,
+		pollInterval: cfg.Settings.PollInterval, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.CachedList.Generation)),
+		version: cfg.CachedList.Generation}, n.receiveList, logger)
 	side.Go(func() { reg.run(life) })
-	side.Go(func() { n.up.reap(life) })
+	side.Go(func() { n.upstream.reapIdle(life) })
 	defer stop() // before the wait for what life owns
 
 	at := cfg.Discovery
-	reread := func() { at = reread(life, n, reg, at) }
-	if !awaitList(ctx, cfg.listFor, reg.heard, reload, reread, logger) {
+	reread := func() { at = reloadConfig(life, n, reg, at) }
+	if !waitForList(ctx, cfg.listWait, reg.responded, reload, reread, logger) {
 		logger.Info("ended before it was ready", "node", cfg.Name)
 		stop()
 		n.close()
@@ -63,12 +63,12 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	defer tcp.Close()
-	f := newFront(n)
-	ln := newSlotListener(tcp, f.slots)
+	f := newFrontend(n)
+	ln := newClientListener(tcp, f.conns)
 	failed := make(chan error, 1)
 	side.Go(func() { failed <- f.serve(ln) })
 	f.ready.Store(true)
-	logger.Info("ready", "node", cfg.Name, "listen", cfg.Listen, "servers", len(cfg.Known.Servers),
+	logger.Info("ready", "node", cfg.Name, "listen", cfg.Listen, "servers", len(cfg.CachedList.Servers),
 		"pushed", !cfg.Settings.PollEndpoints)
 	ending := ctx.Done()
 	drained := make(chan struct{})
@@ -93,10 +93,10 @@
 	}
 }
 
-// awaitList waits until discovery has told what it has, for some time at most. The saved list may be old, and what
+// waitForList waits until discovery has told what it has, for some time at most. The saved list may be old, and what
 // discovery has counts from the first moment. Clients are refused meanwhile: the wait of a request that stands in
 // the listener's line passes unseen. A reload does not make the wait longer. It returns false if ctx has ended.
-func awaitList(ctx context.Context, most time.Duration, heard <-chan struct{}, reload <-chan os.Signal, reread func(), logger *slog.Logger) bool {
+func waitForList(ctx context.Context, most time.Duration, heard <-chan struct{}, reload <-chan os.Signal, reread func(), logger *slog.Logger) bool {
 	waited := time.NewTimer(most)
 	defer waited.Stop()
 	for {
@@ -114,11 +114,11 @@
 	}
 }
 
-// reread reads the configuration again and follows the list at the discovery that it names; what
+// reloadConfig reads the configuration again and follows the list at the discovery that it names; what
 // else it says holds from the next start. A configuration that can't be is logged, and the one in
 // force stays. It returns where the list is followed.
-func reread(ctx context.Context, n *Node, reg *registry, at netip.AddrPort) netip.AddrPort {
-	cfg, err := n.cfg.reread()
+func reloadConfig(ctx context.Context, n *Node, reg *discoveryClient, at netip.AddrPort) netip.AddrPort {
+	cfg, err := n.cfg.reload()
 	if err != nil {
 		n.log.Error("reload: the configuration in force stays", "err", err)
 		return at
--- a/internal/edgenode/side_test.go
+++ b/internal/edgenode/side_test.go
@@ -95,7 +95,7 @@
 	old, young := newAppServer(t, say(okAnswer)), newAppServer(t, say(okAnswer))
 	tells, opened := make(chan struct{}), make(chan bool, 1)
 	cfg := testConfig(old.instance("a"))
-	cfg.listFor = patience
+	cfg.listWait = patience
 	whole := listJSON(8, true, young.instance("b"))
 	asked := make(chan struct{}, 100)
 	cfg.Discovery = discovery(t, func() string { asked <- struct{}{}; <-tells; return whole }, func(n int, _ string, w io.Writer, ctx context.Context) {
@@ -107,7 +107,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() {
-		done <- runOn(ctx, cfg, nil, slog.New(slog.DiscardHandler), func() (*net.TCPListener, error) {
+		done <- runWithListener(ctx, cfg, nil, slog.New(slog.DiscardHandler), func() (*net.TCPListener, error) {
 			select {
 			case <-tells:
 				opened <- true
@@ -155,7 +155,7 @@
 	cfg := testConfig(old.instance("a"))
 	cfg.Discovery = first
 	next := make(chan error, 1)
-	cfg.reread = func() (*Config, error) {
+	cfg.reload = func() (*Config, error) {
 		moved := *cfg
 		moved.Discovery = second
 		return &moved, <-next
@@ -204,12 +204,12 @@
 		t.Fatal(err)
 	}
 	write("127.0.0.1:3")
-	again, err := cfg.reread()
+	again, err := cfg.reload()
 	if err != nil || again.Discovery != netip.MustParseAddrPort("127.0.0.1:3") || again.Name != "n1" {
 		t.Errorf("read again: %+v, %v", again, err)
 	}
 	write("nowhere")
-	if _, err := cfg.reread(); err == nil || !strings.Contains(err.Error(), "discovery") {
+	if _, err := cfg.reload(); err == nil || !strings.Contains(err.Error(), "discovery") {
 		t.Errorf("error %v does not name the field", err)
 	}
 }
@@ -238,7 +238,7 @@
 	for _, d := range []struct {
 		c    *net.UDPConn
 		text []byte
-	}{{stranger, []byte("stranger")}, {other, make([]byte, maxMessage+1)}, {other, []byte("hi")}} {
+	}{{stranger, []byte("stranger")}, {other, make([]byte, maxPeerMessage+1)}, {other, []byte("hi")}} {
 		if _, err := d.c.WriteToUDPAddrPort(d.text, addr(p.conn)); err != nil {
 			t.Fatal(err)
 		}
@@ -248,10 +248,10 @@
 	}
 
 	for peer, c := range map[int]*net.UDPConn{1: other, balancer.AllPeers: all} {
-		if err := p.send(peer, []byte("hello")); err != nil {
+		if err := p.write(peer, []byte("hello")); err != nil {
 			t.Fatal(err)
 		}
-		buf := make([]byte, maxMessage)
+		buf := make([]byte, maxPeerMessage)
 		c.SetReadDeadline(time.Now().Add(patience))
 		n, from, err := c.ReadFromUDPAddrPort(buf)
 		if err != nil || string(buf[:n]) != "hello" || from != addr(p.conn) {
@@ -261,12 +261,12 @@
 	var lines syncBuffer
 	log := slog.New(slog.NewTextHandler(&lines, nil))
 	for _, peer := range []int{2, 2, 1, 1} {
-		p.tell(peer, []byte("hello"), log)
+		p.sendMessage(peer, []byte("hello"), log)
 	}
 	if strings.Count(lines.String(), "\n") != 2 { // one for each change of state
 		t.Errorf("logged %q", lines.String())
 	}
-	if p.send(1, make([]byte, maxMessage+1)) == nil || p.send(2, []byte("hello")) == nil {
+	if p.write(1, make([]byte, maxPeerMessage+1)) == nil || p.write(2, []byte("hello")) == nil {
 		t.Error("a message too long or to nobody was sent")
 	}
 }
--- a/internal/edgenode/slots_test.go
+++ b/internal/edgenode/slots_test.go
@@ -10,24 +10,24 @@
 )
 
 // slotFront serves clients with room for most connections.
-func slotFront(t *testing.T, most int, servers ...Instance) (*front, string) {
+func slotFront(t *testing.T, most int, servers ...Instance) (*frontend, string) {
 	t.Helper()
 	f := idleFront(t, testConfig(servers...))
-	f.slots.most = most
+	f.conns.max = most
 	f.ready.Store(true)
 	ln := listen(t)
-	go f.serve(newSlotListener(ln, f.slots))
-	t.Cleanup(func() { f.srv.Close() })
+	go f.serve(newClientListener(ln, f.conns))
+	t.Cleanup(func() { f.server.Close() })
 	return f, ln.Addr().String()
 }
 
 // age makes all connections in a state older and returns their number.
-func (s *slots) age(state slotState, by time.Duration) (n int) {
+func (s *connTable) age(state connState, by time.Duration) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
 		if c.state == state {
-			c.since = c.since.Add(-by)
+			c.stateSince = c.stateSince.Add(-by)
 			n++
 		}
 	}
@@ -69,9 +69,9 @@
 	if a := kept.ask(request("check", "kept")); a.status != 200 {
 		t.Errorf("on the connection kept: %+v", a)
 	}
-	f.slots.mu.Lock()
-	defer f.slots.mu.Unlock()
-	if n := len(f.slots.conns); n > 8 {
+	f.conns.mu.Lock()
+	defer f.conns.mu.Unlock()
+	if n := len(f.conns.conns); n > 8 {
 		t.Errorf("%d connections for 8 slots", n)
 	}
 }
@@ -87,9 +87,9 @@
 	}
 	silents := func(n int) func() bool {
 		return func() bool {
-			f.slots.mu.Lock()
-			defer f.slots.mu.Unlock()
-			return f.slots.silent == n
+			f.conns.mu.Lock()
+			defer f.conns.mu.Unlock()
+			return f.conns.newConns == n
 		}
 	}
 	eventually(t, "all accepted", silents(4))
@@ -107,12 +107,12 @@
 		c.Close()
 	}
 	eventually(t, "all gone", func() bool {
-		f.slots.mu.Lock()
-		defer f.slots.mu.Unlock()
-		return len(f.slots.conns) == 0
+		f.conns.mu.Lock()
+		defer f.conns.mu.Unlock()
+		return len(f.conns.conns) == 0
 	})
 	if !silents(0)() {
-		t.Errorf("%d silent connections counted, none open", f.slots.silent)
+		t.Errorf("%d silent connections counted, none open", f.conns.newConns)
 	}
 }
 
@@ -131,14 +131,14 @@
 	busy.send(request("check", "t1"))
 	eventually(t, "request out", func() bool { return len(s.requests()) == 1 })
 	half.send("GET /check")
-	eventually(t, "head begun", func() bool { return f.slots.age(reading, readingFor) == 1 })
+	eventually(t, "head begun", func() bool { return f.conns.age(connReading, readingGrace) == 1 })
 	if a := rested.ask(readyRequest); a.status != 200 {
 		t.Errorf("%+v", a)
 	}
-	eventually(t, "idle", func() bool { return f.slots.age(idle, idleFor) == 1 })
-	f.slots.mu.Lock()
-	f.slots.most = 3
-	f.slots.mu.Unlock()
+	eventually(t, "idle", func() bool { return f.conns.age(connIdle, idleGrace) == 1 })
+	f.conns.mu.Lock()
+	f.conns.max = 3
+	f.conns.mu.Unlock()
 	second := dial(t, addr)
 	second.send(request("check", "t2"))
 	wantEOF(t, "the idle one", rested)
@@ -163,15 +163,15 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	s := newSlots(2)
-	accept := func() (*client, *slotConn) {
+	s := newConnTable(2)
+	accept := func() (*client, *clientConn) {
 		c := dial(t, ln.Addr().String())
 		nc, err := ln.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { nc.Close() })
-		taken, err := newSlotConn(nc, s)
+		taken, err := newClientConn(nc, s)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -183,12 +183,12 @@
 	s.add(first)
 	s.add(second)
 	asks.send(readyRequest)
-	eventually(t, "request arrived", first.waiting)
+	eventually(t, "request arrived", first.hasUnread)
 	if spare := s.add(third); spare != second {
 		t.Errorf("the one with a request gave way, or none: %v", spare)
 	}
 	// What was given up takes nothing in.
-	if second.become(open) {
+	if second.transition(connActive) {
 		t.Error("a request was opened on a connection that was given up")
 	}
 	buf := make([]byte, 10)
--- a/internal/edgenode/told_test.go
+++ b/internal/edgenode/told_test.go
@@ -39,7 +39,7 @@
 					s.drain()
 					reached := s.now
 					s.run(time.Minute)
-					if late := s.latest(reached); late < 0 || late > toldAfter+inTime {
+					if late := s.latest(reached); late < 0 || late > reportedAfter+inTime {
 						t.Errorf("%s: the last node has the change %v after it could be reached", play, late)
 					}
 				}
--- a/internal/edgenode/upstream.go
+++ b/internal/edgenode/upstream.go
@@ -15,8 +15,8 @@
 	"opalhook/internal/settings"
 )
 
-// staleWithin is the time from the write to the reset of a connection that was given up.
-const staleWithin = 20 * time.Millisecond
+// staleResetWindow is the time from the write to the reset of a connection that was given up.
+const staleResetWindow = 20 * time.Millisecond
 
 // upstream holds the connections to app servers. net/http's own client is not used:
 // it silently sends a request again when a kept connection turns out dead, which
@@ -24,7 +24,7 @@
 type upstream struct {
 	dialer  net.Dialer
 	maxIdle time.Duration
-	most    int // connections open at once, descriptors being limited
+	maxOpen int // connections open at once, descriptors being limited
 
 	mu       sync.Mutex
 	backends map[string]*backend
@@ -34,23 +34,23 @@
 // backend is an app server, as the list describes it, and its idle connections, the latest used
 // last. What makes it another one to a request that was decided on makes it another backend.
 type backend struct {
-	addr netip.AddrPort
-	boot time.Duration
-	zone string
-	cell int
-	up   bool
-	idle []*conn
+	addr      netip.AddrPort
+	startedAt time.Duration
+	zone      string
+	cell      int
+	up        bool
+	idle      []*conn
 
-	keep   time.Duration // for which its idle connections have proved good, from keepAt; 0: for maxIdle
-	keepAt time.Time
+	keepIdle      time.Duration // for which its idle connections have proved good, from keepAt; 0: for maxIdle
+	keepIdleSetAt time.Time
 }
 
 // newUpstream returns an upstream without servers that opens so many connections at most.
 func newUpstream(t settings.Transport, most int) *upstream {
 	return &upstream{
 		dialer:   net.Dialer{Timeout: t.ConnectTimeout, KeepAlive: -1},
-		maxIdle:  time.Duration(idleShare * float64(t.ConnIdle)),
-		most:     most,
+		maxIdle:  time.Duration(idleFraction * float64(t.ConnIdle)),
+		maxOpen:  most,
 		backends: map[string]*backend{},
 	}
 }
@@ -71,12 +71,12 @@
 		}
 		listed[e.ID] = true
 		b := u.backends[e.ID]
-		if b != nil && (b.addr != e.Addr || b.boot != e.StartedAt || b.zone != e.Zone || b.cell != e.Cell) {
+		if b != nil && (b.addr != e.Addr || b.startedAt != e.StartedAt || b.zone != e.Zone || b.cell != e.Cell) {
 			stale = append(stale, u.remove(e.ID, b)...)
 			b = nil
 		}
 		if b == nil {
-			b = &backend{addr: e.Addr, boot: e.StartedAt, zone: e.Zone, cell: e.Cell}
+			b = &backend{addr: e.Addr, startedAt: e.StartedAt, zone: e.Zone, cell: e.Cell}
 			u.backends[e.ID] = b
 		}
 		if b.up = e.State == balancer.Up; !b.up {
@@ -102,8 +102,8 @@
 	return idle
 }
 
-// chosen is the server as it is now.
-func (u *upstream) chosen(server string) *backend {
+// lookup is the server as it is now.
+func (u *upstream) lookup(server string) *backend {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.backends[server]
@@ -111,28 +111,28 @@
 
 // exchange writes the message to the server, once at most, and reads the whole
 // answer. It gives up when ctx ends, by closing the connection before it returns.
-func (u *upstream) exchange(ctx context.Context, server string, m *message, to bounds) (reply, balancer.Result) {
+func (u *upstream) exchange(ctx context.Context, server string, m *message, to writeLimits) (serverResponse, balancer.Result) {
 	if until, ok := ctx.Deadline(); ok {
-		to.until = until
+		to.startBefore = until
 	}
 	var c *conn
 	var req *http.Request
 	var stop func() bool
 	for {
 		var err error
-		c, err = u.take(ctx, server, to.of)
-		if errors.Is(err, errBudget) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
-			return reply{}, balancer.NotSent // no fault of the server's
+		c, err = u.acquire(ctx, server, to.backend)
+		if errors.Is(err, errNoDescriptor) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
+			return serverResponse{}, balancer.NotSent // no fault of the server's
 		}
 		if err != nil {
-			return reply{}, neverSent(ctx)
+			return serverResponse{}, unsentResult(ctx)
 		}
-		c.in.reset(ctx)
+		c.reader.reset(ctx)
 		stop = context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
-		req = m.request(ctx)
+		req = m.httpRequest(ctx)
 		var out bytes.Buffer
 		if err = req.Write(&out); err == nil {
-			err = u.write(ctx, c, m, to, out.Bytes())
+			err = u.writeRequest(ctx, c, m, to, out.Bytes())
 		}
 		if err == nil {
 			break
@@ -141,21 +141,21 @@
 		stop()
 		u.discard(c)
 		switch {
-		case errors.Is(err, errStale) && c.rested > 0: // since it was taken: another one may do
-		case errors.Is(err, errOver), errors.Is(err, errLate):
-			return reply{}, balancer.NotSent
+		case errors.Is(err, errConnStale) && c.rested > 0: // since it was taken: another one may do
+		case errors.Is(err, errAnswered), errors.Is(err, errTooLate):
+			return serverResponse{}, balancer.NotSent
 		default:
-			return reply{}, neverSent(ctx)
+			return serverResponse{}, unsentResult(ctx)
 		}
 	}
 	written := time.Now()
-	rep, result, reuse := c.read(req)
-	if result == balancer.Reset && !c.in.begun && c.rested >= leastKeep && time.Since(written) < staleWithin {
-		u.shortenKeep(c)
+	rep, result, reuse := c.readResponse(req)
+	if result == balancer.Reset && !c.reader.started && c.rested >= minKeepIdle && time.Since(written) < staleResetWindow {
+		u.shortenKeepIdle(c)
 	}
 	// stop is false once the deadline has been tampered with.
 	if stop() && reuse {
-		u.giveBack(c)
+		u.release(c)
 	} else {
 		u.discard(c)
 	}
@@ -163,7 +163,7 @@
 		switch {
 		case errors.Is(ctx.Err(), context.Canceled):
 			result = balancer.Cancelled
-		case c.in.begun: // half an answer is no silence
+		case c.reader.started: // half an answer is no silence
 			result = balancer.ErrorResponse
 		default:
 			result = balancer.TimedOut
@@ -171,16 +171,16 @@
 	}
 	switch result {
 	case balancer.TimedOut:
-		u.closeIdle(c.of)
+		u.closeIdle(c.backend)
 	case balancer.OK, balancer.Overloaded, balancer.ErrorResponse:
-		rep.since = c.made
+		rep.connectedAt = c.connectedAt
 	}
 	return rep, result
 }
 
-// neverSent is the result of an attempt whose last byte was not written. Where its
+// unsentResult is the result of an attempt whose last byte was not written. Where its
 // own time ended first, that says nothing of the server.
-func neverSent(ctx context.Context) balancer.Result {
+func unsentResult(ctx context.Context) balancer.Result {
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
 		return balancer.Cancelled
@@ -190,8 +190,8 @@
 	return balancer.ConnectFailed
 }
 
-// shut closes all idle connections.
-func (u *upstream) shut() {
+// close closes all idle connections.
+func (u *upstream) close() {
 	stale := u.update(nil, true)
 	closeAll(stale)
 }
--- a/internal/edgenode/upstream_test.go
+++ b/internal/edgenode/upstream_test.go
@@ -27,11 +27,11 @@
 
 var get = message{method: "GET", target: "/check?customer=1", id: "t1"}
 
-func exchange(t *testing.T, u *upstream, server string) (reply, balancer.Result) {
+func exchange(t *testing.T, u *upstream, server string) (serverResponse, balancer.Result) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	return u.exchange(ctx, server, &get, bounds{})
+	return u.exchange(ctx, server, &get, writeLimits{})
 }
 
 func wantResult(t *testing.T, got, want balancer.Result) {
@@ -102,7 +102,7 @@
 		s := newAppServer(t, say("HTTP/1.1 200 OK\r\n"+text+"Content-Length: 4\r\n\r\nbody"))
 		rep, res := exchange(t, testUpstream(s.instance("a")), "a")
 		wantResult(t, res, balancer.OK)
-		if got := rep.settled(8); got != want {
+		if got := rep.settledUnits(8); got != want {
 			t.Errorf("%q: %v units, want %v", text, got, want)
 		}
 	}
@@ -166,19 +166,19 @@
 				return c.serve(conn, r, body)
 			})
 			u := testUpstream(s.instance("a"))
-			spare, err := u.take(context.Background(), "a", nil)
+			spare, err := u.acquire(context.Background(), "a", nil)
 			if err != nil {
 				t.Fatal(err)
 			}
 			_, res := exchange(t, u, "a")
 			wantResult(t, res, balancer.ErrorResponse)
-			u.giveBack(spare)
+			u.release(spare)
 			if b := u.backends["a"]; len(b.idle) != 1 || u.open != 1 {
 				t.Errorf("%d connections idle, %d counted, want the other one", len(b.idle), u.open)
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), patience)
 			defer cancel()
-			if _, res := u.exchange(ctx, "a", &message{method: "GET", target: "/check", id: "fine"}, bounds{}); res != balancer.OK {
+			if _, res := u.exchange(ctx, "a", &message{method: "GET", target: "/check", id: "fine"}, writeLimits{}); res != balancer.OK {
 				t.Errorf("the next request: result %d", res)
 			}
 		})
@@ -193,21 +193,21 @@
 		return say("HTTP/1.1 200 OK\r\n")(c, r, body)
 	})
 	u := testUpstream(s.instance("a"))
-	spare, err := u.take(context.Background(), "a", nil)
+	spare, err := u.acquire(context.Background(), "a", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	u.giveBack(spare)
+	u.release(spare)
 	other, err := u.dial(context.Background(), u.backends["a"])
 	if err != nil {
 		t.Fatal(err)
 	}
 	u.open++
-	u.giveBack(other)
+	u.release(other)
 	u.rest("a")
 	ctx, result := newEnding(), make(chan balancer.Result, 1)
 	go func() {
-		_, res := u.exchange(ctx, "a", &get, bounds{})
+		_, res := u.exchange(ctx, "a", &get, writeLimits{})
 		result <- res
 	}()
 	await(t, "half an answer", written)
@@ -227,10 +227,10 @@
 		rested, answer time.Duration
 		learns         bool
 	}{
-		"stale":           {10 * leastKeep, 0, true},
-		"just used":       {leastRest, 0, false},
-		"at the work":     {10 * leastKeep, 2 * staleWithin, false},
-		"not much rested": {leastKeep / 2, 0, false},
+		"stale":           {10 * minKeepIdle, 0, true},
+		"just used":       {minRest, 0, false},
+		"at the work":     {10 * minKeepIdle, 2 * staleResetWindow, false},
+		"not much rested": {minKeepIdle / 2, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newAppServer(t, func(conn net.Conn, r *http.Request, body []byte) bool {
@@ -247,23 +247,23 @@
 			ctx, cancel := context.WithTimeout(context.Background(), patience)
 			defer cancel()
 			rest := func(d time.Duration) {
-				u.exchange(ctx, "a", fine, bounds{})
-				b.idle[0].idle = time.Now().Add(-d)
+				u.exchange(ctx, "a", fine, writeLimits{})
+				b.idle[0].idleSince = time.Now().Add(-d)
 			}
 			rest(c.rested)
 			_, res := exchange(t, u, "a")
 			wantResult(t, res, balancer.Reset)
-			if got := b.keep != 0; got != c.learns {
-				t.Fatalf("kept for %v, learned: %v, want %v", b.keep, got, c.learns)
+			if got := b.keepIdle != 0; got != c.learns {
+				t.Fatalf("kept for %v, learned: %v, want %v", b.keepIdle, got, c.learns)
 			}
 			rest(c.rested)
 			old := b.idle[0]
-			u.exchange(ctx, "a", fine, bounds{})
+			u.exchange(ctx, "a", fine, writeLimits{})
 			if again := b.idle[0] == old; again == c.learns {
 				t.Errorf("used again: %v", again)
 			}
-			b.keepAt = time.Now().Add(-12 * keepDoubles)
-			if keep := u.keepFor(b); keep != u.maxIdle {
+			b.keepIdleSetAt = time.Now().Add(-12 * keepDoublingPeriod)
+			if keep := u.keepIdleFor(b); keep != u.maxIdle {
 				t.Errorf("kept for %v long after, want %v", keep, u.maxIdle)
 			}
 		})
@@ -274,7 +274,7 @@
 func TestInterimAnswerThenAPause(t *testing.T) {
 	s := newAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		io.WriteString(c, "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n")
-		time.Sleep(restLimit * 3 / 2) // the server at work
+		time.Sleep(responseRestTimeout * 3 / 2) // the server at work
 		return say(okAnswer)(c, r, body)
 	})
 	u := testUpstream(s.instance("a"))
@@ -288,7 +288,7 @@
 	u := testUpstream(s.instance("a"))
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(-time.Second))
 	defer cancel()
-	_, res := u.exchange(ctx, "a", &get, bounds{})
+	_, res := u.exchange(ctx, "a", &get, writeLimits{})
 	wantResult(t, res, balancer.NotSent)
 }
 
@@ -326,7 +326,7 @@
 	done := make(chan balancer.Result, 2)
 	for range 2 {
 		go func() {
-			_, res := u.exchange(context.Background(), "a", &get, bounds{})
+			_, res := u.exchange(context.Background(), "a", &get, writeLimits{})
 			done <- res
 		}()
 	}
@@ -368,14 +368,14 @@
 	s := newAppServer(t, say(okAnswer))
 	u := testUpstream(s.instance("a"))
 	exchange(t, u, "a")
-	u.backends["a"].idle[0].idle = time.Now().Add(-u.maxIdle)
+	u.backends["a"].idle[0].idleSince = time.Now().Add(-u.maxIdle)
 	exchange(t, u, "a")
 	wantClosed(t, await(t, "a connection", s.conns))
-	u.backends["a"].idle[0].idle = time.Now().Add(-u.maxIdle)
+	u.backends["a"].idle[0].idleSince = time.Now().Add(-u.maxIdle)
 	u.maxIdle = 50 * time.Millisecond // sets the reaper's pace
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go u.reap(ctx)
+	go u.reapIdle(ctx)
 	wantClosed(t, await(t, "a connection", s.conns))
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -391,7 +391,7 @@
 	u.update([]Instance{{Endpoint: balancer.Endpoint{ID: "a"}, Addr: blocked(t)}}, true)
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	_, res := u.exchange(ctx, "a", &get, bounds{})
+	_, res := u.exchange(ctx, "a", &get, writeLimits{})
 	wantResult(t, res, balancer.ConnectFailed)
 	if ctx.Err() != nil || u.open != 0 {
 		t.Errorf("context %v, %d connections counted", ctx.Err(), u.open)
@@ -408,7 +408,7 @@
 		u := testUpstream(s.instance("a"))
 		ctx, result := newEnding(), make(chan balancer.Result, 1)
 		go func() {
-			_, res := u.exchange(ctx, "a", &get, bounds{})
+			_, res := u.exchange(ctx, "a", &get, writeLimits{})
 			result <- res
 		}()
 		eventually(t, "request out", func() bool { return len(s.requests()) == 1 })
@@ -431,15 +431,15 @@
 		return say(okAnswer)(c, r, body)
 	})
 	u := testUpstream(s.instance("a"))
-	c, err := u.take(context.Background(), "a", nil)
+	c, err := u.acquire(context.Background(), "a", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	exchange(t, u, "a")
-	u.giveBack(c)
+	u.release(c)
 	ctx, result := newEnding(), make(chan balancer.Result, 1)
 	go func() {
-		_, res := u.exchange(ctx, "a", &message{method: "GET", target: "/check", id: "silent"}, bounds{})
+		_, res := u.exchange(ctx, "a", &message{method: "GET", target: "/check", id: "silent"}, writeLimits{})
 		result <- res
 	}()
 	eventually(t, "request out", func() bool { return len(s.requests()) == 2 })
@@ -479,7 +479,7 @@
 			exchange(t, u, "a") // leaves one idle
 			done := make(chan balancer.Result)
 			go func() {
-				_, res := u.exchange(context.Background(), "a", &get, bounds{})
+				_, res := u.exchange(context.Background(), "a", &get, writeLimits{})
 				done <- res
 			}()
 			eventually(t, "second request out", func() bool { return len(s.requests()) == 2 })
@@ -503,8 +503,8 @@
 	drains.State = balancer.Draining
 	u.update([]Instance{drains}, false)
 	u.open++
-	if _, err := u.dial(context.Background(), b); err != errUnknown {
-		t.Errorf("error %v, want %v", err, errUnknown)
+	if _, err := u.dial(context.Background(), b); err != errNotUp {
+		t.Errorf("error %v, want %v", err, errNotUp)
 	}
 	_, res := exchange(t, u, "a")
 	wantResult(t, res, balancer.ConnectFailed)
@@ -521,30 +521,30 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.boot()
-	c, err := n.up.take(t.Context(), "a", nil)
+	n.startBalancer()
+	c, err := n.upstream.acquire(t.Context(), "a", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	fl := &flight{id: "t1", msg: get, answer: make(chan answer, 1)}
+	fl := &inflightRequest{id: "t1", message: get, response: make(chan clientResponse, 1)}
 	n.mu.Lock()
-	n.end(fl, answer{kind: failed})
+	n.finishRequest(fl, clientResponse{kind: responseFailed})
 	n.mu.Unlock()
-	n.up.giveBack(c)
-	if _, result := n.up.exchange(t.Context(), "a", &fl.msg, bounds{}); result != balancer.NotSent {
+	n.upstream.release(c)
+	if _, result := n.upstream.exchange(t.Context(), "a", &fl.message, writeLimits{}); result != balancer.NotSent {
 		t.Errorf("result %v", result)
 	}
-	c, err = n.up.take(t.Context(), "a", nil)
+	c, err = n.upstream.acquire(t.Context(), "a", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, giveUp := context.WithCancel(t.Context())
-	n.up.cancel(giveUp)
-	if err := n.up.write(ctx, c, &message{}, bounds{}, []byte("GET /givenup HTTP/1.1\r\nHost: a\r\n\r\n")); !errors.Is(err, context.Canceled) {
+	n.upstream.cancelAttempt(giveUp)
+	if err := n.upstream.writeRequest(ctx, c, &message{}, writeLimits{}, []byte("GET /givenup HTTP/1.1\r\nHost: a\r\n\r\n")); !errors.Is(err, context.Canceled) {
 		t.Errorf("an attempt that was given up is written: %v", err)
 	}
-	n.up.giveBack(c)
-	if _, result := n.up.exchange(t.Context(), "a", &message{method: "GET", target: "/other"}, bounds{}); result != balancer.OK {
+	n.upstream.release(c)
+	if _, result := n.upstream.exchange(t.Context(), "a", &message{method: "GET", target: "/other"}, writeLimits{}); result != balancer.OK {
 		t.Errorf("another request: result %v", result)
 	}
 	if got := srv.requests(); len(got) != 1 || got[0] != "GET /other " {
@@ -562,19 +562,19 @@
 		u := newUpstream(settings.Transport{ConnIdle: time.Minute, ConnectTimeout: patience}, 10)
 		u.update([]Instance{in}, true)
 		if kept {
-			if _, result := u.exchange(t.Context(), "a", &message{method: "GET", target: "/first"}, bounds{}); result != balancer.OK {
+			if _, result := u.exchange(t.Context(), "a", &message{method: "GET", target: "/first"}, writeLimits{}); result != balancer.OK {
 				t.Fatalf("first request: %v", result)
 			}
 			u.rest("a")
 		}
-		c, err := u.take(t.Context(), "a", nil)
+		c, err := u.acquire(t.Context(), "a", nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		before := len(srv.requests())
 		in.State = balancer.Draining
 		closeAll(u.update([]Instance{in}, false))
-		if err := u.write(t.Context(), c, &message{}, bounds{}, []byte("GET /late HTTP/1.1\r\nHost: a\r\n\r\n")); err != errUnknown {
+		if err := u.writeRequest(t.Context(), c, &message{}, writeLimits{}, []byte("GET /late HTTP/1.1\r\nHost: a\r\n\r\n")); err != errNotUp {
 			t.Errorf("kept %v: written with error %v", kept, err)
 		}
 		c.SetDeadline(time.Now().Add(patience))
@@ -586,7 +586,7 @@
 		if n := len(srv.requests()) - before; n != 0 {
 			t.Errorf("kept %v: %d requests came in after the news", kept, n)
 		}
-		u.shut()
+		u.close()
 	}
 }
 
@@ -595,18 +595,18 @@
 func TestDescriptorsAreBudgeted(t *testing.T) {
 	a, b := newAppServer(t, say(okAnswer)), newAppServer(t, say(okAnswer))
 	u := testUpstream(a.instance("a"), b.instance("b"))
-	u.most = 1
+	u.maxOpen = 1
 	exchange(t, u, "a")
 	_, res := exchange(t, u, "b")
 	wantResult(t, res, balancer.OK)
 	wantClosed(t, await(t, "a connection", a.conns))
-	busy, err := u.take(context.Background(), "b", nil)
+	busy, err := u.acquire(context.Background(), "b", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, res = exchange(t, u, "a")
 	wantResult(t, res, balancer.NotSent)
-	u.giveBack(busy)
+	u.release(busy)
 	if u.open != 1 {
 		t.Errorf("%d connections counted, 1 open", u.open)
 	}
@@ -623,7 +623,7 @@
 		"TEXT util=1.059, queue=1.674":            {InFlight: -1, Queued: 1.674, Utilization: 1.059},
 		"":                                        nil, "JSON {}": nil,
 	} {
-		got := parseLoad(text)
+		got := parseLoadReport(text)
 		if (got == nil) != (want == nil) || got != nil && *got != *want {
 			t.Errorf("%q: %v, want %v", text, got, want)
 		}
--- a/internal/scale/restart.go
+++ b/internal/scale/restart.go
@@ -230,7 +230,7 @@
 }
 
 // answer is what the service does with a call.
-func (r *restart) answer(n int, o edgenode.Order) {
+func (r *restart) answer(n int, o edgenode.Command) {
 	h := r.nodes[n]
 	h.calls++
 	if !r.opens.allow(r.now) {
--- a/internal/testbed/broken.go
+++ b/internal/testbed/broken.go
@@ -24,13 +24,13 @@
 	"drain-after-reset": {"drains are ignored once a call of discovery has ended by itself", "internal/edgenode/registry.go", [][2]string{
 		{"	apply  func(List)\n", "	apply  func(List)\n	broke  bool\n"},
 		{"	case eventEnd:\n		f.ended(", "	case eventEnd:\n		r.broke = r.broke || e.id == f.watch.id\n		f.ended("},
-		{"			r.apply(e.list)\n		}\n	case eventGarbage:", "			for i := range e.list.Servers {\n				if r.broke && e.list.Servers[i].State == 1 {\n" +
-			"					e.list.Servers[i].State = 0\n				}\n			}\n			r.apply(e.list)\n		}\n	case eventGarbage:"},
+		{"			r.apply(e.list)\n		}\n	case eventMalformed:", "			for i := range e.list.Servers {\n				if r.broke && e.list.Servers[i].State == 1 {\n" +
+			"					e.list.Servers[i].State = 0\n				}\n			}\n			r.apply(e.list)\n		}\n	case eventMalformed:"},
 	}},
 	"late-watch": {"a watch that broke is opened anew a minute later, and nothing else is asked", "internal/edgenode/follow.go", [][2]string{
-		{"	f.broke()\n	if !f.paced() {\n", "	f.down = true\n	f.watchAt = now + time.Minute\n	return\n	if !f.paced() {\n"},
-		{"	f.broke()\n	f.watchAt = now + max(", "	f.down = true\n	f.watchAt = now + time.Minute\n	return\n	f.watchAt = now + max("},
-		{"	if f.behind && f.fetch.id == 0 && ", "	if f.behind && f.version == 0 && f.fetch.id == 0 && "},
+		{"	f.watchBroken()\n	if !f.rateLimited() {\n", "	f.down = true\n	f.watchAt = now + time.Minute\n	return\n	if !f.rateLimited() {\n"},
+		{"	f.watchBroken()\n	f.watchAt = now + max(", "	f.down = true\n	f.watchAt = now + time.Minute\n	return\n	f.watchAt = now + max("},
+		{"	if f.stale && f.fetch.id == 0 && ", "	if f.stale && f.version == 0 && f.fetch.id == 0 && "},
 	}},
 	"cap-128": {"no more than 128 entries of a message are read", "internal/edgenode/list.go", [][2]string{
 		{"	for i, text := range raw.Instances {\n", "	for i, text := range raw.Instances {\n		if i >= 128 {\n			break\n		}\n"},
