--- a/cmd/edge-node/main_test.go
+++ b/cmd/edge-node/main_test.go
@@ -18,7 +18,7 @@
 
 // TestMain lets the test binary stand in for the program.
 func TestMain(m *testing.M) {
-	if os.Getenv("MULLEINMUX_TEST_PROGRAM") != "" {
+	if os.Getenv("OPALHOOK_TEST_PROGRAM") != "" {
 		main()
 		return
 	}
@@ -34,12 +34,12 @@
 		t.Fatal(err)
 	}
 	cmd := exec.CommandContext(t.Context(), os.Args[0])
-	cmd.Env = append(os.Environ(), "MULLEINMUX_TEST_PROGRAM=1", "PROXY_CONFIG="+path)
+	cmd.Env = append(os.Environ(), "OPALHOOK_TEST_PROGRAM=1", "PROXY_CONFIG="+path)
 	logs, err := os.Create(filepath.Join(t.TempDir(), "log"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { logs.Close() })
+	t.Cleanup(func() { _ = logs.Close() })
 	cmd.Stderr = logs
 	return cmd, func() string {
 		text, err := os.ReadFile(logs.Name())
@@ -50,7 +50,7 @@
 	}
 }
 
-// A configuration that can't be ends the program with a code and the field's name.
+// An invalid configuration ends the program with a code and the field's name.
 func TestBadConfigExits(t *testing.T) {
 	cmd, logs := program(t, `{"name":"n0","listen":"nowhere"}`)
 	if err := cmd.Run(); cmd.ProcessState.ExitCode() != 1 || !strings.Contains(logs(), "listen") {
@@ -58,16 +58,16 @@
 	}
 }
 
-// A SIGHUP that comes with the process's first instruction, under the deploy file's order, neither ends it
+// A SIGHUP that comes with the process's first instruction, under the deploy file's command, neither ends it
 // nor loses the configuration that it announces.
 func TestHangupFromTheFirstInstruction(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	order := regexp.MustCompile(`(?m)^run = "(.*)"$`).FindSubmatch(text)
-	if order == nil {
-		t.Fatal("the deploy file has no order to run")
+	command := regexp.MustCompile(`(?m)^run = "(.*)"$`).FindSubmatch(text)
+	if command == nil {
+		t.Fatal("the deploy file has no run command")
 	}
 	self, err := os.Executable()
 	if err != nil {
@@ -93,12 +93,12 @@
 		go func() {
 			if c, err := next.Accept(); err == nil {
 				close(called)
-				c.Close()
+				_ = c.Close()
 			}
 		}()
 		cmd, logs := program(t, config("127.0.0.1:1"))
 		path := strings.TrimPrefix(cmd.Env[len(cmd.Env)-1], "PROXY_CONFIG=")
-		cmd.Path, cmd.Args, cmd.Dir = "/bin/sh", []string{"sh", "-c", string(order[1])}, dir
+		cmd.Path, cmd.Args, cmd.Dir = "/bin/sh", []string{"sh", "-c", string(command[1])}, dir
 		if err := os.WriteFile(path+".new", []byte(config(next.Addr().String())), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -125,11 +125,13 @@
 		case <-time.After(30 * time.Second):
 			t.Fatalf("the new discovery is never called, logged %q", logs())
 		}
-		cmd.Process.Signal(syscall.SIGTERM)
+		if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
+			t.Fatal(err)
+		}
 		if err := cmd.Wait(); err != nil {
 			t.Errorf("%v, logged %q", err, logs())
 		}
-		next.Close()
+		_ = next.Close()
 	}
 }
 
@@ -148,7 +150,7 @@
 		resp, err := http.Get("http://" + addr + "/health/ready")
 		if err == nil {
 			ready = resp.StatusCode == http.StatusOK
-			resp.Body.Close()
+			_ = resp.Body.Close()
 		}
 	}
 	if !ready {
@@ -157,7 +159,7 @@
 	if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(30 * time.Second); !strings.Contains(logs(), "reload:"); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(30 * time.Second); !strings.Contains(logs(), "msg=reloaded"); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("SIGHUP was not heeded, logged %q", logs())
 		}
--- a/internal/edgenode/peers.go
+++ b/internal/edgenode/peers.go
@@ -12,44 +12,48 @@
 	"opalhook/balancer"
 )
 
-// receiveErrorBackoff is waited after an error of the socket.
+// receiveErrorBackoff is waited after a socket error, so that a persistent one does not take the core.
 const receiveErrorBackoff = time.Millisecond
 
-// maxPeerMessage is the longest datagram that may be sent to a peer.
+// maxPeerMessage is the largest datagram that may be sent to a peer, in bytes (protocol, "Between edge nodes").
 const maxPeerMessage = 256
 
 // peerSocket is the datagram socket over which edge nodes message one another.
 type peerSocket struct {
 	conn        *net.UDPConn
-	addrs       []netip.AddrPort
+	addrs       []netip.AddrPort // by node index
 	broadcast   netip.AddrPort
-	nodeIndex   map[netip.AddrPort]int
-	sendFailing atomic.Bool // the latest message could not be sent
+	nodeIndex   map[netip.AddrPort]int // of each other node
+	sendFailing atomic.Bool            // the latest message could not be sent
 }
 
-// listenPeers opens the socket.
+// listenPeers opens the socket. The caller closes it.
 func listenPeers(c *Config) (*peerSocket, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(c.PeerListen))
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
 	p := &peerSocket{conn: conn, addrs: c.Peers, broadcast: c.PeersAll, nodeIndex: map[netip.AddrPort]int{}}
-	for i, a := range c.Peers {
+	for i, addr := range c.Peers {
 		if i != c.Settings.NodeIndex {
-			p.nodeIndex[a] = i
+			p.nodeIndex[addr] = i
 		}
 	}
 	return p, nil
 }
 
-// sendMessage sends a message. A lost one is part of the contract; that messages can't be
-// sent is logged once, and so is that they can again.
+// close closes the socket, which ends receive.
+func (p *peerSocket) close() { _ = p.conn.Close() }
+
+// sendMessage sends a message, which may get lost. That messages can't be sent is logged once, and once more
+// when they can again.
 func (p *peerSocket) sendMessage(peer int, message []byte, log *slog.Logger) {
 	err := p.write(peer, message)
-	if was := p.sendFailing.Swap(err != nil); err != nil && !was {
-		log.Warn("peers: can't send", "err", err)
-	} else if err == nil && was {
-		log.Info("peers: sending again")
+	switch wasFailing := p.sendFailing.Swap(err != nil); {
+	case err != nil && !wasFailing:
+		log.Warn("peer message not sent", "err", err)
+	case err == nil && wasFailing:
+		log.Info("peer messages sent again")
 	}
 }
 
@@ -68,24 +72,22 @@
 	return err
 }
 
-// receive hands on what peers send until the socket is closed. A datagram from
-// an unknown address or over the limit is dropped; the module drops malformed ones.
-func (p *peerSocket) receive(hear func(from int, message []byte)) {
+// receive passes on what peers send until the socket is closed. A datagram from an unknown address or over the
+// limit is dropped; the balancer drops malformed ones.
+func (p *peerSocket) receive(deliver func(from int, message []byte)) {
 	buf := make([]byte, maxPeerMessage+1)
 	for {
 		n, addr, err := p.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil {
-			// A peer that is down may answer a datagram with an ICMP error, which ends up here. The
-			// pause keeps an error that stays from taking the core.
+		if err != nil { // also an ICMP error that answers a datagram to a peer that is down
 			time.Sleep(receiveErrorBackoff)
 			continue
 		}
 		from, known := p.nodeIndex[netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())]
 		if known && n <= maxPeerMessage {
-			hear(from, buf[:n])
+			deliver(from, buf[:n])
 		}
 	}
 }
--- a/internal/edgenode/ready_test.go
+++ b/internal/edgenode/ready_test.go
@@ -89,11 +89,11 @@
 // timeToList is how long a new process waits before it opens its listener.
 func timeToList(t *testing.T, cfg *Config, seed uint64, dial func(ctx context.Context, network, addr string) (net.Conn, error), reloads bool) time.Duration {
 	ctx, stop := context.WithTimeout(t.Context(), 6*readyWithin) // a node that is not ready by then never is
-	reg := newDiscoveryClient(cfg.Discovery, follower{pushed: !cfg.Settings.PollEndpoints, fleetSize: cfg.Settings.NodeCount,
+	client := newDiscoveryClient(cfg.Discovery, follower{pushed: !cfg.Settings.PollEndpoints, fleetSize: cfg.Settings.NodeCount,
 		rng: rand.New(rand.NewPCG(seed, 1))}, func(List) {}, slog.New(slog.DiscardHandler))
-	reg.dial = dial
+	client.dial = dial
 	done := make(chan struct{})
-	go func() { reg.run(ctx); close(done) }()
+	go func() { client.run(ctx); close(done) }()
 	defer func() { stop(); <-done }()
 	reload := make(chan os.Signal, 1)
 	if reloads {
@@ -107,10 +107,15 @@
 			}
 		}()
 	}
-	began, port := time.Now(), uint16(2)
-	waitForList(ctx, cfg.listWait, reg.responded, reload, func() {
+	port := uint16(2)
+	cfg.reload = func() (*Config, error) {
 		port++
-		reg.move(ctx, netip.AddrPortFrom(cfg.Discovery.Addr(), port))
-	}, slog.New(slog.DiscardHandler))
+		moved := *cfg
+		moved.Discovery = netip.AddrPortFrom(cfg.Discovery.Addr(), port)
+		return &moved, nil
+	}
+	p := &process{cfg: cfg, log: slog.New(slog.DiscardHandler), discovery: client, following: cfg.Discovery, reload: reload}
+	began := time.Now()
+	p.waitForList(ctx, ctx)
 	return time.Since(began)
 }
--- a/internal/edgenode/run.go
+++ b/internal/edgenode/run.go
@@ -12,122 +12,153 @@
 	"time"
 )
 
-// Run runs an edge node until ctx ends, then drains it. At each signal on reload it
-// reads its configuration again.
+// Run runs an edge node until ctx ends, then drains it. At each signal on reload it reads its configuration
+// again.
 func Run(ctx context.Context, cfg *Config, reload <-chan os.Signal, logger *slog.Logger) error {
 	return runWithListener(ctx, cfg, reload, logger, func() (*net.TCPListener, error) {
 		return net.ListenTCP("tcp", net.TCPAddrFromAddrPort(cfg.Listen))
 	})
 }
 
+// process is an edge node that runs: its parts, and the goroutines that it awaits at its end.
+type process struct {
+	cfg       *Config
+	log       *slog.Logger
+	node      *Node
+	discovery *discoveryClient
+	following netip.AddrPort // the address of discovery in force
+	reload    <-chan os.Signal
+
+	background sync.WaitGroup
+}
+
 // runWithListener is Run on the listener that listen opens.
 func runWithListener(ctx context.Context, cfg *Config, reload <-chan os.Signal, logger *slog.Logger, listen func() (*net.TCPListener, error)) error {
+	logger = logger.With("node", cfg.Name)
 	life, stop := context.WithCancel(context.Background())
 	defer stop()
-	n, err := newNode(life, cfg, logger)
+	node, err := newNode(life, cfg, logger)
 	if err != nil {
 		return err
 	}
-	var side sync.WaitGroup
-	defer side.Wait()
+	p := &process{cfg: cfg, log: logger, node: node, following: cfg.Discovery, reload: reload}
+	defer p.background.Wait()
 	if cfg.PeerListen.IsValid() {
-		if n.peers, err = listenPeers(cfg); err != nil {
+		if node.peers, err = listenPeers(cfg); err != nil {
 			return err
 		}
-		defer n.peers.conn.Close()
-	}
-	if len(cfg.knownErrors) > 0 {
-		logger.Warn("known: some of the list is spoilt", "count", len(cfg.knownErrors), "first", cfg.knownErrors[0])
-	}
-	n.startBalancer()
-	if n.peers != nil {
-		side.Go(func() { n.peers.receive(n.receivePeerMessage) })
+		defer node.peers.close() // ends its receiving goroutine, which is awaited after
 	}
-	reg := newDiscoveryClient(cfg.Discovery, follower{pushed: !cfg.Settings.PollEndpoints, fleetSize: cfg.Settings.NodeCount,
-		pollInterval: cfg.Settings.PollInterval, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.CachedList.Generation)),
-		version: cfg.CachedList.Generation}, n.receiveList, logger)
-	side.Go(func() { reg.run(life) })
-	side.Go(func() { n.upstream.reapIdle(life) })
-	defer stop() // before the wait for what life owns
+	p.start(life)
+	defer stop() // before the wait for the goroutines that end with it
 
-	at := cfg.Discovery
-	reread := func() { at = reloadConfig(life, n, reg, at) }
-	if !waitForList(ctx, cfg.listWait, reg.responded, reload, reread, logger) {
-		logger.Info("ended before it was ready", "node", cfg.Name)
+	if !p.waitForList(life, ctx) {
+		logger.Info("stopped before ready")
 		stop()
-		n.close()
+		node.close()
 		return nil
 	}
+	return p.serve(ctx, life, stop, listen)
+}
+
+// start begins with the cached list, and starts the goroutines that end with life or with the peers' socket.
+func (p *process) start(life context.Context) {
+	if errs := p.cfg.cachedListErrors; len(errs) > 0 {
+		p.log.Warn("cached list has malformed entries", "count", len(errs), "err", errs[0])
+	}
+	p.node.startBalancer()
+	if p.node.peers != nil {
+		p.background.Go(func() { p.node.peers.receive(p.node.receivePeerMessage) })
+	}
+	p.discovery = newDiscoveryClient(p.cfg.Discovery, p.newFollower(), p.node.receiveList, p.log)
+	p.background.Go(func() { p.discovery.run(life) })
+	p.background.Go(func() { p.node.upstream.reapIdle(life) })
+}
+
+// newFollower returns the follower of the configured discovery, from the cached list on.
+func (p *process) newFollower() follower {
+	return follower{
+		pushed:       !p.cfg.Settings.PollEndpoints,
+		fleetSize:    p.cfg.Settings.NodeCount,
+		pollInterval: p.cfg.Settings.PollInterval,
+		rng:          rand.New(rand.NewPCG(p.cfg.Seed, p.cfg.CachedList.Generation)),
+		version:      p.cfg.CachedList.Generation,
+	}
+}
+
+// waitForList waits until discovery has reported what it has, for the configured time at most: the cached list
+// may be old, and what discovery has counts from the first moment. The listener opens after it, since time that
+// a request spends in the listener's queue cannot be seen. A reload does not extend the wait. It returns false if
+// ctx has ended.
+func (p *process) waitForList(life, ctx context.Context) bool {
+	timeout := time.NewTimer(p.cfg.listWait)
+	defer timeout.Stop()
+	for {
+		select {
+		case <-p.discovery.responded:
+			return true
+		case <-timeout.C:
+			p.log.Warn("no list from discovery yet, serving from the cached list",
+				"generation", p.cfg.CachedList.Generation)
+			return true
+		case <-p.reload:
+			p.reloadConfig(life)
+		case <-ctx.Done():
+			return false
+		}
+	}
+}
+
+// serve answers clients until ctx ends, then drains and ends the node.
+func (p *process) serve(ctx, life context.Context, stop func(), listen func() (*net.TCPListener, error)) error {
 	tcp, err := listen()
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	defer tcp.Close()
-	f := newFrontend(n)
-	ln := newClientListener(tcp, f.conns)
-	failed := make(chan error, 1)
-	side.Go(func() { failed <- f.serve(ln) })
-	f.ready.Store(true)
-	logger.Info("ready", "node", cfg.Name, "listen", cfg.Listen, "servers", len(cfg.CachedList.Servers),
-		"pushed", !cfg.Settings.PollEndpoints)
+	defer func() { _ = tcp.Close() }() // a drain has closed it already
+	front := newFrontend(p.node)
+	listener := newClientListener(tcp, front.conns)
+	served := make(chan error, 1)
+	p.background.Go(func() { served <- front.serve(listener) })
+	front.ready.Store(true)
+	p.log.Info("ready", "listen", p.cfg.Listen, "endpoints", len(p.cfg.CachedList.Servers),
+		"pushed", !p.cfg.Settings.PollEndpoints)
+
 	ending := ctx.Done()
 	drained := make(chan struct{})
 	for {
 		select {
-		case err := <-failed:
+		case err := <-served:
 			if err != nil {
 				return err
 			}
-		case <-reload: // also while it drains: it still chooses servers
-			reread()
+		case <-p.reload: // also in a drain, in which endpoints are still selected
+			p.reloadConfig(life)
 		case <-ending:
 			ending = nil
-			logger.Info("draining", "node", cfg.Name)
-			side.Go(func() { f.drain(ln); close(drained) })
+			p.log.Info("draining")
+			p.background.Go(func() {
+				front.drain(listener)
+				close(drained)
+			})
 		case <-drained:
 			stop()
-			n.close()
-			logger.Info("drained", "node", cfg.Name)
+			p.node.close()
+			p.log.Info("drained")
 			return nil
 		}
 	}
 }
 
-// waitForList waits until discovery has told what it has, for some time at most. The saved list may be old, and what
-// discovery has counts from the first moment. Clients are refused meanwhile: the wait of a request that stands in
-// the listener's line passes unseen. A reload does not make the wait longer. It returns false if ctx has ended.
-func waitForList(ctx context.Context, most time.Duration, heard <-chan struct{}, reload <-chan os.Signal, reread func(), logger *slog.Logger) bool {
-	waited := time.NewTimer(most)
-	defer waited.Stop()
-	for {
-		select {
-		case <-heard:
-			return true
-		case <-waited.C:
-			logger.Warn("discovery has told nothing yet: the saved list holds")
-			return true
-		case <-reload:
-			reread()
-		case <-ctx.Done():
-			return false
-		}
-	}
-}
-
-// reloadConfig reads the configuration again and follows the list at the discovery that it names; what
-// else it says holds from the next start. A configuration that can't be is logged, and the one in
-// force stays. It returns where the list is followed.
-func reloadConfig(ctx context.Context, n *Node, reg *discoveryClient, at netip.AddrPort) netip.AddrPort {
-	cfg, err := n.cfg.reload()
+// reloadConfig reads the configuration again and follows the list at the discovery address that it names; the
+// rest of it takes effect at the next start. If it is invalid, the one in force stays.
+func (p *process) reloadConfig(life context.Context) {
+	cfg, err := p.cfg.reload()
 	if err != nil {
-		n.log.Error("reload: the configuration in force stays", "err", err)
-		return at
-	}
-	if cfg.Discovery == at {
-		n.log.Info("reload: discovery stays", "at", at)
-	} else {
-		n.log.Info("reload: discovery moves", "from", at, "to", cfg.Discovery)
+		p.log.Error("reload failed, configuration in force stays", "err", err)
+		return
 	}
-	reg.move(ctx, cfg.Discovery)
-	return cfg.Discovery
+	p.log.Info("reloaded", "discovery", cfg.Discovery, "previous", p.following)
+	p.discovery.move(life, cfg.Discovery)
+	p.following = cfg.Discovery
 }
--- a/internal/edgenode/upstream_test.go
+++ b/internal/edgenode/upstream_test.go
@@ -663,7 +663,7 @@
 	before, logged := met.Load(), len(r.logs.String())
 	gone.Store(true)
 	eventually(t, "a probe finds the silent server", func() bool {
-		return strings.Contains(r.logs.String()[logged:], `msg="endpoint unreachable until a health check succeeds" endpoint=preferred`)
+		return strings.Contains(r.logs.String()[logged:], `msg="endpoint unreachable until a health check succeeds" node=n0 endpoint=preferred`)
 	})
 	for range whileSilent {
 		ask()
