--- a/internal/edgenode/config.go
+++ b/internal/edgenode/config.go
@@ -31,10 +31,10 @@
 	Settings   balancer.Settings
 	Transport  settings.Transport
 
-	reload          func() (*Config, error) // reads the configuration again
+	reload           func() (*Config, error) // reads the configuration again
 	cachedListErrors []error                 // the malformed fields of CachedList
-	drainPeriod     time.Duration           // how long the listener stays open in a drain
-	listWait        time.Duration           // how long a new process waits for its first list
+	drainPeriod      time.Duration           // how long the listener stays open in a drain
+	listWait         time.Duration           // how long a new process waits for its first list
 }
 
 // How long a new process waits for its first list before it accepts clients. An agent answers within
--- a/internal/edgenode/cross_test.go
+++ b/internal/edgenode/cross_test.go
@@ -595,7 +595,7 @@
 						return addrOf(ln)
 					}
 					told := make(chan List, 100)
-					r := newDiscoveryClient(agent(true), follower{pushed: pushed, fleetSize: 1, rng: rand.New(rand.NewPCG(1, 1))},
+					r := newDiscoveryClient(agent(true), Follower{pushed: pushed, fleetSize: 1, rng: rand.New(rand.NewPCG(1, 1))},
 						func(l List) { told <- l }, slog.New(slog.DiscardHandler))
 					ctx, end := context.WithCancel(t.Context())
 					defer end()
--- a/internal/edgenode/follow_test.go
+++ b/internal/edgenode/follow_test.go
@@ -56,7 +56,7 @@
 // simCall is a call as discovery sees it.
 type simCall struct {
 	node   *simNode
-	order  command
+	order  Command
 	in     messageReader
 	over   bool
 	deaf   bool // nothing comes on it any more
@@ -71,10 +71,10 @@
 	s := &sim{version: 1, wording: func(message string, _ bool) []chunk { return []chunk{{0, message + "\n"}} }}
 	for i := range nodes {
 		n := &simNode{sim: s}
-		n.reg = newDiscoveryClient(netip.MustParseAddrPort("127.0.0.1:1"), follower{pushed: pushed, fleetSize: fleet, pollInterval: defaultPollInterval,
+		n.reg = newDiscoveryClient(netip.MustParseAddrPort("127.0.0.1:1"), Follower{pushed: pushed, fleetSize: fleet, pollInterval: defaultPollInterval,
 			rng: rand.New(rand.NewPCG(uint64(i), 1)), version: 1}, n.apply, slog.New(slog.DiscardHandler))
 		s.nodes = append(s.nodes, n)
-		s.after(hop+time.Duration(i)*time.Millisecond/10, func() { n.reg.follow.start(s.now); n.step() })
+		s.after(hop+time.Duration(i)*time.Millisecond/10, func() { n.reg.follower.Start(s.now); n.step() })
 	}
 	return s
 }
@@ -110,14 +110,14 @@
 
 // step carries out the follower's orders.
 func (n *simNode) step() {
-	do, wake := n.reg.follow.advance(n.sim.now)
+	do, wake := n.reg.follower.Advance(n.sim.now)
 	for _, o := range do {
-		if !o.open {
-			n.reg.closeCall(n.reg.calls, o.id)
+		if !o.Open {
+			closeCall(n.reg.calls, o.ID)
 			continue
 		}
-		c := &simCall{node: n, order: o, from: int(o.from)}
-		n.reg.calls[o.id] = func() { c.over = true }
+		c := &simCall{node: n, order: o, from: int(o.From)}
+		n.reg.calls[o.ID] = func() { c.over = true }
 		n.sim.after(hop, func() { n.sim.call(c) })
 	}
 	n.wake++
@@ -133,8 +133,8 @@
 	if c.over {
 		return
 	}
-	e.id = c.order.id
-	c.over = e.kind == eventEnd || e.kind == eventMalformed
+	e.id = c.order.ID
+	c.over = e.kind == eventEnd || e.kind == eventRejected || e.kind == eventMalformed
 	c.node.reg.handleEvent(c.node.sim.now, e)
 	c.node.step()
 }
@@ -149,11 +149,11 @@
 	case s.refuse != nil:
 		s.after(hop, func() { c.tell(callEvent{kind: eventEnd, err: s.refuse}) })
 	case s.full:
-		s.after(hop, func() { c.tell(callEvent{kind: eventEnd, rejected: true}) })
+		s.after(hop, func() { c.tell(callEvent{kind: eventRejected}) })
 	default:
 		s.calls = append(s.calls, c)
 		s.serve(c)
-		if c.order.kind == watchCall {
+		if c.order.Watch {
 			s.beat(c)
 		}
 	}
@@ -168,14 +168,14 @@
 		c.head = true
 		s.after(hop, func() { c.tell(callEvent{kind: eventHead}) })
 	}
-	if c.order.kind == fetchCall || c.from != s.version {
+	if !c.order.Watch || c.from != s.version {
 		text := s.list(c.from)
 		for _, k := range s.wording(text, c.from == 0) {
 			s.write(c, k.text, k.after)
 		}
 		c.from = s.version
 	}
-	if c.order.kind == fetchCall {
+	if !c.order.Watch {
 		c.sendAt = max(c.sendAt, s.now)
 		s.after(c.sendAt-s.now+hop, func() { s.bytes(c, "", io.EOF) })
 	}
@@ -437,14 +437,14 @@
 		n.step()
 		s.run(time.Second)
 		old.tell(callEvent{kind: eventMessage, list: List{Generation: 900, Servers: []Instance{{Endpoint: balancer.Endpoint{ID: "a", State: balancer.Draining}}}}})
-		if n.told == 0 || n.reg.follow.version == 900 {
-			t.Errorf("pushed %v: news of the discovery that is left: told %v, version %d", pushed, n.told, n.reg.follow.version)
+		if n.told == 0 || n.reg.follower.version == 900 {
+			t.Errorf("pushed %v: news of the discovery that is left: told %v, version %d", pushed, n.told, n.reg.follower.version)
 		}
 		s.mute = false
 		s.each(s.serve)
 		s.run(time.Second)
-		if !old.over || n.reg.follow.version != 1 {
-			t.Errorf("pushed %v: the discovery that is left is watched on: %v, version %d", pushed, !old.over, n.reg.follow.version)
+		if !old.over || n.reg.follower.version != 1 {
+			t.Errorf("pushed %v: the discovery that is left is watched on: %v, version %d", pushed, !old.over, n.reg.follower.version)
 		}
 	}
 }
@@ -470,24 +470,24 @@
 
 // A fetch may be overtaken: what a watch has told since must not be taken back.
 func TestOvertakenFetchIsNotTaken(t *testing.T) {
-	f := follower{pushed: true, fleetSize: 1, rng: rand.New(rand.NewPCG(1, 1)), version: 4}
-	f.start(0)
-	f.advance(0)
+	f := Follower{pushed: true, fleetSize: 1, rng: rand.New(rand.NewPCG(1, 1)), version: 4}
+	f.Start(0)
+	f.Advance(0)
 	fetch := f.fetch.id
-	f.advance(pushedMessageTimeout - 1)
-	f.received(pushedMessageTimeout-1, fetch, true)
-	f.advance(pushedMessageTimeout)
+	f.Advance(pushedMessageTimeout - 1)
+	f.Received(pushedMessageTimeout-1, fetch, true)
+	f.Advance(pushedMessageTimeout)
 	watch := f.watch.id
 	if fetch == 0 || watch == 0 || f.fetch.id != fetch {
 		t.Fatalf("fetch %d, watch %d are not both out", fetch, watch)
 	}
-	if !f.message(pushedMessageTimeout+1, watch, 6, false, false) {
+	if !f.Message(pushedMessageTimeout+1, watch, Update{Version: 6}) {
 		t.Error("the watch's message is not taken")
 	}
-	if f.message(pushedMessageTimeout+2, fetch, 5, true, false) || f.version != 6 || f.watch.id != watch {
+	if f.Message(pushedMessageTimeout+2, fetch, Update{Version: 5, Snapshot: true}) || f.version != 6 || f.watch.id != watch {
 		t.Errorf("an older list is taken: version %d", f.version)
 	}
-	if f.message(pushedMessageTimeout+3, fetch, 9, true, false) {
+	if f.Message(pushedMessageTimeout+3, fetch, Update{Version: 9, Snapshot: true}) {
 		t.Error("a call that is over is heard")
 	}
 }
--- a/internal/edgenode/golden_test.go
+++ b/internal/edgenode/golden_test.go
@@ -68,7 +68,7 @@
 	t.Helper()
 	const list = `{"generation":41,"reset":true,"instances":[]}`
 	addr, heard := recordRequests(t, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s\n", len(list)+1, list))
-	r := newDiscoveryClient(addr, follower{pushed: pushed, fleetSize: 1, pollInterval: defaultPollInterval, rng: rand.New(rand.NewPCG(1, 1))}, func(List) {}, slog.New(slog.DiscardHandler))
+	r := newDiscoveryClient(addr, Follower{pushed: pushed, fleetSize: 1, pollInterval: defaultPollInterval, rng: rand.New(rand.NewPCG(1, 1))}, func(List) {}, slog.New(slog.DiscardHandler))
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
--- a/internal/edgenode/run.go
+++ b/internal/edgenode/run.go
@@ -76,8 +76,8 @@
 }
 
 // newFollower returns the follower of the configured discovery, from the cached list on.
-func (p *process) newFollower() follower {
-	return follower{
+func (p *process) newFollower() Follower {
+	return Follower{
 		pushed:       !p.cfg.Settings.PollEndpoints,
 		fleetSize:    p.cfg.Settings.NodeCount,
 		pollInterval: p.cfg.Settings.PollInterval,
--- a/internal/scale/restart.go
+++ b/internal/scale/restart.go
@@ -196,11 +196,11 @@
 	case e.kind == nodeWakes && e.id != h.wakes || e.kind != nodeWakes && e.id != h.call || h.listed:
 		return false // of a call or a wake that is no more
 	case e.kind == partComes:
-		h.follower.Got(r.now, e.id, true)
+		h.follower.Received(r.now, e.id, true)
 		r.queue.add(restartEvent{at: r.now + partEvery, node: e.node, kind: partComes, id: e.id})
 	case e.kind == messageComes:
 		r.end(h)
-		if h.follower.Message(r.now, e.id, restartVersion, true) {
+		if h.follower.Message(r.now, e.id, edgenode.Update{Version: restartVersion, Snapshot: true}) {
 			h.listed, h.listAt = true, r.now
 			return true
 		}
@@ -213,7 +213,7 @@
 func (r *restart) step(n int) {
 	h := r.nodes[n]
 	for {
-		orders, wake := h.follower.Step(r.now)
+		orders, wake := h.follower.Advance(r.now)
 		for _, o := range orders {
 			if o.Open {
 				r.answer(n, o)
@@ -235,13 +235,13 @@
 	h.calls++
 	if !r.opens.allow(r.now) {
 		r.turned++
-		h.follower.Ended(r.now, o.ID, true, time.Duration(1+r.rng.IntN(3))*time.Second)
+		h.follower.Rejected(r.now, o.ID, time.Duration(1+r.rng.IntN(3))*time.Second)
 		return
 	}
 	h.call, h.began = o.ID, r.now
 	r.open++
 	r.most = max(r.most, r.open)
-	h.follower.Got(r.now, o.ID, true)
+	h.follower.Received(r.now, o.ID, true)
 	r.queue.add(restartEvent{at: r.now + r.takes(), node: n, kind: messageComes, id: o.ID})
 	r.queue.add(restartEvent{at: r.now + partEvery, node: n, kind: partComes, id: o.ID})
 }
--- a/internal/testbed/broken.go
+++ b/internal/testbed/broken.go
@@ -21,16 +21,17 @@
 
 // Breakages by name.
 var breakages = map[string]breakage{
-	"drain-after-reset": {"drains are ignored once a call of discovery has ended by itself", "internal/edgenode/registry.go", [][2]string{
-		{"	apply  func(List)\n", "	apply  func(List)\n	broke  bool\n"},
-		{"	case eventEnd:\n		f.ended(", "	case eventEnd:\n		r.broke = r.broke || e.id == f.watch.id\n		f.ended("},
-		{"			r.apply(e.list)\n		}\n	case eventMalformed:", "			for i := range e.list.Servers {\n				if r.broke && e.list.Servers[i].State == 1 {\n" +
-			"					e.list.Servers[i].State = 0\n				}\n			}\n			r.apply(e.list)\n		}\n	case eventMalformed:"},
+	"drain-after-reset": {"drains are ignored once a call of discovery has ended by itself", "internal/edgenode/discovery_client.go", [][2]string{
+		{"	apply    func(List)\n", "	apply    func(List)\n	broke    bool\n"},
+		{"	case eventEnd:\n		f.Ended(", "	case eventEnd:\n		d.broke = d.broke || e.id == f.watch.id\n		f.Ended("},
+		{"	case eventRejected:\n		f.Rejected(", "	case eventRejected:\n		d.broke = d.broke || e.id == f.watch.id\n		f.Rejected("},
+		{"	if malformed { // one line", "	for i := range e.list.Servers {\n		if d.broke && e.list.Servers[i].State == 1 {\n" +
+			"			e.list.Servers[i].State = 0\n		}\n	}\n	if malformed { // one line"},
 	}},
-	"late-watch": {"a watch that broke is opened anew a minute later, and nothing else is asked", "internal/edgenode/follow.go", [][2]string{
-		{"	f.watchBroken()\n	if !f.rateLimited() {\n", "	f.down = true\n	f.watchAt = now + time.Minute\n	return\n	if !f.rateLimited() {\n"},
-		{"	f.watchBroken()\n	f.watchAt = now + max(", "	f.down = true\n	f.watchAt = now + time.Minute\n	return\n	f.watchAt = now + max("},
-		{"	if f.stale && f.fetch.id == 0 && ", "	if f.stale && f.version == 0 && f.fetch.id == 0 && "},
+	"late-watch": {"a watch that broke is opened anew a minute later, and nothing else is asked", "internal/edgenode/follower_schedule.go", [][2]string{
+		{"	f.markDown()\n	f.suspect(listSuspect)\n	if !f.rateLimited() {\n", "	f.markDown()\n	f.watchAt = now + time.Minute\n	return\n	if !f.rateLimited() {\n"},
+		{"	f.suspect(listSuspect)\n	f.watchAt = now + max(", "	f.watchAt = now + time.Minute\n	return\n	f.watchAt = now + max("},
+		{"	if f.freshness != listCurrent && f.fetch.id == 0 && ", "	if f.freshness != listCurrent && f.version == 0 && f.fetch.id == 0 && "},
 	}},
 	"cap-128": {"no more than 128 entries of a message are read", "internal/edgenode/list.go", [][2]string{
 		{"	for i, text := range raw.Instances {\n", "	for i, text := range raw.Instances {\n		if i >= 128 {\n			break\n		}\n"},
