--- a/cmd/sim-adapter/main.go
+++ b/cmd/sim-adapter/main.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"opalhook/balancer"
+	"opalhook/internal/settings"
 	"opalhook/internal/simwire"
 )
 
@@ -80,7 +81,7 @@
 	case simwire.StartNode:
 		g, err := balancer.New(e.Settings, e.Seed)
 		if err != nil {
-			return err
+			return settings.PlatformError(err)
 		}
 		h.gates[e.Node] = g
 		return h.deliver(e.Node, func(g *balancer.Balancer) { g.Start(h.now, &h.reply) })
--- a/internal/edgenode/node.go
+++ b/internal/edgenode/node.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"opalhook/balancer"
+	"opalhook/internal/settings"
 )
 
 // Node hosts the gateway of one edge node. Its events come from many goroutines;
@@ -71,7 +72,7 @@
 func newNode(ctx context.Context, cfg *Config, logger *slog.Logger) (*Node, error) {
 	gw, err := balancer.New(cfg.Settings, cfg.Seed)
 	if err != nil {
-		return nil, err
+		return nil, settings.PlatformError(err)
 	}
 	return &Node{
 		cfg: cfg, log: logger, start: time.Now(), ctx: ctx, gw: gw, flights: map[string]*flight{},
