--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -5,29 +5,32 @@
 	"time"
 )
 
-// AllPeers as the peer of a [Actions.Tell] means every other gateway.
+// AllPeers, as the peer of [Actions.SendPeer], means every other node.
 const AllPeers = -1
 
-// Actions is what a gateway asks of its host.
+// Actions is what a [Balancer] asks of its host. The host carries out each call in order, and does not
+// call back into the balancer meanwhile.
 type Actions interface {
-	// SendAttempt starts the request's next attempt. A timeout of 0 lasts to the client's deadline. Its last
-	// byte
-	// has to be on its way at the clock reading by, or the attempt is [Moot]; 0 sets no such bound.
-	SendAttempt(id, server string, timeout, by time.Duration)
-	// Reject is a final answer: nothing happened and trying again is harmless.
-	Reject(id string, retryAfter time.Duration)
-	// Fail is a final answer that promises nothing.
-	Fail(id string)
-	// CancelAttempt stops waiting for an attempt.
-	CancelAttempt(id string, attempt int)
-	// SetTimer asks for one call of [Gateway.Timer] with the token.
+	// SendAttempt starts the request's next attempt. A timeout of 0 lasts until the client's deadline.
+	// The last byte of the request has to be written before the clock reads sendBy, or the attempt ends
+	// as [NotSent]; 0 sets no such bound.
+	SendAttempt(requestID, endpointID string, timeout, sendBy time.Duration)
+	// Reject answers the request. It promises the client that the request had no effect, or that
+	// repeating it is harmless.
+	Reject(requestID string, retryAfter time.Duration)
+	// Fail answers the request without that promise.
+	Fail(requestID string)
+	// CancelAttempt stops waiting for an attempt. Its outcome still arrives.
+	CancelAttempt(requestID string, attempt int)
+	// SetTimer asks for one call of [Balancer.TimerFired] with the token.
 	SetTimer(token uint64, after time.Duration)
-	// HealthCheck asks a server for its load; [Gateway.Probed] brings it.
-	HealthCheck(server string)
-	// SendPeer sends at most 256 bytes to a peer. The host copies what it keeps of the message.
-	SendPeer(peer int, message []byte)
-	// WatchEndpoints subscribes to changes of the list.
+	// HealthCheck checks an endpoint; [Balancer.HealthChecked] brings the result.
+	HealthCheck(endpointID string)
+	// SendPeer sends a datagram of at most 256 bytes to another node, or to [AllPeers]. The host copies
+	// what it keeps of the message.
+	SendPeer(node int, message []byte)
+	// WatchEndpoints subscribes to changes of the endpoint list.
 	WatchEndpoints(on bool)
-	// Log adds a line for the operators.
+	// Log writes a log line. The message is constant; what varies is in the attributes.
 	Log(level slog.Level, message string, attributes ...slog.Attr)
 }
--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -6,111 +6,163 @@
 )
 
 const (
-	// parts of an aim after which a throttled client should try again
+	// retryAfterDivisor is the fraction 1/n of its latency objective after which a throttled client may
+	// retry.
 	retryAfterDivisor = 4
-	// parts of an aim in a step of the wait that fresh tries have
+	// initialTimeoutSteps is the fraction 1/n of the latency objective by which the initial timeout of a
+	// class follows the requests' timeouts upwards.
 	initialTimeoutSteps = 20
-	// times that a step down is smaller: the longest tenth counts
+	// initialTimeoutDecayFactor is how much smaller a step downwards is, so that the longest tenth of the
+	// timeouts counts.
 	initialTimeoutDecayFactor = 10
 )
 
-// RequestArrived is a new try of a client: it is sent on or refused at once.
-func (b *Balancer) RequestArrived(now time.Duration, q Request, out Actions) {
+// RequestArrived is a new request of a client. It is forwarded, rejected, or waits for its quota's owner.
+func (b *Balancer) RequestArrived(now time.Duration, arrived Request, out Actions) {
 	b.now, b.actions = now, out
-	if b.requests.byID[q.ID] != nil {
+	if b.requests.byID[arrived.ID] != nil {
 		return
 	}
-	ci, okClass := b.classIndex[q.Class]
-	pi, okPlan := b.planIndex[q.Plan]
-	if !okClass || !okPlan || q.Timeout <= 0 {
-		b.actions.Reject(q.ID, 0)
+	r := b.newRequest(arrived)
+	if r == nil {
+		b.actions.Reject(arrived.ID, 0)
 		return
 	}
-	q.Units = math.Max(q.Units, 0)
-	q.EntryNodes = min(max(q.EntryNodes, 1), b.settings.NodeCount)
-	st := b.quotaFor(q.Tenant, pi, q.EntryNodes, q.FirstEntryNode)
-	b.requests.lastNumber++
-	r := &request{Request: q, number: b.requests.lastNumber, class: ci, quota: st,
-		deadline: now + q.Timeout - 2*b.settings.Tick}
-	late, l := b.arrivesTooLate(ci, q.Timeout), &b.latency.classes[ci]
-	tooShort := l.samples >= minBaselineSamples && q.Timeout.Seconds() < l.mean
-	if b.exceedsConcurrencyLimit(ci) || late && b.overload.occupancy >= overloadedOccupancy || tooShort {
-		b.reject(q.ID, b.settings.Classes[ci].LatencyObjective/retryAfterDivisor)
+	late := b.arrivesTooLate(r.class, arrived.Timeout)
+	if b.hasNoHope(r, late) {
+		b.reject(r.ID, b.settings.Classes[r.class].LatencyObjective/retryAfterDivisor)
 		return
 	}
-	pays := b.settings.Plans[pi].OverQuotaValue > 0
-	if st.owned && now < st.rejectedUntil && !pays {
-		st.locallyRejectedUnits += q.Units
-		b.reject(q.ID, st.rejectedUntil-now)
+	bucket := r.quota
+	rejectsLocally := bucket.owned && now < bucket.rejectedUntil
+	if rejectsLocally && b.settings.Plans[bucket.plan].OverQuotaValue <= 0 {
+		bucket.locallyRejectedUnits += r.Units
+		b.reject(r.ID, bucket.rejectedUntil-now)
 		return
 	}
-	b.requests.byID[q.ID], b.requests.byNumber[r.number] = r, r
+	b.requests.add(r)
 	b.actions.SetTimer(r.number<<timerBits|timerDeadline, max(r.deadline-now, 0))
-	if r.quotaOwner = b.ownerFor(st); st.owned && r.quotaOwner != b.settings.NodeIndex {
-		if now < st.rejectedUntil { // beyond the quota, and may go on so
-			st.locallyRejectedUnits += q.Units
-			b.admit(r, false, st.rejectedUntil-now)
+	r.quotaOwner = b.ownerFor(bucket)
+	if bucket.owned && r.quotaOwner != b.settings.NodeIndex {
+		if rejectsLocally {
+			bucket.locallyRejectedUnits += r.Units
+			b.admit(r, false, bucket.rejectedUntil-now)
 			return
 		}
 		b.requestQuota(r)
 		return
 	}
-	st.recordDemand(now, q.Units)
-	in, wait := b.checkQuota(st, q.Units)
-	if in = in && !(late && now < st.congestedUntil); in {
-		st.recordGrant(now, q.Units)
-		b.acquire(st, q.Units)
+	b.decideOwnQuota(r, late)
+}
+
+// newRequest returns the state of a request that arrives, or nil where its class, plan or timeout cannot be.
+func (b *Balancer) newRequest(arrived Request) *request {
+	class, knownClass := b.classIndex[arrived.Class]
+	plan, knownPlan := b.planIndex[arrived.Plan]
+	if !knownClass || !knownPlan || arrived.Timeout <= 0 {
+		return nil
+	}
+	arrived.Units = math.Max(arrived.Units, 0)
+	arrived.EntryNodes = min(max(arrived.EntryNodes, 1), b.settings.NodeCount)
+	b.requests.lastNumber++
+	return &request{
+		Request:  arrived,
+		number:   b.requests.lastNumber,
+		class:    class,
+		quota:    b.quotaFor(arrived.Tenant, plan, arrived.EntryNodes, arrived.FirstEntryNode),
+		deadline: b.now + arrived.Timeout - 2*b.settings.Tick,
 	}
-	b.admit(r, in, wait)
 }
 
-// arrivesTooLate tells whether a try is known to come too late for its aim. Each try of a class begins with
-// the same
-// wait, of which a later try of the same client has less left. Where its answer would be worth little, it
-// gives way to those that can still be answered in time. Clients that give each try a wait of its own
-// look younger than they are: those are not held back.
-func (b *Balancer) arrivesTooLate(class int, grace time.Duration) bool {
-	c, l := &b.settings.Classes[class], &b.latency.classes[class]
+// hasNoHope reports whether a request cannot be answered in time, or gives way to those that can.
+func (b *Balancer) hasNoHope(r *request, late bool) bool {
+	if b.exceedsConcurrencyLimit(r.class) || late && b.overload.overloaded() {
+		return true
+	}
+	latency := &b.latency.classes[r.class]
+	return latency.samples >= minBaselineSamples && r.Timeout.Seconds() < latency.mean
+}
+
+// decideOwnQuota admits a request by a quota that this node keeps itself.
+func (b *Balancer) decideOwnQuota(r *request, late bool) {
+	bucket := r.quota
+	bucket.recordDemand(b.now, r.Units)
+	inQuota, retryAfter := b.checkQuota(bucket, r.Units)
+	if late && b.now < bucket.congestedUntil {
+		inQuota = false
+	}
+	if inQuota {
+		bucket.recordGrant(b.now, r.Units)
+		b.acquire(bucket, r.Units)
+	}
+	b.admit(r, inQuota, retryAfter)
+}
+
+// arrivesTooLate reports whether a request is known to miss its latency objective. The first request of a
+// client begins with the timeout of its class, and a retry has what is left of that. Where a response
+// would be worth little, the retry gives way to requests that can still be answered in time. A client
+// that gives each retry a timeout of its own looks as if it had just begun: it is not held back.
+func (b *Balancer) arrivesTooLate(class int, timeout time.Duration) bool {
+	objective := b.settings.Classes[class].LatencyObjective
+	latency := &b.latency.classes[class]
+	latency.followInitialTimeout(timeout, objective)
+	elapsed := (latency.initialTimeout - timeout).Seconds()
+	return elapsed+latency.mean > objective.Seconds()
+}
+
+// followInitialTimeout moves the timeout that a client's first request is taken to have. It follows a
+// high quantile and not the maximum: a single client must not make all others look late.
+func (l *classLatency) followInitialTimeout(timeout, objective time.Duration) {
 	if l.initialTimeout == 0 {
-		l.initialTimeout = grace
+		l.initialTimeout = timeout
 	}
-	// A high quantile, not the most: single clients must not make all others look late.
-	if step := c.LatencyObjective / initialTimeoutSteps; grace > l.initialTimeout {
-		l.initialTimeout += min(step, grace-l.initialTimeout)
+	step := objective / initialTimeoutSteps
+	if timeout > l.initialTimeout {
+		l.initialTimeout += min(step, timeout-l.initialTimeout)
 	} else {
-		l.initialTimeout -= min(step/initialTimeoutDecayFactor, l.initialTimeout-grace)
+		l.initialTimeout -= min(step/initialTimeoutDecayFactor, l.initialTimeout-timeout)
 	}
-	return (l.initialTimeout-grace).Seconds()+l.mean > c.LatencyObjective.Seconds()
 }
 
-// admit goes on with a request once it is known whether it is inside the quota, which its units have left.
-func (b *Balancer) admit(r *request, in bool, wait time.Duration) {
-	st, p, ci := r.quota, &b.settings.Plans[r.quota.plan], r.class
-	r.inQuota = in
-	var s *endpoint
-	// Exception: beyond the quota only where that earns more than it costs and the back end is calm.
-	if !in && !(p.OverQuotaValue > p.OverQuotaCost && b.overload.occupancy < underloadedOccupancy &&
-		b.overload.admittedFraction >= 1) {
-	} else if !r.grantedByOwner && st.hardLimitTokens < r.Units && p.HardLimitRate > 0 {
-		wait = refillTime(r.Units-st.hardLimitTokens, p.HardLimitRate*st.hardLimitRateFraction)
-	} else if wait, b.overload.throttleAccumulator =
-		b.settings.Classes[ci].LatencyObjective/retryAfterDivisor,
-		b.overload.throttleAccumulator+b.overload.admittedFraction; b.overload.throttleAccumulator >= 1 {
-		b.overload.throttleAccumulator--
-		wait = assessmentIntervals * controlInterval
-		s = b.selectEndpoint(r)
-	}
-	if s == nil {
+// admit forwards a request whose quota is decided, or rejects it. The units of one inside its quota have
+// been acquired.
+func (b *Balancer) admit(r *request, inQuota bool, retryAfter time.Duration) {
+	r.inQuota = inQuota
+	endpoint, retryAfter := b.admittedTo(r, retryAfter)
+	if endpoint == nil {
 		b.releaseQuota(r, r.Units)
-		b.reject(r.ID, wait)
+		b.reject(r.ID, retryAfter)
 		b.finishRequest(r)
 		return
 	}
-	if p.HardLimitRate > 0 && !r.grantedByOwner {
-		st.hardLimitTokens -= r.Units
+	if !r.grantedByOwner && b.settings.Plans[r.quota.plan].HardLimitRate > 0 {
+		r.quota.hardLimitTokens -= r.Units
+	}
+	r.quota.startedSinceGossip++
+	b.overload.recordSent()
+	b.retries.deposit()
+	b.startAttempt(r, endpoint)
+}
+
+// admittedTo returns the endpoint for a request's first attempt, or nil and when the client may retry.
+// quotaRetryAfter is when its quota lets it retry.
+func (b *Balancer) admittedTo(r *request, quotaRetryAfter time.Duration) (*endpoint, time.Duration) {
+	plan := &b.settings.Plans[r.quota.plan]
+	if !r.inQuota && !b.servesBeyondQuota(plan) {
+		return nil, quotaRetryAfter
+	}
+	if !r.grantedByOwner && plan.HardLimitRate > 0 && r.quota.hardLimitTokens < r.Units {
+		missing := r.Units - r.quota.hardLimitTokens
+		return nil, refillTime(missing, plan.HardLimitRate*r.quota.hardLimitRateFraction)
+	}
+	if !b.overload.admit() {
+		return nil, b.settings.Classes[r.class].LatencyObjective / retryAfterDivisor
 	}
-	st.startedSinceGossip++
-	b.overload.sentCounts[b.overload.intervalIndex()]++
-	b.retries.tokens = math.Min(b.retries.tokens+retryTokensPerRequest, maxRetryTokens)
-	b.startAttempt(r, s)
+	return b.selectEndpoint(r), assessmentIntervals * controlInterval
+}
+
+// servesBeyondQuota reports whether requests beyond the quota are served: where that has more value than
+// it costs, and the endpoints have capacity to spare.
+func (b *Balancer) servesBeyondQuota(plan *Plan) bool {
+	return plan.OverQuotaValue > plan.OverQuotaCost && b.overload.underloaded()
 }
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,19 +1,19 @@
-// Package choice decides, for one edge node of a gateway tier, what happens to
-// each request: whether its customer's quota admits it, whether the back end
-// can take it, which server serves it, and what follows each outcome.
+// Package balancer decides, for one edge node of a fleet, what happens to each request: whether its
+// tenant's quota admits it, whether the endpoints have the capacity for it, which endpoint serves it, and
+// whether an attempt that ended badly is followed by another one.
 //
-// The host owns the network, the clock and the timers. It makes one [Gateway]
-// per edge node with [New], calls [Gateway.Start] once, then one method per
-// event, and carries out what the gateway asks for through [Actions]. The
-// decisions are in choice.go and subset.go; this file is the interface, with
-// [Gateway.Stats].
+// The host owns the network, the clock and the timers. It makes one [Balancer] with [New], calls
+// [Balancer.Start] once and then one method for each event, and carries out what the balancer asks for
+// through [Actions].
 //
-// A Gateway is not safe for concurrent use: the host makes one call at a time.
-// Actions are called synchronously, in the order they are to take effect, and
-// must not call back into the gateway. Times passed in are readings of one
-// clock that never goes backwards; its origin does not matter. Events that
-// name an unknown or finished request, server, timer or attempt are ignored.
-// The gateway keeps no reference to slices that it is given.
+// A request passes, in this order: the concurrency limit (concurrency.go), its tenant's quota
+// (quota_*.go), the overload control (overload.go), the selection of an endpoint (selection.go), and after
+// each attempt the rules for retries (retry.go). admission.go has that way, request.go the life of a request.
+//
+// A Balancer is deterministic: the same settings, seed, events and times lead to the same actions. It is not
+// safe for concurrent use: the host makes one call at a time. Times are readings of one clock that never goes
+// backwards; its origin does not matter. Events that name an unknown or finished request, endpoint, timer or
+// attempt are ignored. The balancer keeps no reference to slices that it is given.
 package balancer
 
 import (
@@ -30,7 +30,7 @@
 // logInterval is the least time between two log lines.
 const logInterval = time.Second
 
-// Balancer decides for one edge node.
+// Balancer decides for one edge node. It routes events to its components and holds the requests.
 type Balancer struct {
 	settings Settings
 	rng      *rand.Rand
@@ -55,7 +55,7 @@
 	lastLogged time.Duration
 }
 
-// New returns a balancer for the settings, or an error that names a field that cannot be.
+// New returns a balancer for the settings. An error wraps a *[SettingError].
 func New(s Settings, seed uint64) (*Balancer, error) {
 	if err := s.validate(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -64,6 +64,7 @@
 		settings: s, rng: rand.New(rand.NewPCG(seed, 0x5ea)), classIndex: map[string]int{},
 		planIndex: map[string]int{},
 		requests:  newRequestTable(),
+		overload:  newOverloadController(),
 		latency:   newLatencyTracker(len(s.Classes)),
 		endpoints: newEndpointSet(),
 		quotas:    newQuotaTable(),
@@ -83,16 +84,16 @@
 	return g, nil
 }
 
-// Start begins the gateway's work. Call it once, before any other event.
+// Start begins the balancer's work. Call it once, before any other event.
 func (b *Balancer) Start(now time.Duration, out Actions) {
-	b.now, b.actions, b.started, b.overload.admittedFraction = now, out, now, 1
+	b.now, b.actions, b.started = now, out, now
 	b.gossip.interval = controlInterval
 	if in := b.settings.PeerMessagesPerSecond; in > 0 {
 		gap := time.Duration(gossipIntervalSlack *
 			float64(b.settings.NodeCount-1) / in * float64(time.Second))
 		b.gossip.interval = max(gap, b.settings.Tick, minGossipInterval)
 	}
-	// Gateways started together must not beat in step.
+	// Nodes that are started together must not act in step.
 	b.actions.SetTimer(timerControlInterval, time.Duration(b.rng.Int64N(int64(controlInterval))))
 	if b.settings.Gossip && b.settings.NodeCount > 1 {
 		b.actions.SetTimer(timerGossip, time.Duration(b.rng.Int64N(int64(b.gossip.interval))))
@@ -102,7 +103,19 @@
 	}
 }
 
-// TimerFired is the firing of a timer.
+// Kinds of timers. They are the low timerBits bits of a token; the number of the request that a timer
+// belongs to, if any, is in the bits above.
+const (
+	timerControlInterval = iota
+	timerGossip
+	timerDeadline
+	timerHedge
+	timerPollEndpoints
+	timerQuotaRequest
+	timerBits = 3
+)
+
+// TimerFired is the end of a timer that was set with the token.
 func (b *Balancer) TimerFired(now time.Duration, token uint64, out Actions) {
 	b.now, b.actions = now, out
 	r := b.requests.byNumber[token>>timerBits]
@@ -111,89 +124,72 @@
 		b.closeControlInterval()
 		b.actions.SetTimer(timerControlInterval, controlInterval)
 	case timerGossip:
-		// Each message takes its gap, so that long tells stay within the inbox limit too.
-		b.actions.SetTimer(timerGossip, b.gossip.interval*time.Duration(max(b.sendGossip(), 1)))
+		// Each message takes an interval, so that a long backlog stays within the peers' limit too.
+		messages := max(b.sendGossip(), 1)
+		b.actions.SetTimer(timerGossip, b.gossip.interval*time.Duration(messages))
 	case timerPollEndpoints:
 		b.actions.WatchEndpoints(true)
 	case timerDeadline:
-		if r != nil && !r.answered && !r.responseStarted {
+		if r != nil && r.awaitsResponse() {
 			b.giveUp(r)
 		}
 	case timerQuotaRequest:
-		switch {
-		case r == nil || r.answered || r.decidedWithoutOwner || len(r.attempts) > 0:
-		case r.finalQuotaRequest:
-			b.decideWithoutOwner(r)
-		default:
-			// a lost message costs less than a request by chance
-			r.finalQuotaRequest, r.quotaRequestRepeated = true, true
-			b.requestQuota(r)
+		if r != nil {
+			b.quotaRequestTimedOut(r)
 		}
 	case timerHedge:
-		if r != nil && !r.answered && !r.responseStarted && r.inFlight == 1 &&
-			b.overload.occupancy < overloadedOccupancy {
-			// A second copy counts as out: it must not push the customer's next try beyond its cap.
-			if b.settings.Plans[r.quota.plan].MaxConcurrent == 0 ||
-				b.concurrencyHeadroom(r.quota) > r.quota.entryNodes {
-				b.retry(r)
-			}
+		if r != nil {
+			b.hedge(r)
 		}
 	}
 }
 
-// Timer tokens: the low bits tell what the timer is for.
-const (
-	timerControlInterval = iota
-	timerGossip
-	timerDeadline
-	timerHedge
-	timerPollEndpoints
-	timerQuotaRequest
-	timerBits = 3
-)
-
-// closeControlInterval is the work of each probe.
+// closeControlInterval does the work of each control interval.
 func (b *Balancer) closeControlInterval() {
-	f := b.overload.admittedFraction
-	// attempts at a few silent servers must not read as overload
-	b.overload.assessInterval(b.concurrency.responses, b.recentAttempts(recentAttemptFraction))
-	if f >= 1 && b.overload.admittedFraction < 1 {
-		b.log(slog.LevelInfo, "overloaded: rejecting a fraction of the requests",
-			slog.Float64("admitted_fraction", b.overload.admittedFraction),
-			slog.Float64("occupancy", b.overload.occupancy))
-	}
+	b.controlOverload()
 	b.dropIdleQuotas()
 	if b.ownsQuotas() {
 		b.dropUnused()
 	}
-	var weight, load, told float64
-	keep := math.Exp(-controlInterval.Seconds() / observationDecay.Seconds())
-	for _, s := range b.endpoints.tracked {
-		b.accrueSlowStartTokens(s) // from the moment that it is known, not from its first turn
-		if warm := s.slowStartTokens < 0; warm && s.acceptsRequests() && s.inSubset {
-			weight += b.weight(s)
+	b.updateEndpoints()
+	b.concurrency.closeInterval(b.now - b.started)
+	b.gossip.closeInterval()
+	b.sendHealthCheck()
+}
+
+// controlOverload sets the admitted fraction anew, and logs when it begins to throttle.
+func (b *Balancer) controlOverload() {
+	throttledBefore := b.overload.throttles()
+	b.overload.closeInterval(b.concurrency.responses, b.recentAttempts(recentAttemptFraction))
+	if !throttledBefore && b.overload.throttles() {
+		b.log(slog.LevelInfo, "overloaded: rejecting a fraction of the requests",
+			slog.Float64("admitted_fraction", b.overload.admittedFraction),
+			slog.Float64("occupancy", b.overload.occupancy))
+	}
+}
+
+// updateEndpoints ages what was learned of endpoints without attempts in flight, and takes the means over
+// endpoints.
+func (b *Balancer) updateEndpoints() {
+	var warmWeight, load, reported float64
+	retained := math.Exp(-controlInterval.Seconds() / observationDecay.Seconds())
+	for _, endpoint := range b.endpoints.tracked {
+		b.accrueSlowStartTokens(endpoint) // also before the endpoint is first considered for a request
+		warm := endpoint.slowStartTokens < 0
+		if warm && endpoint.acceptsRequests() && endpoint.inSubset {
+			warmWeight += b.weight(endpoint)
 		}
-		if s.acceptsRequests() && s.reportedLoad >= 0 && !s.refusesConnections {
-			load, told = load+s.otherNodesLoad, told+1
+		if endpoint.acceptsRequests() && endpoint.reportedLoad >= 0 && !endpoint.refusesConnections {
+			load += endpoint.otherNodesLoad
+			reported++
 		}
-		if s.inFlight == 0 {
-			s.latencyRatio = 1 + (s.latencyRatio-1)*keep
-			s.errorRate *= keep
+		if endpoint.inFlight == 0 {
+			endpoint.latencyRatio = 1 + (endpoint.latencyRatio-1)*retained
+			endpoint.errorRate *= retained
 		}
 	}
-	b.endpoints.meanLoad = load / math.Max(told, 1)
-	if weight > 0 {
-		b.slowStart.warmWorkRate += meanSmoothing *
-			(b.slowStart.warmWorkDone/weight/controlInterval.Seconds() - b.slowStart.warmWorkRate)
-	}
-	// After a start the average is over what there is, or the first second would be refused.
-	share := math.Max(rateSmoothing, 1/(1+float64(b.now-b.started)/float64(controlInterval)))
-	b.concurrency.responseRate += share *
-		(b.concurrency.responses/controlInterval.Seconds() - b.concurrency.responseRate)
-	b.gossip.messageRate += rateSmoothing *
-		(b.gossip.messages/controlInterval.Seconds() - b.gossip.messageRate)
-	b.slowStart.warmWorkDone, b.concurrency.responses, b.gossip.messages = 0, 0, 0
-	b.sendHealthCheck()
+	b.endpoints.meanLoad = load / math.Max(reported, 1)
+	b.slowStart.closeInterval(warmWeight)
 }
 
 // log passes a line on unless another was logged less than logInterval ago.
@@ -205,6 +201,7 @@
 	b.actions.Log(level, message, attributes...)
 }
 
+// oneIf returns 1 if the condition holds, else 0.
 func oneIf(b bool) float64 {
 	if b {
 		return 1
@@ -212,22 +209,22 @@
 	return 0
 }
 
-// Stats tells how much a gateway holds.
+// Stats says how much a balancer holds.
 type Stats struct {
-	ListedEndpoints  int // servers in the list
-	SubsetEndpoints  int // of these, those in the subset
-	TrackedEndpoints int // servers of which more is kept than what the list says
-	HashCollisions   int // servers of the subset that news can't name, as another has the same short hash
+	ListedEndpoints  int // in the endpoint list
+	SubsetEndpoints  int // of these, those in this node's subset
+	TrackedEndpoints int // of which more is kept than the list's entry
+	HashCollisions   int // of the subset, those that load gossip cannot name: they share a short hash
 }
 
-// Stats returns how much the gateway holds now.
+// Stats returns how much the balancer holds now.
 func (b *Balancer) Stats() Stats {
-	st := Stats{ListedEndpoints: len(b.endpoints.list.slotByID), TrackedEndpoints: len(b.endpoints.tracked)}
-	for _, s := range b.endpoints.tracked {
-		if s.inSubset && s.listed {
-			st.SubsetEndpoints++
-			st.HashCollisions += int(oneIf(b.endpoints.subsetByHash[s.shortHash] == nil))
+	stats := Stats{ListedEndpoints: len(b.endpoints.list.slotByID), TrackedEndpoints: len(b.endpoints.tracked)}
+	for _, endpoint := range b.endpoints.tracked {
+		if endpoint.inSubset && endpoint.listed {
+			stats.SubsetEndpoints++
+			stats.HashCollisions += int(oneIf(b.endpoints.subsetByHash[endpoint.shortHash] == nil))
 		}
 	}
-	return st
+	return stats
 }
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -1,94 +1,134 @@
 package balancer
 
-import "math"
+import (
+	"math"
+	"time"
+)
 
+// Parameters of the concurrency limit.
 const (
-	// share of a class's aim that attempts out may take to be answered
+	// maxQueueingFraction is the fraction of a class's latency objective that the attempts in flight may
+	// take to be answered.
 	maxQueueingFraction = 0.3
-	// attempts out per server, over all gateways, that the bound leaves
-	minConcurrencyPerEndpoint  = 2.0
-	minConcurrencyWhenIsolated = 4.0 // that it leaves a gateway that hears of no other
-	certainExcessFactor        = 3.0 // times the bound that can't be out by chance
-	recentAttemptFraction      = 0.5 // share of its aim until which an attempt out counts
-	// share of a probe in the rate of answers: about a second
+	// minConcurrencyPerEndpoint is the number of attempts in flight per endpoint, over all nodes, that is
+	// allowed in any case.
+	minConcurrencyPerEndpoint = 2.0
+	// minConcurrencyWhenIsolated is the number that is allowed to a node that hears from no peer.
+	minConcurrencyWhenIsolated = 4.0
+	// certainExcessFactor is the factor over the limit that cannot be chance.
+	certainExcessFactor = 3.0
+	// recentAttemptFraction is the fraction of its latency objective for which an attempt counts as recent.
+	recentAttemptFraction = 0.5
+	// rateSmoothing is the weight of a control interval in averaged rates: about a second.
 	rateSmoothing = 0.1
 )
 
-// concurrencyLimit is the state of the bound on attempts in flight.
+// concurrencyLimit bounds the attempts in flight. The overload control follows what has been answered,
+// and so comes late when work piles up. By Little's law, the attempts in flight over the responses per
+// second are the delay that a new request meets; where that leaves no hope of its latency objective, it
+// is rejected. The zero value has seen nothing.
 type concurrencyLimit struct {
 	inFlight     int     // attempts in flight
-	responses    float64 // since the last control interval
+	responses    float64 // OK responses since the last control interval
 	responseRate float64 // per second, averaged
 }
 
-// exceedsConcurrencyLimit is an exception to ARO, whose f follows what has been answered and so comes late
-// when work
-// piles up. By Little's law the attempts out over the answers per second are the delay that a new
-// request meets; where that leaves no hope of its aim, it is refused. It covers overload, stalls,
-// lost servers and retry storms alike; it harms where latency is long by nature, not by waiting.
+// closeInterval ends a control interval that lies so long after the node's start.
+func (l *concurrencyLimit) closeInterval(sinceStart time.Duration) {
+	// After a start the average is over what there is, or the first second's requests would be rejected.
+	weight := math.Max(rateSmoothing, 1/(1+float64(sinceStart)/float64(controlInterval)))
+	l.responseRate += weight * (l.responses/controlInterval.Seconds() - l.responseRate)
+	l.responses = 0
+}
+
+// reachableLoad is what is in flight at the endpoints that respond, and how many these are.
+type reachableLoad struct {
+	inFlight  float64
+	endpoints float64 // a cold one counts as the fraction of a warm one that it is
+}
+
+// exceedsConcurrencyLimit reports whether a request of the class has no hope of its latency objective, by
+// the attempts in flight. That covers overload, stalls, lost endpoints and retry storms alike; it is
+// wrong where latency is long by nature and not by waiting.
 func (b *Balancer) exceedsConcurrencyLimit(class int) bool {
-	best := 0.0
-	for c := range b.settings.Classes {
-		best = math.Max(best, b.settings.Classes[c].PriorityWeight/b.workOf(c))
+	delay := b.allowedDelay(class)
+	limit := b.concurrency.responseRate * delay
+	if limit >= minOwnSamples && float64(b.concurrency.inFlight) < limit {
+		return false // the usual case, and cheap to see
+	}
+	reachable := b.reachable()
+	floor := b.concurrencyFloor(reachable)
+	if limit >= minOwnSamples || !b.ownsQuotas() && b.gossip.messageRate <= 1 {
+		return reachable.inFlight >= math.Max(limit, floor)
+	}
+	// With so few responses, many attempts may be in flight by chance: the pooled means have to agree.
+	// They come late, so that an excess that cannot be chance does not wait for them.
+	pooledRate := b.overload.pooled[poolResponses] / controlInterval.Seconds()
+	pooledLimit := math.Max(pooledRate*delay, floor)
+	if reachable.inFlight < certainExcessFactor*math.Max(limit, pooledLimit) {
+		return reachable.inFlight >= pooledLimit && b.overload.pooled[poolInFlight] >= pooledLimit
+	}
+	return reachable.inFlight >= math.Max(limit, floor)
+}
+
+// allowedDelay is the delay, in seconds, that the attempts in flight may mean for a request of the class.
+// The class with the most value for its work is allowed twice that of one with hardly any.
+func (b *Balancer) allowedDelay(class int) float64 {
+	mostValuable := 0.0
+	for i := range b.settings.Classes {
+		mostValuable = math.Max(mostValuable, b.settings.Classes[i].PriorityWeight/b.workOf(i))
 	}
 	c := &b.settings.Classes[class]
 	rank := 1.0
-	if best > 0 {
-		rank = (1 + c.PriorityWeight/b.workOf(class)/best) / 2
+	if mostValuable > 0 {
+		rank = (1 + c.PriorityWeight/b.workOf(class)/mostValuable) / 2
 	}
-	wait := maxQueueingFraction * rank * c.LatencyObjective.Seconds()
-	bound := b.concurrency.responseRate * wait
-	if bound >= minOwnSamples && float64(b.concurrency.inFlight) < bound {
-		return false // as nearly always, and far sooner known
-	}
-	out, servers := b.reachable()
-	floor := minConcurrencyPerEndpoint * servers / float64(b.settings.NodeCount)
+	return maxQueueingFraction * rank * c.LatencyObjective.Seconds()
+}
+
+// concurrencyFloor is the number of attempts in flight that is allowed in any case.
+func (b *Balancer) concurrencyFloor(reachable reachableLoad) float64 {
+	floor := minConcurrencyPerEndpoint * reachable.endpoints / float64(b.settings.NodeCount)
 	if b.isolated() {
-		floor = math.Max(floor, minConcurrencyWhenIsolated)
-	}
-	if bound < minOwnSamples && (b.ownsQuotas() || b.gossip.messageRate > 1) {
-		// Few attempts are out by chance or not: the mean over the gateways it hears from, or over its own
-		// last seconds where it hears none, must say so too. That comes late: what can't be chance doesn't
-		// wait for it, or a burst would come in whole. A gateway that refuses has few answers of its own.
-		least := math.Max(b.overload.pooledMeans[poolResponses]/controlInterval.Seconds()*wait, floor)
-		if out < certainExcessFactor*math.Max(bound, least) {
-			return out >= least && b.overload.pooledMeans[poolInFlight] >= least
-		}
+		return math.Max(floor, minConcurrencyWhenIsolated)
 	}
-	return out >= math.Max(bound, floor)
+	return floor
 }
 
-// reachable counts the attempts out at servers that are held to be alive, and these servers, a cold one as
-// the
-// part of one that it is. The subset stands for all that are listed, unless nothing in it is alive.
-func (b *Balancer) reachable() (out, servers float64) {
-	out = float64(b.concurrency.inFlight)
-	members := 0.0
-	for _, s := range b.endpoints.tracked {
-		taking := s.inSubset && s.acceptsRequests()
-		members += oneIf(taking)
-		if b.unresponsive(s) {
-			out -= float64(s.inFlight)
-		} else if taking {
-			servers += b.warmUpFraction(s)
+// reachable is what is in flight at the endpoints that respond. The subset stands for all that are
+// listed, unless nothing in it responds.
+func (b *Balancer) reachable() reachableLoad {
+	load := reachableLoad{inFlight: float64(b.concurrency.inFlight)}
+	accepting := 0.0
+	for _, endpoint := range b.endpoints.tracked {
+		accepts := endpoint.inSubset && endpoint.acceptsRequests()
+		accepting += oneIf(accepts)
+		if b.unresponsive(endpoint) {
+			load.inFlight -= float64(endpoint.inFlight)
+		} else if accepts {
+			load.endpoints += b.warmUpFraction(endpoint)
 		}
 	}
-	if servers == 0 {
-		return out, float64(b.endpoints.list.activeWeights.total) - members
+	listed := float64(b.endpoints.list.activeWeights.total)
+	if load.endpoints == 0 {
+		load.endpoints = listed - accepting
+		return load
 	}
-	return out, servers * (float64(b.endpoints.list.activeWeights.total) / members)
+	load.endpoints *= listed / accepting
+	return load
 }
 
-// recentAttempts counts the attempts out that were sent less than a share of their class's aim ago, but for
-// those at
-// servers known to answer nothing.
-func (b *Balancer) recentAttempts(share float64) (n float64) {
+// recentAttempts counts the attempts in flight that began less than a fraction of their latency objective
+// ago, without those at endpoints known to be unresponsive: attempts at a few of these must not read as
+// overload.
+func (b *Balancer) recentAttempts(fraction float64) (recent float64) {
 	for _, r := range b.requests.byID {
+		objective := b.settings.Classes[r.class].LatencyObjective
 		for i := range r.attempts {
 			a := &r.attempts[i]
-			n += oneIf(!a.done && !b.unresponsive(a.endpoint) &&
-				(b.now-a.sentAt).Seconds() < share*b.settings.Classes[r.class].LatencyObjective.Seconds())
+			age := (b.now - a.sentAt).Seconds()
+			recent += oneIf(!a.done && !b.unresponsive(a.endpoint) && age < fraction*objective.Seconds())
 		}
 	}
-	return n
+	return recent
 }
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -5,60 +5,63 @@
 	"time"
 )
 
-// EndpointState is a server's state in the list.
+// EndpointState is the state of an endpoint in the endpoint list.
 type EndpointState int
 
+// States of an endpoint.
 const (
-	Up       EndpointState = iota // takes work
-	Draining                      // finishes what it has
-	Removed                       // gone
+	Up       EndpointState = iota // accepts requests
+	Draining                      // finishes the requests that it has
+	Removed                       // is no longer there
 )
 
-// Endpoint is one entry of the list of servers.
+// Endpoint is one entry of the endpoint list.
 type Endpoint struct {
 	ID          string
 	State       EndpointState
-	Weight      float64 // relative size; 0: not told
+	Weight      float64 // relative capacity; 0: unknown
 	MachineType string
 	Zone        string
 	Cell        int
-	StartedAt   time.Duration // clock reading of its last start; 0: long ago
+	StartedAt   time.Duration // reading of the host's clock at its last start; 0: long ago
 }
 
-// UpdateKind says how a list relates to the one before.
+// UpdateKind says how an update of the endpoint list relates to the list before.
 type UpdateKind int
 
+// Kinds of updates.
 const (
-	UpdateDelta    UpdateKind = iota // changed entries only
+	UpdateDelta    UpdateKind = iota // the changed entries only
 	UpdateSnapshot                   // the complete list
-	UpdateCached                     // the complete list as last held, possibly old
-	UpdateFailed                     // asking failed; the list before stays in force
+	UpdateCached                     // the complete list as this node last had it, possibly old
+	UpdateFailed                     // discovery could not be reached; the list stays as it is
 )
 
-// Request is one try of a client. Its id is never used again.
+// Request is one request of a client. Its ID is never used again, not even for a retry by the client.
 type Request struct {
 	ID             string
-	Class          string
-	Plan           string
+	Class          string // name of a [Class]
+	Plan           string // name of a [Plan]
 	Tenant         uint64
-	Timeout        time.Duration // the client leaves after this
-	Units          float64       // that it draws from the quota
-	EntryNodes     int           // number of gateways the customer comes in through
-	FirstEntryNode int           // number of the first of these; the others follow, counted round
+	Timeout        time.Duration // after which the client gives up
+	Units          float64       // drawn from the tenant's quota
+	EntryNodes     int           // number of nodes through which the tenant's requests enter
+	FirstEntryNode int           // the first of them; the others follow by index, modulo the node count
 }
 
-// Result is how an attempt ended.
+// Result says how an attempt ended.
 type Result int
 
+// Results of attempts.
 const (
 	OK            Result = iota
-	ErrorResponse        // an error from the server; it may have run
-	Overloaded           // rejected unseen: never ran
-	TimedOut             // no answer in time; it may have run
-	ConnectFailed        // no connection: never ran
-	Reset                // the connection broke; it may have run
-	Cancelled            // cancelled by the gateway; it may have run
-	NotSent              // not sent at all: never ran
+	ErrorResponse        // an error response; the request may have run
+	Overloaded           // rejected by the endpoint: the request did not run
+	TimedOut             // no response in time; the request may have run
+	ConnectFailed        // no connection: the request did not run
+	Reset                // the connection broke; the request may have run
+	Cancelled            // cancelled by this node; the request may have run
+	NotSent              // the request was not sent, and so did not run
 )
 
 // String returns the result in words, for logs.
@@ -84,22 +87,25 @@
 	return fmt.Sprintf("result %d", int(r))
 }
 
-// LoadReport is a server's load report. A value below 0 was not reported.
+// neverRan reports whether the result proves that the request did not run at the endpoint.
+func (r Result) neverRan() bool { return r == Overloaded || r == ConnectFailed || r == NotSent }
+
+// LoadReport is what an endpoint reports of its load. A field below 0 was not reported.
 type LoadReport struct {
-	InFlight    float64 // requests in hand
-	Queued      float64 // requests waiting
-	Utilization float64 // busy share of the CPU, 0 to 1
+	InFlight    float64 // requests that it is working on or has queued
+	Queued      float64 // requests that wait
+	Utilization float64 // busy fraction of its CPU, from 0 to 1
 }
 
 // Outcome is the end of one attempt.
 type Outcome struct {
-	ID          string
-	Attempt     int  // number of the attempt, counted from 0 in the order of Send
-	Answered    bool // the request has its final answer, by this outcome or before
+	ID          string // of the request
+	Attempt     int    // its number, from 0, in the order of [Actions.SendAttempt]
+	Answered    bool   // the client has its final response, by this attempt or an earlier one
 	Result      Result
 	EndpointID  string
-	Elapsed     time.Duration // since the attempt was sent
-	Units       float64       // with PostPaid: the true units, on the first OK; else 0
-	LoadReport  *LoadReport   // nil: no report came
-	ConnectedAt time.Duration // when the connection that brought an answer was made; 0: not told
+	Elapsed     time.Duration // since the attempt was started
+	Units       float64       // with [Settings.PostPaid] and the first OK: the units really used; else 0
+	LoadReport  *LoadReport   // nil: the endpoint reported none
+	ConnectedAt time.Duration // clock reading when the response's connection was made; 0: unknown
 }
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -292,18 +292,18 @@
 	for _, s := range g.endpoints.tracked {
 		s.listed = true
 	}
-	if out, servers := g.reachable(); out != 3 || servers != 4 {
-		t.Fatalf("%v out at %v servers", out, servers)
+	if got, want := g.reachable(), (reachableLoad{3, 4}); got != want {
+		t.Fatalf("%+v, want %+v", got, want)
 	}
 	g.now = t0 + time.Second
-	if out, servers := g.reachable(); out != 0 || servers != 3 {
-		t.Errorf("%v out at %v servers after a second of silence, want 0 at 3", out, servers)
+	if got, want := g.reachable(), (reachableLoad{0, 3}); got != want {
+		t.Errorf("%+v after a second of silence, want %+v", got, want)
 	}
 	if to, all := sendsTo(g, r, t0+time.Second, "s0"); all < 100 || to > 0 {
 		t.Errorf("%d of %d went to a server that nobody hears of", to, all)
 	}
 	g.receiveLoadGossip(append(binary.BigEndian.AppendUint16(nil, g.endpoints.trackedByID["s0"].shortHash), 3, 1))
-	if out, _ := g.reachable(); out != 3 {
+	if out := g.reachable().inFlight; out != 3 {
 		t.Errorf("%v out after another gateway was answered, want 3", out)
 	}
 }
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -28,6 +28,12 @@
 	messageRate           float64        // received per second, averaged
 }
 
+// closeInterval ends a control interval.
+func (s *gossipState) closeInterval() {
+	s.messageRate += rateSmoothing * (s.messages/controlInterval.Seconds() - s.messageRate)
+	s.messages = 0
+}
+
 // peerState is the state of tells to and from one peer.
 type peerState struct {
 	sentSequence            uint64
@@ -168,7 +174,7 @@
 		return
 	}
 	if m.kind == kindQuotaRequest || m.kind == kindQuotaGrant {
-		b.overload.mixIntoPool(peerPoolSmoothing, m.pooledMeans)
+		b.overload.mixIntoPool(peerPoolSmoothing, &m.pooledMeans)
 		b.receiveOverQuota(m.overQuota)
 		b.receiveLoadGossip(m.loadGossip)
 	}
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -207,7 +207,7 @@
 
 // sendHealthCheck probes the server least lately probed. A gateway probes at most half as often as it sends.
 func (b *Balancer) sendHealthCheck() {
-	b.health.checkTokens = math.Min(b.health.checkTokens+b.overload.pooledMeans[poolSent]/2, 1)
+	b.health.checkTokens = math.Min(b.health.checkTokens+b.overload.pooled[poolSent]/2, 1)
 	if !b.settings.HealthChecks || b.settings.LoadReports == NoLoadReports || len(b.endpoints.tracked) == 0 ||
 		b.health.checkTokens < 1 {
 		return
--- a/balancer/health_test.go
+++ b/balancer/health_test.go
@@ -217,7 +217,7 @@
 		g.RequestArrived(now, newRequest(i, "safe", "rate", uint64(i)), r)
 		answer(g, r, now, ms, OK)
 		if i%10 == 9 {
-			g.overload.pooledMeans[poolSent] = 2
+			g.overload.pooled[poolSent] = 2
 			g.TimerFired(now, timerControlInterval, r)
 			for id := range g.endpoints.trackedByID {
 				probes[id] += r.count("probe " + id)
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -73,11 +73,10 @@
 	if b.settings.LoadReports == NoLoadReports || s.utilizationReportedAt == 0 {
 		if k.lowest > 0 {
 			// Each latency weighs by its length, which makes the mean over a probe 1 - lowest/mean.
-			b.overload.occupancySums[b.overload.intervalIndex()] += x/k.lowest - 1
-			b.overload.occupancyCounts[b.overload.intervalIndex()] += x / k.lowest
+			b.overload.addOccupancy(x/k.lowest-1, x/k.lowest)
 		} else {
 			// or a few full refusals would be all there is
-			b.overload.occupancyCounts[b.overload.intervalIndex()]++
+			b.overload.addOccupancy(0, 1)
 		}
 	}
 }
--- a/balancer/overload.go
+++ b/balancer/overload.go
@@ -2,97 +2,199 @@
 
 import "math"
 
+// Parameters of the overload control. The paper's figures are those of "Fast and Robust Signaling
+// Overload Control".
 const (
-	// k, probes in an assessment: half a second follows short bursts
-	assessmentIntervals    = 5
-	targetOccupancy        = 0.95 // occupancy aimed at: the paper's figure
-	maxGrowthFactor        = 1.3  // phi max, growth of f in one assessment
-	minAdmittedFraction    = 0.1  // f min, so that recovery is always seen
-	maxAcceptRateSmoothing = 0.1  // share of a new sample in the slow average of mu max
-	// occupancy from which fA acts: the design page's figure
+	// assessmentIntervals is the number k of control intervals in an assessment: half a second follows
+	// short bursts.
+	assessmentIntervals = 5
+	// targetOccupancy is the paper's rho_targ.
+	targetOccupancy = 0.95
+	// maxGrowthFactor is the paper's phi_max: the growth of the admitted fraction in one assessment.
+	maxGrowthFactor = 1.3
+	// minAdmittedFraction is the paper's f_min, so that a recovery is always seen.
+	minAdmittedFraction = 0.1
+	// maxAcceptRateSmoothing is the weight of a new sample in the slow average of the maximum accept rate.
+	maxAcceptRateSmoothing = 0.1
+	// overloadedOccupancy is the occupancy from which the accept rate bounds the admitted fraction.
 	overloadedOccupancy = 0.8
-	// occupancy up to which spare capacity may go to extras
+	// underloadedOccupancy is the occupancy below which spare capacity may serve requests beyond their quota.
 	underloadedOccupancy = 0.5
-	// occupancy from which mu max is sampled: the design page's figure
+	// minOccupancyToLearn is the occupancy from which the maximum accept rate is sampled.
 	minOccupancyToLearn = 0.1
-	minOwnSamples       = 10 // samples of its own that a gateway goes by alone
-	// share of a probe in the mean over gateways: about two seconds
-	ownPoolSmoothing  = 0.05
-	peerPoolSmoothing = 0.3 // share of a peer's figures in that mean
+	// minOwnSamples is the number of samples with which a node relies on its own alone.
+	minOwnSamples = 10
+	// ownPoolSmoothing is the weight of a control interval in the pooled means: about two seconds.
+	ownPoolSmoothing = 0.05
+	// peerPoolSmoothing is the weight of a peer's means in the pooled means.
+	peerPoolSmoothing = 0.3
 )
 
-// What goes into the pool.
+// Indexes of [pooledMeans].
 const (
-	poolOccupancySum     = iota // sum of the samples of the occupancy
+	poolOccupancySum     = iota // sum of the occupancy samples
 	poolOccupancySamples        // their number
-	poolSent
+	poolSent                    // requests forwarded
 	poolResponses
 	poolInFlight
 	poolSize
 )
 
-// overloadController is the state of the overload control.
+// pooledMeans are means per control interval over this node and the peers that it hears from. Nodes
+// exchange them, since in a large fleet each has too few samples of its own.
+type pooledMeans [poolSize]float64
+
+// intervalSample is what one control interval adds to an assessment.
+type intervalSample struct {
+	occupancySum     float64
+	occupancySamples float64
+	sent             float64 // requests forwarded
+}
+
+// overloadController is the overload control ARO (Acceptance-Rate Occupancy) of the paper "Fast and
+// Robust Signaling Overload Control": of the requests that the quotas admit, a fraction f = min(fA, fO)
+// is forwarded, by a deterministic throttle.
+//
+// Each control interval samples the occupancy rho of the endpoints and the accept rate alpha, the
+// requests forwarded per interval. An assessment of k intervals sets fO, which moves rho towards its
+// target, and fA, which moves alpha towards the target times mu_max, the slow average of alpha/rho. fA
+// acts only while the endpoints are overloaded, and once mu_max has a sample.
+//
+// Make one with newOverloadController.
 type overloadController struct {
-	admittedFraction, throttleAccumulator float64
-	occupancySums, occupancyCounts        [assessmentIntervals]float64
-	sentCounts                            [assessmentIntervals]float64
-	intervals                             int
-	occupancy, acceptRate                 float64
-	maxAcceptRate                         float64
-	// means per probe, over this gateway and those it hears from
-	pooledMeans [poolSize]float64
+	admittedFraction    float64 // the paper's f
+	throttleAccumulator float64 // the paper's r
+	occupancy           float64 // the paper's rho, at the last assessment
+	acceptRate          float64 // the paper's alpha, at the last assessment
+	maxAcceptRate       float64 // the paper's mu_max; 0: no sample yet
+	samples             [assessmentIntervals]intervalSample
+	intervals           int // control intervals since the start
+	pooled              pooledMeans
+}
+
+func newOverloadController() overloadController { return overloadController{admittedFraction: 1} }
+
+// admit runs the deterministic throttle for one request: it admits the admitted fraction of them, evenly.
+func (c *overloadController) admit() bool {
+	c.throttleAccumulator += c.admittedFraction
+	if c.throttleAccumulator < 1 {
+		return false
+	}
+	c.throttleAccumulator--
+	return true
+}
+
+// recordSent counts a request that was forwarded.
+func (c *overloadController) recordSent() { c.current().sent++ }
+
+// sampleOccupancy records one sample of the occupancy.
+func (c *overloadController) sampleOccupancy(occupancy float64) {
+	c.addOccupancy(occupancy, 1)
+}
+
+// addOccupancy records samples of the occupancy by their sum and number.
+func (c *overloadController) addOccupancy(sum, samples float64) {
+	current := c.current()
+	current.occupancySum += sum
+	current.occupancySamples += samples
+}
+
+// overloaded reports whether the endpoints were overloaded at the last assessment.
+func (c *overloadController) overloaded() bool { return c.occupancy >= overloadedOccupancy }
+
+// underloaded reports whether the endpoints have spare capacity and no request is throttled.
+func (c *overloadController) underloaded() bool {
+	return c.occupancy < underloadedOccupancy && !c.throttles()
+}
+
+// throttles reports whether a fraction of the requests is rejected.
+func (c *overloadController) throttles() bool { return c.admittedFraction < 1 }
+
+// closeInterval ends a control interval in which responses came, with attempts in flight at its end. Every
+// assessmentIntervals intervals it sets the admitted fraction anew.
+func (c *overloadController) closeInterval(responses, inFlight float64) {
+	sample := c.current()
+	c.mixIntoPool(ownPoolSmoothing, &pooledMeans{
+		poolOccupancySum:     sample.occupancySum,
+		poolOccupancySamples: sample.occupancySamples,
+		poolSent:             sample.sent,
+		poolResponses:        responses,
+		poolInFlight:         inFlight,
+	})
+	c.intervals++
+	if c.intervals%assessmentIntervals == 0 {
+		c.assess()
+	}
+	*c.current() = intervalSample{}
+}
+
+// assess sets the admitted fraction from the last assessmentIntervals intervals.
+func (c *overloadController) assess() {
+	total, acceptRate := c.assessedSamples()
+	c.acceptRate = acceptRate
+	c.occupancy = 0
+	if total.occupancySamples > minOwnSamples*ownPoolSmoothing/4 {
+		c.occupancy = math.Min(total.occupancySum/total.occupancySamples, 1)
+	}
+	c.admittedFraction = math.Min(c.fractionByAcceptRate(), c.fractionByOccupancy())
+	c.learnMaxAcceptRate()
+}
+
+// assessedSamples returns the sums over the intervals and the accept rate: this node's own or, where
+// these are too few, the pooled means.
+func (c *overloadController) assessedSamples() (total intervalSample, acceptRate float64) {
+	for _, sample := range c.samples {
+		total.occupancySum += sample.occupancySum
+		total.occupancySamples += sample.occupancySamples
+		total.sent += sample.sent
+	}
+	if total.occupancySamples >= minOwnSamples {
+		return total, total.sent / assessmentIntervals
+	}
+	total.occupancySum = c.pooled[poolOccupancySum]
+	total.occupancySamples = c.pooled[poolOccupancySamples]
+	return total, c.pooled[poolSent]
+}
+
+// fractionByOccupancy is the paper's fO.
+func (c *overloadController) fractionByOccupancy() float64 {
+	growth := math.Min(targetOccupancy/math.Max(c.occupancy, 1e-9), maxGrowthFactor)
+	return clampAdmittedFraction(growth * c.admittedFraction)
 }
 
-// assessInterval closes a probe, and every k probes sets f.
-func (a *overloadController) assessInterval(oks, held float64) {
-	i := a.intervalIndex()
-	a.mixIntoPool(ownPoolSmoothing, [poolSize]float64{a.occupancySums[i], a.occupancyCounts[i],
-		a.sentCounts[i], oks, held})
-	if a.intervals++; a.intervalIndex() == 0 {
-		var occ, n, sent float64
-		for i := range a.occupancySums {
-			occ, n, sent = occ+a.occupancySums[i], n+a.occupancyCounts[i], sent+a.sentCounts[i]
-		}
-		a.acceptRate = sent / assessmentIntervals
-		if n < minOwnSamples { // too few of its own: by the mean over the gateways it hears from
-			occ, n, a.acceptRate = a.pooledMeans[poolOccupancySum], a.pooledMeans[poolOccupancySamples],
-				a.pooledMeans[poolSent]
-		}
-		if a.occupancy = 0; n > minOwnSamples*ownPoolSmoothing/4 {
-			a.occupancy = math.Min(occ/n, 1)
-		}
-		fO := clampAdmittedFraction(math.Min(targetOccupancy/math.Max(a.occupancy, 1e-9),
-			maxGrowthFactor) * a.admittedFraction)
-		fA := 1.0
-		if a.maxAcceptRate > 0 && a.occupancy >= overloadedOccupancy && a.acceptRate > 0 {
-			fA = clampAdmittedFraction(targetOccupancy * a.maxAcceptRate / a.acceptRate * a.admittedFraction)
-		}
-		a.admittedFraction = math.Min(fA, fO)
-		if a.occupancy >= minOccupancyToLearn {
-			if mu := a.acceptRate / a.occupancy; a.maxAcceptRate == 0 {
-				a.maxAcceptRate = mu
-			} else {
-				a.maxAcceptRate += maxAcceptRateSmoothing * (mu - a.maxAcceptRate)
-			}
-		}
+// fractionByAcceptRate is the paper's fA, or 1 where it does not act.
+func (c *overloadController) fractionByAcceptRate() float64 {
+	if c.maxAcceptRate <= 0 || !c.overloaded() || c.acceptRate <= 0 {
+		return 1
 	}
-	a.occupancySums[a.intervalIndex()], a.occupancyCounts[a.intervalIndex()],
-		a.sentCounts[a.intervalIndex()] = 0, 0, 0
+	return clampAdmittedFraction(targetOccupancy * c.maxAcceptRate / c.acceptRate * c.admittedFraction)
 }
 
-// mixIntoPool takes figures of this or another gateway into the mean that goes with asks and answers.
-func (a *overloadController) mixIntoPool(share float64, x [poolSize]float64) {
-	for i := range x {
-		a.pooledMeans[i] += share * (x[i] - a.pooledMeans[i])
+// learnMaxAcceptRate samples the paper's mu_max.
+func (c *overloadController) learnMaxAcceptRate() {
+	if c.occupancy < minOccupancyToLearn {
+		return
 	}
+	sample := c.acceptRate / c.occupancy
+	if c.maxAcceptRate == 0 {
+		c.maxAcceptRate = sample
+		return
+	}
+	c.maxAcceptRate += maxAcceptRateSmoothing * (sample - c.maxAcceptRate)
 }
 
-func (a *overloadController) intervalIndex() int { return a.intervals % assessmentIntervals }
+// mixIntoPool averages means of this node or of a peer into the pooled ones.
+func (c *overloadController) mixIntoPool(weight float64, means *pooledMeans) {
+	for i := range means {
+		c.pooled[i] += weight * (means[i] - c.pooled[i])
+	}
+}
 
-// sampleOccupancy enters one reading of the occupancy into the present probe.
-func (a *overloadController) sampleOccupancy(rho float64) {
-	a.occupancySums[a.intervalIndex()] += rho
-	a.occupancyCounts[a.intervalIndex()]++
+// current is the sample of the interval that is open.
+func (c *overloadController) current() *intervalSample {
+	return &c.samples[c.intervals%assessmentIntervals]
 }
 
-func clampAdmittedFraction(f float64) float64 { return math.Min(math.Max(f, minAdmittedFraction), 1) }
+func clampAdmittedFraction(fraction float64) float64 {
+	return math.Min(math.Max(fraction, minAdmittedFraction), 1)
+}
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -41,11 +41,11 @@
 
 // ARO: full refusals drive f down, calm brings it back, and the throttle is even.
 func TestOverloadControl(t *testing.T) {
-	a := overloadController{admittedFraction: 1}
+	a := newOverloadController()
 	for i := 0; i < 50; i++ {
-		a.sentCounts[a.intervalIndex()] = 10
+		a.current().sent = 10
 		a.sampleOccupancy(1)
-		a.assessInterval(0, 0)
+		a.closeInterval(0, 0)
 	}
 	if a.admittedFraction > 0.9 {
 		t.Errorf("f %v after 5 s at occupancy 1", a.admittedFraction)
@@ -53,7 +53,7 @@
 	low := a.admittedFraction
 	for i := 0; i < 50; i++ {
 		a.sampleOccupancy(0.3)
-		a.assessInterval(0, 0)
+		a.closeInterval(0, 0)
 	}
 	if a.admittedFraction != 1 || low < minAdmittedFraction {
 		t.Errorf("f %v after 5 s of calm, least %v", a.admittedFraction, low)
@@ -77,10 +77,10 @@
 // Sums of occupancy below nought, as latencies under the lowest mean give, must reach peers as they are.
 func TestPoolIsPackedSigned(t *testing.T) {
 	g, _ := wideGate(t, 10)
-	g.overload.pooledMeans = [poolSize]float64{-0.5, 0.25, 2, 0, 1}
+	g.overload.pooled = pooledMeans{-0.5, 0.25, 2, 0, 1}
 	m, ok := g.decodeQuotaMessage(g.encodeQuotaGrant(1, 1, true, 0, 1))
-	if !ok || m.pooledMeans != g.overload.pooledMeans {
-		t.Errorf("%v came as %v", g.overload.pooledMeans, m.pooledMeans)
+	if !ok || m.pooledMeans != g.overload.pooled {
+		t.Errorf("%v came as %v", g.overload.pooled, m.pooledMeans)
 	}
 }
 
--- a/balancer/quota_codec.go
+++ b/balancer/quota_codec.go
@@ -23,7 +23,7 @@
 	granted                          bool
 	grantedFraction                  float64
 	retryAfter                       time.Duration
-	pooledMeans                      [poolSize]float64
+	pooledMeans                      pooledMeans
 	overQuota, loadGossip            []byte // entries of newsBytes each
 }
 
@@ -119,7 +119,7 @@
 const poolUnitsPerOne = 256
 
 func (g *Balancer) appendPool(b []byte) []byte {
-	for _, x := range g.overload.pooledMeans {
+	for _, x := range g.overload.pooled {
 		b = binary.AppendVarint(b, int64(math.Round(math.Min(x*poolUnitsPerOne, 1e6))))
 	}
 	return b
--- a/balancer/quota_requester.go
+++ b/balancer/quota_requester.go
@@ -60,6 +60,18 @@
 	}
 }
 
+// quotaRequestTimedOut repeats a quota request that got no grant, or decides without the owner.
+func (b *Balancer) quotaRequestTimedOut(r *request) {
+	switch {
+	case r.answered || r.decidedWithoutOwner || len(r.attempts) > 0:
+	case r.finalQuotaRequest:
+		b.decideWithoutOwner(r)
+	default: // a lost message costs less than a request that is admitted by chance
+		r.finalQuotaRequest, r.quotaRequestRepeated = true, true
+		b.requestQuota(r)
+	}
+}
+
 // decideWithoutOwner goes by the share of its customer's wants that can be granted, as far as its holder has
 // told.
 // It covers lost messages, holders that are down, stalled or flooded, and cuts; it harms while that share
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -2,10 +2,45 @@
 
 import "time"
 
+// attempt is one attempt of a request.
+type attempt struct {
+	endpoint *endpoint
+	sentAt   time.Duration
+	zone     string // of the endpoint when the attempt began
+	cell     int    // likewise
+	done     bool
+	neverRan bool   // it is known that the request did not run
+	result   Result // once done
+}
+
+// request is the state of a client's request until it is answered and its attempts have ended.
+type request struct {
+	Request
+	number   uint64 // in this node's order of arrival
+	class    int    // index
+	quota    *quotaBucket
+	deadline time.Duration // when a final answer is due
+	attempts []attempt
+	inFlight int // attempts that have not ended
+
+	inQuota              bool
+	quotaOwner           int  // the node that decides on its quota
+	finalQuotaRequest    bool // the quota request is not repeated if it gets no grant
+	quotaRequestRepeated bool
+	grantedByOwner       bool // by another node, out of its part of the hard limit
+	decidedWithoutOwner  bool // the quota request got no grant in time
+	reconciled           bool // the units really used are settled
+	answered             bool // the client has its final answer, or has gone
+	responseStarted      bool // a streamed response has begun
+}
+
+// awaitsResponse reports whether the client still waits for the beginning of a response.
+func (r *request) awaitsResponse() bool { return !r.answered && !r.responseStarted }
+
 // requestTable holds the requests that have no final answer yet or have attempts in flight.
 type requestTable struct {
 	byID       map[string]*request
-	byNumber   map[uint64]*request
+	byNumber   map[uint64]*request // those without a final answer
 	lastNumber uint64
 }
 
@@ -13,33 +48,9 @@
 	return requestTable{byID: map[string]*request{}, byNumber: map[uint64]*request{}}
 }
 
-type attempt struct {
-	endpoint *endpoint
-	sentAt   time.Duration
-	zone     string // of the server when it was sent
-	cell     int
-	done     bool
-	neverRan bool // known not to have run
-	result   Result
-}
-
-type request struct {
-	Request
-	number               uint64
-	class                int
-	quota                *quotaBucket
-	deadline             time.Duration // final answer due
-	attempts             []attempt
-	inFlight             int
-	inQuota              bool
-	decidedWithoutOwner  bool // its ask came to nothing: sent by chance or not at all
-	finalQuotaRequest    bool // not to be asked for again
-	quotaRequestRepeated bool // asked for twice
-	grantedByOwner       bool // by its holder, with its part of the ceiling
-	quotaOwner           int  // gateway that was asked for its units, or this one
-	reconciled           bool
-	answered             bool // finally answered
-	responseStarted      bool // its stream has begun
+func (t *requestTable) add(r *request) {
+	t.byID[r.ID] = r
+	t.byNumber[r.number] = r
 }
 
 // AttemptFinished is the end of an attempt.
@@ -49,24 +60,14 @@
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].done {
 		return
 	}
-	a := &r.attempts[o.Attempt]
-	a.done, a.result, a.neverRan = true, o.Result, resultNeverRan(o.Result)
-	s := a.endpoint
-	s.inFlight--
-	b.concurrency.inFlight--
-	r.inFlight--
-	r.quota.inFlight--
-	b.markUnreported(r.quota)
-	b.recordOutcome(r, s, o)
-	if o.Result == OK && b.settings.PostPaid && o.Units > 0 && r.inQuota && !r.reconciled {
-		r.reconciled = true
-		b.reconcileUnits(r, r.Units-o.Units)
-	}
+	endpoint := b.endAttempt(r, o)
+	b.recordOutcome(r, endpoint, o)
+	b.reconcileUsedUnits(r, o)
 	if o.Answered || o.Result == OK {
 		b.finishRequest(r)
 	}
 	if r.answered {
-		b.finishRequest(r)
+		b.finishRequest(r) // its last attempt may have ended now
 		return
 	}
 	if r.inFlight > 0 {
@@ -77,19 +78,45 @@
 	}
 }
 
-// ResponseStarted tells that the answer of an attempt has begun to stream: it is the client's now.
-func (b *Balancer) ResponseStarted(now time.Duration, id string, n int, out Actions) {
+// endAttempt marks an attempt as done, and returns its endpoint.
+func (b *Balancer) endAttempt(r *request, o Outcome) *endpoint {
+	a := &r.attempts[o.Attempt]
+	a.done = true
+	a.result = o.Result
+	a.neverRan = o.Result.neverRan()
+	a.endpoint.inFlight--
+	b.concurrency.inFlight--
+	r.inFlight--
+	r.quota.inFlight--
+	b.markUnreported(r.quota)
+	return a.endpoint
+}
+
+// reconcileUsedUnits settles the units of a request by what it really used, once.
+func (b *Balancer) reconcileUsedUnits(r *request, o Outcome) {
+	if o.Result != OK || !b.settings.PostPaid || o.Units <= 0 || !r.inQuota || r.reconciled {
+		return
+	}
+	r.reconciled = true
+	b.reconcileUnits(r, r.Units-o.Units)
+}
+
+// ResponseStarted reports that a streamed response has begun: the client has it, and no other attempt can
+// replace it.
+func (b *Balancer) ResponseStarted(now time.Duration, requestID string, attempt int, out Actions) {
 	b.now, b.actions = now, out
-	if r := b.requests.byID[id]; r != nil && n >= 0 && n < len(r.attempts) {
-		r.responseStarted = true
-		r.attempts[n].endpoint.lastProgress = now
+	r := b.requests.byID[requestID]
+	if r == nil || attempt < 0 || attempt >= len(r.attempts) {
+		return
 	}
+	r.responseStarted = true
+	r.attempts[attempt].endpoint.lastProgress = now
 }
 
-// ClientGone tells that a request is over without an answer of the gateway.
-func (b *Balancer) ClientGone(now time.Duration, id string, out Actions) {
+// ClientGone reports that the client no longer waits for the request.
+func (b *Balancer) ClientGone(now time.Duration, requestID string, out Actions) {
 	b.now, b.actions = now, out
-	r := b.requests.byID[id]
+	r := b.requests.byID[requestID]
 	if r == nil || r.answered {
 		return
 	}
@@ -99,11 +126,8 @@
 	}
 }
 
-// giveUp gives the final answer: a refusal where that promise holds.
+// giveUp answers a request that gets no further attempt: with a rejection where what that promises holds.
 func (b *Balancer) giveUp(r *request) {
-	if r.answered {
-		return
-	}
 	if b.mayReject(r) {
 		b.reject(r.ID, assessmentIntervals*controlInterval)
 	} else {
@@ -113,30 +137,34 @@
 	b.cancelAttempts(r)
 }
 
-// reject refuses a request of which nothing was sent.
-func (b *Balancer) reject(id string, wait time.Duration) {
+// reject answers a request with a rejection.
+func (b *Balancer) reject(requestID string, retryAfter time.Duration) {
 	if !b.settings.RetryAfter {
-		wait = 0
+		retryAfter = 0
 	}
-	b.actions.Reject(id, min(wait, b.settings.MaxRetryAfter))
+	b.actions.Reject(requestID, min(retryAfter, b.settings.MaxRetryAfter))
 }
 
-// finishRequest marks the request answered; it is kept until its attempts have ended.
+// finishRequest marks a request as answered. It is kept until its attempts have ended.
 func (b *Balancer) finishRequest(r *request) {
 	r.answered = true
 	delete(b.requests.byNumber, r.number)
-	if r.inFlight == 0 {
-		delete(b.requests.byID, r.ID)
-		if len(r.attempts) > 0 && b.settings.Plans[r.quota.plan].MaxConcurrent > 0 && r.quota.owned {
-			b.releaseQuota(r, 0)
-		}
+	if r.inFlight > 0 {
+		return
+	}
+	delete(b.requests.byID, r.ID)
+	if len(r.attempts) > 0 && r.quota.owned && b.settings.Plans[r.quota.plan].MaxConcurrent > 0 {
+		b.releaseQuota(r, 0)
 	}
 }
 
-// cancelAttempts asks to stop waiting for the attempts that are still out.
+// cancelAttempts cancels the attempts that are in flight.
 func (b *Balancer) cancelAttempts(r *request) {
+	if !b.settings.Cancellation {
+		return
+	}
 	for i := range r.attempts {
-		if b.settings.Cancellation && !r.attempts[i].done {
+		if !r.attempts[i].done {
 			b.actions.CancelAttempt(r.ID, i)
 		}
 	}
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -6,54 +6,96 @@
 )
 
 const (
-	// mean deviations over the mean at which an attempt is slow
+	// slowAttemptDeviations is how many mean deviations over the mean latency make an attempt slow.
 	slowAttemptDeviations = 10
-	retryTokensPerRequest = 0.2 // further attempts earned by each first one
-	maxRetryTokens        = 20  // further attempts that can be saved up
+	// slowAttemptDivisor is the fraction 1/n of the latency objective before which no attempt is slow.
+	slowAttemptDivisor = 4
 )
 
-// retryBudget bounds retries to a fraction of the first attempts. The zero value is an empty budget.
+// Limits of a [retryBudget].
+const (
+	retryTokensPerRequest = 0.2
+	maxRetryTokens        = 20
+)
+
+// retryBudget bounds retries to a fraction of the first attempts, so that retries cannot multiply the
+// load of endpoints that are already failing. The zero value is an empty budget.
 type retryBudget struct {
 	tokens float64
 }
 
-// resultNeverRan tells which results prove that the attempt did not run.
-func resultNeverRan(r Result) bool { return r == Overloaded || r == ConnectFailed || r == NotSent }
+// deposit credits the budget for one first attempt.
+func (r *retryBudget) deposit() {
+	r.tokens = math.Min(r.tokens+retryTokensPerRequest, maxRetryTokens)
+}
+
+// empty reports whether there is no token for a retry.
+func (r *retryBudget) empty() bool { return r.tokens < 1 }
+
+// withdraw takes the token of a retry.
+func (r *retryBudget) withdraw() { r.tokens-- }
 
-// mayAttempt is rule 2 for a further attempt of the request at the server.
-func (b *Balancer) mayAttempt(r *request, s *endpoint) bool {
-	if r.answered || r.responseStarted || r.inFlight > 0 && !b.settings.Hedging ||
-		b.settings.MaxAttempts > 0 && len(r.attempts) >= b.settings.MaxAttempts {
+// mayAttempt reports whether the request may be sent to the endpoint: an attempt that may have run allows
+// another one only where the endpoint drops a repeat.
+func (b *Balancer) mayAttempt(r *request, to *endpoint) bool {
+	if !r.awaitsResponse() || r.inFlight > 0 && !b.settings.Hedging || !b.hasAttemptLeft(r) {
 		return false
 	}
-	c := &b.settings.Classes[r.class]
+	class := &b.settings.Classes[r.class]
+	if class.Idempotency == Idempotent {
+		return true
+	}
 	for i := range r.attempts {
-		a := &r.attempts[i]
-		if a.neverRan || c.Idempotency == Idempotent {
+		earlier := &r.attempts[i]
+		if earlier.neverRan {
 			continue
 		}
-		if c.Idempotency == NonIdempotent || b.now > b.retryDeadline(r) ||
-			c.DedupScope == DedupZone && a.zone != s.Zone || c.DedupScope == DedupCell && a.cell != s.Cell {
+		if class.Idempotency == NonIdempotent || b.now > b.retryDeadline(r) || !class.dedups(earlier, to) {
 			return false
 		}
 	}
 	return true
 }
 
-// retryDeadline is until when a request of which an attempt may have run may be sent again, 0 if none has.
+// hasAttemptLeft reports whether the request has had less than the maximum of attempts.
+func (b *Balancer) hasAttemptLeft(r *request) bool {
+	return b.settings.MaxAttempts == 0 || len(r.attempts) < b.settings.MaxAttempts
+}
+
+// dedups reports whether an endpoint knows the keys of requests that an earlier attempt has brought.
+func (c *Class) dedups(earlier *attempt, to *endpoint) bool {
+	switch c.DedupScope {
+	case DedupZone:
+		return earlier.zone == to.Zone
+	case DedupCell:
+		return earlier.cell == to.Cell
+	}
+	return true
+}
+
+// retryDeadline is until when a request with a key may be sent again, since an attempt may have run; 0 if
+// none has.
 func (b *Balancer) retryDeadline(r *request) time.Duration {
+	class := &b.settings.Classes[r.class]
+	if class.Idempotency != IdempotentWithKey {
+		return 0
+	}
 	for i := range r.attempts {
-		if c := &b.settings.Classes[r.class]; c.Idempotency == IdempotentWithKey && !r.attempts[i].neverRan {
-			return r.attempts[i].sentAt + c.DedupWindow - 2*b.settings.Tick
+		if !r.attempts[i].neverRan {
+			return r.attempts[i].sentAt + class.DedupWindow - 2*b.settings.Tick
 		}
 	}
 	return 0
 }
 
-// mayReject is rule 2 for a refusal, which promises that trying again is harmless.
+// mayReject reports whether what a rejection promises holds: that the request did not run, or may be
+// repeated anywhere.
 func (b *Balancer) mayReject(r *request) bool {
-	c := &b.settings.Classes[r.class]
-	if c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && c.DedupScope == DedupFleet {
+	class := &b.settings.Classes[r.class]
+	switch {
+	case class.Idempotency == Idempotent:
+		return true
+	case class.Idempotency == IdempotentWithKey && class.DedupScope == DedupFleet:
 		return true
 	}
 	for i := range r.attempts {
@@ -64,47 +106,73 @@
 	return true
 }
 
-func (b *Balancer) startAttempt(r *request, s *endpoint) {
-	c := &b.settings.Classes[r.class]
-	l := &b.latency.classes[r.class]
-	timeout := max(r.deadline-b.now, b.settings.Tick)
-	more := b.settings.MaxAttempts == 0 || len(r.attempts)+1 < b.settings.MaxAttempts
-	if c.Idempotency != NonIdempotent && more && l.samples >= minBaselineSamples &&
-		b.overload.occupancy < overloadedOccupancy {
-		slow := max(time.Duration((l.mean+slowAttemptDeviations*l.deviation)*float64(time.Second)),
-			c.LatencyObjective/4)
-		if b.settings.Hedging {
-			b.actions.SetTimer(r.number<<timerBits|timerHedge, slow)
-		} else if slow < timeout/2 && slow < c.LatencyObjective {
-			timeout = slow
-		}
-	}
-	if s.inFlight == 0 {
-		s.lastProgress = b.now
+// startAttempt sends the request to the endpoint.
+func (b *Balancer) startAttempt(r *request, to *endpoint) {
+	timeout := b.attemptTimeout(r)
+	if to.inFlight == 0 {
+		to.lastProgress = b.now
 	}
-	s.inFlight++
+	to.inFlight++
 	b.concurrency.inFlight++
 	r.inFlight++
 	r.quota.inFlight++
 	b.markUnreported(r.quota)
-	if b.warmUpFraction(s) < 1 {
-		s.slowStartTokens = math.Max(s.slowStartTokens-1, 0)
+	if b.warmUpFraction(to) < 1 {
+		to.slowStartTokens = math.Max(to.slowStartTokens-1, 0)
+	}
+	sendBy := b.retryDeadline(r)
+	r.attempts = append(r.attempts, attempt{endpoint: to, sentAt: b.now, zone: to.Zone, cell: to.Cell})
+	b.actions.SendAttempt(r.ID, to.ID, timeout, sendBy)
+}
+
+// attemptTimeout returns the timeout of the next attempt. Where a slow attempt can be followed by another
+// one, it sets the timer of a hedged attempt or, without hedging, ends the attempt early.
+func (b *Balancer) attemptTimeout(r *request) time.Duration {
+	timeout := max(r.deadline-b.now, b.settings.Tick)
+	class := &b.settings.Classes[r.class]
+	latency := &b.latency.classes[r.class]
+	lastAttempt := b.settings.MaxAttempts != 0 && len(r.attempts)+1 >= b.settings.MaxAttempts
+	if class.Idempotency == NonIdempotent || lastAttempt || latency.samples < minBaselineSamples ||
+		b.overload.overloaded() {
+		return timeout
 	}
-	by := b.retryDeadline(r)
-	r.attempts = append(r.attempts, attempt{endpoint: s, sentAt: b.now, zone: s.Zone, cell: s.Cell})
-	b.actions.SendAttempt(r.ID, s.ID, timeout, by)
+	slow := time.Duration((latency.mean + slowAttemptDeviations*latency.deviation) * float64(time.Second))
+	slow = max(slow, class.LatencyObjective/slowAttemptDivisor)
+	if b.settings.Hedging {
+		b.actions.SetTimer(r.number<<timerBits|timerHedge, slow)
+		return timeout
+	}
+	if slow < timeout/2 && slow < class.LatencyObjective {
+		return slow
+	}
+	return timeout
+}
+
+// hedge starts a second attempt beside one that is slow.
+func (b *Balancer) hedge(r *request) {
+	if !r.awaitsResponse() || r.inFlight != 1 || b.overload.overloaded() {
+		return
+	}
+	// The second attempt counts as in flight: it must not push the tenant's next request over the limit.
+	limited := b.settings.Plans[r.quota.plan].MaxConcurrent > 0
+	if limited && b.concurrencyHeadroom(r.quota) <= r.quota.entryNodes {
+		return
+	}
+	b.retry(r)
 }
 
-// retry sends a further attempt if one is legal, affordable and of use.
+// retry starts a further attempt if one is allowed, affordable and can be answered in time. It reports
+// whether it did.
 func (b *Balancer) retry(r *request) bool {
-	if b.retries.tokens < 1 ||
-		b.now+time.Duration(b.latency.classes[r.class].mean*float64(time.Second)) > r.deadline {
+	meanLatency := time.Duration(b.latency.classes[r.class].mean * float64(time.Second))
+	if b.retries.empty() || b.now+meanLatency > r.deadline {
 		return false
 	}
-	s := b.selectEndpoint(r)
-	if s != nil {
-		b.retries.tokens--
-		b.startAttempt(r, s)
+	endpoint := b.selectEndpoint(r)
+	if endpoint == nil {
+		return false
 	}
-	return s != nil
+	b.retries.withdraw()
+	b.startAttempt(r, endpoint)
+	return true
 }
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -13,6 +13,15 @@
 	warmWorkRate float64 // work done per second and unit of weight of a warm endpoint, for this node
 }
 
+// closeInterval ends a control interval in which warm endpoints of the subset had this weight together.
+func (s *slowStart) closeInterval(warmWeight float64) {
+	if warmWeight > 0 {
+		rate := s.warmWorkDone / warmWeight / controlInterval.Seconds()
+		s.warmWorkRate += meanSmoothing * (rate - s.warmWorkRate)
+	}
+	s.warmWorkDone = 0
+}
+
 // slowStartAllows keeps rule 4: this gateway sends a cold server part of the fall-over multiple of what a
 // warm
 // one is seen to carry, which all together can't exceed the whole.
