--- a/balancer/cold_fleet_test.go
+++ b/balancer/cold_fleet_test.go
@@ -15,7 +15,7 @@
 	set      Settings
 	rng      *rand.Rand
 	now      time.Duration
-	queue    queue
+	queue    eventQueue
 	n        int
 	gates    []*Balancer
 	inboxes  [][]time.Duration // when each gateway took in its latest messages
@@ -95,7 +95,7 @@
 
 func (f *coldFleet) after(d time.Duration, run func()) {
 	f.n++
-	heap.Push(&f.queue, event{f.now + max(d, 0), f.n, run})
+	heap.Push(&f.queue, scheduledEvent{f.now + max(d, 0), f.n, run})
 }
 
 // run lets so much time pass.
@@ -105,7 +105,7 @@
 			f.now = end
 			return
 		}
-		e := heap.Pop(&f.queue).(event)
+		e := heap.Pop(&f.queue).(scheduledEvent)
 		f.now = e.at
 		e.run()
 	}
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -16,118 +16,120 @@
 
 const ms = time.Millisecond
 
-type sent struct {
-	server  string
-	at      time.Duration
-	done    bool
-	noRun   bool
-	timeout time.Duration
-	end     time.Duration
+type attemptRecord struct {
+	endpoint string
+	at       time.Duration
+	done     bool
+	neverRan bool
+	timeout  time.Duration
+	end      time.Duration
 }
 
-type tracked struct {
-	q      Request
-	gate   int
-	life   int // incarnation of the gateway
-	at     time.Duration
-	tries  []sent
-	final  int
-	killed bool
+type requestRecord struct {
+	request       Request
+	node          int
+	incarnation   int // incarnation of the gateway
+	arrivedAt     time.Duration
+	attempts      []attemptRecord
+	answers       int
+	nodeRestarted bool
 }
 
-type event struct {
-	at  time.Duration
-	n   int
-	run func()
+type scheduledEvent struct {
+	at       time.Duration
+	sequence int
+	run      func()
 }
 
-type queue []event
+type eventQueue []scheduledEvent
 
-func (q queue) Len() int           { return len(q) }
-func (q queue) Less(i, j int) bool { return q[i].at < q[j].at || q[i].at == q[j].at && q[i].n < q[j].n }
-func (q queue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)        { *q = append(*q, x.(event)) }
-func (q *queue) Pop() any {
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
+}
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(scheduledEvent)) }
+func (q *eventQueue) Pop() any {
 	x := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
 	return x
 }
 
-type ceilingStore struct {
-	level float64
-	at    time.Duration
+type hardLimitBucket struct {
+	tokens float64
+	at     time.Duration
 }
 
-type world struct {
-	t       *testing.T
-	rng     *rand.Rand
-	set     Settings
-	now     time.Duration
-	queue   queue
-	n       int
-	gates   []*Balancer
-	lives   []int
-	reqs    map[string]*tracked
-	servers map[string]Endpoint
-	ids     []string
-	told    []map[string]time.Duration // per gateway: when a server was told not to take work
-	boots   map[string]time.Duration
-	sends   map[string][]time.Duration // to each server
-	oks     map[string][]time.Duration
-	ceil    map[uint64]*ceilingStore
-	loss    float64
-	log     []string
-	served  int
+type ruleChecker struct {
+	t            *testing.T
+	rng          *rand.Rand
+	settings     Settings
+	now          time.Duration
+	queue        eventQueue
+	sequence     int
+	balancers    []*Balancer
+	incarnations []int
+	requests     map[string]*requestRecord
+	endpoints    map[string]Endpoint
+	endpointIDs  []string
+	drainSeen    []map[string]time.Duration // per gateway: when a server was told not to take work
+	startedAt    map[string]time.Duration
+	sentTo       map[string][]time.Duration // to each server
+	responses    map[string][]time.Duration
+	hardLimits   map[uint64]*hardLimitBucket
+	loss         float64
+	actions      []string
+	served       int
 }
 
-const serverRate = 40 // requests a second that a warm server answers; more is turned away as Full
+const endpointRate = 40 // requests a second that a warm server answers; more is turned away as Full
 
-type port struct {
-	w    *world
-	gate int
-	life int
+type checkedNode struct {
+	checker     *ruleChecker
+	index       int
+	incarnation int
 }
 
-func (w *world) after(d time.Duration, run func()) {
-	w.n++
-	heap.Push(&w.queue, event{w.now + max(d, ms), w.n, run})
+func (w *ruleChecker) after(d time.Duration, run func()) {
+	w.sequence++
+	heap.Push(&w.queue, scheduledEvent{w.now + max(d, ms), w.sequence, run})
 }
 
-func (w *world) fail(format string, args ...any) {
+func (w *ruleChecker) fail(format string, args ...any) {
 	w.t.Helper()
 	w.t.Errorf("at %v: %s", w.now, fmt.Sprintf(format, args...))
 }
 
-func (p port) note(format string, args ...any) {
-	p.w.log = append(p.w.log, fmt.Sprintf("%v %d ", p.w.now, p.gate)+fmt.Sprintf(format, args...))
+func (p checkedNode) record(format string, args ...any) {
+	p.checker.actions = append(p.checker.actions, fmt.Sprintf("%v %d ", p.checker.now, p.index)+fmt.Sprintf(format, args...))
 }
 
-func (p port) SendAttempt(id, server string, timeout, by time.Duration) {
-	w := p.w
-	p.note("send %s %s %v", id, server, timeout)
-	r := w.reqs[id]
-	if r == nil || r.gate != p.gate {
+func (p checkedNode) SendAttempt(id, server string, timeout, by time.Duration) {
+	w := p.checker
+	p.record("send %s %s %v", id, server, timeout)
+	r := w.requests[id]
+	if r == nil || r.node != p.index {
 		w.fail("send of unknown request %s", id)
 		return
 	}
-	if r.final > 0 {
+	if r.answers > 0 {
 		w.fail("rule 1: %s sent after its final answer", id)
 	}
-	c := w.set.Classes[0]
-	for _, k := range w.set.Classes {
-		if k.Name == r.q.Class {
+	c := w.settings.Classes[0]
+	for _, k := range w.settings.Classes {
+		if k.Name == r.request.Class {
 			c = k
 		}
 	}
 	out := 0
-	for _, a := range r.tries {
+	for _, a := range r.attempts {
 		if !a.done {
 			out++
 		}
-		if a.noRun {
+		if a.neverRan {
 			continue
 		}
-		was, is := w.servers[a.server], w.servers[server]
+		was, is := w.endpoints[a.endpoint], w.endpoints[server]
 		switch {
 		case c.Idempotency == NonIdempotent:
 			w.fail("rule 2: unsafe %s sent again", id)
@@ -138,18 +140,18 @@
 			w.fail("rule 2: keyed %s sent outside its group", id)
 		}
 	}
-	if out > 0 && !w.set.Hedging {
+	if out > 0 && !w.settings.Hedging {
 		w.fail("rule 2: %s has two attempts out", id)
 	}
-	if at, ok := w.told[p.gate][server]; ok && w.now-at > w.set.DrainTimeout {
+	if at, ok := w.drainSeen[p.index][server]; ok && w.now-at > w.settings.DrainTimeout {
 		w.fail("rule 3: send to %s %v after its drain was told", server, w.now-at)
 	}
-	if len(r.tries) == 0 {
-		w.draw(r.q)
+	if len(r.attempts) == 0 {
+		w.drawHardLimit(r.request)
 	}
-	w.checkCold(server)
-	n := len(r.tries)
-	end := r.at + r.q.Timeout
+	w.checkSlowStart(server)
+	n := len(r.attempts)
+	end := r.arrivedAt + r.request.Timeout
 	took := time.Duration(w.rng.ExpFloat64() * float64(60*ms))
 	res := OK
 	switch w.rng.IntN(24) {
@@ -164,7 +166,7 @@
 	case 4:
 		took = time.Hour
 	}
-	if w.overRate(server) {
+	if w.overloaded(server) {
 		res, took = Overloaded, ms
 	}
 	limit := end - w.now
@@ -174,198 +176,198 @@
 	if took > limit {
 		res, took = TimedOut, limit
 	}
-	r.tries = append(r.tries, sent{server: server, at: w.now})
+	r.attempts = append(r.attempts, attemptRecord{endpoint: server, at: w.now})
 	w.after(took, func() { w.finish(p, r, n, res) })
 }
 
-func (w *world) overRate(server string) bool {
+func (w *ruleChecker) overloaded(server string) bool {
 	n := 0
-	for _, at := range w.oks[server] {
+	for _, at := range w.responses[server] {
 		if w.now-at < time.Second {
 			n++
 		}
 	}
-	return n >= serverRate
+	return n >= endpointRate
 }
 
-func (w *world) finish(p port, r *tracked, n int, res Result) {
-	a := &r.tries[n]
+func (w *ruleChecker) finish(p checkedNode, r *requestRecord, n int, res Result) {
+	a := &r.attempts[n]
 	if a.done {
 		return
 	}
-	a.done, a.noRun, a.end = true, res == Overloaded || res == ConnectFailed || res == NotSent, w.now
+	a.done, a.neverRan, a.end = true, res == Overloaded || res == ConnectFailed || res == NotSent, w.now
 	if res == OK {
-		w.oks[a.server] = append(w.oks[a.server], w.now)
-		if r.final == 0 {
-			r.final++
+		w.responses[a.endpoint] = append(w.responses[a.endpoint], w.now)
+		if r.answers == 0 {
+			r.answers++
 			w.served++
 		}
 	}
-	if r.killed || w.lives[p.gate] != p.life {
+	if r.nodeRestarted || w.incarnations[p.index] != p.incarnation {
 		return
 	}
-	o := Outcome{ID: r.q.ID, Attempt: n, Answered: r.final > 0, Result: res, EndpointID: a.server, Elapsed: w.now - a.at}
-	w.gates[p.gate].AttemptFinished(w.now, o, p)
+	o := Outcome{ID: r.request.ID, Attempt: n, Answered: r.answers > 0, Result: res, EndpointID: a.endpoint, Elapsed: w.now - a.at}
+	w.balancers[p.index].AttemptFinished(w.now, o, p)
 }
 
-// draw takes the first send of a try from its customer's ceiling: rule 5.
-func (w *world) draw(q Request) {
-	p := w.set.Plans[0]
+// drawHardLimit takes the first send of a try from its customer's ceiling: rule 5.
+func (w *ruleChecker) drawHardLimit(q Request) {
+	p := w.settings.Plans[0]
 	if q.Plan != p.Name {
 		return
 	}
-	s := w.ceil[q.Tenant]
+	s := w.hardLimits[q.Tenant]
 	if s == nil {
-		s = &ceilingStore{p.HardLimitBurst, 0}
-		w.ceil[q.Tenant] = s
+		s = &hardLimitBucket{p.HardLimitBurst, 0}
+		w.hardLimits[q.Tenant] = s
 	}
-	s.level = math.Min(p.HardLimitBurst, s.level+p.HardLimitRate*(w.now-s.at).Seconds()) - q.Units
+	s.tokens = math.Min(p.HardLimitBurst, s.tokens+p.HardLimitRate*(w.now-s.at).Seconds()) - q.Units
 	s.at = w.now
-	if s.level < -p.HardLimitSlack-1e-6 {
-		w.fail("rule 5: ceiling of customer %d at %.2f", q.Tenant, s.level)
+	if s.tokens < -p.HardLimitSlack-1e-6 {
+		w.fail("rule 5: ceiling of customer %d at %.2f", q.Tenant, s.tokens)
 	}
 }
 
-// checkCold counts what all gateways send a cold server in any window: rule 4.
-func (w *world) checkCold(server string) {
-	w.sends[server] = append(w.sends[server], w.now)
-	boot, ok := w.boots[server]
-	if !ok || w.now-boot >= w.set.SlowStartDuration {
+// checkSlowStart counts what all gateways send a cold server in any window: rule 4.
+func (w *ruleChecker) checkSlowStart(server string) {
+	w.sentTo[server] = append(w.sentTo[server], w.now)
+	boot, ok := w.startedAt[server]
+	if !ok || w.now-boot >= w.settings.SlowStartDuration {
 		return
 	}
-	age := (w.now - boot).Seconds() / w.set.SlowStartDuration.Seconds()
-	share := w.set.SlowStartInitialFraction + (1-w.set.SlowStartInitialFraction)*age
+	age := (w.now - boot).Seconds() / w.settings.SlowStartDuration.Seconds()
+	share := w.settings.SlowStartInitialFraction + (1-w.settings.SlowStartInitialFraction)*age
 	n := 0.0
-	for _, at := range w.sends[server] {
-		if at >= boot && w.now-at <= w.set.OverloadWindow {
+	for _, at := range w.sentTo[server] {
+		if at >= boot && w.now-at <= w.settings.OverloadWindow {
 			n++
 		}
 	}
-	if n > w.set.OverloadFactor*share*serverRate*w.set.OverloadWindow.Seconds() {
-		w.fail("rule 4: %v sends in %v to cold %s at %.2f", n, w.set.OverloadWindow, server, share)
+	if n > w.settings.OverloadFactor*share*endpointRate*w.settings.OverloadWindow.Seconds() {
+		w.fail("rule 4: %v sends in %v to cold %s at %.2f", n, w.settings.OverloadWindow, server, share)
 	}
 }
 
-func (p port) end(id, how string) *tracked {
-	r := p.w.reqs[id]
-	p.note("%s %s", how, id)
-	if r == nil || r.gate != p.gate {
-		p.w.fail("answer to unknown request %s", id)
+func (p checkedNode) answer(id, how string) *requestRecord {
+	r := p.checker.requests[id]
+	p.record("%s %s", how, id)
+	if r == nil || r.node != p.index {
+		p.checker.fail("answer to unknown request %s", id)
 		return nil
 	}
-	if r.final > 0 {
-		p.w.fail("rule 1: second answer to %s", id)
+	if r.answers > 0 {
+		p.checker.fail("rule 1: second answer to %s", id)
 	}
-	if p.w.now > r.at+r.q.Timeout+p.w.set.ResponseSlack {
-		p.w.fail("rule 1: answer to %s late", id)
+	if p.checker.now > r.arrivedAt+r.request.Timeout+p.checker.settings.ResponseSlack {
+		p.checker.fail("rule 1: answer to %s late", id)
 	}
-	r.final++
+	r.answers++
 	return r
 }
 
-func (p port) Reject(id string, _ time.Duration) {
-	r := p.end(id, "refuse")
+func (p checkedNode) Reject(id string, _ time.Duration) {
+	r := p.answer(id, "refuse")
 	if r == nil {
 		return
 	}
-	for _, c := range p.w.set.Classes {
-		if c.Name != r.q.Class || c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && c.DedupScope == DedupFleet {
+	for _, c := range p.checker.settings.Classes {
+		if c.Name != r.request.Class || c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && c.DedupScope == DedupFleet {
 			continue
 		}
-		for _, a := range r.tries {
-			if !a.noRun {
-				p.w.fail("rule 2: %s refused though it may have run", id)
+		for _, a := range r.attempts {
+			if !a.neverRan {
+				p.checker.fail("rule 2: %s refused though it may have run", id)
 			}
 		}
 	}
 }
 
-func (p port) Fail(id string) { p.end(id, "fail") }
+func (p checkedNode) Fail(id string) { p.answer(id, "fail") }
 
-func (p port) CancelAttempt(id string, n int) {
-	p.note("cancel %s %d", id, n)
-	r := p.w.reqs[id]
-	p.w.after(ms, func() { p.w.finish(p, r, n, Cancelled) })
+func (p checkedNode) CancelAttempt(id string, n int) {
+	p.record("cancel %s %d", id, n)
+	r := p.checker.requests[id]
+	p.checker.after(ms, func() { p.checker.finish(p, r, n, Cancelled) })
 }
 
-func (p port) SetTimer(token uint64, d time.Duration) {
-	p.w.after(d, func() {
-		if p.w.lives[p.gate] == p.life {
-			p.w.gates[p.gate].TimerFired(p.w.now, token, p)
+func (p checkedNode) SetTimer(token uint64, d time.Duration) {
+	p.checker.after(d, func() {
+		if p.checker.incarnations[p.index] == p.incarnation {
+			p.checker.balancers[p.index].TimerFired(p.checker.now, token, p)
 		}
 	})
 }
 
-func (p port) HealthCheck(string) {}
+func (p checkedNode) HealthCheck(string) {}
 
-func (p port) SendPeer(to int, m []byte) {
+func (p checkedNode) SendPeer(to int, m []byte) {
 	if len(m) > 256 {
-		p.w.fail("message of %d bytes", len(m))
+		p.checker.fail("message of %d bytes", len(m))
 	}
 	b := append([]byte(nil), m...)
-	p.note("tell %d %x", to, b)
-	for k := p.w.rng.IntN(2); k >= 0; k-- { // some come twice
-		if p.w.rng.Float64() < p.w.loss {
+	p.record("tell %d %x", to, b)
+	for k := p.checker.rng.IntN(2); k >= 0; k-- { // some come twice
+		if p.checker.rng.Float64() < p.checker.loss {
 			continue
 		}
-		p.w.after(time.Duration(p.w.rng.IntN(150))*ms, func() {
-			p.w.gates[to].PeerMessage(p.w.now, p.gate, b, port{p.w, to, p.w.lives[to]})
+		p.checker.after(time.Duration(p.checker.rng.IntN(150))*ms, func() {
+			p.checker.balancers[to].PeerMessage(p.checker.now, p.index, b, checkedNode{p.checker, to, p.checker.incarnations[to]})
 		})
 	}
 }
 
-func (p port) WatchEndpoints(bool)                  {}
-func (p port) Log(slog.Level, string, ...slog.Attr) {}
+func (p checkedNode) WatchEndpoints(bool)                  {}
+func (p checkedNode) Log(slog.Level, string, ...slog.Attr) {}
 
-func (w *world) start(i int) {
-	w.lives[i]++
-	for _, r := range w.reqs {
-		if r.gate == i && r.final == 0 {
-			r.killed = true
+func (w *ruleChecker) start(i int) {
+	w.incarnations[i]++
+	for _, r := range w.requests {
+		if r.node == i && r.answers == 0 {
+			r.nodeRestarted = true
 		}
 	}
-	s := w.set
+	s := w.settings
 	s.NodeIndex = i
 	g, err := New(s, w.rng.Uint64())
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.gates[i] = g
-	p := port{w, i, w.lives[i]}
+	w.balancers[i] = g
+	p := checkedNode{w, i, w.incarnations[i]}
 	g.Start(w.now, p)
-	w.tellList(i, UpdateCached, w.ids...)
+	w.updateEndpoints(i, UpdateCached, w.endpointIDs...)
 }
 
-func (w *world) tellList(i int, form UpdateKind, ids ...string) {
+func (w *ruleChecker) updateEndpoints(i int, form UpdateKind, ids ...string) {
 	var list []Endpoint
 	for _, id := range ids {
-		s := w.servers[id]
+		s := w.endpoints[id]
 		list = append(list, s)
 		if s.State == Up {
-			delete(w.told[i], id)
-		} else if _, ok := w.told[i][id]; !ok {
-			w.told[i][id] = w.now
+			delete(w.drainSeen[i], id)
+		} else if _, ok := w.drainSeen[i][id]; !ok {
+			w.drainSeen[i][id] = w.now
 		}
 	}
-	w.gates[i].EndpointsUpdated(w.now, form, list, port{w, i, w.lives[i]})
+	w.balancers[i].EndpointsUpdated(w.now, form, list, checkedNode{w, i, w.incarnations[i]})
 }
 
-// play runs one random sequence on so many gateways and returns the gateways' actions.
-func play(t *testing.T, seed uint64, parallel bool, group DedupScope, loss float64, gates int) *world {
-	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 1)), reqs: map[string]*tracked{}, servers: map[string]Endpoint{},
-		boots: map[string]time.Duration{}, sends: map[string][]time.Duration{}, oks: map[string][]time.Duration{},
-		ceil: map[uint64]*ceilingStore{}, loss: loss}
-	w.set = testSettings()
-	w.set.NodeCount, w.set.Hedging = gates, parallel
-	w.set.Classes[1].DedupScope = group
-	w.gates, w.lives = make([]*Balancer, gates), make([]int, gates)
+// checkRules runs one random sequence on so many gateways and returns the gateways' actions.
+func checkRules(t *testing.T, seed uint64, parallel bool, group DedupScope, loss float64, gates int) *ruleChecker {
+	w := &ruleChecker{t: t, rng: rand.New(rand.NewPCG(seed, 1)), requests: map[string]*requestRecord{}, endpoints: map[string]Endpoint{},
+		startedAt: map[string]time.Duration{}, sentTo: map[string][]time.Duration{}, responses: map[string][]time.Duration{},
+		hardLimits: map[uint64]*hardLimitBucket{}, loss: loss}
+	w.settings = testSettings()
+	w.settings.NodeCount, w.settings.Hedging = gates, parallel
+	w.settings.Classes[1].DedupScope = group
+	w.balancers, w.incarnations = make([]*Balancer, gates), make([]int, gates)
 	for i := 0; i < 8; i++ {
 		id := fmt.Sprintf("s%d", i)
-		w.ids = append(w.ids, id)
-		w.servers[id] = Endpoint{ID: id, MachineType: "k", Zone: []string{"a", "b"}[i%2], Cell: i / 3}
+		w.endpointIDs = append(w.endpointIDs, id)
+		w.endpoints[id] = Endpoint{ID: id, MachineType: "k", Zone: []string{"a", "b"}[i%2], Cell: i / 3}
 	}
-	for i := range w.gates {
-		w.told = append(w.told, map[string]time.Duration{})
+	for i := range w.balancers {
+		w.drainSeen = append(w.drainSeen, map[string]time.Duration{})
 		w.start(i)
 	}
 	const day = 12 * time.Second
@@ -375,25 +377,25 @@
 			return
 		}
 		w.after(time.Duration(w.rng.ExpFloat64()*float64(5*ms)), arrive)
-		q := Request{ID: fmt.Sprintf("r%d", w.n), Class: w.set.Classes[w.rng.IntN(3)].Name, Plan: w.set.Plans[w.rng.IntN(3)].Name,
+		q := Request{ID: fmt.Sprintf("r%d", w.sequence), Class: w.settings.Classes[w.rng.IntN(3)].Name, Plan: w.settings.Plans[w.rng.IntN(3)].Name,
 			Timeout: time.Duration(300+w.rng.IntN(1700)) * ms, Units: float64(1 + w.rng.IntN(3)), EntryNodes: min(gates, 12)}
 		q.Tenant = uint64(w.rng.IntN(4))
-		if q.Plan != w.set.Plans[0].Name {
+		if q.Plan != w.settings.Plans[0].Name {
 			q.Tenant += 100 * uint64(1+w.rng.IntN(2))
-			if q.Plan == w.set.Plans[2].Name {
+			if q.Plan == w.settings.Plans[2].Name {
 				q.Tenant += 1000
 			}
 		}
 		q.FirstEntryNode = int(q.Tenant*7) % gates
 		g := (q.FirstEntryNode + w.rng.IntN(q.EntryNodes)) % gates
-		w.reqs[q.ID] = &tracked{q: q, gate: g, life: w.lives[g], at: w.now}
-		w.gates[g].RequestArrived(w.now, q, port{w, g, w.lives[g]})
+		w.requests[q.ID] = &requestRecord{request: q, node: g, incarnation: w.incarnations[g], arrivedAt: w.now}
+		w.balancers[g].RequestArrived(w.now, q, checkedNode{w, g, w.incarnations[g]})
 	}
 	w.after(0, arrive)
 	for i := 0; i < 14; i++ {
 		w.after(time.Duration(w.rng.Int64N(int64(day))), func() {
-			id := w.ids[w.rng.IntN(len(w.ids))]
-			s := w.servers[id]
+			id := w.endpointIDs[w.rng.IntN(len(w.endpointIDs))]
+			s := w.endpoints[id]
 			switch w.rng.IntN(4) {
 			case 0:
 				w.start(w.rng.IntN(gates))
@@ -404,22 +406,22 @@
 				s.State = Removed
 			case 3:
 				s.State, s.StartedAt = Up, w.now
-				w.boots[id], w.oks[id] = w.now, nil
+				w.startedAt[id], w.responses[id] = w.now, nil
 			}
-			w.servers[id] = s
-			for g := range w.gates {
-				w.tellList(g, UpdateDelta, id)
+			w.endpoints[id] = s
+			for g := range w.balancers {
+				w.updateEndpoints(g, UpdateDelta, id)
 			}
 		})
 	}
 	for w.queue.Len() > 0 && w.now < day+5*time.Second {
-		e := heap.Pop(&w.queue).(event)
+		e := heap.Pop(&w.queue).(scheduledEvent)
 		w.now = e.at
 		e.run()
 	}
-	for id, r := range w.reqs {
-		if r.final != 1 && !r.killed {
-			w.fail("rule 1: %s has %d final answers", id, r.final)
+	for id, r := range w.requests {
+		if r.answers != 1 && !r.nodeRestarted {
+			w.fail("rule 1: %s has %d final answers", id, r.answers)
 		}
 	}
 	return w
@@ -456,8 +458,8 @@
 		if gates > 3 {
 			loss = []float64{0, 0.1, 1}[seed/6%3]
 		}
-		w := play(t, seed, seed%2 == 0, DedupScope(seed%3), loss, gates)
-		served, total = served+w.served, total+len(w.reqs)
+		w := checkRules(t, seed, seed%2 == 0, DedupScope(seed%3), loss, gates)
+		served, total = served+w.served, total+len(w.requests)
 		if t.Failed() {
 			t.Fatalf("seed %d", seed)
 		}
@@ -468,13 +470,13 @@
 }
 
 func TestSameEventsSameActions(t *testing.T) {
-	a, b := play(t, 7, true, DedupCell, 0.1, 3), play(t, 7, true, DedupCell, 0.1, 3)
-	if len(a.log) < 1000 || len(a.log) != len(b.log) {
-		t.Fatalf("%d and %d actions", len(a.log), len(b.log))
+	a, b := checkRules(t, 7, true, DedupCell, 0.1, 3), checkRules(t, 7, true, DedupCell, 0.1, 3)
+	if len(a.actions) < 1000 || len(a.actions) != len(b.actions) {
+		t.Fatalf("%d and %d actions", len(a.actions), len(b.actions))
 	}
-	for i := range a.log {
-		if a.log[i] != b.log[i] {
-			t.Fatalf("action %d: %q and %q", i, a.log[i], b.log[i])
+	for i := range a.actions {
+		if a.actions[i] != b.actions[i] {
+			t.Fatalf("action %d: %q and %q", i, a.actions[i], b.actions[i])
 		}
 	}
 }
