--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// AllPeers, as the peer of [Actions.SendPeer], means every other node.
+// AllPeers means every other node, as the node of [Actions.SendPeer].
 const AllPeers = -1
 
 // Actions is what a [Balancer] asks of its host. The host carries out each call in order, and does not
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -162,7 +162,7 @@
 	throttledBefore := b.overload.throttles()
 	b.overload.closeInterval(b.concurrency.responses, b.recentAttempts(recentAttemptFraction))
 	if !throttledBefore && b.overload.throttles() {
-		b.log(slog.LevelInfo, "overloaded: rejecting a fraction of the requests",
+		b.logInfo("overloaded: rejecting a fraction of the requests",
 			slog.Float64("admitted_fraction", b.overload.admittedFraction),
 			slog.Float64("occupancy", b.overload.occupancy))
 	}
@@ -192,13 +192,13 @@
 	b.slowStart.closeInterval(warmWeight)
 }
 
-// log passes a line on unless another was logged less than logInterval ago.
-func (b *Balancer) log(level slog.Level, message string, attributes ...slog.Attr) {
+// logInfo passes a line on unless another was logged less than logInterval ago.
+func (b *Balancer) logInfo(message string, attributes ...slog.Attr) {
 	if b.now-b.lastLogged < logInterval {
 		return
 	}
 	b.lastLogged = b.now
-	b.actions.Log(level, message, attributes...)
+	b.actions.Log(slog.LevelInfo, message, attributes...)
 }
 
 // oneIf returns 1 if the condition holds, else 0.
@@ -219,7 +219,10 @@
 
 // Stats returns how much the balancer holds now.
 func (b *Balancer) Stats() Stats {
-	stats := Stats{ListedEndpoints: len(b.endpoints.list.slotByID), TrackedEndpoints: len(b.endpoints.tracked)}
+	stats := Stats{
+		ListedEndpoints:  len(b.endpoints.list.slotByID),
+		TrackedEndpoints: len(b.endpoints.tracked),
+	}
 	for _, endpoint := range b.endpoints.tracked {
 		if endpoint.inSubset && endpoint.listed {
 			stats.SubsetEndpoints++
--- a/balancer/decisions_clients_test.go
+++ b/balancer/decisions_clients_test.go
@@ -4,9 +4,8 @@
 	"fmt"
 	"math"
 	"math/rand/v2"
-	"time"
-
 	"opalhook/balancer"
+	"time"
 )
 
 // The clients of the world, their requests and the attempts that nodes send for these.
@@ -21,14 +20,14 @@
 // clientRequest is a client's try.
 type clientRequest struct {
 	balancer.Request
-	node     *node
-	life     int // of the node, when it came
-	class    int
-	arrived  time.Duration
-	tries    int // before this one
-	attempts []*attempt
-	closed   bool
-	paid     bool // the true units have been told
+	node        *node
+	incarnation int // of the node, when it came
+	class       int
+	arrived     time.Duration
+	tries       int // before this one
+	attempts    []*attempt
+	closed      bool
+	paid        bool // the true units have been told
 }
 
 // send lets an endpoint work on the next attempt of a request.
@@ -113,7 +112,7 @@
 
 const customersMost = 60
 
-// newCustomers draws customers. Those of most come in through nodes that run a gateway, so that the owners of
+// newCustomers draws customers. Those of most come in through nodes that run a balancer, so that the owners of
 // their quotas do as well.
 func newCustomers(random *rand.Rand, nodes, first, real int) (customers []customer) {
 	plans := decisionPlans()
@@ -172,7 +171,7 @@
 
 // try brings a client's request to a node. The client may leave before it is answered.
 func (w *world) try(n *node, request balancer.Request, class, tries int) {
-	q := &clientRequest{Request: request, node: n, life: n.life, class: class, arrived: w.now, tries: tries}
+	q := &clientRequest{Request: request, node: n, incarnation: n.incarnation, class: class, arrived: w.now, tries: tries}
 	n.requests[request.ID] = q
 	n.request(request)
 	if w.chance(0.04) {
--- a/balancer/decisions_endpoints_test.go
+++ b/balancer/decisions_endpoints_test.go
@@ -4,9 +4,8 @@
 	"fmt"
 	"math"
 	"math/rand/v2"
-	"time"
-
 	"opalhook/balancer"
+	"time"
 )
 
 // The endpoints of the world, the weather that they have, and the list of them.
--- a/balancer/decisions_faults_test.go
+++ b/balancer/decisions_faults_test.go
@@ -1,13 +1,12 @@
 package balancer_test
 
 import (
-	"time"
-
 	"opalhook/balancer"
+	"time"
 )
 
-// What a gateway must take without harm: events of nothing that it knows, bad requests, messages that are spoilt,
-// late or from nobody, and restarts of the gateways themselves.
+// What a balancer must take without harm: events of nothing that it knows, bad requests, messages that are malformed,
+// late or from nobody, and restarts of the balancers themselves.
 
 // disturb lets one odd thing happen, and the next one after it.
 func (w *world) disturb() {
@@ -32,7 +31,7 @@
 			n.restart()
 		}
 	default:
-		n.peer(w.spoilt(n))
+		n.peer(w.malformedMessage())
 	}
 	w.after(w.upTo(60*time.Millisecond), w.disturb)
 }
@@ -67,8 +66,8 @@
 		q.Plan, q.EntryNodes = "open", 1000
 	case 4:
 		q.ID = w.anyRequest()
-		if old := n.requests[q.ID]; old == nil || old.life != n.life {
-			return // it would be new to this gateway
+		if old := n.requests[q.ID]; old == nil || old.incarnation != n.incarnation {
+			return // it would be new to this balancer
 		}
 		n.request(q)
 		return
@@ -76,8 +75,8 @@
 	w.try(n, q, 0, 3)
 }
 
-// spoilt returns a message that was sent before, as it was or spoilt, from whom it was not.
-func (w *world) spoilt(to *node) (from int, message []byte) {
+// malformedMessage returns a message that was sent before, as it was or malformed, with a sender of its own.
+func (w *world) malformedMessage() (from int, message []byte) {
 	from = w.nodes[0].number + w.random.IntN(len(w.nodes)+2) - 1
 	message = append(message, w.overheard[w.random.IntN(len(w.overheard))]...)
 	if w.chance(0.05) || len(message) == 0 {
--- a/balancer/decisions_test.go
+++ b/balancer/decisions_test.go
@@ -6,19 +6,18 @@
 	"flag"
 	"fmt"
 	"io"
+	"opalhook/balancer"
+	"opalhook/internal/golden"
 	"os"
 	"path/filepath"
 	"runtime"
 	"slices"
 	"testing"
 	"time"
-
-	"opalhook/balancer"
-	"opalhook/internal/golden"
 )
 
 // The regression check of decisions. Each scenario plays a script of events, drawn from a seed, to a few
-// gateways and hashes all that they ask for, in order. The hashes in testdata hold bit by bit: the same draws
+// balancers and hashes all that they ask for, in order. The hashes in testdata hold bit by bit: the same draws
 // from the random source, the same order of floating-point operations. Only the text of log lines is left out.
 //
 // A change that is to leave behaviour as it is must pass with the hashes as they are. One that changes
@@ -54,40 +53,40 @@
 }
 
 var (
-	usual        = variant{"usual", func(*balancer.Settings) {}}
-	mute         = variant{"mute", settingsWithoutExtras}
-	hedged       = variant{"hedged", settingsWithHedges}
-	asking       = variant{"asking", settingsWithWatch}
-	slow         = variant{"slow", settingsWithSmallInbox}
-	peerInFlight = variant{"told", settingsWithNews}
-	prepaid      = variant{"prepaid", settingsWithLargeUnits}
+	usual      = variant{"usual", func(*balancer.Settings) {}}
+	minimal    = variant{"minimal", settingsWithoutExtras}
+	hedged     = variant{"hedged", settingsWithHedges}
+	polling    = variant{"polling", settingsWithWatch}
+	smallInbox = variant{"small-inbox", settingsWithSmallInbox}
+	tinyInbox  = variant{"tiny-inbox", settingsWithTinyInbox}
+	largeUnits = variant{"large-units", settingsWithLargeUnits}
 )
 
 var scenarios = []scenario{
 	{1, 1, usual, 5000, 1},
 	{1, 12, hedged, 8000, 2},
-	{1, 12, mute, 5000, 3},
-	{1, 200, asking, 6000, 4},
+	{1, 12, minimal, 5000, 3},
+	{1, 200, polling, 6000, 4},
 	{1, 5000, usual, 1800, 5},
-	{3, 1, mute, 4000, 6},
+	{3, 1, minimal, 4000, 6},
 	{3, 12, usual, 10000, 7},
-	{3, 12, slow, 8000, 8},
+	{3, 12, smallInbox, 8000, 8},
 	{3, 200, hedged, 8000, 9},
-	{3, 5000, asking, 2200, 10},
-	{60, 1, slow, 5000, 11},
+	{3, 5000, polling, 2200, 10},
+	{60, 1, smallInbox, 5000, 11},
 	{60, 12, usual, 12000, 12},
 	{60, 12, hedged, 8000, 13},
-	{60, 200, prepaid, 12000, 14},
-	{60, 200, slow, 8000, 15},
+	{60, 200, largeUnits, 12000, 14},
+	{60, 200, smallInbox, 8000, 15},
 	{60, 5000, usual, 8000, 16},
 	{300, 1, usual, 5000, 17},
-	{300, 12, asking, 12000, 18},
+	{300, 12, polling, 12000, 18},
 	{300, 200, usual, 12000, 19},
-	{300, 200, prepaid, 12000, 20},
-	{300, 200, mute, 5000, 21},
-	{300, 5000, prepaid, 10000, 22},
-	{300, 5000, slow, 8000, 23},
-	{3, 200, peerInFlight, 8000, 24},
+	{300, 200, largeUnits, 12000, 20},
+	{300, 200, minimal, 5000, 21},
+	{300, 5000, largeUnits, 10000, 22},
+	{300, 5000, smallInbox, 8000, 23},
+	{3, 200, tinyInbox, 8000, 24},
 	{300, 12, hedged, 10000, 25},
 }
 
@@ -103,7 +102,7 @@
 // digest is the outcome of a play.
 type digest struct {
 	Scenario    string
-	Events      int // calls of gateways' methods
+	Events      int // calls of balancers' methods
 	Actions     actionCounts
 	Hash        string
 	Checkpoints string // first digits of the hash after each thousand events
@@ -260,8 +259,8 @@
 	s.PeerMessagesPerSecond, s.Cancellation, s.LoadReports, s.Tick = 4, false, balancer.NoLoadReports, 5*time.Millisecond
 }
 
-// settingsWithNews are of a fleet so short of messages that even a few nodes ask owners and share news.
-func settingsWithNews(s *balancer.Settings) { s.PeerMessagesPerSecond = 3 }
+// settingsWithTinyInbox are of a fleet so short of messages that even a few nodes ask owners and share news.
+func settingsWithTinyInbox(s *balancer.Settings) { s.PeerMessagesPerSecond = 3 }
 
 func settingsWithLargeUnits(s *balancer.Settings) { s.MaxUnits, s.PeerMessagesPerSecond = 400_000, 40 }
 
--- a/balancer/decisions_world_test.go
+++ b/balancer/decisions_world_test.go
@@ -9,12 +9,11 @@
 	"io"
 	"log/slog"
 	"math/rand/v2"
-	"time"
-
 	"opalhook/balancer"
+	"time"
 )
 
-// The world in which decisions are checked: a virtual clock, the nodes that run a gateway, and what these ask
+// The world in which decisions are checked: a virtual clock, the nodes that run a balancer, and what these ask
 // for. Its endpoints, clients and faults stand in files of their own. All that happens by chance is drawn from
 // one source, in the order of events.
 
@@ -62,28 +61,30 @@
 	checkpoints string
 }
 
-// event notes that a gateway is told of something. That goes to the trace alone.
+// event notes that a balancer is told of something. That goes to the trace alone.
 func (r *record) event(now time.Duration, node int, text string, arguments ...any) {
 	if r.events++; r.events%checkpointEvery == 0 {
 		r.checkpoints += hex.EncodeToString(r.hash.Sum(nil))[:checkpointDigits] + " "
 	}
-	if r.trace != io.Discard {
-		fmt.Fprintf(r.trace, "%d node %d: %s\n", now, node, fmt.Sprintf(text, arguments...))
+	if r.trace != io.Discard { // a failed write shows when the trace is flushed
+		_, _ = fmt.Fprintf(r.trace, "%d node %d: %s\n", now, node, fmt.Sprintf(text, arguments...))
 	}
 }
 
-// action notes something that a gateway has asked for.
+// action notes something that a balancer has asked for.
 func (r *record) action(now time.Duration, node int, text string, arguments ...any) {
 	line := fmt.Sprintf("%d %d %s\n", now, node, fmt.Sprintf(text, arguments...))
-	io.WriteString(r.hash, line)
+	_, _ = io.WriteString(r.hash, line) // a hash accepts everything
 	if r.trace != io.Discard {
-		io.WriteString(r.trace, "\t"+line)
+		_, _ = io.WriteString(r.trace, "\t"+line)
 	}
 }
 
 func (r *record) digest(scenario string) digest {
-	return digest{Scenario: scenario, Events: r.events, Actions: r.counts,
-		Hash: hex.EncodeToString(r.hash.Sum(nil)), Checkpoints: r.checkpoints}
+	return digest{
+		Scenario: scenario, Events: r.events, Actions: r.counts,
+		Hash: hex.EncodeToString(r.hash.Sum(nil)), Checkpoints: r.checkpoints,
+	}
 }
 
 // world is the fleet with all around it.
@@ -94,17 +95,17 @@
 	queue     eventQueue
 	sequence  int
 	record    *record
-	nodes     []*node // those that run a gateway; the others are silent
+	nodes     []*node // those that run a balancer; the others are silent
 	endpoints endpoints
 	customers []customer
 	weather   weather
 	requests  int
 	ending    bool
-	overheard [64][]byte // messages between nodes, to be sent again or spoilt
+	overheard [64][]byte // messages between nodes, to be sent again or malformed
 	heardNext int
 }
 
-// The nodes that run a gateway: in a large fleet some in a row, whose customers ask each other.
+// The nodes that run a balancer: in a large fleet some in a row, whose customers ask each other.
 const (
 	realNodes     = 6
 	firstRealNode = 20
@@ -114,8 +115,10 @@
 
 // play runs a scenario to its end.
 func play(s scenario, trace io.Writer) digest {
-	w := &world{scenario: s, now: 100 * time.Second, random: rand.New(rand.NewPCG(s.seed, 1)),
-		record: &record{hash: sha256.New(), trace: trace}, weather: underloadedOccupancy}
+	w := &world{
+		scenario: s, now: 100 * time.Second, random: rand.New(rand.NewPCG(s.seed, 1)),
+		record: &record{hash: sha256.New(), trace: trace}, weather: underloadedOccupancy,
+	}
 	w.endpoints = newEndpoints(w.random, s.endpoints)
 	first := 0
 	if s.nodes > realNodes {
@@ -165,7 +168,7 @@
 	return time.Duration(w.random.Int64N(int64(limit)))
 }
 
-// anyNode draws one of the nodes that run a gateway.
+// anyNode draws one of the nodes that run a balancer.
 func (w *world) anyNode() *node { return w.nodes[w.random.IntN(len(w.nodes))] }
 
 // deliver brings a message to a node, later, maybe not at all and maybe twice.
@@ -189,25 +192,25 @@
 	}
 }
 
-// node is a node that runs a gateway. It carries out what its gateway asks for.
+// node is a node that runs a balancer. It carries out what its balancer asks for.
 type node struct {
-	world    *world
-	number   int
-	gateway  *balancer.Balancer
-	life     int // gateways before this one
-	watching bool
-	requests map[string]*clientRequest
+	world       *world
+	number      int
+	balancer    *balancer.Balancer
+	incarnation int // balancers before this one
+	watching    bool
+	requests    map[string]*clientRequest
 }
 
-// restart begins with a new gateway. Timers of the one before are lost with it.
+// restart begins with a new balancer. Timers of the one before are lost with it.
 func (n *node) restart() {
 	w := n.world
 	g, err := balancer.New(w.scenario.settings(n.number), w.random.Uint64())
 	if err != nil {
 		panic(err)
 	}
-	n.gateway, n.watching = g, false
-	n.life++
+	n.balancer, n.watching = g, false
+	n.incarnation++
 	n.event("start")
 	g.Start(w.now, n)
 	form := balancer.UpdateSnapshot
@@ -225,7 +228,7 @@
 }
 
 func (n *node) noteStats() {
-	s := n.gateway.Stats()
+	s := n.balancer.Stats()
 	n.action("stats %d %d %d %d", s.ListedEndpoints, s.SubsetEndpoints, s.TrackedEndpoints, s.HashCollisions)
 }
 
@@ -233,49 +236,49 @@
 	n.world.record.action(n.world.now, n.number, text, arguments...)
 }
 
-// What the gateway is told.
+// What the balancer is told.
 
 func (n *node) peer(from int, message []byte) {
 	n.event("message from %d: %x", from, message)
-	n.gateway.PeerMessage(n.world.now, from, message, n)
+	n.balancer.PeerMessage(n.world.now, from, message, n)
 }
 
 func (n *node) list(form balancer.UpdateKind, entries []balancer.Endpoint) {
 	n.event("list of form %d with %d entries", form, len(entries))
-	n.gateway.EndpointsUpdated(n.world.now, form, entries, n)
+	n.balancer.EndpointsUpdated(n.world.now, form, entries, n)
 }
 
 func (n *node) timer(token uint64) {
 	n.event("timer %d", token)
-	n.gateway.TimerFired(n.world.now, token, n)
+	n.balancer.TimerFired(n.world.now, token, n)
 }
 
 func (n *node) request(q balancer.Request) {
 	n.event("request %+v", q)
-	n.gateway.RequestArrived(n.world.now, q, n)
+	n.balancer.RequestArrived(n.world.now, q, n)
 }
 
 func (n *node) outcome(o balancer.Outcome) {
 	n.event("outcome %+v", o)
-	n.gateway.AttemptFinished(n.world.now, o, n)
+	n.balancer.AttemptFinished(n.world.now, o, n)
 }
 
 func (n *node) probed(endpoint string, result balancer.Result, load *balancer.LoadReport) {
 	n.event("health check of %s: %d", endpoint, result)
-	n.gateway.HealthChecked(n.world.now, endpoint, result, load, n)
+	n.balancer.HealthChecked(n.world.now, endpoint, result, load, n)
 }
 
 func (n *node) gone(id string) {
 	n.event("client of %s has left", id)
-	n.gateway.ClientGone(n.world.now, id, n)
+	n.balancer.ClientGone(n.world.now, id, n)
 }
 
 func (n *node) begins(id string, attempt int) {
 	n.event("stream of attempt %d of %s begins", attempt, id)
-	n.gateway.ResponseStarted(n.world.now, id, attempt, n)
+	n.balancer.ResponseStarted(n.world.now, id, attempt, n)
 }
 
-// What the gateway asks for.
+// What the balancer asks for.
 
 func (n *node) SendAttempt(id, endpoint string, timeout, by time.Duration) {
 	n.world.record.counts.Send++
@@ -304,9 +307,9 @@
 func (n *node) SetTimer(token uint64, after time.Duration) {
 	n.world.record.counts.SetTimer++
 	n.action("timer %d %d", token, after)
-	life := n.life
+	incarnation := n.incarnation
 	n.world.after(after, func() {
-		if n.life == life {
+		if n.incarnation == incarnation {
 			n.timer(token)
 		}
 	})
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -3,9 +3,8 @@
 import (
 	"fmt"
 	"log/slog"
-	"time"
-
 	"opalhook/balancer"
+	"time"
 )
 
 // printer is a host that only prints what it is asked to do.
@@ -39,8 +38,10 @@
 	g.Start(now, host)
 	g.EndpointsUpdated(now, balancer.UpdateSnapshot, []balancer.Endpoint{{ID: "alpha"}}, host)
 	for _, id := range []string{"r1", "r2", "r3"} {
-		g.RequestArrived(now, balancer.Request{ID: id, Class: "read", Plan: "basic", Tenant: 7,
-			Timeout: time.Second, Units: 1, EntryNodes: 1}, host)
+		g.RequestArrived(now, balancer.Request{
+			ID: id, Class: "read", Plan: "basic", Tenant: 7,
+			Timeout: time.Second, Units: 1, EntryNodes: 1,
+		}, host)
 	}
 	g.AttemptFinished(now, balancer.Outcome{ID: "r1", Result: balancer.OK, Answered: true, Elapsed: 20 * time.Millisecond}, host)
 	// Output:
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -81,8 +81,10 @@
 }
 
 func newRequest(n int, class, plan string, customer uint64) Request {
-	return Request{ID: fmt.Sprintf("r%d", n), Class: class, Plan: plan, Tenant: customer,
-		Timeout: 2 * time.Second, Units: 1, EntryNodes: 1}
+	return Request{
+		ID: fmt.Sprintf("r%d", n), Class: class, Plan: plan, Tenant: customer,
+		Timeout: 2 * time.Second, Units: 1, EntryNodes: 1,
+	}
 }
 
 func fleet(n int) (list []Endpoint) {
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -88,7 +88,7 @@
 	s.errorRate += errorSmoothing * (bad - s.errorRate)
 	if (s.errorRate > ejectionErrorRate || o.Result == ConnectFailed) && b.now >= s.ejectedUntil {
 		b.eject(s)
-		b.log(slog.LevelInfo, "endpoint ejected", slog.String("endpoint", s.ID), slog.Any("result", o.Result),
+		b.logInfo("endpoint ejected", slog.String("endpoint", s.ID), slog.Any("result", o.Result),
 			slog.Int("consecutive_ejections", s.consecutiveEjections))
 	}
 }
@@ -117,7 +117,7 @@
 	}
 	if s.unreachable {
 		s.unreachable, s.ejectedUntil, s.consecutiveEjections = false, 0, 0
-		b.log(slog.LevelInfo, "endpoint responds again", slog.String("endpoint", s.ID))
+		b.logInfo("endpoint responds again", slog.String("endpoint", s.ID))
 	}
 	s.lastResponse = b.now
 }
@@ -134,7 +134,7 @@
 		return
 	}
 	s.unreachable = true
-	b.log(slog.LevelInfo, "endpoint unreachable until a health check succeeds", slog.String("endpoint", s.ID))
+	b.logInfo("endpoint unreachable until a health check succeeds", slog.String("endpoint", s.ID))
 }
 
 // unresponsive tells whether the server is known to answer nothing: it was silent to probes or, in a large
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -1,210 +1,87 @@
 package balancer
 
 import (
-	"fmt"
+	"math"
 	"testing"
-	"time"
 )
 
-// The bound on piled-up work must not refuse the first second after a start.
-func TestRateIsKnownSoonAfterStart(t *testing.T) {
-	g, r := newGate(t, testSettings(), fleet(4)...)
-	for i := 0; i < 200; i++ {
-		now := t0 + time.Duration(i)*ms
-		g.RequestArrived(now, newRequest(i, "safe", "rate", uint64(i)), r)
-		answer(g, r, now, ms, OK)
-		if i%100 == 99 {
-			g.TimerFired(now, timerControlInterval, r)
-		}
-	}
-	if g.concurrency.responseRate < 500 {
-		t.Errorf("rate %v after 200 ms at 1000 a second", g.concurrency.responseRate)
+// assess runs assessments of an interval each with so many requests sent and the occupancy sampled once.
+func assess(c *overloadController, assessments int, sent, occupancy float64) {
+	for range assessments * assessmentIntervals {
+		c.current().sent = sent
+		c.sampleOccupancy(occupancy)
+		c.closeInterval(0, 0)
 	}
 }
 
-// Work that piles up unanswered must be bounded before latencies tell of it.
-func TestPiledUpWorkIsRefused(t *testing.T) {
-	s := testSettings()
-	s.Plans[1].Burst = 1e6
-	g, r := newGate(t, s, fleet(4)...)
-	sent := 0
-	for i := 0; i < 200; i++ {
-		g.RequestArrived(t0+time.Duration(i)*ms, newRequest(i, "safe", "rate", 1), r)
-	}
-	if sent = r.count("send"); sent == 0 || sent > 8 {
-		t.Errorf("%d sent to 4 silent servers, want 1 to 8", sent)
-	}
-	if r.count("refuse") != 200-sent {
-		t.Errorf("%d refused", r.count("refuse"))
+func TestOverloadController(t *testing.T) {
+	const fewSamples = minOwnSamples / assessmentIntervals / 2
+	tests := []struct {
+		name      string
+		occupancy float64
+		from      float64 // admitted fraction before
+		want      func(fraction float64) bool
+	}{
+		{"overload reduces it", 1, 1, func(f float64) bool { return f < 0.9 && f >= minAdmittedFraction }},
+		{"it never falls below the minimum", 1, minAdmittedFraction, func(f float64) bool { return f == minAdmittedFraction }},
+		{"spare capacity restores it", 0.3, minAdmittedFraction, func(f float64) bool { return f == 1 }},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			c := newOverloadController()
+			c.admittedFraction = test.from
+			assess(&c, 10, fewSamples, test.occupancy)
+			if !test.want(c.admittedFraction) {
+				t.Errorf("admitted fraction %v", c.admittedFraction)
+			}
+		})
 	}
 }
 
-// ARO: full refusals drive f down, calm brings it back, and the throttle is even.
-func TestOverloadControl(t *testing.T) {
-	a := newOverloadController()
-	for i := 0; i < 50; i++ {
-		a.current().sent = 10
-		a.sampleOccupancy(1)
-		a.closeInterval(0, 0)
-	}
-	if a.admittedFraction > 0.9 {
-		t.Errorf("f %v after 5 s at occupancy 1", a.admittedFraction)
+// Occupancy 1 for five seconds drives the admitted fraction down, five quiet seconds restore it.
+func TestAdmittedFractionRecovers(t *testing.T) {
+	c := newOverloadController()
+	for range 50 {
+		c.current().sent = 10
+		c.sampleOccupancy(1)
+		c.closeInterval(0, 0)
 	}
-	low := a.admittedFraction
-	for i := 0; i < 50; i++ {
-		a.sampleOccupancy(0.3)
-		a.closeInterval(0, 0)
+	low := c.admittedFraction
+	if low > 0.9 || low < minAdmittedFraction {
+		t.Errorf("admitted fraction %v after 5 s at occupancy 1", low)
 	}
-	if a.admittedFraction != 1 || low < minAdmittedFraction {
-		t.Errorf("f %v after 5 s of calm, least %v", a.admittedFraction, low)
+	for range 50 {
+		c.sampleOccupancy(0.3)
+		c.closeInterval(0, 0)
 	}
-}
-
-// Attempts stuck at one silent server must not read as a jam of all.
-func TestOldAttemptsDoNotCountInThePool(t *testing.T) {
-	g, r := newGate(t, testSettings(), fleet(4)...)
-	g.RequestArrived(t0, newRequest(1, "safe", "rate", 1), r)
-	aim := g.settings.Classes[g.classIndex["safe"]].LatencyObjective
-	if n := g.recentAttempts(recentAttemptFraction); n != 1 {
-		t.Errorf("%v young at once", n)
-	}
-	g.now = t0 + aim
-	if n := g.recentAttempts(recentAttemptFraction); n != 0 {
-		t.Errorf("%v young after the aim", n)
+	if c.admittedFraction != 1 {
+		t.Errorf("admitted fraction %v after 5 s of occupancy 0.3", c.admittedFraction)
 	}
 }
 
-// Sums of occupancy below nought, as latencies under the lowest mean give, must reach peers as they are.
-func TestPoolIsPackedSigned(t *testing.T) {
-	g, _ := wideGate(t, 10)
-	g.overload.pooled = pooledMeans{-0.5, 0.25, 2, 0, 1}
-	m, ok := g.decodeQuotaMessage(g.encodeQuotaGrant(1, 1, true, 0, 1))
-	if !ok || m.pooledMeans != g.overload.pooled {
-		t.Errorf("%v came as %v", g.overload.pooled, m.pooledMeans)
-	}
-}
-
-// A try whose client leaves before answers usually come is refused at once.
-func TestShortPatienceIsRefused(t *testing.T) {
-	g, r := newGate(t, testSettings(), fleet(4)...)
-	c := &g.latency.classes[g.classIndex["safe"]]
-	c.samples, c.mean, c.deviation = minBaselineSamples, 0.2, 0.01
-	q := newRequest(1, "safe", "rate", 1)
-	q.Timeout = 100 * ms
-	g.RequestArrived(t0, q, r)
-	if r.count("refuse") != 1 {
-		t.Errorf("%v", r.acts)
-	}
-}
-
-// A try whose client has waited for longer than its class's aim gives way where the customer
-// asks for more than its quota, and only there: a store's units go to those that can still be
-// answered in time.
-func TestLateTriesGiveWay(t *testing.T) {
-	g, r := newGate(t, testSettings(), fleet(9)...)
-	aim := g.settings.Classes[g.classIndex["safe"]].LatencyObjective
-	old := newRequest(0, "safe", "rate", 1)
-	old.Timeout -= aim + aim/10
-	send := func(n int, q Request, at time.Duration) bool {
-		q.ID = fmt.Sprint("t", n)
-		r.acts = nil
-		g.RequestArrived(at, q, r)
-		sent := r.count("send") == 1
-		if sent {
-			g.AttemptFinished(at+ms, Outcome{ID: q.ID, Result: OK, Answered: true}, r)
+// The throttle admits its fraction of any run of requests, to within one.
+func TestThrottleIsEven(t *testing.T) {
+	c := newOverloadController()
+	c.admittedFraction = 0.3
+	admitted := 0
+	for n := 1; n <= 1000; n++ {
+		if c.admit() {
+			admitted++
 		}
-		return sent
-	}
-	fresh := newRequest(0, "safe", "rate", 1)
-	n, at := 0, t0
-	if send(n, fresh, at); !send(n+1, old, at+ms) {
-		t.Error("a late try was refused with room for all")
-	}
-	for n = 2; send(n, fresh, at+2*ms); n++ { // until the store is empty
-	}
-	p := g.settings.Plans[g.planIndex["rate"]]
-	for refill := time.Duration(2.5 / p.Rate * float64(time.Second)); n < 100; n += 4 {
-		send(n, fresh, at+2*ms) // refused
-		at = g.now + refill
-		g.quotas.buckets[1].congestedUntil = at + time.Second
-		if send(n+1, old, at) {
-			t.Fatal("a late try took the units of a crowded store")
+		if math.Abs(float64(admitted)-0.3*float64(n)) > 1 {
+			t.Fatalf("%d of %d requests admitted", admitted, n)
 		}
-		if !send(n+2, fresh, at+ms) {
-			t.Fatal("a fresh try was refused in its place")
-		}
-		send(n+3, fresh, at+2*ms)
 	}
 }
 
-// What is held for a fresh try's wait follows what most tell, not the most that one tells.
-func TestOneLongWaitMakesNobodyLate(t *testing.T) {
-	g, _ := newGate(t, testSettings())
-	for range 1000 {
-		g.arrivesTooLate(0, time.Second)
-	}
-	g.arrivesTooLate(0, time.Hour)
-	if g.arrivesTooLate(0, time.Second) {
-		t.Error("all others count as late after one long wait")
-	}
-}
-
-// Attempts at silent servers wait for nothing that the others do.
-func TestSilentServersAreNoJam(t *testing.T) {
-	g, _ := newGate(t, probing(), fleet(2)...)
-	g.endpoints.trackedByID["s0"].inFlight, g.concurrency.inFlight = 9, 9
-	if !g.exceedsConcurrencyLimit(0) {
-		t.Fatal("9 attempts out at two servers are no jam")
-	}
-	g.endpoints.trackedByID["s0"].unreachable = true
-	if g.exceedsConcurrencyLimit(0) {
-		t.Error("attempts at a silent server read as a jam of all")
-	}
-}
-
-// What a jam may leave out at least follows the servers that are alive, each as warm as it
-// is, not the list, which tells of a lost hall seconds late.
-func TestLeastWorkOutFollowsServersAlive(t *testing.T) {
-	const n = 12
-	g, _ := newGate(t, probing(), fleet(n)...)
-	most := func() (out int) {
-		for g.concurrency.inFlight = 0; !g.exceedsConcurrencyLimit(0); g.concurrency.inFlight++ {
-		}
-		return g.concurrency.inFlight
-	}
-	if got := most(); got != minConcurrencyPerEndpoint*n {
-		t.Errorf("%d out with all servers up, want %v", got, minConcurrencyPerEndpoint*n)
-	}
-	for i := range n / 2 {
-		g.endpoints.trackedByID[fmt.Sprintf("s%d", i)].unreachable = true
-	}
-	if got := most(); got != minConcurrencyPerEndpoint*n/2 {
-		t.Errorf("%d out with half of the servers silent, want %v", got, minConcurrencyPerEndpoint*n/2)
-	}
-	g.now = t0
-	for _, s := range g.endpoints.tracked {
-		s.unreachable = false
-		if s.ID < "s5" {
-			s.suspectedRestart = t0
-		}
-	}
-	if got := most(); got >= minConcurrencyPerEndpoint*n {
-		t.Errorf("%d out with some servers cold, as many as with all warm", got)
-	}
-}
-
-// Where few attempts are out, the mean that tells chance from a jam comes seconds late: a
-// burst that can't be chance must not wait for it.
-func TestBurstIsNotLetInWhole(t *testing.T) {
-	const n = 4
-	g, r := newGate(t, testSettings(), fleet(n)...)
-	g.gossip.messageRate = 10
-	for i := range 200 {
-		q := newRequest(i, "safe", "rate", uint64(i))
-		q.EntryNodes = 1
-		g.RequestArrived(t0, q, r)
-	}
-	if got := r.count("send"); got <= minConcurrencyPerEndpoint*n || got > certainExcessFactor*minConcurrencyPerEndpoint*n {
-		t.Errorf("%d of a burst sent, want more than %v and at most %v", got, minConcurrencyPerEndpoint*n, certainExcessFactor*minConcurrencyPerEndpoint*n)
+// A node with too few samples goes by the pooled means.
+func TestFewSamplesUseThePool(t *testing.T) {
+	c := newOverloadController()
+	c.mixIntoPool(1, &pooledMeans{poolOccupancySum: 10, poolOccupancySamples: 10, poolSent: 10})
+	for range assessmentIntervals {
+		c.closeInterval(0, 0)
+	}
+	if c.occupancy < 0.99 || c.admittedFraction >= 1 {
+		t.Errorf("occupancy %v and admitted fraction %v, though all peers report 1", c.occupancy, c.admittedFraction)
 	}
 }
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -126,19 +126,25 @@
 // validate returns a *[SettingError] for the first field that cannot be used.
 func (s *Settings) validate() error {
 	if s.NodeCount < 1 {
-		return &SettingError{Field: "NodeCount",
-			Problem: fmt.Sprintf("is %d, at least 1 is expected", s.NodeCount)}
+		return &SettingError{
+			Field:   "NodeCount",
+			Problem: fmt.Sprintf("is %d, at least 1 is expected", s.NodeCount),
+		}
 	}
 	if s.NodeIndex < 0 || s.NodeIndex >= s.NodeCount {
-		return &SettingError{Field: "NodeIndex",
-			Problem: fmt.Sprintf("is %d, 0 to %d is expected", s.NodeIndex, s.NodeCount-1)}
+		return &SettingError{
+			Field:   "NodeIndex",
+			Problem: fmt.Sprintf("is %d, 0 to %d is expected", s.NodeIndex, s.NodeCount-1),
+		}
 	}
 	if len(s.Classes) == 0 {
 		return &SettingError{Field: "Classes", Problem: "is empty, at least one class is expected"}
 	}
 	if s.SlowStartInitialFraction > 1 {
-		return &SettingError{Field: "SlowStartInitialFraction",
-			Problem: fmt.Sprintf("is %v, 0 to 1 is expected", s.SlowStartInitialFraction)}
+		return &SettingError{
+			Field:   "SlowStartInitialFraction",
+			Problem: fmt.Sprintf("is %v, 0 to 1 is expected", s.SlowStartInitialFraction),
+		}
 	}
 	if err := checkNotNegative("", []namedNumber{
 		{"SlowStartInitialFraction", s.SlowStartInitialFraction},
@@ -209,8 +215,10 @@
 func checkNotNegative(owner string, numbers []namedNumber) error {
 	for _, n := range numbers {
 		if n.number < 0 {
-			return &SettingError{Field: n.field, Owner: owner,
-				Problem: fmt.Sprintf("is %v, at least 0 is expected", n.number)}
+			return &SettingError{
+				Field: n.field, Owner: owner,
+				Problem: fmt.Sprintf("is %v, at least 0 is expected", n.number),
+			}
 		}
 	}
 	return nil
