--- /dev/null
+++ b/internal/discovery/splitter_test.go
@@ -0,0 +1,34 @@
+package discovery
+
+import (
+	"errors"
+	"strings"
+	"testing"
+)
+
+// Messages are cut out of the stream the same however it comes in pieces.
+func TestSplitter(t *testing.T) {
+	const text = "\n{\"a\":\"}{\\\"[\"}\n\n{\r\n  \"b\": [\r\n    1\r\n  ]\r\n}\r\n{}{\"c\":1}\n"
+	for size := 1; size <= len(text); size++ {
+		var s Splitter
+		var got []string
+		beats := 0
+		for rest := text; rest != ""; {
+			n := min(size, len(rest))
+			if err := s.Feed([]byte(rest[:n]), func(m []byte) { got = append(got, string(m)) }, func() { beats++ }); err != nil {
+				t.Fatalf("pieces of %d: %v", size, err)
+			}
+			rest = rest[n:]
+		}
+		if want := []string{"{\"a\":\"}{\\\"[\"}", "{\r\n  \"b\": [\r\n    1\r\n  ]\r\n}", "{}", "{\"c\":1}"}; strings.Join(got, "|") != strings.Join(want, "|") || beats != 5 {
+			t.Fatalf("pieces of %d: %q and %d line ends", size, got, beats)
+		}
+	}
+	for text, want := range map[string]error{"x": ErrNoMessage, "{\"a\n": ErrTruncated, "{\"a\":1,\n\n": ErrTruncated,
+		"{" + strings.Repeat(" ", MaxStreamMessage): ErrTooLong} {
+		var s Splitter
+		if err := s.Feed([]byte(text), func([]byte) {}, func() {}); !errors.Is(err, want) {
+			t.Errorf("%.20q: %v, want %v", text, err, want)
+		}
+	}
+}
--- a/internal/edgenode/cross_test.go
+++ b/internal/edgenode/cross_test.go
@@ -375,7 +375,7 @@
 		var called chan struct{}
 		cfg.Discovery, called = silentAgent(t)
 		moved := *cfg
-		moved.Discovery = discovery(t, func() string { return listJSON(8, true, s.instance("a")) },
+		moved.Discovery = serveDiscovery(t, func() string { return listJSON(8, true, s.instance("a")) },
 			func(_ int, _ string, w io.Writer, ctx context.Context) { beat(ctx, w) })
 		cfg.reread = func() (*Config, error) { return &moved, nil }
 		n := run(t, cfg)
--- a/internal/edgenode/crowd_test.go
+++ b/internal/edgenode/crowd_test.go
@@ -125,7 +125,7 @@
 			<-forever
 		}
 	}
-	at := discovery(t, func() string { hang(); return *list.Load() }, func(_ int, _ string, w io.Writer, ctx context.Context) {
+	at := serveDiscovery(t, func() string { hang(); return *list.Load() }, func(_ int, _ string, w io.Writer, ctx context.Context) {
 		hang()
 		io.WriteString(w, *list.Load()+"\n")
 		ctx, end := context.WithCancel(ctx)
--- a/internal/edgenode/golden_test.go
+++ b/internal/edgenode/golden_test.go
@@ -17,6 +17,7 @@
 	"time"
 
 	"opalhook/balancer"
+	"opalhook/internal/discovery"
 	"opalhook/internal/golden"
 	"opalhook/internal/settings"
 )
@@ -161,7 +162,7 @@
 	case eventEnd:
 		return fmt.Sprintf("end: %v\n", e.err)
 	case eventGarbage:
-		text = fmt.Sprintf("malformed %t %t %t\n", errors.Is(e.err, errListCut), errors.Is(e.err, errListGarbage), errors.Is(e.err, errListTooLong))
+		text = fmt.Sprintf("malformed %t %t %t\n", errors.Is(e.err, discovery.ErrTruncated), errors.Is(e.err, discovery.ErrNoMessage), errors.Is(e.err, discovery.ErrTooLong))
 	case eventMessage:
 		text = fmt.Sprintf("list %d whole %t, %d spoilt\n", e.list.Generation, e.list.Full, len(e.spoilt))
 	}
--- a/internal/edgenode/registry.go
+++ b/internal/edgenode/registry.go
@@ -10,6 +10,8 @@
 	"net/netip"
 	"sync"
 	"time"
+
+	"opalhook/internal/discovery"
 )
 
 // registry follows the list of app servers: the host of a [follower]. One goroutine has the
@@ -242,7 +244,7 @@
 
 // reader makes events of what comes on a call.
 type reader struct {
-	split splitter
+	split discovery.Splitter
 	over  bool // the call has ended, or is to be
 }
 
@@ -250,7 +252,7 @@
 func (r *reader) read(text []byte, end error) (events []event) {
 	garbage := func(err error, text []byte) {
 		events = append(events, event{kind: eventGarbage, err: fmt.Errorf("malformed message: %w", err),
-			list: List{Servers: salvage(text)}})
+			list: List{Servers: instances(discovery.Salvage(text))}})
 		r.over = true
 	}
 	message := func(text []byte) {
@@ -269,18 +271,18 @@
 			events = append(events, event{kind: eventBeat})
 		}
 	}
-	err := r.split.feed(text, message, beat)
-	if err == nil && end != nil && r.split.begun() {
-		err = errListCut
+	err := r.split.Feed(text, message, beat)
+	if err == nil && end != nil && r.split.Incomplete() {
+		err = discovery.ErrTruncated
 	}
 	switch {
 	case r.over:
 	case err != nil:
-		garbage(err, r.split.part)
+		garbage(err, r.split.Partial())
 	case end != nil:
 		events = append(events, event{kind: eventEnd, err: end})
 		r.over = true
-	case r.split.begun():
+	case r.split.Incomplete():
 		events = append(events, event{kind: eventPart})
 	}
 	return events
--- a/internal/edgenode/side_test.go
+++ b/internal/edgenode/side_test.go
@@ -21,9 +21,9 @@
 	"opalhook/balancer"
 )
 
-// discovery is an agent that answers each watch with what script gives for it, and a call for
+// serveDiscovery is an agent that answers each watch with what script gives for it, and a call for
 // the whole list with what whole gives.
-func discovery(t *testing.T, whole func() string, script func(n int, from string, w io.Writer, ctx context.Context)) netip.AddrPort {
+func serveDiscovery(t *testing.T, whole func() string, script func(n int, from string, w io.Writer, ctx context.Context)) netip.AddrPort {
 	t.Helper()
 	var calls atomic.Int32
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -70,7 +70,7 @@
 func TestWatchMovesTraffic(t *testing.T) {
 	old, young := newAppServer(t, say(okAnswer)), newAppServer(t, say(okAnswer))
 	cfg := testConfig(old.instance("a"))
-	cfg.Discovery = discovery(t, func() string { return listJSON(8, true, young.instance("b")) }, func(n int, _ string, w io.Writer, ctx context.Context) {
+	cfg.Discovery = serveDiscovery(t, func() string { return listJSON(8, true, young.instance("b")) }, func(n int, _ string, w io.Writer, ctx context.Context) {
 		fmt.Fprintf(w, "%s\n", listJSON(8, true, young.instance("b")))
 		<-ctx.Done()
 	})
@@ -98,7 +98,7 @@
 	cfg.listFor = patience
 	whole := listJSON(8, true, young.instance("b"))
 	asked := make(chan struct{}, 100)
-	cfg.Discovery = discovery(t, func() string { asked <- struct{}{}; <-tells; return whole }, func(n int, _ string, w io.Writer, ctx context.Context) {
+	cfg.Discovery = serveDiscovery(t, func() string { asked <- struct{}{}; <-tells; return whole }, func(n int, _ string, w io.Writer, ctx context.Context) {
 		<-tells
 		fmt.Fprintf(w, "%s\n", whole)
 		beat(ctx, w)
@@ -140,14 +140,14 @@
 func TestReloadMovesTheWatch(t *testing.T) {
 	old, young := newAppServer(t, say(okAnswer)), newAppServer(t, say(okAnswer))
 	watched, left := make(chan struct{}, 100), make(chan struct{}, 100)
-	first := discovery(t, func() string { return listJSON(900, true, old.instance("a")) }, func(_ int, _ string, w io.Writer, ctx context.Context) {
+	first := serveDiscovery(t, func() string { return listJSON(900, true, old.instance("a")) }, func(_ int, _ string, w io.Writer, ctx context.Context) {
 		fmt.Fprintf(w, "%s\n", listJSON(900, true, old.instance("a")))
 		watched <- struct{}{}
 		beat(ctx, w)
 		left <- struct{}{}
 	})
 	froms := make(chan string, 100)
-	second := discovery(t, func() string { return listJSON(3, true, young.instance("b")) }, func(_ int, from string, w io.Writer, ctx context.Context) {
+	second := serveDiscovery(t, func() string { return listJSON(3, true, young.instance("b")) }, func(_ int, from string, w io.Writer, ctx context.Context) {
 		froms <- from
 		fmt.Fprintf(w, "%s\n", listJSON(3, true, young.instance("b")))
 		beat(ctx, w)
--- a/internal/testbed/broken.go
+++ b/internal/testbed/broken.go
@@ -32,7 +32,7 @@
 		{"	f.broke()\n	f.watchAt = now + max(", "	f.down = true\n	f.watchAt = now + time.Minute\n	return\n	f.watchAt = now + max("},
 		{"	if f.behind && f.fetch.id == 0 && ", "	if f.behind && f.version == 0 && f.fetch.id == 0 && "},
 	}},
-	"cap-128": {"no more than 128 entries of a message are read", "internal/edgenode/list.go", [][2]string{
+	"cap-128": {"no more than 128 entries of a message are read", "internal/discovery/lenient.go", [][2]string{
 		{"	for i, text := range raw.Instances {\n", "	for i, text := range raw.Instances {\n		if i >= 128 {\n			break\n		}\n"},
 	}},
 }
