--- a/balancer/health.go
+++ b/balancer/health.go
@@ -88,7 +88,7 @@
 	s.errorRate += errorSmoothing * (bad - s.errorRate)
 	if (s.errorRate > ejectionErrorRate || o.Result == ConnectFailed) && b.now >= s.ejectedUntil {
 		b.eject(s)
-		b.log(slog.LevelInfo, "endpoint ejected", slog.String("endpoint", s.ID), slog.Any("result", o.Result),
+		b.logInfo("endpoint ejected", slog.String("endpoint", s.ID), slog.Any("result", o.Result),
 			slog.Int("consecutive_ejections", s.consecutiveEjections))
 	}
 }
@@ -117,7 +117,7 @@
 	}
 	if s.unreachable {
 		s.unreachable, s.ejectedUntil, s.consecutiveEjections = false, 0, 0
-		b.log(slog.LevelInfo, "endpoint responds again", slog.String("endpoint", s.ID))
+		b.logInfo("endpoint responds again", slog.String("endpoint", s.ID))
 	}
 	s.lastResponse = b.now
 }
@@ -134,7 +134,7 @@
 		return
 	}
 	s.unreachable = true
-	b.log(slog.LevelInfo, "endpoint unreachable until a health check succeeds", slog.String("endpoint", s.ID))
+	b.logInfo("endpoint unreachable until a health check succeeds", slog.String("endpoint", s.ID))
 }
 
 // unresponsive tells whether the server is known to answer nothing: it was silent to probes or, in a large
@@ -207,7 +207,7 @@
 
 // sendHealthCheck probes the server least lately probed. A gateway probes at most half as often as it sends.
 func (b *Balancer) sendHealthCheck() {
-	b.health.checkTokens = math.Min(b.health.checkTokens+b.overload.pooledMeans[poolSent]/2, 1)
+	b.health.checkTokens = math.Min(b.health.checkTokens+b.overload.pooled[poolSent]/2, 1)
 	if !b.settings.HealthChecks || b.settings.LoadReports == NoLoadReports || len(b.endpoints.tracked) == 0 ||
 		b.health.checkTokens < 1 {
 		return
--- a/internal/edgenode/message_reader.go
+++ b/internal/edgenode/message_reader.go
@@ -1,10 +1,14 @@
 package edgenode
 
-import "fmt"
+import (
+	"fmt"
+
+	"opalhook/internal/discovery"
+)
 
 // messageReader turns what comes on a call into events.
 type messageReader struct {
-	split splitter
+	split discovery.Splitter
 	done  bool // the call has ended, or is to be closed
 }
 
@@ -26,18 +30,18 @@
 			events = append(events, callEvent{kind: eventEmptyLine})
 		}
 	}
-	err := r.split.feed(text, message, emptyLine)
-	if err == nil && end != nil && r.split.begun() {
-		err = errListCut
+	err := r.split.Feed(text, message, emptyLine)
+	if err == nil && end != nil && r.split.Incomplete() {
+		err = discovery.ErrTruncated
 	}
 	switch {
 	case r.done:
 	case err != nil:
-		events = append(events, r.malformed(err, r.split.part))
+		events = append(events, r.malformed(err, r.split.Partial()))
 	case end != nil:
 		events = append(events, callEvent{kind: eventEnd, err: end})
 		r.done = true
-	case r.split.begun():
+	case r.split.Incomplete():
 		events = append(events, callEvent{kind: eventPartial})
 	}
 	return events
@@ -49,6 +53,6 @@
 	return callEvent{
 		kind: eventMalformed,
 		err:  fmt.Errorf("malformed message: %w", err),
-		list: List{Servers: salvage(text)},
+		list: List{Servers: instances(discovery.Salvage(text))},
 	}
 }
--- a/internal/edgenode/node.go
+++ b/internal/edgenode/node.go
@@ -17,6 +17,7 @@
 	"time"
 
 	"opalhook/balancer"
+	"opalhook/internal/settings"
 )
 
 // Node hosts the balancer of one edge node. Its events come from many goroutines; one mutex makes them one
@@ -42,7 +43,7 @@
 func newNode(ctx context.Context, cfg *Config, logger *slog.Logger) (*Node, error) {
 	b, err := balancer.New(cfg.Settings, cfg.Seed)
 	if err != nil {
-		return nil, err
+		return nil, settings.PlatformError(err)
 	}
 	return &Node{
 		cfg:       cfg,
