--- a/internal/edgenode/crowd_test.go
+++ b/internal/edgenode/crowd_test.go
@@ -70,11 +70,13 @@
 	}
 	defer file.Close()
 	path := t.TempDir() + "/config.json"
-	config := map[string]any{"name": "n0", "listen": ln.Addr().String(), "discovery": discovery, "seed": "1",
+	config := map[string]any{
+		"name": "n0", "listen": ln.Addr().String(), "discovery": discovery, "seed": "1",
 		"limits": map[string]any{"sockets": descriptors}, "known": json.RawMessage(listJSON(7, true, known...)),
 		"settings": json.RawMessage(`{"instances":1,"registryMode":"push",
 			"lanes":[{"name":"check","idempotency":"retryable","onTime":20,"deadline":20}],
-			"tariffs":[{"name":"wide","rate":1000000,"burst":1000000}]}`)}
+			"tariffs":[{"name":"wide","rate":1000000,"burst":1000000}]}`),
+	}
 	text, err := json.Marshal(config)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/edgenode/discovery_client.go
+++ b/internal/edgenode/discovery_client.go
@@ -128,13 +128,16 @@
 
 // logTransition logs one line for an outage, however often calls fail in it, and one for its end.
 func (d *discoveryClient) logTransition(before reachability, cause error) {
-	switch now := d.follower.reachability; {
-	case now == before:
-	case now == discoveryThrottled:
+	now := d.follower.reachability
+	if now == before {
+		return
+	}
+	switch now {
+	case discoveryThrottled:
 		d.log.Warn("discovery rejects calls", "err", cause)
-	case now == discoveryDown:
+	case discoveryDown:
 		d.log.Warn("discovery watch lost", "err", cause)
-	default:
+	case discoveryUp:
 		d.log.Info("discovery watch restored", "generation", d.follower.version)
 	}
 }
--- a/internal/edgenode/follow_test.go
+++ b/internal/edgenode/follow_test.go
@@ -71,8 +71,10 @@
 	s := &sim{version: 1, wording: func(message string, _ bool) []chunk { return []chunk{{0, message + "\n"}} }}
 	for i := range nodes {
 		n := &simNode{sim: s}
-		n.reg = newDiscoveryClient(netip.MustParseAddrPort("127.0.0.1:1"), Follower{pushed: pushed, fleetSize: fleet, pollInterval: defaultPollInterval,
-			rng: rand.New(rand.NewPCG(uint64(i), 1)), version: 1}, n.apply, slog.New(slog.DiscardHandler))
+		n.reg = newDiscoveryClient(netip.MustParseAddrPort("127.0.0.1:1"), Follower{
+			pushed: pushed, fleetSize: fleet, pollInterval: defaultPollInterval,
+			rng: rand.New(rand.NewPCG(uint64(i), 1)), version: 1,
+		}, n.apply, slog.New(slog.DiscardHandler))
 		s.nodes = append(s.nodes, n)
 		s.after(hop+time.Duration(i)*time.Millisecond/10, func() { n.reg.follower.Start(s.now); n.step() })
 	}
--- a/internal/edgenode/front_test.go
+++ b/internal/edgenode/front_test.go
@@ -429,9 +429,11 @@
 
 func TestConfigErrorsNameTheField(t *testing.T) {
 	const settings = `{"instances":2,"me":1,"lanes":[{"name":"c","idempotency":"retryable"}],"policyLimits":{"peers":true}}`
-	good := map[string]string{"name": `"n1"`, "listen": `"127.0.0.1:1"`, "discovery": `"127.0.0.1:2"`, "seed": `"8c1f30d27a5be964"`,
+	good := map[string]string{
+		"name": `"n1"`, "listen": `"127.0.0.1:1"`, "discovery": `"127.0.0.1:2"`, "seed": `"8c1f30d27a5be964"`,
 		"limits": `{"memory_mb":192,"sockets":1024}`, "peer_listen": `"127.0.0.1:3"`, "peers": `["127.0.0.1:4","127.0.0.1:5"]`,
-		"peers_all": `"127.0.0.1:6"`, "known": `{"generation":41,"reset":true,"instances":[]}`, "settings": settings}
+		"peers_all": `"127.0.0.1:6"`, "known": `{"generation":41,"reset":true,"instances":[]}`, "settings": settings,
+	}
 	text := func(field, val string) []byte {
 		var parts []string
 		for f, v := range good {
@@ -450,11 +452,19 @@
 		t.Fatalf("%+v, error %v", c, err)
 	}
 	for _, b := range [][3]string{
-		{"name", `""`, "name"}, {"listen", `"nowhere"`, "listen"}, {"discovery", "", "discovery"}, {"seed", `"x"`, "seed"},
-		{"limits", `{"sockets":9}`, "limits.sockets"}, {"limits", `{"memory_mb":-1}`, "limits.memory_mb"},
-		{"settings", "", "settings"}, {"settings", `{"lanes":[{"idempotency":"odd"}]}`, "settings: lanes"},
-		{"peer_listen", "", "peer_listen"}, {"peers", `["127.0.0.1:4"]`, "peers"}, {"peers", `["127.0.0.1:4","x"]`, "peers[1]"},
-		{"peers_all", "", "peers_all"}, {"known", `{"instances":1}`, "known: "},
+		{"name", `""`, "name"},
+		{"listen", `"nowhere"`, "listen"},
+		{"discovery", "", "discovery"},
+		{"seed", `"x"`, "seed"},
+		{"limits", `{"sockets":9}`, "limits.sockets"},
+		{"limits", `{"memory_mb":-1}`, "limits.memory_mb"},
+		{"settings", "", "settings"},
+		{"settings", `{"lanes":[{"idempotency":"odd"}]}`, "settings: lanes"},
+		{"peer_listen", "", "peer_listen"},
+		{"peers", `["127.0.0.1:4"]`, "peers"},
+		{"peers", `["127.0.0.1:4","x"]`, "peers[1]"},
+		{"peers_all", "", "peers_all"},
+		{"known", `{"instances":1}`, "known: "},
 	} {
 		if _, err := parseConfig(text(b[0], b[1]), none); err == nil || !strings.HasPrefix(err.Error(), b[2]) {
 			t.Errorf("%s %s: error %v, want one that names %s", b[0], b[1], err, b[2])
@@ -476,7 +486,7 @@
 func TestKnownServes(t *testing.T) {
 	s := newAppServer(t, say(okAnswer))
 	n := run(t, testConfig(s.instance("a"))) // its discovery refuses connections
-	eventually(t, "discovery found down", func() bool { return strings.Contains(n.logs.String(), "discovery:") })
+	eventually(t, "discovery found down", func() bool { return strings.Contains(n.logs.String(), `msg="discovery watch lost"`) })
 	if a := dial(t, n.addr).ask(request("check", "t1")); a.status != 200 {
 		t.Errorf("status %d", a.status)
 	}
--- a/internal/edgenode/harness_test.go
+++ b/internal/edgenode/harness_test.go
@@ -117,8 +117,10 @@
 			Tick: 2 * time.Millisecond, ResponseSlack: 8 * time.Millisecond,
 			Classes: []balancer.Class{
 				{Name: "check", Idempotency: balancer.Idempotent, LatencyObjective: 20 * time.Second, Deadline: 20 * time.Second, PriorityWeight: 1},
-				{Name: "book", Idempotency: balancer.IdempotentWithKey, DedupScope: balancer.DedupZone, DedupWindow: 4 * time.Second,
-					LatencyObjective: 20 * time.Second, Deadline: 20 * time.Second, PriorityWeight: 1},
+				{
+					Name: "book", Idempotency: balancer.IdempotentWithKey, DedupScope: balancer.DedupZone, DedupWindow: 4 * time.Second,
+					LatencyObjective: 20 * time.Second, Deadline: 20 * time.Second, PriorityWeight: 1,
+				},
 			},
 			Plans: []balancer.Plan{{Name: "wide", Rate: 1e6, Burst: 1e6, WeightFactor: 1}, {Name: "tight", Rate: 0.1, Burst: 1, WeightFactor: 1}},
 		},
@@ -243,8 +245,10 @@
 // request is the text of a good request, some of whose lines may be replaced: "" as
 // the value of a header leaves it out, "" as its name replaces the first line.
 func request(class, id string, replace ...string) string {
-	lines := map[string]string{"Host": "app.svc", "X-Trace-Id": id, "X-Qos": class, "X-Contract": "wide",
-		"X-Expires-In": "20", "X-Metering": "units=1,spread=1,first=0"}
+	lines := map[string]string{
+		"Host": "app.svc", "X-Trace-Id": id, "X-Qos": class, "X-Contract": "wide",
+		"X-Expires-In": "20", "X-Metering": "units=1,spread=1,first=0",
+	}
 	first, body := "GET /"+class+"/a%2fb?customer=00000000b4d65521&x=%41+ HTTP/1.1", ""
 	if class == "book" {
 		first, body = strings.Replace(first, "GET", "POST", 1), "slot"
@@ -337,8 +341,10 @@
 	list := []entry{}
 	words := map[balancer.EndpointState]string{balancer.Up: "up", balancer.Draining: "draining", balancer.Removed: "removed"}
 	for _, s := range servers {
-		list = append(list, entry{"instanceId": s.ID, "hostPort": s.Addr.String(), "zone": s.Zone, "machineType": s.MachineType,
-			"cell": s.Cell, "lifecycle": words[s.State], "weight": s.Weight, "startedAtMs": s.StartedAt.Milliseconds()})
+		list = append(list, entry{
+			"instanceId": s.ID, "hostPort": s.Addr.String(), "zone": s.Zone, "machineType": s.MachineType,
+			"cell": s.Cell, "lifecycle": words[s.State], "weight": s.Weight, "startedAtMs": s.StartedAt.Milliseconds(),
+		})
 	}
 	b, err := json.Marshal(map[string]any{"generation": generation, "reset": full, "instances": list})
 	if err != nil {
--- a/internal/edgenode/inflight.go
+++ b/internal/edgenode/inflight.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"time"
 
 	"opalhook/balancer"
@@ -43,6 +44,29 @@
 	responseFailed
 )
 
+// errIDInUse means that a request with the same id is in flight.
+var errIDInUse = errors.New("request id is in use")
+
+// handleRequest has the balancer decide on a request of a client and returns its final response. A request whose client
+// goes, or that is not answered by the deadline, is aborted. A client that has closed its sending side only still
+// has its response.
+func (n *Node) handleRequest(ctx context.Context, q balancer.Request, m message, deadline time.Time) (clientResponse, error) {
+	request := n.startRequest(q, m, deadline)
+	if request == nil {
+		return clientResponse{}, errIDInUse
+	}
+	late := time.NewTimer(time.Until(deadline))
+	defer late.Stop()
+	select {
+	case response := <-request.response:
+		return response, nil
+	case <-ctx.Done():
+	case <-late.C:
+	}
+	n.abortRequest(request)
+	return <-request.response, nil
+}
+
 // startRequest starts a request of a client. It returns nil if its id is in use. The final response comes on the
 // returned request's channel, also where the balancer gives none in time.
 func (n *Node) startRequest(q balancer.Request, m message, deadline time.Time) *inflightRequest {
--- a/internal/edgenode/list.go
+++ b/internal/edgenode/list.go
@@ -36,8 +36,10 @@
 	}
 	all := make([]Instance, len(entries))
 	for i, e := range entries {
-		all[i] = Instance{Addr: e.Addr, Endpoint: balancer.Endpoint{ID: e.ID, Zone: e.Zone, MachineType: e.MachineType,
-			Cell: e.Cell, Weight: e.Weight, State: endpointState(e.Lifecycle), StartedAt: e.StartedAt}}
+		all[i] = Instance{Addr: e.Addr, Endpoint: balancer.Endpoint{
+			ID: e.ID, Zone: e.Zone, MachineType: e.MachineType,
+			Cell: e.Cell, Weight: e.Weight, State: endpointState(e.Lifecycle), StartedAt: e.StartedAt,
+		}}
 	}
 	return all
 }
--- a/internal/edgenode/list_bench_test.go
+++ b/internal/edgenode/list_bench_test.go
@@ -17,8 +17,10 @@
 	for _, size := range []int{60, 350, 1024} {
 		var all []Instance
 		for i := range size {
-			all = append(all, Instance{Endpoint: balancer.Endpoint{ID: fmt.Sprintf("s-%08x", i*7919), Zone: "z", MachineType: "k", Cell: i / 6, Weight: 1},
-				Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 2, byte(i / 250), byte(i % 250)}), 8080)})
+			all = append(all, Instance{
+				Endpoint: balancer.Endpoint{ID: fmt.Sprintf("s-%08x", i*7919), Zone: "z", MachineType: "k", Cell: i / 6, Weight: 1},
+				Addr:     netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 2, byte(i / 250), byte(i % 250)}), 8080),
+			})
 		}
 		line := []byte(listJSON(9, true, all...))
 		var indented bytes.Buffer
--- a/internal/edgenode/pool.go
+++ b/internal/edgenode/pool.go
@@ -5,19 +5,27 @@
 	"context"
 	"errors"
 	"net"
+	"slices"
 	"syscall"
 	"time"
 )
 
 // How long idle connections rest, and are kept.
 const (
-	idleFraction       = 0.8                   // of connIdle after which an idle connection is not used again
-	minKeepIdle        = 50 * time.Millisecond // one that rested for less is not reset for that
-	minRest            = 20 * time.Millisecond // from an answer to the next request: a second answer may come that late
+	idleFraction       = 0.8                   // of the settings' idle time, after which a connection is not used again
+	minKeepIdle        = 50 * time.Millisecond // a connection idle for less is not reset for that
+	minRest            = 20 * time.Millisecond // from a response to the next request: a second response may come that late
 	keepDoublingPeriod = 10 * time.Second      // after which idle connections are kept for twice as long again
+	maxKeepDoublings   = 20
 )
 
-// Why a server gets no connection.
+// Idle connections are reaped this often.
+const (
+	reapsPerMaxIdle = 8
+	minReapInterval = 10 * time.Millisecond
+)
+
+// Why there is no connection to a server.
 var (
 	errNotUp        = errors.New("server is not up in the list")
 	errNoDescriptor = errors.New("no descriptor left for a connection")
@@ -28,28 +36,26 @@
 	net.Conn
 	raw         syscall.RawConn
 	reader      *responseReader
-	buffered    *bufio.Reader // over in
-	backend     *backend      // to which it may return; connections of a moved or restarted server belong to none
+	buffered    *bufio.Reader // over reader
+	backend     *backend      // to which it returns, unless the server has moved or restarted
 	idleSince   time.Time
 	connectedAt time.Time
 
-	rested time.Duration // how long it stood idle before the exchange under way; 0 for a new one
+	rested time.Duration // how long it was idle before the current exchange; 0 for a new one
 }
 
-// take returns a connection to the server: of the idle ones that have rested, or will have in a
-// moment, the one used last, or else a new one. Whether it still lives, write tells. A server that is
-// not any more what it was when it was chosen gets none.
-func (u *upstream) acquire(ctx context.Context, server string, of *backend) (*conn, error) {
+// acquire returns a connection to the server: of the idle ones that have rested, or will have in a moment, the one used
+// last, or else a new one. Whether it still lives, writeRequest tells. A server that is no longer what it was when it
+// was selected gets none.
+func (u *upstream) acquire(ctx context.Context, endpointID string, selected *backend) (*conn, error) {
 	for waited := false; ; {
 		u.mu.Lock()
-		b := u.backends[server]
-		if b == nil || !b.up || of != nil && b != of {
+		b := u.backends[endpointID]
+		if b == nil || !b.up || selected != nil && b != selected {
 			u.mu.Unlock()
 			return nil, errNotUp
 		}
-		if n := b.restedCount(time.Now()); n > 0 {
-			c := b.idle[n-1]
-			b.idle = append(b.idle[:n-1], b.idle[n:]...)
+		if c := b.takeRested(time.Now()); c != nil {
 			keep := u.keepIdleFor(b)
 			u.mu.Unlock()
 			if c.rested = time.Since(c.idleSince); c.rested < keep {
@@ -64,18 +70,13 @@
 			u.awaitRested(ctx, b)
 			continue
 		}
-		var spare *conn
-		if u.open >= u.maxOpen {
-			if spare = u.takeLongestIdle(); spare == nil {
-				u.mu.Unlock()
-				return nil, errNoDescriptor
-			}
-			u.open--
-		}
-		u.open++
+		evicted, err := u.reserve()
 		u.mu.Unlock()
-		if spare != nil {
-			spare.Close()
+		if err != nil {
+			return nil, err
+		}
+		if evicted != nil {
+			_ = evicted.Close() // it is not used again, whatever the close meets
 		}
 		c, err := u.dial(ctx, b)
 		// A server that takes no new connection may still answer on one that rests for a moment.
@@ -105,27 +106,52 @@
 	return b.restedCount(time.Now()) > 0
 }
 
-// restedCount counts the idle connections that were not used a moment ago. They are the first ones.
+// restedCount counts the idle connections that were not used a moment ago. They are the first ones. Called under the
+// mutex.
 func (b *backend) restedCount(now time.Time) (n int) {
 	for n = len(b.idle); n > 0 && now.Sub(b.idle[n-1].idleSince) < minRest; n-- {
 	}
 	return n
 }
 
-// takeLongestIdle takes the connection that has been idle for longest out of its pool,
-// or returns nil. Called under the mutex.
+// takeRested takes the rested idle connection that was used last, nil if there is none. Called under the mutex.
+func (b *backend) takeRested(now time.Time) *conn {
+	n := b.restedCount(now)
+	if n == 0 {
+		return nil
+	}
+	c := b.idle[n-1]
+	b.idle = slices.Delete(b.idle, n-1, n)
+	return c
+}
+
+// reserve counts a connection that is to be made. Where no more may be open it returns the idle one that is to be
+// closed for it. Called under the mutex.
+func (u *upstream) reserve() (evicted *conn, err error) {
+	if u.open >= u.maxOpen {
+		if evicted = u.takeLongestIdle(); evicted == nil {
+			return nil, errNoDescriptor
+		}
+		u.open--
+	}
+	u.open++
+	return evicted, nil
+}
+
+// takeLongestIdle takes the connection that has been idle for longest out of its pool, nil if there is none. Called
+// under the mutex.
 func (u *upstream) takeLongestIdle() *conn {
-	var of *backend
+	var owner *backend
 	for _, b := range u.backends {
-		if len(b.idle) > 0 && (of == nil || b.idle[0].idleSince.Before(of.idle[0].idleSince)) {
-			of = b
+		if len(b.idle) > 0 && (owner == nil || b.idle[0].idleSince.Before(owner.idle[0].idleSince)) {
+			owner = b
 		}
 	}
-	if of == nil {
+	if owner == nil {
 		return nil
 	}
-	c := of.idle[0]
-	of.idle = of.idle[1:]
+	c := owner.idle[0]
+	owner.idle = owner.idle[1:]
 	return c
 }
 
@@ -136,8 +162,8 @@
 		u.uncount()
 		return nil, err
 	}
-	in := &responseReader{conn: nc}
-	c := &conn{Conn: nc, reader: in, buffered: bufio.NewReader(in), backend: b, connectedAt: time.Now()}
+	reader := &responseReader{conn: nc}
+	c := &conn{Conn: nc, reader: reader, buffered: bufio.NewReader(reader), backend: b, connectedAt: time.Now()}
 	if c.raw, err = nc.(*net.TCPConn).SyscallConn(); err != nil {
 		u.discard(c)
 		return nil, err
@@ -162,7 +188,7 @@
 
 // discard closes a connection that is in no pool.
 func (u *upstream) discard(c *conn) {
-	c.Close()
+	_ = c.Close() // it is not used again, whatever the close meets
 	u.uncount()
 }
 
@@ -179,36 +205,39 @@
 	u.discard(c)
 }
 
-// reapIdle closes what has been idle for too long, once every period until ctx ends.
+// reapIdle closes what has been idle for too long, at intervals until ctx ends.
 func (u *upstream) reapIdle(ctx context.Context) {
-	tick := time.NewTicker(max(u.maxIdle/8, 10*time.Millisecond))
+	tick := time.NewTicker(max(u.maxIdle/reapsPerMaxIdle, minReapInterval))
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
+			closeAll(u.takeExpired())
 		}
-		var stale []*conn
-		u.mu.Lock()
-		for _, b := range u.backends {
-			fresh := 0
-			for fresh < len(b.idle) && time.Since(b.idle[fresh].idleSince) >= u.maxIdle {
-				fresh++
-			}
-			stale = append(stale, b.idle[:fresh]...)
-			b.idle = append([]*conn(nil), b.idle[fresh:]...)
+	}
+}
+
+// takeExpired takes the connections out of their pools that have been idle for too long.
+func (u *upstream) takeExpired() (expired []*conn) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	for _, b := range u.backends {
+		n := 0
+		for n < len(b.idle) && time.Since(b.idle[n].idleSince) >= u.maxIdle {
+			n++
 		}
-		u.open -= len(stale)
-		u.mu.Unlock()
-		closeAll(stale)
+		expired = append(expired, b.idle[:n]...)
+		b.idle = append([]*conn(nil), b.idle[n:]...)
 	}
+	u.open -= len(expired)
+	return expired
 }
 
-// shortenKeepIdle learns from a kept connection that was reset as soon as it was written to: the
-// server, or something on the way, gives idle connections up sooner than it tells. A
-// request that meets one may have run. From then on the server's connections are kept
-// for half as long as this one stood idle, which doubles again in time.
+// shortenKeepIdle learns from a kept connection that was reset as soon as it was written to: the server, or something
+// on the way, gives idle connections up sooner than the settings say. A request that meets one may have run. From then
+// on the server's connections are kept for half as long as this one was idle, which doubles again in time.
 func (u *upstream) shortenKeepIdle(c *conn) {
 	u.mu.Lock()
 	b := c.backend
@@ -217,36 +246,35 @@
 	u.closeIdle(b)
 }
 
-// keepIdleFor is how long an idle connection of the backend may be used again. Called under
-// the mutex.
+// keepIdleFor is how long an idle connection of the backend may be used again. Called under the mutex.
 func (u *upstream) keepIdleFor(b *backend) time.Duration {
 	if b.keepIdle == 0 {
 		return u.maxIdle
 	}
-	doubled := time.Since(b.keepIdleSetAt) / keepDoublingPeriod
-	if doubled > 20 || b.keepIdle<<doubled >= u.maxIdle {
+	doublings := time.Since(b.keepIdleSetAt) / keepDoublingPeriod
+	if doublings > maxKeepDoublings || b.keepIdle<<doublings >= u.maxIdle {
 		b.keepIdle = 0
 		return u.maxIdle
 	}
-	return b.keepIdle << doubled
+	return b.keepIdle << doublings
 }
 
-// closeIdle closes a backend's idle connections after silence on one. A machine that
-// vanished or is cut off leaves all of them open and silent; a request written to one
-// more would time out as well and might have run, while a new connection that does
-// not come up proves that it has not.
+// closeIdle closes a backend's idle connections after silence on one. A machine that vanished or is cut off leaves all
+// of them open and silent; a request written to one more would time out as well and might have run, while a new
+// connection that does not come up proves that it has not.
 func (u *upstream) closeIdle(b *backend) {
 	u.mu.Lock()
-	stale := b.idle
+	idle := b.idle
 	b.idle = nil
-	u.open -= len(stale)
+	u.open -= len(idle)
 	u.mu.Unlock()
-	closeAll(stale)
+	closeAll(idle)
 }
 
-// closeAll closes connections that are no longer counted.
+// closeAll closes connections that are in no pool. The error of a close says nothing more of a connection that is not
+// used again.
 func closeAll(conns []*conn) {
 	for _, c := range conns {
-		c.Close()
+		_ = c.Close()
 	}
 }
--- a/internal/edgenode/ready_test.go
+++ b/internal/edgenode/ready_test.go
@@ -89,8 +89,10 @@
 // timeToList is how long a new process waits before it opens its listener.
 func timeToList(t *testing.T, cfg *Config, seed uint64, dial func(ctx context.Context, network, addr string) (net.Conn, error), reloads bool) time.Duration {
 	ctx, stop := context.WithTimeout(t.Context(), 6*readyWithin) // a node that is not ready by then never is
-	client := newDiscoveryClient(cfg.Discovery, Follower{pushed: !cfg.Settings.PollEndpoints, fleetSize: cfg.Settings.NodeCount,
-		rng: rand.New(rand.NewPCG(seed, 1))}, func(List) {}, slog.New(slog.DiscardHandler))
+	client := newDiscoveryClient(cfg.Discovery, Follower{
+		pushed: !cfg.Settings.PollEndpoints, fleetSize: cfg.Settings.NodeCount,
+		rng: rand.New(rand.NewPCG(seed, 1)),
+	}, func(List) {}, slog.New(slog.DiscardHandler))
 	client.dial = dial
 	done := make(chan struct{})
 	go func() { client.run(ctx); close(done) }()
--- a/internal/edgenode/request.go
+++ b/internal/edgenode/request.go
@@ -16,13 +16,19 @@
 
 // Why a request is not written, or not to its end.
 var (
-	errAnswered      = errors.New("the request has its final answer")
+	errAnswered      = errors.New("request has its final response")
 	errTooLate       = errors.New("too late to be sent")
-	errConnStale     = errors.New("the connection was closed, or brought something unasked")
-	errEarlyResponse = errors.New("the server answers before it has the request")
+	errConnStale     = errors.New("connection was closed, or brought something unasked")
+	errEarlyResponse = errors.New("server responds before it has the request")
 )
 
-// message is what goes on to an app server.
+// minExpiresIn is the shortest wait that X-Expires-In states, in seconds.
+const minExpiresIn = 0.001
+
+// longAgo is a deadline that ends all reading or writing at once.
+var longAgo = time.Unix(1, 0)
+
+// message is what is passed on to an app server.
 type message struct {
 	method      string
 	target      string // path and query, byte for byte as the client sent them
@@ -31,13 +37,29 @@
 	key         string // Idempotency-Key
 	contentType string
 	body        []byte
-	withdrawn   bool // nothing of it may be sent any more; under the mutex of upstream
+	withdrawn   bool // nothing of it may be sent any more; guarded by the upstream's mutex
 }
 
-// httpRequest words the message. The target goes on as it came: as the opaque part of
-// an address it is not encoded anew.
+// httpRequest returns the message as a request. The target is passed on as it came: as the opaque part of a URL it is
+// not encoded anew.
 func (m *message) httpRequest(ctx context.Context) *http.Request {
 	path, query, force := strings.Cut(m.target, "?")
+	req := &http.Request{
+		Method: m.method,
+		Host:   m.host,
+		Header: m.header(ctx),
+		URL:    &url.URL{Opaque: path, RawQuery: query, ForceQuery: force},
+	}
+	if req.Host == "" {
+		req.Host = "app.svc"
+	}
+	if len(m.body) > 0 {
+		req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(m.body)), int64(len(m.body))
+	}
+	return req
+}
+
+func (m *message) header(ctx context.Context) http.Header {
 	h := http.Header{"User-Agent": {""}} // none, rather than the library's own
 	if m.id != "" {
 		h["X-Trace-Id"] = []string{m.id}
@@ -48,127 +70,136 @@
 	if m.contentType != "" {
 		h["Content-Type"] = []string{m.contentType}
 	}
-	if until, ok := ctx.Deadline(); ok {
-		left := math.Max(time.Until(until).Seconds(), 0.001)
+	if deadline, ok := ctx.Deadline(); ok {
+		left := math.Max(time.Until(deadline).Seconds(), minExpiresIn)
 		h["X-Expires-In"] = []string{strconv.FormatFloat(left, 'f', 3, 64)}
 	}
-	req := &http.Request{Method: m.method, Host: m.host, Header: h,
-		URL: &url.URL{Opaque: path, RawQuery: query, ForceQuery: force}}
-	if req.Host == "" {
-		req.Host = "app.svc"
-	}
-	if len(m.body) > 0 {
-		req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(m.body)), int64(len(m.body))
-	}
-	return req
+	return h
 }
 
 // writeLimits is what an attempt is held to as it is written, however long ago it was decided on.
 type writeLimits struct {
-	backend        *backend  // the server as it was when it was chosen; nil: as it is
-	startBefore    time.Time // an attempt not begun by then must not begin
-	completeBefore time.Time // by when its last byte has to be written; zero: no bound
+	backend        *backend  // the server as it was when it was selected; nil: as it is
+	startBefore    time.Time // an attempt that has not begun by then must not begin
+	completeBefore time.Time // by when its last byte has to be written; zero: no limit
 }
 
-// writeRequest writes a request, unless by the time its first byte would go out its server has left
-// the list, it has its final answer, its attempt was given up, its time is over or something has come on
-// the connection: a send that has not begun by then must not begin any more, however long ago it was decided.
-func (u *upstream) writeRequest(ctx context.Context, c *conn, m *message, to writeLimits, text []byte) error {
+// writeRequest writes a request, unless by the time its first byte would go out it must not begin any more: see
+// mayWrite.
+func (u *upstream) writeRequest(ctx context.Context, c *conn, m *message, limits writeLimits, text []byte) error {
 	var n int
 	var err error
-	if failed := c.raw.Write(func(fd uintptr) bool {
-		u.mu.Lock() // for two system calls that do not wait: what update, withdraw and cancel have done holds from here on
+	failed := c.raw.Write(func(fd uintptr) bool {
+		// For two system calls that do not wait: what update, withdraw and cancelAttempt have done holds from here on.
+		u.mu.Lock()
 		defer u.mu.Unlock()
-		err = ctx.Err()
-		now := time.Now()
-		switch {
-		case m.withdrawn:
-			err = errAnswered
-		case !c.backend.up:
-			err = errNotUp
-		case err != nil:
-		case isPast(to.startBefore, now), isPast(to.completeBefore, now):
-			err = errTooLate
-		case !socketQuiet(fd):
-			err = errConnStale
-		}
-		if err != nil {
+		if err = mayWrite(ctx, c, m, limits, fd); err != nil {
 			return true
 		}
-		for {
-			if n, err = syscall.Write(int(fd), text); err != syscall.EINTR {
-				return err != syscall.EAGAIN
-			}
-		}
-	}); failed != nil {
+		n, err = writeOnce(fd, text)
+		return !errors.Is(err, syscall.EAGAIN)
+	})
+	if failed != nil {
 		return failed
 	}
 	if err != nil {
 		return err
 	}
 	if n < len(text) {
-		return c.writeRemainder(ctx, to, text[n:])
+		return c.writeRemainder(ctx, limits, text[n:])
+	}
+	return nil
+}
+
+// mayWrite returns why a request must not begin any more: it has its final response, its server has left the list,
+// its attempt was given up, its time is over, or something has come on the connection. Called under the mutex.
+func mayWrite(ctx context.Context, c *conn, m *message, limits writeLimits, fd uintptr) error {
+	cancelled := ctx.Err()
+	now := time.Now()
+	switch {
+	case m.withdrawn:
+		return errAnswered
+	case !c.backend.up:
+		return errNotUp
+	case cancelled != nil:
+		return cancelled
+	case isPast(limits.startBefore, now), isPast(limits.completeBefore, now):
+		return errTooLate
+	case !socketQuiet(fd):
+		return errConnStale
 	}
 	return nil
 }
 
-// writeRemainder writes what the socket did not take at once. It ends early if the server answers, which
-// can't be to a request that it does not have, or if the last byte would come too late.
-func (c *conn) writeRemainder(ctx context.Context, to writeLimits, text []byte) error {
-	if !to.completeBefore.IsZero() {
-		c.SetWriteDeadline(to.completeBefore)
+// writeOnce writes what the socket takes without waiting.
+func writeOnce(fd uintptr, text []byte) (n int, err error) {
+	for {
+		if n, err = syscall.Write(int(fd), text); err != syscall.EINTR {
+			return n, err
+		}
+	}
+}
+
+// writeRemainder writes what the socket did not take at once. It ends early if the server responds, which can't be to
+// a request that it does not have, or if the last byte would come too late. Deadlines that can't be set mean that the
+// connection is closed, which the write reports.
+func (c *conn) writeRemainder(ctx context.Context, limits writeLimits, text []byte) error {
+	if !limits.completeBefore.IsZero() {
+		_ = c.SetWriteDeadline(limits.completeBefore)
 	}
 	early := false
-	looked := make(chan struct{})
+	watched := make(chan struct{})
 	go func() {
-		defer close(looked)
-		c.raw.Read(func(fd uintptr) bool {
+		defer close(watched)
+		_ = c.raw.Read(func(fd uintptr) bool { // fails at the deadline set below
 			early = !socketQuiet(fd)
 			return early
 		})
-		c.SetWriteDeadline(time.Unix(1, 0)) // also behind the last byte, where it changes nothing
+		_ = c.SetWriteDeadline(longAgo) // also after the last byte, where it changes nothing
 	}()
 	if ctx.Err() != nil { // its end may have set deadlines that these have replaced
-		c.SetDeadline(time.Unix(1, 0))
+		c.interrupt()
 	}
 	_, err := c.Write(text)
-	c.SetReadDeadline(time.Unix(1, 0)) // ends the look
-	<-looked
-	c.SetDeadline(time.Time{})
+	_ = c.SetReadDeadline(longAgo) // ends the watching
+	<-watched
+	_ = c.SetDeadline(time.Time{})
 	if ctx.Err() != nil {
-		c.SetDeadline(time.Unix(1, 0))
+		c.interrupt()
 	}
 	switch {
 	case err == nil:
 		return nil
 	case early:
 		return errEarlyResponse
-	case isPast(to.completeBefore, time.Now()):
+	case isPast(limits.completeBefore, time.Now()):
 		return errTooLate
 	}
 	return err
 }
 
+// interrupt ends all reading and writing on the connection. It fails on a closed one only, where they end anyway.
+func (c *conn) interrupt() { _ = c.SetDeadline(longAgo) }
+
 // isPast tells whether a time that was set is over.
 func isPast(t, now time.Time) bool { return !t.IsZero() && !now.Before(t) }
 
-// socketQuiet tells whether a socket is open with nothing to read. An idle connection that the server has
-// closed, or on which something came unasked, would end a request written to it as a reset, which may not
-// be repeated freely.
+// socketQuiet tells whether a socket is open with nothing to read. An idle connection that the server has closed, or
+// on which something came unasked, would end a request written to it as a reset, which may not be retried freely.
 func socketQuiet(fd uintptr) bool {
 	var b [1]byte
 	_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return err == syscall.EAGAIN
 }
 
-// withdraw has nothing of a message sent from now on; what has been begun goes on.
+// withdraw has nothing of a message sent from now on; what has begun goes on.
 func (u *upstream) withdraw(m *message) {
 	u.mu.Lock()
 	m.withdrawn = true
 	u.mu.Unlock()
 }
 
-// cancelAttempt gives an attempt up.
+// cancelAttempt gives an attempt up. Under the mutex, so that none is written once it has returned.
 func (u *upstream) cancelAttempt(attempt context.CancelFunc) {
 	u.mu.Lock()
 	attempt()
--- a/internal/edgenode/side_test.go
+++ b/internal/edgenode/side_test.go
@@ -226,8 +226,10 @@
 	}
 	addr := func(c *net.UDPConn) netip.AddrPort { return c.LocalAddr().(*net.UDPAddr).AddrPort() }
 	other, stranger, all := socket(), socket(), socket()
-	cfg := &Config{PeerListen: netip.MustParseAddrPort("127.0.0.1:0"), PeersAll: addr(all),
-		Peers: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), addr(other)}}
+	cfg := &Config{
+		PeerListen: netip.MustParseAddrPort("127.0.0.1:0"), PeersAll: addr(all),
+		Peers: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), addr(other)},
+	}
 	p, err := listenPeers(cfg)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/edgenode/upstream.go
+++ b/internal/edgenode/upstream.go
@@ -15,24 +15,25 @@
 	"opalhook/internal/settings"
 )
 
-// staleResetWindow is the time from the write to the reset of a connection that was given up.
+// staleResetWindow is the time from the write of a request to the reset of a connection that the server had given up
+// before.
 const staleResetWindow = 20 * time.Millisecond
 
-// upstream holds the connections to app servers. net/http's own client is not used:
-// it silently sends a request again when a kept connection turns out dead, which
-// would be a second copy. Here one call of exchange writes a request once at most.
+// upstream holds the connections to app servers. The client of net/http is not used: it silently sends a request again
+// when a kept connection turns out dead, which would be a second copy. Here one call of exchange writes a request once
+// at most.
 type upstream struct {
 	dialer  net.Dialer
 	maxIdle time.Duration
-	maxOpen int // connections open at once, descriptors being limited
+	maxOpen int // connections, idle or not, as descriptors are limited
 
 	mu       sync.Mutex
-	backends map[string]*backend
+	backends map[string]*backend // by endpoint id
 	open     int
 }
 
-// backend is an app server, as the list describes it, and its idle connections, the latest used
-// last. What makes it another one to a request that was decided on makes it another backend.
+// backend is an app server, as the list describes it, and its idle connections, the latest used last. What makes it
+// another server to a request that was decided on makes it another backend.
 type backend struct {
 	addr      netip.AddrPort
 	startedAt time.Duration
@@ -41,147 +42,177 @@
 	up        bool
 	idle      []*conn
 
-	keepIdle      time.Duration // for which its idle connections have proved good, from keepAt; 0: for maxIdle
+	keepIdle      time.Duration // for which idle connections were found good, at keepIdleSetAt; 0: maxIdle
 	keepIdleSetAt time.Time
 }
 
-// newUpstream returns an upstream without servers that opens so many connections at most.
-func newUpstream(t settings.Transport, most int) *upstream {
+// newUpstream returns an upstream without servers that opens at most maxOpen connections.
+func newUpstream(t settings.Transport, maxOpen int) *upstream {
 	return &upstream{
 		dialer:   net.Dialer{Timeout: t.ConnectTimeout, KeepAlive: -1},
 		maxIdle:  time.Duration(idleFraction * float64(t.ConnIdle)),
-		maxOpen:  most,
+		maxOpen:  maxOpen,
 		backends: map[string]*backend{},
 	}
 }
 
-// update takes in entries of the list and returns the idle connections that are of
-// no more use, for the caller to close. A server that drains, moved, restarted or
-// vanished from the list keeps none.
-func (u *upstream) update(entries []Instance, full bool) (stale []*conn) {
+// update applies entries of the list, all there are if it is complete, and returns the idle connections that are of no
+// more use, for the caller to close. A server that drains, moved, restarted or left the list keeps none.
+func (u *upstream) update(entries []Instance, complete bool) (unused []*conn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	listed := map[string]bool{}
 	for _, e := range entries {
-		if e.State == balancer.Removed {
-			if b := u.backends[e.ID]; b != nil {
-				stale = append(stale, u.remove(e.ID, b)...)
-			}
-			continue
-		}
-		listed[e.ID] = true
-		b := u.backends[e.ID]
-		if b != nil && (b.addr != e.Addr || b.startedAt != e.StartedAt || b.zone != e.Zone || b.cell != e.Cell) {
-			stale = append(stale, u.remove(e.ID, b)...)
-			b = nil
-		}
-		if b == nil {
-			b = &backend{addr: e.Addr, startedAt: e.StartedAt, zone: e.Zone, cell: e.Cell}
-			u.backends[e.ID] = b
-		}
-		if b.up = e.State == balancer.Up; !b.up {
-			stale, b.idle = append(stale, b.idle...), nil
+		if e.State != balancer.Removed {
+			listed[e.ID] = true
 		}
+		unused = append(unused, u.updateBackend(e)...)
 	}
-	if full {
-		for id, b := range u.backends {
+	if complete {
+		for id := range u.backends {
 			if !listed[id] {
-				stale = append(stale, u.remove(id, b)...)
+				unused = append(unused, u.remove(id)...)
 			}
 		}
 	}
-	u.open -= len(stale)
-	return stale
+	u.open -= len(unused)
+	return unused
+}
+
+// updateBackend applies one entry and returns the idle connections that are of no more use. Called under the mutex.
+func (u *upstream) updateBackend(e Instance) (unused []*conn) {
+	if e.State == balancer.Removed {
+		return u.remove(e.ID)
+	}
+	b := u.backends[e.ID]
+	if b != nil && !b.describes(e) {
+		unused = u.remove(e.ID)
+		b = nil
+	}
+	if b == nil {
+		b = &backend{addr: e.Addr, startedAt: e.StartedAt, zone: e.Zone, cell: e.Cell}
+		u.backends[e.ID] = b
+	}
+	if b.up = e.State == balancer.Up; !b.up {
+		unused, b.idle = append(unused, b.idle...), nil
+	}
+	return unused
+}
+
+// describes tells whether an entry means the same server.
+func (b *backend) describes(e Instance) bool {
+	return b.addr == e.Addr && b.startedAt == e.StartedAt && b.zone == e.Zone && b.cell == e.Cell
 }
 
-// remove removes a backend and returns its idle connections.
-func (u *upstream) remove(id string, b *backend) []*conn {
+// remove removes a backend, if it is there, and returns its idle connections. Called under the mutex.
+func (u *upstream) remove(id string) []*conn {
+	b := u.backends[id]
+	if b == nil {
+		return nil
+	}
 	idle := b.idle
 	b.up, b.idle = false, nil
 	delete(u.backends, id)
 	return idle
 }
 
-// lookup is the server as it is now.
-func (u *upstream) lookup(server string) *backend {
+// lookup returns the server as it is now, nil if it is not listed.
+func (u *upstream) lookup(endpointID string) *backend {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.backends[server]
+	return u.backends[endpointID]
 }
 
-// exchange writes the message to the server, once at most, and reads the whole
-// answer. It gives up when ctx ends, by closing the connection before it returns.
-func (u *upstream) exchange(ctx context.Context, server string, m *message, to writeLimits) (serverResponse, balancer.Result) {
-	if until, ok := ctx.Deadline(); ok {
-		to.startBefore = until
+// exchange writes the message to the server, once at most, and reads the whole response. It gives up when ctx ends, by
+// closing the connection before it returns.
+func (u *upstream) exchange(ctx context.Context, endpointID string, m *message, limits writeLimits) (serverResponse, balancer.Result) {
+	if deadline, ok := ctx.Deadline(); ok {
+		limits.startBefore = deadline
+	}
+	sent, err := u.send(ctx, endpointID, m, limits)
+	if err != nil {
+		return serverResponse{}, unsentResult(ctx, err)
 	}
-	var c *conn
-	var req *http.Request
-	var stop func() bool
+	return u.receive(ctx, sent)
+}
+
+// sentRequest is a request whose last byte was written.
+type sentRequest struct {
+	conn        *conn
+	request     *http.Request
+	writtenAt   time.Time
+	keepRunning func() bool // the end of the exchange's context has no effect any more; false: it has had
+}
+
+// send writes a request on a connection, or on another one where an idle connection was closed before the first byte.
+func (u *upstream) send(ctx context.Context, endpointID string, m *message, limits writeLimits) (sentRequest, error) {
 	for {
-		var err error
-		c, err = u.acquire(ctx, server, to.backend)
-		if errors.Is(err, errNoDescriptor) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
-			return serverResponse{}, balancer.NotSent // no fault of the server's
-		}
+		c, err := u.acquire(ctx, endpointID, limits.backend)
 		if err != nil {
-			return serverResponse{}, unsentResult(ctx)
+			return sentRequest{}, err
 		}
 		c.reader.reset(ctx)
-		stop = context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
-		req = m.httpRequest(ctx)
-		var out bytes.Buffer
-		if err = req.Write(&out); err == nil {
-			err = u.writeRequest(ctx, c, m, to, out.Bytes())
+		stop := context.AfterFunc(ctx, c.interrupt)
+		request := m.httpRequest(ctx)
+		var text bytes.Buffer
+		if err = request.Write(&text); err == nil {
+			err = u.writeRequest(ctx, c, m, limits, text.Bytes())
 		}
 		if err == nil {
-			break
+			return sentRequest{conn: c, request: request, writtenAt: time.Now(), keepRunning: stop}, nil
 		}
 		// A server begins a request when its last byte has come, and that was not written.
 		stop()
 		u.discard(c)
-		switch {
-		case errors.Is(err, errConnStale) && c.rested > 0: // since it was taken: another one may do
-		case errors.Is(err, errAnswered), errors.Is(err, errTooLate):
-			return serverResponse{}, balancer.NotSent
-		default:
-			return serverResponse{}, unsentResult(ctx)
+		if !errors.Is(err, errConnStale) || c.rested == 0 {
+			return sentRequest{}, err
 		}
 	}
-	written := time.Now()
-	rep, result, reuse := c.readResponse(req)
-	if result == balancer.Reset && !c.reader.started && c.rested >= minKeepIdle && time.Since(written) < staleResetWindow {
+}
+
+// receive reads the response to a request and gives its connection back or closes it.
+func (u *upstream) receive(ctx context.Context, sent sentRequest) (serverResponse, balancer.Result) {
+	c := sent.conn
+	response, result, reuse := c.readResponse(sent.request)
+	if result == balancer.Reset && !c.reader.started && c.rested >= minKeepIdle && time.Since(sent.writtenAt) < staleResetWindow {
 		u.shortenKeepIdle(c)
 	}
-	// stop is false once the deadline has been tampered with.
-	if stop() && reuse {
+	if sent.keepRunning() && reuse {
 		u.release(c)
 	} else {
 		u.discard(c)
 	}
 	if result == balancer.Reset && ctx.Err() != nil {
-		switch {
-		case errors.Is(ctx.Err(), context.Canceled):
-			result = balancer.Cancelled
-		case c.reader.started: // half an answer is no silence
-			result = balancer.ErrorResponse
-		default:
-			result = balancer.TimedOut
-		}
+		result = gaveUp(ctx, c)
 	}
 	switch result {
 	case balancer.TimedOut:
 		u.closeIdle(c.backend)
 	case balancer.OK, balancer.Overloaded, balancer.ErrorResponse:
-		rep.connectedAt = c.connectedAt
+		response.connectedAt = c.connectedAt
 	}
-	return rep, result
+	return response, result
 }
 
-// unsentResult is the result of an attempt whose last byte was not written. Where its
-// own time ended first, that says nothing of the server.
-func unsentResult(ctx context.Context) balancer.Result {
+// gaveUp is the result of an exchange that its context ended.
+func gaveUp(ctx context.Context, c *conn) balancer.Result {
 	switch {
+	case errors.Is(ctx.Err(), context.Canceled):
+		return balancer.Cancelled
+	case c.reader.started: // half a response is no silence
+		return balancer.ErrorResponse
+	}
+	return balancer.TimedOut
+}
+
+// unsentResult is the result of an attempt whose last byte was not written. Where that was no fault of the server's,
+// or the attempt's own time ended first, it says nothing of the server.
+func unsentResult(ctx context.Context, err error) balancer.Result {
+	switch {
+	case errors.Is(err, errNoDescriptor), errors.Is(err, syscall.EMFILE), errors.Is(err, syscall.ENFILE):
+		return balancer.NotSent
+	case errors.Is(err, errAnswered), errors.Is(err, errTooLate):
+		return balancer.NotSent
 	case errors.Is(ctx.Err(), context.Canceled):
 		return balancer.Cancelled
 	case ctx.Err() != nil:
@@ -191,7 +222,4 @@
 }
 
 // close closes all idle connections.
-func (u *upstream) close() {
-	stale := u.update(nil, true)
-	closeAll(stale)
-}
+func (u *upstream) close() { closeAll(u.update(nil, true)) }
--- a/internal/edgenode/upstream_test.go
+++ b/internal/edgenode/upstream_test.go
@@ -97,8 +97,10 @@
 
 // The true units that an answer tells are what the quota counts; a figure that can't be is none.
 func TestSettledUnits(t *testing.T) {
-	for text, want := range map[string]float64{"": 0, "X-Settled: 3\r\n": 3, "X-Settled: 8\r\n": 8, "X-Settled: 9\r\n": 0,
-		"X-Settled: -1\r\n": 0, "X-Settled: many\r\n": 0, "X-Settled: 1e300\r\n": 0, "X-Settled: NaN\r\n": 0} {
+	for text, want := range map[string]float64{
+		"": 0, "X-Settled: 3\r\n": 3, "X-Settled: 8\r\n": 8, "X-Settled: 9\r\n": 0,
+		"X-Settled: -1\r\n": 0, "X-Settled: many\r\n": 0, "X-Settled: 1e300\r\n": 0, "X-Settled: NaN\r\n": 0,
+	} {
 		s := newAppServer(t, say("HTTP/1.1 200 OK\r\n"+text+"Content-Length: 4\r\n\r\nbody"))
 		rep, res := exchange(t, testUpstream(s.instance("a")), "a")
 		wantResult(t, res, balancer.OK)
@@ -111,8 +113,10 @@
 // A break is a reset, whichever part of the answer it cuts: passed on in part, it
 // could not be tried elsewhere.
 func TestBrokenAnswerIsReset(t *testing.T) {
-	for _, text := range []string{"", "HTTP/1.1 200", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbo",
-		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n"} {
+	for _, text := range []string{
+		"", "HTTP/1.1 200", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbo",
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n",
+	} {
 		s := newAppServer(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
 			io.WriteString(c, text)
 			return false
