--- a/cmd/opalhook/agent.go
+++ b/cmd/opalhook/agent.go
@@ -43,13 +43,7 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(c.OutOrStdout(), "discovery for edge nodes at %s\n", a.Addr())
-			if metrics != "" {
-				err = serveMetrics(c.Context(), metrics, agentMetrics(a))
-			} else {
-				<-c.Context().Done()
-			}
-			return errors.Join(err, a.Close())
+			return errors.Join(runAgent(c, a, metrics), a.Close())
 		},
 	}
 	c.Flags().StringSliceVar(&cfg.Replicas, "replicas", []string{defaultRegistry}, "HTTP addresses of the list service's replicas")
@@ -60,6 +54,18 @@
 	return c
 }
 
+// runAgent says where the agent listens and serves its metrics, if an address is given, until the command ends.
+func runAgent(c *cobra.Command, a *agent.Agent, metrics string) error {
+	if _, err := fmt.Fprintf(c.OutOrStdout(), "discovery for edge nodes at %s\n", a.Addr()); err != nil {
+		return err
+	}
+	if metrics != "" {
+		return serveMetrics(c.Context(), metrics, agentMetrics(a))
+	}
+	<-c.Context().Done()
+	return nil
+}
+
 func agentStatus(s *settings) *cobra.Command {
 	var at string
 	c := &cobra.Command{
@@ -78,7 +84,7 @@
 			if err != nil {
 				return fmt.Errorf("no agent answers: %w", err)
 			}
-			defer resp.Body.Close()
+			defer func() { _ = resp.Body.Close() }()
 			var st agent.Status
 			if err := json.NewDecoder(resp.Body).Decode(&st); err != nil {
 				return fmt.Errorf("%s is no agent: %w", at, err)
@@ -133,7 +139,7 @@
 // serveMetrics serves Prometheus until ctx ends.
 func serveMetrics(ctx context.Context, addr string, r *prometheus.Registry) error {
 	srv := &http.Server{Addr: addr, Handler: promhttp.HandlerFor(r, promhttp.HandlerOpts{}), ReadHeaderTimeout: 3 * time.Second}
-	defer context.AfterFunc(ctx, func() { srv.Close() })()
+	defer context.AfterFunc(ctx, func() { _ = srv.Close() })()
 	if err := srv.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("metrics: %w", err)
 	}
--- a/cmd/opalhook/registry.go
+++ b/cmd/opalhook/registry.go
@@ -4,8 +4,9 @@
 	"context"
 	"errors"
 	"fmt"
+	"io"
 	"os"
-	"text/tabwriter"
+	"strings"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -59,7 +60,9 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(c.OutOrStdout(), "list service at http://%s/registry/instances\n", srv.Addr())
+			if _, err := fmt.Fprintf(c.OutOrStdout(), "list service at http://%s/registry/instances\n", srv.Addr()); err != nil {
+				return errors.Join(err, srv.Close())
+			}
 			<-c.Context().Done()
 			return srv.Close()
 		},
@@ -88,13 +91,13 @@
 			if s.json() {
 				return writeJSON(c.OutOrStdout(), map[string]any{"generation": generation, "instances": entries})
 			}
-			w := tabwriter.NewWriter(c.OutOrStdout(), 0, 4, 2, ' ', 0)
-			fmt.Fprintln(w, "INSTANCE\tADDRESS\tLIFECYCLE\tZONE\tKIND\tWEIGHT")
+			var table strings.Builder
+			fmt.Fprintln(&table, "INSTANCE\tADDRESS\tLIFECYCLE\tZONE\tKIND\tWEIGHT")
 			for _, e := range entries {
-				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%g\n", e.InstanceID, e.HostPort, e.Lifecycle, e.Zone, e.MachineType, e.Weight)
+				fmt.Fprintf(&table, "%s\t%s\t%s\t%s\t%s\t%g\n", e.InstanceID, e.HostPort, e.Lifecycle, e.Zone, e.MachineType, e.Weight)
 			}
-			fmt.Fprintf(w, "generation %d, %d instances\n", generation, len(entries))
-			return w.Flush()
+			fmt.Fprintf(&table, "generation %d, %d instances\n", generation, len(entries))
+			return writeTable(c.OutOrStdout(), table.String())
 		},
 	}
 }
@@ -144,10 +147,13 @@
 				if reset {
 					kind = "whole list"
 				}
-				fmt.Fprintf(c.OutOrStdout(), "generation %d, %s:\n", generation, kind)
+				var text strings.Builder
+				fmt.Fprintf(&text, "generation %d, %s:\n", generation, kind)
 				for _, e := range entries {
-					fmt.Fprintf(c.OutOrStdout(), "  %s %s %s\n", e.InstanceID, e.HostPort, e.Lifecycle)
+					fmt.Fprintf(&text, "  %s %s %s\n", e.InstanceID, e.HostPort, e.Lifecycle)
 				}
+				_, err := io.WriteString(c.OutOrStdout(), text.String())
+				werr = errors.Join(werr, err)
 			})
 			if c.Context().Err() != nil {
 				return werr
@@ -205,7 +211,8 @@
 }
 
 func registryChange(s *settings, client func() *registry.Client, bound func(*cobra.Command) (context.Context, context.CancelFunc), verb, short string,
-	do func(*registry.Client, context.Context, registry.Owner) (registry.Outcome, error)) *cobra.Command {
+	do func(*registry.Client, context.Context, registry.Owner) (registry.Outcome, error),
+) *cobra.Command {
 	var o registry.Owner
 	c := &cobra.Command{
 		Use:     verb + " ID",
@@ -241,20 +248,20 @@
 			if s.json() {
 				return errors.Join(append([]error{writeJSON(c.OutOrStdout(), all)}, errs...)...)
 			}
-			w := tabwriter.NewWriter(c.OutOrStdout(), 0, 4, 2, ' ', 0)
-			fmt.Fprintln(w, "REPLICA\tSTATE\tLEADER\tGENERATION\tENTRIES\tLEASES\tWATCHES\tEXPIRY")
+			var table strings.Builder
+			fmt.Fprintln(&table, "REPLICA\tSTATE\tLEADER\tGENERATION\tENTRIES\tLEASES\tWATCHES\tEXPIRY")
 			for i, st := range all {
 				if errs[i] != nil {
-					fmt.Fprintf(w, "%s\tno answer: %v\n", cl.Replicas[i], errs[i])
+					fmt.Fprintf(&table, "%s\tno answer: %v\n", cl.Replicas[i], errs[i])
 					continue
 				}
 				expiry := "runs"
 				if st.Paused {
 					expiry = "PAUSED: many leases run out at once; look at the network before the instances"
 				}
-				fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%s\n", st.Replica, st.State, st.Leader, st.Generation, st.Entries, st.Leases, st.Watches, expiry)
+				fmt.Fprintf(&table, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%s\n", st.Replica, st.State, st.Leader, st.Generation, st.Entries, st.Leases, st.Watches, expiry)
 			}
-			return errors.Join(append(errs, w.Flush())...)
+			return errors.Join(append(errs, writeTable(c.OutOrStdout(), table.String()))...)
 		},
 	}
 }
@@ -295,7 +302,7 @@
 			if err != nil {
 				return fmt.Errorf("backup: %w", err)
 			}
-			defer f.Close()
+			defer func() { _ = f.Close() }() // it was read only
 			if epoch == 0 {
 				epoch = registry.EpochAt(time.Now())
 			}
--- a/cmd/opalhook/scale.go
+++ b/cmd/opalhook/scale.go
@@ -80,7 +80,8 @@
 // progressGap is the shortest time between two lines of progress on one size.
 const progressGap = time.Second
 
-// scaleProgress writes a line as a size begins and ends, and now and then between.
+// scaleProgress writes a line as a size begins and ends, and now and then between. Progress that nobody can read is
+// no reason to stop the measurement.
 func scaleProgress(out io.Writer) func(scale.Progress) {
 	began := time.Now()
 	var last time.Duration
@@ -90,7 +91,7 @@
 			return
 		}
 		last = now
-		fmt.Fprintf(out, "%5.0f s  %s at %d: %d of %d, %s\n", now.Seconds(), p.Part, p.Size, p.Done, p.Total, p.Doing)
+		_, _ = fmt.Fprintf(out, "%5.0f s  %s at %d: %d of %d, %s\n", now.Seconds(), p.Part, p.Size, p.Done, p.Total, p.Doing)
 	}
 }
 
@@ -106,7 +107,8 @@
 	paths, err := report.WritePlots(dir)
 	if !s.json() {
 		for _, path := range paths {
-			fmt.Fprintln(out, path)
+			_, werr := fmt.Fprintln(out, path)
+			err = errors.Join(err, werr)
 		}
 	}
 	return err
--- a/cmd/opalhook/scale_test.go
+++ b/cmd/opalhook/scale_test.go
@@ -15,8 +15,12 @@
 // What can't be measured is bad input, which ends the command with its own exit code.
 func TestScaleBadInput(t *testing.T) {
 	for _, args := range [][]string{
-		{"--part", "moons"}, {"--part", "quota", "--sizes", "0"}, {"--part", "quota", "--sizes", "x"}, {"--sizes", "5"},
-		{"--part", "node-list", "--sizes", "2000000000"}, {"--part", "node-list", "--sizes", "9223372036854775807"},
+		{"--part", "moons"},
+		{"--part", "quota", "--sizes", "0"},
+		{"--part", "quota", "--sizes", "x"},
+		{"--sizes", "5"},
+		{"--part", "node-list", "--sizes", "2000000000"},
+		{"--part", "node-list", "--sizes", "9223372036854775807"},
 	} {
 		out, err := call(t, append([]string{"lab", "scale", "--dir", t.TempDir()}, args...)...)
 		if !errors.As(err, new(badInput)) {
--- a/cmd/opalhook/sweep.go
+++ b/cmd/opalhook/sweep.go
@@ -9,7 +9,6 @@
 	"path/filepath"
 	"slices"
 	"strings"
-	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -98,11 +97,11 @@
 	return testbed.BreakNode(ctx, broken, dir)
 }
 
-// sweepProgress writes a line as each trial ends.
+// sweepProgress writes a line as each trial ends. Progress that nobody can read is no reason to stop the sweep.
 func sweepProgress(out io.Writer) func(done, of int, t testbed.Trial) {
 	began := time.Now()
 	return func(done, of int, t testbed.Trial) {
-		fmt.Fprintf(out, "%5.0f s  %d of %d  seed %d: %s%s\n", time.Since(began).Seconds(), done, of, t.Seed, t.Verdict, because(t))
+		_, _ = fmt.Fprintf(out, "%5.0f s  %d of %d  seed %d: %s%s\n", time.Since(began).Seconds(), done, of, t.Seed, t.Verdict, because(t))
 	}
 }
 
@@ -122,7 +121,7 @@
 
 // sweepTable writes what failed, and the counts.
 func sweepTable(out io.Writer, r *testbed.SweepReport, dir string) error {
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	var table strings.Builder
 	head := false
 	for _, t := range r.Trials {
 		if t.Verdict != testbed.Broke && t.Verdict != testbed.NotPlayed {
@@ -130,24 +129,26 @@
 		}
 		if !head {
 			head = true
-			fmt.Fprintln(w, "seed\tverdict\tdeployment\tplay it again with")
+			fmt.Fprintln(&table, "seed\tverdict\tdeployment\tplay it again with")
 		}
-		fmt.Fprintf(w, "%d\t%s%s\t%s\t%s\n", t.Seed, t.Verdict, because(t), t.Size, t.Again)
+		fmt.Fprintf(&table, "%d\t%s%s\t%s\t%s\n", t.Seed, t.Verdict, because(t), t.Size, t.Again)
 		if t.First != "" {
-			fmt.Fprintf(w, "\t  %s\t\t\n", strings.TrimSpace(t.First))
+			fmt.Fprintf(&table, "\t  %s\t\t\n", strings.TrimSpace(t.First))
 		}
 		if t.Reduced != "" {
-			fmt.Fprintf(w, "\t  reduced\t%s\t\n", t.Reduced)
+			fmt.Fprintf(&table, "\t  reduced\t%s\t\n", t.Reduced)
 		}
 	}
-	if err := w.Flush(); err != nil {
+	if err := writeTable(out, table.String()); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%d played of seeds %d-%d: %d passed, %d broke a rule, %d not judged, %d not played\n", r.Played, r.From, r.To,
+	var text strings.Builder
+	fmt.Fprintf(&text, "%d played of seeds %d-%d: %d passed, %d broke a rule, %d not judged, %d not played\n", r.Played, r.From, r.To,
 		r.Counts[testbed.Passed], r.Counts[testbed.Broke], r.Counts[testbed.NotJudged], r.Counts[testbed.NotPlayed])
 	if r.Ended != "" {
-		fmt.Fprintln(out, r.Ended)
+		fmt.Fprintln(&text, r.Ended)
 	}
-	fmt.Fprintln(out, filepath.Join(dir, "sweep.json"))
-	return nil
+	fmt.Fprintln(&text, filepath.Join(dir, "sweep.json"))
+	_, err := io.WriteString(out, text.String())
+	return err
 }
--- a/cmd/opalhook/testbed.go
+++ b/cmd/opalhook/testbed.go
@@ -1,14 +1,13 @@
 package main
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
 	"os"
 	"path/filepath"
 	"strconv"
-	"text/tabwriter"
+	"strings"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -76,7 +75,9 @@
 				met = met && r.OK()
 				results = append(results, r)
 				if !s.json() {
-					summary(c.OutOrStdout(), r, at)
+					if err := summary(c.OutOrStdout(), r, at); err != nil {
+						return err
+					}
 				}
 			}
 			if s.json() {
@@ -124,8 +125,8 @@
 			if s.json() {
 				return writeJSON(c.OutOrStdout(), map[string]string{"fault": what})
 			}
-			fmt.Fprintln(c.OutOrStdout(), what)
-			return nil
+			_, err = fmt.Fprintln(c.OutOrStdout(), what)
+			return err
 		},
 	}
 	c.Flags().StringVar(&at, "at", "127.0.0.1:9911", "control address of the run")
@@ -148,35 +149,40 @@
 		text := fmt.Sprintf("%5.0f of %.0f s  asked %5d  served %5d  refused %4d  failed %3d  p50 %4d ms  p99 %5d ms  nodes up %d  rules broken %d",
 			p.At.Seconds(), p.Of.Seconds(), p.Asked, p.Served, p.Refused, p.Failed, p.P50.Milliseconds(), p.P99.Milliseconds(), p.NodesUp, p.Violations)
 		if terminal {
-			fmt.Fprintf(out, "\r\x1b[K%s", text)
+			text = "\r\x1b[K" + text
 			if p.At >= p.Of-time.Second {
-				fmt.Fprintln(out)
+				text += "\n"
 			}
-			return
+		} else {
+			text += "\n"
 		}
-		fmt.Fprintln(out, text)
+		_, _ = out.WriteString(text) // progress that nobody can read is no reason to stop the run
 	}
 }
 
-func summary(out io.Writer, r *testbed.Result, dir string) {
+// summary writes how a run came out.
+func summary(out io.Writer, r *testbed.Result, dir string) error {
+	var text strings.Builder
 	verdict := "passed"
 	if !r.OK() {
 		verdict = "FAILED"
 	}
-	fmt.Fprintf(out, "%s seed %d: %s  goodput %.3f  served %.3f  refused %.3f  p99 %.0f ms  schedule %s\n", r.Scenario, r.Seed, verdict,
+	fmt.Fprintf(&text, "%s seed %d: %s  goodput %.3f  served %.3f  refused %.3f  p99 %.0f ms  schedule %s\n", r.Scenario, r.Seed, verdict,
 		r.Figures["goodput"], r.Figures["served"], r.Figures["refused"], r.Figures["p99_ms"], r.Digest)
 	if r.Behind {
-		fmt.Fprintf(out, "  the generator fell behind by %.1f ms (99th percentile): this machine is too small for the load\n", r.Figures["lateness_ms"])
+		fmt.Fprintf(&text, "  the generator fell behind by %.1f ms (99th percentile): this machine is too small for the load\n", r.Figures["lateness_ms"])
 	}
 	for _, v := range r.Violations[:min(len(r.Violations), 5)] {
-		fmt.Fprintln(out, " ", v)
+		fmt.Fprintln(&text, " ", v)
 	}
 	for _, k := range r.Checks {
 		if !k.OK {
-			fmt.Fprintf(out, "  expected %s %s, got %.4g\n", k.Expect.Figure, k.Expect.Bound(), k.Got)
+			fmt.Fprintf(&text, "  expected %s %s, got %.4g\n", k.Expect.Figure, k.Expect.Bound(), k.Got)
 		}
 	}
-	fmt.Fprintf(out, "  %s\n", dir)
+	fmt.Fprintf(&text, "  %s\n", dir)
+	_, err := io.WriteString(out, text.String())
+	return err
 }
 
 func testbedList(s *settings) *cobra.Command {
@@ -214,11 +220,11 @@
 			if s.json() {
 				return errors.Join(writeJSON(c.OutOrStdout(), rows), bad)
 			}
-			w := tabwriter.NewWriter(c.OutOrStdout(), 0, 4, 2, ' ', 0)
+			var table strings.Builder
 			for _, r := range rows {
-				fmt.Fprintf(w, "%s\t%s\n", r.File, r.About)
+				fmt.Fprintf(&table, "%s\t%s\n", r.File, r.About)
 			}
-			return errors.Join(w.Flush(), bad)
+			return errors.Join(writeTable(c.OutOrStdout(), table.String()), bad)
 		},
 	}
 }
@@ -241,8 +247,8 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprintln(c.OutOrStdout(), path)
-			return nil
+			_, err = fmt.Fprintln(c.OutOrStdout(), path)
+			return err
 		},
 	}
 }
@@ -262,22 +268,16 @@
 			if s.json() {
 				return writeJSON(c.OutOrStdout(), rows)
 			}
-			w := tabwriter.NewWriter(c.OutOrStdout(), 0, 4, 2, ' ', 0)
-			fmt.Fprintln(w, "figure\tfirst (least to most)\tsecond (least to most)\tratio\t")
+			var table strings.Builder
+			fmt.Fprintln(&table, "figure\tfirst (least to most)\tsecond (least to most)\tratio\t")
 			for _, r := range rows {
 				note := ""
 				if r.Apart {
 					note = "apart"
 				}
-				fmt.Fprintf(w, "%s\t%.4g (%.4g to %.4g)\t%.4g (%.4g to %.4g)\t%.3f\t%s\n", r.Figure, r.A.Mean, r.A.Min, r.A.Max, r.B.Mean, r.B.Min, r.B.Max, r.Ratio, note)
+				fmt.Fprintf(&table, "%s\t%.4g (%.4g to %.4g)\t%.4g (%.4g to %.4g)\t%.3f\t%s\n", r.Figure, r.A.Mean, r.A.Min, r.A.Max, r.B.Mean, r.B.Min, r.B.Max, r.Ratio, note)
 			}
-			return w.Flush()
+			return writeTable(c.OutOrStdout(), table.String())
 		},
 	}
 }
-
-func writeJSON(out io.Writer, v any) error {
-	e := json.NewEncoder(out)
-	e.SetIndent("", " ")
-	return e.Encode(v)
-}
--- a/cmd/opalhook/up.go
+++ b/cmd/opalhook/up.go
@@ -32,21 +32,23 @@
 			if err != nil {
 				return fmt.Errorf("folder of the run: %w", err)
 			}
-			defer os.RemoveAll(dir)
-			fmt.Fprintf(c.ErrOrStderr(), "building the edge node; then %d nodes and %d app servers run until Ctrl-C\n", sc.Fleet.Nodes, sc.Fleet.Servers)
+			defer func() { _ = os.RemoveAll(dir) }() // a temporary folder
+			_, _ = fmt.Fprintf(c.ErrOrStderr(), "building the edge node; then %d nodes and %d app servers run until Ctrl-C\n", sc.Fleet.Nodes, sc.Fleet.Servers)
 			path, err := testbed.FindNode(c.Context(), binary, dir)
 			if err != nil {
 				return err
 			}
 			r, err := testbed.Run(c.Context(), sc, testbed.Options{Seed: uint64(time.Now().UnixNano()), Binary: path, Dir: dir, Log: s.logger(), Control: control, Live: live(os.Stderr)})
 			if errors.Is(err, context.Canceled) {
-				fmt.Fprintln(c.ErrOrStderr(), "\nended: no process is left")
+				_, _ = fmt.Fprintln(c.ErrOrStderr(), "\nended: no process is left")
 				return nil
 			}
 			if err != nil {
 				return err
 			}
-			summary(c.OutOrStdout(), r, "the run's files are removed")
+			if err := summary(c.OutOrStdout(), r, "the run's files are removed"); err != nil {
+				return err
+			}
 			if !r.OK() {
 				return errNotMet
 			}
--- a/cmd/sim-adapter/main.go
+++ b/cmd/sim-adapter/main.go
@@ -35,10 +35,10 @@
 	h := host{gates: map[int]*balancer.Balancer{}}
 	for {
 		ev, err := r.Next()
-		if err == io.EOF && h.open {
+		if errors.Is(err, io.EOF) && h.open {
 			return fmt.Errorf("line %d: input ends inside a batch", r.Line())
 		}
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err == nil {
@@ -51,7 +51,9 @@
 			return err
 		}
 		if _, ok := ev.(simwire.Commit); ok {
-			w.Write(h.reply.Take())
+			if _, err := w.Write(h.reply.Take()); err != nil {
+				return fmt.Errorf("writing the reply: %w", err)
+			}
 			if err := w.Flush(); err != nil {
 				return fmt.Errorf("writing the reply: %w", err)
 			}
--- a/internal/scale/list_expiry_test.go
+++ b/internal/scale/list_expiry_test.go
@@ -31,8 +31,10 @@
 			t.Errorf("%v messages for %d entries", messages, zoneEntries(n))
 		}
 		checkExpiryBytes(t, v["zone expired, most to a watch"], int(messages), removedZone(n))
-		for _, q := range []string{"zone expired, from the first lease's end to the last watch", "zone expired, from the last lease's end to the last watch",
-			"zone expired, from the first watch that has it all to the last"} {
+		for _, q := range []string{
+			"zone expired, from the first lease's end to the last watch", "zone expired, from the last lease's end to the last watch",
+			"zone expired, from the first watch that has it all to the last",
+		} {
 			if got, ok := v[q]; !ok || got < 0 {
 				t.Errorf("%s: %v", q, got)
 			}
--- a/internal/scale/list_lost_test.go
+++ b/internal/scale/list_lost_test.go
@@ -26,8 +26,10 @@
 		if ended <= 0 || open < ended {
 			t.Errorf("ended after %v, open after %v", ended, open)
 		}
-		for _, q := range []string{"replica lost, until the last has the list of when all were open", "replica lost, until the last has the list without the zone",
-			"zone lost meanwhile, all removals written", "zone lost meanwhile, longest of the removals"} {
+		for _, q := range []string{
+			"replica lost, until the last has the list of when all were open", "replica lost, until the last has the list without the zone",
+			"zone lost meanwhile, all removals written", "zone lost meanwhile, longest of the removals",
+		} {
 			if v[q] <= 0 {
 				t.Errorf("%s: %v", q, v[q])
 			}
--- a/internal/scale/list_renew.go
+++ b/internal/scale/list_renew.go
@@ -257,7 +257,7 @@
 
 func (c *renewClient) hangUp() {
 	if c.fd >= 0 {
-		syscall.Close(c.fd)
+		_ = syscall.Close(c.fd)
 		c.fd = -1
 	}
 }
--- a/internal/scale/list_test.go
+++ b/internal/scale/list_test.go
@@ -172,7 +172,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer r.close()
+	defer func() {
+		if err := r.close(); err != nil {
+			t.Error(err)
+		}
+	}()
 	at := listSteps{ctx: t.Context(), env: Env{Seed: 1}}
 	if _, err := renew(&at, r.Addr(), 4, 40, true); err != nil {
 		t.Errorf("those that are there: %v", err)
@@ -212,7 +216,7 @@
 						return
 					}
 				}
-				far.Close()
+				_ = far.Close()
 			}()
 			w.follow(func() {})
 			if got := w.told.Load(); (got.broken != nil) != c.broken || got.at != c.at && !c.broken {
--- a/internal/scale/list_watch.go
+++ b/internal/scale/list_watch.go
@@ -76,7 +76,7 @@
 	}
 	defer func() {
 		if err != nil {
-			conn.Close()
+			_ = conn.Close()
 		}
 	}()
 	if _, err := fmt.Fprintf(conn, "GET /registry/instances?watch=1&from=%d HTTP/1.1\r\nHost: list\r\n\r\n", from); err != nil {
@@ -245,7 +245,7 @@
 func (ws *listWatches) close() {
 	for _, w := range ws.all {
 		if w != nil {
-			w.conn.Close()
+			_ = w.conn.Close()
 		}
 	}
 	ws.work.Wait()
--- a/internal/scale/list_write.go
+++ b/internal/scale/list_write.go
@@ -69,7 +69,7 @@
 	if err != nil {
 		return "", err
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	text, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return "", err
--- a/internal/scale/nodelist.go
+++ b/internal/scale/nodelist.go
@@ -238,8 +238,14 @@
 		name string
 		kind callKind
 	}{
-		{"request, server chosen", callChosen}, {"request, peer asked", callAsked}, {"outcome", callOutcome},
-		{"message, ask answered", callAsk}, {"message, answer and send", callGranted}, {"message, other answer", callAnswer}, {"tick", callTick}, {"one change", callChange},
+		{"request, server chosen", callChosen},
+		{"request, peer asked", callAsked},
+		{"outcome", callOutcome},
+		{"message, ask answered", callAsk},
+		{"message, answer and send", callGranted},
+		{"message, other answer", callAnswer},
+		{"tick", callTick},
+		{"one change", callChange},
 		{"one change of a server met", callMetChange},
 	} {
 		r.time(b.watch, q.name+", p50", q.kind, 0.5)
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -6,6 +6,7 @@
 	"math"
 	"slices"
 	"strconv"
+	"strings"
 	"text/tabwriter"
 	"time"
 
@@ -115,24 +116,30 @@
 }
 
 func (p *PartReport) writeText(out io.Writer) error {
-	fmt.Fprintf(out, "%s: %s\n", p.Name, p.Title)
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
+	if _, err := fmt.Fprintf(out, "%s: %s\n", p.Name, p.Title); err != nil {
+		return err
+	}
+	var table strings.Builder
 	sizes := p.sizes()
-	fmt.Fprintf(w, "%s\t", p.Size)
+	fmt.Fprintf(&table, "%s\t", p.Size)
 	for _, size := range sizes {
-		fmt.Fprintf(w, "%d\t", size)
+		fmt.Fprintf(&table, "%d\t", size)
 	}
-	fmt.Fprint(w, "grows as\t\n")
+	fmt.Fprint(&table, "grows as\t\n")
 	for _, quantity := range p.quantities() {
-		fmt.Fprintf(w, "%s\t", quantity)
+		fmt.Fprintf(&table, "%s\t", quantity)
 		for _, size := range sizes {
 			cell := "-"
 			if row := p.row(quantity, size); row != nil {
 				cell = formatValue(row.Value, row.Unit)
 			}
-			fmt.Fprintf(w, "%s\t", cell)
+			fmt.Fprintf(&table, "%s\t", cell)
 		}
-		fmt.Fprintf(w, "%s\t\n", p.growth(quantity))
+		fmt.Fprintf(&table, "%s\t\n", p.growth(quantity))
+	}
+	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
+	if _, err := io.WriteString(w, table.String()); err != nil {
+		return err
 	}
 	if err := w.Flush(); err != nil {
 		return err
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -88,8 +88,10 @@
 		return s, fmt.Errorf("feedback.how: unknown word %q", in.Feedback.How)
 	}
 	for _, c := range in.Lanes {
-		k := balancer.Class{Name: c.Name, DedupWindow: Duration(c.MemorySpan), LatencyObjective: Duration(c.OnTime),
-			Deadline: Duration(c.Deadline), PriorityWeight: c.Worth, LateWeightFraction: c.LateWorth, Stream: c.Streamed}
+		k := balancer.Class{
+			Name: c.Name, DedupWindow: Duration(c.MemorySpan), LatencyObjective: Duration(c.OnTime),
+			Deadline: Duration(c.Deadline), PriorityWeight: c.Worth, LateWeightFraction: c.LateWorth, Stream: c.Streamed,
+		}
 		effects := map[string]balancer.Idempotency{"retryable": balancer.Idempotent, "dedup": balancer.IdempotentWithKey, "fragile": balancer.NonIdempotent}
 		groups := map[string]balancer.DedupScope{"all": balancer.DedupFleet, "zone": balancer.DedupZone, "cell": balancer.DedupCell}
 		var ok bool
@@ -102,9 +104,11 @@
 		s.Classes = append(s.Classes, k)
 	}
 	for _, t := range in.Tariffs {
-		s.Plans = append(s.Plans, balancer.Plan{Name: t.Name, Rate: t.QuotaRate, Burst: t.PeakUnits, MaxConcurrent: t.MaxOut,
+		s.Plans = append(s.Plans, balancer.Plan{
+			Name: t.Name, Rate: t.QuotaRate, Burst: t.PeakUnits, MaxConcurrent: t.MaxOut,
 			HardLimitRate: t.NeverOverRate, HardLimitBurst: t.HardBurst, HardLimitSlack: t.CapSlack,
-			WeightFactor: t.WorthFactor, OverQuotaValue: t.ExtraWorth, OverQuotaCost: t.OverCost})
+			WeightFactor: t.WorthFactor, OverQuotaValue: t.ExtraWorth, OverQuotaCost: t.OverCost,
+		})
 	}
 	return s, nil
 }
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -229,7 +229,7 @@
 }
 
 func noEOF(err error) error {
-	if err == io.EOF {
+	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
@@ -242,8 +242,10 @@
 	if f.err != nil {
 		return nil, nil // reported by the caller
 	}
-	forms := map[string]balancer.UpdateKind{"Partial": balancer.UpdateDelta, "Complete": balancer.UpdateSnapshot,
-		"Persisted": balancer.UpdateCached, "Error": balancer.UpdateFailed}
+	forms := map[string]balancer.UpdateKind{
+		"Partial": balancer.UpdateDelta, "Complete": balancer.UpdateSnapshot,
+		"Persisted": balancer.UpdateCached, "Error": balancer.UpdateFailed,
+	}
 	var ok bool
 	if e.Kind, ok = forms[form]; !ok {
 		return nil, fmt.Errorf("FLEET: unknown form %q", form)
--- a/internal/simwire/reader_test.go
+++ b/internal/simwire/reader_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"io"
 	"log/slog"
 	"strings"
@@ -15,7 +16,7 @@
 	r := NewReader(strings.NewReader(text))
 	for {
 		ev, err := r.Next()
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return events, nil
 		}
 		if err != nil {
--- a/internal/testbed/block.go
+++ b/internal/testbed/block.go
@@ -54,4 +54,4 @@
 }
 
 // release gives the range back.
-func (b *block) release() { b.claim.Close() }
+func (b *block) release() { _ = b.claim.Close() }
--- a/internal/testbed/control.go
+++ b/internal/testbed/control.go
@@ -30,7 +30,8 @@
 
 func newMetrics(w *world) *metrics {
 	name := func(n string) string { return "opalhook_lab_" + n }
-	return &metrics{w: w,
+	return &metrics{
+		w:       w,
 		tries:   prometheus.NewDesc(name("tries_total"), "Tries of clients by how they ended.", []string{"outcome"}, nil),
 		broken:  prometheus.NewDesc(name("violations_total"), "Broken rules of the platform.", []string{"rule"}, nil),
 		held:    prometheus.NewDesc(name("tries_open"), "Tries taken by a node and not answered yet.", nil, nil),
@@ -120,7 +121,7 @@
 	})
 	w.work.Go(func() {
 		<-w.over
-		srv.Close()
+		_ = srv.Close()
 	})
 	return nil
 }
@@ -173,7 +174,7 @@
 			}
 		})
 	}
-	fmt.Fprintln(rw, ft.describe(e))
+	_, _ = fmt.Fprintln(rw, ft.describe(e)) // a caller that is gone needs no answer
 }
 
 // Commanded is a fault by command at run time.
@@ -204,7 +205,7 @@
 	if err != nil {
 		return "", fmt.Errorf("no run at %s: start one with --control %s: %w", addr, addr, err)
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	text, err := io.ReadAll(io.LimitReader(resp.Body, 4096))
 	if err != nil {
 		return "", fmt.Errorf("answer: %w", err)
--- a/internal/testbed/control_test.go
+++ b/internal/testbed/control_test.go
@@ -32,13 +32,15 @@
 			t.Error(err)
 			return
 		}
-		defer resp.Body.Close()
+		defer func() { _ = resp.Body.Close() }()
 		if text, _ := io.ReadAll(resp.Body); !strings.Contains(string(text), "opalhook_lab_tries_total{outcome=\"served\"}") {
 			t.Errorf("metrics %.300s", text)
 		}
 	}
-	r, err := Run(t.Context(), s, Options{Seed: 3, Binary: os.Args[0], Env: []string{standIn + "=correct"}, Dir: t.TempDir(), Control: addr,
-		Log: slog.New(slog.DiscardHandler), Live: live})
+	r, err := Run(t.Context(), s, Options{
+		Seed: 3, Binary: os.Args[0], Env: []string{standIn + "=correct"}, Dir: t.TempDir(), Control: addr,
+		Log: slog.New(slog.DiscardHandler), Live: live,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/doc.go
+++ b/internal/testbed/doc.go
@@ -1,4 +1,4 @@
-// Package lab runs real processes of this program under load and faults, plays the world
+// Package testbed runs real processes of this program under load and faults, plays the world
 // around them, and judges what they did.
 //
 // # The world
--- a/internal/testbed/front.go
+++ b/internal/testbed/front.go
@@ -88,7 +88,7 @@
 			return true
 		}
 		nap := syscall.NsecToTimespec(int64(min(d, longestNap)))
-		syscall.Nanosleep(&nap, nil) // one cut short by a signal is slept anew
+		_ = syscall.Nanosleep(&nap, nil) // one cut short by a signal is slept anew
 	}
 }
 
@@ -105,7 +105,7 @@
 			}
 			f.w.work.Go(func() {
 				if resp, err := client.Get("http://" + n.addr + "/health/ready"); err == nil {
-					resp.Body.Close()
+					_ = resp.Body.Close()
 					if resp.StatusCode == http.StatusOK {
 						n.setUp(true)
 					}
@@ -212,7 +212,7 @@
 			f.w.ref.unanswered(t, f.w.now(), false, false, "")
 			return triedUnreached, 0
 		}
-		cc.SetDeadline(limit)
+		_ = cc.SetDeadline(limit)
 		// The wait counts from when the request is sent, and a connection may have come up late.
 		left := t.deadline - f.w.now()
 		if left <= 0 {
@@ -221,7 +221,7 @@
 			return triedUnreached, 0
 		}
 		if _, err = io.WriteString(cc, f.word(t, a, c, left)); err != nil {
-			cc.Close()
+			_ = cc.Close()
 			if kept && !again {
 				continue
 			}
@@ -230,7 +230,7 @@
 		}
 		f.w.ref.sent(t, f.w.now())
 		if err = f.awaitAnswer(t, cc); err != nil && kept && !again && !timedOut(err) {
-			cc.Close() // the node closed it as the request came: sent once more, as the protocol says
+			_ = cc.Close() // the node closed it as the request came: sent once more, as the protocol says
 			continue
 		}
 		return f.read(t, n, cc, !kept)
@@ -249,7 +249,7 @@
 		if !limit.After(time.Now()) {
 			return err
 		}
-		cc.SetDeadline(limit)
+		_ = cc.SetDeadline(limit)
 	}
 }
 
@@ -281,13 +281,13 @@
 	}
 	now := f.w.now()
 	if err != nil {
-		cc.Close()
+		_ = cc.Close()
 		f.w.ref.unanswered(t, now, f.w.answerable(t.node, t.sent), fresh && !timedOut(err), err.Error())
 		return triedFailed, 0
 	}
 	f.w.ref.answered(t, now, resp.StatusCode, string(body), f.w.answerable(t.node, t.sent))
 	if resp.Close {
-		cc.Close()
+		_ = cc.Close()
 	} else {
 		n.give(cc)
 	}
@@ -313,7 +313,7 @@
 			n.mu.Unlock()
 			return cc, true, nil
 		}
-		cc.Close()
+		_ = cc.Close()
 	}
 	n.mu.Unlock()
 	d := net.Dialer{Deadline: limit}
@@ -336,7 +336,7 @@
 	for _, n := range f.nodes {
 		n.mu.Lock()
 		for _, c := range n.idle {
-			c.Close()
+			_ = c.Close()
 		}
 		n.idle = nil
 		n.mu.Unlock()
--- a/internal/testbed/link_tcp.go
+++ b/internal/testbed/link_tcp.go
@@ -88,7 +88,7 @@
 	if !r.add(p) {
 		return
 	}
-	io.Copy(io.Discard, p.near)
+	_, _ = io.Copy(io.Discard, p.near) // ends with any error: the connection is over
 }
 
 // add enters a connection, so that close ends it. It returns false if the relay is closed already: then nobody
@@ -107,9 +107,9 @@
 	r.mu.Lock()
 	delete(r.open, p)
 	r.mu.Unlock()
-	p.near.Close()
+	_ = p.near.Close()
 	if p.far != nil {
-		p.far.Close()
+		_ = p.far.Close()
 	}
 }
 
@@ -168,7 +168,7 @@
 			if errors.Is(err, syscall.ECONNRESET) {
 				reset(to)
 			} else {
-				to.Close()
+				_ = to.Close()
 			}
 			return
 		}
@@ -226,7 +226,7 @@
 	}
 	// The accepting goroutine takes what it can; it is parked in accept, so the queue must be
 	// filled past it.
-	ln.SetDeadline(time.Unix(1, 0))
+	_ = ln.SetDeadline(time.Unix(1, 0)) // fails on a closed listener alone, which takes nobody anyway
 	var fillers []net.Conn
 	for range 3 {
 		c, err := net.DialTimeout("tcp", r.addr, 5*time.Millisecond)
@@ -263,7 +263,7 @@
 		}
 	}
 	r.mu.Unlock()
-	ln.SetDeadline(time.Time{})
+	_ = ln.SetDeadline(time.Time{})        // fails on a closed listener alone; accept then ends at once
 	r.clock.spawn(func() { r.accept(ln) }) // the one before ended with the deadline
 	return nil
 }
@@ -286,18 +286,18 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.closed = true
-	r.ln.Close()
+	_ = r.ln.Close()
 	closeAll(r.fillers)
 	for p := range r.open {
-		p.near.Close()
+		_ = p.near.Close()
 		if p.far != nil {
-			p.far.Close()
+			_ = p.far.Close()
 		}
 	}
 }
 
 func closeAll(conns []net.Conn) {
 	for _, c := range conns {
-		c.Close()
+		_ = c.Close()
 	}
 }
--- a/internal/testbed/link_test.go
+++ b/internal/testbed/link_test.go
@@ -1,6 +1,7 @@
 package testbed
 
 import (
+	"errors"
 	"net"
 	"testing"
 	"time"
@@ -16,7 +17,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { ln.Close() })
+	t.Cleanup(func() { _ = ln.Close() })
 	return ln
 }
 
@@ -28,12 +29,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { client.Close() })
+	t.Cleanup(func() { _ = client.Close() })
 	accepted, err = ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { accepted.Close() })
+	t.Cleanup(func() { _ = accepted.Close() })
 	return client, accepted
 }
 
@@ -61,7 +62,9 @@
 			case <-time.After(linkPatience):
 				t.Fatal("goes on although the link is closed")
 			}
-			client.SetReadDeadline(time.Now().Add(linkPatience))
+			if err := client.SetReadDeadline(time.Now().Add(linkPatience)); err != nil {
+				t.Fatal(err)
+			}
 			if _, err := client.Read(make([]byte, 1)); err == nil || isTimeout(err) {
 				t.Errorf("the client's end is not closed: %v", err)
 			}
@@ -70,6 +73,6 @@
 }
 
 func isTimeout(err error) bool {
-	timeout, ok := err.(net.Error)
-	return ok && timeout.Timeout()
+	var timeout net.Error
+	return errors.As(err, &timeout) && timeout.Timeout()
 }
--- a/internal/testbed/link_udp.go
+++ b/internal/testbed/link_udp.go
@@ -32,8 +32,10 @@
 
 func startUDPRelay(w *world, block string) (*udpRelay, error) {
 	n := w.s.Fleet.Nodes
-	u := &udpRelay{w: w, rng: random(w.seed, streamLinks), from: map[netip.AddrPort]int{}, links: map[[2]int]LinkState{}, loss: w.s.Fleet.PeerLoss,
-		inbox: make([]float64, n), inAt: make([]time.Duration, n), homes: make([]netip.AddrPort, n)}
+	u := &udpRelay{
+		w: w, rng: random(w.seed, streamLinks), from: map[netip.AddrPort]int{}, links: map[[2]int]LinkState{}, loss: w.s.Fleet.PeerLoss,
+		inbox: make([]float64, n), inAt: make([]time.Duration, n), homes: make([]netip.AddrPort, n),
+	}
 	for i := range n + 1 {
 		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(block)})
 		if err != nil {
@@ -117,7 +119,8 @@
 	home := u.homes[to]
 	d := time.Duration((0.5+u.rng.Float64())*float64(u.w.s.Fleet.PeerDelay)) + link.Delay
 	u.mu.Unlock()
-	u.w.after(d, func() { u.socks[from].WriteToUDPAddrPort(msg, home) })
+	// A datagram that can't be sent is lost, as others are.
+	u.w.after(d, func() { _, _ = u.socks[from].WriteToUDPAddrPort(msg, home) })
 }
 
 func (u *udpRelay) set(from, to int, change func(*LinkState)) {
@@ -136,6 +139,6 @@
 
 func (u *udpRelay) close() {
 	for _, c := range u.socks {
-		c.Close()
+		_ = c.Close()
 	}
 }
--- a/internal/testbed/list.go
+++ b/internal/testbed/list.go
@@ -575,7 +575,7 @@
 
 // close ends the agent and its watches.
 func (a *agent) close() {
-	a.srv.Close()
+	_ = a.srv.Close()
 	if a.proc != nil {
 		a.proc.stop(stopWithin)
 	}
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -76,16 +76,16 @@
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	p := &process{name: name, cmd: cmd, log: log, ended: make(chan struct{})}
 	if err := st.start(cmd); err != nil {
-		log.Close()
+		_ = log.Close()
 		return nil, fmt.Errorf("starting %s: %w", name, err)
 	}
 	if err := syscall.Setpriority(syscall.PRIO_PROCESS, cmd.Process.Pid, nice); err != nil && !errors.Is(err, syscall.ESRCH) {
-		cmd.Process.Kill()
+		_ = cmd.Process.Kill() // one that has ended already needs none
 		return nil, fmt.Errorf("priority of %s: %w", name, err)
 	}
 	go func() {
 		p.err = cmd.Wait()
-		log.Close()
+		_ = log.Close()
 		close(p.ended)
 	}()
 	return p, nil
@@ -132,16 +132,20 @@
 
 // stop ends the process: SIGCONT and SIGTERM, and SIGKILL if it has not ended within grace.
 func (p *process) stop(grace time.Duration) {
-	p.signal(syscall.SIGCONT)
-	p.signal(syscall.SIGTERM)
+	// A signal fails where the process has ended, which is what is wanted.
+	_ = p.signal(syscall.SIGCONT)
+	_ = p.signal(syscall.SIGTERM)
 	select {
 	case <-p.ended:
 	case <-time.After(grace):
-		p.signal(syscall.SIGKILL)
+		_ = p.signal(syscall.SIGKILL)
 		<-p.ended
 	}
 }
 
+// errExitedWithoutError is how a process ended that exits with code 0 although nobody ended it.
+var errExitedWithoutError = errors.New("exit code 0")
+
 // usage is what a process has used.
 type usage struct {
 	cpu     time.Duration
@@ -183,9 +187,9 @@
 	if err != nil {
 		return err.Error()
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	if st, err := f.Stat(); err == nil && st.Size() > 2000 {
-		f.Seek(-2000, io.SeekEnd)
+		_, _ = f.Seek(-2000, io.SeekEnd) // else the whole log is shown
 	}
 	text, err := io.ReadAll(f)
 	if err != nil {
--- a/internal/testbed/referee.go
+++ b/internal/testbed/referee.go
@@ -126,8 +126,10 @@
 }
 
 func newReferee(s *Scenario, d *Schedule) *referee {
-	r := &referee{s: s, d: d, tries: map[string]*try{}, quotas: make([]quota, len(d.Customers)), work: map[string]map[int]float64{},
-		broken: map[string]int{}, slack: func(int) time.Duration { return 0 }, records: make([]Record, len(d.Arrivals))}
+	r := &referee{
+		s: s, d: d, tries: map[string]*try{}, quotas: make([]quota, len(d.Customers)), work: map[string]map[int]float64{},
+		broken: map[string]int{}, slack: func(int) time.Duration { return 0 }, records: make([]Record, len(d.Arrivals)),
+	}
 	for i := range r.quotas {
 		p := s.Plans[d.Customers[i].Plan]
 		r.quotas[i] = quota{level: p.Burst, ceiling: p.CeilingBurst, offered: p.Burst}
--- a/internal/testbed/referee_test.go
+++ b/internal/testbed/referee_test.go
@@ -92,7 +92,7 @@
 				p.take(m)
 			}
 		}
-		resp.Body.Close()
+		_ = resp.Body.Close()
 	}
 }
 
@@ -152,7 +152,7 @@
 		answer = before
 	}
 	w.WriteHeader(status)
-	io.WriteString(w, answer)
+	_, _ = io.WriteString(w, answer) // a client that is gone is the load's matter
 }
 
 func (p *proxy) send(r *http.Request, id, body string) (int, string, error) {
@@ -160,9 +160,11 @@
 	if err != nil {
 		return 502, "", err
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(20 * time.Second))
-	fmt.Fprintf(c, "%s %s HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: %s\r\nContent-Length: %d\r\n\r\n%s", r.Method, r.RequestURI, id, len(body), body)
+	defer func() { _ = c.Close() }()
+	if err := c.SetDeadline(time.Now().Add(20 * time.Second)); err != nil {
+		return 502, "", err
+	}
+	_, _ = fmt.Fprintf(c, "%s %s HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: %s\r\nContent-Length: %d\r\n\r\n%s", r.Method, r.RequestURI, id, len(body), body)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		return 502, "", err
@@ -276,12 +278,12 @@
 	t.Cleanup(func() { p.stop(0) })
 	for {
 		if resp, err := http.Get("http://" + addr + "/health/ready"); err == nil {
-			resp.Body.Close()
+			_ = resp.Body.Close()
 			return p, nil
 		}
 		select {
 		case <-p.ended:
-			return nil, fmt.Errorf("ended: %v", p.err)
+			return nil, fmt.Errorf("ended: %w", p.err)
 		case <-time.After(5 * ms):
 		}
 	}
@@ -301,8 +303,10 @@
 		default:
 		}
 	}
-	_, err := Run(ctx, s, Options{Seed: 3, Binary: os.Args[0], Env: []string{standIn + "=correct"}, Dir: t.TempDir(),
-		Log: slog.New(slog.DiscardHandler), Live: live})
+	_, err := Run(ctx, s, Options{
+		Seed: 3, Binary: os.Args[0], Env: []string{standIn + "=correct"}, Dir: t.TempDir(),
+		Log: slog.New(slog.DiscardHandler), Live: live,
+	})
 	if !errors.Is(err, context.Canceled) {
 		t.Errorf("error %v", err)
 	}
--- a/internal/testbed/report.go
+++ b/internal/testbed/report.go
@@ -47,15 +47,18 @@
 func (r *Result) pictures() []picture {
 	ps := []picture{
 		{"latency.svg", "Latency of what was served, from when it was due", "ms", []line{
-			{"p50", func(s *Series) float64 { return s.P50 }}, {"p99", func(s *Series) float64 { return s.P99 }}}},
+			{"p50", func(s *Series) float64 { return s.P50 }}, {"p99", func(s *Series) float64 { return s.P99 }},
+		}},
 		{"goodput.svg", "Goodput: worth in time, of what quotas allow", "share", []line{
 			{"goodput", func(s *Series) float64 { return share(s.Worth, s.Offered) }},
-			{"served", func(s *Series) float64 { return share(float64(s.Served), float64(s.Asked)) }}}},
+			{"served", func(s *Series) float64 { return share(float64(s.Served), float64(s.Asked)) }},
+		}},
 		{"refusals.svg", "Tries refused and failed a second", "tries", []line{
 			{"refused", func(s *Series) float64 { return float64(s.Refused) }},
 			{"refused with room", func(s *Series) float64 { return float64(s.RefusedAt) }},
 			{"failed", func(s *Series) float64 { return float64(s.Failed - s.Unreached) }},
-			{"came to no node", func(s *Series) float64 { return float64(s.Unreached) }}}},
+			{"came to no node", func(s *Series) float64 { return float64(s.Unreached) }},
+		}},
 		{"memory.svg", "Largest resident memory of a node", "MB", []line{{"memory", func(s *Series) float64 {
 			if s.Memory == 0 {
 				return math.NaN()
--- a/internal/testbed/result.go
+++ b/internal/testbed/result.go
@@ -84,7 +84,7 @@
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 120_000_000, 3) }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	h.RecordValue(min(max(d.Microseconds(), 1), 120_000_000)) // inside its range, so that no error is possible
+	_ = h.RecordValue(min(max(d.Microseconds(), 1), 120_000_000)) // inside its range, so that no error is possible
 }
 
 func quantile(h *hdrhistogram.Histogram, q float64) time.Duration {
@@ -96,8 +96,10 @@
 
 // result sums the run up.
 func (w *world) result(up int) *Result {
-	r := &Result{Scenario: w.s.Name, About: w.s.About, Seed: w.seed, Digest: w.d.Digest(), Binary: w.binary, Nodes: w.s.Fleet.Nodes,
-		Servers: w.s.Fleet.Servers, Duration: w.s.Duration.s()}
+	r := &Result{
+		Scenario: w.s.Name, About: w.s.About, Seed: w.seed, Digest: w.d.Digest(), Binary: w.binary, Nodes: w.s.Fleet.Nodes,
+		Servers: w.s.Fleet.Servers, Duration: w.s.Duration.s(),
+	}
 	r.Broken, r.Violations = w.ref.verdict()
 	for _, e := range w.d.Faults {
 		r.Marks = append(r.Marks, Mark{e.At.Seconds(), w.s.Faults[e.Fault].describe(e)})
@@ -253,7 +255,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s is no folder of a finished run: %w", dir, err)
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	return readResult(f)
 }
 
--- a/internal/testbed/scenario.go
+++ b/internal/testbed/scenario.go
@@ -240,13 +240,17 @@
 func defaults() Scenario {
 	s := Scenario{
 		Duration: Duration(20 * time.Second),
-		Fleet: Fleet{Nodes: 4, Servers: 12, Zones: []string{"a", "b", "c"}, Cores: 4, SlotsPerCore: 4, QueuePerCore: 16,
+		Fleet: Fleet{
+			Nodes: 4, Servers: 12, Zones: []string{"a", "b", "c"}, Cores: 4, SlotsPerCore: 4, QueuePerCore: 16,
 			Thrash: 0.2, ThrashAt: 5, ColdFrom: 0.3, Ramp: Duration(10 * time.Second), FallMultiple: 2.5, FallFor: Duration(3 * time.Second),
 			Connections: 600, HandshakeWork: Duration(time.Millisecond), ConnIdle: Duration(15 * time.Second),
 			ReportEvery: Duration(200 * time.Millisecond), ReportLate: Duration(50 * time.Millisecond), ListLate: Duration(time.Second),
-			InboxPerS: 40, PeerLoss: 0.01, PeerDelay: Duration(2 * time.Millisecond), MemoryMB: 192, Sockets: 1024},
-		Load: Load{Rate: 150, WorkMS: 100, Aim: Duration(time.Second), Deadline: Duration(4 * time.Second), Retries: 1, Honour: 0.7,
-			MarkRetry: true, Unsafe: 0.36, Skew: 0.5, Heavy: 0.08, FrontSees: Duration(time.Second), ShiftEvery: Duration(15 * time.Second)},
+			InboxPerS: 40, PeerLoss: 0.01, PeerDelay: Duration(2 * time.Millisecond), MemoryMB: 192, Sockets: 1024,
+		},
+		Load: Load{
+			Rate: 150, WorkMS: 100, Aim: Duration(time.Second), Deadline: Duration(4 * time.Second), Retries: 1, Honour: 0.7,
+			MarkRetry: true, Unsafe: 0.36, Skew: 0.5, Heavy: 0.08, FrontSees: Duration(time.Second), ShiftEvery: Duration(15 * time.Second),
+		},
 	}
 	s.complete()
 	return s
@@ -325,19 +329,42 @@
 		least, most float64
 	}{
 		{"duration", s.Duration.s(), 1, 3600},
-		{"fleet.nodes", float64(f.Nodes), 1, 1024}, {"fleet.servers", float64(f.Servers), 1, 1024},
-		{"fleet.cores", float64(f.Cores), 1, 1024}, {"fleet.slots_per_core", float64(f.SlotsPerCore), 1, 1000},
-		{"fleet.queue_per_core", float64(f.QueuePerCore), 0, 10000}, {"fleet.thrash", f.Thrash, 0, 1}, {"fleet.thrash_at", f.ThrashAt, 1, 1000},
-		{"fleet.cold_from", f.ColdFrom, 0.01, 1}, {"fleet.ramp", f.Ramp.s(), 0, 3600}, {"fleet.fall_multiple", f.FallMultiple, 1, 100},
-		{"fleet.fall_for", f.FallFor.s(), 0.1, 60}, {"fleet.connections", float64(f.Connections), 1, 1e6},
-		{"fleet.handshake_work", f.HandshakeWork.s(), 0, 1}, {"fleet.conn_idle", f.ConnIdle.s(), 0.1, 3600},
-		{"fleet.report_every", f.ReportEvery.s(), 0, 60}, {"fleet.report_late", f.ReportLate.s(), 0, 60}, {"fleet.list_late", f.ListLate.s(), 0, 60},
-		{"fleet.list_replicas", float64(f.ListReplicas), 0, 7}, {"fleet.list_calls_per_s", f.ListCallsPerS, 0, 1e6},
-		{"fleet.inbox_per_s", f.InboxPerS, 1, 1e6}, {"fleet.peer_loss", f.PeerLoss, 0, 1}, {"fleet.peer_delay", f.PeerDelay.s(), 0, 1},
-		{"fleet.cross_delay", f.CrossDelay.s(), 0, 1}, {"fleet.memory_mb", float64(f.MemoryMB), 16, 1 << 20}, {"fleet.sockets", float64(f.Sockets), 64, 1 << 20},
-		{"load.rate", l.Rate, 0.1, 100000}, {"load.work_ms", l.WorkMS, 0.01, 10000}, {"load.aim", l.Aim.s(), 0.01, 60},
-		{"load.deadline", l.Deadline.s(), l.Aim.s(), 60}, {"load.retries", float64(l.Retries), 0, 10}, {"load.honour", l.Honour, 0, 1},
-		{"load.unsafe", l.Unsafe, 0, 1}, {"load.skew", l.Skew, 0, 5}, {"load.heavy", l.Heavy, 0, 1}, {"load.spread", l.Spread, 0, 1}, {"load.front_sees", l.FrontSees.s(), 0, 60},
+		{"fleet.nodes", float64(f.Nodes), 1, 1024},
+		{"fleet.servers", float64(f.Servers), 1, 1024},
+		{"fleet.cores", float64(f.Cores), 1, 1024},
+		{"fleet.slots_per_core", float64(f.SlotsPerCore), 1, 1000},
+		{"fleet.queue_per_core", float64(f.QueuePerCore), 0, 10000},
+		{"fleet.thrash", f.Thrash, 0, 1},
+		{"fleet.thrash_at", f.ThrashAt, 1, 1000},
+		{"fleet.cold_from", f.ColdFrom, 0.01, 1},
+		{"fleet.ramp", f.Ramp.s(), 0, 3600},
+		{"fleet.fall_multiple", f.FallMultiple, 1, 100},
+		{"fleet.fall_for", f.FallFor.s(), 0.1, 60},
+		{"fleet.connections", float64(f.Connections), 1, 1e6},
+		{"fleet.handshake_work", f.HandshakeWork.s(), 0, 1},
+		{"fleet.conn_idle", f.ConnIdle.s(), 0.1, 3600},
+		{"fleet.report_every", f.ReportEvery.s(), 0, 60},
+		{"fleet.report_late", f.ReportLate.s(), 0, 60},
+		{"fleet.list_late", f.ListLate.s(), 0, 60},
+		{"fleet.list_replicas", float64(f.ListReplicas), 0, 7},
+		{"fleet.list_calls_per_s", f.ListCallsPerS, 0, 1e6},
+		{"fleet.inbox_per_s", f.InboxPerS, 1, 1e6},
+		{"fleet.peer_loss", f.PeerLoss, 0, 1},
+		{"fleet.peer_delay", f.PeerDelay.s(), 0, 1},
+		{"fleet.cross_delay", f.CrossDelay.s(), 0, 1},
+		{"fleet.memory_mb", float64(f.MemoryMB), 16, 1 << 20},
+		{"fleet.sockets", float64(f.Sockets), 64, 1 << 20},
+		{"load.rate", l.Rate, 0.1, 100000},
+		{"load.work_ms", l.WorkMS, 0.01, 10000},
+		{"load.aim", l.Aim.s(), 0.01, 60},
+		{"load.deadline", l.Deadline.s(), l.Aim.s(), 60},
+		{"load.retries", float64(l.Retries), 0, 10},
+		{"load.honour", l.Honour, 0, 1},
+		{"load.unsafe", l.Unsafe, 0, 1},
+		{"load.skew", l.Skew, 0, 5},
+		{"load.heavy", l.Heavy, 0, 1},
+		{"load.spread", l.Spread, 0, 1},
+		{"load.front_sees", l.FrontSees.s(), 0, 60},
 		{"load.shift_every", l.ShiftEvery.s(), 0.1, 3600},
 	} {
 		if !(c.got >= c.least && c.got <= c.most) {
@@ -411,9 +438,17 @@
 			field       string
 			got         float64
 			least, most float64
-		}{{"share", p.Share, 0, 1}, {"rate", p.Rate, 0.01, 1e6}, {"burst", p.Burst, mostUnits, 1e7}, {"ceiling_rate", p.CeilingRate, 0, 1e6},
-			{"ceiling_burst", p.CeilingBurst, 0, 1e7}, {"slack", p.Slack, 0, 1e7}, {"price", p.Price, 0, 1e6}, {"over_worth", p.OverWorth, 0, 1},
-			{"over_cost", p.OverCost, 0, 100}} {
+		}{
+			{"share", p.Share, 0, 1},
+			{"rate", p.Rate, 0.01, 1e6},
+			{"burst", p.Burst, mostUnits, 1e7},
+			{"ceiling_rate", p.CeilingRate, 0, 1e6},
+			{"ceiling_burst", p.CeilingBurst, 0, 1e7},
+			{"slack", p.Slack, 0, 1e7},
+			{"price", p.Price, 0, 1e6},
+			{"over_worth", p.OverWorth, 0, 1},
+			{"over_cost", p.OverCost, 0, 100},
+		} {
 			if !(c.got >= c.least && c.got <= c.most) {
 				return wrong(field+c.field, "%v is not from %v to %v", c.got, c.least, c.most)
 			}
--- a/internal/testbed/schedule.go
+++ b/internal/testbed/schedule.go
@@ -176,11 +176,13 @@
 		i, _ := slices.BinarySearch(sum, rng.Float64()*total)
 		c := &d.Customers[min(i, len(sum)-1)]
 		units := drawUnits(rng)
-		a := Arrival{At: at, ID: fmt.Sprintf("%016x", rng.Uint64()), Customer: min(i, len(sum)-1), Units: units,
+		a := Arrival{
+			At: at, ID: fmt.Sprintf("%016x", rng.Uint64()), Customer: min(i, len(sum)-1), Units: units,
 			Guess: math.Min(math.Max(math.Round(units*guess.Rand()), 1), mostUnits),
 			Work:  s.Load.WorkMS / 1000 * units / meanUnits() * work.Rand(),
 			Wait:  time.Duration((0.5 + 0.5*rng.Float64()) * float64(s.Load.Deadline)),
-			Node:  c.pick(rng.Float64(), int(at/time.Duration(s.Load.ShiftEvery)), s.Fleet.Nodes)}
+			Node:  c.pick(rng.Float64(), int(at/time.Duration(s.Load.ShiftEvery)), s.Fleet.Nodes),
+		}
 		a.Class = s.pickClass(rng.Float64())
 		if keep {
 			d.Arrivals = append(d.Arrivals, a)
--- a/internal/testbed/server.go
+++ b/internal/testbed/server.go
@@ -48,8 +48,10 @@
 
 // startServer opens an app server's address. A boot below 0 is a warm one.
 func startServer(w *world, number int, addr string) (*appServer, error) {
-	s := &appServer{w: w, number: number, addr: addr, id: fmt.Sprintf("s-%08x", w.ids.Uint32()), state: "up", boot: -1,
-		rng: random(w.seed, streamServers<<16|number), conns: map[net.Conn]bool{}}
+	s := &appServer{
+		w: w, number: number, addr: addr, id: fmt.Sprintf("s-%08x", w.ids.Uint32()), state: "up", boot: -1,
+		rng: random(w.seed, streamServers<<16|number), conns: map[net.Conn]bool{},
+	}
 	s.m = newModel(&w.s.Fleet, w.s.Load.WorkMS/1000, w.now(), -1)
 	if err := s.listen(); err != nil {
 		return nil, err
@@ -87,7 +89,7 @@
 
 // serve answers the requests of one connection until it ends.
 func (s *appServer) serve(c net.Conn) {
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	s.mu.Lock()
 	if s.closed || s.state == "removed" {
 		s.mu.Unlock()
@@ -106,7 +108,7 @@
 	}()
 	br := bufio.NewReader(c)
 	for {
-		c.SetReadDeadline(time.Now().Add(time.Duration(s.w.s.Fleet.ConnIdle)))
+		_ = c.SetReadDeadline(time.Now().Add(time.Duration(s.w.s.Fleet.ConnIdle)))
 		r, err := http.ReadRequest(br)
 		if err != nil {
 			return
@@ -157,8 +159,8 @@
 	}
 	switch {
 	case f.hang:
-		c.SetReadDeadline(time.Time{})
-		io.Copy(io.Discard, c) // until the node gives up
+		_ = c.SetReadDeadline(time.Time{})
+		_, _ = io.Copy(io.Discard, c) // until the node gives up
 		return false
 	case failing:
 		return s.say(c, "500 Internal Server Error", "", "failed")
@@ -182,10 +184,10 @@
 	answer := fmt.Sprintf("quote %s %s %d\n", id, s.name(), attempt)
 	a := &s.w.d.Arrivals[t.arrival]
 	if spoilt {
-		io.WriteString(c, spoil(kind, answer))
+		_, _ = io.WriteString(c, spoil(kind, answer)) // the node may have given up
 		if kind != 0 {
-			c.SetReadDeadline(time.Now().Add(time.Second))
-			io.Copy(io.Discard, c)
+			_ = c.SetReadDeadline(time.Now().Add(time.Second))
+			_, _ = io.Copy(io.Discard, c)
 		}
 		return false
 	}
@@ -269,8 +271,10 @@
 func (s *appServer) entry() Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e := Entry{InstanceID: s.id, HostPort: s.addr, Zone: s.w.s.Fleet.zoneOf(s.number), MachineType: "std-4c", Cell: s.number / 6,
-		Lifecycle: s.state, Weight: 1, number: s.number}
+	e := Entry{
+		InstanceID: s.id, HostPort: s.addr, Zone: s.w.s.Fleet.zoneOf(s.number), MachineType: "std-4c", Cell: s.number / 6,
+		Lifecycle: s.state, Weight: 1, number: s.number,
+	}
 	if s.boot >= 0 {
 		e.StartedAtMs = s.w.wall(s.boot).UnixMilli()
 	}
@@ -298,7 +302,7 @@
 func (s *appServer) die() {
 	s.mu.Lock()
 	if s.ln != nil {
-		s.ln.Close()
+		_ = s.ln.Close()
 	}
 	for c := range s.conns {
 		reset(c)
@@ -347,7 +351,7 @@
 // reset closes a connection so that the other side sees it break.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
-		t.SetLinger(0)
+		_ = t.SetLinger(0) // fails on a connection that is gone alone
 	}
-	c.Close()
+	_ = c.Close()
 }
--- a/internal/testbed/service.go
+++ b/internal/testbed/service.go
@@ -120,7 +120,7 @@
 	if err != nil {
 		return st, err
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	return st, json.NewDecoder(resp.Body).Decode(&st)
 }
 
@@ -196,7 +196,7 @@
 		resp, err := s.calls.Do(req)
 		if err == nil {
 			text, _ := io.ReadAll(io.LimitReader(resp.Body, 4096)) // for the error's text
-			resp.Body.Close()
+			_ = resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
 				return nil
 			}
@@ -285,7 +285,7 @@
 	if err != nil {
 		return true
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
 		return true
 	}
--- a/internal/testbed/settings.go
+++ b/internal/testbed/settings.go
@@ -38,12 +38,16 @@
 		if c.Unsafe {
 			effect = "fragile"
 		}
-		lanes = append(lanes, object{"name": c.Name, "idempotency": effect, "keyScope": "all", "memorySpan": 5.0, "deadline": l.Deadline.s(),
-			"onTime": l.Aim.s(), "lateWorth": 0.2, "streamed": false, "worth": c.Worth})
+		lanes = append(lanes, object{
+			"name": c.Name, "idempotency": effect, "keyScope": "all", "memorySpan": 5.0, "deadline": l.Deadline.s(),
+			"onTime": l.Aim.s(), "lateWorth": 0.2, "streamed": false, "worth": c.Worth,
+		})
 	}
 	for _, p := range s.Plans {
-		tariffs = append(tariffs, object{"name": p.Name, "quotaRate": p.Rate, "peakUnits": p.Burst, "neverOverRate": p.CeilingRate,
-			"hardBurst": p.CeilingBurst, "capSlack": p.Slack, "worthFactor": p.Price, "extraWorth": p.OverWorth, "overCost": p.OverCost, "maxOut": 0})
+		tariffs = append(tariffs, object{
+			"name": p.Name, "quotaRate": p.Rate, "peakUnits": p.Burst, "neverOverRate": p.CeilingRate,
+			"hardBurst": p.CeilingBurst, "capSlack": p.Slack, "worthFactor": p.Price, "extraWorth": p.OverWorth, "overCost": p.OverCost, "maxOut": 0,
+		})
 	}
 	mode := "automatic"
 	if f.ListAsked {
@@ -56,11 +60,15 @@
 		"goal":      object{"whole": 0.65, "worstClass": 0.1, "worstTenant": 0.15, "worstWindow": 0.1},
 		"instances": f.Nodes, "me": node, "lanes": lanes, "localities": f.Zones, "zone": f.zoneOf(node),
 		"penalties": object{"crossZone": 0.0091, "lateFail": 0.08, "peer": 0.03, "waste": 0.05, "handshake": 0.01},
-		"policyLimits": object{"cancel": true, "connIdle": f.ConnIdle.s(), "connectTimeout": 0.25, "cpuUsPerS": 500000, "maxRetryAfter": 0.5,
-			"mostTries": 5, "openCap": 20000, "parallelTries": true, "peers": !f.NoPeers, "probes": false, "retryAfter": true, "streamsPerConn": 1},
+		"policyLimits": object{
+			"cancel": true, "connIdle": f.ConnIdle.s(), "connectTimeout": 0.25, "cpuUsPerS": 500000, "maxRetryAfter": 0.5,
+			"mostTries": 5, "openCap": 20000, "parallelTries": true, "peers": !f.NoPeers, "probes": false, "retryAfter": true, "streamsPerConn": 1,
+		},
 		"registryMode": mode,
-		"rules": object{"answerSlack": answerSlack.Seconds(), "askWithin": askWithin.Seconds(), "coldFrom": f.ColdFrom, "drainGrace": drainGrace.Seconds(),
-			"fallMultiple": f.FallMultiple, "overloadFor": f.FallFor.s(), "rampTime": f.Ramp.s()},
+		"rules": object{
+			"answerSlack": answerSlack.Seconds(), "askWithin": askWithin.Seconds(), "coldFrom": f.ColdFrom, "drainGrace": drainGrace.Seconds(),
+			"fallMultiple": f.FallMultiple, "overloadFor": f.FallFor.s(), "rampTime": f.Ramp.s(),
+		},
 		"stage": 0, "tariffs": tariffs, "tick": 0.002, "tiers": []string{"devis-pool"}, "weights": "rough",
 	}
 }
@@ -74,9 +82,11 @@
 	if w.s.Fleet.StaleKnown && w.now() > 0 {
 		m = w.list.first
 	}
-	c := nodeConfig{Name: n.name, Listen: n.listen, Discovery: n.discovery, Seed: fmt.Sprintf("%016x", w.ids.Uint64()),
+	c := nodeConfig{
+		Name: n.name, Listen: n.listen, Discovery: n.discovery, Seed: fmt.Sprintf("%016x", w.ids.Uint64()),
 		Limits: limits{1, w.s.Fleet.MemoryMB, w.s.Fleet.Sockets}, PeerListen: n.peer, Peers: w.udp.peers, PeersAll: w.udp.all,
-		Known: w.seenFrom(n.number, m), Settings: w.s.settings(n.number)}
+		Known: w.seenFrom(n.number, m), Settings: w.s.settings(n.number),
+	}
 	text, err := json.MarshalIndent(c, "", " ")
 	if err != nil {
 		return "", fmt.Errorf("configuration of %s: %w", n.name, err)
--- a/internal/testbed/sweep.go
+++ b/internal/testbed/sweep.go
@@ -163,7 +163,7 @@
 	t := o.play(ctx, s, seed, dir)
 	if t.Verdict != Broke {
 		if t.Verdict != NotPlayed {
-			os.RemoveAll(dir)
+			_ = os.RemoveAll(dir) // a folder that stays misleads nobody: the report names what failed
 		}
 		return t
 	}
@@ -260,7 +260,7 @@
 		c.Duration -= Duration(trialTail / 2)
 		return c.Duration > Duration(time.Second)
 	})
-	os.RemoveAll(filepath.Join(dir, "smaller"))
+	_ = os.RemoveAll(filepath.Join(dir, "smaller")) // scratch
 	return s, steps
 }
 
--- a/internal/testbed/sweep_test.go
+++ b/internal/testbed/sweep_test.go
@@ -34,9 +34,11 @@
 			if Draw(read, seed).Digest() != Draw(s, seed).Digest() || read.Fleet.Servers != s.Fleet.Servers || len(read.Faults) != len(s.Faults) {
 				t.Fatalf("seed %d, %q: read back as another one", seed, aim)
 			}
-			for what, is := range map[string]bool{"asked": s.Fleet.ListAsked, "pushed": !s.Fleet.ListAsked, "line": s.Fleet.ListCallsPerS > 0,
+			for what, is := range map[string]bool{
+				"asked": s.Fleet.ListAsked, "pushed": !s.Fleet.ListAsked, "line": s.Fleet.ListCallsPerS > 0,
 				"no peers": s.Fleet.NoPeers, "many servers": s.Fleet.Servers > 128, "one zone": len(s.Fleet.Zones) == 1, "zones": len(s.Fleet.Zones) > 1,
-				"short": s.Load.Deadline < Duration(800*ms), "one node": s.Fleet.Nodes == 1} {
+				"short": s.Load.Deadline < Duration(800*ms), "one node": s.Fleet.Nodes == 1,
+			} {
 				if is {
 					seen[what]++
 				}
@@ -46,9 +48,11 @@
 			}
 		}
 	}
-	for _, what := range []string{"asked", "pushed", "line", "no peers", "many servers", "one zone", "zones", "short", "one node", "drain", "kill", "restart",
+	for _, what := range []string{
+		"asked", "pushed", "line", "no peers", "many servers", "one zone", "zones", "short", "one node", "drain", "kill", "restart",
 		"stall", "hup", "list-reset", "list-silent", "list-down", "list-late", "list-wordsindent", "list-wordstrickle", "list-wordshalf", "list-wordsnoise",
-		"list-wordsentry", "replace", "peer-loss", "cut-zone", "lose-zone", "slow", "hang", "error", "reset", "spoil", "dead"} {
+		"list-wordsentry", "replace", "peer-loss", "cut-zone", "lose-zone", "slow", "hang", "error", "reset", "spoil", "dead",
+	} {
 		if seen[what] < 5 {
 			t.Errorf("%d trials with %q of 600", seen[what], what)
 		}
@@ -118,8 +122,13 @@
 		}
 	}
 	for _, c := range []struct{ scenario, broken string }{
-		{"drain-reset", ""}, {"drain-reset", "drain-after-reset"}, {"drain-reset", "late-watch"},
-		{"drain-outage", ""}, {"drain-outage", "late-watch"}, {"drain-many", ""}, {"drain-many", "cap-128"},
+		{"drain-reset", ""},
+		{"drain-reset", "drain-after-reset"},
+		{"drain-reset", "late-watch"},
+		{"drain-outage", ""},
+		{"drain-outage", "late-watch"},
+		{"drain-many", ""},
+		{"drain-many", "cap-128"},
 	} {
 		t.Run(c.scenario+"/"+c.broken, func(t *testing.T) {
 			t.Parallel()
@@ -146,8 +155,10 @@
 		t.Fatal(err)
 	}
 	told := 0
-	r, err := Sweep(t.Context(), SweepOptions{From: sweepSeed, To: sweepSeed, Aim: "drains", Jobs: 2, Reduce: 1, Binary: binary, Dir: dir,
-		Log: slog.New(slog.DiscardHandler), Live: func(int, int, Trial) { told++ }})
+	r, err := Sweep(t.Context(), SweepOptions{
+		From: sweepSeed, To: sweepSeed, Aim: "drains", Jobs: 2, Reduce: 1, Binary: binary, Dir: dir,
+		Log: slog.New(slog.DiscardHandler), Live: func(int, int, Trial) { told++ },
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/world.go
+++ b/internal/testbed/world.go
@@ -1,6 +1,7 @@
 package testbed
 
 import (
+	"cmp"
 	"context"
 	"errors"
 	"fmt"
@@ -108,9 +109,11 @@
 
 func newWorld(ctx context.Context, s *Scenario, o Options) *world {
 	ctx, cancel := context.WithCancelCause(ctx)
-	w := &world{s: s, d: Draw(s, o.Seed), seed: o.Seed, dir: o.Dir, binary: o.Binary, program: o.Service, env: o.Env, log: o.Log, origin: time.Now(), over: make(chan struct{}),
+	w := &world{
+		s: s, d: Draw(s, o.Seed), seed: o.Seed, dir: o.Dir, binary: o.Binary, program: o.Service, env: o.Env, log: o.Log, origin: time.Now(), over: make(chan struct{}),
 		ctx: ctx, cancel: cancel, relays: map[[2]party]*tcpRelay{},
-		ids: &lockedRand{rng: random(o.Seed, streamServers)}}
+		ids: &lockedRand{rng: random(o.Seed, streamServers)},
+	}
 	w.list = newList(w)
 	w.ref = newReferee(s, w.d)
 	w.ref.slack = w.slack
@@ -296,7 +299,7 @@
 	for began := time.Now(); ; {
 		resp, err := client.Get("http://" + n.listen + "/health/ready")
 		if err == nil {
-			resp.Body.Close()
+			_ = resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
 				return nil
 			}
@@ -306,7 +309,7 @@
 			if p.wasKilled() {
 				return nil
 			}
-			return fmt.Errorf("%s ended before it was ready: %v\n%s", n.name, p.err, tail(filepath.Join(w.dir, n.name+".log")))
+			return fmt.Errorf("%s ended before it was ready: %w\n%s", n.name, cmp.Or(p.err, errExitedWithoutError), tail(filepath.Join(w.dir, n.name+".log")))
 		case <-w.over:
 			return nil
 		case <-time.After(10 * time.Millisecond):
--- a/internal/testnet/testnet.go
+++ b/internal/testnet/testnet.go
@@ -41,7 +41,9 @@
 			t.Fatal(err)
 		}
 		addr := listener.Addr().String()
-		listener.Close()
+		if err := listener.Close(); err != nil {
+			t.Fatal(err)
+		}
 		if _, again := given.LoadOrStore(addr, true); !again {
 			return addr
 		}
--- a/internal/testnet/testnet_test.go
+++ b/internal/testnet/testnet_test.go
@@ -29,12 +29,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer listener.Close()
+	defer func() { _ = listener.Close() }()
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	if from := conn.LocalAddr().(*net.TCPAddr).IP.String(); from != "127.0.0.1" {
 		t.Errorf("a connection to %s comes from %s", addr, from)
 	}
