--- a/cmd/opalhook/sweep.go
+++ b/cmd/opalhook/sweep.go
@@ -74,13 +74,13 @@
 	c.Flags().DurationVar(&o.Budget, "budget", 0, "time after which no trial begins; 0: none")
 	c.Flags().IntVar(&o.Reduce, "reduce", 12, "plays that the reduction of a failing seed may take; 0: it is not reduced")
 	c.Flags().StringVar(&binary, "node-binary", "", "edge node to run (default: built from this repository)")
-	c.Flags().StringVar(&broken, "broken", "", "run a node that is broken on purpose, to see that it is found: "+breakageNames())
+	c.Flags().StringVar(&broken, "broken", "", "run a node that is broken on purpose, to see that it is found: "+mutantNames())
 	c.Flags().StringVar(&dir, "dir", "", "folder of the sweep (default: runs/sweep)")
 	return c
 }
 
-func breakageNames() string {
-	return strings.Join(slices.Sorted(maps.Keys(testbed.Breakages())), ", ")
+func mutantNames() string {
+	return strings.Join(slices.Sorted(maps.Keys(testbed.Mutants())), ", ")
 }
 
 // sweepNode is the node to run: one that is named, one that is broken on purpose, or the one
@@ -91,10 +91,10 @@
 		return testbed.FindNode(ctx, binary, dir)
 	case binary != "":
 		return "", badInput{fmt.Errorf("--broken: builds a node of its own; leave out --node-binary")}
-	case testbed.Breakages()[broken] == "":
-		return "", badInput{fmt.Errorf("--broken: %q is none of %s", broken, breakageNames())}
+	case testbed.Mutants()[broken] == "":
+		return "", badInput{fmt.Errorf("--broken: %q is none of %s", broken, mutantNames())}
 	}
-	return testbed.BreakNode(ctx, broken, dir)
+	return testbed.BuildMutant(ctx, broken, dir)
 }
 
 // sweepProgress writes a line as each trial ends. Progress that nobody can read is no reason to stop the sweep.
--- a/internal/testbed/broken.go
+++ b/internal/testbed/mutant.go
@@ -12,15 +12,15 @@
 	"strings"
 )
 
-// breakage is a fault put into the edge node's source on purpose, to see that a sweep finds it.
-type breakage struct {
+// mutant is a fault put into the edge node's source on purpose, to see that a sweep finds it.
+type mutant struct {
 	about   string
 	file    string // under the module's root
 	changes [][2]string
 }
 
-// Breakages by name.
-var breakages = map[string]breakage{
+// mutants by name.
+var mutants = map[string]mutant{
 	"drain-after-reset": {"drains are ignored once a call of discovery has ended by itself", "internal/edgenode/registry.go", [][2]string{
 		{"	apply  func(List)\n", "	apply  func(List)\n	broke  bool\n"},
 		{"	case eventEnd:\n		f.ended(", "	case eventEnd:\n		r.broke = r.broke || e.id == f.watch.id\n		f.ended("},
@@ -38,9 +38,9 @@
 }
 
 // Breakages lists the nodes that BreakNode can build, with what is wrong with each.
-func Breakages() map[string]string {
+func Mutants() map[string]string {
 	all := map[string]string{}
-	for name, b := range breakages {
+	for name, b := range mutants {
 		all[name] = b.about
 	}
 	return all
@@ -48,10 +48,10 @@
 
 // BreakNode builds an edge node that is broken on purpose into dir and returns its path. It
 // needs the module that the working folder is in; the sources are left as they are.
-func BreakNode(ctx context.Context, name, dir string) (string, error) {
-	b, ok := breakages[name]
+func BuildMutant(ctx context.Context, name, dir string) (string, error) {
+	b, ok := mutants[name]
 	if !ok {
-		return "", fmt.Errorf("broken: %q is none of %s", name, names(breakages))
+		return "", fmt.Errorf("broken: %q is none of %s", name, names(mutants))
 	}
 	root, err := moduleRoot(ctx)
 	if err != nil {
--- a/internal/testbed/sweep_test.go
+++ b/internal/testbed/sweep_test.go
@@ -116,8 +116,8 @@
 		t.Fatal(err)
 	}
 	binaries := map[string]string{"": node}
-	for name := range Breakages() {
-		if binaries[name], err = BreakNode(t.Context(), name, dir); err != nil {
+	for name := range Mutants() {
+		if binaries[name], err = BuildMutant(t.Context(), name, dir); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -150,7 +150,7 @@
 // A sweep plays its range, says what came of each seed, and reduces what fails.
 func TestSweep(t *testing.T) {
 	dir := t.TempDir()
-	binary, err := BreakNode(t.Context(), "late-watch", dir)
+	binary, err := BuildMutant(t.Context(), "late-watch", dir)
 	if err != nil {
 		t.Fatal(err)
 	}
