--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -6,23 +6,27 @@
 	"strconv"
 	"strings"
 	"time"
+
+	"opalhook/balancer"
 )
 
-// Reply gathers the lines of one reply. Its methods are the actions of the
-// instance Inst, which the adapter sets before it hands over an event.
+// Reply gathers the lines of one reply. The actions that it takes are those of one node at a time. The zero value is an
+// empty reply.
 type Reply struct {
-	Node int
+	Node int // the simulator's number of the node that acts; to be set before a node gets an event
 	buf  []byte
 }
 
-// Take returns the reply with its last line and empties it; the slice is
-// valid until the next action.
+var _ balancer.Actions = (*Reply)(nil)
+
+// Take returns the reply with its last line and empties it; the slice is valid until the next action.
 func (r *Reply) Take() []byte {
 	b := append(r.buf, "FINISHED\n"...)
 	r.buf = r.buf[:0]
 	return b
 }
 
+// begin begins a line with the message's name and the node.
 func (r *Reply) begin(name string) {
 	r.buf = append(r.buf, name...)
 	r.buf = append(r.buf, ' ')
@@ -39,6 +43,7 @@
 	r.buf = strconv.AppendInt(r.buf, x, 10)
 }
 
+// dur adds a time in seconds, rounded to microseconds.
 func (r *Reply) dur(d time.Duration) {
 	r.buf = append(r.buf, ' ')
 	r.buf = strconv.AppendFloat(r.buf, d.Round(time.Microsecond).Seconds(), 'f', -1, 64)
@@ -46,7 +51,8 @@
 
 func (r *Reply) end() { r.buf = append(r.buf, '\n') }
 
-func (r *Reply) SendAttempt(id, server string, timeout, _ time.Duration) { // the simulator sends at once
+// SendAttempt implements [balancer.Actions]. The simulator sends at once: a time to send by has no place in it.
+func (r *Reply) SendAttempt(id, server string, timeout, _ time.Duration) {
 	r.begin("CALL_OUT")
 	r.str(id)
 	r.str(server)
@@ -54,6 +60,7 @@
 	r.end()
 }
 
+// Reject implements [balancer.Actions].
 func (r *Reply) Reject(id string, retryAfter time.Duration) {
 	r.begin("TURN_AWAY")
 	r.str(id)
@@ -61,12 +68,14 @@
 	r.end()
 }
 
+// Fail implements [balancer.Actions].
 func (r *Reply) Fail(id string) {
 	r.begin("SURRENDER")
 	r.str(id)
 	r.end()
 }
 
+// CancelAttempt implements [balancer.Actions].
 func (r *Reply) CancelAttempt(id string, attempt int) {
 	r.begin("WITHDRAW")
 	r.str(id)
@@ -74,6 +83,7 @@
 	r.end()
 }
 
+// SetTimer implements [balancer.Actions].
 func (r *Reply) SetTimer(token uint64, after time.Duration) {
 	r.begin("SET_ALARM")
 	r.int(int64(token))
@@ -81,12 +91,14 @@
 	r.end()
 }
 
+// HealthCheck implements [balancer.Actions].
 func (r *Reply) HealthCheck(server string) {
 	r.begin("PROBE")
 	r.str(server)
 	r.end()
 }
 
+// SendPeer implements [balancer.Actions].
 func (r *Reply) SendPeer(peer int, message []byte) {
 	r.begin("SIGNAL")
 	if peer < 0 {
@@ -95,7 +107,7 @@
 		r.int(int64(peer))
 	}
 	if len(message) == 0 {
-		r.str("-")
+		r.str(absent)
 	} else {
 		r.buf = append(r.buf, ' ')
 		r.buf = base64.StdEncoding.AppendEncode(r.buf, message)
@@ -103,6 +115,7 @@
 	r.end()
 }
 
+// WatchEndpoints implements [balancer.Actions].
 func (r *Reply) WatchEndpoints(on bool) {
 	r.begin("STREAM_CHANGES")
 	if on {
@@ -113,7 +126,7 @@
 	r.end()
 }
 
-// Log writes the message and its attributes as one line of text; the simulator knows no levels.
+// Log implements [balancer.Actions]. The message and its attributes are one line of text; the simulator knows no levels.
 func (r *Reply) Log(_ slog.Level, message string, attributes ...slog.Attr) {
 	var text strings.Builder
 	text.WriteString(message)
@@ -125,13 +138,14 @@
 	r.end()
 }
 
-// Crash reports a failure of the decision code.
+// Crash reports that the balancer panicked.
 func (r *Reply) Crash(text string) {
 	r.begin("BROKEN")
 	r.str(oneLine(text))
 	r.end()
 }
 
+// oneLine is a text with each run of white space as one space.
 func oneLine(s string) string {
 	return strings.Join(strings.Fields(s), " ")
 }
--- a/internal/testbed/mutant.go
+++ b/internal/testbed/mutant.go
@@ -37,7 +37,7 @@
 	}},
 }
 
-// Breakages lists the nodes that BreakNode can build, with what is wrong with each.
+// Mutants lists the nodes that BreakNode can build, with what is wrong with each.
 func Mutants() map[string]string {
 	all := map[string]string{}
 	for name, b := range mutants {
@@ -46,7 +46,7 @@
 	return all
 }
 
-// BreakNode builds an edge node that is broken on purpose into dir and returns its path. It
+// BuildMutant builds an edge node that is broken on purpose into dir and returns its path. It
 // needs the module that the working folder is in; the sources are left as they are.
 func BuildMutant(ctx context.Context, name, dir string) (string, error) {
 	b, ok := mutants[name]
