--- a/cmd/opalhook/agent.go
+++ b/cmd/opalhook/agent.go
@@ -5,6 +5,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
 	"net/http"
 	"os"
 	"time"
@@ -27,35 +28,41 @@
 		Use:   "agent",
 		Short: "Follow the list service for the edge nodes on this machine, until a signal",
 		Long: "Follow the replicas of the list service and serve the platform's discovery protocol to the edge nodes on this machine.\n" +
-			"While the service is away the nodes keep the last list; a list that has shrunk much is taken once a second replica agrees.",
+			"While the service is unreachable the nodes keep the last list; a list that has shrunk much is accepted once a second replica agrees.",
 		Example: "  opalhook agent --replicas 127.0.0.1:8500,127.0.0.2:8500,127.0.0.3:8500\n  opalhook agent status",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if cfg.Name == "" {
-				host, err := os.Hostname()
-				if err != nil {
-					return fmt.Errorf("--name: the machine has none: %w", err)
-				}
-				cfg.Name = host + " " + cfg.Listen
-			}
 			cfg.Log, cfg.Seed = s.logger(), uint64(time.Now().UnixNano())
-			a, err := agent.Start(c.Context(), cfg)
-			if err != nil {
-				return err
-			}
-			return errors.Join(runAgent(c, a, metrics), a.Close())
+			return runAgent(c, cfg, metrics)
 		},
 	}
 	c.Flags().StringSliceVar(&cfg.Replicas, "replicas", []string{defaultRegistry}, "HTTP addresses of the list service's replicas")
 	c.Flags().StringVar(&cfg.Listen, "listen", defaultAgent, "address for edge nodes")
-	c.Flags().StringVar(&cfg.Name, "name", "", "of this machine, by which replicas are ranked (default: its host name and address)")
-	c.Flags().StringVar(&metrics, "metrics", "", "address for Prometheus; none: nowhere")
+	c.Flags().StringVar(&cfg.Name, "name", "", "name of this machine, which decides the replica that it prefers (default: its host name and address)")
+	c.Flags().StringVar(&metrics, "metrics", "", "address at which Prometheus finds the agent's metrics (default: none)")
 	c.AddCommand(agentStatus(s))
 	return c
 }
 
-// runAgent says where the agent listens and serves its metrics, if an address is given, until the command ends.
-func runAgent(c *cobra.Command, a *agent.Agent, metrics string) error {
+// runAgent runs an agent, named after the machine unless it has a name, and its metrics, if an address is given, until
+// the command ends.
+func runAgent(c *cobra.Command, cfg agent.Config, metrics string) error {
+	if cfg.Name == "" {
+		host, err := os.Hostname()
+		if err != nil {
+			return fmt.Errorf("--name: the machine has none: %w", err)
+		}
+		cfg.Name = host + " " + cfg.Listen
+	}
+	a, err := agent.Start(c.Context(), cfg)
+	if err != nil {
+		return err
+	}
+	return errors.Join(serveAgent(c, a, metrics), a.Close())
+}
+
+// serveAgent says where the agent listens and waits for the command's end.
+func serveAgent(c *cobra.Command, a *agent.Agent, metrics string) error {
 	if _, err := fmt.Fprintf(c.OutOrStdout(), "discovery for edge nodes at %s\n", a.Addr()); err != nil {
 		return err
 	}
@@ -70,66 +77,85 @@
 	var at string
 	c := &cobra.Command{
 		Use:     "status",
-		Short:   "Show what an agent holds and how old that is",
+		Short:   "Show which list an agent has and how old it is",
 		Example: "  opalhook agent status --at 127.0.0.1:8510 -o json",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			ctx, cancel := context.WithTimeout(c.Context(), 5*time.Second)
-			defer cancel()
-			req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+at+"/agent/status", nil)
-			if err != nil {
-				return fmt.Errorf("--at: %w", err)
-			}
-			resp, err := http.DefaultClient.Do(req)
+			status, err := fetchAgentStatus(c.Context(), at)
 			if err != nil {
-				return fmt.Errorf("no agent answers: %w", err)
-			}
-			defer func() { _ = resp.Body.Close() }()
-			var st agent.Status
-			if err := json.NewDecoder(resp.Body).Decode(&st); err != nil {
-				return fmt.Errorf("%s is no agent: %w", at, err)
+				return err
 			}
 			if s.json() {
-				return writeJSON(c.OutOrStdout(), st)
-			}
-			state := "follows a replica"
-			if !st.Watching {
-				state = "follows none"
+				return writeJSON(c.OutOrStdout(), status)
 			}
-			if st.Doubting {
-				state += ", doubts a list that has shrunk"
-			}
-			_, err = fmt.Fprintf(c.OutOrStdout(), "%s; generation %d, %d servers, heard %.1f s ago; %d nodes watch, %d calls so far\n",
-				state, st.Generation, st.Servers, st.Age, st.Watches, st.Calls)
-			return err
+			return writeAgentStatus(c.OutOrStdout(), &status)
 		},
 	}
 	c.Flags().StringVar(&at, "at", defaultAgent, "address of the agent")
 	return c
 }
 
-// agentMetrics are the agent's for Prometheus.
+// agentTimeout bounds a call of an agent.
+const agentTimeout = 5 * time.Second
+
+// fetchAgentStatus asks an agent for its status.
+func fetchAgentStatus(ctx context.Context, addr string) (status agent.Status, err error) {
+	ctx, cancel := context.WithTimeout(ctx, agentTimeout)
+	defer cancel()
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/agent/status", nil)
+	if err != nil {
+		return status, fmt.Errorf("--at: %w", err)
+	}
+	resp, err := http.DefaultClient.Do(req)
+	if err != nil {
+		return status, fmt.Errorf("no agent answers: %w", err)
+	}
+	defer func() { _ = resp.Body.Close() }()
+	if err := json.NewDecoder(resp.Body).Decode(&status); err != nil {
+		return status, fmt.Errorf("%s is no agent: %w", addr, err)
+	}
+	return status, nil
+}
+
+// writeAgentStatus writes what an agent has and how old that is.
+func writeAgentStatus(out io.Writer, status *agent.Status) error {
+	state := "watches a replica"
+	if !status.Watching {
+		state = "watches no replica"
+	}
+	if status.Doubting {
+		state += ", keeps its list against a much shorter one (self-preservation)"
+	}
+	_, err := fmt.Fprintf(out, "%s; generation %d, %d app servers, last message %.1f s ago; %d watches by edge nodes, %d calls of replicas so far\n",
+		state, status.Generation, status.Servers, status.Age, status.Watches, status.Calls)
+	return err
+}
+
+// agentGauges are the agent's metrics. Names are fixed: dashboards read them.
+var agentGauges = []struct {
+	name, help string
+	value      func(agent.Status) float64
+}{
+	{"generation", "Generation of the endpoint list that edge nodes are told.", func(s agent.Status) float64 { return float64(s.Generation) }},
+	{"servers", "App servers in the endpoint list.", func(s agent.Status) float64 { return float64(s.Servers) }},
+	{"list_age_seconds", "Time since the last message of a replica.", func(s agent.Status) float64 { return s.Age }},
+	{"watching", "1 while a watch of a replica is open.", func(s agent.Status) float64 { return zeroOrOne(s.Watching) }},
+	{"doubting", "1 while a shrunken list is held back by self-preservation.", func(s agent.Status) float64 { return zeroOrOne(s.Doubting) }},
+	{"service_calls_total", "Calls of replicas of the list service.", func(s agent.Status) float64 { return float64(s.Calls) }},
+	{"node_watches", "Watches that edge nodes have open.", func(s agent.Status) float64 { return float64(s.Watches) }},
+}
+
+// agentMetrics are an agent's metrics for Prometheus.
 func agentMetrics(a *agent.Agent) *prometheus.Registry {
 	r := prometheus.NewRegistry()
-	for name, m := range map[string]struct {
-		help string
-		f    func(agent.Status) float64
-	}{
-		"generation":          {"Version of the list that nodes are told.", func(s agent.Status) float64 { return float64(s.Generation) }},
-		"servers":             {"App servers in it.", func(s agent.Status) float64 { return float64(s.Servers) }},
-		"list_age_seconds":    {"Since a replica was last heard.", func(s agent.Status) float64 { return s.Age }},
-		"watching":            {"1 while a replica's watch is open.", func(s agent.Status) float64 { return b2f(s.Watching) }},
-		"doubting":            {"1 while a list is not taken at face value.", func(s agent.Status) float64 { return b2f(s.Doubting) }},
-		"service_calls_total": {"Calls of replicas.", func(s agent.Status) float64 { return float64(s.Calls) }},
-		"node_watches":        {"Watches of nodes.", func(s agent.Status) float64 { return float64(s.Watches) }},
-	} {
-		opts := prometheus.GaugeOpts{Name: "opalhook_agent_" + name, Help: m.help}
-		r.MustRegister(prometheus.NewGaugeFunc(opts, func() float64 { return m.f(a.Status()) }))
+	for _, g := range agentGauges {
+		opts := prometheus.GaugeOpts{Name: "opalhook_agent_" + g.name, Help: g.help}
+		r.MustRegister(prometheus.NewGaugeFunc(opts, func() float64 { return g.value(a.Status()) }))
 	}
 	return r
 }
 
-func b2f(b bool) float64 {
+func zeroOrOne(b bool) float64 {
 	if b {
 		return 1
 	}
--- a/cmd/opalhook/testbed.go
+++ b/cmd/opalhook/testbed.go
@@ -3,25 +3,24 @@
 import (
 	"errors"
 	"fmt"
-	"io"
 	"os"
 	"path/filepath"
+	"slices"
 	"strconv"
 	"strings"
 	"time"
 
 	"github.com/spf13/cobra"
-	"golang.org/x/term"
 
 	"opalhook/internal/testbed"
 )
 
-// testbedCommand is the group of the experiments.
+// testbedCommand is the group of experiments with real edge nodes.
 func testbedCommand(s *settings) *cobra.Command {
 	c := &cobra.Command{
 		Use:     "testbed",
 		Aliases: []string{"lab"}, // the name in earlier versions
-		Short:   "Run real edge nodes under load and faults, and judge them",
+		Short:   "Run real edge nodes under load and faults, and check what they did",
 		Example: "  opalhook testbed list\n  opalhook testbed run scenarios/killed.toml --seed 7\n  opalhook testbed report runs/killed-7",
 		Args:    cobra.NoArgs, // or a word that is no subcommand would pass
 		RunE:    func(c *cobra.Command, _ []string) error { return c.Help() },
@@ -30,10 +29,15 @@
 	return c
 }
 
+// runFlags are the flags of `testbed run`.
+type runFlags struct {
+	seed                 uint64
+	runs                 int
+	control, binary, dir string
+}
+
 func testbedRun(s *settings) *cobra.Command {
-	var seed uint64
-	var binary, dir, control string
-	var runs int
+	var f runFlags
 	c := &cobra.Command{
 		Use:   "run FILE",
 		Short: "Play a scenario and leave its result in a folder",
@@ -42,71 +46,74 @@
 		Example: "  opalhook testbed run scenarios/zone-cut.toml --seed 7\n  opalhook testbed run scenarios/killed.toml --runs 4 --dir runs/new\n" +
 			"  opalhook testbed run scenarios/killed.toml --node-binary old/edge-node --runs 4 --dir runs/old",
 		Args: cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
-			sc, err := testbed.LoadScenario(args[0])
-			if err != nil {
-				return badInput{err}
-			}
-			if runs < 1 {
-				return badInput{fmt.Errorf("--runs: %d is below 1", runs)}
-			}
-			if dir == "" {
-				dir = filepath.Join("runs", fmt.Sprintf("%s-%d", sc.Name, seed))
-			}
-			self, err := os.Executable()
-			if err != nil {
-				return fmt.Errorf("this program's path: %w", err)
-			}
-			path, err := testbed.FindNode(c.Context(), binary, dir)
-			if err != nil {
-				return err
-			}
-			met := true
-			var results []*testbed.Result
-			for i := range runs {
-				at := dir
-				if runs > 1 {
-					at = filepath.Join(dir, strconv.FormatUint(seed+uint64(i), 10))
-				}
-				r, err := testbed.Run(c.Context(), sc, testbed.Options{Seed: seed + uint64(i), Binary: path, Service: self, Dir: at, Log: s.logger(), Control: control, Live: live(os.Stderr)})
-				if err != nil {
-					return err
-				}
-				met = met && r.OK()
-				results = append(results, r)
-				if !s.json() {
-					if err := summary(c.OutOrStdout(), r, at); err != nil {
-						return err
-					}
-				}
-			}
-			if s.json() {
-				if err := writeJSON(c.OutOrStdout(), results); err != nil {
-					return err
-				}
-			}
-			if !met {
-				return errNotMet
-			}
-			return nil
-		},
+		RunE: func(c *cobra.Command, args []string) error { return f.play(c, s, args[0]) },
 	}
-	c.Flags().Uint64Var(&seed, "seed", 1, "of everything that is drawn; further runs take the next ones")
-	c.Flags().IntVar(&runs, "runs", 1, "how many runs, each with a seed of its own")
-	c.Flags().StringVar(&control, "control", "", "loopback address for Prometheus and for `opalhook testbed fault`, such as 127.0.0.1:9911")
-	c.Flags().StringVar(&binary, "node-binary", "", "edge node to run (default: built from this repository)")
-	c.Flags().StringVar(&dir, "dir", "", "folder of the run (default: runs/NAME-SEED)")
+	c.Flags().Uint64Var(&f.seed, "seed", 1, "of everything that is drawn; further runs take the next ones")
+	c.Flags().IntVar(&f.runs, "runs", 1, "how many runs, each with a seed of its own")
+	c.Flags().StringVar(&f.control, "control", "", "loopback address for Prometheus and for `opalhook testbed fault`, such as 127.0.0.1:9911")
+	c.Flags().StringVar(&f.binary, "node-binary", "", "edge node to run (default: built from this repository)")
+	c.Flags().StringVar(&f.dir, "dir", "", "folder of the run (default: runs/NAME-SEED)")
 	return c
 }
 
+// play plays a scenario as often as asked for and tells how each run came out.
+func (f *runFlags) play(c *cobra.Command, s *settings, file string) error {
+	scenario, err := testbed.LoadScenario(file)
+	if err != nil {
+		return badInput{err}
+	}
+	if f.runs < 1 {
+		return badInput{fmt.Errorf("--runs: %d is below 1", f.runs)}
+	}
+	if f.dir == "" {
+		f.dir = filepath.Join("runs", fmt.Sprintf("%s-%d", scenario.Name, f.seed))
+	}
+	program, err := os.Executable()
+	if err != nil {
+		return fmt.Errorf("this program's path: %w", err)
+	}
+	node, err := testbed.FindNode(c.Context(), f.binary, f.dir)
+	if err != nil {
+		return err
+	}
+	var results []*testbed.Result
+	for i := range f.runs {
+		o := testbed.Options{
+			Seed: f.seed + uint64(i), Binary: node, Service: program, Dir: f.dir, Log: s.logger(), Control: f.control, Live: showProgress(os.Stderr),
+		}
+		if f.runs > 1 {
+			o.Dir = filepath.Join(f.dir, strconv.FormatUint(o.Seed, 10))
+		}
+		r, err := testbed.Run(c.Context(), scenario, o)
+		if err != nil {
+			return err
+		}
+		if results = append(results, r); s.json() {
+			continue
+		}
+		if err := writeSummary(c.OutOrStdout(), r, o.Dir); err != nil {
+			return err
+		}
+	}
+	if s.json() {
+		if err := writeJSON(c.OutOrStdout(), results); err != nil {
+			return err
+		}
+	}
+	if slices.ContainsFunc(results, func(r *testbed.Result) bool { return !r.OK() }) {
+		return errNotMet
+	}
+	return nil
+}
+
 func testbedFault(s *settings) *cobra.Command {
 	var at string
 	var f testbed.Commanded
 	var last, late time.Duration
 	c := &cobra.Command{
 		Use:     "fault KIND [TARGET]",
-		Short:   "Begin a fault in a run that goes on",
-		Long:    "Begin a fault in a run that was started with --control. The target is the number of a node or an app server.",
+		Short:   "Inject a fault into a run that is under way",
+		Long:    "Inject a fault into a run that was started with --control. The target is the number of a node or an app server.",
 		Example: "  opalhook up --control 127.0.0.1:9911\n  opalhook testbed fault slow 3 --size 5 --for 10s\n  opalhook testbed fault kill 0 --for 4s",
 		Args:    cobra.RangeArgs(1, 2),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -141,48 +148,12 @@
 	return c
 }
 
-// live returns a function that shows progress: one line that is written over on a terminal,
-// a line a second elsewhere.
-func live(out *os.File) func(testbed.Progress) {
-	terminal := term.IsTerminal(int(out.Fd()))
-	return func(p testbed.Progress) {
-		text := fmt.Sprintf("%5.0f of %.0f s  asked %5d  served %5d  refused %4d  failed %3d  p50 %4d ms  p99 %5d ms  nodes up %d  rules broken %d",
-			p.At.Seconds(), p.Of.Seconds(), p.Asked, p.Served, p.Refused, p.Failed, p.P50.Milliseconds(), p.P99.Milliseconds(), p.NodesUp, p.Violations)
-		if terminal {
-			text = "\r\x1b[K" + text
-			if p.At >= p.Of-time.Second {
-				text += "\n"
-			}
-		} else {
-			text += "\n"
-		}
-		_, _ = out.WriteString(text) // progress that nobody can read is no reason to stop the run
-	}
-}
-
-// summary writes how a run came out.
-func summary(out io.Writer, r *testbed.Result, dir string) error {
-	var text strings.Builder
-	verdict := "passed"
-	if !r.OK() {
-		verdict = "FAILED"
-	}
-	fmt.Fprintf(&text, "%s seed %d: %s  goodput %.3f  served %.3f  refused %.3f  p99 %.0f ms  schedule %s\n", r.Scenario, r.Seed, verdict,
-		r.Figures["goodput"], r.Figures["served"], r.Figures["refused"], r.Figures["p99_ms"], r.Digest)
-	if r.Behind {
-		fmt.Fprintf(&text, "  the generator fell behind by %.1f ms (99th percentile): this machine is too small for the load\n", r.Figures["lateness_ms"])
-	}
-	for _, v := range r.Violations[:min(len(r.Violations), 5)] {
-		fmt.Fprintln(&text, " ", v)
-	}
-	for _, k := range r.Checks {
-		if !k.OK {
-			fmt.Fprintf(&text, "  expected %s %s, got %.4g\n", k.Expect.Figure, k.Expect.Bound(), k.Got)
-		}
-	}
-	fmt.Fprintf(&text, "  %s\n", dir)
-	_, err := io.WriteString(out, text.String())
-	return err
+// scenarioRow is a scenario file in a list. An Error stands in place of what can't be read.
+type scenarioRow struct {
+	File  string `json:"file"`
+	Name  string `json:"name"`
+	About string `json:"about"`
+	Error string `json:"error,omitempty"`
 }
 
 func testbedList(s *settings) *cobra.Command {
@@ -196,26 +167,9 @@
 			if len(args) > 0 {
 				dir = args[0]
 			}
-			paths, err := filepath.Glob(filepath.Join(dir, "*.toml"))
-			if err != nil || len(paths) == 0 {
-				return fmt.Errorf("no scenario in %s: name the folder that holds *.toml files", dir)
-			}
-			type row struct {
-				File  string `json:"file"`
-				Name  string `json:"name"`
-				About string `json:"about"`
-				Error string `json:"error,omitempty"`
-			}
-			var rows []row
-			var bad error
-			for _, p := range paths {
-				sc, err := testbed.LoadScenario(p)
-				if err != nil {
-					bad = errors.Join(bad, err)
-					rows = append(rows, row{File: p, Error: err.Error()})
-					continue
-				}
-				rows = append(rows, row{File: p, Name: sc.Name, About: sc.About})
+			rows, bad := readScenarios(dir)
+			if len(rows) == 0 {
+				return bad
 			}
 			if s.json() {
 				return errors.Join(writeJSON(c.OutOrStdout(), rows), bad)
@@ -229,10 +183,28 @@
 	}
 }
 
+// readScenarios reads the scenario files of a folder. A file that can't be read is a row and an error, and hides no other.
+func readScenarios(dir string) (rows []scenarioRow, bad error) {
+	paths, err := filepath.Glob(filepath.Join(dir, "*.toml"))
+	if err != nil || len(paths) == 0 {
+		return nil, fmt.Errorf("no scenario in %s: name the folder that holds *.toml files", dir)
+	}
+	for _, p := range paths {
+		scenario, err := testbed.LoadScenario(p)
+		if err != nil {
+			bad = errors.Join(bad, err)
+			rows = append(rows, scenarioRow{File: p, Error: err.Error()})
+			continue
+		}
+		rows = append(rows, scenarioRow{File: p, Name: scenario.Name, About: scenario.About})
+	}
+	return rows, bad
+}
+
 func testbedReport(s *settings) *cobra.Command {
 	return &cobra.Command{
 		Use:     "report DIR",
-		Short:   "Write a run's report: Markdown with pictures",
+		Short:   "Write a run's report: Markdown with charts",
 		Example: "  opalhook testbed report runs/zone-cut-7",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -256,8 +228,8 @@
 func testbedCompare(s *settings) *cobra.Command {
 	return &cobra.Command{
 		Use:     "compare DIR DIR",
-		Short:   "Hold two runs, or two folders of runs, against each other",
-		Long:    "Hold two runs against each other, figure by figure, as the ratio of the second to the first.\nA folder of runs over several seeds shows the spread as well.",
+		Short:   "Compare two runs, or two folders of runs",
+		Long:    "Compare two runs, figure by figure, as the ratio of the second to the first.\nA folder of runs over several seeds shows the spread as well.",
 		Example: "  opalhook testbed compare runs/old runs/new",
 		Args:    cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
--- /dev/null
+++ b/cmd/opalhook/testbed_output.go
@@ -0,0 +1,68 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"os"
+	"strings"
+	"time"
+
+	"golang.org/x/term"
+
+	"opalhook/internal/testbed"
+)
+
+// rewriteLine has a terminal write over the line that the cursor is on.
+const rewriteLine = "\r\x1b[K"
+
+// showProgress returns a function that shows a run's last second: one line that is written over on a terminal, a line
+// each time elsewhere. Progress that nobody can read is no reason to stop the run.
+func showProgress(out *os.File) func(testbed.Progress) {
+	terminal := term.IsTerminal(int(out.Fd()))
+	return func(p testbed.Progress) {
+		line := progressLine(p)
+		switch {
+		case !terminal:
+			line += "\n"
+		case p.At >= p.Of-time.Second:
+			line = rewriteLine + line + "\n"
+		default:
+			line = rewriteLine + line
+		}
+		_, _ = out.WriteString(line)
+	}
+}
+
+// progressLine is a run's last second in a line. Requests are counted when due, what came of them when they ended.
+func progressLine(p testbed.Progress) string {
+	return fmt.Sprintf("%5.0f of %.0f s  requests %5d  served %5d  rejected %4d  failed %3d  p50 %4d ms  p99 %5d ms  nodes up %d  violations %d",
+		p.At.Seconds(), p.Of.Seconds(), p.Asked, p.Served, p.Refused, p.Failed, p.P50.Milliseconds(), p.P99.Milliseconds(), p.NodesUp, p.Violations)
+}
+
+// shownViolations bounds the violations in a summary; the result has more.
+const shownViolations = 5
+
+// writeSummary writes how a run came out, and where its files are.
+func writeSummary(out io.Writer, r *testbed.Result, files string) error {
+	verdict := "passed"
+	if !r.OK() {
+		verdict = "FAILED"
+	}
+	var text strings.Builder
+	fmt.Fprintf(&text, "%s seed %d: %s  goodput %.3f  requests served %.3f  attempts rejected %.3f  p99 %.0f ms  schedule %s\n", r.Scenario, r.Seed, verdict,
+		r.Figures["goodput"], r.Figures["served"], r.Figures["refused"], r.Figures["p99_ms"], r.Digest)
+	if r.Behind {
+		fmt.Fprintf(&text, "  the load generator fell behind by %.1f ms (99th percentile): this machine is too small for the load\n", r.Figures["lateness_ms"])
+	}
+	for _, v := range r.Violations[:min(len(r.Violations), shownViolations)] {
+		fmt.Fprintln(&text, " ", v)
+	}
+	for _, k := range r.Checks {
+		if !k.OK {
+			fmt.Fprintf(&text, "  expected %s %s, got %.4g\n", k.Expect.Figure, k.Expect.Bound(), k.Got)
+		}
+	}
+	fmt.Fprintf(&text, "  %s\n", files)
+	_, err := io.WriteString(out, text.String())
+	return err
+}
