--- a/cmd/opalhook/registry.go
+++ b/cmd/opalhook/registry.go
@@ -54,7 +54,7 @@
 		Example: "  opalhook registry serve\n  opalhook registry serve --listen 127.0.0.2:8500 --raft 127.0.0.2:8501 --data r2 --join 127.0.0.1:8500",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			cfg.Log = s.logger()
+			cfg.Logger = s.logger()
 			srv, err := registry.Start(c.Context(), cfg)
 			if err != nil {
 				return err
@@ -68,7 +68,7 @@
 	c.Flags().StringVar(&cfg.Listen, "listen", defaultRegistry, "address for readers and writers")
 	c.Flags().StringVar(&cfg.Raft, "raft", defaultRaft, "address for the other replicas")
 	c.Flags().StringVar(&cfg.Join, "join", "", "HTTP address of a replica of the service to join, for a new folder")
-	c.Flags().DurationVar(&cfg.Timeout, "election-timeout", 0, "without a word of the leader after which another is elected (default 500ms)")
+	c.Flags().DurationVar(&cfg.ElectionTimeout, "election-timeout", 0, "without a word of the leader after which another is elected (default 500ms)")
 	return c
 }
 
@@ -165,7 +165,7 @@
 		return writeJSON(c.OutOrStdout(), o)
 	}
 	word := "done"
-	if o.Code == registry.Same {
+	if o.Code == registry.Unchanged {
 		word = "nothing to do"
 	}
 	_, err := fmt.Fprintf(c.OutOrStdout(), "%s, generation %d\n", word, o.Generation)
@@ -205,8 +205,8 @@
 }
 
 func registryChange(s *settings, client func() *registry.Client, bound func(*cobra.Command) (context.Context, context.CancelFunc), verb, short string,
-	do func(*registry.Client, context.Context, registry.Owner) (registry.Outcome, error)) *cobra.Command {
-	var o registry.Owner
+	do func(*registry.Client, context.Context, registry.InstanceRef) (registry.Outcome, error)) *cobra.Command {
+	var o registry.InstanceRef
 	c := &cobra.Command{
 		Use:     verb + " ID",
 		Short:   short,
@@ -249,7 +249,7 @@
 					continue
 				}
 				expiry := "runs"
-				if st.Paused {
+				if st.ExpirySuspended {
 					expiry = "PAUSED: many leases run out at once; look at the network before the instances"
 				}
 				fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%s\n", st.Replica, st.State, st.Leader, st.Generation, st.Entries, st.Leases, st.Watches, expiry)
--- a/internal/registry/bench_test.go
+++ b/internal/registry/bench_test.go
@@ -29,11 +29,11 @@
 
 // Names of the variables that make the test binary another process of a benchmark.
 const (
-	asWatchers = "OPALHOOK_REGISTRY_WATCHERS" // "ADDRESS COUNT": many watches of one replica
-	asEncoder  = "OPALHOOK_REGISTRY_ENCODER"  // "ADDRESS ENTRIES": a list that encodes each change for each watch
+	watchersEnv = "OPALHOOK_REGISTRY_WATCHERS" // "ADDRESS COUNT": many watches of one replica
+	encoderEnv  = "OPALHOOK_REGISTRY_ENCODER"  // "ADDRESS ENTRIES": a list that encodes each change for each watch
 )
 
-const watchersWanted = 10_000
+const watchCount = 10_000
 
 // runWatchers opens watches and says when the last of them has had each generation, in Unix
 // nanoseconds. A line on standard input makes all of them come again from nothing; its end is
@@ -181,7 +181,7 @@
 	m := http.NewServeMux()
 	m.HandleFunc("POST /registry/instances", func(w http.ResponseWriter, r *http.Request) {
 		var reg Registration
-		if decode(w, r, &reg) {
+		if decodeBody(w, r, &reg) {
 			json.NewEncoder(w).Encode(apply(Command{Kind: Register, Entry: reg.Entry, Incarnation: reg.Incarnation}))
 		}
 	})
@@ -192,7 +192,7 @@
 			ms := []message{{Generation: st.Generation(), Reset: true}}
 			if from == 0 {
 				ms[0].Instances = st.List()
-			} else if changes, ok := st.Since(from); ok {
+			} else if changes, ok := st.ChangesSince(from); ok {
 				ms = nil
 				for _, c := range changes {
 					ms = append(ms, message{Generation: c.Generation, Instances: c.Entries})
@@ -206,7 +206,7 @@
 				if err != nil {
 					return
 				}
-				rc.SetWriteDeadline(time.Now().Add(writeWithin))
+				rc.SetWriteDeadline(time.Now().Add(writeTimeout))
 				if _, err := w.Write(append(text, '\n')); err != nil {
 					return
 				}
@@ -228,7 +228,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
 	go func() { <-ctx.Done(); ln.Close() }()
-	err = (&http.Server{Handler: m}).Serve(smallBuffers{ln})
+	err = (&http.Server{Handler: m}).Serve(smallBufferListener{ln})
 	if ctx.Err() != nil {
 		return nil
 	}
@@ -244,7 +244,7 @@
 func startWatchers(b *testing.B, addr string, n int) *watchers {
 	b.Helper()
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), fmt.Sprintf("%s=%s %d", asWatchers, addr, n))
+	cmd.Env = append(os.Environ(), fmt.Sprintf("%s=%s %d", watchersEnv, addr, n))
 	cmd.Stderr = os.Stderr
 	in, err := cmd.StdinPipe()
 	if err != nil {
@@ -281,7 +281,7 @@
 }
 
 // used is what a process has used: CPU time and resident bytes.
-func used(b *testing.B, pid int) (cpu time.Duration, memory float64) {
+func processUsage(b *testing.B, pid int) (cpu time.Duration, memory float64) {
 	b.Helper()
 	p, err := procfs.NewProc(pid)
 	if err != nil {
@@ -321,7 +321,7 @@
 				registerEntries(b, m.listen, 200)
 			} else {
 				m.cmd = exec.Command(os.Args[0])
-				m.cmd.Env = append(os.Environ(), fmt.Sprintf("%s=%s %d", asEncoder, m.listen, 200))
+				m.cmd.Env = append(os.Environ(), fmt.Sprintf("%s=%s %d", encoderEnv, m.listen, 200))
 				if _, err := m.cmd.StdinPipe(); err != nil { // open for as long as this process lives
 					b.Fatal(err)
 				}
@@ -329,7 +329,7 @@
 					b.Fatal(err)
 				}
 			}
-			eventually(b, "the list", func() bool {
+			waitFor(b, "the list", func() bool {
 				c, _, err := openWatch(m.listen)
 				if err != nil {
 					return false
@@ -337,9 +337,9 @@
 				c.Close()
 				return true
 			})
-			_, before := used(b, m.cmd.Process.Pid)
-			w := startWatchers(b, m.listen, watchersWanted)
-			_, after := used(b, m.cmd.Process.Pid)
+			_, before := processUsage(b, m.cmd.Process.Pid)
+			w := startWatchers(b, m.listen, watchCount)
+			_, after := processUsage(b, m.cmd.Process.Pid)
 			inc := 1
 			change := func(n int) {
 				inc++
@@ -352,12 +352,12 @@
 				var cpu time.Duration
 				var late, spread []time.Duration
 				for i := range b.N {
-					time.Sleep(2 * gatherFor) // changes that come alone
+					time.Sleep(2 * notifyInterval) // changes that come alone
 					sent := time.Now().UnixNano()
-					was, _ := used(b, m.cmd.Process.Pid)
+					was, _ := processUsage(b, m.cmd.Process.Pid)
 					change(i % 200)
 					x := w.next(b)
-					is, _ := used(b, m.cmd.Process.Pid)
+					is, _ := processUsage(b, m.cmd.Process.Pid)
 					cpu += is - was
 					late, spread = append(late, time.Duration(x[2]-sent)), append(spread, time.Duration(x[2]-x[1]))
 				}
@@ -365,10 +365,10 @@
 				b.ReportMetric(float64(percentile(late, 0.5).Microseconds())/1e3, "p50-ms")
 				b.ReportMetric(float64(percentile(late, 0.99).Microseconds())/1e3, "p99-ms")
 				b.ReportMetric(float64(percentile(spread, 0.5).Microseconds())/1e3, "first-to-last-ms")
-				b.ReportMetric((after-before)/watchersWanted, "B/watch")
+				b.ReportMetric((after-before)/watchCount, "B/watch")
 			})
 			b.Run("hundred", func(b *testing.B) {
-				cpu, _ := used(b, m.cmd.Process.Pid)
+				cpu, _ := processUsage(b, m.cmd.Process.Pid)
 				for range b.N {
 					var work sync.WaitGroup
 					var next atomic.Int64
@@ -386,17 +386,17 @@
 						w.next(b)
 					}
 				}
-				end, _ := used(b, m.cmd.Process.Pid)
+				end, _ := processUsage(b, m.cmd.Process.Pid)
 				b.ReportMetric(float64((end-cpu).Microseconds())/float64(100*b.N), "cpu-µs/change")
 			})
 			b.Run("whole", func(b *testing.B) {
-				cpu, _ := used(b, m.cmd.Process.Pid)
+				cpu, _ := processUsage(b, m.cmd.Process.Pid)
 				for range b.N {
 					fmt.Fprintln(w.in)
 					w.next(b)
 				}
-				end, _ := used(b, m.cmd.Process.Pid)
-				b.ReportMetric(float64((end-cpu).Microseconds())/float64(b.N)/watchersWanted, "cpu-µs/watch")
+				end, _ := processUsage(b, m.cmd.Process.Pid)
+				b.ReportMetric(float64((end-cpu).Microseconds())/float64(b.N)/watchCount, "cpu-µs/watch")
 			})
 		})
 	}
@@ -411,13 +411,13 @@
 	change := st.changes[0]
 	b.Run("shared", func(b *testing.B) {
 		for b.Loop() {
-			encodeLine(change)
+			encodeChange(change)
 		}
 	})
 	b.Run("each", func(b *testing.B) {
 		for b.Loop() {
-			for range watchersWanted {
-				encodeLine(change)
+			for range watchCount {
+				encodeChange(change)
 			}
 		}
 	})
@@ -426,7 +426,7 @@
 // Committed writes, with fsync on, by clients that write one after another.
 func BenchmarkWrites(b *testing.B) {
 	for _, n := range []int{1, 3, 5} {
-		all := service(b, n)
+		all := startService(b, n)
 		leader := leaderOf(b, all)
 		for _, clients := range []int{1, 64} {
 			b.Run(fmt.Sprintf("replicas=%d/clients=%d", n, clients), func(b *testing.B) {
@@ -464,20 +464,20 @@
 
 // Time from a leader's SIGKILL to the next write that is acknowledged, as a multiple of the
 // election time-out.
-func BenchmarkWithoutLeader(b *testing.B) {
-	all := service(b, 3)
+func BenchmarkFailover(b *testing.B) {
+	all := startService(b, 3)
 	var gaps []time.Duration
 	for i := range b.N {
 		l := leaderOf(b, all)
-		rest := slices.DeleteFunc(slices.Clone(all), func(m *member) bool { return m == l })
+		rest := slices.DeleteFunc(slices.Clone(all), func(m *testReplica) bool { return m == l })
 		hc := &http.Client{Timeout: time.Second}
 		killed := time.Now()
 		l.kill()
 		for n := 0; ; n++ {
-			if send(hc, rest[n%2].listen, write{Register, "s-1", uint64(i + 1)}).code == Done {
+			if runOperation(hc, rest[n%2].listen, operation{Register, "s-1", uint64(i + 1)}).code == Done {
 				break
 			}
-			if time.Since(killed) > patience {
+			if time.Since(killed) > testTimeout {
 				b.Fatal("no leader")
 			}
 			time.Sleep(5 * time.Millisecond)
@@ -487,7 +487,7 @@
 		sameLists(b, all)
 	}
 	for _, p := range []float64{0.5, 0.99, 1} {
-		b.ReportMetric(float64(percentile(gaps, p))/float64(defaultTimeout), fmt.Sprintf("p%g-timeouts", 100*p))
+		b.ReportMetric(float64(percentile(gaps, p))/float64(defaultElectionTimeout), fmt.Sprintf("p%g-timeouts", 100*p))
 	}
 }
 
@@ -501,8 +501,8 @@
 		b.Run(fmt.Sprintf("entries=%d/log=%d/snapshot=%v", c.entries, c.log, c.snapshot), func(b *testing.B) {
 			b.StopTimer()
 			dir := b.TempDir()
-			s := replica(b, dir, "")
-			eventually(b, "a leader", s.ready)
+			s := startReplica(b, dir, "")
+			waitFor(b, "a leader", s.hasTakenOver)
 			var work sync.WaitGroup
 			var next atomic.Int64
 			for range 256 {
@@ -511,7 +511,7 @@
 						e := entry(fmt.Sprint("s-", i%c.entries), 0)
 						n := i % c.entries
 						e.HostPort = fmt.Sprintf("127.%d.%d.%d:%d", n/50_000, n/200%250, n%200, 1+n%60_000)
-						if o, err := s.commit(Command{Kind: Register, Entry: e, Incarnation: uint64(i + 1)}); err != nil || o.Code != Done && o.Code != Stale {
+						if o, err := s.commit(Command{Kind: Register, Entry: e, Incarnation: uint64(i + 1)}); err != nil || o.Code != Done && o.Code != StaleIncarnation {
 							b.Error(o, err)
 						}
 					}
@@ -523,14 +523,14 @@
 					b.Fatal(err)
 				}
 			}
-			at, raftAt, generation := s.Addr(), raftAddr(s), s.machine.generation()
+			at, raftAt, generation := s.Addr(), raftAddr(s), s.fsm.generation()
 			for range b.N {
 				if err := s.Close(); err != nil {
 					b.Fatal(err)
 				}
 				b.StartTimer()
-				s = replica(b, dir, "", func(cfg *Config) { cfg.Listen, cfg.Raft = at, raftAt })
-				for s.machine.generation() < generation {
+				s = startReplica(b, dir, "", func(cfg *Config) { cfg.Listen, cfg.Raft = at, raftAt })
+				for s.fsm.generation() < generation {
 					time.Sleep(time.Millisecond)
 				}
 				b.StopTimer()
@@ -542,21 +542,21 @@
 
 // Watches that come back at once to a replica with one core, beside a watch that is open
 // already: how late that one is told of changes, with the pace of the service and without one.
-func BenchmarkReturn(b *testing.B) {
-	for _, n := range []int{1000, watchersWanted} {
+func BenchmarkReconnect(b *testing.B) {
+	for _, n := range []int{1000, watchCount} {
 		for name, joins := range map[string]float64{"paced": 0, "unpaced": 1e6} {
-			b.Run(fmt.Sprintf("watches=%d/%s", n, name), func(b *testing.B) { returning(b, n, joins) })
+			b.Run(fmt.Sprintf("watches=%d/%s", n, name), func(b *testing.B) { benchmarkReconnect(b, n, joins) })
 		}
 	}
 }
 
-func returning(b *testing.B, n int, joins float64) {
+func benchmarkReconnect(b *testing.B, n int, joins float64) {
 	m := newMember(b)
 	m.joins, m.env = joins, []string{"GOMAXPROCS=1"}
 	m.start("")
 	registerEntries(b, m.listen, 200)
 	w := startWatchers(b, m.listen, n)
-	open := watch(b, m.listen, 0)
+	open := startWatch(b, m.listen, 0)
 	open.next(b)
 	inc, all := 1, time.Duration(0)
 	var late []time.Duration
@@ -590,21 +590,21 @@
 // What the leader looks at after each change of a list of 200,000 leases: the lease that runs out
 // first, by the queue and, as a measure, by a scan of all.
 func BenchmarkNextLease(b *testing.B) {
-	l := NewLeases(0, nil, defaultDoubt)
+	l := NewLeases(0, nil, defaultSelfPreservation)
 	for n := range planEntries {
-		l.Grant(time.Duration(n)*time.Microsecond, Lease{Owner{numbered(n).InstanceID, 1}, 10 * time.Second})
+		l.Grant(time.Duration(n)*time.Microsecond, Lease{InstanceRef{numberedEntry(n).InstanceID, 1}, 10 * time.Second})
 	}
 	b.Run("queue", func(b *testing.B) {
 		for b.Loop() {
-			l.Next(time.Second)
+			l.NextDue(time.Second)
 		}
 	})
 	b.Run("scan", func(b *testing.B) {
 		for b.Loop() {
 			first := time.Duration(-1)
-			for _, h := range l.held {
-				if !h.sent && (first < 0 || h.until < first) {
-					first = h.until
+			for _, h := range l.entries {
+				if !h.expiring && (first < 0 || h.expiresAt < first) {
+					first = h.expiresAt
 				}
 			}
 		}
--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -23,17 +23,17 @@
 }
 
 const (
-	callWithin = 3 * time.Second // for one try at one replica
-	mostAnswer = 256 << 20       // bytes of an answer, or of a line of a watch: a full list and some
+	callTimeout      = 3 * time.Second // for one try at one replica
+	maxResponseBytes = 256 << 20       // bytes of an answer, or of a line of a watch: a full list and some
 )
 
 // Refused is an answer that no further try can change.
-type Refused struct {
+type RejectedError struct {
 	Status  int
 	Outcome Outcome
 }
 
-func (e *Refused) Error() string {
+func (e *RejectedError) Error() string {
 	if e.Outcome.Message == "" {
 		return fmt.Sprintf("the list service answers %d", e.Status)
 	}
@@ -46,8 +46,8 @@
 		return nil, errors.New("no replica is named")
 	}
 	// A redirect to the leader is followed with the body; each hop has a bound of its own.
-	hc := &http.Client{Timeout: callWithin, Transport: &http.Transport{
-		DialContext: (&net.Dialer{Timeout: callWithin / 3}).DialContext, DisableKeepAlives: true}}
+	hc := &http.Client{Timeout: callTimeout, Transport: &http.Transport{
+		DialContext: (&net.Dialer{Timeout: callTimeout / 3}).DialContext, DisableKeepAlives: true}}
 	var last error
 	for i := 0; ; i++ {
 		wait := 200 * time.Millisecond
@@ -57,7 +57,7 @@
 		}
 		resp, err := hc.Do(req)
 		if err == nil {
-			text, rerr := io.ReadAll(io.LimitReader(resp.Body, mostAnswer))
+			text, rerr := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 			resp.Body.Close()
 			switch {
 			case rerr != nil:
@@ -65,7 +65,7 @@
 			case resp.StatusCode == http.StatusOK:
 				return text, nil
 			case resp.StatusCode != http.StatusServiceUnavailable && resp.StatusCode != http.StatusTemporaryRedirect:
-				r := &Refused{Status: resp.StatusCode}
+				r := &RejectedError{Status: resp.StatusCode}
 				json.Unmarshal(text, &r.Outcome) // an answer of another form has no message to show
 				return nil, r
 			default:
@@ -98,7 +98,7 @@
 	return o, nil
 }
 
-func ownerPath(o Owner, verb string) string {
+func ownerPath(o InstanceRef, verb string) string {
 	p := "/registry/instances/" + url.PathEscape(o.ID) + verb
 	if o.Incarnation > 0 {
 		p += "?incarnation=" + strconv.FormatUint(o.Incarnation, 10)
@@ -116,22 +116,22 @@
 }
 
 // Renew extends an instance's lease by its term.
-func (c *Client) Renew(ctx context.Context, o Owner) (Outcome, error) {
+func (c *Client) Renew(ctx context.Context, o InstanceRef) (Outcome, error) {
 	return c.outcome(ctx, http.MethodPost, ownerPath(o, "/renew"), nil)
 }
 
 // Drain lets an instance finish what it has. Incarnation 0 is whichever is there.
-func (c *Client) Drain(ctx context.Context, o Owner) (Outcome, error) {
+func (c *Client) Drain(ctx context.Context, o InstanceRef) (Outcome, error) {
 	return c.outcome(ctx, http.MethodPost, ownerPath(o, "/drain"), nil)
 }
 
 // Remove takes an instance out of the list.
-func (c *Client) Remove(ctx context.Context, o Owner) (Outcome, error) {
+func (c *Client) Remove(ctx context.Context, o InstanceRef) (Outcome, error) {
 	return c.outcome(ctx, http.MethodDelete, ownerPath(o, ""), nil)
 }
 
 // Show is one instance as it stands after all writes that were acknowledged before the call.
-func (c *Client) Show(ctx context.Context, id string) (st Standing, err error) {
+func (c *Client) Show(ctx context.Context, id string) (st InstanceStatus, err error) {
 	text, err := c.do(ctx, http.MethodGet, "/registry/instances/"+url.PathEscape(id), nil)
 	if err != nil {
 		return st, err
@@ -210,7 +210,7 @@
 			continue
 		}
 		lines := bufio.NewScanner(resp.Body)
-		lines.Buffer(nil, mostAnswer)
+		lines.Buffer(nil, maxResponseBytes)
 		for lines.Scan() {
 			if len(lines.Bytes()) == 0 {
 				continue
--- a/internal/registry/cluster_test.go
+++ b/internal/registry/cluster_test.go
@@ -29,12 +29,12 @@
 
 // asReplica names the variable that makes the test binary a replica: its value is the
 // configuration.
-const asReplica = "OPALHOOK_REGISTRY_REPLICA"
+const replicaEnv = "OPALHOOK_REGISTRY_REPLICA"
 
 func TestMain(m *testing.M) {
-	for name, run := range map[string]func(string) error{asReplica: runReplica, asWatchers: runWatchers, asEncoder: runEncoder} {
+	for name, run := range map[string]func(string) error{replicaEnv: runReplica, watchersEnv: runWatchers, encoderEnv: runEncoder} {
 		if text := os.Getenv(name); text != "" {
-			if name != asWatchers {
+			if name != watchersEnv {
 				go func() { // standard input ends with the process that started this one
 					io.Copy(io.Discard, os.Stdin)
 					os.Exit(1)
@@ -60,8 +60,8 @@
 	if err := json.Unmarshal([]byte(text), &plain); err != nil {
 		return err
 	}
-	cfg.Dir, cfg.Listen, cfg.Raft, cfg.Join, cfg.Via, cfg.Joins = plain.Dir, plain.Listen, plain.Raft, plain.Join, plain.Via, plain.Joins
-	cfg.Log = slog.New(slog.NewTextHandler(os.Stderr, nil))
+	cfg.Dir, cfg.Listen, cfg.Raft, cfg.Join, cfg.DialVia, cfg.WatchOpensPerSecond = plain.Dir, plain.Listen, plain.Raft, plain.Join, plain.Via, plain.Joins
+	cfg.Logger = slog.New(slog.NewTextHandler(os.Stderr, nil))
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
 	s, err := Start(ctx, cfg)
@@ -73,27 +73,27 @@
 }
 
 // member is one replica as a process, which may be killed, stopped and started again.
-type member struct {
+type testReplica struct {
 	t            testing.TB
 	dir          string
 	listen, raft string
 	cmd          *exec.Cmd
 	log          string
-	joins        float64                   // watches that may be opened a second; 0: as the service has it
-	env          []string                  // more of it
-	via          map[string]string         // to the others, through links
-	links        map[*member]*testbed.Link // the same, by the other
+	joins        float64                        // watches that may be opened a second; 0: as the service has it
+	env          []string                       // more of it
+	via          map[string]string              // to the others, through links
+	links        map[*testReplica]*testbed.Link // the same, by the other
 }
 
-func newMember(t testing.TB) *member {
-	m := &member{t: t, dir: t.TempDir(), listen: testnet.FreeAddr(t), raft: testnet.FreeAddr(t)}
+func newMember(t testing.TB) *testReplica {
+	m := &testReplica{t: t, dir: t.TempDir(), listen: testnet.FreeAddr(t), raft: testnet.FreeAddr(t)}
 	m.log = filepath.Join(t.TempDir(), "log")
 	t.Cleanup(m.kill)
 	return m
 }
 
 // start starts the process and waits until it answers.
-func (m *member) start(join string) {
+func (m *testReplica) start(join string) {
 	m.t.Helper()
 	text, err := json.Marshal(map[string]any{"Dir": m.dir, "Listen": m.listen, "Raft": m.raft, "Join": join, "Via": m.via, "Joins": m.joins})
 	if err != nil {
@@ -105,7 +105,7 @@
 	}
 	defer log.Close()
 	m.cmd = exec.Command(os.Args[0])
-	m.cmd.Env = append(append(os.Environ(), asReplica+"="+string(text)), m.env...)
+	m.cmd.Env = append(append(os.Environ(), replicaEnv+"="+string(text)), m.env...)
 	m.cmd.Stderr = log
 	if _, err := m.cmd.StdinPipe(); err != nil { // open for as long as this process lives
 		m.t.Fatal(err)
@@ -113,7 +113,7 @@
 	if err := m.cmd.Start(); err != nil {
 		m.t.Fatal(err)
 	}
-	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
 		if resp, err := http.Get("http://" + m.listen + "/registry/status"); err == nil {
 			resp.Body.Close()
 			return
@@ -126,10 +126,10 @@
 }
 
 // connect puts links between all replicas, each direction apart.
-func connect(t testing.TB, all []*member) {
+func connect(t testing.TB, all []*testReplica) {
 	t.Helper()
 	for _, a := range all {
-		a.via, a.links = map[string]string{}, map[*member]*testbed.Link{}
+		a.via, a.links = map[string]string{}, map[*testReplica]*testbed.Link{}
 		for i, b := range all {
 			if a == b {
 				continue
@@ -145,7 +145,7 @@
 }
 
 // cut cuts what goes from a replica to the others, and what comes from them, or heals both.
-func (m *member) cut(all []*member, out, in bool) {
+func (m *testReplica) cut(all []*testReplica, out, in bool) {
 	m.t.Helper()
 	for _, b := range all {
 		if b == m {
@@ -160,7 +160,7 @@
 }
 
 // kill ends the process at once, whatever it is at.
-func (m *member) kill() {
+func (m *testReplica) kill() {
 	if m.cmd != nil {
 		m.cmd.Process.Kill()
 		m.cmd.Wait()
@@ -169,7 +169,7 @@
 }
 
 // leads tells whether the replica says that it leads.
-func (m *member) leads() bool {
+func (m *testReplica) leads() bool {
 	c := http.Client{Timeout: time.Second}
 	resp, err := c.Get("http://" + m.listen + "/registry/status")
 	if err != nil {
@@ -181,22 +181,22 @@
 }
 
 // write is one operation of a history.
-type write struct {
+type operation struct {
 	kind string
 	id   string
 	inc  uint64
 }
 
 // ending is how it came out; unknown where the client can't tell whether it was done.
-type ending struct {
+type result struct {
 	code       Code
 	generation uint64
 	unknown    bool
-	seen       life1 // of a read
+	seen       instanceModel // of a read
 }
 
 // service starts replicas with links between them and waits until each knows all.
-func service(t testing.TB, n int) (all []*member) {
+func startService(t testing.TB, n int) (all []*testReplica) {
 	t.Helper()
 	for range n {
 		all = append(all, newMember(t))
@@ -210,7 +210,7 @@
 		}
 	}
 	leaderOf(t, all)
-	eventually(t, "every replica knows all", func() bool {
+	waitFor(t, "every replica knows all", func() bool {
 		sts, errs := (&Client{Replicas: addresses(all)}).Status(t.Context())
 		known := errors.Join(errs...) == nil
 		for _, st := range sts {
@@ -221,7 +221,7 @@
 	return all
 }
 
-func addresses(all []*member) (out []string) {
+func addresses(all []*testReplica) (out []string) {
 	for _, m := range all {
 		out = append(out, m.listen)
 	}
@@ -229,9 +229,9 @@
 }
 
 // leaderOf waits for a replica that says that it leads.
-func leaderOf(t testing.TB, all []*member) (m *member) {
+func leaderOf(t testing.TB, all []*testReplica) (m *testReplica) {
 	t.Helper()
-	eventually(t, "a leader", func() bool {
+	waitFor(t, "a leader", func() bool {
 		for _, c := range all {
 			if c.leads() {
 				m = c
@@ -244,9 +244,9 @@
 }
 
 // sameLists waits until all replicas hold one list.
-func sameLists(t testing.TB, all []*member) {
+func sameLists(t testing.TB, all []*testReplica) {
 	t.Helper()
-	eventually(t, "all replicas hold one list", func() bool {
+	waitFor(t, "all replicas hold one list", func() bool {
 		texts := map[string]bool{}
 		for _, m := range all {
 			resp, err := http.Get("http://" + m.listen + "/registry/instances")
@@ -265,47 +265,47 @@
 }
 
 // life1 is what the list knows of one instance, as the page of its writes promises.
-type life1 struct {
+type instanceModel struct {
 	here, drained bool
 	inc, gone     uint64
 }
 
 // readKind is an operation that reads one instance at the leader.
-const readKind = "read"
+const showKind = "read"
 
 // promised is the sequential specification of the writes of one instance. It is written apart
 // from the state machine.
-func promised(s life1, w write) (life1, Code) {
+func applyModel(s instanceModel, w operation) (instanceModel, Code) {
 	if w.kind == Register {
 		switch {
 		case w.inc <= s.gone || s.here && w.inc < s.inc:
-			return s, Stale
+			return s, StaleIncarnation
 		case s.here && w.inc == s.inc:
-			return s, Same
+			return s, Unchanged
 		}
-		return life1{here: true, inc: w.inc, gone: s.gone}, Done
+		return instanceModel{here: true, inc: w.inc, gone: s.gone}, Done
 	}
 	switch {
 	case !s.here && w.inc <= s.gone:
-		return s, Same
+		return s, Unchanged
 	case !s.here || w.inc > s.inc:
-		return s, Missing
+		return s, NotFound
 	case w.inc < s.inc:
-		return s, Stale
+		return s, StaleIncarnation
 	case w.kind == Drain && s.drained:
-		return s, Same
+		return s, Unchanged
 	case w.kind == Drain:
 		s.drained = true
 		return s, Done
 	}
-	return life1{gone: s.inc}, Done
+	return instanceModel{gone: s.inc}, Done
 }
 
-var listModel = porcupine.Model{
+var linearizabilityModel = porcupine.Model{
 	Partition: func(h []porcupine.Operation) [][]porcupine.Operation {
 		by := map[string][]porcupine.Operation{}
 		for _, o := range h {
-			id := o.Input.(write).id
+			id := o.Input.(operation).id
 			by[id] = append(by[id], o)
 		}
 		var out [][]porcupine.Operation
@@ -314,20 +314,20 @@
 		}
 		return out
 	},
-	Init: func() any { return life1{} },
+	Init: func() any { return instanceModel{} },
 	Step: func(state, input, output any) (bool, any) {
-		end := output.(ending)
-		if now := state.(life1); input.(write).kind == readKind {
-			return end.unknown || end.seen == life1{here: now.here, drained: now.drained, inc: now.inc}, now
+		end := output.(result)
+		if now := state.(instanceModel); input.(operation).kind == showKind {
+			return end.unknown || end.seen == instanceModel{here: now.here, drained: now.drained, inc: now.inc}, now
 		}
-		next, code := promised(state.(life1), input.(write))
+		next, code := applyModel(state.(instanceModel), input.(operation))
 		return end.unknown || end.code == code, next
 	},
 	Equal: func(a, b any) bool { return a == b },
 }
 
 // history runs clients against the replicas until stop and returns what they saw.
-func history(t *testing.T, all []*member, stop <-chan struct{}) []porcupine.Operation {
+func runClients(t *testing.T, all []*testReplica, stop <-chan struct{}) []porcupine.Operation {
 	t.Helper()
 	began := time.Now()
 	var mu sync.Mutex
@@ -344,19 +344,19 @@
 					return
 				default:
 				}
-				w := write{kind: []string{Register, Register, Drain, Remove, readKind, readKind}[rng.IntN(6)], id: fmt.Sprint("s-", rng.IntN(8)), inc: 1 + rng.Uint64N(1000)/100 + uint64(time.Since(began)/(500*time.Millisecond))}
+				w := operation{kind: []string{Register, Register, Drain, Remove, showKind, showKind}[rng.IntN(6)], id: fmt.Sprint("s-", rng.IntN(8)), inc: 1 + rng.Uint64N(1000)/100 + uint64(time.Since(began)/(500*time.Millisecond))}
 				op := porcupine.Operation{ClientId: client, Input: w, Call: time.Since(began).Nanoseconds()}
-				end := send(hc, all[rng.IntN(len(all))].listen, w)
+				end := runOperation(hc, all[rng.IntN(len(all))].listen, w)
 				op.Output, op.Return = end, time.Since(began).Nanoseconds()
 				if end.unknown {
 					op.Return = never // it may be done at any time yet
 				}
-				if end.code != Later && (w.kind != readKind || !end.unknown) {
+				if end.code != Unavailable && (w.kind != showKind || !end.unknown) {
 					mu.Lock()
 					ops = append(ops, op)
 					mu.Unlock()
 				}
-				if end.unknown || end.code == Later {
+				if end.unknown || end.code == Unavailable {
 					time.Sleep(50 * time.Millisecond) // not to flood a service that has no leader
 				}
 			}
@@ -367,7 +367,7 @@
 }
 
 // send carries out one write, once.
-func send(hc *http.Client, addr string, w write) ending {
+func runOperation(hc *http.Client, addr string, w operation) result {
 	base := "http://" + addr + "/registry/instances"
 	var req *http.Request
 	var err error
@@ -376,7 +376,7 @@
 		var n int
 		fmt.Sscanf(w.id, "s-%d", &n)
 		req, err = http.NewRequest("POST", base, bytes.NewReader([]byte(registration(w.id, 100+n, int(w.inc), 0))))
-	case readKind:
+	case showKind:
 		req, err = http.NewRequest("GET", base+"/"+w.id, nil)
 	case Drain:
 		req, err = http.NewRequest("POST", fmt.Sprintf("%s/%s/drain?incarnation=%d", base, w.id, w.inc), nil)
@@ -388,49 +388,49 @@
 	}
 	resp, err := hc.Do(req)
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		return ending{code: Later}
+		return result{code: Unavailable}
 	}
 	if err != nil {
-		return ending{unknown: true}
+		return result{unknown: true}
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
 	var o Outcome
-	if err != nil || json.Unmarshal(text, &o) != nil || o.Code == Unknown {
-		return ending{unknown: true}
+	if err != nil || json.Unmarshal(text, &o) != nil || o.Code == OutcomeUnknown {
+		return result{unknown: true}
 	}
 	if resp.StatusCode == http.StatusTemporaryRedirect {
-		return ending{code: Later} // in a circle
+		return result{code: Unavailable} // in a circle
 	}
-	if w.kind == readKind && resp.StatusCode == http.StatusOK {
-		var st Standing
+	if w.kind == showKind && resp.StatusCode == http.StatusOK {
+		var st InstanceStatus
 		if err := json.Unmarshal(text, &st); err != nil {
-			return ending{unknown: true}
+			return result{unknown: true}
 		}
-		return ending{code: Same, seen: life1{here: true, drained: st.Lifecycle == Draining, inc: st.Incarnation}}
+		return result{code: Unchanged, seen: instanceModel{here: true, drained: st.Lifecycle == Draining, inc: st.Incarnation}}
 	}
-	return ending{code: o.Code, generation: o.Generation}
+	return result{code: o.Code, generation: o.Generation}
 }
 
 // judge checks a history: it must be one that the promised order of writes could have given,
 // no generation may name two changes, and generations must follow the order of time.
-func judge(ops []porcupine.Operation) error {
-	res := porcupine.CheckOperationsTimeout(listModel, ops, patience)
+func checkHistory(ops []porcupine.Operation) error {
+	res := porcupine.CheckOperationsTimeout(linearizabilityModel, ops, testTimeout)
 	if res != porcupine.Ok {
 		return fmt.Errorf("the history is not linearizable: %v", res)
 	}
-	used := map[uint64]write{}
+	used := map[uint64]operation{}
 	for i, a := range ops {
-		ea := a.Output.(ending)
+		ea := a.Output.(result)
 		if ea.code != Done {
 			continue
 		}
 		if w, twice := used[ea.generation]; twice {
 			return fmt.Errorf("generation %d is that of %v and of %v", ea.generation, w, a.Input)
 		}
-		used[ea.generation] = a.Input.(write)
+		used[ea.generation] = a.Input.(operation)
 		for _, b := range ops[i+1:] {
-			if eb := b.Output.(ending); eb.code == Done && (a.Return < b.Call && ea.generation >= eb.generation || b.Return < a.Call && eb.generation >= ea.generation) {
+			if eb := b.Output.(result); eb.code == Done && (a.Return < b.Call && ea.generation >= eb.generation || b.Return < a.Call && eb.generation >= ea.generation) {
 				return errors.New("generations do not follow the order of time")
 			}
 		}
@@ -440,14 +440,14 @@
 
 // Three replicas as processes. Leaders are killed and stopped, and all are killed at once, under
 // writes of six clients; every replica ends with the same list.
-func TestHistoriesUnderFaults(t *testing.T) {
-	all := service(t, 3)
-	leader := func() *member { return leaderOf(t, all) }
+func TestLinearizableUnderFaults(t *testing.T) {
+	all := startService(t, 3)
+	leader := func() *testReplica { return leaderOf(t, all) }
 	stop, done := make(chan struct{}), make(chan []porcupine.Operation, 1)
-	go func() { done <- history(t, all, stop) }()
+	go func() { done <- runClients(t, all, stop) }()
 	wrote := func() { // writes go through again
 		c := &Client{Replicas: []string{all[0].listen, all[1].listen, all[2].listen}}
-		ctx, cancel := context.WithTimeout(t.Context(), patience)
+		ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 		defer cancel()
 		if _, err := c.Register(ctx, Registration{entry("s-probe", 99), uint64(time.Now().UnixMicro()), 0}); err != nil {
 			t.Errorf("writes never go through again: %v", err)
@@ -464,7 +464,7 @@
 	if err := l.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Error(err)
 	}
-	eventually(t, "another leads", func() bool {
+	waitFor(t, "another leads", func() bool {
 		for _, m := range all {
 			if m != l && m.leads() {
 				return true
@@ -492,12 +492,12 @@
 	wrote()
 	close(stop)
 	ops := <-done
-	if err := judge(ops); err != nil {
+	if err := checkHistory(ops); err != nil {
 		t.Error(err)
 	}
 	known := 0
 	for _, o := range ops {
-		known += b2i(!o.Output.(ending).unknown)
+		known += b2i(!o.Output.(result).unknown)
 	}
 	if known < 50 {
 		t.Errorf("%d writes with a known end of %d: nothing was tested", known, len(ops))
@@ -507,15 +507,15 @@
 
 // A replica whose state is lost is not taken for the one that it was, and comes back as a new
 // one; replicas are added and dismissed, the leader too, while clients write.
-func TestReplicasComeAndGo(t *testing.T) {
-	all := service(t, 3)
+func TestReplicaReplacement(t *testing.T) {
+	all := startService(t, 3)
 	wiped := all[0]
 	if wiped == leaderOf(t, all) {
 		wiped = all[1]
 	}
-	others := slices.DeleteFunc(slices.Clone(all), func(m *member) bool { return m == wiped })
+	others := slices.DeleteFunc(slices.Clone(all), func(m *testReplica) bool { return m == wiped })
 	stop, done := make(chan struct{}), make(chan []porcupine.Operation, 1)
-	go func() { done <- history(t, others, stop) }()
+	go func() { done <- runClients(t, others, stop) }()
 	status := func() Status {
 		sts, errs := (&Client{Replicas: []string{leaderOf(t, others).listen}}).Status(t.Context())
 		if errs[0] != nil {
@@ -523,7 +523,7 @@
 		}
 		return sts[0]
 	}
-	idOf := func(m *member) string {
+	idOf := func(m *testReplica) string {
 		for _, r := range status().Replicas {
 			if strings.HasSuffix(r.ID, "@"+m.listen) {
 				return r.ID
@@ -532,7 +532,7 @@
 		return ""
 	}
 	dismiss := func(id string) {
-		ctx, cancel := context.WithTimeout(t.Context(), patience)
+		ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 		defer cancel()
 		if _, err := (&Client{Replicas: addresses(all)}).RemoveReplica(ctx, id); err != nil {
 			t.Errorf("dismissing %s: %v", id, err)
@@ -550,8 +550,8 @@
 		}
 	}
 	wiped.start("") // as if nothing had been there: a service of its own
-	eventually(t, "the wiped replica leads what it alone is", wiped.leads)
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	waitFor(t, "the wiped replica leads what it alone is", wiped.leads)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	for n := range 20 { // commits of the others, that they offer to the one that was
 		if _, err := (&Client{Replicas: addresses(others)}).Register(ctx, Registration{entry(fmt.Sprint("s-x", n), 500+n), 1, 0}); err != nil {
@@ -569,20 +569,20 @@
 		}
 	}
 	leader := leaderOf(t, others)
-	if body, code := joinAs(t, leader.listen, Replica{ID: "rx@" + wiped.listen, Raft: wiped.raft + nameMark + "rx"}); code != http.StatusConflict || !strings.Contains(body, "dismiss "+was) {
+	if body, code := joinAs(t, leader.listen, Replica{ID: "rx@" + wiped.listen, Raft: wiped.raft + addressNameSeparator + "rx"}); code != http.StatusConflict || !strings.Contains(body, "dismiss "+was) {
 		t.Errorf("a new replica at the address of one that is not dismissed: %d %s", code, body)
 	}
 	dismiss(was)
 	wiped.start(leader.listen)
-	eventually(t, "the replica is back as a new one", func() bool { id := idOf(wiped); return id != "" && id != was })
+	waitFor(t, "the replica is back as a new one", func() bool { id := idOf(wiped); return id != "" && id != was })
 	old := leaderOf(t, others)
 	oldID := idOf(old)
 	dismiss(oldID)
 	old.kill()
-	rest := slices.DeleteFunc(slices.Clone(all), func(m *member) bool { return m == old })
+	rest := slices.DeleteFunc(slices.Clone(all), func(m *testReplica) bool { return m == old })
 	leaderOf(t, rest)
 	close(stop)
-	if err := judge(<-done); err != nil {
+	if err := checkHistory(<-done); err != nil {
 		t.Error(err)
 	}
 	sameLists(t, rest)
@@ -609,10 +609,10 @@
 
 // A reader that is ahead of a replica that lags is turned away there, and is served when the
 // replica has caught up: it is never shown the past.
-func TestReaderAheadOfALaggingReplica(t *testing.T) {
-	all := service(t, 3)
+func TestReaderAheadOfLaggingReplica(t *testing.T) {
+	all := startService(t, 3)
 	c := &Client{Replicas: addresses(all)}
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	register := func(n int) uint64 {
 		o, err := c.Register(ctx, Registration{entry(fmt.Sprint("s-", n), n), 1, 0})
@@ -627,7 +627,7 @@
 		lags = all[1]
 	}
 	lags.cut(all, true, true)
-	c.Replicas = addresses(slices.DeleteFunc(slices.Clone(all), func(m *member) bool { return m == lags }))
+	c.Replicas = addresses(slices.DeleteFunc(slices.Clone(all), func(m *testReplica) bool { return m == lags }))
 	at := register(2)
 	resp, err := http.Get(fmt.Sprintf("http://%s/registry/instances?watch=1&from=%d", lags.listen, at))
 	if err != nil {
@@ -639,7 +639,7 @@
 		t.Errorf("a reader of %d gets %s %s", at, resp.Status, text)
 	}
 	lags.cut(all, false, false)
-	w := watch(t, lags.listen, at)
+	w := startWatch(t, lags.listen, at)
 	next := register(3)
 	if m := w.next(t); m.Reset || m.Generation != next {
 		t.Errorf("after it has caught up the watch gets %+v, not %d", m, next)
@@ -647,13 +647,13 @@
 }
 
 // The judge catches histories that a broken state machine gives.
-func TestJudgeCatchesBrokenHistories(t *testing.T) {
+func TestCheckHistoryCatchesBrokenHistories(t *testing.T) {
 	run := func(apply func(*State, Command) Outcome) error {
 		s := NewState(0)
 		rng := rand.New(rand.NewPCG(1, 2))
 		var ops []porcupine.Operation
 		for i := range int64(400) {
-			w := write{kind: []string{Register, Register, Drain, Remove}[rng.IntN(4)], id: fmt.Sprint("s-", rng.IntN(3)), inc: 1 + rng.Uint64N(6) + uint64(i/80)}
+			w := operation{kind: []string{Register, Register, Drain, Remove}[rng.IntN(4)], id: fmt.Sprint("s-", rng.IntN(3)), inc: 1 + rng.Uint64N(6) + uint64(i/80)}
 			c := Command{Kind: w.kind, ID: w.id, Incarnation: w.inc}
 			if w.kind == Register {
 				var n int
@@ -661,9 +661,9 @@
 				c.Entry = entry(w.id, 100+n)
 			}
 			o := apply(s, c)
-			ops = append(ops, porcupine.Operation{Input: w, Output: ending{code: o.Code, generation: o.Generation}, Call: 10 * i, Return: 10*i + 5})
+			ops = append(ops, porcupine.Operation{Input: w, Output: result{code: o.Code, generation: o.Generation}, Call: 10 * i, Return: 10*i + 5})
 		}
-		return judge(ops)
+		return checkHistory(ops)
 	}
 	if err := run((*State).Apply); err != nil {
 		t.Errorf("the right one: %v", err)
@@ -678,16 +678,16 @@
 		t.Error("an older incarnation accepted was not caught")
 	}
 	stale := []porcupine.Operation{
-		{Input: write{Register, "s-1", 1}, Output: ending{code: Done, generation: 1}, Call: 0, Return: 5},
-		{Input: write{readKind, "s-1", 0}, Output: ending{code: Missing}, Call: 10, Return: 15},
+		{Input: operation{Register, "s-1", 1}, Output: result{code: Done, generation: 1}, Call: 0, Return: 5},
+		{Input: operation{showKind, "s-1", 0}, Output: result{code: NotFound}, Call: 10, Return: 15},
 	}
-	if judge(stale) == nil {
+	if checkHistory(stale) == nil {
 		t.Error("a read of the past was not caught")
 	}
 	if run(func(s *State, c Command) Outcome {
 		o := s.Apply(c)
 		if o.Code == Done && c.Kind == Drain {
-			s.count--
+			s.changeCount--
 			o.Generation--
 		}
 		return o
--- a/internal/registry/core.go
+++ b/internal/registry/core.go
@@ -48,18 +48,18 @@
 
 // Bounds on what an entry may hold.
 const (
-	mostID      = 128
-	mostName    = 64
-	mostWeight  = 1e6
-	mostCell    = 1 << 30
-	mostStarted = 1 << 52
-	MostLease   = 24 * time.Hour
-	LeastLease  = time.Second
+	maxIDLength    = 128
+	maxNameLength  = 64
+	maxWeight      = 1e6
+	maxCell        = 1 << 30
+	maxStartedAtMs = 1 << 52
+	MaxLease       = 24 * time.Hour
+	MinLease       = time.Second
 )
 
 // MostEntries bounds the memory of a replica, its snapshots and the whole list that a watch may
 // be told, against clients that register without end.
-const MostEntries = 1 << 18
+const MaxEntries = 1 << 18
 
 // Kinds of commands.
 const (
@@ -77,13 +77,13 @@
 	ID          string        `json:"id,omitempty"`          // of drain and remove
 	Incarnation uint64        `json:"incarnation,omitempty"` // 0 with drain and remove: whichever is there
 	Lease       time.Duration `json:"lease,omitempty"`       // of register; 0: the entry stays until it is removed
-	Expired     []Owner       `json:"expired,omitempty"`     // of expire
+	Expired     []InstanceRef `json:"expired,omitempty"`     // of expire
 	Term        uint64        `json:"term,omitempty"`        // of expire: the leadership that found them run out
-	Image       *State        `json:"image,omitempty"`       // of load
+	Snapshot    *State        `json:"image,omitempty"`       // of load
 }
 
 // Owner is an incarnation of an instance.
-type Owner struct {
+type InstanceRef struct {
 	ID          string `json:"id"`
 	Incarnation uint64 `json:"incarnation"`
 }
@@ -93,16 +93,16 @@
 
 // Codes of outcomes.
 const (
-	Done     Code = "done"     // the list has changed
-	Same     Code = "same"     // the list already was so
-	Stale    Code = "stale"    // a newer incarnation is there or was
-	Missing  Code = "missing"  // no such instance
-	Taken    Code = "taken"    // the address belongs to another instance
-	Conflict Code = "conflict" // the same incarnation was registered otherwise
-	Invalid  Code = "invalid"  // the command can't be
-	TooMany  Code = "too-many" // the list is full
-	Later    Code = "later"    // not done: the service can't now
-	Unknown  Code = "unknown"  // it may have been done, or may be yet
+	Done                 Code = "done"     // the list has changed
+	Unchanged            Code = "same"     // the list already was so
+	StaleIncarnation     Code = "stale"    // a newer incarnation is there or was
+	NotFound             Code = "missing"  // no such instance
+	AddressConflict      Code = "taken"    // the address belongs to another instance
+	RegistrationConflict Code = "conflict" // the same incarnation was registered otherwise
+	Invalid              Code = "invalid"  // the command can't be
+	ListFull             Code = "too-many" // the list is full
+	Unavailable          Code = "later"    // not done: the service can't now
+	OutcomeUnknown       Code = "unknown"  // it may have been done, or may be yet
 )
 
 // Outcome is the result of a command.
@@ -136,34 +136,34 @@
 // of 13,333 instances may be lost within a second, one change for each: a watch must find them
 // all, or each watch is sent the whole list. So must one that has just taken minutes over it.
 const (
-	tombstonesKept = 1 << 16
-	changesKept    = 1 << 15
+	maxTombstones = 1 << 16
+	maxChanges    = 1 << 15
 )
 
 // State is the replicated list. It is not safe for concurrent use.
 type State struct {
-	epoch     uint64
-	count     uint64 // changes in the epoch
-	records   map[string]*record
-	addrs     map[string]string // address to the instance that has it
-	gone      map[string]uint64 // incarnation of removed entries
-	goneOrder []tombstone       // oldest first
-	changes   []Change          // the latest, oldest first
+	epoch          uint64
+	changeCount    uint64 // changes in the epoch
+	records        map[string]*record
+	instanceByAddr map[string]string // address to the instance that has it
+	tombstones     map[string]uint64 // incarnation of removed entries
+	tombstoneOrder []tombstone       // oldest first
+	changes        []Change          // the latest, oldest first
 }
 
 // epochBits is where the epoch begins in a generation.
 const epochBits = discovery.EpochBits
 
 // MostEpoch keeps generations below 2^53.
-const MostEpoch = 1<<21 - 1
+const MaxEpoch = 1<<21 - 1
 
 // NewState returns an empty list in an epoch.
 func NewState(epoch uint64) *State {
-	return &State{epoch: epoch, records: map[string]*record{}, addrs: map[string]string{}, gone: map[string]uint64{}}
+	return &State{epoch: epoch, records: map[string]*record{}, instanceByAddr: map[string]string{}, tombstones: map[string]uint64{}}
 }
 
 // Generation is the version of the list. Only an empty list in epoch 0 has version 0.
-func (s *State) Generation() uint64 { return s.epoch<<epochBits | s.count }
+func (s *State) Generation() uint64 { return s.epoch<<epochBits | s.changeCount }
 
 // Epoch is the life that the state is in.
 func (s *State) Epoch() uint64 { return s.epoch }
@@ -192,14 +192,14 @@
 // load takes a restored state over, where nothing has been written yet.
 func (s *State) load(c Command) Outcome {
 	switch {
-	case c.Image == nil || c.Image.Epoch() == 0:
+	case c.Snapshot == nil || c.Snapshot.Epoch() == 0:
 		return s.outcome(Invalid, "image: is missing or in no epoch of its own")
-	case s.Generation() == c.Image.Generation():
-		return s.outcome(Same, "")
+	case s.Generation() == c.Snapshot.Generation():
+		return s.outcome(Unchanged, "")
 	case s.Generation() != 0:
-		return s.outcome(Conflict, "the list has been written to: a backup is loaded into a new one")
+		return s.outcome(RegistrationConflict, "the list has been written to: a backup is loaded into a new one")
 	}
-	text, err := c.Image.MarshalJSON()
+	text, err := c.Snapshot.MarshalJSON()
 	if err != nil {
 		return s.outcome(Invalid, "image: %v", err)
 	}
@@ -215,14 +215,14 @@
 
 // commit makes entries the next generation.
 func (s *State) commit(entries ...Entry) Outcome {
-	s.count++
+	s.changeCount++
 	g := s.Generation()
 	for _, e := range entries {
 		if r := s.records[e.InstanceID]; r != nil {
 			r.Changed = g
 		}
 	}
-	if len(s.changes) == changesKept {
+	if len(s.changes) == maxChanges {
 		s.changes = s.changes[1:] // append moves them, once for as many changes as are kept
 	}
 	s.changes = append(s.changes, Change{g, entries})
@@ -234,83 +234,83 @@
 	if err := CheckRegister(c); err != nil {
 		return s.outcome(Invalid, "%v", err)
 	}
-	if at := s.gone[e.InstanceID]; c.Incarnation <= at {
-		return s.outcome(Stale, "%s: incarnation %d is gone since; a larger one than %d is wanted", e.InstanceID, c.Incarnation, at)
+	if at := s.tombstones[e.InstanceID]; c.Incarnation <= at {
+		return s.outcome(StaleIncarnation, "%s: incarnation %d is gone since; a larger one than %d is wanted", e.InstanceID, c.Incarnation, at)
 	}
 	r := s.records[e.InstanceID]
 	if r != nil && c.Incarnation < r.Incarnation {
-		return s.outcome(Stale, "%s: incarnation %d is registered", e.InstanceID, r.Incarnation)
+		return s.outcome(StaleIncarnation, "%s: incarnation %d is registered", e.InstanceID, r.Incarnation)
 	}
 	if r != nil && c.Incarnation == r.Incarnation {
 		was := r.Entry
 		was.Lifecycle = e.Lifecycle // a drain since then stays
 		if was == e && r.Lease == c.Lease {
-			return s.outcome(Same, "")
+			return s.outcome(Unchanged, "")
 		}
-		return s.outcome(Conflict, "%s: incarnation %d is registered otherwise; register changes under a larger one", e.InstanceID, c.Incarnation)
+		return s.outcome(RegistrationConflict, "%s: incarnation %d is registered otherwise; register changes under a larger one", e.InstanceID, c.Incarnation)
 	}
-	if other, taken := s.addrs[e.HostPort]; taken && other != e.InstanceID {
-		return s.outcome(Taken, "hostPort: %s belongs to %s", e.HostPort, other)
+	if other, taken := s.instanceByAddr[e.HostPort]; taken && other != e.InstanceID {
+		return s.outcome(AddressConflict, "hostPort: %s belongs to %s", e.HostPort, other)
 	}
-	if r == nil && len(s.records) >= MostEntries {
-		return s.outcome(TooMany, "the list holds %d entries, the most there can be", MostEntries)
+	if r == nil && len(s.records) >= MaxEntries {
+		return s.outcome(ListFull, "the list holds %d entries, the most there can be", MaxEntries)
 	}
 	if r != nil {
-		delete(s.addrs, r.Entry.HostPort)
+		delete(s.instanceByAddr, r.Entry.HostPort)
 	}
 	s.records[e.InstanceID] = &record{Entry: e, Incarnation: c.Incarnation, Lease: c.Lease}
-	s.addrs[e.HostPort] = e.InstanceID
+	s.instanceByAddr[e.HostPort] = e.InstanceID
 	return s.commit(e)
 }
 
 // owned finds the record that a command is about; ok is false where the outcome says why not.
-func (s *State) owned(c Command) (r *record, o Outcome, ok bool) {
+func (s *State) findRecord(c Command) (r *record, o Outcome, ok bool) {
 	r = s.records[c.ID]
 	switch {
-	case r == nil && c.Incarnation > 0 && c.Incarnation <= s.gone[c.ID]:
-		return nil, s.outcome(Same, "%s: gone already", c.ID), false
+	case r == nil && c.Incarnation > 0 && c.Incarnation <= s.tombstones[c.ID]:
+		return nil, s.outcome(Unchanged, "%s: gone already", c.ID), false
 	case r == nil:
-		return nil, s.outcome(Missing, "%s: no such instance", c.ID), false
+		return nil, s.outcome(NotFound, "%s: no such instance", c.ID), false
 	case c.Incarnation > 0 && c.Incarnation < r.Incarnation:
-		return nil, s.outcome(Stale, "%s: incarnation %d is registered", c.ID, r.Incarnation), false
+		return nil, s.outcome(StaleIncarnation, "%s: incarnation %d is registered", c.ID, r.Incarnation), false
 	case c.Incarnation > r.Incarnation:
-		return nil, s.outcome(Missing, "%s: incarnation %d is not registered", c.ID, c.Incarnation), false
+		return nil, s.outcome(NotFound, "%s: incarnation %d is not registered", c.ID, c.Incarnation), false
 	}
 	return r, Outcome{}, true
 }
 
 func (s *State) drain(c Command) Outcome {
-	r, o, ok := s.owned(c)
+	r, o, ok := s.findRecord(c)
 	if !ok {
 		return o
 	}
 	if r.Entry.Lifecycle == Draining {
-		return s.outcome(Same, "")
+		return s.outcome(Unchanged, "")
 	}
 	r.Entry.Lifecycle = Draining
 	return s.commit(r.Entry)
 }
 
 func (s *State) remove(c Command) Outcome {
-	r, o, ok := s.owned(c)
+	r, o, ok := s.findRecord(c)
 	if !ok {
 		return o
 	}
-	return s.commit(s.bury(r))
+	return s.commit(s.removeRecord(r))
 }
 
 // bury takes a record out of the list and returns the entry that tells of it.
-func (s *State) bury(r *record) Entry {
+func (s *State) removeRecord(r *record) Entry {
 	e := r.Entry
 	delete(s.records, e.InstanceID)
-	delete(s.addrs, e.HostPort)
-	s.gone[e.InstanceID] = r.Incarnation
-	s.goneOrder = append(s.goneOrder, tombstone{e.InstanceID, r.Incarnation})
-	for len(s.goneOrder) > tombstonesKept {
-		if old := s.goneOrder[0]; s.gone[old.ID] == old.Incarnation {
-			delete(s.gone, old.ID)
+	delete(s.instanceByAddr, e.HostPort)
+	s.tombstones[e.InstanceID] = r.Incarnation
+	s.tombstoneOrder = append(s.tombstoneOrder, tombstone{e.InstanceID, r.Incarnation})
+	for len(s.tombstoneOrder) > maxTombstones {
+		if old := s.tombstoneOrder[0]; s.tombstones[old.ID] == old.Incarnation {
+			delete(s.tombstones, old.ID)
 		}
-		s.goneOrder = s.goneOrder[1:]
+		s.tombstoneOrder = s.tombstoneOrder[1:]
 	}
 	e.Lifecycle = Removed
 	return e
@@ -322,11 +322,11 @@
 	var out []Entry
 	for _, x := range c.Expired {
 		if r := s.records[x.ID]; r != nil && r.Incarnation == x.Incarnation && r.Lease > 0 {
-			out = append(out, s.bury(r))
+			out = append(out, s.removeRecord(r))
 		}
 	}
 	if len(out) == 0 {
-		return s.outcome(Same, "")
+		return s.outcome(Unchanged, "")
 	}
 	return s.commit(out...)
 }
@@ -348,30 +348,30 @@
 		}
 		return nil
 	}
-	if err := errors.Join(word("instanceId", e.InstanceID, mostID, false), word("zone", e.Zone, mostName, true), word("machineType", e.MachineType, mostName, true)); err != nil {
+	if err := errors.Join(word("instanceId", e.InstanceID, maxIDLength, false), word("zone", e.Zone, maxNameLength, true), word("machineType", e.MachineType, maxNameLength, true)); err != nil {
 		return err
 	}
 	if _, err := netip.ParseAddrPort(e.HostPort); err != nil {
-		return fmt.Errorf("hostPort: %q is no address with a port, such as 127.0.0.1:8080", clip(e.HostPort))
+		return fmt.Errorf("hostPort: %q is no address with a port, such as 127.0.0.1:8080", truncate(e.HostPort))
 	}
 	switch {
 	case e.Lifecycle != Up:
-		return fmt.Errorf("lifecycle: %q; an instance registers as up", clip(e.Lifecycle))
-	case !(e.Weight >= 0 && e.Weight <= mostWeight):
-		return fmt.Errorf("weight: %v is not from 0 to %v", e.Weight, mostWeight)
-	case e.Cell < 0 || e.Cell > mostCell:
-		return fmt.Errorf("cell: %d is not from 0 to %d", e.Cell, mostCell)
-	case e.StartedAtMs < 0 || e.StartedAtMs > mostStarted:
+		return fmt.Errorf("lifecycle: %q; an instance registers as up", truncate(e.Lifecycle))
+	case !(e.Weight >= 0 && e.Weight <= maxWeight):
+		return fmt.Errorf("weight: %v is not from 0 to %v", e.Weight, maxWeight)
+	case e.Cell < 0 || e.Cell > maxCell:
+		return fmt.Errorf("cell: %d is not from 0 to %d", e.Cell, maxCell)
+	case e.StartedAtMs < 0 || e.StartedAtMs > maxStartedAtMs:
 		return fmt.Errorf("startedAtMs: %d is no Unix time in milliseconds", e.StartedAtMs)
 	case c.Incarnation == 0 || c.Incarnation > math.MaxInt64:
 		return fmt.Errorf("incarnation: %d; a number from 1 that grows with each start is wanted", c.Incarnation)
-	case c.Lease != 0 && (c.Lease < LeastLease || c.Lease > MostLease):
-		return fmt.Errorf("leaseMs: %v is neither 0 nor from %v to %v", c.Lease, LeastLease, MostLease)
+	case c.Lease != 0 && (c.Lease < MinLease || c.Lease > MaxLease):
+		return fmt.Errorf("leaseMs: %v is neither 0 nor from %v to %v", c.Lease, MinLease, MaxLease)
 	}
 	return nil
 }
 
-func clip(s string) string {
+func truncate(s string) string {
 	if len(s) > 40 {
 		return s[:40] + "…"
 	}
@@ -400,7 +400,7 @@
 
 // Since returns the changes after a generation, oldest first; ok is false where they are not
 // known, or the generation is not of this list: then the whole list is wanted.
-func (s *State) Since(generation uint64) (out []Change, ok bool) {
+func (s *State) ChangesSince(generation uint64) (out []Change, ok bool) {
 	now := s.Generation()
 	if generation == now {
 		return nil, true
@@ -416,11 +416,11 @@
 }
 
 // Leased lists the entries that have a lease, sorted by instance.
-func (s *State) Leased() []Lease {
+func (s *State) Leases() []Lease {
 	var out []Lease
 	for _, r := range s.records {
 		if r.Lease > 0 {
-			out = append(out, Lease{Owner{r.Entry.InstanceID, r.Incarnation}, r.Lease})
+			out = append(out, Lease{InstanceRef{r.Entry.InstanceID, r.Incarnation}, r.Lease})
 		}
 	}
 	slices.SortFunc(out, func(a, b Lease) int { return cmp.Compare(a.ID, b.ID) })
@@ -436,15 +436,15 @@
 }
 
 // Holds tells whether this incarnation is registered with a lease, and for how long it lasts.
-func (s *State) Holds(o Owner) (term time.Duration, code Code) {
+func (s *State) LeaseTerm(o InstanceRef) (term time.Duration, code Code) {
 	r := s.records[o.ID]
 	switch {
-	case r == nil && o.Incarnation <= s.gone[o.ID]:
-		return 0, Stale
+	case r == nil && o.Incarnation <= s.tombstones[o.ID]:
+		return 0, StaleIncarnation
 	case r == nil || o.Incarnation > r.Incarnation:
-		return 0, Missing
+		return 0, NotFound
 	case o.Incarnation < r.Incarnation:
-		return 0, Stale
+		return 0, StaleIncarnation
 	}
 	return r.Lease, Done
 }
@@ -459,22 +459,22 @@
 }
 
 // image is a state as a snapshot keeps it.
-type image struct {
-	Format  int         `json:"format"`
-	Epoch   uint64      `json:"epoch"`
-	Count   uint64      `json:"count"`
-	Records []record    `json:"records"`
-	Gone    []tombstone `json:"gone"`
-	Changes []Change    `json:"changes"`
+type stateSnapshot struct {
+	Format     int         `json:"format"`
+	Epoch      uint64      `json:"epoch"`
+	Count      uint64      `json:"count"`
+	Records    []record    `json:"records"`
+	Tombstones []tombstone `json:"gone"`
+	Changes    []Change    `json:"changes"`
 }
 
 // imageFormat is the version of the form; a reader refuses others.
-const imageFormat = 1
+const snapshotFormat = 1
 
 // image copies the state, so that it can be written down while the state goes on. The entries of
 // a change are shared: nothing alters them.
-func (s *State) image() image {
-	im := image{Format: imageFormat, Epoch: s.epoch, Count: s.count, Gone: slices.Clone(s.goneOrder), Changes: slices.Clone(s.changes)}
+func (s *State) snapshot() stateSnapshot {
+	im := stateSnapshot{Format: snapshotFormat, Epoch: s.epoch, Count: s.changeCount, Tombstones: slices.Clone(s.tombstoneOrder), Changes: slices.Clone(s.changes)}
 	im.Records = make([]record, 0, len(s.records))
 	for _, r := range s.records {
 		im.Records = append(im.Records, *r)
@@ -483,37 +483,37 @@
 }
 
 // encode writes the image in a form that depends on nothing but what it holds.
-func (im image) encode() ([]byte, error) {
+func (im stateSnapshot) encode() ([]byte, error) {
 	slices.SortFunc(im.Records, func(a, b record) int { return cmp.Compare(a.Entry.InstanceID, b.Entry.InstanceID) })
 	return json.Marshal(im)
 }
 
 // MarshalJSON writes the state in a form that depends on nothing but what it holds.
-func (s *State) MarshalJSON() ([]byte, error) { return s.image().encode() }
+func (s *State) MarshalJSON() ([]byte, error) { return s.snapshot().encode() }
 
 // UnmarshalJSON takes the state that MarshalJSON wrote; an error names what can't be.
 func (s *State) UnmarshalJSON(text []byte) error {
-	var im image
+	var im stateSnapshot
 	if err := json.Unmarshal(text, &im); err != nil {
 		return fmt.Errorf("state: %w", err)
 	}
 	switch {
-	case im.Format != imageFormat:
-		return fmt.Errorf("state: format %d; this release reads %d", im.Format, imageFormat)
-	case im.Epoch > MostEpoch || im.Count >= 1<<epochBits:
+	case im.Format != snapshotFormat:
+		return fmt.Errorf("state: format %d; this release reads %d", im.Format, snapshotFormat)
+	case im.Epoch > MaxEpoch || im.Count >= 1<<epochBits:
 		return fmt.Errorf("state: epoch %d or count %d is out of range", im.Epoch, im.Count)
 	}
 	n := NewState(im.Epoch)
-	n.count, n.goneOrder, n.changes = im.Count, im.Gone, im.Changes
+	n.changeCount, n.tombstoneOrder, n.changes = im.Count, im.Tombstones, im.Changes
 	for i := range im.Records {
 		r := im.Records[i]
-		if n.records[r.Entry.InstanceID] != nil || n.addrs[r.Entry.HostPort] != "" {
+		if n.records[r.Entry.InstanceID] != nil || n.instanceByAddr[r.Entry.HostPort] != "" {
 			return fmt.Errorf("state: records[%d]: %s or its address stands twice", i, r.Entry.InstanceID)
 		}
-		n.records[r.Entry.InstanceID], n.addrs[r.Entry.HostPort] = &r, r.Entry.InstanceID
+		n.records[r.Entry.InstanceID], n.instanceByAddr[r.Entry.HostPort] = &r, r.Entry.InstanceID
 	}
-	for _, t := range im.Gone {
-		n.gone[t.ID] = max(n.gone[t.ID], t.Incarnation)
+	for _, t := range im.Tombstones {
+		n.tombstones[t.ID] = max(n.tombstones[t.ID], t.Incarnation)
 	}
 	*s = *n
 	return nil
@@ -521,9 +521,9 @@
 
 // Restored is the state in a new epoch, for a list that begins again from a backup. The epoch
 // must be larger than any that the list has ever been in.
-func (s *State) Restored(epoch uint64) (*State, error) {
-	if epoch <= s.epoch || epoch > MostEpoch {
-		return nil, fmt.Errorf("epoch: %d is not above the backup's %d and up to %d", epoch, s.epoch, MostEpoch)
+func (s *State) RestoredInEpoch(epoch uint64) (*State, error) {
+	if epoch <= s.epoch || epoch > MaxEpoch {
+		return nil, fmt.Errorf("epoch: %d is not above the backup's %d and up to %d", epoch, s.epoch, MaxEpoch)
 	}
 	text, err := s.MarshalJSON()
 	if err != nil {
@@ -533,6 +533,6 @@
 	if err := n.UnmarshalJSON(text); err != nil {
 		return nil, err
 	}
-	n.epoch, n.count, n.changes = epoch, 1, nil // 1: the restore itself is a change
+	n.epoch, n.changeCount, n.changes = epoch, 1, nil // 1: the restore itself is a change
 	return &n, nil
 }
--- a/internal/registry/core_test.go
+++ b/internal/registry/core_test.go
@@ -32,17 +32,17 @@
 	case Remove:
 		return Command{Kind: Remove, ID: id, Incarnation: inc - 1}
 	}
-	return Command{Kind: Expire, Expired: []Owner{{id, inc}, {"s-a", 1}}}
+	return Command{Kind: Expire, Expired: []InstanceRef{{id, inc}, {"s-a", 1}}}
 }
 
 // follower is a reader of the list: by changes alone, from wherever it last was.
-type follower struct {
+type changeReader struct {
 	at   uint64
 	list map[string]Entry
 }
 
-func (f *follower) catchUp(s *State) {
-	changes, ok := s.Since(f.at)
+func (f *changeReader) catchUp(s *State) {
+	changes, ok := s.ChangesSince(f.at)
 	if !ok {
 		f.list = map[string]Entry{}
 		for _, e := range s.List() {
@@ -61,11 +61,11 @@
 
 // laws checks what must hold of any state machine of the list, over any commands. It returns
 // the first law that apply breaks.
-func laws(t *rapid.T, apply func(*State, Command) Outcome) (broken string) {
+func checkInvariants(t *rapid.T, apply func(*State, Command) Outcome) (broken string) {
 	s, twin := NewState(0), NewState(0)
 	seen := map[uint64]string{}   // what each generation was
 	newest := map[string]uint64{} // incarnation that each instance has ever had
-	f := &follower{list: map[string]Entry{}}
+	f := &changeReader{list: map[string]Entry{}}
 	for range rapid.IntRange(1, 60).Draw(t, "commands") {
 		c := drawCommand(t)
 		before := s.Generation()
@@ -123,7 +123,7 @@
 		}
 	}
 	f.catchUp(s)
-	if want := (&follower{list: map[string]Entry{}}); true {
+	if want := (&changeReader{list: map[string]Entry{}}); true {
 		want.at = math.MaxUint64
 		want.catchUp(s)
 		if !maps.Equal(f.list, want.list) {
@@ -141,16 +141,16 @@
 	return string(text)
 }
 
-func TestLawsOfTheList(t *testing.T) {
+func TestStateInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if broken := laws(t, (*State).Apply); broken != "" {
+		if broken := checkInvariants(t, (*State).Apply); broken != "" {
 			t.Fatal(broken)
 		}
 	})
 }
 
 // A state machine that is wrong in one way is caught by the laws.
-func TestLawsCatchBrokenLists(t *testing.T) {
+func TestInvariantsCatchBrokenStates(t *testing.T) {
 	for name, apply := range map[string]func(*State, Command) Outcome{
 		"older incarnation accepted": func(s *State, c Command) Outcome {
 			if r := s.records[c.Entry.InstanceID]; c.Kind == Register && r != nil && c.Incarnation < r.Incarnation {
@@ -163,7 +163,7 @@
 		"generation used twice": func(s *State, c Command) Outcome {
 			o := s.Apply(c)
 			if o.Code == Done && c.Kind == Drain {
-				s.count--
+				s.changeCount--
 				s.changes = s.changes[:len(s.changes)-1]
 				o.Generation--
 			}
@@ -171,8 +171,8 @@
 		},
 		"tombstones forgotten": func(s *State, c Command) Outcome {
 			o := s.Apply(c)
-			clear(s.gone)
-			s.goneOrder = nil
+			clear(s.tombstones)
+			s.tombstoneOrder = nil
 			return o
 		},
 		"change not told": func(s *State, c Command) Outcome {
@@ -185,7 +185,7 @@
 	} {
 		caught := ""
 		for seed := 0; seed < 300 && caught == ""; seed++ {
-			g := rapid.Custom(func(t *rapid.T) string { return laws(t, apply) })
+			g := rapid.Custom(func(t *rapid.T) string { return checkInvariants(t, apply) })
 			caught = g.Example(seed)
 		}
 		if caught == "" {
@@ -196,12 +196,12 @@
 
 // A restored list begins an epoch: none of its generations was ever that of the list before,
 // and no reader of that can go on from a change.
-func TestRestoreBeginsAnEpoch(t *testing.T) {
+func TestRestoreStartsNewEpoch(t *testing.T) {
 	s := NewState(0)
 	for n := range 20 {
 		s.Apply(Command{Kind: Register, Entry: entry(fmt.Sprint("s-", n), n+1), Incarnation: 1})
 	}
-	r, err := s.Restored(3)
+	r, err := s.RestoredInEpoch(3)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -209,39 +209,39 @@
 		t.Errorf("generation %d after %d", r.Generation(), s.Generation())
 	}
 	for _, from := range []uint64{0, s.Generation(), s.Generation() + 1, r.Generation() + 1} {
-		if _, ok := r.Since(from); ok {
+		if _, ok := r.ChangesSince(from); ok {
 			t.Errorf("a reader at %d goes on by changes", from)
 		}
 	}
-	if _, err := r.Restored(3); err == nil {
+	if _, err := r.RestoredInEpoch(3); err == nil {
 		t.Error("an epoch was used twice")
 	}
-	if r.Generation() >= 1<<53 || uint64(MostEpoch)<<epochBits+1<<epochBits-1 >= 1<<53 {
+	if r.Generation() >= 1<<53 || uint64(MaxEpoch)<<epochBits+1<<epochBits-1 >= 1<<53 {
 		t.Error("a generation is not exact in every JSON reader")
 	}
 }
 
 // Old changes and tombstones are forgotten, within bounds.
-func TestMemoryIsBounded(t *testing.T) {
+func TestHistoryIsBounded(t *testing.T) {
 	s := NewState(0)
-	for n := range 2*tombstonesKept + 10 {
+	for n := range 2*maxTombstones + 10 {
 		id := fmt.Sprint("s-", n)
 		s.Apply(Command{Kind: Register, Entry: entry(id, 1), Incarnation: 1})
 		s.Apply(Command{Kind: Remove, ID: id, Incarnation: 1})
 	}
-	if len(s.changes) != changesKept || len(s.gone) != tombstonesKept || len(s.goneOrder) != tombstonesKept || s.Len() != 0 {
-		t.Errorf("%d changes, %d and %d tombstones, %d entries", len(s.changes), len(s.gone), len(s.goneOrder), s.Len())
+	if len(s.changes) != maxChanges || len(s.tombstones) != maxTombstones || len(s.tombstoneOrder) != maxTombstones || s.Len() != 0 {
+		t.Errorf("%d changes, %d and %d tombstones, %d entries", len(s.changes), len(s.tombstones), len(s.tombstoneOrder), s.Len())
 	}
-	if _, ok := s.Since(s.Generation() - changesKept); !ok {
+	if _, ok := s.ChangesSince(s.Generation() - maxChanges); !ok {
 		t.Error("the oldest change that is kept is not told")
 	}
-	if _, ok := s.Since(s.Generation() - changesKept - 1); ok {
+	if _, ok := s.ChangesSince(s.Generation() - maxChanges - 1); ok {
 		t.Error("a change that is not kept is told")
 	}
 }
 
 // What can't be registered is refused with the field's name, and changes nothing.
-func TestBadRegistrations(t *testing.T) {
+func TestInvalidRegistrations(t *testing.T) {
 	for field, change := range map[string]func(*Command){
 		"instanceId":  func(c *Command) { c.Entry.InstanceID = strings.Repeat("x", 1<<20) },
 		"hostPort":    func(c *Command) { c.Entry.HostPort = "nowhere" },
@@ -263,35 +263,35 @@
 	}
 	s := NewState(0)
 	s.Apply(Command{Kind: Register, Entry: entry("s-a", 1), Incarnation: 1})
-	if o := s.Apply(Command{Kind: Register, Entry: entry("s-b", 1), Incarnation: 1}); o.Code != Taken || !strings.Contains(o.Message, "s-a") {
+	if o := s.Apply(Command{Kind: Register, Entry: entry("s-b", 1), Incarnation: 1}); o.Code != AddressConflict || !strings.Contains(o.Message, "s-a") {
 		t.Errorf("one address twice: %+v", o)
 	}
 }
 
 func leases(n int, term time.Duration) (ls []Lease) {
 	for i := range n {
-		ls = append(ls, Lease{Owner{fmt.Sprintf("s-%02d", i), 1}, term})
+		ls = append(ls, Lease{InstanceRef{fmt.Sprintf("s-%02d", i), 1}, term})
 	}
 	return ls
 }
 
 // A lease runs out a full term after its last renewal or after the leader began, and not
 // before; a renewal by another incarnation does not count.
-func TestLeasesRunOut(t *testing.T) {
-	l := NewLeases(100*time.Second, leases(20, 10*time.Second), defaultDoubt)
+func TestLeaseExpiry(t *testing.T) {
+	l := NewLeases(100*time.Second, leases(20, 10*time.Second), defaultSelfPreservation)
 	if due := l.Due(109 * time.Second); due != nil {
 		t.Errorf("due before a full term: %v", due)
 	}
 	for i := range 20 {
-		if i > 0 && !l.Renew(109*time.Second, Owner{fmt.Sprintf("s-%02d", i), 1}) {
+		if i > 0 && !l.Renew(109*time.Second, InstanceRef{fmt.Sprintf("s-%02d", i), 1}) {
 			t.Errorf("renewal %d refused", i)
 		}
 	}
-	if l.Renew(109*time.Second, Owner{"s-00", 2}) {
+	if l.Renew(109*time.Second, InstanceRef{"s-00", 2}) {
 		t.Error("another incarnation renewed")
 	}
 	due := l.Due(110 * time.Second)
-	if !slices.Equal(due, []Owner{{"s-00", 1}}) {
+	if !slices.Equal(due, []InstanceRef{{"s-00", 1}}) {
 		t.Fatalf("due %v", due)
 	}
 	if l.Renew(110*time.Second, due[0]) {
@@ -300,7 +300,7 @@
 	if again := l.Due(111 * time.Second); again != nil {
 		t.Errorf("due again while under way: %v", again)
 	}
-	l.Failed(due)
+	l.ExpiryFailed(due)
 	if again := l.Due(112 * time.Second); len(again) != 1 {
 		t.Errorf("after a failed commit due %v", again)
 	}
@@ -309,13 +309,13 @@
 
 // When everybody's lease runs out at once it is the service that is ill: nobody is expired for
 // a while, then one by one; what is renewed meanwhile stays.
-func TestManyAtOnceArePaused(t *testing.T) {
-	l := NewLeases(0, leases(20, 10*time.Second), defaultDoubt)
+func TestMassExpirySuspends(t *testing.T) {
+	l := NewLeases(0, leases(20, 10*time.Second), defaultSelfPreservation)
 	now, gone := 10*time.Second, 0
 	if due := l.Due(now); due != nil {
 		t.Fatalf("all at once: %v", due)
 	}
-	if _, paused := l.Paused(); !paused {
+	if _, paused := l.Suspended(); !paused {
 		t.Fatal("not paused")
 	}
 	for now += time.Second; now < 30*time.Second; now += time.Second {
@@ -332,22 +332,22 @@
 		t.Errorf("%d gone in the ten seconds after the pause, one for each two seconds wanted", gone)
 	}
 	for i := range 20 {
-		l.Renew(now, Owner{fmt.Sprintf("s-%02d", i), 1})
+		l.Renew(now, InstanceRef{fmt.Sprintf("s-%02d", i), 1})
 	}
-	if l.Due(now); func() bool { _, paused := l.Paused(); return paused }() {
+	if l.Due(now); func() bool { _, paused := l.Suspended(); return paused }() {
 		t.Error("still paused when all is well")
 	}
 }
 
 // The leases' queue tells what a scan of all of them tells, after any grants, renewals, expiries
 // that fail and instances that go.
-func TestLeaseQueueAgreesWithAScan(t *testing.T) {
+func TestLeaseQueueMatchesScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l, now := NewLeases(0, leases(4, 10*time.Second), Doubt{Share: 1, Window: time.Second, Slow: time.Second, Least: 5}), time.Duration(0)
-		var out []Owner
+		l, now := NewLeases(0, leases(4, 10*time.Second), SelfPreservation{MaxExpiringFraction: 1, Window: time.Second, SlowInterval: time.Second, MinLeases: 5}), time.Duration(0)
+		var out []InstanceRef
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
-			o := Owner{fmt.Sprintf("s-%02d", rapid.IntRange(0, 7).Draw(t, "instance")), rapid.Uint64Range(1, 2).Draw(t, "incarnation")}
+			o := InstanceRef{fmt.Sprintf("s-%02d", rapid.IntRange(0, 7).Draw(t, "instance")), rapid.Uint64Range(1, 2).Draw(t, "incarnation")}
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
 				l.Grant(now, Lease{o, time.Duration(rapid.IntRange(1, 12).Draw(t, "term")) * time.Second})
@@ -356,13 +356,13 @@
 			case 3:
 				l.Drop(o.ID)
 			case 4:
-				l.Failed(out)
+				l.ExpiryFailed(out)
 				out = nil
 			case 5:
-				var want []Owner
-				for _, h := range leasesOf(l) {
-					if !h.sent && h.until <= now {
-						want = append(want, h.Owner)
+				var want []InstanceRef
+				for _, h := range sortedLeases(l) {
+					if !h.expiring && h.expiresAt <= now {
+						want = append(want, h.InstanceRef)
 					}
 				}
 				due := l.Due(now)
@@ -372,15 +372,15 @@
 				out = append(out, due...)
 			}
 			first, waiting := time.Duration(-1), 0
-			for _, h := range l.held {
-				if !h.sent {
+			for _, h := range l.entries {
+				if !h.expiring {
 					waiting++
-					if first < 0 || h.until < first {
-						first = h.until
+					if first < 0 || h.expiresAt < first {
+						first = h.expiresAt
 					}
 				}
 			}
-			at, ok := l.Next(now)
+			at, ok := l.NextDue(now)
 			if ok != (waiting > 0) || ok && at != max(first, now) || len(l.queue) != waiting {
 				t.Fatalf("next at %v (%v), a scan finds %v; %d of %d in the queue", at, ok, first, len(l.queue), waiting)
 			}
@@ -389,9 +389,9 @@
 }
 
 // leasesOf lists what is held, sorted by instance.
-func leasesOf(l *Leases) (all []*heldLease) {
+func sortedLeases(l *Leases) (all []*leaseEntry) {
 	for n := range 8 {
-		if h := l.held[fmt.Sprintf("s-%02d", n)]; h != nil {
+		if h := l.entries[fmt.Sprintf("s-%02d", n)]; h != nil {
 			all = append(all, h)
 		}
 	}
@@ -400,16 +400,16 @@
 
 // A zone of the plan that dies runs out together and is taken out together; so is a region of four.
 // Only what is larger is taken for an illness of the service.
-func TestLostZonesAreNoDoubt(t *testing.T) {
+func TestLostZoneDoesNotSuspendExpiry(t *testing.T) {
 	const term, entries = 10 * time.Second, planEntries / 10
 	for name, c := range map[string]struct {
 		share  int // one instance in so many is lost
 		paused bool
 	}{"zone": {15, false}, "region": {4, false}, "half": {2, true}} {
-		l := NewLeases(0, nil, defaultDoubt)
-		var lost []Owner
+		l := NewLeases(0, nil, defaultSelfPreservation)
+		var lost []InstanceRef
 		for n := range entries {
-			o := Owner{numbered(n).InstanceID, 1}
+			o := InstanceRef{numberedEntry(n).InstanceID, 1}
 			l.Grant(0, Lease{o, term})
 			if n%c.share == 0 {
 				lost = append(lost, o)
@@ -417,7 +417,7 @@
 		}
 		for at := term / 3; at < term; at += term / 3 {
 			for n := range entries {
-				if n%c.share != 0 && !l.Renew(at, Owner{numbered(n).InstanceID, 1}) {
+				if n%c.share != 0 && !l.Renew(at, InstanceRef{numberedEntry(n).InstanceID, 1}) {
 					t.Fatalf("%s: %d is not renewed", name, n)
 				}
 			}
@@ -426,7 +426,7 @@
 			}
 		}
 		due := l.Due(term)
-		if _, paused := l.Paused(); paused != c.paused {
+		if _, paused := l.Suspended(); paused != c.paused {
 			t.Errorf("%s: expiry is paused: %v", name, paused)
 		}
 		if c.paused {
--- a/internal/registry/data_folder_test.go
+++ b/internal/registry/data_folder_test.go
@@ -30,7 +30,7 @@
 
 // A data folder of an earlier version opens with the list, the owners, the leases, the tombstones and the changes that
 // it was stopped with: from its snapshot and the log after it, and from the log alone.
-func TestEarlierDataFolder(t *testing.T) {
+func TestRecordedDataFolder(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		snapshot bool
@@ -54,7 +54,7 @@
 // checkRecorded compares what a replica of the recorded folder answers with what the earlier version answered.
 func checkRecorded(t *testing.T, s *Server) {
 	t.Helper()
-	eventually(t, "the log is applied", func() bool { return s.Generation() == 7<<epochBits|15 })
+	waitFor(t, "the log is applied", func() bool { return s.Generation() == 7<<epochBits|15 })
 	base := "http://" + s.Addr() + "/registry/"
 	_, list := call(t, "GET", base+"instances", "")
 	golden.Same(t, "list", []byte(list), golden.Read(t, recordedFolder+"list.json"))
@@ -66,7 +66,7 @@
 	golden.Same(t, "standings", []byte(standings.String()), golden.Read(t, recordedFolder+"standings.json"))
 	_, backup := call(t, "GET", base+"backup", "")
 	golden.Same(t, "backup", []byte(backup), golden.Read(t, recordedFolder+"backup.json"))
-	if m := watch(t, s.Addr(), 7<<epochBits|13).next(t); m.Generation != 7<<epochBits|14 || m.Reset {
+	if m := startWatch(t, s.Addr(), 7<<epochBits|13).next(t); m.Generation != 7<<epochBits|14 || m.Reset {
 		t.Errorf("a watch goes on with %+v", m)
 	}
 	for path, want := range map[string]int{"s-expired/renew?incarnation=6": 409, "s-leased/renew?incarnation=5": 200} {
@@ -85,8 +85,8 @@
 // startRecorded starts a replica of the recorded folder. It waits while another process has the addresses.
 func startRecorded(t *testing.T, dir string) *Server {
 	t.Helper()
-	cfg := Config{Dir: dir, Listen: recordedListen, Raft: recordedRaft, Log: slog.New(slog.DiscardHandler)}
-	for end := time.Now().Add(patience); ; time.Sleep(20 * time.Millisecond) {
+	cfg := Config{Dir: dir, Listen: recordedListen, Raft: recordedRaft, Logger: slog.New(slog.DiscardHandler)}
+	for end := time.Now().Add(testTimeout); ; time.Sleep(20 * time.Millisecond) {
 		s, err := Start(context.Background(), cfg)
 		if err == nil {
 			t.Cleanup(func() { s.Close() })
--- a/internal/registry/folder.go
+++ b/internal/registry/folder.go
@@ -23,7 +23,7 @@
 const restoreFile = "restore.json"
 
 // identity reads the replica's name from its folder, or draws one for a new folder.
-func identity(dir, addr string) (id string, err error) {
+func loadIdentity(dir, addr string) (id string, err error) {
 	text, err := os.ReadFile(filepath.Join(dir, identityFile))
 	if errors.Is(err, os.ErrNotExist) {
 		return newIdentity(dir, addr)
@@ -32,11 +32,11 @@
 		return "", fmt.Errorf("identity: %w", err)
 	}
 	id = strings.TrimSpace(string(text))
-	return id, checkIdentity(dir, addr, id)
+	return id, validateIdentity(dir, addr, id)
 }
 
 // checkIdentity tells why a replica can't go on under its name.
-func checkIdentity(dir, addr, id string) error {
+func validateIdentity(dir, addr, id string) error {
 	name, at, _ := strings.Cut(id, "@")
 	if name == "" || at == "" {
 		return fmt.Errorf("%s: is damaged: empty the folder and start the replica anew with --join", filepath.Join(dir, identityFile))
@@ -62,6 +62,6 @@
 }
 
 // damaged words an error of the replica's files with what mends it.
-func damaged(path string, err error) error {
+func damagedError(path string, err error) error {
 	return fmt.Errorf("%s: %w: if the file is damaged, empty the folder and start the replica anew with --join, or with `opalhook registry restore` where no other replica is left", path, err)
 }
--- a/internal/registry/fuzz_test.go
+++ b/internal/registry/fuzz_test.go
@@ -18,7 +18,7 @@
 	f.Fuzz(func(t *testing.T, body string) {
 		w := httptest.NewRecorder()
 		var reg Registration
-		if !decode(w, httptest.NewRequest(http.MethodPost, "/registry/instances", strings.NewReader(body)), &reg) {
+		if !decodeBody(w, httptest.NewRequest(http.MethodPost, "/registry/instances", strings.NewReader(body)), &reg) {
 			if w.Code < 400 || w.Code >= 500 {
 				t.Fatalf("%q: status %d", body, w.Code)
 			}
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -41,32 +41,32 @@
 	earlier.Apply(Command{Kind: Register, Entry: old, Incarnation: 3})
 	earlier.Apply(Command{Kind: Register, Entry: entry("s-back", 9009), Incarnation: 1})
 	earlier.Apply(Command{Kind: Remove, ID: "s-back"})
-	restored, err := earlier.Restored(7)
+	restored, err := earlier.RestoredInEpoch(7)
 	if err != nil {
 		t.Fatal(err)
 	}
 	leased := Entry{InstanceID: "s-leased", HostPort: "[::1]:9001", Zone: "b", MachineType: "std-8c", Cell: 1 << 30, Lifecycle: Up, Weight: 1e6, StartedAtMs: 1 << 52}
 	return []goldenCommand{
-		{"load", Command{Kind: Load, Image: restored}, Done},
+		{"load", Command{Kind: Load, Snapshot: restored}, Done},
 		{"register", Command{Kind: Register, Entry: entry("s-plain", 9002), Incarnation: 1}, Done},
-		{"register-leased", Command{Kind: Register, Entry: leased, Incarnation: 1<<63 - 1, Lease: MostLease}, Done},
-		{"register-unweighted", Command{Kind: Register, Entry: Entry{InstanceID: "s-bare", HostPort: "127.0.0.1:9003", Lifecycle: Up}, Incarnation: 2, Lease: LeastLease * 5000}, Done},
+		{"register-leased", Command{Kind: Register, Entry: leased, Incarnation: 1<<63 - 1, Lease: MaxLease}, Done},
+		{"register-unweighted", Command{Kind: Register, Entry: Entry{InstanceID: "s-bare", HostPort: "127.0.0.1:9003", Lifecycle: Up}, Incarnation: 2, Lease: MinLease * 5000}, Done},
 		{"drain", Command{Kind: Drain, ID: "s-old", Incarnation: 3}, Done},
 		{"drain-any", Command{Kind: Drain, ID: "s-plain"}, Done},
 		{"remove", Command{Kind: Remove, ID: "s-plain", Incarnation: 1}, Done},
-		{"expire", Command{Kind: Expire, Expired: []Owner{{"s-bare", 2}, {"s-gone", 1}}, Term: goldenTerm}, Done},
-		{"remove-any", Command{Kind: Remove, ID: "s-none"}, Missing},
+		{"expire", Command{Kind: Expire, Expired: []InstanceRef{{"s-bare", 2}, {"s-gone", 1}}, Term: goldenTerm}, Done},
+		{"remove-any", Command{Kind: Remove, ID: "s-none"}, NotFound},
 	}
 }
 
 // logged is a log store that keeps the commands written to it.
-type logged struct {
+type recordingStore struct {
 	raft.LogStore
 	mu       sync.Mutex
 	commands [][]byte
 }
 
-func (l *logged) StoreLogs(logs []*raft.Log) error {
+func (l *recordingStore) StoreLogs(logs []*raft.Log) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, entry := range logs {
@@ -78,7 +78,7 @@
 }
 
 // latest returns the command that was written last.
-func (l *logged) latest() []byte {
+func (l *recordingStore) latest() []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.commands) == 0 {
@@ -90,14 +90,14 @@
 // goldenReplica starts a replica that has carried out the golden commands, and compares its log entries.
 func goldenReplica(t *testing.T) *Server {
 	t.Helper()
-	log := &logged{}
-	s := replica(t, t.TempDir(), "", func(c *Config) {
-		c.Stores = func(logs raft.LogStore, stable raft.StableStore) (raft.LogStore, raft.StableStore) {
+	log := &recordingStore{}
+	s := startReplica(t, t.TempDir(), "", func(c *Config) {
+		c.WrapStores = func(logs raft.LogStore, stable raft.StableStore) (raft.LogStore, raft.StableStore) {
 			log.LogStore = logs
 			return log, stable
 		}
 	})
-	eventually(t, "the replica leads", func() bool { return s.raft.State() == raft.Leader })
+	waitFor(t, "the replica leads", func() bool { return s.raft.State() == raft.Leader })
 	for _, g := range goldenCommands(t) {
 		if _, err := s.commit(g.command); err != nil {
 			t.Fatalf("%s: %v", g.name, err)
@@ -138,7 +138,7 @@
 	golden.Check(t, "golden/list.json", []byte(list))
 	golden.Check(t, "golden/watch-whole.txt", watchBytes(t, s.Addr(), 0, 1))
 	golden.Check(t, "golden/watch-changes.txt", watchBytes(t, s.Addr(), 7<<epochBits|1, 7))
-	golden.Check(t, "golden/watch-beat.txt", s.emptyLine)
+	golden.Check(t, "golden/watch-beat.txt", s.heartbeatChunk)
 }
 
 // watchBytes returns the head of a watch's answer and its first chunks, without those of empty lines.
@@ -149,7 +149,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	fmt.Fprintf(conn, "GET /registry/instances?watch=1&from=%d HTTP/1.1\r\nHost: registry\r\n\r\n", from)
 	in := bufio.NewReader(conn)
 	var got []byte
@@ -182,7 +182,7 @@
 
 // The recorded log entries are decoded to the commands, which lead to the recorded state.
 func TestGoldenLogIsRead(t *testing.T) {
-	m := newMachine(func(Command, Outcome) {})
+	m := newFSM(func(Command, Outcome) {})
 	for _, g := range goldenCommands(t) {
 		data := golden.Read(t, "golden/command-"+g.name+".json")
 		var c Command
@@ -202,13 +202,13 @@
 }
 
 // persisted returns what a snapshot writes.
-func persisted(t *testing.T, m *machine) []byte {
+func persisted(t *testing.T, m *fsm) []byte {
 	t.Helper()
 	taken, err := m.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	var written sink
+	var written memorySink
 	if err := taken.Persist(&written); err != nil {
 		t.Fatal(err)
 	}
@@ -219,12 +219,12 @@
 func TestGoldenStateIsRead(t *testing.T) {
 	for _, name := range []string{"golden/snapshot.json", "golden/backup.json"} {
 		text := golden.Read(t, name)
-		m := newMachine(func(Command, Outcome) {})
+		m := newFSM(func(Command, Outcome) {})
 		if err := m.Restore(io.NopCloser(bytes.NewReader(text))); err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
 		golden.Same(t, name, persisted(t, m), text)
-		golden.Same(t, name+" as a list", m.list().line(), golden.Read(t, "golden/list.json"))
+		golden.Same(t, name+" as a list", m.currentList().json(), golden.Read(t, "golden/list.json"))
 		checkGoldenState(t, name, m.state)
 	}
 }
@@ -235,10 +235,10 @@
 	if s.Epoch() != 7 || s.Generation() != 7<<epochBits|8 || s.Len() != 2 {
 		t.Errorf("%s: epoch %d, generation %d, %d entries", name, s.Epoch(), s.Generation(), s.Len())
 	}
-	if leases := s.Leased(); len(leases) != 1 || leases[0] != (Lease{Owner{"s-leased", 1<<63 - 1}, MostLease}) {
+	if leases := s.Leases(); len(leases) != 1 || leases[0] != (Lease{InstanceRef{"s-leased", 1<<63 - 1}, MaxLease}) {
 		t.Errorf("%s: leases %v", name, leases)
 	}
-	if changes, ok := s.Since(7<<epochBits | 1); !ok || len(changes) != 7 {
+	if changes, ok := s.ChangesSince(7<<epochBits | 1); !ok || len(changes) != 7 {
 		t.Errorf("%s: %d changes, known %t", name, len(changes), ok)
 	}
 	for _, c := range []struct {
@@ -247,8 +247,8 @@
 		incarnation uint64
 		want        Code
 	}{
-		{"s-back", 9010, 1, Stale}, {"s-plain", 9010, 1, Stale}, {"s-bare", 9010, 2, Stale},
-		{"s-old", 9010, 2, Stale}, {"s-old", 9010, 3, Conflict}, {"s-new", 9000, 1, Taken}, {"s-plain", 9010, 2, Done},
+		{"s-back", 9010, 1, StaleIncarnation}, {"s-plain", 9010, 1, StaleIncarnation}, {"s-bare", 9010, 2, StaleIncarnation},
+		{"s-old", 9010, 2, StaleIncarnation}, {"s-old", 9010, 3, RegistrationConflict}, {"s-new", 9000, 1, AddressConflict}, {"s-plain", 9010, 2, Done},
 	} {
 		if o := s.Apply(Command{Kind: Register, Entry: entry(c.id, c.port), Incarnation: c.incarnation}); o.Code != c.want {
 			t.Errorf("%s: %s of incarnation %d is %s, want %s", name, c.id, c.incarnation, o.Code, c.want)
@@ -270,8 +270,8 @@
 }
 
 // The HTTP API's answers are as recorded.
-func TestGoldenAnswers(t *testing.T) {
-	s := replica(t, t.TempDir(), "")
+func TestGoldenResponses(t *testing.T) {
+	s := startReplica(t, t.TempDir(), "")
 	var transcript bytes.Buffer
 	for _, c := range []struct{ method, path, body string }{
 		{"GET", "", ""},
@@ -303,11 +303,11 @@
 // What a replica says of itself and of its members, and each code, is encoded as recorded and read back.
 func TestGoldenStatus(t *testing.T) {
 	status := Status{Replica: "r0123456789ab@127.0.0.1:8500", State: "follower", Leader: "127.0.0.2:8500", Epoch: 7, Generation: 7<<epochBits | 8, Entries: 3,
-		Leases: 2, Watches: 4, Paused: true, Applied: 17, LastWord: 0.25, Replicas: []Replica{{ID: "rba9876543210@127.0.0.2:8500", Raft: "127.0.0.2:8501#rba9876543210", Leader: true}}}
+		Leases: 2, Watches: 4, ExpirySuspended: true, AppliedIndex: 17, SecondsSinceLeaderContact: 0.25, Replicas: []Replica{{ID: "rba9876543210@127.0.0.2:8500", Raft: "127.0.0.2:8501#rba9876543210", Leader: true}}}
 	checkJSON(t, "golden/status.json", status)
 	checkJSON(t, "golden/join.json", Replica{ID: status.Replica, Raft: "127.0.0.1:8501#r0123456789ab"})
 	var outcomes []Outcome
-	for _, code := range []Code{Done, Same, Stale, Missing, Taken, Conflict, Invalid, TooMany, Later, Unknown} {
+	for _, code := range []Code{Done, Unchanged, StaleIncarnation, NotFound, AddressConflict, RegistrationConflict, Invalid, ListFull, Unavailable, OutcomeUnknown} {
 		outcomes = append(outcomes, Outcome{Code: code, Generation: 1<<53 - 1, Message: "why"})
 	}
 	checkJSON(t, "golden/outcomes.json", append(outcomes, Outcome{Code: Done}))
@@ -354,10 +354,10 @@
 func TestGoldenClient(t *testing.T) {
 	var transcript, backup bytes.Buffer
 	c, ctx := recordedService(t, &transcript), t.Context()
-	owner := Owner{"s-a", 5}
+	owner := InstanceRef{"s-a", 5}
 	registered, err1 := c.Register(ctx, Registration{Entry: entry("s-a", 1), Incarnation: 5, LeaseMs: 1000})
 	renewed, err2 := c.Renew(ctx, owner)
-	drained, err3 := c.Drain(ctx, Owner{ID: "s-a"})
+	drained, err3 := c.Drain(ctx, InstanceRef{ID: "s-a"})
 	removed, err4 := c.Remove(ctx, owner)
 	dismissed, err5 := c.RemoveReplica(ctx, "r0123456789ab@127.0.0.1:8500")
 	shown, err6 := c.Show(ctx, "s-a")
@@ -374,7 +374,7 @@
 	})
 	golden.Check(t, "golden/client-requests.txt", transcript.Bytes())
 	for _, o := range []Outcome{registered, renewed, drained, removed, dismissed} {
-		if o != (Outcome{Same, 41, "why"}) {
+		if o != (Outcome{Unchanged, 41, "why"}) {
 			t.Errorf("outcome %+v", o)
 		}
 	}
@@ -384,7 +384,7 @@
 	if generation != 7<<epochBits|8 || len(entries) != 2 || entries[1].StartedAtMs != 1700000000123 || heard != generation {
 		t.Errorf("list %d %+v, on a watch %d", generation, entries, heard)
 	}
-	if len(all) != 1 || all[0].Applied != 17 || !all[0].Paused || all[0].LastWord != 0.25 || !all[0].Replicas[0].Leader {
+	if len(all) != 1 || all[0].AppliedIndex != 17 || !all[0].ExpirySuspended || all[0].SecondsSinceLeaderContact != 0.25 || !all[0].Replicas[0].Leader {
 		t.Errorf("status %+v", all)
 	}
 	golden.Same(t, "backup", backup.Bytes(), golden.Read(t, "golden/backup.json"))
@@ -398,7 +398,7 @@
 	}
 	defer ln.Close()
 	address := raft.ServerAddress(ln.Addr().String() + "#r0123456789ab")
-	conn, err := stream{}.Dial(address, patience)
+	conn, err := streamLayer{}.Dial(address, testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -408,13 +408,13 @@
 		t.Fatal(err)
 	}
 	defer accepted.Close()
-	accepted.SetDeadline(time.Now().Add(patience))
+	accepted.SetDeadline(time.Now().Add(testTimeout))
 	line, err := bufio.NewReader(accepted).ReadBytes('\n')
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Check(t, "golden/greeting.txt", line)
-	if s := (stream{Listener: ln, name: "r0123456789ab"}); s.Addr().String() != string(address) {
+	if s := (streamLayer{Listener: ln, name: "r0123456789ab"}); s.Addr().String() != string(address) {
 		t.Errorf("address %s, want %s", s.Addr(), address)
 	}
 }
--- a/internal/registry/large_test.go
+++ b/internal/registry/large_test.go
@@ -16,22 +16,22 @@
 
 // The plan of the largest fleet.
 const (
-	planEntries = 200_000
-	planZone    = planEntries / 15 // instances that may be lost at once
+	planEntries     = 200_000
+	planZoneEntries = planEntries / 15 // instances that may be lost at once
 )
 
 // numbered is an instance whose address is its own among the first 500,000.
-func numbered(n int) Entry {
+func numberedEntry(n int) Entry {
 	e := entry(fmt.Sprintf("s-%06d", n), 0)
 	e.HostPort = fmt.Sprintf("127.%d.%d.1:%d", n/50_000, n/200%250, 1+n%200)
 	return e
 }
 
 // fill registers instances until there are that many.
-func fill(t testing.TB, s *State, entries int) {
+func fillList(t testing.TB, s *State, entries int) {
 	t.Helper()
 	for n := s.Len(); n < entries; n++ {
-		if o := s.Apply(Command{Kind: Register, Entry: numbered(n), Incarnation: 1}); o.Code != Done {
+		if o := s.Apply(Command{Kind: Register, Entry: numberedEntry(n), Incarnation: 1}); o.Code != Done {
 			t.Fatalf("entry %d: %+v", n, o)
 		}
 	}
@@ -39,37 +39,37 @@
 
 // The plan's list is taken, with room above it; one more than the bound is refused with the bound,
 // and taken when another has gone.
-func TestListTakesThePlanAndNoMoreThanItsBound(t *testing.T) {
-	if MostEntries < planEntries*5/4 {
-		t.Errorf("the bound is %d entries, the plan's are %d", MostEntries, planEntries)
+func TestListCapacity(t *testing.T) {
+	if MaxEntries < planEntries*5/4 {
+		t.Errorf("the bound is %d entries, the plan's are %d", MaxEntries, planEntries)
 	}
 	s := NewState(0)
-	fill(t, s, MostEntries)
-	next := Command{Kind: Register, Entry: numbered(MostEntries), Incarnation: 1}
+	fillList(t, s, MaxEntries)
+	next := Command{Kind: Register, Entry: numberedEntry(MaxEntries), Incarnation: 1}
 	before := s.Generation()
-	if o := s.Apply(next); o.Code != TooMany || !strings.Contains(o.Message, fmt.Sprint(MostEntries)) || s.Generation() != before || s.Len() != MostEntries {
+	if o := s.Apply(next); o.Code != ListFull || !strings.Contains(o.Message, fmt.Sprint(MaxEntries)) || s.Generation() != before || s.Len() != MaxEntries {
 		t.Errorf("one more than the bound: %+v, %d entries", o, s.Len())
 	}
-	again := numbered(0) // of an instance that is there
+	again := numberedEntry(0) // of an instance that is there
 	if o := s.Apply(Command{Kind: Register, Entry: again, Incarnation: 2}); o.Code != Done {
 		t.Errorf("a new start of one that is there: %+v", o)
 	}
 	s.Apply(Command{Kind: Remove, ID: again.InstanceID})
-	if o := s.Apply(next); o.Code != Done || s.Len() != MostEntries {
+	if o := s.Apply(next); o.Code != Done || s.Len() != MaxEntries {
 		t.Errorf("after another has gone: %+v, %d entries", o, s.Len())
 	}
 }
 
 // What the plan loses at once is neither forgotten as a change nor as a tombstone.
-func TestALostZoneIsRemembered(t *testing.T) {
-	m := newMachine(func(Command, Outcome) {})
-	fill(t, m.state, planZone+1)
-	m.begin()
+func TestLostZoneStaysInHistory(t *testing.T) {
+	m := newFSM(func(Command, Outcome) {})
+	fillList(t, m.state, planZoneEntries+1)
+	m.publishRestored()
 	from := m.generation()
 	index := uint64(0)
-	for n := range planZone {
+	for n := range planZoneEntries {
 		index++
-		text, err := json.Marshal(Command{Kind: Remove, ID: numbered(n).InstanceID, Incarnation: 1})
+		text, err := json.Marshal(Command{Kind: Remove, ID: numberedEntry(n).InstanceID, Incarnation: 1})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -79,9 +79,9 @@
 	}
 	at, readings := from, 0
 	for m.generation() != at {
-		rd := m.since(at)
-		if len(rd.chunks) == 0 || len(rd.chunks) > mostAtOnce || rd.at != at+uint64(len(rd.chunks)) {
-			t.Fatalf("from %d: %d chunks up to %d", at, len(rd.chunks), rd.at)
+		rd := m.readSince(at)
+		if len(rd.chunks) == 0 || len(rd.chunks) > maxChangesPerRead || rd.generation != at+uint64(len(rd.chunks)) {
+			t.Fatalf("from %d: %d chunks up to %d", at, len(rd.chunks), rd.generation)
 		}
 		for i, c := range rd.chunks {
 			if want := fmt.Sprintf(`{"generation":%d,"reset":false,`, at+1+uint64(i)); !bytes.Contains(c, []byte(want)) {
@@ -89,19 +89,19 @@
 			}
 		}
 		select {
-		case <-rd.more:
+		case <-rd.updated:
 		default:
-			if rd.at != m.generation() {
-				t.Fatalf("a watch waits at %d of %d", rd.at, m.generation())
+			if rd.generation != m.generation() {
+				t.Fatalf("a watch waits at %d of %d", rd.generation, m.generation())
 			}
 		}
-		at, readings = rd.at, readings+1
+		at, readings = rd.generation, readings+1
 	}
-	if want := (planZone + mostAtOnce - 1) / mostAtOnce; readings != want {
+	if want := (planZoneEntries + maxChangesPerRead - 1) / maxChangesPerRead; readings != want {
 		t.Errorf("read in %d parts, want %d", readings, want)
 	}
-	for _, n := range []int{0, planZone - 1} {
-		if o := m.state.Apply(Command{Kind: Register, Entry: numbered(n), Incarnation: 1}); o.Code != Stale {
+	for _, n := range []int{0, planZoneEntries - 1} {
+		if o := m.state.Apply(Command{Kind: Register, Entry: numberedEntry(n), Incarnation: 1}); o.Code != StaleIncarnation {
 			t.Errorf("a late word of the life that ended, instance %d: %+v", n, o)
 		}
 	}
@@ -109,44 +109,44 @@
 
 // A watch may begin with an earlier list and the changes since; a reader of the list gets it as
 // it stands. The list is encoded anew when the changes have come to a share of it.
-func TestWholeListIsSharedOverChanges(t *testing.T) {
-	m := newMachine(func(Command, Outcome) {})
-	fill(t, m.state, 400)
-	m.begin()
+func TestEncodedListIsShared(t *testing.T) {
+	m := newFSM(func(Command, Outcome) {})
+	fillList(t, m.state, 400)
+	m.publishRestored()
 	change := func(n int, incarnation uint64) {
-		if o := m.state.Apply(Command{Kind: Register, Entry: numbered(n), Incarnation: incarnation}); o.Code != Done {
+		if o := m.state.Apply(Command{Kind: Register, Entry: numberedEntry(n), Incarnation: incarnation}); o.Code != Done {
 			t.Fatalf("%+v", o)
 		}
 		m.publish()
 	}
-	first := m.since(0)
+	first := m.readSince(0)
 	change(0, 2)
-	second := m.since(0)
-	if &first.chunks[0][0] != &second.chunks[0][0] || second.at != first.at {
-		t.Errorf("the list of %d was encoded anew at %d for one change", first.at, second.at)
+	second := m.readSince(0)
+	if &first.chunks[0][0] != &second.chunks[0][0] || second.generation != first.generation {
+		t.Errorf("the list of %d was encoded anew at %d for one change", first.generation, second.generation)
 	}
 	select {
-	case <-second.more:
+	case <-second.updated:
 	default:
 		t.Error("a watch that begins with an earlier list waits for more")
 	}
-	if rest := m.since(second.at); rest.at != m.generation() || len(rest.chunks) != 1 {
-		t.Errorf("then it gets %d changes up to %d", len(rest.chunks), rest.at)
+	if rest := m.readSince(second.generation); rest.generation != m.generation() || len(rest.chunks) != 1 {
+		t.Errorf("then it gets %d changes up to %d", len(rest.chunks), rest.generation)
 	}
 	var now message
-	if err := json.Unmarshal(m.list().line(), &now); err != nil || now.Generation != m.generation() || len(now.Instances) != 400 || !now.Reset {
+	if err := json.Unmarshal(m.currentList().json(), &now); err != nil || now.Generation != m.generation() || len(now.Instances) != 400 || !now.Reset {
 		t.Errorf("a reader gets generation %d of %d, %d entries: %v", now.Generation, m.generation(), len(now.Instances), err)
 	}
-	start, changes := m.since(0).at, 0
-	for ; m.since(0).at == start; changes++ {
+	start, changes := m.readSince(0).generation, 0
+	for ; m.readSince(0).generation == start; changes++ {
 		change(1, uint64(changes)+2)
 	}
 	if changes < 400/16 || changes > 400/4 {
 		t.Errorf("encoded anew after %d changes of 400 entries", changes)
 	}
 	// A list that came whole is another life: nothing of the one before is told.
-	other := newMachine(func(Command, Outcome) {})
-	fill(t, other.state, int(m.generation()))
+	other := newFSM(func(Command, Outcome) {})
+	fillList(t, other.state, int(m.generation()))
 	text, err := json.Marshal(other.state)
 	if err != nil {
 		t.Fatal(err)
@@ -154,13 +154,13 @@
 	if err := m.Restore(io.NopCloser(bytes.NewReader(text))); err != nil {
 		t.Fatal(err)
 	}
-	if err := json.Unmarshal(m.list().line(), &now); err != nil || len(now.Instances) != other.state.Len() {
+	if err := json.Unmarshal(m.currentList().json(), &now); err != nil || len(now.Instances) != other.state.Len() {
 		t.Errorf("after a restore a reader gets %d entries of %d: %v", len(now.Instances), other.state.Len(), err)
 	}
 }
 
 // paced is a connection that notes how much it is given under each deadline.
-type paced struct {
+type pacedConn struct {
 	net.Conn
 	deadlines int
 	under     int // bytes since the last deadline
@@ -168,35 +168,35 @@
 	text      bytes.Buffer
 }
 
-func (p *paced) SetWriteDeadline(time.Time) error {
+func (p *pacedConn) SetWriteDeadline(time.Time) error {
 	p.deadlines++
 	p.under = 0
 	return nil
 }
 
-func (p *paced) Write(b []byte) (int, error) {
+func (p *pacedConn) Write(b []byte) (int, error) {
 	p.under += len(b)
 	p.most = max(p.most, p.under)
 	return p.text.Write(b)
 }
 
 // However long a list is, a reader has its time for each piece of it, and gets each byte once.
-func TestReadersHaveTimeForEachPiece(t *testing.T) {
+func TestWriteDeadlinePerPiece(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var want []byte
 		var chunks [][]byte
-		for i, size := range rapid.SliceOfN(rapid.SampledFrom([]int{0, 1, 200, writePiece - 1, writePiece, writePiece + 1, 5*writePiece + 7}), 0, 8).Draw(t, "sizes") {
+		for i, size := range rapid.SliceOfN(rapid.SampledFrom([]int{0, 1, 200, maxWriteSize - 1, maxWriteSize, maxWriteSize + 1, 5*maxWriteSize + 7}), 0, 8).Draw(t, "sizes") {
 			c := bytes.Repeat([]byte{byte('a' + i)}, size)
 			chunks, want = append(chunks, c), append(want, c...)
 		}
-		var conn paced
-		if err := writeChunks(&conn, chunks); err != nil {
+		var conn pacedConn
+		if err := writePaced(&conn, chunks); err != nil {
 			t.Fatal(err)
 		}
 		if !bytes.Equal(conn.text.Bytes(), want) {
 			t.Fatalf("%d bytes of %d, or others", conn.text.Len(), len(want))
 		}
-		if conn.most > writePiece || conn.deadlines > 1+len(want)/writePiece+len(chunks) {
+		if conn.most > maxWriteSize || conn.deadlines > 1+len(want)/maxWriteSize+len(chunks) {
 			t.Fatalf("%d bytes under one deadline, %d deadlines for %d bytes", conn.most, conn.deadlines, len(want))
 		}
 	})
--- a/internal/registry/replicas.go
+++ b/internal/registry/replicas.go
@@ -20,27 +20,27 @@
 
 // Status is what a replica says of itself and of the service.
 type Status struct {
-	Replica    string    `json:"replica"`
-	State      string    `json:"state"` // leader, follower, candidate
-	Leader     string    `json:"leader"`
-	Epoch      uint64    `json:"epoch"`
-	Generation uint64    `json:"generation"`
-	Entries    int       `json:"entries"`
-	Leases     int       `json:"leases"`
-	Watches    int64     `json:"watches"`
-	Paused     bool      `json:"expiryPaused"`
-	Applied    uint64    `json:"appliedIndex"`
-	LastWord   float64   `json:"secondsSinceLeader"` // since the leader was heard, by a follower
-	Replicas   []Replica `json:"replicas"`
+	Replica                   string    `json:"replica"`
+	State                     string    `json:"state"` // leader, follower, candidate
+	Leader                    string    `json:"leader"`
+	Epoch                     uint64    `json:"epoch"`
+	Generation                uint64    `json:"generation"`
+	Entries                   int       `json:"entries"`
+	Leases                    int       `json:"leases"`
+	Watches                   int64     `json:"watches"`
+	ExpirySuspended           bool      `json:"expiryPaused"`
+	AppliedIndex              uint64    `json:"appliedIndex"`
+	SecondsSinceLeaderContact float64   `json:"secondsSinceLeader"` // since the leader was heard, by a follower
+	Replicas                  []Replica `json:"replicas"`
 }
 
-func (s *Server) status(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) handleStatus(w http.ResponseWriter, _ *http.Request) {
 	st := Status{Replica: s.id, State: map[raft.RaftState]string{raft.Leader: "leader", raft.Follower: "follower", raft.Candidate: "candidate"}[s.raft.State()],
-		Leader: s.leader(), Watches: s.watches.Load(), Paused: s.paused(), Applied: s.raft.AppliedIndex()}
+		Leader: s.leaderAddress(), Watches: s.openWatches.Load(), ExpirySuspended: s.expirySuspended(), AppliedIndex: s.raft.AppliedIndex()}
 	if st.State == "follower" {
-		st.LastWord = time.Since(s.raft.LastContact()).Seconds()
+		st.SecondsSinceLeaderContact = time.Since(s.raft.LastContact()).Seconds()
 	}
-	s.machine.read(func(m *State) {
+	s.fsm.withState(func(m *State) {
 		st.Epoch, st.Generation, st.Entries, st.Leases = m.Epoch(), m.Generation(), m.Len(), m.LeaseCount()
 	})
 	f := s.raft.GetConfiguration()
@@ -55,52 +55,52 @@
 }
 
 // backup answers with the state, as the leader has it.
-func (s *Server) backup(w http.ResponseWriter, r *http.Request) {
-	if !s.toLeader(w, r) {
+func (s *Server) handleBackup(w http.ResponseWriter, r *http.Request) {
+	if !s.requireLeader(w, r) {
 		return
 	}
-	if !s.confirmed(w) {
+	if !s.confirmLeadership(w) {
 		return
 	}
 	var text []byte
 	var err error
-	s.machine.read(func(m *State) { text, err = json.Marshal(m) })
+	s.fsm.withState(func(m *State) { text, err = json.Marshal(m) })
 	if err != nil {
-		problem(w, http.StatusInternalServerError, "failed", "backup: %v", err)
+		writeError(w, http.StatusInternalServerError, "failed", "backup: %v", err)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Write(text)
 }
 
-func (s *Server) addReplica(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleAddReplica(w http.ResponseWriter, r *http.Request) {
 	var rep Replica
-	if !decode(w, r, &rep) || !s.toLeader(w, r) {
+	if !decodeBody(w, r, &rep) || !s.requireLeader(w, r) {
 		return
 	}
 	if rep.ID == "" || rep.Raft == "" {
-		problem(w, http.StatusBadRequest, Invalid, "id, raft: both are wanted")
+		writeError(w, http.StatusBadRequest, Invalid, "id, raft: both are wanted")
 		return
 	}
-	at, _, _ := strings.Cut(rep.Raft, nameMark)
+	at, _, _ := strings.Cut(rep.Raft, addressNameSeparator)
 	if f := s.raft.GetConfiguration(); f.Error() == nil {
 		for _, x := range f.Configuration().Servers {
-			if other, _, _ := strings.Cut(string(x.Address), nameMark); other == at && string(x.ID) != rep.ID {
-				problem(w, http.StatusConflict, Taken, "%s is the address of %s; if that is gone: opalhook registry dismiss %s", at, x.ID, x.ID)
+			if other, _, _ := strings.Cut(string(x.Address), addressNameSeparator); other == at && string(x.ID) != rep.ID {
+				writeError(w, http.StatusConflict, AddressConflict, "%s is the address of %s; if that is gone: opalhook registry dismiss %s", at, x.ID, x.ID)
 				return
 			}
 		}
 	}
-	if err := s.raft.AddVoter(raft.ServerID(rep.ID), raft.ServerAddress(rep.Raft), 0, applyWithin).Error(); err != nil {
-		later(w, "adding %s: %v", rep.ID, err)
+	if err := s.raft.AddVoter(raft.ServerID(rep.ID), raft.ServerAddress(rep.Raft), 0, applyTimeout).Error(); err != nil {
+		writeUnavailable(w, "adding %s: %v", rep.ID, err)
 		return
 	}
-	s.log.Info("replica added", "replica", rep.ID)
+	s.logger.Info("replica added", "replica", rep.ID)
 	json.NewEncoder(w).Encode(rep)
 }
 
-func (s *Server) removeReplica(w http.ResponseWriter, r *http.Request) {
-	if !s.toLeader(w, r) {
+func (s *Server) handleRemoveReplica(w http.ResponseWriter, r *http.Request) {
+	if !s.requireLeader(w, r) {
 		return
 	}
 	id := r.PathValue("id")
@@ -111,13 +111,13 @@
 		}
 	}
 	if !known {
-		problem(w, http.StatusNotFound, Missing, "%s is no replica; `opalhook registry status` lists them", clip(id))
+		writeError(w, http.StatusNotFound, NotFound, "%s is no replica; `opalhook registry status` lists them", truncate(id))
 		return
 	}
-	if err := s.raft.RemoveServer(raft.ServerID(id), 0, applyWithin).Error(); err != nil {
-		later(w, "removing %s: %v", id, err)
+	if err := s.raft.RemoveServer(raft.ServerID(id), 0, applyTimeout).Error(); err != nil {
+		writeUnavailable(w, "removing %s: %v", id, err)
 		return
 	}
-	s.log.Info("replica removed", "replica", id)
-	json.NewEncoder(w).Encode(Outcome{Code: Done, Generation: s.machine.generation()})
+	s.logger.Info("replica removed", "replica", id)
+	json.NewEncoder(w).Encode(Outcome{Code: Done, Generation: s.fsm.generation()})
 }
--- a/internal/registry/restore.go
+++ b/internal/registry/restore.go
@@ -32,7 +32,7 @@
 	if err := json.NewDecoder(backup).Decode(&st); err != nil {
 		return nil, fmt.Errorf("backup: %w", err)
 	}
-	n, err := st.Restored(max(epoch, st.Epoch()+1))
+	n, err := st.RestoredInEpoch(max(epoch, st.Epoch()+1))
 	if err != nil {
 		return nil, err
 	}
@@ -71,11 +71,11 @@
 	if err := json.Unmarshal(text, &st); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	o, err := s.commit(Command{Kind: Load, Image: &st})
+	o, err := s.commit(Command{Kind: Load, Snapshot: &st})
 	if err != nil {
 		return fmt.Errorf("restored state: %w", err)
 	}
-	if o.Code != Done && o.Code != Same {
+	if o.Code != Done && o.Code != Unchanged {
 		return fmt.Errorf("restored state: %s", o.Message)
 	}
 	return os.Remove(path)
--- a/internal/registry/server_test.go
+++ b/internal/registry/server_test.go
@@ -24,12 +24,12 @@
 )
 
 // patience bounds every wait; none is expected to come near it.
-const patience = 60 * time.Second
+const testTimeout = 60 * time.Second
 
 // replica starts one with its state in dir; it ends with the test.
-func replica(t testing.TB, dir, join string, change ...func(*Config)) *Server {
+func startReplica(t testing.TB, dir, join string, change ...func(*Config)) *Server {
 	t.Helper()
-	cfg := Config{Dir: dir, Listen: testnet.AnyPort(), Raft: testnet.AnyPort(), Join: join, Log: slog.New(slog.DiscardHandler)}
+	cfg := Config{Dir: dir, Listen: testnet.AnyPort(), Raft: testnet.AnyPort(), Join: join, Logger: slog.New(slog.DiscardHandler)}
 	for _, f := range change {
 		f(&cfg)
 	}
@@ -44,7 +44,7 @@
 // call sends a request, again while the service has no leader, and returns what came.
 func call(t testing.TB, method, url, body string) (int, string) {
 	t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(20 * time.Millisecond) {
 		req, err := http.NewRequest(method, url, strings.NewReader(body))
 		if err != nil {
 			t.Fatal(err)
@@ -75,15 +75,15 @@
 }
 
 // watcher follows a watch as an edge node does.
-type watcher struct {
+type testWatch struct {
 	body  io.Closer
 	lines chan message
 }
 
-func watch(t testing.TB, addr string, from uint64) *watcher {
+func startWatch(t testing.TB, addr string, from uint64) *testWatch {
 	t.Helper()
 	var resp *http.Response
-	eventually(t, "a watch", func() bool {
+	waitFor(t, "a watch", func() bool {
 		r, err := http.Get(fmt.Sprintf("http://%s/registry/instances?watch=1&from=%d", addr, from))
 		if err != nil {
 			return false
@@ -95,7 +95,7 @@
 		resp = r
 		return true
 	})
-	w := &watcher{resp.Body, make(chan message, 10000)}
+	w := &testWatch{resp.Body, make(chan message, 10000)}
 	t.Cleanup(func() { resp.Body.Close() })
 	go func() {
 		defer close(w.lines)
@@ -111,7 +111,7 @@
 	return w
 }
 
-func (w *watcher) next(t testing.TB) message {
+func (w *testWatch) next(t testing.TB) message {
 	t.Helper()
 	select {
 	case m, ok := <-w.lines:
@@ -119,15 +119,15 @@
 			t.Fatal("the watch ended")
 		}
 		return m
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("nothing comes on the watch")
 	}
 	return message{}
 }
 
-func eventually(t testing.TB, what string, cond func() bool) {
+func waitFor(t testing.TB, what string, cond func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !cond(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !cond(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("never: %s", what)
 		}
@@ -135,8 +135,8 @@
 }
 
 // The life of an entry over HTTP, and what a watch and a reader see of it.
-func TestLifeOfAnEntry(t *testing.T) {
-	s := replica(t, t.TempDir(), "")
+func TestInstanceLifecycle(t *testing.T) {
+	s := startReplica(t, t.TempDir(), "")
 	base := "http://" + s.Addr() + "/registry/instances"
 	for _, c := range []struct {
 		name, method, path, body string
@@ -144,18 +144,18 @@
 		code                     Code
 	}{
 		{"registered", "POST", "", registration("s-a", 1, 5, 0), 200, Done},
-		{"sent again", "POST", "", registration("s-a", 1, 5, 0), 200, Same},
-		{"older incarnation", "POST", "", registration("s-a", 1, 4, 0), 409, Stale},
-		{"address of another", "POST", "", registration("s-b", 1, 1, 0), 409, Taken},
+		{"sent again", "POST", "", registration("s-a", 1, 5, 0), 200, Unchanged},
+		{"older incarnation", "POST", "", registration("s-a", 1, 4, 0), 409, StaleIncarnation},
+		{"address of another", "POST", "", registration("s-b", 1, 1, 0), 409, AddressConflict},
 		{"renewed", "POST", "/s-a/renew?incarnation=5", "", 200, Done},
-		{"renewed by an older one", "POST", "/s-a/renew?incarnation=4", "", 409, Stale},
-		{"renewed by nobody", "POST", "/s-z/renew?incarnation=1", "", 404, Missing},
+		{"renewed by an older one", "POST", "/s-a/renew?incarnation=4", "", 409, StaleIncarnation},
+		{"renewed by nobody", "POST", "/s-z/renew?incarnation=1", "", 404, NotFound},
 		{"drained", "POST", "/s-a/drain?incarnation=5", "", 200, Done},
-		{"drained again", "POST", "/s-a/drain?incarnation=5", "", 200, Same},
-		{"removed by an older one", "DELETE", "/s-a?incarnation=4", "", 409, Stale},
+		{"drained again", "POST", "/s-a/drain?incarnation=5", "", 200, Unchanged},
+		{"removed by an older one", "DELETE", "/s-a?incarnation=4", "", 409, StaleIncarnation},
 		{"removed", "DELETE", "/s-a?incarnation=5", "", 200, Done},
-		{"removed again", "DELETE", "/s-a?incarnation=5", "", 200, Same},
-		{"registered late", "POST", "", registration("s-a", 1, 5, 0), 409, Stale},
+		{"removed again", "DELETE", "/s-a?incarnation=5", "", 200, Unchanged},
+		{"registered late", "POST", "", registration("s-a", 1, 5, 0), 409, StaleIncarnation},
 		{"its next life", "POST", "", registration("s-a", 1, 6, 0), 200, Done},
 	} {
 		status, text := call(t, c.method, base+c.path, c.body)
@@ -164,7 +164,7 @@
 			t.Errorf("%s: %d %s", c.name, status, text)
 		}
 	}
-	w := watch(t, s.Addr(), 1)
+	w := startWatch(t, s.Addr(), 1)
 	var seen []string
 	for range 3 {
 		m := w.next(t)
@@ -173,18 +173,18 @@
 	if got, want := fmt.Sprint(seen), "[2 false draining 3 false removed 4 false up]"; got != want {
 		t.Errorf("the watch tells %s, want %s", got, want)
 	}
-	if m := watch(t, s.Addr(), 0).next(t); !m.Reset || m.Generation != 4 || len(m.Instances) != 1 {
+	if m := startWatch(t, s.Addr(), 0).next(t); !m.Reset || m.Generation != 4 || len(m.Instances) != 1 {
 		t.Errorf("a new watch gets %+v", m)
 	}
 	// A version that this list never had, at its leader: another list's. The whole of this one.
-	if m := watch(t, s.Addr(), 1<<40).next(t); !m.Reset || m.Generation != 4 {
+	if m := startWatch(t, s.Addr(), 1<<40).next(t); !m.Reset || m.Generation != 4 {
 		t.Errorf("a reader of another list gets %+v", m)
 	}
 }
 
 // Bad input costs its sender an error and nobody else anything.
-func TestBadInput(t *testing.T) {
-	s := replica(t, t.TempDir(), "")
+func TestInvalidRequests(t *testing.T) {
+	s := startReplica(t, t.TempDir(), "")
 	base := "http://" + s.Addr() + "/registry/instances"
 	call(t, "POST", base, registration("s-a", 1, 1, 0))
 	for _, c := range []struct {
@@ -203,20 +203,20 @@
 			t.Errorf("%s %.60s %.60s: %d %.200s, want %d", c.method, c.path, c.body, status, text, c.status)
 		}
 	}
-	if g := s.machine.generation(); g != 1 {
+	if g := s.fsm.generation(); g != 1 {
 		t.Errorf("generation %d", g)
 	}
 }
 
 // An entry whose lease is not renewed is removed; one that is stays, also with a new leader.
 func TestLeasesOverHTTP(t *testing.T) {
-	s := replica(t, t.TempDir(), "")
+	s := startReplica(t, t.TempDir(), "")
 	base := "http://" + s.Addr() + "/registry/instances"
 	for n := range 5 {
 		call(t, "POST", base, registration(fmt.Sprint("s-", n), n+1, 1, time.Hour))
 	}
 	call(t, "POST", base, registration("s-short", 99, 1, time.Second))
-	w := watch(t, s.Addr(), 6)
+	w := startWatch(t, s.Addr(), 6)
 	if m := w.next(t); len(m.Instances) != 1 || m.Instances[0].InstanceID != "s-short" || m.Instances[0].Lifecycle != Removed {
 		t.Errorf("%+v", m)
 	}
@@ -227,16 +227,16 @@
 
 // Three replicas: a write at a follower finds the leader, a new leader has all that was
 // acknowledged, and watches of every replica go on by changes.
-func TestReplicasAgree(t *testing.T) {
+func TestReplication(t *testing.T) {
 	dirs := []string{t.TempDir(), t.TempDir(), t.TempDir()}
-	first := replica(t, dirs[0], "")
-	all := []*Server{first, replica(t, dirs[1], first.Addr()), replica(t, dirs[2], first.Addr())}
+	first := startReplica(t, dirs[0], "")
+	all := []*Server{first, startReplica(t, dirs[1], first.Addr()), startReplica(t, dirs[2], first.Addr())}
 	for n := range 10 { // at each in turn
 		if status, text := call(t, "POST", "http://"+all[n%3].Addr()+"/registry/instances", registration(fmt.Sprint("s-", n), n+1, 1, 0)); status != 200 {
 			t.Fatalf("%d %s", status, text)
 		}
 	}
-	followers := []*watcher{watch(t, all[1].Addr(), 0), watch(t, all[2].Addr(), 0)}
+	followers := []*testWatch{startWatch(t, all[1].Addr(), 0), startWatch(t, all[2].Addr(), 0)}
 	for _, w := range followers {
 		for got := 0; got < 10; {
 			if m := w.next(t); m.Reset {
@@ -258,14 +258,14 @@
 		}
 	}
 	// The one that was away takes up where the others are.
-	back := replica(t, dirs[0], "", func(c *Config) { c.Listen, c.Raft = first.Addr(), raftAddr(first) })
-	eventually(t, "the replica that was away has caught up", func() bool { return back.machine.generation() == 11 })
+	back := startReplica(t, dirs[0], "", func(c *Config) { c.Listen, c.Raft = first.Addr(), raftAddr(first) })
+	waitFor(t, "the replica that was away has caught up", func() bool { return back.fsm.generation() == 11 })
 }
 
 func raftAddr(s *Server) string {
 	for _, r := range s.raft.GetConfiguration().Configuration().Servers {
 		if string(r.ID) == s.id {
-			addr, _, _ := strings.Cut(string(r.Address), nameMark)
+			addr, _, _ := strings.Cut(string(r.Address), addressNameSeparator)
 			return addr
 		}
 	}
@@ -273,9 +273,9 @@
 }
 
 // What was acknowledged is there after a restart, and the file that is damaged is named.
-func TestStateOutlivesTheProcess(t *testing.T) {
+func TestStatePersists(t *testing.T) {
 	dir := t.TempDir()
-	s := replica(t, dir, "")
+	s := startReplica(t, dir, "")
 	call(t, "POST", "http://"+s.Addr()+"/registry/instances", registration("s-a", 1, 1, 0))
 	if err := s.raft.Snapshot().Error(); err != nil {
 		t.Fatal(err)
@@ -286,12 +286,12 @@
 		t.Fatal(err)
 	}
 	same := func(c *Config) { c.Listen, c.Raft = addr, raftAt }
-	elsewhere := Config{Dir: dir, Listen: "127.0.0.1:0", Raft: raftAt, Log: slog.New(slog.DiscardHandler)}
+	elsewhere := Config{Dir: dir, Listen: "127.0.0.1:0", Raft: raftAt, Logger: slog.New(slog.DiscardHandler)}
 	if _, err := Start(t.Context(), elsewhere); err == nil || !strings.Contains(err.Error(), "belongs to "+addr) {
 		t.Errorf("a replica starts where the others don't know it: %v", err)
 	}
-	s = replica(t, dir, "", same)
-	eventually(t, "the state is back", func() bool { return s.machine.generation() == 2 })
+	s = startReplica(t, dir, "", same)
+	waitFor(t, "the state is back", func() bool { return s.fsm.generation() == 2 })
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -299,7 +299,7 @@
 	if err := os.WriteFile(db, []byte("torn"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cfg := Config{Dir: dir, Listen: addr, Raft: raftAt, Log: slog.New(slog.DiscardHandler)}
+	cfg := Config{Dir: dir, Listen: addr, Raft: raftAt, Logger: slog.New(slog.DiscardHandler)}
 	if _, err := Start(t.Context(), cfg); err == nil || !strings.Contains(err.Error(), db) || !strings.Contains(err.Error(), "--join") {
 		t.Errorf("error %v names no file or no way out", err)
 	}
@@ -313,13 +313,13 @@
 
 // failing is a log store whose disk is full from a moment on, or whose fsync fails though the
 // log was written.
-type failing struct {
+type failingStore struct {
 	raft.LogStore
 	full  *atomic.Bool
 	fsync bool
 }
 
-func (f failing) StoreLogs(logs []*raft.Log) error {
+func (f failingStore) StoreLogs(logs []*raft.Log) error {
 	switch {
 	case !f.full.Load():
 		return f.LogStore.StoreLogs(logs)
@@ -332,15 +332,15 @@
 // A write that can't be made durable is not acknowledged, and the client is told; once the disk
 // is well, sent again, it is done once.
 func TestFullDisk(t *testing.T) {
-	t.Run("full", func(t *testing.T) { sickDisk(t, false) })
-	t.Run("fsync", func(t *testing.T) { sickDisk(t, true) })
+	t.Run("full", func(t *testing.T) { testFailingDisk(t, false) })
+	t.Run("fsync", func(t *testing.T) { testFailingDisk(t, true) })
 }
 
-func sickDisk(t *testing.T, fsync bool) {
+func testFailingDisk(t *testing.T, fsync bool) {
 	var full atomic.Bool
-	s := replica(t, t.TempDir(), "", func(c *Config) {
-		c.Stores = func(l raft.LogStore, st raft.StableStore) (raft.LogStore, raft.StableStore) {
-			return failing{l, &full, fsync}, st
+	s := startReplica(t, t.TempDir(), "", func(c *Config) {
+		c.WrapStores = func(l raft.LogStore, st raft.StableStore) (raft.LogStore, raft.StableStore) {
+			return failingStore{l, &full, fsync}, st
 		}
 	})
 	base := "http://" + s.Addr() + "/registry/instances"
@@ -354,24 +354,24 @@
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("status %s", resp.Status)
 	}
-	if g := s.machine.generation(); g != 1 {
+	if g := s.fsm.generation(); g != 1 {
 		t.Errorf("generation %d after a write that was not kept", g)
 	}
 	full.Store(false)
 	status, text := call(t, "POST", base, registration("s-b", 2, 1, 0))
-	if status != http.StatusOK || s.machine.generation() != 2 {
-		t.Errorf("sent again: %d %s, generation %d", status, text, s.machine.generation())
+	if status != http.StatusOK || s.fsm.generation() != 2 {
+		t.Errorf("sent again: %d %s, generation %d", status, text, s.fsm.generation())
 	}
 }
 
 // A watch that does not read is dropped and holds no other up; connections that say nothing, or
 // say it slowly, are closed and hold up nobody.
-func TestMuteAndSlowClients(t *testing.T) {
-	s := replica(t, t.TempDir(), "")
+func TestSilentAndSlowClients(t *testing.T) {
+	s := startReplica(t, t.TempDir(), "")
 	base := "http://" + s.Addr() + "/registry/instances"
 	for n := range 400 { // more than the buffers between take
 		e := entry(fmt.Sprint("s-", n), n+1)
-		e.MachineType = strings.Repeat("m", mostName)
+		e.MachineType = strings.Repeat("m", maxNameLength)
 		text, err := json.Marshal(Registration{Entry: e, Incarnation: 1})
 		if err != nil {
 			t.Fatal(err)
@@ -400,16 +400,16 @@
 		mute = append(mute, dial("POST /registry/instances HTTP/1.1\r\nHost: x\r\nContent-Length: 500\r\n\r\n{"))
 	}
 	dial("GET /registry/instances?watch=1&from=0 HTTP/1.1\r\nHost: x\r\n\r\n")
-	eventually(t, "the deaf watch is open", func() bool { return s.watches.Load() == 1 })
-	good := watch(t, s.Addr(), 0)
+	waitFor(t, "the deaf watch is open", func() bool { return s.openWatches.Load() == 1 })
+	good := startWatch(t, s.Addr(), 0)
 	good.next(t)
 	call(t, "POST", base+"/s-1/drain", "")
 	if m := good.next(t); m.Generation != 401 {
 		t.Errorf("beside the deaf and the mute a watch gets %+v", m)
 	}
-	eventually(t, "the watch that does not read is dropped", func() bool { return s.watches.Load() == 1 })
+	waitFor(t, "the watch that does not read is dropped", func() bool { return s.openWatches.Load() == 1 })
 	for _, c := range mute {
-		c.SetReadDeadline(time.Now().Add(patience))
+		c.SetReadDeadline(time.Now().Add(testTimeout))
 		text, err := io.ReadAll(c)
 		if err != nil && !errors.Is(err, syscall.ECONNRESET) {
 			t.Fatalf("a mute connection stays open: %v", err)
@@ -422,8 +422,8 @@
 
 // What one leadership found to have run out is not expired in another one's time: that may have
 // taken a renewal.
-func TestExpiryOfAnotherLeadershipIsRefused(t *testing.T) {
-	m := newMachine(func(Command, Outcome) {})
+func TestExpiryOfEarlierTermRejected(t *testing.T) {
+	m := newFSM(func(Command, Outcome) {})
 	apply := func(term uint64, c Command) Code {
 		text, err := json.Marshal(c)
 		if err != nil {
@@ -432,8 +432,8 @@
 		return m.Apply(&raft.Log{Term: term, Data: text}).(Outcome).Code
 	}
 	apply(2, Command{Kind: Register, Entry: entry("s-a", 1), Incarnation: 1, Lease: time.Minute})
-	late := Command{Kind: Expire, Expired: []Owner{{"s-a", 1}}, Term: 2}
-	if code := apply(3, late); code != Stale || m.generation() != 1 {
+	late := Command{Kind: Expire, Expired: []InstanceRef{{"s-a", 1}}, Term: 2}
+	if code := apply(3, late); code != StaleIncarnation || m.generation() != 1 {
 		t.Errorf("an expiry of term 2 in term 3: %s, generation %d", code, m.generation())
 	}
 	if late.Term = 3; apply(3, late) != Done || m.generation() != 2 {
@@ -442,11 +442,11 @@
 }
 
 // Watches that come too fast are turned away with advice; one that is open is not starved.
-func TestJoinsArePaced(t *testing.T) {
-	s := replica(t, t.TempDir(), "", func(c *Config) { c.Joins = 3 })
+func TestWatchOpensAreRateLimited(t *testing.T) {
+	s := startReplica(t, t.TempDir(), "", func(c *Config) { c.WatchOpensPerSecond = 3 })
 	base := "http://" + s.Addr() + "/registry/instances"
 	call(t, "POST", base, registration("s-a", 1, 1, 0))
-	open := watch(t, s.Addr(), 0)
+	open := startWatch(t, s.Addr(), 0)
 	open.next(t)
 	turned := 0
 	for range 20 {
@@ -471,7 +471,7 @@
 // A backup taken of one service begins another, in an epoch of its own: a reader of the first
 // gets the whole list, and no generation is used twice.
 func TestBackupAndRestore(t *testing.T) {
-	s := replica(t, t.TempDir(), "")
+	s := startReplica(t, t.TempDir(), "")
 	base := "http://" + s.Addr() + "/registry/"
 	call(t, "POST", base+"instances", registration("s-a", 1, 7, time.Hour))
 	status, backup := call(t, "GET", base+"backup", "")
@@ -479,7 +479,7 @@
 		t.Fatalf("%d %s", status, backup)
 	}
 	call(t, "POST", base+"instances", registration("s-b", 2, 1, 0)) // after the backup: lost
-	old := s.machine.generation()
+	old := s.fsm.generation()
 	dir := filepath.Join(t.TempDir(), "new")
 	if _, err := Restore(dir, strings.NewReader(backup), EpochAt(time.Now())); err != nil {
 		t.Fatal(err)
@@ -487,9 +487,9 @@
 	if _, err := Restore(dir, strings.NewReader(backup), EpochAt(time.Now())); err == nil {
 		t.Error("restored over what is there")
 	}
-	n := replica(t, dir, "")
-	eventually(t, "the backup is loaded", func() bool { return n.machine.generation() > old })
-	if m := watch(t, n.Addr(), old).next(t); !m.Reset || m.Generation <= old || len(m.Instances) != 1 || m.Instances[0].InstanceID != "s-a" {
+	n := startReplica(t, dir, "")
+	waitFor(t, "the backup is loaded", func() bool { return n.fsm.generation() > old })
+	if m := startWatch(t, n.Addr(), old).next(t); !m.Reset || m.Generation <= old || len(m.Instances) != 1 || m.Instances[0].InstanceID != "s-a" {
 		t.Errorf("a reader of the list before gets %+v", m)
 	}
 	if status, text := call(t, "POST", "http://"+n.Addr()+"/registry/instances", registration("s-a", 1, 6, 0)); status != http.StatusConflict {
--- a/internal/registry/stream.go
+++ b/internal/registry/stream.go
@@ -13,16 +13,16 @@
 
 // sendBuffer bounds what the kernel holds for a watch that does not read. Left to itself it
 // grows to megabytes for each.
-const sendBuffer = 32 << 10
+const sendBufferSize = 32 << 10
 
 // smallBuffers is a listener whose connections keep their send buffers small.
-type smallBuffers struct{ net.Listener }
+type smallBufferListener struct{ net.Listener }
 
 // Accept implements net.Listener.
-func (l smallBuffers) Accept() (net.Conn, error) {
+func (l smallBufferListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if t, ok := c.(*net.TCPConn); ok && err == nil {
-		err = t.SetWriteBuffer(sendBuffer)
+		err = t.SetWriteBuffer(sendBufferSize)
 	}
 	return c, err
 }
@@ -31,32 +31,32 @@
 // and each connection begins with a line that says whom it is meant for; another one hangs up.
 // A replica whose state was lost, and that was started anew at the same address, must not be
 // taken for the one that it was: it has forgotten what it voted and what it acknowledged.
-type stream struct {
+type streamLayer struct {
 	net.Listener
 	name string            // of this replica
 	via  map[string]string // other ways to addresses
 }
 
 const (
-	greeting    = "opalhook registry for "
-	greetWithin = 3 * time.Second
-	nameMark    = "#" // between an address and the name
+	greeting             = "opalhook registry for "
+	greetingTimeout      = 3 * time.Second
+	addressNameSeparator = "#" // between an address and the name
 )
 
 // named is an address of the other replicas.
-type named struct {
+type namedAddr struct {
 	net.Addr
 	name string
 }
 
-func (a named) String() string { return a.Addr.String() + nameMark + a.name }
+func (a namedAddr) String() string { return a.Addr.String() + addressNameSeparator + a.name }
 
 // Addr implements net.Listener.
-func (s stream) Addr() net.Addr { return named{s.Listener.Addr(), s.name} }
+func (s streamLayer) Addr() net.Addr { return namedAddr{s.Listener.Addr(), s.name} }
 
 // Dial implements raft.StreamLayer.
-func (s stream) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	addr, name, _ := strings.Cut(string(address), nameMark)
+func (s streamLayer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+	addr, name, _ := strings.Cut(string(address), addressNameSeparator)
 	if other, ok := s.via[addr]; ok {
 		addr = other
 	}
@@ -73,32 +73,32 @@
 }
 
 // Accept implements net.Listener.
-func (s stream) Accept() (net.Conn, error) {
+func (s streamLayer) Accept() (net.Conn, error) {
 	c, err := s.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &greeted{Conn: c, want: greeting + s.name + "\n"}, nil
+	return &greetedConn{Conn: c, expectedGreeting: greeting + s.name + "\n"}, nil
 }
 
 // greeted is a connection whose first line is not read yet.
-type greeted struct {
+type greetedConn struct {
 	net.Conn
-	want string // "" once it was read
+	expectedGreeting string // "" once it was read
 }
 
 // Read implements net.Conn.
-func (g *greeted) Read(b []byte) (int, error) {
-	if g.want != "" {
-		got := make([]byte, len(g.want))
-		g.SetReadDeadline(time.Now().Add(greetWithin))
+func (g *greetedConn) Read(b []byte) (int, error) {
+	if g.expectedGreeting != "" {
+		got := make([]byte, len(g.expectedGreeting))
+		g.SetReadDeadline(time.Now().Add(greetingTimeout))
 		if _, err := io.ReadFull(g.Conn, got); err != nil {
 			return 0, fmt.Errorf("greeting: %w", err)
 		}
-		if string(got) != g.want {
+		if string(got) != g.expectedGreeting {
 			return 0, errors.New("greeting: meant for another replica")
 		}
-		g.want = ""
+		g.expectedGreeting = ""
 		if err := g.SetReadDeadline(time.Time{}); err != nil {
 			return 0, err
 		}
--- a/internal/registry/transport.go
+++ b/internal/registry/transport.go
@@ -12,7 +12,7 @@
 type transport struct {
 	*raft.NetworkTransport
 
-	handling sync.RWMutex // read-locked while a heartbeat is handled
+	handleMu sync.RWMutex // read-locked while a heartbeat is handled
 	closed   bool         // guarded by handling
 }
 
@@ -24,8 +24,8 @@
 // connection of a heartbeat that comes then ends without an answer.
 func (t *transport) SetHeartbeatHandler(handle func(raft.RPC)) {
 	t.NetworkTransport.SetHeartbeatHandler(func(heartbeat raft.RPC) {
-		t.handling.RLock()
-		defer t.handling.RUnlock()
+		t.handleMu.RLock()
+		defer t.handleMu.RUnlock()
 		if !t.closed {
 			handle(heartbeat)
 		}
@@ -35,8 +35,8 @@
 // Close implements raft.WithClose. It returns when no heartbeat is handled any more.
 func (t *transport) Close() error {
 	err := t.NetworkTransport.Close()
-	t.handling.Lock()
-	defer t.handling.Unlock()
+	t.handleMu.Lock()
+	defer t.handleMu.Unlock()
 	t.closed = true
 	return err
 }
--- a/internal/registry/transport_test.go
+++ b/internal/registry/transport_test.go
@@ -28,13 +28,13 @@
 }
 
 // testStream is a listener of replicas for a name.
-func testStream(t *testing.T, name string) stream {
+func testStream(t *testing.T, name string) streamLayer {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return stream{Listener: ln, name: name}
+	return streamLayer{Listener: ln, name: name}
 }
 
 // testLeader sends heartbeats as the leader of a service does, over one connection while that lasts.
@@ -42,7 +42,7 @@
 
 func newTestLeader(t *testing.T) testLeader {
 	leader := testLeader{raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
-		Stream: testStream(t, "leader"), MaxPool: 1, Timeout: patience, Logger: quietLogger()})}
+		Stream: testStream(t, "leader"), MaxPool: 1, Timeout: testTimeout, Logger: discardLogger()})}
 	t.Cleanup(func() {
 		leader.Close()
 		leader.CloseStreams()
@@ -59,25 +59,25 @@
 
 // A heartbeat of a new leader that is being handled as a replica closes is handled to its end: the replica's files
 // stay open for the term that it writes.
-func TestCloseWaitsForAHeartbeat(t *testing.T) {
+func TestCloseWaitsForHeartbeat(t *testing.T) {
 	const newTerm = 1000 // that no election of this replica reaches
 	store := &gatedStore{term: newTerm, entered: make(chan struct{}), release: make(chan struct{})}
-	s := replica(t, t.TempDir(), "", func(c *Config) {
-		c.Stores = func(logs raft.LogStore, stable raft.StableStore) (raft.LogStore, raft.StableStore) {
+	s := startReplica(t, t.TempDir(), "", func(c *Config) {
+		c.WrapStores = func(logs raft.LogStore, stable raft.StableStore) (raft.LogStore, raft.StableStore) {
 			store.StableStore = stable
 			return logs, store
 		}
 	})
-	eventually(t, "the replica leads", s.Leads)
+	waitFor(t, "the replica leads", s.IsLeader)
 	answered := make(chan error, 1)
 	leader := newTestLeader(t)
-	go func() { answered <- leader.heartbeat(s.trans.LocalAddr(), newTerm) }()
+	go func() { answered <- leader.heartbeat(s.transport.LocalAddr(), newTerm) }()
 	<-store.entered
 	closed := make(chan error, 1)
 	go func() { closed <- s.Close() }()
 	// Let go once Close waits for the heartbeat; a Close that does not wait is over by then, and its files with it.
-	for early := false; !early && s.trans.handling.TryRLock(); {
-		s.trans.handling.RUnlock()
+	for early := false; !early && s.transport.handleMu.TryRLock(); {
+		s.transport.handleMu.RUnlock()
 		select {
 		case err := <-closed:
 			closed <- err
@@ -91,7 +91,7 @@
 	for what, ended := range map[string]chan error{"the heartbeat is over": answered, "the replica has closed": closed} {
 		select {
 		case <-ended:
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatalf("never: %s", what)
 		}
 	}
@@ -101,8 +101,8 @@
 }
 
 // A heartbeat that comes on an open connection once the transport has closed is not handled.
-func TestHeartbeatAfterTheCloseIsDropped(t *testing.T) {
-	trans := newTransport(&raft.NetworkTransportConfig{Stream: testStream(t, "replica"), MaxPool: 1, Timeout: patience, Logger: quietLogger()})
+func TestHeartbeatAfterCloseIsDropped(t *testing.T) {
+	trans := newTransport(&raft.NetworkTransportConfig{Stream: testStream(t, "replica"), MaxPool: 1, Timeout: testTimeout, Logger: discardLogger()})
 	defer trans.Close()
 	var handled atomic.Int32
 	trans.SetHeartbeatHandler(func(heartbeat raft.RPC) {
--- a/internal/registry/watch.go
+++ b/internal/registry/watch.go
@@ -18,73 +18,73 @@
 // Readers of the list: once, and over a watch that stays open.
 
 // watchHead begins a watch's answer.
-const watchHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
+const watchResponseHeader = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 // watch takes a watch's connection from the HTTP server, whose buffers and second goroutine for
 // each would be most of what a watch costs.
-func (s *Server) watch(w http.ResponseWriter, r *http.Request, from uint64) {
+func (s *Server) handleWatch(w http.ResponseWriter, r *http.Request, from uint64) {
 	if !r.ProtoAtLeast(1, 1) {
-		problem(w, http.StatusHTTPVersionNotSupported, Invalid, "a watch is told in chunks, as HTTP/1.1 has them")
+		writeError(w, http.StatusHTTPVersionNotSupported, Invalid, "a watch is told in chunks, as HTTP/1.1 has them")
 		return
 	}
-	rd := s.machine.since(from)
-	if rd.ahead {
-		if rd = s.awaitReader(r, from); rd.ahead {
-			later(w, "this replica is behind generation %d; ask another", from)
+	rd := s.fsm.readSince(from)
+	if rd.readerAhead {
+		if rd = s.awaitGeneration(r, from); rd.readerAhead {
+			writeUnavailable(w, "this replica is behind generation %d; ask another", from)
 			return
 		}
 	}
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
-		problem(w, http.StatusInternalServerError, "failed", "watch: %v", err)
+		writeError(w, http.StatusInternalServerError, "failed", "watch: %v", err)
 		return
 	}
-	s.watches.Add(1)
-	s.work.Go(func() {
-		defer s.watches.Add(-1)
+	s.openWatches.Add(1)
+	s.goroutines.Go(func() {
+		defer s.openWatches.Add(-1)
 		defer conn.Close()
 		defer context.AfterFunc(s.ctx, func() { conn.SetDeadline(time.Now()) })()
 		if conn.SetReadDeadline(time.Time{}) != nil {
 			return
 		}
-		rd.chunks = append([][]byte{[]byte(watchHead)}, rd.chunks...)
-		s.feed(conn, rd)
+		rd.chunks = append([][]byte{[]byte(watchResponseHeader)}, rd.chunks...)
+		s.feedWatch(conn, rd)
 	})
 }
 
 // feed writes changes until the watch ends. It holds no queue: what is to be written lies in the
 // machine, the same bytes for all, and a reader that takes nothing is dropped. One that is gone
 // is found at the next line.
-func (s *Server) feed(conn net.Conn, rd reading) {
-	beat := &s.beats[rand.IntN(len(s.beats))]
+func (s *Server) feedWatch(conn net.Conn, rd watchRead) {
+	beat := &s.heartbeats[rand.IntN(len(s.heartbeats))]
 	for {
-		if err := writeChunks(conn, rd.chunks); err != nil {
-			if errors.Is(err, os.ErrDeadlineExceeded) && !s.over.Load() {
-				s.dropped.Inc()
+		if err := writePaced(conn, rd.chunks); err != nil {
+			if errors.Is(err, os.ErrDeadlineExceeded) && !s.shuttingDown.Load() {
+				s.droppedWatches.Inc()
 			}
 			return
 		}
 		// No other channel is waited for: 10,000 watches would wait for its lock.
-		struck := beat.next()
-		if s.over.Load() {
+		struck := beat.signal()
+		if s.shuttingDown.Load() {
 			return
 		}
 		select {
 		case <-struck:
-			rd.chunks = [][]byte{s.emptyLine}
-		case <-rd.more:
-			rd = s.machine.since(rd.at)
+			rd.chunks = [][]byte{s.heartbeatChunk}
+		case <-rd.updated:
+			rd = s.fsm.readSince(rd.generation)
 		}
 	}
 }
 
 // writeChunks writes chunks to a watch a piece at a time, each within writeWithin: so a slow reader is
 // not dropped for the length of what it is told. The slice of chunks is used up.
-func writeChunks(conn net.Conn, chunks [][]byte) error {
+func writePaced(conn net.Conn, chunks [][]byte) error {
 	for len(chunks) > 0 {
 		var piece net.Buffers
-		piece, chunks = nextPiece(chunks)
-		if err := conn.SetWriteDeadline(time.Now().Add(writeWithin)); err != nil {
+		piece, chunks = nextWrite(chunks)
+		if err := conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 			return err
 		}
 		var err error
@@ -101,10 +101,10 @@
 }
 
 // nextPiece takes up to writePiece bytes, and at least one, from the front of chunks.
-func nextPiece(chunks [][]byte) (piece net.Buffers, rest [][]byte) {
+func nextWrite(chunks [][]byte) (piece net.Buffers, rest [][]byte) {
 	size := 0
 	for i, c := range chunks {
-		if room := writePiece - size; len(c) > room {
+		if room := maxWriteSize - size; len(c) > room {
 			if room == 0 {
 				return chunks[:i:i], chunks[i:]
 			}
@@ -119,46 +119,46 @@
 
 // beat wakes a part of the watches for their empty line. A timer for each watch would have all of
 // them wait for the runtime's lock on its timers at every change.
-type beat struct{ ch atomic.Pointer[chan struct{}] }
+type heartbeat struct{ current atomic.Pointer[chan struct{}] }
 
-func (b *beat) next() chan struct{} { return *b.ch.Load() }
+func (b *heartbeat) signal() chan struct{} { return *b.current.Load() }
 
-func (b *beat) strike() {
+func (b *heartbeat) broadcast() {
 	ch := make(chan struct{})
-	if old := b.ch.Swap(&ch); old != nil {
+	if old := b.current.Swap(&ch); old != nil {
 		close(*old)
 	}
 }
 
 // strikeBeats strikes each part in its turn, and all of them when the replica ends.
-func (s *Server) strikeBeats() {
-	t := time.NewTicker(beatEvery / beatParts)
+func (s *Server) runHeartbeats() {
+	t := time.NewTicker(heartbeatInterval / heartbeatGroups)
 	defer t.Stop()
-	for i := 0; ; i = (i + 1) % beatParts {
+	for i := 0; ; i = (i + 1) % heartbeatGroups {
 		select {
 		case <-s.ctx.Done():
-			s.over.Store(true)
-			for i := range s.beats {
-				s.beats[i].strike()
+			s.shuttingDown.Store(true)
+			for i := range s.heartbeats {
+				s.heartbeats[i].broadcast()
 			}
 			return
 		case <-t.C:
-			s.beats[i].strike()
+			s.heartbeats[i].broadcast()
 		}
 	}
 }
 
 // awaitReader lets a reader wait that is ahead of this replica. A leader whose quorum confirms
 // it is behind nobody: what the reader holds is of another list, and it gets the whole of this.
-func (s *Server) awaitReader(r *http.Request, from uint64) reading {
+func (s *Server) awaitGeneration(r *http.Request, from uint64) watchRead {
 	if s.raft.State() == raft.Leader && s.raft.VerifyLeader().Error() == nil {
-		return s.machine.since(0)
+		return s.fsm.readSince(0)
 	}
-	timer := time.NewTimer(aheadWait)
+	timer := time.NewTimer(readerAheadTimeout)
 	defer timer.Stop()
 	for {
-		rd := s.machine.since(from)
-		if !rd.ahead {
+		rd := s.fsm.readSince(from)
+		if !rd.readerAhead {
 			return rd
 		}
 		select {
@@ -168,21 +168,21 @@
 			return rd
 		case <-s.ctx.Done():
 			return rd
-		case <-rd.more:
+		case <-rd.updated:
 		}
 	}
 }
 
 // read answers the list or a watch, in the platform's form.
-func (s *Server) read(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleList(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	if q.Get("watch") == "" {
-		text := s.machine.list().line()
+		text := s.fsm.currentList().json()
 		w.Header().Set("Content-Type", "application/json")
 		w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 		rc := http.NewResponseController(w)
-		for piece := range slices.Chunk(text, writePiece) {
-			if rc.SetWriteDeadline(time.Now().Add(writeWithin)) != nil {
+		for piece := range slices.Chunk(text, maxWriteSize) {
+			if rc.SetWriteDeadline(time.Now().Add(writeTimeout)) != nil {
 				return
 			}
 			if _, err := w.Write(piece); err != nil {
@@ -193,13 +193,13 @@
 	}
 	from, err := strconv.ParseUint(q.Get("from"), 10, 64)
 	if q.Get("from") != "" && err != nil {
-		problem(w, http.StatusBadRequest, Invalid, "from: %q is no generation", clip(q.Get("from")))
+		writeError(w, http.StatusBadRequest, Invalid, "from: %q is no generation", truncate(q.Get("from")))
 		return
 	}
-	if !s.joins.Allow() {
-		s.turned.Inc()
-		later(w, "too many watches are being opened; come again")
+	if !s.watchLimiter.Allow() {
+		s.rejectedWatches.Inc()
+		writeUnavailable(w, "too many watches are being opened; come again")
 		return
 	}
-	s.watch(w, r, from)
+	s.handleWatch(w, r, from)
 }
--- a/internal/scale/list_expiry.go
+++ b/internal/scale/list_expiry.go
@@ -153,7 +153,7 @@
 	if latest, failed := r.writer.status(r.at.ctx); failed == nil {
 		status = latest
 	}
-	return status, errors.Join(err, &expiryError{status.Entries, others, status.Paused, waited})
+	return status, errors.Join(err, &expiryError{status.Entries, others, status.ExpirySuspended, waited})
 }
 
 // expiryError tells that entries stay whose leases have run out.
--- a/internal/scale/list_expiry_test.go
+++ b/internal/scale/list_expiry_test.go
@@ -111,13 +111,13 @@
 // Leases that run out before they are renewed are no expiry measured.
 func TestExpiryBeforeTheRenewalsFails(t *testing.T) {
 	t.Parallel()
-	run := startExpiry(t, 60, registry.LeastLease)
+	run := startExpiry(t, 60, registry.MinLease)
 	if err := awaitReplica(t.Context(), "the leases to run out", func() bool { return run.service.Generation() > run.before }); err != nil {
 		t.Fatal(err)
 	}
 	_, err := run.renew()
 	var early *earlyExpiryError
-	if !errors.As(err, &early) || early.before != run.before || early.now <= early.before || early.lease != registry.LeastLease {
+	if !errors.As(err, &early) || early.before != run.before || early.now <= early.before || early.lease != registry.MinLease {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/scale/list_lost.go
+++ b/internal/scale/list_lost.go
@@ -108,7 +108,7 @@
 		return err
 	}
 	loss.addRows(r.rows)
-	r.rows.count("another replica leads than before", oneIf(!r.leader.Leads()))
+	r.rows.count("another replica leads than before", oneIf(!r.leader.IsLeader()))
 	r.countBack(starts)
 	return r.countTold(watches, back, before.most)
 }
@@ -175,8 +175,8 @@
 }
 
 // owner is an instance as it is at the start.
-func owner(n int) registry.Owner {
-	return registry.Owner{ID: listEntry(n).InstanceID, Incarnation: firstLife}
+func owner(n int) registry.InstanceRef {
+	return registry.InstanceRef{ID: listEntry(n).InstanceID, Incarnation: firstLife}
 }
 
 func (l *replicaLoss) took(removal time.Duration) {
--- a/internal/scale/list_renew.go
+++ b/internal/scale/list_renew.go
@@ -57,7 +57,7 @@
 	}
 	defer func() { err = errors.Join(err, closeReplicas(followers)) }()
 	rows.time("two replicas join, until they have the list", time.Since(began))
-	if err := awaitReplica(at.ctx, "the first replica to lead", leader.Leads); err != nil {
+	if err := awaitReplica(at.ctx, "the first replica to lead", leader.IsLeader); err != nil {
 		return err
 	}
 	return renewAll(at, rows, leader.Addr(), "three replicas")
--- a/internal/scale/list_service.go
+++ b/internal/scale/list_service.go
@@ -98,14 +98,14 @@
 	if err := r.start(ctx, ""); err != nil {
 		return r, err
 	}
-	return r, awaitReplica(ctx, "the replica to lead", r.Leads)
+	return r, awaitReplica(ctx, "the replica to lead", r.IsLeader)
 }
 
 func (r *listReplica) state() string { return filepath.Join(r.dir, "state") }
 
 // start starts the replica, at the address that it had if it was started before.
 func (r *listReplica) start(ctx context.Context, join string) error {
-	server, err := registry.Start(ctx, registry.Config{Dir: r.state(), Listen: r.listen, Raft: r.raft, Join: join, Timeout: r.timeout, Log: slog.New(slog.DiscardHandler)})
+	server, err := registry.Start(ctx, registry.Config{Dir: r.state(), Listen: r.listen, Raft: r.raft, Join: join, ElectionTimeout: r.timeout, Logger: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		return err
 	}
