--- /dev/null
+++ b/internal/registry/client_watch.go
@@ -0,0 +1,58 @@
+package registry
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+)
+
+// ErrWatchEnded is the error of a watch that its replica ended.
+var ErrWatchEnded = errors.New("the watch ended")
+
+// Watch follows the list from a generation, 0 for the full list, at the first replica that accepts the watch. It calls
+// handle for each message and returns an error when the watch or ctx ends.
+func (c *Client) Watch(ctx context.Context, from uint64, handle func(generation uint64, reset bool, entries []Entry)) error {
+	var lastErr error
+	for _, replica := range c.Replicas {
+		url := fmt.Sprintf("http://%s/registry/instances?watch=1&from=%d", replica, from)
+		req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+		if err != nil {
+			return fmt.Errorf("replica %q: %w", replica, err)
+		}
+		resp, err := http.DefaultClient.Do(req)
+		if err != nil {
+			lastErr = err
+			continue
+		}
+		if resp.StatusCode != http.StatusOK {
+			_ = resp.Body.Close() // it was not read
+			lastErr = fmt.Errorf("%s answers %s", replica, resp.Status)
+			continue
+		}
+		err = readWatch(resp.Body, handle)
+		_ = resp.Body.Close() // the watch is over
+		return fmt.Errorf("%s: %w", replica, err)
+	}
+	return lastErr
+}
+
+// readWatch calls handle for each message until the watch ends. It always returns an error.
+func readWatch(body io.Reader, handle func(generation uint64, reset bool, entries []Entry)) error {
+	lines := bufio.NewScanner(body)
+	lines.Buffer(nil, maxResponseBytes)
+	for lines.Scan() {
+		if len(lines.Bytes()) == 0 {
+			continue // a heartbeat
+		}
+		var m message
+		if err := json.Unmarshal(lines.Bytes(), &m); err != nil {
+			return fmt.Errorf("malformed line: %w", err)
+		}
+		handle(m.Generation, m.Reset, m.Instances)
+	}
+	return errors.Join(lines.Err(), ErrWatchEnded)
+}
--- a/internal/registry/cluster_test.go
+++ b/internal/registry/cluster_test.go
@@ -10,6 +10,8 @@
 	"log/slog"
 	"math/rand/v2"
 	"net/http"
+	"opalhook/internal/testbed"
+	"opalhook/internal/testnet"
 	"os"
 	"os/exec"
 	"os/signal"
@@ -22,9 +24,6 @@
 	"time"
 
 	"github.com/anishathalye/porcupine"
-
-	"opalhook/internal/testbed"
-	"opalhook/internal/testnet"
 )
 
 // asReplica names the variable that makes the test binary a replica: its value is the
@@ -497,7 +496,9 @@
 	}
 	known := 0
 	for _, o := range ops {
-		known += b2i(!o.Output.(result).unknown)
+		if !o.Output.(result).unknown {
+			known++
+		}
 	}
 	if known < 50 {
 		t.Errorf("%d writes with a known end of %d: nothing was tested", known, len(ops))
--- /dev/null
+++ b/internal/registry/command.go
@@ -0,0 +1,82 @@
+package registry
+
+import (
+	"opalhook/internal/discovery"
+	"time"
+)
+
+// Lifecycles of an entry.
+const (
+	Up       = discovery.Up
+	Draining = discovery.Draining
+	Removed  = discovery.Removed
+)
+
+// Entry is an app server in the form of the discovery protocol.
+type Entry = discovery.Entry
+
+// Kinds of commands.
+const (
+	Register = "register"
+	Drain    = "drain"
+	Remove   = "remove"
+	Expire   = "expire"
+	Load     = "load" // the first command of a list that was restored from a backup
+)
+
+// Command is one change to the list, as the replicated log stores it.
+type Command struct {
+	Kind        string        `json:"kind"`
+	Entry       Entry         `json:"entry,omitzero"`        // Register
+	ID          string        `json:"id,omitempty"`          // Drain and Remove: the instance
+	Incarnation uint64        `json:"incarnation,omitempty"` // 0 with Drain and Remove: any
+	Lease       time.Duration `json:"lease,omitempty"`       // Register; 0: the entry does not expire
+	Expired     []InstanceRef `json:"expired,omitempty"`     // Expire
+	Term        uint64        `json:"term,omitempty"`        // Expire: the Raft term in which the leases were found to have expired
+	Snapshot    *State        `json:"image,omitempty"`       // Load
+}
+
+// InstanceRef identifies one incarnation of an instance.
+type InstanceRef struct {
+	ID          string `json:"id"`
+	Incarnation uint64 `json:"incarnation"`
+}
+
+// Registration is the body of a request that registers an instance.
+type Registration struct {
+	Entry
+	Incarnation uint64 `json:"incarnation"`
+	LeaseMs     int64  `json:"leaseMs"` // milliseconds; 0: the entry does not expire
+}
+
+// command returns the command that carries the registration out.
+func (r Registration) command() Command {
+	lease := time.Duration(r.LeaseMs) * time.Millisecond
+	return Command{Kind: Register, Entry: r.Entry, Incarnation: r.Incarnation, Lease: lease}
+}
+
+// Code is the result of a command or request. The strings are part of the HTTP API.
+type Code string
+
+// Codes of outcomes.
+const (
+	Done                 Code = "done"      // the list has changed
+	Unchanged            Code = "same"      // the list already was in the requested state
+	StaleIncarnation     Code = "stale"     // a newer incarnation is, or was, registered
+	NotFound             Code = "missing"   // no such instance
+	AddressConflict      Code = "taken"     // the address belongs to another instance
+	RegistrationConflict Code = "conflict"  // the same incarnation is registered with other properties
+	Invalid              Code = "invalid"   // the command is malformed
+	ListFull             Code = "too-many"  // the list has MaxEntries entries
+	Unavailable          Code = "later"     // not done: the service can't do it now
+	OutcomeUnknown       Code = "unknown"   // it may have been done, or may be done yet
+	NotLeader            Code = "elsewhere" // another replica leads
+	Failed               Code = "failed"    // an internal error
+)
+
+// Outcome is the result of a command or request.
+type Outcome struct {
+	Code       Code   `json:"code"`
+	Generation uint64 `json:"generation"` // of the list after it
+	Message    string `json:"message,omitempty"`
+}
--- a/internal/registry/core_test.go
+++ b/internal/registry/core_test.go
@@ -315,7 +315,7 @@
 	if due := l.Due(now); due != nil {
 		t.Fatalf("all at once: %v", due)
 	}
-	if _, paused := l.Suspended(); !paused {
+	if !l.Suspended() {
 		t.Fatal("not paused")
 	}
 	for now += time.Second; now < 30*time.Second; now += time.Second {
@@ -334,7 +334,7 @@
 	for i := range 20 {
 		l.Renew(now, InstanceRef{fmt.Sprintf("s-%02d", i), 1})
 	}
-	if l.Due(now); func() bool { _, paused := l.Suspended(); return paused }() {
+	if l.Due(now); l.Suspended() {
 		t.Error("still paused when all is well")
 	}
 }
@@ -426,7 +426,7 @@
 			}
 		}
 		due := l.Due(term)
-		if _, paused := l.Suspended(); paused != c.paused {
+		if paused := l.Suspended(); paused != c.paused {
 			t.Errorf("%s: expiry is paused: %v", name, paused)
 		}
 		if c.paused {
--- /dev/null
+++ b/internal/registry/fsm.go
@@ -0,0 +1,108 @@
+package registry
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"sync"
+	"sync/atomic"
+
+	"github.com/hashicorp/raft"
+)
+
+// fsm is the state behind the replicated log, and what its readers need: each change encoded once for all watches, the
+// full list encoded once for many of them.
+type fsm struct {
+	mu           sync.Mutex
+	state        *State
+	restoreCount uint64                 // states that replaced the one before, by a snapshot or a restored backup
+	onChange     func(Command, Outcome) // called for each change, with mu held
+
+	published       atomic.Pointer[publishedVersion] // every watch reads it at each change: a lock would make them wait for one another
+	publishedSignal chan struct{}                    // wakes the notifier
+
+	encodeMu   sync.Mutex  // held while the full list is encoded; taken before mu
+	cachedList encodedList // the latest that was encoded
+}
+
+// newFSM returns an empty list in epoch 0. onChange is called for each change, with the FSM's mutex held.
+func newFSM(onChange func(Command, Outcome)) *fsm {
+	m := &fsm{state: NewState(0), onChange: onChange, publishedSignal: make(chan struct{}, 1)}
+	m.published.Store(&publishedVersion{updated: make(chan struct{})})
+	return m
+}
+
+// Apply implements raft.FSM; it returns an [Outcome]. Every replica skips an entry of the log that can't be decoded.
+func (m *fsm) Apply(entry *raft.Log) any {
+	var c Command
+	if err := json.Unmarshal(entry.Data, &c); err != nil {
+		return Outcome{Code: Invalid, Message: fmt.Sprintf("command: %v", err)}
+	}
+	if c.Kind == Expire && c.Term != entry.Term {
+		// Another leader was elected after these leases were found to have expired, and may have accepted renewals.
+		return Outcome{Code: StaleIncarnation, Message: "leases of another leadership"}
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	o := m.state.Apply(c)
+	if o.Code != Done {
+		return o
+	}
+	if c.Kind == Load {
+		m.publishRestored()
+	} else {
+		m.publish()
+	}
+	m.onChange(c, o)
+	return o
+}
+
+// Snapshot implements raft.FSM. It copies the state, which Persist encodes while the list changes.
+func (m *fsm) Snapshot() (raft.FSMSnapshot, error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return fsmSnapshot(m.state.snapshot()), nil
+}
+
+// Restore implements raft.FSM.
+func (m *fsm) Restore(in io.ReadCloser) error {
+	defer func() { _ = in.Close() }() // it was only read
+	var restored State
+	if err := json.NewDecoder(in).Decode(&restored); err != nil {
+		return fmt.Errorf("snapshot: %w", err)
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.state = &restored
+	m.publishRestored()
+	return nil
+}
+
+// withState calls f with the state, which f may read until it returns.
+func (m *fsm) withState(f func(*State)) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	f(m.state)
+}
+
+// generation is the version of the list that watches can read.
+func (m *fsm) generation() uint64 { return m.published.Load().generation }
+
+// fsmSnapshot is a copy of the state that is to be written to a snapshot.
+type fsmSnapshot stateSnapshot
+
+// Persist implements raft.FSMSnapshot.
+func (s fsmSnapshot) Persist(sink raft.SnapshotSink) error {
+	text, err := stateSnapshot(s).encode()
+	if err == nil {
+		_, err = sink.Write(text)
+	}
+	if err != nil {
+		_ = sink.Cancel() // the first error says more
+		return fmt.Errorf("snapshot: %w", err)
+	}
+	return sink.Close()
+}
+
+// Release implements raft.FSMSnapshot.
+func (s fsmSnapshot) Release() {}
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -10,6 +10,7 @@
 	"net"
 	"net/http"
 	"net/http/httptest"
+	"opalhook/internal/golden"
 	"os"
 	"path/filepath"
 	"strconv"
@@ -19,8 +20,6 @@
 	"time"
 
 	"github.com/hashicorp/raft"
-
-	"opalhook/internal/golden"
 )
 
 // goldenTerm is the term of the recorded expire command.
@@ -247,8 +246,13 @@
 		incarnation uint64
 		want        Code
 	}{
-		{"s-back", 9010, 1, StaleIncarnation}, {"s-plain", 9010, 1, StaleIncarnation}, {"s-bare", 9010, 2, StaleIncarnation},
-		{"s-old", 9010, 2, StaleIncarnation}, {"s-old", 9010, 3, RegistrationConflict}, {"s-new", 9000, 1, AddressConflict}, {"s-plain", 9010, 2, Done},
+		{"s-back", 9010, 1, StaleIncarnation},
+		{"s-plain", 9010, 1, StaleIncarnation},
+		{"s-bare", 9010, 2, StaleIncarnation},
+		{"s-old", 9010, 2, StaleIncarnation},
+		{"s-old", 9010, 3, RegistrationConflict},
+		{"s-new", 9000, 1, AddressConflict},
+		{"s-plain", 9010, 2, Done},
 	} {
 		if o := s.Apply(Command{Kind: Register, Entry: entry(c.id, c.port), Incarnation: c.incarnation}); o.Code != c.want {
 			t.Errorf("%s: %s of incarnation %d is %s, want %s", name, c.id, c.incarnation, o.Code, c.want)
@@ -302,8 +306,10 @@
 
 // What a replica says of itself and of its members, and each code, is encoded as recorded and read back.
 func TestGoldenStatus(t *testing.T) {
-	status := Status{Replica: "r0123456789ab@127.0.0.1:8500", State: "follower", Leader: "127.0.0.2:8500", Epoch: 7, Generation: 7<<epochBits | 8, Entries: 3,
-		Leases: 2, Watches: 4, ExpirySuspended: true, AppliedIndex: 17, SecondsSinceLeaderContact: 0.25, Replicas: []Replica{{ID: "rba9876543210@127.0.0.2:8500", Raft: "127.0.0.2:8501#rba9876543210", Leader: true}}}
+	status := Status{
+		Replica: "r0123456789ab@127.0.0.1:8500", State: "follower", Leader: "127.0.0.2:8500", Epoch: 7, Generation: 7<<epochBits | 8, Entries: 3,
+		Leases: 2, Watches: 4, ExpirySuspended: true, AppliedIndex: 17, SecondsSinceLeaderContact: 0.25, Replicas: []Replica{{ID: "rba9876543210@127.0.0.2:8500", Raft: "127.0.0.2:8501#rba9876543210", Leader: true}},
+	}
 	checkJSON(t, "golden/status.json", status)
 	checkJSON(t, "golden/join.json", Replica{ID: status.Replica, Raft: "127.0.0.1:8501#r0123456789ab"})
 	var outcomes []Outcome
--- a/internal/registry/leases.go
+++ b/internal/registry/leases.go
@@ -7,189 +7,167 @@
 	"time"
 )
 
-// Lease is an entry's lease.
+// Lease is the lease of an entry.
 type Lease struct {
 	InstanceRef
 	Term time.Duration
 }
 
-// Doubt is when the service doubts itself rather than its instances. When more than Share of
-// all leases would run out within Window, the service or the network is ill: expiry pauses for
-// Window, then goes on with one entry for each Slow, until nothing more is due.
+// SelfPreservation says when the service suspects itself or the network rather than its instances: when more than
+// MaxExpiringFraction of all leases would expire within Window. Expiry is then suspended for Window, and afterwards
+// limited to one entry each SlowInterval until no lease is due.
 type SelfPreservation struct {
 	MaxExpiringFraction float64
 	Window              time.Duration
 	SlowInterval        time.Duration
-	MinLeases           int // leases below which a share means nothing
+	MinLeases           int // with fewer leases a fraction means nothing
 }
 
-// defaultDoubt is the service's own.
-var defaultSelfPreservation = SelfPreservation{MaxExpiringFraction: 0.3, Window: 10 * time.Second, SlowInterval: 2 * time.Second, MinLeases: 5}
+// defaultSelfPreservation is the setting of [Server].
+var defaultSelfPreservation = SelfPreservation{
+	MaxExpiringFraction: 0.3,
+	Window:              10 * time.Second,
+	SlowInterval:        2 * time.Second,
+	MinLeases:           5,
+}
 
-// Leases is what the leader keeps of leases, by its own clock. It decides nothing about the
-// list: what has run out goes through the log. A new leader makes a new one, which gives every
-// lease a full term first. It is not safe for concurrent use.
+// Leases is the leader's record of leases, by its own monotonic clock. It removes nothing from the list: an expiry goes
+// through the log. A new leader makes a new one, in which each lease begins with a full term. It is not safe for
+// concurrent use.
 type Leases struct {
 	selfPreservation SelfPreservation
-	entries          map[string]*leaseEntry
-	queue            leaseQueue    // of those that are not sent
-	suspendedAt      time.Duration // expiry is paused since then; 0: it is not
-	lastExpiry       time.Duration // last expiry while slow
+	entries          map[string]*leaseEntry // by instance
+	queue            leaseQueue             // of the entries that are not expiring
+	suspendedAt      time.Duration          // since when expiry is suspended; 0: it is not
+	lastExpiry       time.Duration          // while expiry is slow
 }
 
+// leaseEntry is a lease with its deadline.
 type leaseEntry struct {
 	Lease
 	expiresAt  time.Duration
-	queueKey   time.Duration // until, or earlier: by what it stands in the queue
-	queueIndex int           // in the queue
-	expiring   bool          // its expiry is on its way through the log; it is not in the queue
-}
-
-// leaseQueue is a heap of leases by when they run out, as [heap.Interface] has it. A renewal does
-// not move a lease in it: one that comes to the front is put where it belongs then, once in a term.
-type leaseQueue []*leaseEntry
-
-func (q leaseQueue) Len() int           { return len(q) }
-func (q leaseQueue) Less(i, j int) bool { return q[i].queueKey < q[j].queueKey }
-func (q leaseQueue) Swap(i, j int) {
-	q[i], q[j] = q[j], q[i]
-	q[i].queueIndex, q[j].queueIndex = i, j
+	queueKey   time.Duration // the position in the queue: expiresAt, or an earlier value of it
+	queueIndex int
+	expiring   bool // its expiry is on its way through the log; it is not in the queue
 }
 
-func (q *leaseQueue) Push(x any) {
-	h := x.(*leaseEntry)
-	h.queueIndex = len(*q)
-	*q = append(*q, h)
-}
-
-func (q *leaseQueue) Pop() any {
-	last := len(*q) - 1
-	h := (*q)[last]
-	(*q)[last] = nil
-	*q = (*q)[:last]
-	return h
-}
-
-func (q *leaseQueue) add(h *leaseEntry) {
-	h.queueKey = h.expiresAt
-	heap.Push(q, h)
-}
-
-// first is the lease that runs out first, nil where there is none.
-func (q leaseQueue) earliest() *leaseEntry {
-	for len(q) > 0 && q[0].queueKey < q[0].expiresAt {
-		q[0].queueKey = q[0].expiresAt
-		heap.Fix(&q, 0)
-	}
-	if len(q) == 0 {
-		return nil
-	}
-	return q[0]
+// expiresSoon reports whether the lease has expired, or will within a window and is in the later half of its term.
+func (e *leaseEntry) expiresSoon(now, window time.Duration) bool {
+	left := e.expiresAt - now
+	return left <= 0 || left <= window && left < e.Term/2
 }
 
-// NewLeases returns the leases of a new leader.
-func NewLeases(now time.Duration, held []Lease, doubt SelfPreservation) *Leases {
-	l := &Leases{selfPreservation: doubt, entries: map[string]*leaseEntry{}}
-	for _, h := range held {
-		l.Grant(now, h)
+// NewLeases returns the leases of a new leader, each with a full term.
+func NewLeases(now time.Duration, leases []Lease, selfPreservation SelfPreservation) *Leases {
+	l := &Leases{selfPreservation: selfPreservation, entries: map[string]*leaseEntry{}}
+	for _, lease := range leases {
+		l.Grant(now, lease)
 	}
 	return l
 }
 
-// Grant books a registered or renewed lease.
-func (l *Leases) Grant(now time.Duration, h Lease) {
-	l.Drop(h.ID)
-	held := &leaseEntry{Lease: h, expiresAt: now + h.Term}
-	l.entries[h.ID] = held
-	l.queue.add(held)
+// Grant records the lease of a newly registered incarnation.
+func (l *Leases) Grant(now time.Duration, lease Lease) {
+	l.Drop(lease.ID)
+	entry := &leaseEntry{Lease: lease, expiresAt: now + lease.Term}
+	l.entries[lease.ID] = entry
+	l.queue.add(entry)
 }
 
-// Renew extends a lease that is held; it is false for another incarnation's, or one whose
-// expiry is under way.
-func (l *Leases) Renew(now time.Duration, o InstanceRef) bool {
-	h := l.entries[o.ID]
-	if h == nil || h.Incarnation != o.Incarnation || h.expiring {
+// Renew extends a lease to a full term from now. It reports false for another incarnation's lease, and for one whose
+// expiry is on its way.
+func (l *Leases) Renew(now time.Duration, ref InstanceRef) bool {
+	entry := l.entries[ref.ID]
+	if entry == nil || entry.Incarnation != ref.Incarnation || entry.expiring {
 		return false
 	}
-	h.expiresAt = now + h.Term
+	entry.expiresAt = now + entry.Term
 	return true
 }
 
-// Drop forgets the lease of an instance that is gone.
+// Drop forgets the lease of an instance that was removed.
 func (l *Leases) Drop(id string) {
-	if h := l.entries[id]; h != nil && !h.expiring {
-		heap.Remove(&l.queue, h.queueIndex)
+	if entry := l.entries[id]; entry != nil && !entry.expiring {
+		heap.Remove(&l.queue, entry.queueIndex)
 	}
 	delete(l.entries, id)
 }
 
-// Failed takes in that the expiry of these did not go through: they are due again.
-func (l *Leases) ExpiryFailed(os []InstanceRef) {
-	for _, o := range os {
-		if h := l.entries[o.ID]; h != nil && h.Incarnation == o.Incarnation && h.expiring {
-			h.expiring = false
-			l.queue.add(h)
+// ExpiryFailed makes leases due again whose expiry did not get through the log.
+func (l *Leases) ExpiryFailed(refs []InstanceRef) {
+	for _, ref := range refs {
+		entry := l.entries[ref.ID]
+		if entry != nil && entry.Incarnation == ref.Incarnation && entry.expiring {
+			entry.expiring = false
+			l.queue.add(entry)
 		}
 	}
 }
 
-// Paused tells since when expiry is held back, and whether it is.
-func (l *Leases) Suspended() (time.Duration, bool) { return l.suspendedAt, l.suspendedAt > 0 }
+// Suspended reports whether expiry is suspended, or slow after a suspension.
+func (l *Leases) Suspended() bool { return l.suspendedAt > 0 }
 
-// Due returns what has run out and may be expired now, sorted by instance.
-func (l *Leases) Due(now time.Duration) (due []InstanceRef) {
-	if first := l.queue.earliest(); first == nil || first.expiresAt > now {
+// Due returns the leases that have expired and may be removed now, sorted by instance. They are not due again unless
+// [Leases.ExpiryFailed] is called.
+func (l *Leases) Due(now time.Duration) []InstanceRef {
+	if earliest := l.queue.earliest(); earliest == nil || earliest.expiresAt > now {
 		l.suspendedAt = 0
 		return nil
 	}
-	soon := 0
-	for _, h := range l.entries {
-		if h.expiring {
+	expired, soon := l.scan(now)
+	due := l.limit(now, expired, soon)
+	for _, ref := range due {
+		entry := l.entries[ref.ID]
+		heap.Remove(&l.queue, entry.queueIndex)
+		entry.expiring = true
+	}
+	return due
+}
+
+// scan returns the expired leases, sorted by instance, and the number of those that have expired or will soon.
+func (l *Leases) scan(now time.Duration) (expired []InstanceRef, soon int) {
+	for _, entry := range l.entries {
+		if entry.expiring {
 			continue
 		}
-		if h.expiresAt <= now+l.selfPreservation.Window {
-			soon += b2i(h.expiresAt <= now || h.expiresAt-now < h.Term/2)
+		if entry.expiresSoon(now, l.selfPreservation.Window) {
+			soon++
 		}
-		if h.expiresAt <= now {
-			due = append(due, h.InstanceRef)
+		if entry.expiresAt <= now {
+			expired = append(expired, entry.InstanceRef)
 		}
 	}
-	slices.SortFunc(due, func(a, b InstanceRef) int { return cmp.Compare(a.ID, b.ID) })
-	ill := len(l.entries) >= l.selfPreservation.MinLeases && float64(soon) > l.selfPreservation.MaxExpiringFraction*float64(len(l.entries))
+	slices.SortFunc(expired, func(a, b InstanceRef) int { return cmp.Compare(a.ID, b.ID) })
+	return expired, soon
+}
+
+// limit returns the part of the expired leases that self-preservation lets go now, and begins a suspension.
+func (l *Leases) limit(now time.Duration, expired []InstanceRef, soon int) []InstanceRef {
+	p := l.selfPreservation
+	total := len(l.entries)
+	suspect := total >= p.MinLeases && float64(soon) > p.MaxExpiringFraction*float64(total)
 	switch {
-	case l.suspendedAt == 0 && ill:
+	case !l.Suspended() && suspect:
 		l.suspendedAt, l.lastExpiry = now, now
 		return nil
-	case l.suspendedAt > 0:
-		if now-l.suspendedAt < l.selfPreservation.Window || now-l.lastExpiry < l.selfPreservation.SlowInterval {
-			return nil
-		}
-		l.lastExpiry, due = now, due[:1]
-	}
-	for _, o := range due {
-		h := l.entries[o.ID]
-		heap.Remove(&l.queue, h.queueIndex)
-		h.expiring = true
+	case !l.Suspended():
+		return expired
+	case now-l.suspendedAt < p.Window || now-l.lastExpiry < p.SlowInterval:
+		return nil
 	}
-	return due
+	l.lastExpiry = now
+	return expired[:1]
 }
 
-// Next is when Due may have something new; ok is false where nothing is held.
+// NextDue returns when [Leases.Due] may have something new; ok is false where there is no lease to expire.
 func (l *Leases) NextDue(now time.Duration) (at time.Duration, ok bool) {
-	first := l.queue.earliest()
-	if first == nil {
+	earliest := l.queue.earliest()
+	if earliest == nil {
 		return now, false
 	}
-	at = first.expiresAt
-	if l.suspendedAt > 0 {
+	at = earliest.expiresAt
+	if l.Suspended() {
 		at = max(at, l.lastExpiry+l.selfPreservation.SlowInterval)
 	}
 	return max(at, now), true
 }
-
-func b2i(b bool) int {
-	if b {
-		return 1
-	}
-	return 0
-}
--- a/internal/registry/metrics.go
+++ b/internal/registry/metrics.go
@@ -8,28 +8,63 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// meter makes the metrics.
-func (s *Server) registerMetrics() {
-	s.metrics = prometheus.NewRegistry()
-	gauge := func(name, help string, f func() float64) {
-		s.metrics.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "opalhook_registry_" + name, Help: help}, f))
-	}
-	counter := func(name, help string) prometheus.Counter {
-		c := prometheus.NewCounter(prometheus.CounterOpts{Name: "opalhook_registry_" + name, Help: help})
-		s.metrics.MustRegister(c)
-		return c
-	}
-	gauge("generation", "Version of the list here.", func() float64 { return float64(s.fsm.generation()) })
-	gauge("watches", "Open watches.", func() float64 { return float64(s.openWatches.Load()) })
-	gauge("leader", "1 where this replica leads.", func() float64 { return float64(b2i(s.raft.State() == raft.Leader)) })
-	gauge("expiry_paused", "1 where expiry of leases is held back.", func() float64 { return float64(b2i(s.expirySuspended())) })
-	s.droppedWatches = counter("watches_dropped_total", "Watches that took nothing for too long.")
-	s.rejectedWatches = counter("joins_turned_away_total", "Watches that came at too fast a pace.")
-	s.expiredCount = counter("expired_total", "Entries whose lease ran out.")
-	s.writeCount = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "opalhook_registry_writes_total", Help: "Writes by kind and outcome."}, []string{"kind", "outcome"})
-	s.metrics.MustRegister(s.writeCount)
+// metricPrefix begins the name of every metric of the service.
+const metricPrefix = "opalhook_registry_"
+
+// Labels of writes that have no outcome of the list.
+const (
+	renewKind     = "renew"
+	failedOutcome = "failed"
+)
+
+// metrics are the counters of a replica and the registry that exports them together with its gauges.
+type metrics struct {
+	registry        *prometheus.Registry
+	droppedWatches  prometheus.Counter
+	rejectedWatches prometheus.Counter
+	expired         prometheus.Counter
+	writes          *prometheus.CounterVec // by kind and outcome
+}
+
+func newMetrics() *metrics {
+	m := &metrics{registry: prometheus.NewRegistry()}
+	m.droppedWatches = m.counter("watches_dropped_total", "Watches closed because the client did not read.")
+	m.rejectedWatches = m.counter("joins_turned_away_total", "Watches rejected by the limit on watch opens a second.")
+	m.expired = m.counter("expired_total", "Entries whose lease expired.")
+	m.writes = prometheus.NewCounterVec(prometheus.CounterOpts{Name: metricPrefix + "writes_total", Help: "Writes by kind and outcome."}, []string{"kind", "outcome"})
+	m.registry.MustRegister(m.writes)
+	return m
+}
+
+func (m *metrics) counter(name, help string) prometheus.Counter {
+	c := prometheus.NewCounter(prometheus.CounterOpts{Name: metricPrefix + name, Help: help})
+	m.registry.MustRegister(c)
+	return c
 }
 
-func (s *Server) metricsHandler() http.Handler {
-	return promhttp.HandlerFor(s.metrics, promhttp.HandlerOpts{})
+func (m *metrics) gauge(name, help string, value func() float64) {
+	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: metricPrefix + name, Help: help}, value))
+}
+
+// boolGauge registers a gauge that is 1 or 0.
+func (m *metrics) boolGauge(name, help string, value func() bool) {
+	m.gauge(name, help, func() float64 {
+		if value() {
+			return 1
+		}
+		return 0
+	})
+}
+
+func (m *metrics) handler() http.Handler {
+	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
+}
+
+// registerMetrics makes the replica's metrics. Raft must have started.
+func (s *Server) registerMetrics() {
+	s.metrics = newMetrics()
+	s.metrics.gauge("generation", "Version of the list at this replica.", func() float64 { return float64(s.fsm.generation()) })
+	s.metrics.gauge("watches", "Open watches.", func() float64 { return float64(s.openWatches.Load()) })
+	s.metrics.boolGauge("leader", "1 where this replica leads.", func() bool { return s.raft.State() == raft.Leader })
+	s.metrics.boolGauge("expiry_paused", "1 where expiry of leases is suspended.", s.leader.expirySuspended)
 }
--- a/internal/registry/restore.go
+++ b/internal/registry/restore.go
@@ -10,51 +10,56 @@
 	"time"
 )
 
-// A service that begins with a backup, in an epoch of its own.
-
-// epochLength is the time after which a list restored once more gets another epoch by itself.
+// epochLength is the time after which a list that is restored again gets another epoch by itself.
 const epochLength = 450 * time.Second
 
-// epochOrigin is from when epochs are counted.
+// epochOrigin is when epoch 0 began.
 var epochOrigin = time.Date(2020, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// EpochAt is the epoch of a list that is restored at a time: larger than that of any restored
-// before it. Restores of one backup less than epochLength apart need epochs of their own.
+// EpochAt returns the epoch of a list that is restored at a time: larger than that of any restored before it. Restores
+// of one backup less than 450 s apart need epochs chosen by hand.
 func EpochAt(now time.Time) uint64 { return uint64(now.Sub(epochOrigin) / epochLength) }
 
-// Restore prepares a folder for the first replica of a new service that begins with a backup,
-// in a new epoch. It returns what the list then holds.
+// Restore prepares a new or empty folder for the first replica of a new service that begins with a backup, in an epoch
+// that is at least the given one. It returns the state of the restored list.
 func Restore(dir string, backup io.Reader, epoch uint64) (*State, error) {
 	if files, err := os.ReadDir(dir); err == nil && len(files) > 0 {
 		return nil, fmt.Errorf("%s: is not empty: a backup is restored into a new folder", dir)
 	}
-	var st State
-	if err := json.NewDecoder(backup).Decode(&st); err != nil {
+	var saved State
+	if err := json.NewDecoder(backup).Decode(&saved); err != nil {
 		return nil, fmt.Errorf("backup: %w", err)
 	}
-	n, err := st.RestoredInEpoch(max(epoch, st.Epoch()+1))
+	restored, err := saved.RestoredInEpoch(max(epoch, saved.Epoch()+1))
 	if err != nil {
 		return nil, err
 	}
-	text, err := json.Marshal(n)
+	text, err := json.Marshal(restored)
 	if err != nil {
 		return nil, err
 	}
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("data folder: %w", err)
 	}
-	f, err := os.OpenFile(filepath.Join(dir, restoreFile), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
-	if err != nil {
+	if err := writeNewFile(filepath.Join(dir, restoreFile), text); err != nil {
 		return nil, fmt.Errorf("restored state: %w", err)
 	}
-	defer f.Close()
+	return restored, nil
+}
+
+// writeNewFile makes a file and syncs it to disk.
+func writeNewFile(path string, text []byte) error {
+	f, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
+	if err != nil {
+		return err
+	}
 	if _, err := f.Write(text); err != nil {
-		return nil, fmt.Errorf("restored state: %w", err)
+		return errors.Join(err, f.Close())
 	}
 	if err := f.Sync(); err != nil {
-		return nil, fmt.Errorf("restored state: %w", err)
+		return errors.Join(err, f.Close())
 	}
-	return n, f.Close()
+	return f.Close()
 }
 
 // loadRestored puts a restored state into the log, once.
@@ -67,11 +72,11 @@
 	if err != nil {
 		return fmt.Errorf("restored state: %w", err)
 	}
-	var st State
-	if err := json.Unmarshal(text, &st); err != nil {
+	var restored State
+	if err := json.Unmarshal(text, &restored); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	o, err := s.commit(Command{Kind: Load, Snapshot: &st})
+	o, err := s.commit(Command{Kind: Load, Snapshot: &restored})
 	if err != nil {
 		return fmt.Errorf("restored state: %w", err)
 	}
--- a/internal/registry/server_test.go
+++ b/internal/registry/server_test.go
@@ -10,6 +10,7 @@
 	"log/slog"
 	"net"
 	"net/http"
+	"opalhook/internal/testnet"
 	"os"
 	"path/filepath"
 	"strings"
@@ -19,8 +20,6 @@
 	"time"
 
 	"github.com/hashicorp/raft"
-
-	"opalhook/internal/testnet"
 )
 
 // patience bounds every wait; none is expected to come near it.
@@ -191,12 +190,19 @@
 		method, path, body string
 		status             int
 	}{
-		{"POST", "", "{", 400}, {"POST", "", `{"colour":1}`, 400}, {"POST", "", registration("s-b", 2, 1, 0) + "{}", 400},
-		{"POST", "", `{"instanceId":"` + strings.Repeat("x", 1<<20) + `"}`, 413}, {"POST", "", `{"instanceId":"s-b","weight":-1}`, 400},
+		{"POST", "", "{", 400},
+		{"POST", "", `{"colour":1}`, 400},
+		{"POST", "", registration("s-b", 2, 1, 0) + "{}", 400},
+		{"POST", "", `{"instanceId":"` + strings.Repeat("x", 1<<20) + `"}`, 413},
+		{"POST", "", `{"instanceId":"s-b","weight":-1}`, 400},
 		{"POST", "", strings.Replace(registration("s-b", 2, 1, 0), `"up"`, `"odd"`, 1), 400},
 		{"POST", "", strings.Replace(registration("s-b", 2, 1, 0), `"leaseMs":0`, `"leaseMs":9223372036854775807`, 1), 400},
-		{"POST", "/s-a/renew?incarnation=-1", "", 400}, {"POST", "/s-a/renew", "", 400}, {"DELETE", "/s-a?incarnation=x", "", 400},
-		{"GET", "?watch=1&from=-1", "", 400}, {"PUT", "", "", 405}, {"GET", "/s-a/b/c", "", 404},
+		{"POST", "/s-a/renew?incarnation=-1", "", 400},
+		{"POST", "/s-a/renew", "", 400},
+		{"DELETE", "/s-a?incarnation=x", "", 400},
+		{"GET", "?watch=1&from=-1", "", 400},
+		{"PUT", "", "", 405},
+		{"GET", "/s-a/b/c", "", 404},
 		{"POST", "/" + strings.Repeat("y", 300) + "/renew?incarnation=1", "", 400},
 	} {
 		if status, text := call(t, c.method, base+c.path, c.body); status != c.status {
--- a/internal/registry/transport.go
+++ b/internal/registry/transport.go
@@ -6,22 +6,28 @@
 	"github.com/hashicorp/raft"
 )
 
-// transport is Raft's network transport with an end that waits for heartbeats. Raft handles these on the
-// goroutines of their connections, which neither its Shutdown nor NetworkTransport.Close waits for: one that
-// is under way may still write the term to the stable store.
+// transport is Raft's network transport with a Close that waits for heartbeats. Raft handles these on the goroutines of
+// their connections, for which neither its Shutdown nor NetworkTransport.Close waits: one that is being handled may
+// still write the term to the stable store.
 type transport struct {
 	*raft.NetworkTransport
 
 	handleMu sync.RWMutex // read-locked while a heartbeat is handled
-	closed   bool         // guarded by handling
+	closed   bool         // guarded by handleMu
 }
 
+var (
+	_ raft.Transport   = (*transport)(nil)
+	_ raft.WithClose   = (*transport)(nil)
+	_ raft.WithPreVote = (*transport)(nil)
+)
+
 func newTransport(config *raft.NetworkTransportConfig) *transport {
 	return &transport{NetworkTransport: raft.NewNetworkTransportWithConfig(config)}
 }
 
-// SetHeartbeatHandler implements raft.Transport. The handler is not called once Close has returned; the
-// connection of a heartbeat that comes then ends without an answer.
+// SetHeartbeatHandler implements raft.Transport. The handler is not called once Close has returned; the connection of
+// a heartbeat that arrives then ends without a response.
 func (t *transport) SetHeartbeatHandler(handle func(raft.RPC)) {
 	t.NetworkTransport.SetHeartbeatHandler(func(heartbeat raft.RPC) {
 		t.handleMu.RLock()
@@ -32,7 +38,7 @@
 	})
 }
 
-// Close implements raft.WithClose. It returns when no heartbeat is handled any more.
+// Close implements raft.WithClose. It returns when no heartbeat is being handled any more.
 func (t *transport) Close() error {
 	err := t.NetworkTransport.Close()
 	t.handleMu.Lock()
@@ -40,9 +46,3 @@
 	t.closed = true
 	return err
 }
-
-var (
-	_ raft.Transport   = (*transport)(nil)
-	_ raft.WithClose   = (*transport)(nil)
-	_ raft.WithPreVote = (*transport)(nil)
-)
--- a/internal/registry/transport_test.go
+++ b/internal/registry/transport_test.go
@@ -42,7 +42,8 @@
 
 func newTestLeader(t *testing.T) testLeader {
 	leader := testLeader{raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
-		Stream: testStream(t, "leader"), MaxPool: 1, Timeout: testTimeout, Logger: discardLogger()})}
+		Stream: testStream(t, "leader"), MaxPool: 1, Timeout: testTimeout, Logger: discardLogger(),
+	})}
 	t.Cleanup(func() {
 		leader.Close()
 		leader.CloseStreams()
