--- a/internal/registry/large_test.go
+++ b/internal/registry/fsm_test.go
@@ -5,58 +5,31 @@
 	"encoding/json"
 	"fmt"
 	"io"
-	"net"
-	"strings"
+	"slices"
 	"testing"
 	"time"
 
 	"github.com/hashicorp/raft"
-	"pgregory.net/rapid"
 )
 
-// The plan of the largest fleet.
-const (
-	planEntries     = 200_000
-	planZoneEntries = planEntries / 15 // instances that may be lost at once
-)
-
-// numbered is an instance whose address is its own among the first 500,000.
-func numberedEntry(n int) Entry {
-	e := entry(fmt.Sprintf("s-%06d", n), 0)
-	e.HostPort = fmt.Sprintf("127.%d.%d.1:%d", n/50_000, n/200%250, 1+n%200)
-	return e
-}
-
-// fill registers instances until there are that many.
-func fillList(t testing.TB, s *State, entries int) {
-	t.Helper()
-	for n := s.Len(); n < entries; n++ {
-		if o := s.Apply(Command{Kind: Register, Entry: numberedEntry(n), Incarnation: 1}); o.Code != Done {
-			t.Fatalf("entry %d: %+v", n, o)
+// What one leadership found to have run out is not expired in another one's time: that may have
+// taken a renewal.
+func TestExpiryOfEarlierTermRejected(t *testing.T) {
+	m := newFSM(func(Command, Outcome) {})
+	apply := func(term uint64, c Command) Code {
+		text, err := json.Marshal(c)
+		if err != nil {
+			t.Fatal(err)
 		}
+		return m.Apply(&raft.Log{Term: term, Data: text}).(Outcome).Code
 	}
-}
-
-// The plan's list is taken, with room above it; one more than the bound is refused with the bound,
-// and taken when another has gone.
-func TestListCapacity(t *testing.T) {
-	if MaxEntries < planEntries*5/4 {
-		t.Errorf("the bound is %d entries, the plan's are %d", MaxEntries, planEntries)
-	}
-	s := NewState(0)
-	fillList(t, s, MaxEntries)
-	next := Command{Kind: Register, Entry: numberedEntry(MaxEntries), Incarnation: 1}
-	before := s.Generation()
-	if o := s.Apply(next); o.Code != ListFull || !strings.Contains(o.Message, fmt.Sprint(MaxEntries)) || s.Generation() != before || s.Len() != MaxEntries {
-		t.Errorf("one more than the bound: %+v, %d entries", o, s.Len())
-	}
-	again := numberedEntry(0) // of an instance that is there
-	if o := s.Apply(Command{Kind: Register, Entry: again, Incarnation: 2}); o.Code != Done {
-		t.Errorf("a new start of one that is there: %+v", o)
-	}
-	s.Apply(Command{Kind: Remove, ID: again.InstanceID})
-	if o := s.Apply(next); o.Code != Done || s.Len() != MaxEntries {
-		t.Errorf("after another has gone: %+v, %d entries", o, s.Len())
+	apply(2, Command{Kind: Register, Entry: entry("s-a", 1), Incarnation: 1, Lease: time.Minute})
+	late := Command{Kind: Expire, Expired: []InstanceRef{{"s-a", 1}}, Term: 2}
+	if code := apply(3, late); code != StaleIncarnation || m.generation() != 1 {
+		t.Errorf("an expiry of term 2 in term 3: %s, generation %d", code, m.generation())
+	}
+	if late.Term = 3; apply(3, late) != Done || m.generation() != 2 {
+		t.Errorf("an expiry of its own term is not done: generation %d", m.generation())
 	}
 }
 
@@ -159,45 +132,67 @@
 	}
 }
 
-// paced is a connection that notes how much it is given under each deadline.
-type pacedConn struct {
-	net.Conn
-	deadlines int
-	under     int // bytes since the last deadline
-	most      int
-	text      bytes.Buffer
-}
+// sink is a snapshot that is being written.
+type memorySink struct{ bytes.Buffer }
 
-func (p *pacedConn) SetWriteDeadline(time.Time) error {
-	p.deadlines++
-	p.under = 0
-	return nil
-}
+func (*memorySink) Close() error  { return nil }
+func (*memorySink) Cancel() error { return nil }
+func (*memorySink) ID() string    { return "sink" }
 
-func (p *pacedConn) Write(b []byte) (int, error) {
-	p.under += len(b)
-	p.most = max(p.most, p.under)
-	return p.text.Write(b)
+// A snapshot is of the moment at which it was taken, whatever comes before it is written down.
+func TestSnapshotIsolation(t *testing.T) {
+	m := newFSM(func(Command, Outcome) {})
+	fillList(t, m.state, 50)
+	want, err := json.Marshal(m.state)
+	if err != nil {
+		t.Fatal(err)
+	}
+	taken, err := m.Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	for n := range 30 {
+		m.state.Apply(Command{Kind: Drain, ID: numberedEntry(n).InstanceID})
+		m.state.Apply(Command{Kind: Remove, ID: numberedEntry(n + 20).InstanceID})
+	}
+	var written memorySink
+	if err := taken.Persist(&written); err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(written.Bytes(), want) {
+		t.Errorf("%d bytes of another moment, want %d", written.Len(), len(want))
+	}
 }
 
-// However long a list is, a reader has its time for each piece of it, and gets each byte once.
-func TestWriteDeadlinePerPiece(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		var want []byte
-		var chunks [][]byte
-		for i, size := range rapid.SliceOfN(rapid.SampledFrom([]int{0, 1, 200, maxWriteSize - 1, maxWriteSize, maxWriteSize + 1, 5*maxWriteSize + 7}), 0, 8).Draw(t, "sizes") {
-			c := bytes.Repeat([]byte{byte('a' + i)}, size)
-			chunks, want = append(chunks, c), append(want, c...)
-		}
-		var conn pacedConn
-		if err := writePaced(&conn, chunks); err != nil {
-			t.Fatal(err)
-		}
-		if !bytes.Equal(conn.text.Bytes(), want) {
-			t.Fatalf("%d bytes of %d, or others", conn.text.Len(), len(want))
+// A watch of a replica that is lost goes on at another one, also at one that began with a snapshot:
+// from any generation it is told the same bytes.
+func TestWatchResumesAtAnotherReplica(t *testing.T) {
+	lost, other := newFSM(func(Command, Outcome) {}), newFSM(func(Command, Outcome) {})
+	for n := range 3 * maxChangesPerRead {
+		lost.state.Apply(Command{Kind: Register, Entry: numberedEntry(n), Incarnation: 1})
+		lost.publish()
+	}
+	taken, err := lost.Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	var written memorySink
+	if err := taken.Persist(&written); err != nil {
+		t.Fatal(err)
+	}
+	if err := other.Restore(io.NopCloser(&written)); err != nil {
+		t.Fatal(err)
+	}
+	for _, m := range []*fsm{lost, other} { // changes that both apply after it
+		for n := range 10 {
+			m.state.Apply(Command{Kind: Remove, ID: numberedEntry(n).InstanceID})
+			m.publish()
 		}
-		if conn.most > maxWriteSize || conn.deadlines > 1+len(want)/maxWriteSize+len(chunks) {
-			t.Fatalf("%d bytes under one deadline, %d deadlines for %d bytes", conn.most, conn.deadlines, len(want))
+	}
+	for from := uint64(1); from <= lost.generation(); from++ {
+		a, b := lost.readSince(from), other.readSince(from)
+		if a.generation != b.generation || !slices.EqualFunc(a.chunks, b.chunks, bytes.Equal) {
+			t.Fatalf("from %d: %d changes up to %d at one, %d up to %d at the other", from, len(a.chunks), a.generation, len(b.chunks), b.generation)
 		}
-	})
+	}
 }
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -4,12 +4,9 @@
 	"bufio"
 	"bytes"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"net"
-	"net/http"
-	"net/http/httptest"
 	"opalhook/internal/golden"
 	"os"
 	"path/filepath"
@@ -335,92 +332,3 @@
 	}
 	golden.Same(t, name+" read and written", text, golden.Read(t, name))
 }
-
-// recordedService answers each request with a golden file or an outcome, and writes the requests down.
-func recordedService(t *testing.T, transcript io.Writer) *Client {
-	t.Helper()
-	answers := map[string]string{"/registry/instances": "golden/list.json", "/registry/backup": "golden/backup.json", "/registry/status": "golden/status.json"}
-	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		body, err := io.ReadAll(r.Body)
-		if err != nil {
-			t.Error(err)
-		}
-		fmt.Fprintf(transcript, "%s %s %s\n", r.Method, r.RequestURI, body)
-		if name := answers[r.URL.Path]; name != "" && r.Method == http.MethodGet {
-			w.Write(golden.Read(t, name))
-			return
-		}
-		io.WriteString(w, `{"code":"same","generation":41,"message":"why","instanceId":"s-a","weight":0.5,"incarnation":5,"leaseMs":1000}`)
-	}))
-	t.Cleanup(srv.Close)
-	return &Client{Replicas: []string{strings.TrimPrefix(srv.URL, "http://")}}
-}
-
-// A client's requests are as recorded, and it reads the recorded answers.
-func TestGoldenClient(t *testing.T) {
-	var transcript, backup bytes.Buffer
-	c, ctx := recordedService(t, &transcript), t.Context()
-	owner := InstanceRef{"s-a", 5}
-	registered, err1 := c.Register(ctx, Registration{Entry: entry("s-a", 1), Incarnation: 5, LeaseMs: 1000})
-	renewed, err2 := c.Renew(ctx, owner)
-	drained, err3 := c.Drain(ctx, InstanceRef{ID: "s-a"})
-	removed, err4 := c.Remove(ctx, owner)
-	dismissed, err5 := c.RemoveReplica(ctx, "r0123456789ab@127.0.0.1:8500")
-	shown, err6 := c.Show(ctx, "s-a")
-	generation, entries, err7 := c.List(ctx)
-	all, errs := c.Status(ctx)
-	if err := errors.Join(append(errs, err1, err2, err3, err4, err5, err6, err7, c.Backup(ctx, &backup))...); err != nil {
-		t.Fatal(err)
-	}
-	var heard uint64
-	c.Watch(ctx, 40, func(generation uint64, reset bool, entries []Entry) {
-		if reset && len(entries) == 2 {
-			heard = generation
-		}
-	})
-	golden.Check(t, "golden/client-requests.txt", transcript.Bytes())
-	for _, o := range []Outcome{registered, renewed, drained, removed, dismissed} {
-		if o != (Outcome{Unchanged, 41, "why"}) {
-			t.Errorf("outcome %+v", o)
-		}
-	}
-	if shown.InstanceID != "s-a" || shown.Weight != 0.5 || shown.Incarnation != 5 || shown.LeaseMs != 1000 || shown.Generation != 41 {
-		t.Errorf("instance %+v", shown)
-	}
-	if generation != 7<<epochBits|8 || len(entries) != 2 || entries[1].StartedAtMs != 1700000000123 || heard != generation {
-		t.Errorf("list %d %+v, on a watch %d", generation, entries, heard)
-	}
-	if len(all) != 1 || all[0].AppliedIndex != 17 || !all[0].ExpirySuspended || all[0].SecondsSinceLeaderContact != 0.25 || !all[0].Replicas[0].Leader {
-		t.Errorf("status %+v", all)
-	}
-	golden.Same(t, "backup", backup.Bytes(), golden.Read(t, "golden/backup.json"))
-}
-
-// A connection between replicas begins with the recorded line.
-func TestGoldenGreeting(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	address := raft.ServerAddress(ln.Addr().String() + "#r0123456789ab")
-	conn, err := streamLayer{}.Dial(address, testTimeout)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer conn.Close()
-	accepted, err := ln.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer accepted.Close()
-	accepted.SetDeadline(time.Now().Add(testTimeout))
-	line, err := bufio.NewReader(accepted).ReadBytes('\n')
-	if err != nil {
-		t.Fatal(err)
-	}
-	golden.Check(t, "golden/greeting.txt", line)
-	if s := (streamLayer{Listener: ln, name: "r0123456789ab"}); s.Addr().String() != string(address) {
-		t.Errorf("address %s, want %s", s.Addr(), address)
-	}
-}
--- /dev/null
+++ b/internal/registry/replication_test.go
@@ -0,0 +1,154 @@
+package registry
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"net/http"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync/atomic"
+	"testing"
+
+	"github.com/hashicorp/raft"
+)
+
+// Three replicas: a write at a follower finds the leader, a new leader has all that was
+// acknowledged, and watches of every replica go on by changes.
+func TestReplication(t *testing.T) {
+	dirs := []string{t.TempDir(), t.TempDir(), t.TempDir()}
+	first := startReplica(t, dirs[0], "")
+	all := []*Server{first, startReplica(t, dirs[1], first.Addr()), startReplica(t, dirs[2], first.Addr())}
+	for n := range 10 { // at each in turn
+		if status, text := call(t, "POST", "http://"+all[n%3].Addr()+"/registry/instances", registration(fmt.Sprint("s-", n), n+1, 1, 0)); status != 200 {
+			t.Fatalf("%d %s", status, text)
+		}
+	}
+	followers := []*testWatch{startWatch(t, all[1].Addr(), 0), startWatch(t, all[2].Addr(), 0)}
+	for _, w := range followers {
+		for got := 0; got < 10; {
+			if m := w.next(t); m.Reset {
+				got = len(m.Instances)
+			} else {
+				got += len(m.Instances)
+			}
+		}
+	}
+	if err := first.Close(); err != nil {
+		t.Fatal(err)
+	}
+	if status, text := call(t, "POST", "http://"+all[1].Addr()+"/registry/instances/s-3/drain", ""); status != 200 {
+		t.Fatalf("after the leader's end: %d %s", status, text)
+	}
+	for _, w := range followers {
+		if m := w.next(t); m.Reset || m.Generation != 11 || m.Instances[0].InstanceID != "s-3" {
+			t.Errorf("a watch gets %+v", m)
+		}
+	}
+	// The one that was away takes up where the others are.
+	back := startReplica(t, dirs[0], "", func(c *Config) { c.Listen, c.Raft = first.Addr(), raftAddr(first) })
+	waitFor(t, "the replica that was away has caught up", func() bool { return back.fsm.generation() == 11 })
+}
+
+func raftAddr(s *Server) string {
+	for _, r := range s.raft.GetConfiguration().Configuration().Servers {
+		if string(r.ID) == s.id {
+			addr, _, _ := strings.Cut(string(r.Address), addressNameSeparator)
+			return addr
+		}
+	}
+	return ""
+}
+
+// What was acknowledged is there after a restart, and the file that is damaged is named.
+func TestStatePersists(t *testing.T) {
+	dir := t.TempDir()
+	s := startReplica(t, dir, "")
+	call(t, "POST", "http://"+s.Addr()+"/registry/instances", registration("s-a", 1, 1, 0))
+	if err := s.raft.Snapshot().Error(); err != nil {
+		t.Fatal(err)
+	}
+	call(t, "POST", "http://"+s.Addr()+"/registry/instances/s-a/drain", "")
+	addr, raftAt := s.Addr(), raftAddr(s)
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
+	same := func(c *Config) { c.Listen, c.Raft = addr, raftAt }
+	elsewhere := Config{Dir: dir, Listen: "127.0.0.1:0", Raft: raftAt, Logger: slog.New(slog.DiscardHandler)}
+	if _, err := Start(t.Context(), elsewhere); err == nil || !strings.Contains(err.Error(), "belongs to "+addr) {
+		t.Errorf("a replica starts where the others don't know it: %v", err)
+	}
+	s = startReplica(t, dir, "", same)
+	waitFor(t, "the state is back", func() bool { return s.fsm.generation() == 2 })
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
+	db := filepath.Join(dir, "raft.db")
+	if err := os.WriteFile(db, []byte("torn"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	cfg := Config{Dir: dir, Listen: addr, Raft: raftAt, Logger: slog.New(slog.DiscardHandler)}
+	if _, err := Start(t.Context(), cfg); err == nil || !strings.Contains(err.Error(), db) || !strings.Contains(err.Error(), "--join") {
+		t.Errorf("error %v names no file or no way out", err)
+	}
+	if err := os.Remove(db); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := Start(t.Context(), cfg); err == nil || !strings.Contains(err.Error(), "log is gone") {
+		t.Errorf("a replica that lost its log starts as the one it was: %v", err)
+	}
+}
+
+// failing is a log store whose disk is full from a moment on, or whose fsync fails though the
+// log was written.
+type failingStore struct {
+	raft.LogStore
+	full  *atomic.Bool
+	fsync bool
+}
+
+func (f failingStore) StoreLogs(logs []*raft.Log) error {
+	switch {
+	case !f.full.Load():
+		return f.LogStore.StoreLogs(logs)
+	case f.fsync:
+		return errors.Join(errors.New("fsync: input/output error"), f.LogStore.StoreLogs(logs))
+	}
+	return errors.New("no space left on device")
+}
+
+// A write that can't be made durable is not acknowledged, and the client is told; once the disk
+// is well, sent again, it is done once.
+func TestFullDisk(t *testing.T) {
+	t.Run("full", func(t *testing.T) { testFailingDisk(t, false) })
+	t.Run("fsync", func(t *testing.T) { testFailingDisk(t, true) })
+}
+
+func testFailingDisk(t *testing.T, fsync bool) {
+	var full atomic.Bool
+	s := startReplica(t, t.TempDir(), "", func(c *Config) {
+		c.WrapStores = func(l raft.LogStore, st raft.StableStore) (raft.LogStore, raft.StableStore) {
+			return failingStore{l, &full, fsync}, st
+		}
+	})
+	base := "http://" + s.Addr() + "/registry/instances"
+	call(t, "POST", base, registration("s-a", 1, 1, 0))
+	full.Store(true)
+	resp, err := http.Post(base, "application/json", strings.NewReader(registration("s-b", 2, 1, 0)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	resp.Body.Close()
+	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
+		t.Errorf("status %s", resp.Status)
+	}
+	if g := s.fsm.generation(); g != 1 {
+		t.Errorf("generation %d after a write that was not kept", g)
+	}
+	full.Store(false)
+	status, text := call(t, "POST", base, registration("s-b", 2, 1, 0))
+	if status != http.StatusOK || s.fsm.generation() != 2 {
+		t.Errorf("sent again: %d %s, generation %d", status, text, s.fsm.generation())
+	}
+}
