--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -34,19 +34,19 @@
 		return
 	}
 	bucket := r.quota
-	rejectsLocally := bucket.owned && now < bucket.rejectedUntil
-	if rejectsLocally && b.settings.Plans[bucket.plan].OverQuotaValue <= 0 {
-		bucket.locallyRejectedUnits += r.Units
-		b.reject(r.ID, bucket.rejectedUntil-now)
+	remaining, rejected := bucket.requester.rejects(now)
+	if bucket.owned && rejected && bucket.plan.OverQuotaValue <= 0 {
+		bucket.requester.recordRejected(r.Units)
+		b.reject(r.ID, remaining)
 		return
 	}
 	b.requests.add(r)
 	b.actions.SetTimer(r.number<<timerBits|timerDeadline, max(r.deadline-now, 0))
 	r.quotaOwner = b.ownerFor(bucket)
 	if bucket.owned && r.quotaOwner != b.settings.NodeIndex {
-		if rejectsLocally {
-			bucket.locallyRejectedUnits += r.Units
-			b.admit(r, false, bucket.rejectedUntil-now)
+		if rejected {
+			bucket.requester.recordRejected(r.Units)
+			b.admit(r, false, remaining)
 			return
 		}
 		b.requestQuota(r)
@@ -58,18 +58,20 @@
 // newRequest returns the state of a request that arrives, or nil where its class, plan or timeout cannot be.
 func (b *Balancer) newRequest(arrived Request) *request {
 	class, knownClass := b.classIndex[arrived.Class]
-	plan, knownPlan := b.planIndex[arrived.Plan]
+	planIndex, knownPlan := b.planIndex[arrived.Plan]
 	if !knownClass || !knownPlan || arrived.Timeout <= 0 {
 		return nil
 	}
 	arrived.Units = math.Max(arrived.Units, 0)
 	arrived.EntryNodes = min(max(arrived.EntryNodes, 1), b.settings.NodeCount)
+	plan := &b.quotas.plans[planIndex]
+	nodes := entryNodes{arrived.FirstEntryNode, arrived.EntryNodes}
 	b.requests.lastNumber++
 	return &request{
 		Request:  arrived,
 		number:   b.requests.lastNumber,
 		class:    class,
-		quota:    b.quotaFor(arrived.Tenant, plan, arrived.EntryNodes, arrived.FirstEntryNode),
+		quota:    b.quotaFor(arrived.Tenant, plan, nodes),
 		deadline: b.now + arrived.Timeout - 2*b.settings.Tick,
 	}
 }
@@ -86,13 +88,13 @@
 // decideOwnQuota admits a request by a quota that this node keeps itself.
 func (b *Balancer) decideOwnQuota(r *request, late bool) {
 	bucket := r.quota
-	bucket.recordDemand(b.now, r.Units)
-	inQuota, retryAfter := b.checkQuota(bucket, r.Units)
-	if late && b.now < bucket.congestedUntil {
+	bucket.owner.recordDemand(b.now, r.Units)
+	inQuota, retryAfter := bucket.check(b.now, r.Units, b.gossip.interval)
+	if late && bucket.congested(b.now) {
 		inQuota = false
 	}
 	if inQuota {
-		bucket.recordGrant(b.now, r.Units)
+		bucket.owner.recordGrant(b.now, r.Units)
 		b.acquire(bucket, r.Units)
 	}
 	b.admit(r, inQuota, retryAfter)
@@ -135,10 +137,10 @@
 		b.finishRequest(r)
 		return
 	}
-	if !r.grantedByOwner && b.settings.Plans[r.quota.plan].HardLimitRate > 0 {
-		r.quota.hardLimitTokens -= r.Units
+	if !r.grantedByOwner {
+		r.quota.hardLimit.acquire(r.quota.plan, r.Units)
 	}
-	r.quota.startedSinceGossip++
+	r.quota.requestStarted()
 	b.overload.recordSent()
 	b.retries.deposit()
 	b.startAttempt(r, endpoint)
@@ -147,13 +149,12 @@
 // admittedTo returns the endpoint for a request's first attempt, or nil and when the client may retry.
 // quotaRetryAfter is when its quota lets it retry.
 func (b *Balancer) admittedTo(r *request, quotaRetryAfter time.Duration) (*endpoint, time.Duration) {
-	plan := &b.settings.Plans[r.quota.plan]
+	plan := r.quota.plan
 	if !r.inQuota && !b.servesBeyondQuota(plan) {
 		return nil, quotaRetryAfter
 	}
-	if !r.grantedByOwner && plan.HardLimitRate > 0 && r.quota.hardLimitTokens < r.Units {
-		missing := r.Units - r.quota.hardLimitTokens
-		return nil, refillTime(missing, plan.HardLimitRate*r.quota.hardLimitRateFraction)
+	if !r.grantedByOwner && !r.quota.hardLimit.covers(plan, r.Units) {
+		return nil, r.quota.hardLimit.timeUntil(plan, r.Units)
 	}
 	if !b.overload.admit() {
 		return nil, b.settings.Classes[r.class].LatencyObjective / retryAfterDivisor
@@ -163,6 +164,6 @@
 
 // servesBeyondQuota reports whether requests beyond the quota are served: where that has more value than
 // it costs, and the endpoints have capacity to spare.
-func (b *Balancer) servesBeyondQuota(plan *Plan) bool {
+func (b *Balancer) servesBeyondQuota(plan *quotaPlan) bool {
 	return plan.OverQuotaValue > plan.OverQuotaCost && b.overload.underloaded()
 }
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -50,7 +50,15 @@
 	health      healthChecker
 	retries     retryBudget
 	quotas      quotaTable
-	gossip      gossipState
+	overQuota   overQuotaTable
+
+	quotaOwner     quotaOwner
+	quotaRequester quotaRequester
+
+	gossip    gossiper
+	inbox     peerInbox
+	codec     codec
+	piggyback piggyback // of the message being sent or received
 
 	lastLogged time.Duration
 }
@@ -67,8 +75,9 @@
 		overload:  newOverloadController(),
 		latency:   newLatencyTracker(len(s.Classes)),
 		endpoints: newEndpointSet(),
-		quotas:    newQuotaTable(),
-		gossip:    gossipState{peers: make([]peerState, s.NodeCount)},
+		overQuota: overQuotaTable{},
+
+		quotaRequester: newQuotaRequester(s.NodeCount),
 	}
 	g.settings.Classes = append([]Class(nil), s.Classes...)
 	g.settings.Plans = append([]Plan(nil), s.Plans...)
@@ -78,7 +87,10 @@
 	for i, p := range s.Plans {
 		g.planIndex[p.Name] = i
 	}
-	g.gossip.epoch = uint64(g.rng.Uint32() >> 16)
+	g.quotas = newQuotaTable(&s, g.rng)
+	g.quotaOwner = quotaOwner{s.PeerMessagesPerSecond, g.longestLatencyObjective()}
+	g.codec = codec{g.settings.Plans, s.NodeCount}
+	g.gossip = newGossiper(&s, uint64(g.rng.Uint32()>>16))
 	// so that answers to a balancer before its restart match nothing
 	g.requests.lastNumber = uint64(g.rng.Uint32() >> 12)
 	return g, nil
@@ -87,15 +99,10 @@
 // Start begins the balancer's work. Call it once, before any other event.
 func (b *Balancer) Start(now time.Duration, out Actions) {
 	b.now, b.actions, b.started = now, out, now
-	b.gossip.interval = controlInterval
-	if in := b.settings.PeerMessagesPerSecond; in > 0 {
-		gap := time.Duration(gossipIntervalSlack *
-			float64(b.settings.NodeCount-1) / in * float64(time.Second))
-		b.gossip.interval = max(gap, b.settings.Tick, minGossipInterval)
-	}
+	b.quotas.startedAt = now
 	// Nodes that are started together must not act in step.
 	b.actions.SetTimer(timerControlInterval, time.Duration(b.rng.Int64N(int64(controlInterval))))
-	if b.settings.Gossip && b.settings.NodeCount > 1 {
+	if b.gossip.enabled {
 		b.actions.SetTimer(timerGossip, time.Duration(b.rng.Int64N(int64(b.gossip.interval))))
 	}
 	if b.settings.PollEndpoints {
@@ -153,7 +160,7 @@
 	}
 	b.updateEndpoints()
 	b.concurrency.closeInterval(b.now - b.started)
-	b.gossip.closeInterval()
+	b.inbox.closeInterval()
 	b.sendHealthCheck()
 }
 
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -58,7 +58,7 @@
 	}
 	reachable := b.reachable()
 	floor := b.concurrencyFloor(reachable)
-	if limit >= minOwnSamples || !b.ownsQuotas() && b.gossip.messageRate <= 1 {
+	if limit >= minOwnSamples || !b.ownsQuotas() && b.inbox.rate <= 1 {
 		return reachable.inFlight >= math.Max(limit, floor)
 	}
 	// With so few responses, many attempts may be in flight by chance: the pooled means have to agree.
--- a/balancer/concurrency_test.go
+++ b/balancer/concurrency_test.go
@@ -102,7 +102,7 @@
 func TestBurstIsNotLetInWhole(t *testing.T) {
 	const n = 4
 	g, r := newGate(t, testSettings(), fleet(n)...)
-	g.gossip.messageRate = 10
+	g.inbox.rate = 10
 	for i := range 200 {
 		q := newRequest(i, "safe", "rate", uint64(i))
 		q.EntryNodes = 1
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -86,27 +86,29 @@
 	}
 }
 
+// encodedLoad returns the load of an encoded entry of load gossip.
+func encodedLoad(hash uint16, load, age byte) []peerLoad {
+	return []peerLoad{decodePeerLoad(append(binary.BigEndian.AppendUint16(nil, hash), load, age))}
+}
+
 // Of two reports the newer counts, whichever way it came; news of servers unknown, or that can't be told
 // apart, changes nothing.
 func TestOldNewsChangesNothing(t *testing.T) {
 	g, r := fleetGate(t, 11)
 	learns(t, g, r, t0+time.Second, "s0", OK, &LoadReport{InFlight: 3, Queued: -1, Utilization: -1})
-	entry := func(hash uint16, load, age byte) []byte {
-		return append(binary.BigEndian.AppendUint16(nil, hash), load, age)
-	}
 	s := g.endpoints.trackedByID["s0"]
 	g.now = t0 + 2*time.Second
-	g.receiveLoadGossip(entry(s.shortHash, 50, byte(1500*ms/ageUnit)))
-	g.receiveLoadGossip(entry(s.shortHash^1, 50, 0))
+	g.receiveLoads(encodedLoad(s.shortHash, 50, byte(1500*ms/ageUnit)))
+	g.receiveLoads(encodedLoad(s.shortHash^1, 50, 0))
 	if s.reportedLoad != 3 {
 		t.Errorf("load %v after old news", s.reportedLoad)
 	}
-	g.receiveLoadGossip(entry(s.shortHash, 50, byte(500*ms/ageUnit)))
+	g.receiveLoads(encodedLoad(s.shortHash, 50, byte(500*ms/ageUnit)))
 	if s.reportedLoad != 50 {
 		t.Errorf("load %v after news", s.reportedLoad)
 	}
 	g.endpoints.subsetByHash[s.shortHash] = nil
-	g.receiveLoadGossip(entry(s.shortHash, 60, 0))
+	g.receiveLoads(encodedLoad(s.shortHash, 60, 0))
 	if s.reportedLoad != 50 {
 		t.Errorf("load %v after news that may be of another server", s.reportedLoad)
 	}
@@ -154,7 +156,7 @@
 		s.NodeCount, s.PeerMessagesPerSecond, s.MaxUnits = 80, c.inbox, c.mostUnits
 		s.Plans[1].Rate = c.rate
 		g, _ := newGate(t, s, fleet(4)...)
-		if st := g.quotaFor(77, g.planIndex["rate"], 7, 0); !st.owned || st.sharers != c.split {
+		if st := g.quotaFor(77, g.plan("rate"), entryNodes{0, 7}); !st.owned || st.sharers != c.split {
 			t.Errorf("%+v: wide %v, kept in %d parts", c, st.owned, st.sharers)
 		}
 	}
@@ -171,15 +173,15 @@
 		member.RequestArrived(t0, wideRequest(1, 77), r)
 		holder := member.ownerFor(member.quotas.buckets[77])
 		h, hr := wideGate(t, holder)
-		h.quotaFor(77, h.planIndex["rate"], 100, 10).tokens = 0
-		h.gossip.messageRate = c.inbox * h.settings.PeerMessagesPerSecond
+		h.quotaFor(77, h.plan("rate"), entryNodes{10, 100}).tokens = 0
+		h.inbox.rate = c.inbox * h.settings.PeerMessagesPerSecond
 		h.PeerMessage(t0, 10, r.tells[holder][0], hr)
 		member.PeerMessage(t0+ms, holder, hr.tells[10][0], r)
 		if r.count("refuse") != 1 {
 			t.Fatalf("%v", r.acts)
 		}
-		if got := member.quotas.buckets[77].rejectedUntil > t0+time.Second; got != c.pause {
-			t.Errorf("inbox %v: no ask until %v", c.inbox, member.quotas.buckets[77].rejectedUntil-t0)
+		if got := member.quotas.buckets[77].requester.rejectedUntil > t0+time.Second; got != c.pause {
+			t.Errorf("inbox %v: no ask until %v", c.inbox, member.quotas.buckets[77].requester.rejectedUntil-t0)
 		}
 	}
 }
@@ -194,7 +196,7 @@
 	member.RequestArrived(t0, q, r)
 	holder := member.ownerFor(member.quotas.buckets[77])
 	h, hr := wideGate(t, holder)
-	st := h.quotaFor(77, h.planIndex["rate"], 100, 10)
+	st := h.quotaFor(77, h.plan("rate"), entryNodes{10, 100})
 	full := st.tokens
 	h.PeerMessage(t0, 10, r.tells[holder][0], hr)
 	member.PeerMessage(t0, holder, hr.tells[10][0], r)
@@ -302,7 +304,7 @@
 	if to, all := sendsTo(g, r, t0+time.Second, "s0"); all < 100 || to > 0 {
 		t.Errorf("%d of %d went to a server that nobody hears of", to, all)
 	}
-	g.receiveLoadGossip(append(binary.BigEndian.AppendUint16(nil, g.endpoints.trackedByID["s0"].shortHash), 3, 1))
+	g.receiveLoads(encodedLoad(g.endpoints.trackedByID["s0"].shortHash, 3, 1))
 	if out := g.reachable().inFlight; out != 3 {
 		t.Errorf("%v out after another gateway was answered, want 3", out)
 	}
@@ -321,7 +323,7 @@
 	member.RequestArrived(t0, wideRequest(1, 77), r)
 	holder = member.ownerFor(member.quotas.buckets[77])
 	h, hr = wideGate(t, holder)
-	return member, h, r, hr, h.quotaFor(77, h.planIndex["rate"], 100, 10), holder
+	return member, h, r, hr, h.quotaFor(77, h.plan("rate"), entryNodes{10, 100}), holder
 }
 
 // A lost message must cost neither the customer its request nor the quota its units: an ask comes again, and
@@ -335,7 +337,7 @@
 		t.Fatalf("%d asks", len(r.tells[holder]))
 	}
 	h.PeerMessage(t0+quotaRequestRepeatAfter, 10, r.tells[holder][1], hr)
-	came := h.settings.Plans[st.plan].Rate / st.ownerCount * quotaRequestRepeatAfter.Seconds()
+	came := st.plan.Rate / st.ownerCount * quotaRequestRepeatAfter.Seconds()
 	if want := full - wideRequest(1, 77).Units + came; math.Abs(st.tokens-want) > 1e-6 {
 		t.Errorf("level %v of %v, want %v: one request taken", st.tokens, full, want)
 	}
@@ -377,7 +379,7 @@
 				t.Fatalf("%s: %d asks, want the next request's", name, len(r.tells[holder]))
 			}
 			h.PeerMessage(t0+150*ms, 10, r.tells[holder][0], hr)
-			want := 10 - c.taken + h.settings.Plans[st.plan].Rate/st.ownerCount*0.15
+			want := 10 - c.taken + st.plan.Rate/st.ownerCount*0.15
 			if math.Abs(st.tokens-want) > 0.6 { // told in whole units
 				t.Errorf("%s: level %v after ask %d, want %v", name, st.tokens, n, want)
 			}
@@ -390,7 +392,7 @@
 func TestCutNeitherWaitsNorFillsStores(t *testing.T) {
 	member, h, r, hr, st, _ := asks(t)
 	for range maxUnansweredQuotaRequests {
-		member.gossip.consecutiveUnanswered++
+		member.quotaRequester.consecutiveUnanswered++
 	}
 	r.acts = nil
 	member.RequestArrived(t0+ms, wideRequest(2, 77), r)
@@ -401,14 +403,14 @@
 	for n := range 40 { // the customer uses all that the holder has, for seconds
 		now += 100 * ms
 		q := wideRequest(100+n, 77)
-		member.gossip.consecutiveUnanswered = 0
+		member.quotaRequester.consecutiveUnanswered = 0
 		member.RequestArrived(now, q, r)
 		h.PeerMessage(now, 10, r.tells[member.ownerFor(member.quotas.buckets[77])][len(r.tells[member.ownerFor(member.quotas.buckets[77])])-1], hr)
 	}
 	before := st.tokens
 	h.now = now + 5*time.Second
 	h.refill(st)
-	if full := h.settings.Plans[st.plan].Burst / st.ownerCount; st.tokens > before+full/4 {
+	if full := st.plan.Burst / st.ownerCount; st.tokens > before+full/4 {
 		t.Errorf("level %v after a cut, %v before, full at %v", st.tokens, before, full)
 	}
 }
@@ -417,7 +419,7 @@
 func TestRestartedHolderGrantsNoSecondBurst(t *testing.T) {
 	for _, pass := range []float64{1, 0.5} {
 		member, r := wideGate(t, 10)
-		member.quotas.overQuotaTenants[tenantHash(77)] = overQuotaTenant{pass, t0}
+		member.overQuota[tenantHash(77)] = overQuotaTenant{pass, t0}
 		member.RequestArrived(t0, wideRequest(1, 77), r)
 		holder := member.ownerFor(member.quotas.buckets[77])
 		h, hr := wideGate(t, holder)
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -1,202 +1,236 @@
 package balancer
 
-import (
-	"math"
-	"time"
-)
+import "time"
 
 const (
-	minGossipInterval = 40 * time.Millisecond // shortest gap between tells
-	// gap between tells as a multiple of what the inbox limit allows
+	// minGossipInterval is the shortest time between two rounds of gossip.
+	minGossipInterval = 40 * time.Millisecond
+	// gossipIntervalSlack is that time as a multiple of what the peers' limit on messages allows.
 	gossipIntervalSlack = 1.3
-	// gaps between tells after which a level told is forgotten
-	maxMissedGossipIntervals = 10
+	// maxNewEntryBytes bounds the new entries of a message. The repeated ones follow if they fit.
+	maxNewEntryBytes = 180
 )
 
-// maxNewEntryBytes is the bytes of new entries in a tell; the repeat follows if it fits.
-const maxNewEntryBytes = 180
-
-// gossipState is the state of the exchange of messages with the other nodes.
-type gossipState struct {
-	epoch                 uint64 // of this process: tells its sequence numbers from those before a restart
-	peers                 []peerState
-	interval              time.Duration
-	unreported            []*quotaBucket // buckets with something to report
-	consecutiveUnanswered int            // quota requests without a grant since the last message
-	lastMessage           time.Duration  // when that came
-	messages              float64        // received since the last control interval
-	messageRate           float64        // received per second, averaged
+// gossiper tells peers of the use of quotas that are split between nodes, in rounds, and keeps their
+// messages in order.
+type gossiper struct {
+	enabled    bool
+	node       int // this one
+	epoch      uint64
+	interval   time.Duration // between rounds
+	peers      []gossipPeer  // by node
+	unreported []*quotaBucket
 }
 
-// closeInterval ends a control interval.
-func (s *gossipState) closeInterval() {
-	s.messageRate += rateSmoothing * (s.messages/controlInterval.Seconds() - s.messageRate)
-	s.messages = 0
+// gossipPeer is the state of the gossip with one peer.
+type gossipPeer struct {
+	sentSequence     uint64 // of the last message to it
+	previous         entryBatch
+	received         bool   // a message came from it
+	epoch            uint64 // of its process
+	previousEpoch    uint64 // of its process before a restart
+	receivedSequence uint64 // the highest
 }
 
-// peerState is the state of tells to and from one peer.
-type peerState struct {
-	sentSequence            uint64
-	previousEntries         []byte // entries of the last tell
-	previousEntryCount      int
-	received                bool
-	epoch                   uint64
-	previousEpoch           uint64
-	receivedSequence        uint64
-	unansweredQuotaRequests int // asks since its last answer
+// newGossiper returns a gossiper whose epoch tells this process from those of the node before a restart.
+func newGossiper(settings *Settings, epoch uint64) gossiper {
+	return gossiper{
+		enabled:  settings.Gossip && settings.NodeCount > 1,
+		node:     settings.NodeIndex,
+		epoch:    epoch,
+		interval: gossipInterval(settings),
+		peers:    make([]gossipPeer, settings.NodeCount),
+	}
 }
 
-// PeerMessage brings a message of another gateway. A malformed one is ignored whole.
-func (b *Balancer) PeerMessage(now time.Duration, from int, message []byte, out Actions) {
-	b.now, b.actions = now, out
-	if from < 0 || from >= len(b.gossip.peers) || from == b.settings.NodeIndex || len(message) == 0 {
-		return
-	}
-	b.gossip.messages++
-	b.gossip.consecutiveUnanswered, b.gossip.lastMessage = 0, now
-	if message[0] != kindGossip {
-		b.receiveQuotaMessage(from, message)
-		return
+// gossipInterval is the time between rounds that keeps peers within their limit on messages.
+func gossipInterval(settings *Settings) time.Duration {
+	if settings.PeerMessagesPerSecond <= 0 {
+		return controlInterval
 	}
-	b.receiveGossip(from, message)
+	seconds := gossipIntervalSlack * float64(settings.NodeCount-1) / settings.PeerMessagesPerSecond
+	return max(time.Duration(seconds*float64(time.Second)), settings.Tick, minGossipInterval)
 }
 
-// receiveGossip takes in a tell, by its number and that of the sender's process.
-func (b *Balancer) receiveGossip(from int, message []byte) {
-	epoch, seq, cur, prev, ok := b.decodeGossip(message)
-	p := &b.gossip.peers[from]
-	if !ok || p.received && epoch == p.previousEpoch && epoch != p.epoch {
-		return
+// markUnreported has the next round tell of a bucket. Of owned ones nothing is told: their owners know.
+func (g *gossiper) markUnreported(bucket *quotaBucket) {
+	if g.enabled && !bucket.owned && bucket.queueForGossip() {
+		g.unreported = append(g.unreported, bucket)
 	}
-	if !p.received || epoch != p.epoch {
-		// The peer has restarted: its numbers begin anew, and what still comes from before is ignored.
-		p.previousEpoch, p.epoch, p.receivedSequence, p.received = p.epoch, epoch, 0, true
-	}
-	if seq <= p.receivedSequence {
-		return
-	}
-	if seq > p.receivedSequence+1 {
-		b.applyGossipEntries(from, prev)
+}
+
+// sendRound tells each peer of the buckets of which it is an entry node. It returns the highest number of
+// messages that one peer was sent.
+func (g *gossiper) sendRound(codec *codec, actions Actions) (maxSent int) {
+	for peer := range g.peers {
+		if peer != g.node {
+			maxSent = max(maxSent, g.sendTo(peer, codec, actions))
+		}
 	}
-	p.receivedSequence = seq
-	b.applyGossipEntries(from, cur)
+	g.closeRound()
+	return maxSent
 }
 
-func (b *Balancer) applyGossipEntries(from int, es []gossipEntry) {
-	for _, e := range es {
-		if st := b.quotas.buckets[e.tenant]; st != nil && st.plan != e.plan {
+// sendTo packs the buckets that concern a peer into as many messages as it takes, and returns their number.
+func (g *gossiper) sendTo(peer int, codec *codec, actions Actions) (sent int) {
+	var batch entryBatch
+	for _, bucket := range g.unreported {
+		if !bucket.entryNodes.contains(peer, len(g.peers)) {
 			continue
 		}
-		st := b.quotaFor(e.tenant, e.plan, e.entryNodes, e.firstEntryNode)
-		if b.settings.Plans[e.plan].Rate > 0 {
-			st.tokens = math.Max(st.tokens-e.units, -b.settings.Plans[e.plan].Burst)
-		}
-		if b.settings.Plans[e.plan].MaxConcurrent > 0 {
-			if st.peerInFlight == nil {
-				st.peerInFlight = make([]peerInFlight, b.settings.NodeCount)
-			}
-			st.peerInFlight[from] = peerInFlight{e.inFlight, b.now}
+		entry := bucket.gossipEntry()
+		if codec.appendEntry(&batch, &entry); len(batch.encoded) > maxNewEntryBytes-maxEntryBytes {
+			sent += g.sendBatch(peer, batch, actions)
+			batch = entryBatch{}
 		}
 	}
+	if batch.count > 0 || sent == 0 {
+		sent += g.sendBatch(peer, batch, actions)
+	}
+	return sent
 }
 
-// gossip tells each peer of the stores whose sets it is in, and returns the most messages that one was sent.
-func (b *Balancer) sendGossip() (most int) {
-	for i := range b.gossip.peers {
-		if i != b.settings.NodeIndex {
-			most = max(most, b.gossipTo(i, func(st *quotaBucket) bool {
-				return b.isEntryNode(i,
-					st.firstEntryNode, st.entryNodes)
-			}))
-		}
-	}
-	kept := b.gossip.unreported[:0]
-	for _, st := range b.gossip.unreported {
-		st.unreportedUnits -= math.Round(st.unreportedUnits)
-		st.acquiredSinceGossip, st.startedSinceGossip = 0, 0
-		if st.idleReports++; st.inFlight > 0 {
-			st.idleReports = 0
-		}
-		// Levels are told until two tells have said that nothing is out.
-		if st.dirty = b.settings.Plans[st.plan].MaxConcurrent > 0 && st.idleReports < 3; st.dirty {
-			kept = append(kept, st)
+// sendBatch sends a batch with a repeat of the one before, unless both are empty. It returns the number of
+// messages.
+func (g *gossiper) sendBatch(peer int, batch entryBatch, actions Actions) int {
+	state := &g.peers[peer]
+	if batch.count == 0 && state.previous.count == 0 {
+		return 0
+	}
+	state.sentSequence++
+	actions.SendPeer(peer, encodeGossip(g.epoch, state.sentSequence, batch, state.previous))
+	state.previous = batch
+	return 1
+}
+
+func (g *gossiper) closeRound() {
+	remaining := g.unreported[:0]
+	for _, bucket := range g.unreported {
+		if bucket.closeGossipRound() {
+			remaining = append(remaining, bucket)
 		}
 	}
-	b.gossip.unreported = kept
-	return most
-}
-
-// gossipTo packs the stores to tell that about chooses, in as many messages as it takes, and returns their
-// number.
-func (b *Balancer) gossipTo(peer int, about func(*quotaBucket) bool) (sent int) {
-	p, n := &b.gossip.peers[peer], 0
-	var body []byte
-	flush := func() {
-		if n > 0 || p.previousEntryCount > 0 {
-			p.sentSequence++
-			b.actions.SendPeer(peer, encodeGossip(b.gossip.epoch, p.sentSequence, n, body,
-				p.previousEntryCount,
-				p.previousEntries))
-			p.previousEntries, p.previousEntryCount, body, n = body, n, nil, 0
-			sent++
-		}
+	g.unreported = remaining
+}
+
+// accept orders a message among those that came from the peer before. It says which of its entries are new.
+func (p *gossipPeer) accept(epoch, sequence uint64) (entries, previous bool) {
+	if p.received && epoch == p.previousEpoch && epoch != p.epoch {
+		return false, false // sent before the peer's restart
 	}
-	for _, st := range b.gossip.unreported {
-		if about(st) {
-			n++
-			if body = b.appendEntry(body, st); len(body) > maxNewEntryBytes-maxEntryBytes {
-				flush()
-			}
-		}
+	if !p.received || epoch != p.epoch {
+		p.previousEpoch, p.epoch, p.receivedSequence, p.received = p.epoch, epoch, 0, true
 	}
-	if n > 0 || sent == 0 {
-		flush()
+	if sequence <= p.receivedSequence {
+		return false, false
 	}
-	return sent
+	previous = sequence > p.receivedSequence+1
+	p.receivedSequence = sequence
+	return true, previous
 }
 
-func (b *Balancer) markUnreported(st *quotaBucket) {
-	if !st.dirty && !st.owned && b.settings.Gossip && b.settings.NodeCount > 1 {
-		st.dirty = true
-		b.gossip.unreported = append(b.gossip.unreported, st)
-	}
+// peerInbox measures the messages that come from peers.
+type peerInbox struct {
+	received    float64 // since the last control interval
+	rate        float64 // per second, averaged
+	lastMessage time.Duration
 }
 
-// ownsQuotas tells whether the fleet is so large that tells to all of it come too late to go by.
-func (b *Balancer) ownsQuotas() bool {
-	return b.settings.Gossip && b.gossip.interval > assessmentIntervals*controlInterval
+func (i *peerInbox) record(now time.Duration) {
+	i.received++
+	i.lastMessage = now
 }
 
-// receiveQuotaMessage takes an ask of a member, the answer of a holder, or what a member gives back.
-func (b *Balancer) receiveQuotaMessage(from int, message []byte) {
-	m, ok := b.decodeQuotaMessage(message)
+// closeInterval ends a control interval.
+func (i *peerInbox) closeInterval() {
+	i.rate += rateSmoothing * (i.received/controlInterval.Seconds() - i.rate)
+	i.received = 0
+}
+
+// PeerMessage is the arrival of a message of another node. A malformed one is ignored whole.
+func (b *Balancer) PeerMessage(now time.Duration, from int, message []byte, out Actions) {
+	b.now, b.actions = now, out
+	if from < 0 || from >= b.settings.NodeCount || from == b.settings.NodeIndex || len(message) == 0 {
+		return
+	}
+	b.inbox.record(now)
+	b.quotaRequester.recordMessage()
+	if message[0] == kindGossip {
+		b.receiveGossip(from, message)
+	} else {
+		b.receiveQuotaMessage(from, message)
+	}
+}
+
+func (b *Balancer) receiveGossip(from int, message []byte) {
+	decoded, ok := b.codec.decodeGossip(message)
 	if !ok {
 		return
 	}
-	if m.kind == kindQuotaRequest || m.kind == kindQuotaGrant {
-		b.overload.mixIntoPool(peerPoolSmoothing, &m.pooledMeans)
-		b.receiveOverQuota(m.overQuota)
-		b.receiveLoadGossip(m.loadGossip)
+	entries, previous := b.gossip.peers[from].accept(decoded.epoch, decoded.sequence)
+	if previous {
+		b.applyGossipEntries(from, decoded.previous)
+	}
+	if entries {
+		b.applyGossipEntries(from, decoded.entries)
+	}
+}
+
+func (b *Balancer) applyGossipEntries(from int, entries []gossipEntry) {
+	for i := range entries {
+		entry := &entries[i]
+		plan := &b.quotas.plans[entry.plan]
+		if known := b.quotas.buckets[entry.tenant]; known != nil && known.plan != plan {
+			continue
+		}
+		bucket := b.quotaFor(entry.tenant, plan, entry.entryNodes)
+		bucket.applyPeerUse(b.now, from, b.settings.NodeCount, entry)
 	}
-	switch m.kind {
+}
+
+func (b *Balancer) sendGossip() (maxSent int) { return b.gossip.sendRound(&b.codec, b.actions) }
+
+func (b *Balancer) markUnreported(bucket *quotaBucket) { b.gossip.markUnreported(bucket) }
+
+// ownsQuotas tells whether quotas have owners: the fleet is so large that gossip to all of it would come too
+// late to go by.
+func (b *Balancer) ownsQuotas() bool { return b.quotas.haveOwners }
+
+// receiveQuotaMessage takes a quota request of a requester, the grant of an owner, or what a requester gives
+// back.
+func (b *Balancer) receiveQuotaMessage(from int, message []byte) {
+	switch message[0] {
 	case kindQuotaRequest:
-		b.answerQuotaRequest(from, m)
+		if request, ok := b.codec.decodeQuotaRequest(message, &b.piggyback); ok {
+			b.receivePiggyback()
+			b.answerQuotaRequest(from, &request)
+		}
 	case kindQuotaGrant:
-		b.receiveQuotaGrant(from, m)
-	case kindReconciliation:
-		if st := b.quotas.buckets[m.tenant]; st != nil && st.owned &&
-			b.isEntryNode(from, st.firstEntryNode, st.entryNodes) {
-			b.refill(st)
-			st.tokens = st.clampTokens(st.tokens+st.reconcile(from, m), b.settings.Plans[st.plan].Burst)
+		if grant, ok := decodeQuotaGrant(message, &b.piggyback); ok {
+			b.receivePiggyback()
+			b.receiveQuotaGrant(from, &grant)
 		}
 	case kindQuotaRelease:
-		if st := b.quotas.buckets[m.tenant]; st != nil && st.owned {
-			b.refill(st)
-			st.tokens = math.Min(st.tokens+m.units, b.settings.Plans[st.plan].Burst/st.ownerCount)
-			st.dropConcurrencyLeases(func(l concurrencyLease) bool {
-				return l.from == from &&
-					l.number == m.number
-			})
+		if release, ok := decodeQuotaRelease(message); ok {
+			b.receiveQuotaRelease(from, release)
+		}
+	case kindReconciliation:
+		if tenant, sum, ok := decodeReconciliationMessage(message); ok {
+			b.receiveReconciliation(from, tenant, sum)
 		}
 	}
 }
+
+func (b *Balancer) receivePiggyback() {
+	b.overload.mixIntoPool(peerPoolSmoothing, &b.piggyback.pooled)
+	b.overQuota.receive(b.now, b.piggyback.overQuota)
+	b.receiveLoads(b.piggyback.loads)
+}
+
+// piggybackFor gathers what goes along with a message to a peer. It is valid until the next message.
+func (b *Balancer) piggybackFor(peer int) *piggyback {
+	b.piggyback.pooled = b.overload.pooled
+	b.piggyback.overQuota = b.overQuota.appendNewest(b.piggyback.overQuota[:0], b.now)
+	b.piggyback.loads = b.appendFreshestLoads(b.piggyback.loads[:0], peer)
+	return &b.piggyback
+}
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -131,6 +131,9 @@
 	return q
 }
 
+// plan returns the plan of a name.
+func (b *Balancer) plan(name string) *quotaPlan { return &b.quotas.plans[b.planIndex[name]] }
+
 func probing() Settings {
 	s := testSettings()
 	s.HealthChecks, s.LoadReports = true, LoadReportsInHealthChecks
--- a/balancer/load_codec.go
+++ b/balancer/load_codec.go
@@ -1,77 +1,139 @@
 package balancer
 
 import (
-	"cmp"
 	"encoding/binary"
 	"hash/fnv"
 	"math"
-	"slices"
 	"time"
 )
 
 const (
-	// of an entry: two of the hash, one of the load, one of the age
-	loadEntryBytes         = 4
-	loadErrorBit           = 1 << 7                // bit of a load: its last answer was an error
-	loadRefusesConnections = 255                   // in place of a load: it takes no connection
-	ageUnit                = 20 * time.Millisecond // in which ages are told; a byte holds five seconds
+	// piggybackEntryBytes is the size of an entry: two bytes of a hash, one of a figure, one of its age.
+	piggybackEntryBytes = 4
+	// ageUnit is the unit of ages; a byte of them holds five seconds.
+	ageUnit = 20 * time.Millisecond
+	// loadFailedBit is set in a load whose endpoint's last response was an error.
+	loadFailedBit = 1 << 7
+	// loadRefusesConnections stands in place of a load for an endpoint that takes no connection.
+	loadRefusesConnections = 255
 )
 
-// appendOverQuota adds the latest news of customers: how many, and per customer the hash, the share and its
-// age.
-func (g *Balancer) appendOverQuota(b []byte) []byte {
-	keys := make([]uint16, 0, len(g.quotas.overQuotaTenants))
-	for key, h := range g.quotas.overQuotaTenants {
-		if g.now-h.at < loadGossipMaxAge {
-			keys = append(keys, key)
-		}
+// piggyback is what goes along with quota requests and grants.
+type piggyback struct {
+	pooled    pooledMeans
+	overQuota []overQuotaReport
+	loads     []peerLoad
+}
+
+// overQuotaReport says of a tenant that its demand is over its quota.
+type overQuotaReport struct {
+	tenantHash      uint16
+	grantedFraction float64 // of its demand
+	age             time.Duration
+}
+
+// peerLoad is what another node knows of an endpoint's load.
+type peerLoad struct {
+	endpointHash uint16
+	load         float64 // requests in flight
+	status       peerLoadStatus
+	age          time.Duration
+}
+
+// peerLoadStatus is what is known of an endpoint besides its load.
+type peerLoadStatus int
+
+const (
+	peerLoadResponded          peerLoadStatus = iota // its last response was none of the others
+	peerLoadFailed                                   // its last response was an error
+	peerLoadRefusesConnections                       // it took no connection; its load is unknown
+)
+
+// appendPiggyback adds the pooled means, a count of reports over quota and these, and loads up to the end.
+func appendPiggyback(message []byte, attached *piggyback) []byte {
+	for _, mean := range attached.pooled {
+		scaled := math.Round(math.Min(mean*poolUnitsPerOne, maxWireUnits))
+		message = binary.AppendVarint(message, int64(scaled))
+	}
+	message = append(message, byte(len(attached.overQuota)))
+	for _, report := range attached.overQuota {
+		message = binary.BigEndian.AppendUint16(message, report.tenantHash)
+		fraction := byte(math.Round(report.grantedFraction * math.MaxUint8))
+		message = append(message, fraction, encodeAge(report.age))
 	}
-	slices.SortFunc(keys, func(a, b uint16) int {
-		return cmp.Or(cmp.Compare(g.quotas.overQuotaTenants[b].at, g.quotas.overQuotaTenants[a].at),
-			cmp.Compare(a, b))
-	})
-	keys = keys[:min(len(keys), maxOverQuotaEntries)]
-	b = append(b, byte(len(keys)))
-	for _, key := range keys {
-		h := g.quotas.overQuotaTenants[key]
-		b = binary.BigEndian.AppendUint16(b, key)
-		b = append(b, byte(math.Round(h.grantedFraction*math.MaxUint8)), byte((g.now-h.at+ageUnit-1)/ageUnit))
+	for _, load := range attached.loads {
+		message = binary.BigEndian.AppendUint16(message, load.endpointHash)
+		message = append(message, load.encode(), encodeAge(load.age))
 	}
-	return b
+	return message
 }
 
-// appendLoadGossip adds the latest news of customers, and of the servers in another gateway's subset, however
-// it
-// was
-// learnt.
-func (g *Balancer) appendLoadGossip(b []byte, to int) []byte {
-	b = g.appendOverQuota(b)
-	for _, s := range g.freshestLoads(maxLoadEntries, to) {
-		load := byte(math.Min(math.Max(math.Round(s.reportedLoad), 0), loadErrorBit-2))
-		switch {
-		case s.refusesConnections:
-			load = loadRefusesConnections
-		case s.lastResponseFailed:
-			load |= loadErrorBit
-		}
-		b = binary.BigEndian.AppendUint16(b, s.shortHash)
-		// rounded up, or old news would grow young
-		b = append(b, load, byte((g.now-s.loadReportedAt+ageUnit-1)/ageUnit))
+// decodePiggyback takes the rest of a message. It reuses the slices that it is given.
+func decodePiggyback(reader *varintReader, attached *piggyback) {
+	for i := range attached.pooled {
+		attached.pooled[i] = float64(reader.int()) / poolUnitsPerOne
+	}
+	attached.overQuota, attached.loads = attached.overQuota[:0], attached.loads[:0]
+	count := int(reader.byte())
+	if reader.malformed = reader.malformed || count*piggybackEntryBytes > len(reader.rest); reader.malformed {
+		return
+	}
+	for ; count > 0; count-- {
+		attached.overQuota = append(attached.overQuota, overQuotaReport{
+			tenantHash:      binary.BigEndian.Uint16(reader.rest),
+			grantedFraction: float64(reader.rest[2]) / math.MaxUint8,
+			age:             decodeAge(reader.rest[3]),
+		})
+		reader.rest = reader.rest[piggybackEntryBytes:]
+	}
+	for len(reader.rest) >= piggybackEntryBytes {
+		attached.loads = append(attached.loads, decodePeerLoad(reader.rest))
+		reader.rest = reader.rest[piggybackEntryBytes:]
+	}
+}
+
+// encode returns the byte of a load and its status.
+func (l *peerLoad) encode() byte {
+	load := byte(math.Min(math.Max(math.Round(l.load), 0), loadFailedBit-2))
+	switch l.status {
+	case peerLoadRefusesConnections:
+		return loadRefusesConnections
+	case peerLoadFailed:
+		return load | loadFailedBit
+	default:
+		return load
 	}
-	return b
 }
 
-// tenantHash names a customer in few bytes. One that shares them with a hot one is taken for it while asks
-// are
-// lost.
-func tenantHash(key uint64) uint16 {
-	x := (key + 1) * 0x9e3779b97f4a7c15
-	return uint16(x >> 48)
+func decodePeerLoad(entry []byte) peerLoad {
+	load := peerLoad{endpointHash: binary.BigEndian.Uint16(entry), age: decodeAge(entry[3])}
+	switch {
+	case entry[2] == loadRefusesConnections:
+		load.status = peerLoadRefusesConnections
+		return load
+	case entry[2]&loadFailedBit != 0:
+		load.status = peerLoadFailed
+	}
+	load.load = float64(entry[2] &^ loadFailedBit)
+	return load
+}
+
+// encodeAge rounds up: rounded down, a report would grow younger from node to node.
+func encodeAge(age time.Duration) byte { return byte((age + ageUnit - 1) / ageUnit) }
+
+func decodeAge(age byte) time.Duration { return time.Duration(age) * ageUnit }
+
+// tenantHash names a tenant in two bytes. A tenant that shares them with one over its quota is taken for it
+// while its quota requests are lost.
+func tenantHash(tenant uint64) uint16 {
+	hash := (tenant + 1) * 0x9e3779b97f4a7c15
+	return uint16(hash >> 48)
 }
 
-// shortEndpointHash names a server in few bytes. Two of a subset that share one are left out of its news.
+// shortEndpointHash names an endpoint in two bytes. Two endpoints of a subset that share them are left out of
+// load gossip.
 func shortEndpointHash(id string) uint16 {
-	h := fnv.New32a()
-	h.Write([]byte(id))
-	return uint16(h.Sum32() ^ h.Sum32()>>16)
+	hash := fnv.New32a()
+	hash.Write([]byte(id))
+	return uint16(hash.Sum32() ^ hash.Sum32()>>16)
 }
--- a/balancer/quota_bucket.go
+++ b/balancer/quota_bucket.go
@@ -6,268 +6,263 @@
 )
 
 const (
-	congestionPeriod = time.Second // a customer refused counts as crowded for so long
-	// a store without a rate is dropped when idle so long
+	// congestionPeriod is how long a tenant counts as congested after a rejection.
+	congestionPeriod = time.Second
+	// idleConcurrencyQuota is the idle time after which a bucket without a rate is dropped.
 	idleConcurrencyQuota = 5 * time.Second
-	// time constant of what a customer wants and is granted
-	demandDecay    = 3 * time.Second
-	maxIncarnation = 1 << 14 // lives of stores that a holder tells apart
-	// of the largest request, in a mean one: small ones are the most
-	meanUnitsFraction = 0.25
-	// share of an inbox for a customer's asks granted or refused
-	quotaInboxFraction = 0.5
-	// of hearing nobody a holder counts what it would have granted
+	// isolatedAfter is the silence of all peers after which an owner counts what it would have granted.
 	isolatedAfter = time.Second / 2
+	// maxMissedGossipIntervals is the rounds of gossip after which a peer's attempts in flight are forgotten.
+	maxMissedGossipIntervals = 10
+	// finalIdleReports is the reports of no attempts in flight after which a bucket is left out of gossip.
+	finalIdleReports = 3
+	// maxRefillTime bounds the time that a client is told to wait for units.
+	maxRefillTime = time.Minute
 )
 
-// quotaTable holds the buckets of all tenants seen lately, and what is known of tenants over their quota.
-type quotaTable struct {
-	buckets map[uint64]*quotaBucket
-	// the buckets in the order in which they are checked for idleness
-	list                 []*quotaBucket
-	sweepPosition        int                            // in list
-	unansweredAdmissions map[uint64]unansweredAdmission // by number of the request
-	overQuotaTenants     map[uint16]overQuotaTenant     // by hash of the tenant
-}
+// quotaBucket is one tenant's quota as this node sees it: a token bucket for the rate, the attempts in
+// flight, and this node's part of the hard limit. A quota is either split between the entry nodes, which
+// tell each other of their use, or owned by a few of them, which grant the others' requests.
+type quotaBucket struct {
+	tenant     uint64
+	plan       *quotaPlan
+	entryNodes entryNodes
+	owned      bool
+	sharers    int     // nodes between which the quota is divided: its owners or all its entry nodes
+	ownerCount float64 // buckets that the quota is kept in: that of its owners, or 1
 
-func newQuotaTable() quotaTable {
-	return quotaTable{
-		buckets:              map[uint64]*quotaBucket{},
-		unansweredAdmissions: map[uint64]unansweredAdmission{},
-		overQuotaTenants:     map[uint16]overQuotaTenant{},
-	}
+	refilledAt time.Duration
+	tokens     float64 // units; below 0 when the nodes have acquired more than there was
+	hardLimit  nodeHardLimit
+	inFlight   int // attempts of this node
+	// congestedUntil is set by a rejection. Until then a request needs units for all sharers.
+	congestedUntil time.Duration
+	use            unreportedUse
+	peerInFlight   []peerInFlight // by node; nil: none was reported
+
+	requester requesterState
+	owner     ownerState
 }
 
-// quotaBucket is a customer's quota as this gateway sees it.
-type quotaBucket struct {
-	tenant              uint64
-	plan                int
-	entryNodes          int
-	firstEntryNode      int
-	refilledAt          time.Duration
-	tokens              float64 // units left of the quota
-	hardLimitTokens     float64 // units left of this gateway's part of the ceiling
-	acquiredSinceGossip float64 // units sent since the last tell
-	unreportedUnits     float64 // units to tell, settlements included
-	// of this store's life: units that true figures left over or lacked, and those sent unasked
-	reconciledUnits        float64
-	reportedReconciliation float64 // of it, what was told last
-	incarnation            uint64  // tells this life of the store from others
-	locallyRejectedUnits   float64 // units refused unasked since the last ask
-	inFlight               int     // attempts out
-	startedSinceGossip     int     // tries sent since the last tell
-	idleReports            int     // tells that said nothing is out
-	dirty                  bool
-	peerInFlight           []peerInFlight               // per peer: attempts out there
-	owned                  bool                         // its holder is asked; tells would come too late
-	sharers                int                          // gateways over which the room is split
-	ownerCount             float64                      // stores that the quota is kept in
-	grantedFraction        float64                      // share of what is wanted that can be granted
-	demandRate             float64                      // units wanted a second, averaged
-	grantRate              float64                      // and granted
-	ratesAt                time.Duration                // when these were brought up to date
-	requesters             map[int]requesterIncarnation // of a holder: what each member has settled
-	answeredRequests       []answeredRequest            // and the asks answered last
-	rejectedUntil          time.Duration                // no ask until then: the holder has refused
-	// attempts that this holder has granted under an open cap
-	leases                 []concurrencyLease
-	hardLimitBurstFraction float64 // this gateway's part of the ceiling's burst
-	hardLimitRateFraction  float64 // and of its rate
-	// refused of late: until then, less is spent on a chance
-	congestedUntil time.Duration
+// unreportedUse is what this node did with a split quota since the last round of gossip.
+type unreportedUse struct {
+	acquired    float64 // units
+	units       float64 // to report: those acquired less those returned, and what rounding left
+	requests    int     // started
+	idleReports int     // reports of no attempts in flight, in a row
+	queued      bool    // the next round reports it
 }
 
+// peerInFlight is a peer's report of its attempts in flight.
 type peerInFlight struct {
 	attempts   int
 	reportedAt time.Duration
 }
 
-// quotaFor returns the customer's store, filled up to now.
-func (b *Balancer) quotaFor(key uint64, plan, spread, first int) *quotaBucket {
-	st := b.quotas.buckets[key]
-	p := &b.settings.Plans[plan]
-	if st == nil {
-		st = &quotaBucket{tenant: key, plan: plan, entryNodes: spread, firstEntryNode: first,
-			refilledAt: b.now, grantedFraction: 1}
-		st.incarnation = b.rng.Uint64N(maxIncarnation)
-		if st.sharers = spread; spread > 1 && b.ownsQuotas() {
-			// As many holders as it takes for their inboxes to hold the asks that can be granted.
-			asks := p.Rate / math.Max(1, meanUnitsFraction*b.settings.MaxUnits)
-			st.owned, st.sharers = true, min(max(1,
-				int(math.Ceil(asks/(quotaInboxFraction*b.settings.PeerMessagesPerSecond)))), spread)
-		}
-		// Filled since this gateway's start: a store dropped when full comes back full.
-		st.tokens = math.Min(p.Burst, p.Burst/float64(st.sharers)+p.Rate*(b.now-b.started).Seconds())
-		if st.ownerCount = 1; st.owned {
-			st.ownerCount = float64(st.sharers)
-			if st.tokens = p.Burst / st.ownerCount; b.grantedFraction(st) < overQuotaThreshold {
-				st.tokens = 0 // used up, as others tell: one that has restarted would grant it again
-			}
-		}
-		// Rule 5: the parts of a ceiling sum to the whole. Each counts as empty at its gateway's start, since
-		// one killed before may have spent it, and has filled since. A holder has most of it, for its grants.
-		st.hardLimitBurstFraction = 1 / float64(spread)
-		st.hardLimitRateFraction = st.hardLimitBurstFraction
-		if st.owned { // what its quota leaves of the ceiling is for members that have no answer
-			held := float64(b.partsOwned(st)) / st.ownerCount
-			burst := 1 - math.Min(p.Burst/math.Max(p.HardLimitBurst, 1e-9), 1)
-			rate := 1 - math.Min(p.Rate/math.Max(p.HardLimitRate, 1e-9), 1)
-			st.hardLimitBurstFraction = burst*st.hardLimitBurstFraction + (1-burst)*held
-			st.hardLimitRateFraction = rate*st.hardLimitRateFraction + (1-rate)*held
-		}
-		st.hardLimitTokens = math.Min(p.HardLimitBurst*st.hardLimitBurstFraction,
-			p.HardLimitRate*st.hardLimitRateFraction*(b.now-b.started).Seconds())
-		b.quotas.buckets[key] = st
-		b.quotas.list = append(b.quotas.list, st)
+// refill adds the units since the last call. lastMessage is when any peer was heard last.
+func (q *quotaBucket) refill(now, lastMessage time.Duration) {
+	plan := q.plan
+	seconds := (now - q.refilledAt).Seconds()
+	q.refilledAt = now
+	rate := plan.Rate / q.ownerCount
+	if q.owner.hasRequesters() && now-lastMessage > isolatedAfter {
+		// The requesters that the owner does not hear go on as before.
+		rate = math.Max(rate-q.owner.grantRate, -math.Max(q.tokens, 0)/math.Max(seconds, 1e-9))
+		q.owner.holdRates(now)
 	}
-	b.refill(st)
-	return st
+	q.tokens = math.Min(q.tokens+rate*seconds, plan.Burst/q.ownerCount)
+	q.hardLimit.refill(plan, seconds)
 }
 
-// checkQuota tells whether units are inside the customer's quota and, if not, when to come back.
-func (b *Balancer) checkQuota(st *quotaBucket, units float64) (bool, time.Duration) {
-	p := &b.settings.Plans[st.plan]
-	n := float64(st.sharers)
-	if st.owned {
-		n = 1
-		// nothing is spent here without the store's knowing
-		st.acquiredSinceGossip, st.startedSinceGossip, st.congestedUntil = 0, 0, 0
+// check tells whether units and one more attempt are within the quota and, if not, when to come back.
+func (q *quotaBucket) check(now time.Duration, units float64, gossipInterval time.Duration) (
+	granted bool, retryAfter time.Duration,
+) {
+	if q.owned { // Nothing is acquired here without the owner's bucket showing it at once.
+		q.use.acquired, q.use.requests, q.congestedUntil = 0, 0, 0
 	}
-	if p.MaxConcurrent > 0 {
-		room := b.concurrencyHeadroom(st)
-		least := 1
-		if b.now < st.congestedUntil {
-			least = max(min(st.entryNodes, p.MaxConcurrent/2), 1)
-		}
-		if room < least || st.startedSinceGossip > 0 &&
-			float64(st.startedSinceGossip+1) > float64(room+st.startedSinceGossip)/n {
-			st.congestedUntil = b.now + congestionPeriod
-			return false, min(b.gossip.interval, quotaRequestTimeout)
-		}
+	retryAfter = min(gossipInterval, quotaRequestTimeout)
+	if q.plan.MaxConcurrent > 0 && !q.hasConcurrency(now, gossipInterval) {
+		q.congestedUntil = now + congestionPeriod
+		return false, retryAfter
 	}
-	if p.Rate > 0 {
-		room := (st.tokens + st.acquiredSinceGossip) / n
-		// Exception: one request between tells needs only its units, or the split of a small
-		// store would hold none. Not so for a customer that was refused of late: its gateways
-		// would all send that one. There the store must have it for each, as far as it can.
-		least := units
-		if b.now < st.congestedUntil {
-			least = math.Max(units, math.Min(units*n, p.Burst/2))
-		}
-		if st.tokens < least || st.acquiredSinceGossip > 0 && st.acquiredSinceGossip+units > room {
-			st.congestedUntil = b.now + congestionPeriod
-			return false, max(refillTime(units-st.tokens, p.Rate/st.ownerCount), min(b.gossip.interval,
-				quotaRequestTimeout))
-		}
+	if q.plan.Rate > 0 && !q.hasTokens(now, units) {
+		q.congestedUntil = now + congestionPeriod
+		return false, max(refillTime(units-q.tokens, q.plan.Rate/q.ownerCount), retryAfter)
 	}
 	return true, 0
 }
 
-func (b *Balancer) refill(st *quotaBucket) {
-	p := &b.settings.Plans[st.plan]
-	dt := (b.now - st.refilledAt).Seconds()
-	st.refilledAt = b.now
-	rate := p.Rate / st.ownerCount
-	if len(st.requesters) > 0 && b.now-b.gossip.lastMessage > isolatedAfter {
-		// Members that it does not hear go on as before.
-		rate = math.Max(rate-st.grantRate, -math.Max(st.tokens, 0)/math.Max(dt, 1e-9))
-		st.ratesAt = b.now
+// hasConcurrency tells whether this node may start one more attempt before the next round of gossip.
+func (q *quotaBucket) hasConcurrency(now, gossipInterval time.Duration) bool {
+	headroom := q.concurrencyHeadroom(now, gossipInterval)
+	required := 1
+	if q.congested(now) {
+		required = max(min(q.entryNodes.count, q.plan.MaxConcurrent/2), 1)
+	}
+	if headroom < required {
+		return false
 	}
-	st.tokens = math.Min(st.tokens+rate*dt, p.Burst/st.ownerCount)
-	st.hardLimitTokens = math.Min(st.hardLimitTokens+p.HardLimitRate*st.hardLimitRateFraction*dt,
-		p.HardLimitBurst*st.hardLimitBurstFraction)
+	part := float64(headroom+q.use.requests) / q.independentNodes()
+	return q.use.requests == 0 || float64(q.use.requests+1) <= part
 }
 
-// acquire takes units of a request inside the quota, now or when it settles.
-func (b *Balancer) acquire(st *quotaBucket, units float64) {
-	if b.settings.Plans[st.plan].Rate > 0 {
-		st.tokens -= units
-		st.acquiredSinceGossip += units
-		st.unreportedUnits += units
+// hasTokens tells whether this node may acquire units before the next round of gossip.
+//
+// Exception: the first request after a round needs only its own units, or the parts of a small bucket would
+// be too small for any. A congested tenant has that request waiting at each of its nodes: there the bucket
+// must have the units of them all, as far as it can hold them.
+func (q *quotaBucket) hasTokens(now time.Duration, units float64) bool {
+	nodes := q.independentNodes()
+	required := units
+	if q.congested(now) {
+		required = math.Max(units, math.Min(units*nodes, q.plan.Burst/2))
 	}
-	b.markUnreported(st)
+	if q.tokens < required {
+		return false
+	}
+	return q.use.acquired <= 0 || q.use.acquired+units <= (q.tokens+q.use.acquired)/nodes
 }
 
-// concurrencyHeadroom is how many more attempts the customer may have out, as far as is known.
-func (b *Balancer) concurrencyHeadroom(st *quotaBucket) int {
-	room := b.settings.Plans[st.plan].MaxConcurrent - st.inFlight
-	for i, l := range st.peerInFlight {
-		// An unheard peer counts as nought.
-		if i != b.settings.NodeIndex && b.now-l.reportedAt < maxMissedGossipIntervals*b.gossip.interval {
-			room -= l.attempts
-		}
+// independentNodes is the number of nodes that may acquire from these tokens at the same time.
+func (q *quotaBucket) independentNodes() float64 {
+	if q.owned {
+		return 1
 	}
-	st.dropConcurrencyLeases(func(l concurrencyLease) bool { return b.now >= l.expiresAt })
-	return room - len(st.leases)
+	return float64(q.sharers)
 }
 
-// dropIdleQuotas drops idle stores among the next eighth, and what is no longer believed of customers.
-func (b *Balancer) dropIdleQuotas() {
-	for key, h := range b.quotas.overQuotaTenants {
-		if b.now-h.at > overQuotaRetention {
-			delete(b.quotas.overQuotaTenants, key)
+// concurrencyHeadroom is how many more attempts the tenant may have in flight, as far as is known. A peer
+// that has not reported for long counts as having none.
+func (q *quotaBucket) concurrencyHeadroom(now, gossipInterval time.Duration) int {
+	headroom := q.plan.MaxConcurrent - q.inFlight
+	for _, peer := range q.peerInFlight {
+		if now-peer.reportedAt < maxMissedGossipIntervals*gossipInterval {
+			headroom -= peer.attempts
 		}
 	}
-	for num, d := range b.quotas.unansweredAdmissions {
-		if b.now-d.at > unansweredAdmissionRetention {
-			delete(b.quotas.unansweredAdmissions, num)
-		}
+	return headroom - q.owner.activeLeases(now)
+}
+
+// acquire takes units within the quota. Negative units are returned.
+func (q *quotaBucket) acquire(units float64) {
+	if q.plan.Rate > 0 {
+		q.tokens -= units
+		q.use.acquired += units
+		q.use.units += units
 	}
-	for n := len(b.quotas.list)/8 + 1; n > 0 && len(b.quotas.list) > 0; n-- {
-		if b.quotas.sweepPosition >= len(b.quotas.list) {
-			b.quotas.sweepPosition = 0
-		}
-		st := b.quotas.list[b.quotas.sweepPosition]
-		if !b.isIdle(st) {
-			b.quotas.sweepPosition++
-			continue
+}
+
+// adjust adds units to an owner's tokens, which stay between a whole burst owed and the owner's part of one.
+func (q *quotaBucket) adjust(units float64) {
+	q.tokens = math.Max(math.Min(q.tokens+units, q.plan.Burst/q.ownerCount), -q.plan.Burst)
+}
+
+// restore adds units to an owner's tokens that a requester had been granted and did not use.
+func (q *quotaBucket) restore(units float64) {
+	q.tokens = math.Min(q.tokens+units, q.plan.Burst/q.ownerCount)
+}
+
+// congested tells whether the tenant was rejected of late.
+func (q *quotaBucket) congested(now time.Duration) bool { return now < q.congestedUntil }
+
+// requestStarted, attemptStarted and attemptFinished count this node's use of the concurrency.
+func (q *quotaBucket) requestStarted() { q.use.requests++ }
+
+func (q *quotaBucket) attemptStarted() { q.inFlight++ }
+
+func (q *quotaBucket) attemptFinished() { q.inFlight-- }
+
+// queueForGossip has the next round report the bucket. It reports false for one that is queued already.
+func (q *quotaBucket) queueForGossip() bool {
+	queued := q.use.queued
+	q.use.queued = true
+	return !queued
+}
+
+// gossipEntry is the report of this node's use.
+func (q *quotaBucket) gossipEntry() gossipEntry {
+	return gossipEntry{q.tenant, q.plan.index, q.entryNodes, q.use.units, q.inFlight}
+}
+
+// closeGossipRound takes in that the use was reported, in whole units. It tells whether the next round must
+// report it too: attempts in flight are, until the last reports have said that there are none.
+func (q *quotaBucket) closeGossipRound() bool {
+	q.use.units -= math.Round(q.use.units)
+	q.use.acquired, q.use.requests = 0, 0
+	if q.use.idleReports++; q.inFlight > 0 {
+		q.use.idleReports = 0
+	}
+	q.use.queued = q.plan.MaxConcurrent > 0 && q.use.idleReports < finalIdleReports
+	return q.use.queued
+}
+
+// applyPeerUse takes in a peer's report.
+func (q *quotaBucket) applyPeerUse(now time.Duration, peer, nodeCount int, entry *gossipEntry) {
+	if q.plan.Rate > 0 {
+		q.tokens = math.Max(q.tokens-entry.units, -q.plan.Burst)
+	}
+	if q.plan.MaxConcurrent > 0 {
+		if q.peerInFlight == nil {
+			q.peerInFlight = make([]peerInFlight, nodeCount)
 		}
-		delete(b.quotas.buckets, st.tenant)
-		b.quotas.list[b.quotas.sweepPosition] = b.quotas.list[len(b.quotas.list)-1]
-		b.quotas.list = b.quotas.list[:len(b.quotas.list)-1]
+		q.peerInFlight[peer] = peerInFlight{entry.inFlight, now}
 	}
 }
 
-// isIdle tells whether a store may be dropped: full for a burst's time, with nothing out and nothing to tell.
-// Memory stays bounded when customers come once only.
-func (b *Balancer) isIdle(st *quotaBucket) bool {
-	p := &b.settings.Plans[st.plan]
-	idle := idleConcurrencyQuota
-	if p.Rate > 0 {
-		idle = refillTime(2*p.Burst-st.tokens, p.Rate)
+// idle tells whether the bucket may be dropped: it was full for a burst's time, with nothing in flight and
+// nothing to report.
+func (q *quotaBucket) idle(now time.Duration) bool {
+	plan := q.plan
+	period := idleConcurrencyQuota
+	if plan.Rate > 0 {
+		period = refillTime(2*plan.Burst-q.tokens, plan.Rate)
+	}
+	if plan.HardLimitRate > 0 {
+		period = max(period, refillTime(plan.HardLimitBurst, plan.HardLimitRate))
 	}
-	idle = max(idle, refillTimeIfLimited(p.HardLimitBurst, p.HardLimitRate))
-	return st.inFlight == 0 && !st.dirty && len(st.leases) == 0 && b.now-st.refilledAt >= idle
+	return q.inFlight == 0 && !q.use.queued && !q.owner.hasLeases() && now-q.refilledAt >= period
 }
 
-// clampTokens keeps a holder's level between a whole burst owed and its part of one.
-func (st *quotaBucket) clampTokens(level, burst float64) float64 {
-	return math.Max(math.Min(level, burst/st.ownerCount), -burst)
+// refillTime is the time in which units come at a rate per second.
+func refillTime(units, rate float64) time.Duration {
+	return time.Duration(math.Min(math.Max(units/rate, 0), maxRefillTime.Seconds()) * float64(time.Second))
 }
 
-// recordDemand and granted count units into the averages.
-func (st *quotaBucket) recordDemand(now time.Duration, units float64) {
-	st.decayRates(now)
-	st.demandRate += units / demandDecay.Seconds()
+// nodeHardLimit is this node's part of a tenant's hard limit, in units.
+type nodeHardLimit struct {
+	tokens float64
+	part   hardLimitPart
 }
 
-func (st *quotaBucket) recordGrant(now time.Duration, units float64) {
-	st.decayRates(now)
-	st.grantRate += units / demandDecay.Seconds()
+// hardLimitPart is a node's part of the burst and of the rate of a hard limit, as fractions.
+type hardLimitPart struct {
+	burst, rate float64
 }
 
-func (st *quotaBucket) decayRates(now time.Duration) {
-	keep := math.Exp(-(now - st.ratesAt).Seconds() / demandDecay.Seconds())
-	st.demandRate, st.grantRate, st.ratesAt = st.demandRate*keep, st.grantRate*keep, now
+// newNodeHardLimit returns a bucket that was empty at the start of the node, since a process before it may
+// have used it up.
+func newNodeHardLimit(plan *quotaPlan, sinceStart float64, part hardLimitPart) nodeHardLimit {
+	tokens := math.Min(plan.HardLimitBurst*part.burst, plan.HardLimitRate*part.rate*sinceStart)
+	return nodeHardLimit{tokens, part}
 }
 
-func refillTime(units, rate float64) time.Duration {
-	return time.Duration(math.Min(math.Max(units/rate, 0), 60) * float64(time.Second))
+func (h *nodeHardLimit) refill(plan *quotaPlan, seconds float64) {
+	h.tokens = math.Min(h.tokens+plan.HardLimitRate*h.part.rate*seconds, plan.HardLimitBurst*h.part.burst)
+}
+
+// covers tells whether units are within the limit.
+func (h *nodeHardLimit) covers(plan *quotaPlan, units float64) bool {
+	return plan.HardLimitRate <= 0 || h.tokens >= units
+}
+
+// timeUntil is how long it takes until the limit covers units.
+func (h *nodeHardLimit) timeUntil(plan *quotaPlan, units float64) time.Duration {
+	return refillTime(units-h.tokens, plan.HardLimitRate*h.part.rate)
 }
 
-func refillTimeIfLimited(units, rate float64) time.Duration {
-	if rate <= 0 {
-		return 0
+func (h *nodeHardLimit) acquire(plan *quotaPlan, units float64) {
+	if plan.HardLimitRate > 0 {
+		h.tokens -= units
 	}
-	return refillTime(units, rate)
 }
--- a/balancer/quota_codec.go
+++ b/balancer/quota_codec.go
@@ -6,121 +6,127 @@
 	"time"
 )
 
-// retryAfterUnit is the unit in which an answer gives a wait.
-const retryAfterUnit = 10 * time.Millisecond
-
-// grantedFractionSteps is the number of parts in which it gives the share of asks granted.
-const grantedFractionSteps = 31
-
-// quotaMessage is one decoded ask, answer or return.
-type quotaMessage struct {
-	kind                             byte
-	number, tenant                   uint64
-	plan, entryNodes, firstEntryNode int
-	units, reconciledUnits           float64
-	incarnation                      uint64
-	locallyRejectedUnits             float64
-	granted                          bool
-	grantedFraction                  float64
-	retryAfter                       time.Duration
-	pooledMeans                      pooledMeans
-	overQuota, loadGossip            []byte // entries of newsBytes each
+const (
+	// retryAfterUnit is the unit in which a grant gives the time to the next request.
+	retryAfterUnit = 10 * time.Millisecond
+	// maxRetryAfterUnits bounds that time: a minute.
+	maxRetryAfterUnits = 6000
+	// grantedFractionSteps is the number of steps from 0 to 1 in which a grant gives the granted fraction.
+	grantedFractionSteps = 31
+	// poolUnitsPerOne is the number of steps to 1 in which the pooled means are given.
+	poolUnitsPerOne = 256
+)
+
+// quotaRequest asks the owner of a quota for the units of one request.
+type quotaRequest struct {
+	number         uint64 // of the request at the requester
+	tenant         uint64
+	plan           int // its index
+	entryNodes     entryNodes
+	units          float64
+	reconciliation reconciliation
+	// locallyRejectedUnits were rejected by the requester since its last quota request.
+	locallyRejectedUnits float64
 }
 
-// encodeQuotaRequest returns an ask: kind, number, customer, code of plan, spread and first, units, units
-// refused
-// unasked,
-// the store's life and the units reconciled in it.
-func (b *Balancer) encodeQuotaRequest(r *request) []byte {
-	msg := binary.AppendUvarint([]byte{kindQuotaRequest}, r.number)
-	msg = binary.AppendUvarint(msg, r.quota.tenant)
-	msg = binary.AppendUvarint(msg, b.entryCode(r.quota))
-	msg = binary.AppendVarint(msg, int64(math.Round(r.Units)))
-	msg = binary.AppendUvarint(msg, uint64(math.Round(math.Min(r.quota.locallyRejectedUnits, 1e6))))
-	return b.appendLoadGossip(b.appendPool(appendReconciliation(msg, r.quota)), r.quotaOwner)
+// quotaGrant is the owner's answer to a [quotaRequest].
+type quotaGrant struct {
+	number          uint64
+	granted         bool
+	retryAfter      time.Duration // if not granted: until then the requester should not ask again
+	grantedFraction float64       // of the demand that the owner can grant
 }
 
-// encodeReconciliation returns what is reconciled in a member's store: kind, number 0, customer, life and
-// sum.
-func (b *Balancer) encodeReconciliation(st *quotaBucket) []byte {
-	return appendReconciliation(binary.AppendUvarint([]byte{kindReconciliation, 0}, st.tenant), st)
+// quotaRelease returns units that were granted and not used, and the lease of an attempt in flight.
+type quotaRelease struct {
+	number uint64
+	tenant uint64
+	units  float64
 }
 
-func appendReconciliation(msg []byte, st *quotaBucket) []byte {
-	st.reportedReconciliation = math.Round(st.reconciledUnits)
-	return binary.AppendVarint(binary.AppendUvarint(msg, st.incarnation), int64(st.reportedReconciliation))
+// reconciliation is the sum of the corrections that a requester has made to its use of one quota. It is a sum
+// and not a difference so that the next one makes up for one that was lost.
+type reconciliation struct {
+	incarnation uint64 // of the requester's bucket; a new one starts its sum at 0
+	units       float64
 }
 
-// encodeQuotaGrant returns an answer: kind, number, share of asks granted with 0 for granted or else 1 + the
-// wait.
-func (b *Balancer) encodeQuotaGrant(to int, num uint64, granted bool, wait time.Duration,
-	admitted float64) []byte {
-	x := uint64(math.Round(admitted * grantedFractionSteps))
-	if !granted {
-		x += (1 + uint64(max(wait, 0)/retryAfterUnit)) * (grantedFractionSteps + 1)
-	}
-	return b.appendLoadGossip(b.appendPool(binary.AppendUvarint(binary.AppendUvarint([]byte{kindQuotaGrant},
-		num), x)),
-		to)
+// encodeQuotaRequest returns the message of a quota request.
+func (c *codec) encodeQuotaRequest(request *quotaRequest, attached *piggyback) []byte {
+	message := binary.AppendUvarint([]byte{kindQuotaRequest}, request.number)
+	message = binary.AppendUvarint(message, request.tenant)
+	message = binary.AppendUvarint(message, c.planCode(request.plan, request.entryNodes))
+	message = binary.AppendVarint(message, int64(math.Round(request.units)))
+	rejected := math.Round(math.Min(request.locallyRejectedUnits, maxWireUnits))
+	message = binary.AppendUvarint(message, uint64(rejected))
+	return appendPiggyback(appendReconciliation(message, request.reconciliation), attached)
 }
 
-// encodeQuotaRelease returns units or a place to the holder: kind, number, customer, units.
-func encodeQuotaRelease(key, num uint64, units float64) []byte {
-	msg := binary.AppendUvarint(binary.AppendUvarint([]byte{kindQuotaRelease}, num), key)
-	return binary.AppendVarint(msg, int64(math.Round(units)))
+// decodeQuotaRequest decodes a quota request and what is attached to it. Like the other decoders it reports
+// false for a message that is malformed in any part.
+func (c *codec) decodeQuotaRequest(message []byte, attached *piggyback) (quotaRequest, bool) {
+	reader := varintReader{rest: message[1:]}
+	request := quotaRequest{number: reader.uint(), tenant: reader.uint()}
+	var known bool
+	request.plan, request.entryNodes, known = c.decodePlanCode(reader.uint())
+	request.units = float64(reader.int())
+	request.locallyRejectedUnits = float64(min(reader.uint(), maxWireUnits))
+	request.reconciliation = decodeReconciliation(&reader)
+	decodePiggyback(&reader, attached)
+	return request, reader.done() && known && request.units >= 0
 }
 
-// decodeQuotaMessage decodes an ask, an answer or a return; ok is false for one that is malformed in any
-// part.
-func (g *Balancer) decodeQuotaMessage(b []byte) (m quotaMessage, ok bool) {
-	r := varintReader{rest: b[1:]}
-	m.kind, m.number = b[0], r.uint()
-	switch m.kind {
-	case kindQuotaRequest:
-		m.tenant = r.uint()
-		ok = g.decodeEntryCode(r.uint(), &m.plan, &m.entryNodes, &m.firstEntryNode)
-		m.units, m.locallyRejectedUnits, m.incarnation = float64(r.int()), float64(min(r.uint(), 1e6)),
-			r.uint()
-		m.reconciledUnits = float64(r.int())
-		r.malformed = r.malformed || !ok || m.units < 0
-	case kindQuotaGrant:
-		x := r.uint()
-		m.grantedFraction = float64(x%(grantedFractionSteps+1)) / grantedFractionSteps
-		x /= grantedFractionSteps + 1
-		m.granted = x == 0
-		m.retryAfter = time.Duration(min(max(x, 1)-1, 6000)) * retryAfterUnit
-	case kindQuotaRelease:
-		m.tenant, m.units = r.uint(), float64(r.int())
-	case kindReconciliation:
-		m.tenant, m.incarnation, m.reconciledUnits = r.uint(), r.uint(), float64(r.int())
-	default:
-		r.malformed = true
-	}
-	talks := m.kind == kindQuotaRequest || m.kind == kindQuotaGrant
-	for i := range m.pooledMeans {
-		if talks {
-			m.pooledMeans[i] = float64(r.int()) / poolUnitsPerOne
-		}
-	}
-	if talks && !r.malformed {
-		n := 1
-		if len(r.rest) > 0 {
-			n += int(r.rest[0]) * loadEntryBytes
-		}
-		if r.malformed = n > len(r.rest); !r.malformed {
-			m.overQuota, r.rest = r.rest[1:n], r.rest[n:]
-			m.loadGossip, r.rest = r.rest, r.rest[len(r.rest)-len(r.rest)%loadEntryBytes:]
-		}
+// encodeQuotaGrant returns the message of a grant. One number holds the granted fraction and, above it, 0
+// for a grant or else 1 and the time to the next request.
+func encodeQuotaGrant(grant *quotaGrant, attached *piggyback) []byte {
+	code := uint64(math.Round(grant.grantedFraction * grantedFractionSteps))
+	if !grant.granted {
+		code += (1 + uint64(max(grant.retryAfter, 0)/retryAfterUnit)) * (grantedFractionSteps + 1)
 	}
-	return m, !r.malformed && len(r.rest) == 0
+	message := binary.AppendUvarint([]byte{kindQuotaGrant}, grant.number)
+	return appendPiggyback(binary.AppendUvarint(message, code), attached)
 }
 
-// poolUnitsPerOne is the number of parts in which the figures of the pool are given.
-const poolUnitsPerOne = 256
+func decodeQuotaGrant(message []byte, attached *piggyback) (quotaGrant, bool) {
+	reader := varintReader{rest: message[1:]}
+	grant := quotaGrant{number: reader.uint()}
+	code := reader.uint()
+	grant.grantedFraction = float64(code%(grantedFractionSteps+1)) / grantedFractionSteps
+	code /= grantedFractionSteps + 1
+	grant.granted = code == 0
+	grant.retryAfter = time.Duration(min(max(code, 1)-1, maxRetryAfterUnits)) * retryAfterUnit
+	decodePiggyback(&reader, attached)
+	return grant, reader.done()
+}
 
-func (g *Balancer) appendPool(b []byte) []byte {
-	for _, x := range g.overload.pooled {
-		b = binary.AppendVarint(b, int64(math.Round(math.Min(x*poolUnitsPerOne, 1e6))))
-	}
-	return b
+func encodeQuotaRelease(release quotaRelease) []byte {
+	message := binary.AppendUvarint([]byte{kindQuotaRelease}, release.number)
+	message = binary.AppendUvarint(message, release.tenant)
+	return binary.AppendVarint(message, int64(math.Round(release.units)))
+}
+
+func decodeQuotaRelease(message []byte) (quotaRelease, bool) {
+	reader := varintReader{rest: message[1:]}
+	release := quotaRelease{number: reader.uint(), tenant: reader.uint(), units: float64(reader.int())}
+	return release, reader.done()
+}
+
+// encodeReconciliation returns the message of a reconciliation without a quota request. Its number is 0.
+func encodeReconciliation(tenant uint64, sum reconciliation) []byte {
+	return appendReconciliation(binary.AppendUvarint([]byte{kindReconciliation, 0}, tenant), sum)
+}
+
+func decodeReconciliationMessage(message []byte) (tenant uint64, sum reconciliation, ok bool) {
+	reader := varintReader{rest: message[1:]}
+	_, tenant = reader.uint(), reader.uint()
+	sum = decodeReconciliation(&reader)
+	return tenant, sum, reader.done()
+}
+
+func appendReconciliation(message []byte, sum reconciliation) []byte {
+	return binary.AppendVarint(binary.AppendUvarint(message, sum.incarnation), int64(sum.units))
+}
+
+func decodeReconciliation(reader *varintReader) reconciliation {
+	return reconciliation{incarnation: reader.uint(), units: float64(reader.int())}
 }
--- a/balancer/quota_codec_test.go
+++ b/balancer/quota_codec_test.go
@@ -6,8 +6,9 @@
 func TestPoolIsPackedSigned(t *testing.T) {
 	g, _ := wideGate(t, 10)
 	g.overload.pooled = pooledMeans{-0.5, 0.25, 2, 0, 1}
-	m, ok := g.decodeQuotaMessage(g.encodeQuotaGrant(1, 1, true, 0, 1))
-	if !ok || m.pooledMeans != g.overload.pooled {
-		t.Errorf("%v came as %v", g.overload.pooled, m.pooledMeans)
+	var received piggyback
+	_, ok := decodeQuotaGrant(encodeQuotaGrant(&quotaGrant{1, true, 0, 1}, g.piggybackFor(1)), &received)
+	if !ok || received.pooled != g.overload.pooled {
+		t.Errorf("%v came as %v", g.overload.pooled, received.pooled)
 	}
 }
--- a/balancer/quota_owner.go
+++ b/balancer/quota_owner.go
@@ -2,168 +2,217 @@
 
 import (
 	"math"
+	"slices"
 	"time"
 )
 
 const (
-	// over which a store is spent where its holder is not heard
+	// demandDecay is the time constant of the averages of a tenant's demand and grants.
+	demandDecay = 3 * time.Second
+	// isolatedSpendPeriod is the time over which requesters that don't hear their owner spend its tokens.
 	isolatedSpendPeriod = 5 * time.Second
-	maxAnsweredRequests = 8 // asks that a holder knows when they come again
-	// share of an inbox from which members that ask in vain pause
+	// maxAnsweredRequests is the number of answers that an owner keeps for requests that come again.
+	maxAnsweredRequests = 8
+	// inboxPressureFraction is the fraction of a node's limit on messages from which rejected requesters
+	// pause.
 	inboxPressureFraction = 0.7
-	// share of wants granted under which a customer is told of
-	overQuotaThreshold = 0.95
-	overQuotaRetention = 10 * time.Second // for which that is believed
 )
 
-// requesterIncarnation is what a member has settled in one life of its store.
-type requesterIncarnation struct {
-	incarnation     uint64
-	reconciledUnits float64
+// quotaOwner answers the quota requests of other nodes out of the buckets that this node owns.
+type quotaOwner struct {
+	messagesPerSecond float64 // limit on messages from peers
+	leaseDuration     time.Duration
 }
 
-// answeredRequest is an ask that was answered.
+// ownerState is the owner's side of one owned quota.
+type ownerState struct {
+	demandRate      float64 // units wanted per second, averaged
+	grantRate       float64 // units granted per second, averaged
+	ratesAt         time.Duration
+	grantedFraction float64                // of the demand that can be granted
+	requesters      map[int]reconciliation // last heard of each, by node
+	answered        []answeredRequest      // oldest first
+	leases          []concurrencyLease     // of attempts in flight that were granted
+}
+
+// answeredRequest is a quota request with its answer.
 type answeredRequest struct {
-	from    int
-	number  uint64
-	granted bool
-	wait    time.Duration
+	requester  int
+	number     uint64
+	granted    bool
+	retryAfter time.Duration
 }
 
-// concurrencyLease is a place under an open cap that a holder gave to a gateway.
+// concurrencyLease is one attempt in flight that a requester was granted.
 type concurrencyLease struct {
-	from      int
+	requester int
 	number    uint64
 	expiresAt time.Duration
 }
 
-// overQuotaTenant is what was told of a customer who wants more than can be granted.
-type overQuotaTenant struct {
-	grantedFraction float64
-	at              time.Duration
+// answer answers a quota request for which the owner has no answer yet. inboxRate is the messages per second
+// that come from peers.
+func (o *quotaOwner) answer(now time.Duration, bucket *quotaBucket, requester int, request *quotaRequest,
+	gossipInterval time.Duration, inboxRate float64,
+) quotaGrant {
+	plan, state := bucket.plan, &bucket.owner
+	state.recordDemand(now, request.units+request.locallyRejectedUnits)
+	granted, retryAfter := bucket.check(now, request.units, gossipInterval)
+	if granted = granted && bucket.hardLimit.covers(plan, request.units); granted {
+		retryAfter = 0
+		bucket.hardLimit.acquire(plan, request.units)
+		bucket.acquire(request.units)
+		state.recordGrant(now, request.units)
+		if plan.MaxConcurrent > 0 {
+			lease := concurrencyLease{requester, request.number, now + o.leaseDuration}
+			state.leases = append(state.leases, lease)
+		}
+	} else if inboxRate > inboxPressureFraction*o.messagesPerSecond {
+		// More requesters ask in vain than the inbox takes: each pauses for a turn of all.
+		requestersPerOwner := float64(bucket.entryNodes.count / bucket.sharers)
+		turn := refillTime(requestersPerOwner, quotaInboxFraction*o.messagesPerSecond)
+		retryAfter = max(retryAfter, turn)
+	}
+	// A requester that hears nothing spends its part of what is there and of what comes within a while.
+	available := math.Max(bucket.tokens, 0)/isolatedSpendPeriod.Seconds() + plan.Rate/bucket.ownerCount
+	state.grantedFraction = math.Min(1, available/math.Max(state.demandRate, 1e-9))
+	state.rememberAnswer(answeredRequest{requester, request.number, granted, retryAfter})
+	return quotaGrant{request.number, granted, retryAfter, state.grantedFraction}
 }
 
-// answerQuotaRequest answers a member's ask out of this holder's store.
-func (b *Balancer) answerQuotaRequest(from int, m quotaMessage) {
-	if !b.isEntryNode(from, m.firstEntryNode, m.entryNodes) ||
-		!b.isEntryNode(b.settings.NodeIndex, m.firstEntryNode, m.entryNodes) {
-		return
+// previousAnswer repeats the answer to a request that was answered before.
+func (o *ownerState) previousAnswer(requester int, number uint64) (quotaGrant, bool) {
+	for i := range o.answered {
+		if known := &o.answered[i]; known.requester == requester && known.number == number {
+			return quotaGrant{number, known.granted, known.retryAfter, o.grantedFraction}, true
+		}
 	}
-	st := b.quotaFor(m.tenant, m.plan, m.entryNodes, m.firstEntryNode)
-	if st.plan != m.plan || !st.owned {
-		return
+	return quotaGrant{}, false
+}
+
+func (o *ownerState) rememberAnswer(answered answeredRequest) {
+	if len(o.answered) == maxAnsweredRequests {
+		o.answered = append(o.answered[:0], o.answered[1:]...)
 	}
-	p := &b.settings.Plans[m.plan]
-	st.tokens = st.clampTokens(st.tokens+st.reconcile(from, m), p.Burst)
-	if done := st.previousAnswer(from, m.number); done != nil {
-		b.actions.SendPeer(from, b.encodeQuotaGrant(from, m.number, done.granted, done.wait,
-			st.grantedFraction))
-		return // the answer was lost
+	o.answered = append(o.answered, answered)
+}
+
+// reconcile takes in a requester's sum of corrections. It returns the units by which it has changed.
+func (o *ownerState) reconcile(requester int, sum reconciliation) (units float64) {
+	previous, known := o.requesters[requester]
+	if o.requesters == nil {
+		o.requesters = map[int]reconciliation{}
 	}
-	st.recordDemand(b.now, m.units+m.locallyRejectedUnits)
-	in, wait := b.checkQuota(st, m.units)
-	if in = in && (p.HardLimitRate <= 0 || st.hardLimitTokens >= m.units); in {
-		wait, st.hardLimitTokens = 0, st.hardLimitTokens-m.units
-		b.acquire(st, m.units)
-		st.recordGrant(b.now, m.units)
-		if p.MaxConcurrent > 0 {
-			st.leases = append(st.leases, concurrencyLease{from, m.number,
-				b.now + b.longestLatencyObjective()})
-		}
-	} else if b.gossip.messageRate > inboxPressureFraction*b.settings.PeerMessagesPerSecond {
-		// More members ask in vain than the inbox takes: each pauses until it is their turn again.
-		wait = max(wait, refillTime(float64(st.entryNodes/st.sharers),
-			quotaInboxFraction*b.settings.PeerMessagesPerSecond))
+	o.requesters[requester] = sum
+	switch {
+	case !known:
+		return 0 // What it corrected before is in no bucket of this owner.
+	case previous.incarnation != sum.incarnation:
+		return sum.units
 	}
-	// A member that hears nothing spends its part of what is there and of what comes within a while.
-	room := math.Max(st.tokens, 0)/isolatedSpendPeriod.Seconds() + p.Rate/st.ownerCount
-	st.grantedFraction = math.Min(1, room/math.Max(st.demandRate, 1e-9))
-	b.recordOverQuota(st.tenant, st.grantedFraction)
-	st.rememberAnswer(answeredRequest{from, m.number, in, wait})
-	b.actions.SendPeer(from, b.encodeQuotaGrant(from, m.number, in, wait, st.grantedFraction))
+	return sum.units - previous.units
 }
 
-func (b *Balancer) ownerFor(st *quotaBucket) int {
-	return b.ownerOfPart(st, b.settings.NodeIndex%st.sharers)
+func (o *ownerState) hasRequesters() bool { return len(o.requesters) > 0 }
+
+// activeLeases drops the leases that have expired and returns the number of the others.
+func (o *ownerState) activeLeases(now time.Duration) int {
+	o.leases = slices.DeleteFunc(o.leases, func(lease concurrencyLease) bool {
+		return now >= lease.expiresAt
+	})
+	return len(o.leases)
 }
 
-func (b *Balancer) ownerOfPart(st *quotaBucket, part int) int {
-	x := (st.tenant + 1 + uint64(part)<<40) * 0x9e3779b97f4a7c15
-	x = (x ^ x>>32) * 0xd6e8feb86659fd93
-	return (st.firstEntryNode + int((x^x>>32)%uint64(st.entryNodes))) % b.settings.NodeCount
+func (o *ownerState) hasLeases() bool { return len(o.leases) > 0 }
+
+func (o *ownerState) releaseLease(requester int, number uint64) {
+	o.leases = slices.DeleteFunc(o.leases, func(lease concurrencyLease) bool {
+		return lease.requester == requester && lease.number == number
+	})
 }
 
-func (b *Balancer) partsOwned(st *quotaBucket) (n int) {
-	for part := range st.sharers {
-		n += int(oneIf(b.ownerOfPart(st, part) == b.settings.NodeIndex))
-	}
-	return n
+// recordDemand counts units that were wanted.
+func (o *ownerState) recordDemand(now time.Duration, units float64) {
+	o.decayRates(now)
+	o.demandRate += units / demandDecay.Seconds()
 }
 
-// isEntryNode tells whether a gateway is one of a customer's.
-func (b *Balancer) isEntryNode(i, first, spread int) bool {
-	return (i-first+b.settings.NodeCount)%b.settings.NodeCount < spread
+// recordGrant counts units that were granted.
+func (o *ownerState) recordGrant(now time.Duration, units float64) {
+	o.decayRates(now)
+	o.grantRate += units / demandDecay.Seconds()
 }
 
-// reconcile takes in a member's sum and returns what it adds to the store. Sums make up for asks that were
-// lost.
-func (st *quotaBucket) reconcile(from int, m quotaMessage) (more float64) {
-	was, known := st.requesters[from]
-	if st.requesters == nil {
-		st.requesters = map[int]requesterIncarnation{}
-	}
-	st.requesters[from] = requesterIncarnation{m.incarnation, m.reconciledUnits}
-	switch {
-	case !known:
-		return 0 // what it settled before is in no store of this holder's
-	case was.incarnation != m.incarnation:
-		return m.reconciledUnits
-	}
-	return m.reconciledUnits - was.reconciledUnits
+func (o *ownerState) decayRates(now time.Duration) {
+	retained := math.Exp(-(now - o.ratesAt).Seconds() / demandDecay.Seconds())
+	o.demandRate, o.grantRate, o.ratesAt = o.demandRate*retained, o.grantRate*retained, now
 }
 
-// previousAnswer returns the ask if it was answered before, or nil.
-func (st *quotaBucket) previousAnswer(from int, num uint64) *answeredRequest {
-	for i := range st.answeredRequests {
-		if d := &st.answeredRequests[i]; d.from == from && d.number == num {
-			return d
-		}
-	}
-	return nil
+// holdRates keeps the averages as they are up to now.
+func (o *ownerState) holdRates(now time.Duration) { o.ratesAt = now }
+
+// ownerFor is the owner that a node asks for units.
+func (q *quotaBucket) ownerFor(node, nodeCount int) int {
+	return q.ownerOfPart(node%q.sharers, nodeCount)
+}
+
+// ownerOfPart is the owner of one part of the quota, the same at all nodes. One node may own several parts.
+func (q *quotaBucket) ownerOfPart(part, nodeCount int) int {
+	hash := (q.tenant + 1 + uint64(part)<<40) * 0x9e3779b97f4a7c15
+	hash = (hash ^ hash>>32) * 0xd6e8feb86659fd93
+	return q.entryNodes.at(int((hash^hash>>32)%uint64(q.entryNodes.count)), nodeCount)
 }
 
-// rememberAnswer keeps an ask that was answered.
-func (st *quotaBucket) rememberAnswer(d answeredRequest) {
-	if len(st.answeredRequests) == maxAnsweredRequests {
-		st.answeredRequests = append(st.answeredRequests[:0], st.answeredRequests[1:]...)
+// partsOwnedBy is the number of the quota's parts that a node owns.
+func (q *quotaBucket) partsOwnedBy(node, nodeCount int) (parts int) {
+	for part := range q.sharers {
+		parts += int(oneIf(q.ownerOfPart(part, nodeCount) == node))
 	}
-	st.answeredRequests = append(st.answeredRequests, d)
+	return parts
 }
 
-// dropConcurrencyLeases removes the leases for which gone holds.
-func (st *quotaBucket) dropConcurrencyLeases(gone func(concurrencyLease) bool) {
-	kept := st.leases[:0]
-	for _, l := range st.leases {
-		if !gone(l) {
-			kept = append(kept, l)
-		}
+func (b *Balancer) ownerFor(bucket *quotaBucket) int {
+	return bucket.ownerFor(b.settings.NodeIndex, b.settings.NodeCount)
+}
+
+// answerQuotaRequest answers a requester out of the bucket that this node owns. A request that comes again is
+// answered as before, since the grant was lost.
+func (b *Balancer) answerQuotaRequest(from int, request *quotaRequest) {
+	nodes := request.entryNodes
+	if !nodes.contains(from, b.settings.NodeCount) ||
+		!nodes.contains(b.settings.NodeIndex, b.settings.NodeCount) {
+		return
 	}
-	st.leases = kept
+	plan := &b.quotas.plans[request.plan]
+	bucket := b.quotaFor(request.tenant, plan, nodes)
+	if bucket.plan != plan || !bucket.owned {
+		return
+	}
+	bucket.adjust(bucket.owner.reconcile(from, request.reconciliation))
+	grant, known := bucket.owner.previousAnswer(from, request.number)
+	if !known {
+		grant = b.quotaOwner.answer(b.now, bucket, from, request, b.gossip.interval, b.inbox.rate)
+		b.overQuota.record(b.now, bucket.tenant, grant.grantedFraction)
+	}
+	b.actions.SendPeer(from, encodeQuotaGrant(&grant, b.piggybackFor(from)))
 }
 
-// recordOverQuota takes in what can be granted of a customer's wants.
-func (b *Balancer) recordOverQuota(key uint64, admitted float64) {
-	if _, known := b.quotas.overQuotaTenants[tenantHash(key)]; known || admitted < overQuotaThreshold {
-		b.quotas.overQuotaTenants[tenantHash(key)] = overQuotaTenant{admitted, b.now}
+// receiveReconciliation takes in a requester's corrections that come without a quota request.
+func (b *Balancer) receiveReconciliation(from int, tenant uint64, sum reconciliation) {
+	bucket := b.quotas.buckets[tenant]
+	if bucket != nil && bucket.owned && bucket.entryNodes.contains(from, b.settings.NodeCount) {
+		b.refill(bucket)
+		bucket.adjust(bucket.owner.reconcile(from, sum))
 	}
 }
 
-// grantedFraction is the share of a customer's wants that can be granted, as far as is known: a customer of
-// whom
-// nobody tells is inside its quota.
-func (b *Balancer) grantedFraction(st *quotaBucket) float64 {
-	if h, known := b.quotas.overQuotaTenants[tenantHash(st.tenant)]; known {
-		return h.grantedFraction
+// receiveQuotaRelease takes back what a requester was granted.
+func (b *Balancer) receiveQuotaRelease(from int, release quotaRelease) {
+	if bucket := b.quotas.buckets[release.tenant]; bucket != nil && bucket.owned {
+		b.refill(bucket)
+		bucket.restore(release.units)
+		bucket.owner.releaseLease(from, release.number)
 	}
-	return 1
 }
+
+func (b *Balancer) refill(bucket *quotaBucket) { bucket.refill(b.now, b.inbox.lastMessage) }
--- a/balancer/quota_requester.go
+++ b/balancer/quota_requester.go
@@ -2,56 +2,173 @@
 
 import (
 	"math"
+	"math/rand/v2"
 	"time"
 )
 
 const (
-	// an answer to an ask is taken for lost then: two hops' time
-	quotaRequestTimeout     = 100 * time.Millisecond
-	quotaRequestRepeatAfter = 40 * time.Millisecond // one that has no answer by then is sent once more
-	// in which an answer may come for which nobody waits
+	// quotaRequestTimeout is the time after which a grant is taken for lost.
+	quotaRequestTimeout = 100 * time.Millisecond
+	// quotaRequestRepeatAfter is the time after which a quota request without a grant is sent once more.
+	quotaRequestRepeatAfter = 40 * time.Millisecond
+	// unansweredAdmissionRetention is the time in which a grant may come for which no request waits.
 	unansweredAdmissionRetention = time.Second
-	// units that a holder is told of with no ask, where they count
+	// minReconciliationUnits is the change of the sum of corrections that is worth a message of its own.
 	minReconciliationUnits = 2.0
-	maxReconciledUnits     = 5e5 // units that a store settles in one life
-	// asks without an answer after which a holder is not waited for
+	// maxReconciledUnits bounds the corrections of one incarnation of a bucket, so that a message can hold
+	// them.
+	maxReconciledUnits = 5e5
+	// maxUnansweredQuotaRequests is the number of requests without a grant after which none is waited for.
 	maxUnansweredQuotaRequests = 3
 )
 
-// unansweredAdmission is a request that went without its holder's answer.
+// quotaRequester keeps how owners answer this node's quota requests.
+type quotaRequester struct {
+	unanswered []int // requests since the last grant, by owner
+	// consecutiveUnanswered counts requests without a grant since the last message of any peer.
+	consecutiveUnanswered int
+	admissions            map[uint64]unansweredAdmission // by number of the request
+}
+
+func newQuotaRequester(nodeCount int) quotaRequester {
+	return quotaRequester{unanswered: make([]int, nodeCount), admissions: map[uint64]unansweredAdmission{}}
+}
+
+// unansweredAdmission is a request that was decided without the owner's grant, in case that comes after all.
 type unansweredAdmission struct {
 	quota         *quotaBucket
 	quotaOwner    int
 	units         float64
-	sent          bool
-	reportedUnits float64 // what its holder was told to add for it
+	sent          bool    // to an endpoint, not rejected
+	reportedUnits float64 // what the owner was told to add for it
 	at            time.Duration
 }
 
-// unreconciledUnits is what the holder must add to its store for it, granted by the holder or not.
-func (d *unansweredAdmission) unreconciledUnits(granted bool) float64 {
+// unreconciledUnits is what the owner must add to its tokens for the request, granted or not.
+func (a *unansweredAdmission) unreconciledUnits(granted bool) float64 {
 	switch {
-	case granted && !d.sent:
-		return d.units
-	case !granted && d.sent:
-		return -d.units
+	case granted && !a.sent:
+		return a.units
+	case !granted && a.sent:
+		return -a.units
 	}
 	return 0
 }
 
+// expectUnits reckons what the owner has to add. Either the quota request was lost or the grant, the one as
+// likely as the other: half of what each would change. grantedFraction is the probability of a grant.
+func (a *unansweredAdmission) expectUnits(grantedFraction float64) float64 {
+	return (a.unreconciledUnits(true)*grantedFraction + a.unreconciledUnits(false)*(2-grantedFraction)) / 2
+}
+
+// recordMessage takes in that some peer was heard.
+func (q *quotaRequester) recordMessage() { q.consecutiveUnanswered = 0 }
+
+func (q *quotaRequester) recordGrant(owner int) { q.unanswered[owner] = 0 }
+
+func (q *quotaRequester) recordUnanswered(owner int) {
+	q.unanswered[owner]++
+	q.consecutiveUnanswered++
+}
+
+// isolated tells whether quota requests come to nothing whomever they go to.
+func (q *quotaRequester) isolated() bool {
+	return q.consecutiveUnanswered >= maxUnansweredQuotaRequests
+}
+
+// waitsFor tells whether a request should wait for a grant of the owner.
+func (q *quotaRequester) waitsFor(owner int) bool {
+	return !q.isolated() && q.unanswered[owner] < maxUnansweredQuotaRequests
+}
+
+// mayRepeat tells whether a quota request to the owner may be sent once more: its last one was granted, and
+// the inboxes aren't so full that repeats would make it worse.
+func (q *quotaRequester) mayRepeat(owner int, inboxPressure bool) bool {
+	return q.unanswered[owner] == 0 && !inboxPressure
+}
+
+// takeAdmission removes and returns a request that was decided without the owner's grant.
+func (q *quotaRequester) takeAdmission(number uint64, owner int) (unansweredAdmission, bool) {
+	admission, ok := q.admissions[number]
+	if !ok || admission.quotaOwner != owner {
+		return unansweredAdmission{}, false
+	}
+	delete(q.admissions, number)
+	return admission, true
+}
+
+// expire drops the requests for which a grant comes no more.
+func (q *quotaRequester) expire(now time.Duration) {
+	for number, admission := range q.admissions {
+		if now-admission.at > unansweredAdmissionRetention {
+			delete(q.admissions, number)
+		}
+	}
+}
+
+// requesterState is the requester's side of one owned quota.
+type requesterState struct {
+	incarnation   uint64  // of the bucket: tells its sum from that of one before it
+	reconciled    float64 // units: what true figures left over or lacked, less what was sent without a grant
+	reported      float64 // of these, what the owner was told last
+	rejectedUnits float64 // rejected without a quota request since the last one
+	rejectedUntil time.Duration
+}
+
+// rejects tells whether the owner has rejected the tenant's requests for now, and for how long.
+func (s *requesterState) rejects(now time.Duration) (remaining time.Duration, rejected bool) {
+	return s.rejectedUntil - now, now < s.rejectedUntil
+}
+
+func (s *requesterState) rejectUntil(until time.Duration) { s.rejectedUntil = until }
+
+// recordRejected counts units that were rejected without a quota request.
+func (s *requesterState) recordRejected(units float64) { s.rejectedUnits += units }
+
+// takeRejected returns the units rejected without a quota request and starts anew.
+func (s *requesterState) takeRejected() (units float64) {
+	units, s.rejectedUnits = s.rejectedUnits, 0
+	return units
+}
+
+// correct adds units that the owner must add to its tokens.
+func (s *requesterState) correct(units float64) { s.reconciled += units }
+
+// renew starts a new incarnation where the sum has grown too large for a message.
+func (s *requesterState) renew(random *rand.Rand) {
+	if math.Abs(s.reconciled) > maxReconciledUnits {
+		s.reconciled, s.reported, s.incarnation = 0, 0, random.Uint64N(maxIncarnation)
+	}
+}
+
+// unreported is the change of the sum since the owner was told.
+func (s *requesterState) unreported() float64 { return s.reconciled - s.reported }
+
+// report returns the sum in whole units and takes it for told.
+func (s *requesterState) report() reconciliation {
+	s.reported = math.Round(s.reconciled)
+	return reconciliation{s.incarnation, s.reported}
+}
+
+// requestQuota asks the owner for the units of a request, for the first or second time, and decides at once
+// where no grant is to be expected.
 func (b *Balancer) requestQuota(r *request) {
-	if math.Abs(r.quota.reconciledUnits) > maxReconciledUnits {
-		r.quota.reconciledUnits, r.quota.reportedReconciliation, r.quota.incarnation = 0, 0,
-			b.rng.Uint64N(maxIncarnation) // it must fit
+	r.quota.requester.renew(b.rng)
+	message := quotaRequest{
+		number:               r.number,
+		tenant:               r.quota.tenant,
+		plan:                 r.quota.plan.index,
+		entryNodes:           r.quota.entryNodes,
+		units:                r.Units,
+		reconciliation:       r.quota.requester.report(),
+		locallyRejectedUnits: r.quota.requester.takeRejected(),
 	}
-	b.actions.SendPeer(r.quotaOwner, b.encodeQuotaRequest(r))
-	r.quota.locallyRejectedUnits = 0
+	b.actions.SendPeer(r.quotaOwner, b.codec.encodeQuotaRequest(&message, b.piggybackFor(r.quotaOwner)))
+	inboxPressure := b.inbox.rate > inboxPressureFraction*b.settings.PeerMessagesPerSecond
 	switch {
-	case b.isolated() || b.gossip.peers[r.quotaOwner].unansweredQuotaRequests >= maxUnansweredQuotaRequests:
+	case !b.quotaRequester.waitsFor(r.quotaOwner):
 		b.decideWithoutOwner(r)
-	case r.finalQuotaRequest, b.gossip.peers[r.quotaOwner].unansweredQuotaRequests > 0,
-		b.gossip.messageRate > inboxPressureFraction*b.settings.PeerMessagesPerSecond:
-		// Where inboxes are full, asks that come again would fill them more.
+	case r.finalQuotaRequest || !b.quotaRequester.mayRepeat(r.quotaOwner, inboxPressure):
 		r.finalQuotaRequest = true
 		b.actions.SetTimer(r.number<<timerBits|timerQuotaRequest,
 			quotaRequestTimeout-time.Duration(oneIf(r.quotaRequestRepeated))*quotaRequestRepeatAfter)
@@ -60,76 +177,74 @@
 	}
 }
 
-// quotaRequestTimedOut repeats a quota request that got no grant, or decides without the owner.
+// quotaRequestTimedOut repeats a quota request that got no grant, once, and then decides without the
+// owner. One more message costs less than a decision by probability.
 func (b *Balancer) quotaRequestTimedOut(r *request) {
 	switch {
 	case r.answered || r.decidedWithoutOwner || len(r.attempts) > 0:
 	case r.finalQuotaRequest:
 		b.decideWithoutOwner(r)
-	default: // a lost message costs less than a request that is admitted by chance
+	default:
 		r.finalQuotaRequest, r.quotaRequestRepeated = true, true
 		b.requestQuota(r)
 	}
 }
 
-// decideWithoutOwner goes by the share of its customer's wants that can be granted, as far as its holder has
-// told.
-// It covers lost messages, holders that are down, stalled or flooded, and cuts; it harms while that share
-// changes unheard. What it sends counts at the holder later, unless the holder counts that itself (fillUp).
+// decideWithoutOwner admits a request with the probability of a grant, as far as the owner has told it. It
+// covers lost messages, owners that are down, stalled or flooded, and network partitions; it does harm while
+// that probability changes unheard. The owner counts what is sent later, or by itself (see
+// [quotaBucket.refill]).
 func (b *Balancer) decideWithoutOwner(r *request) {
 	r.decidedWithoutOwner = true
-	b.gossip.peers[r.quotaOwner].unansweredQuotaRequests++
-	b.gossip.consecutiveUnanswered++
-	share := b.grantedFraction(r.quota)
-	b.admit(r, b.rng.Float64() < share, quotaRequestTimeout)
-	sent := len(r.attempts) > 0
-	d := unansweredAdmission{quota: r.quota, quotaOwner: r.quotaOwner, units: r.Units, sent: sent, at: b.now}
+	b.quotaRequester.recordUnanswered(r.quotaOwner)
+	grantedFraction := b.overQuota.grantedFraction(r.quota.tenant)
+	b.admit(r, b.rng.Float64() < grantedFraction, quotaRequestTimeout)
+	admission := unansweredAdmission{
+		quota: r.quota, quotaOwner: r.quotaOwner, units: r.Units, sent: len(r.attempts) > 0, at: b.now,
+	}
 	if !b.isolated() {
-		// The ask was lost or its answer, as likely one as the other: half of what either would change.
-		d.reportedUnits = (d.unreconciledUnits(true)*share + d.unreconciledUnits(false)*(2-share)) / 2
-		r.quota.reconciledUnits += d.reportedUnits
+		admission.reportedUnits = admission.expectUnits(grantedFraction)
+		r.quota.requester.correct(admission.reportedUnits)
 		b.sendReconciliation(r.quota, r.quotaOwner)
 	}
-	b.quotas.unansweredAdmissions[r.number] = d
+	b.quotaRequester.admissions[r.number] = admission
 }
 
-// isolated tells whether asks come to nothing whomever they go to: then none is waited for.
-func (b *Balancer) isolated() bool {
-	return b.gossip.consecutiveUnanswered >= maxUnansweredQuotaRequests
-}
+// isolated tells whether this node's quota requests come to nothing.
+func (b *Balancer) isolated() bool { return b.quotaRequester.isolated() }
 
-// receiveQuotaGrant takes in a holder's answer.
-func (b *Balancer) receiveQuotaGrant(from int, m quotaMessage) {
-	b.gossip.peers[from].unansweredQuotaRequests = 0
-	r := b.requests.byNumber[m.number]
+// receiveQuotaGrant takes in an owner's answer.
+func (b *Balancer) receiveQuotaGrant(from int, grant *quotaGrant) {
+	b.quotaRequester.recordGrant(from)
+	r := b.requests.byNumber[grant.number]
 	if r == nil || r.answered || r.quotaOwner != from || r.decidedWithoutOwner || len(r.attempts) > 0 {
-		b.receiveLateGrant(from, m)
+		b.receiveLateGrant(from, grant)
 		return
 	}
-	b.recordOverQuota(r.quota.tenant, m.grantedFraction)
-	if !m.granted {
-		r.quota.rejectedUntil = b.now + m.retryAfter
+	b.overQuota.record(b.now, r.quota.tenant, grant.grantedFraction)
+	if !grant.granted {
+		r.quota.requester.rejectUntil(b.now + grant.retryAfter)
 	}
-	r.grantedByOwner = m.granted
-	b.admit(r, m.granted, m.retryAfter)
+	r.grantedByOwner = grant.granted
+	b.admit(r, grant.granted, grant.retryAfter)
 }
 
-// receiveLateGrant takes in an answer that nobody waited for any more: it says what the holder has taken.
-func (b *Balancer) receiveLateGrant(from int, m quotaMessage) {
-	d, ok := b.quotas.unansweredAdmissions[m.number]
-	if !ok || d.quotaOwner != from {
-		return
+// receiveLateGrant takes in an answer for which no request waits: it says what the owner has taken from its
+// tokens.
+func (b *Balancer) receiveLateGrant(from int, grant *quotaGrant) {
+	if admission, ok := b.quotaRequester.takeAdmission(grant.number, from); ok {
+		units := admission.unreconciledUnits(grant.granted) - admission.reportedUnits
+		admission.quota.requester.correct(units)
 	}
-	delete(b.quotas.unansweredAdmissions, m.number)
-	d.quota.reconciledUnits += d.unreconciledUnits(m.granted) - d.reportedUnits
 }
 
-// releaseQuota returns units that were not sent, and a place under an open cap.
+// releaseQuota returns units that were not used, and the lease of an attempt in flight.
 func (b *Balancer) releaseQuota(r *request, units float64) {
-	open := b.settings.Plans[r.quota.plan].MaxConcurrent > 0
-	// whether its ask was granted is not known: only the place is surely free
-	units *= 1 - oneIf(r.decidedWithoutOwner)
-	if !r.inQuota && !r.decidedWithoutOwner || units == 0 && !open {
+	limited := r.quota.plan.MaxConcurrent > 0
+	if r.decidedWithoutOwner {
+		units = 0 // Whether the owner granted them is not known; only the lease is surely unused.
+	}
+	if !r.inQuota && !r.decidedWithoutOwner || units == 0 && !limited {
 		return
 	}
 	if !r.quota.owned || r.quotaOwner == b.settings.NodeIndex {
@@ -137,30 +252,35 @@
 		b.acquire(r.quota, -units)
 		return
 	}
-	msg := encodeQuotaRelease(r.quota.tenant, r.number, units)
-	b.actions.SendPeer(r.quotaOwner, msg)
-	if open && units == 0 {
-		b.actions.SendPeer(r.quotaOwner, msg) // a lost one would block a place for long
+	message := encodeQuotaRelease(quotaRelease{r.number, r.quota.tenant, units})
+	b.actions.SendPeer(r.quotaOwner, message)
+	if limited && units == 0 {
+		b.actions.SendPeer(r.quotaOwner, message) // A loss would leave the lease in use until it expires.
 	}
 }
 
-// reconcileUnits takes in by how many units a request counted less than was guessed. A holder learns that
-// with the
-// next ask of its customer, since a message for each answer would fill the inboxes by half as much again, or
-// sooner where the quota is nearly used and the sum is large: it would go by a store that is not so.
+// reconcileUnits takes in by how many units a request used less than was estimated. An owner learns that
+// with the tenant's next quota request, since a message for each response would fill the inboxes by half as
+// much again. It learns it sooner where the quota is nearly used up and the sum is large.
 func (b *Balancer) reconcileUnits(r *request, units float64) {
 	b.refill(r.quota)
 	if !r.quota.owned || r.quotaOwner == b.settings.NodeIndex {
 		b.releaseQuota(r, units)
 		return
 	}
-	r.quota.reconciledUnits += units
+	r.quota.requester.correct(units)
 	b.sendReconciliation(r.quota, r.quotaOwner)
 }
 
-func (b *Balancer) sendReconciliation(st *quotaBucket, holder int) {
-	if b.grantedFraction(st) < 1 &&
-		math.Abs(st.reconciledUnits-st.reportedReconciliation) >= minReconciliationUnits && !b.isolated() {
-		b.actions.SendPeer(holder, b.encodeReconciliation(st))
+func (b *Balancer) sendReconciliation(bucket *quotaBucket, owner int) {
+	if b.overQuota.grantedFraction(bucket.tenant) < 1 &&
+		math.Abs(bucket.requester.unreported()) >= minReconciliationUnits && !b.isolated() {
+		b.actions.SendPeer(owner, encodeReconciliation(bucket.tenant, bucket.requester.report()))
 	}
 }
+
+// acquire takes units of a bucket within the quota.
+func (b *Balancer) acquire(bucket *quotaBucket, units float64) {
+	bucket.acquire(units)
+	b.markUnreported(bucket)
+}
--- a/balancer/quota_test.go
+++ b/balancer/quota_test.go
@@ -228,8 +228,8 @@
 			g.TimerFired(now, timerControlInterval, r)
 		}
 	}
-	if len(g.quotas.buckets) > 5000 || len(g.quotas.buckets) != len(g.quotas.list) {
-		t.Errorf("%d stores, %d in order", len(g.quotas.buckets), len(g.quotas.list))
+	if len(g.quotas.buckets) > 5000 || len(g.quotas.buckets) != len(g.quotas.order) {
+		t.Errorf("%d stores, %d in order", len(g.quotas.buckets), len(g.quotas.order))
 	}
 }
 
@@ -240,7 +240,7 @@
 	q := wideRequest(1, customer)
 	member.RequestArrived(t0, q, r)
 	holder := member.ownerFor(member.quotas.buckets[customer])
-	if !member.isEntryNode(holder, q.FirstEntryNode, q.EntryNodes) || r.count("send")+r.count("refuse") != 0 || r.tells[holder] == nil {
+	if !member.quotas.buckets[customer].entryNodes.contains(holder, member.settings.NodeCount) || r.count("send")+r.count("refuse") != 0 || r.tells[holder] == nil {
 		t.Fatalf("holder %d, actions %v", holder, r.acts)
 	}
 	h, hr := wideGate(t, holder)
@@ -272,7 +272,7 @@
 			continue
 		}
 		g, r := wideGate(t, me)
-		if g.ownerFor(g.quotaFor(customer, g.planIndex["rate"], 100, 10)) != holder {
+		if g.ownerFor(g.quotaFor(customer, g.plan("rate"), entryNodes{10, 100})) != holder {
 			continue // another part of the holder's
 		}
 		for n := 0; n < 4; n++ {
@@ -294,7 +294,7 @@
 func TestUnansweredAskGoesByTheShareGranted(t *testing.T) {
 	for _, pass := range []float64{0, 1} {
 		g, r := wideGate(t, 10)
-		g.quotas.overQuotaTenants[tenantHash(77)] = overQuotaTenant{pass, t0}
+		g.overQuota[tenantHash(77)] = overQuotaTenant{pass, t0}
 		g.RequestArrived(t0, wideRequest(1, 77), r)
 		lapse(g, r, t0)
 		if got := r.count("send"); got != int(pass) || r.count("refuse") != 1-got {
@@ -330,8 +330,8 @@
 	burst, rate := 0.0, 0.0
 	for me := 10; me < 110; me++ {
 		g, _ := wideGate(t, me)
-		st := g.quotaFor(77, g.planIndex["rate"], 100, 10)
-		burst, rate = burst+st.hardLimitBurstFraction, rate+st.hardLimitRateFraction
+		st := g.quotaFor(77, g.plan("rate"), entryNodes{10, 100})
+		burst, rate = burst+st.hardLimit.part.burst, rate+st.hardLimit.part.rate
 	}
 	if math.Abs(burst-1) > 1e-9 || math.Abs(rate-1) > 1e-9 {
 		t.Errorf("parts sum to %v of the burst and %v of the rate", burst, rate)
@@ -348,7 +348,7 @@
 	holder := member.ownerFor(member.quotas.buckets[77])
 	h, hr := wideGate(t, holder)
 	h.PeerMessage(t0, 10, r.tells[holder][0], hr)
-	if n := len(h.quotas.buckets[77].leases); n != 1 {
+	if n := len(h.quotas.buckets[77].owner.leases); n != 1 {
 		t.Fatalf("%d leases", n)
 	}
 	r.tells = nil
@@ -357,11 +357,11 @@
 	for _, m := range r.tells[holder] {
 		h.PeerMessage(t0+200*ms, 10, m, hr)
 	}
-	if n := len(h.quotas.buckets[77].leases); n != 0 {
+	if n := len(h.quotas.buckets[77].owner.leases); n != 0 {
 		t.Errorf("%d leases after the answer", n)
 	}
 	h.quotas.buckets[77].inFlight = h.settings.Plans[h.planIndex["open"]].MaxConcurrent
-	if in, wait := h.checkQuota(h.quotas.buckets[77], 1); in || wait > quotaRequestTimeout {
+	if in, wait := h.quotas.buckets[77].check(h.now, 1, h.gossip.interval); in || wait > quotaRequestTimeout {
 		t.Errorf("in %v, wait %v", in, wait)
 	}
 }
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -87,7 +87,7 @@
 	a.endpoint.inFlight--
 	b.concurrency.inFlight--
 	r.inFlight--
-	r.quota.inFlight--
+	r.quota.attemptFinished()
 	b.markUnreported(r.quota)
 	return a.endpoint
 }
@@ -153,7 +153,7 @@
 		return
 	}
 	delete(b.requests.byID, r.ID)
-	if len(r.attempts) > 0 && r.quota.owned && b.settings.Plans[r.quota.plan].MaxConcurrent > 0 {
+	if len(r.attempts) > 0 && r.quota.owned && r.quota.plan.MaxConcurrent > 0 {
 		b.releaseQuota(r, 0)
 	}
 }
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -115,7 +115,7 @@
 	to.inFlight++
 	b.concurrency.inFlight++
 	r.inFlight++
-	r.quota.inFlight++
+	r.quota.attemptStarted()
 	b.markUnreported(r.quota)
 	if b.warmUpFraction(to) < 1 {
 		to.slowStartTokens = math.Max(to.slowStartTokens-1, 0)
@@ -154,8 +154,8 @@
 		return
 	}
 	// The second attempt counts as in flight: it must not push the tenant's next request over the limit.
-	limited := b.settings.Plans[r.quota.plan].MaxConcurrent > 0
-	if limited && b.concurrencyHeadroom(r.quota) <= r.quota.entryNodes {
+	limited := r.quota.plan.MaxConcurrent > 0
+	if limited && r.quota.concurrencyHeadroom(b.now, b.gossip.interval) <= r.quota.entryNodes.count {
 		return
 	}
 	b.retry(r)
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -865,7 +865,8 @@
 	}
 	for to, g := range gates {
 		from.now = t0 + ms
-		news := from.freshestLoads(maxLoadEntries, to)
+		var buffer [maxLoadEntries]*endpoint
+		news := from.freshestLoads(&buffer, to)
 		for _, s := range news {
 			if other := g.endpoints.trackedByID[s.ID]; other == nil || !other.inSubset {
 				t.Fatalf("gateway %d is told of %s, which its subset has not", to, s.ID)
