--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -64,7 +64,7 @@
 	}
 	arrived.Units = math.Max(arrived.Units, 0)
 	arrived.EntryNodes = min(max(arrived.EntryNodes, 1), b.settings.NodeCount)
-	plan := &b.quotas.plans[planIndex]
+	plan := b.quotas.plan(planIndex)
 	nodes := entryNodes{arrived.FirstEntryNode, arrived.EntryNodes}
 	b.requests.lastNumber++
 	return &request{
@@ -137,7 +137,7 @@
 		b.finishRequest(r)
 		return
 	}
-	if !r.grantedByOwner {
+	if !r.quotaState.grantedByOwner() {
 		r.quota.hardLimit.acquire(r.quota.plan, r.Units)
 	}
 	r.quota.requestStarted()
@@ -153,7 +153,7 @@
 	if !r.inQuota && !b.servesBeyondQuota(plan) {
 		return nil, quotaRetryAfter
 	}
-	if !r.grantedByOwner && !r.quota.hardLimit.covers(plan, r.Units) {
+	if !r.quotaState.grantedByOwner() && !r.quota.hardLimit.covers(plan, r.Units) {
 		return nil, r.quota.hardLimit.timeUntil(plan, r.Units)
 	}
 	if !b.overload.admit() {
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -87,8 +87,9 @@
 	for i, p := range s.Plans {
 		g.planIndex[p.Name] = i
 	}
+	g.inbox.capacity = s.PeerMessagesPerSecond
 	g.quotas = newQuotaTable(&s, g.rng)
-	g.quotaOwner = quotaOwner{s.PeerMessagesPerSecond, g.longestLatencyObjective()}
+	g.quotaOwner = newQuotaOwner(&s, g.longestLatencyObjective())
 	g.codec = codec{g.settings.Plans, s.NodeCount}
 	g.gossip = newGossiper(&s, uint64(g.rng.Uint32()>>16))
 	// so that answers to a balancer before its restart match nothing
@@ -99,7 +100,7 @@
 // Start begins the balancer's work. Call it once, before any other event.
 func (b *Balancer) Start(now time.Duration, out Actions) {
 	b.now, b.actions, b.started = now, out, now
-	b.quotas.startedAt = now
+	b.quotas.start(now)
 	// Nodes that are started together must not act in step.
 	b.actions.SetTimer(timerControlInterval, time.Duration(b.rng.Int64N(int64(controlInterval))))
 	if b.gossip.enabled {
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -129,39 +129,6 @@
 	return true, previous
 }
 
-// peerInbox measures the messages that come from peers.
-type peerInbox struct {
-	received    float64 // since the last control interval
-	rate        float64 // per second, averaged
-	lastMessage time.Duration
-}
-
-func (i *peerInbox) record(now time.Duration) {
-	i.received++
-	i.lastMessage = now
-}
-
-// closeInterval ends a control interval.
-func (i *peerInbox) closeInterval() {
-	i.rate += rateSmoothing * (i.received/controlInterval.Seconds() - i.rate)
-	i.received = 0
-}
-
-// PeerMessage is the arrival of a message of another node. A malformed one is ignored whole.
-func (b *Balancer) PeerMessage(now time.Duration, from int, message []byte, out Actions) {
-	b.now, b.actions = now, out
-	if from < 0 || from >= b.settings.NodeCount || from == b.settings.NodeIndex || len(message) == 0 {
-		return
-	}
-	b.inbox.record(now)
-	b.quotaRequester.recordMessage()
-	if message[0] == kindGossip {
-		b.receiveGossip(from, message)
-	} else {
-		b.receiveQuotaMessage(from, message)
-	}
-}
-
 func (b *Balancer) receiveGossip(from int, message []byte) {
 	decoded, ok := b.codec.decodeGossip(message)
 	if !ok {
@@ -179,8 +146,8 @@
 func (b *Balancer) applyGossipEntries(from int, entries []gossipEntry) {
 	for i := range entries {
 		entry := &entries[i]
-		plan := &b.quotas.plans[entry.plan]
-		if known := b.quotas.buckets[entry.tenant]; known != nil && known.plan != plan {
+		plan := b.quotas.plan(entry.plan)
+		if known := b.quotas.find(entry.tenant); known != nil && known.plan != plan {
 			continue
 		}
 		bucket := b.quotaFor(entry.tenant, plan, entry.entryNodes)
@@ -188,6 +155,7 @@
 	}
 }
 
+// sendGossip sends a round of gossip. It returns the highest number of messages that one peer was sent.
 func (b *Balancer) sendGossip() (maxSent int) { return b.gossip.sendRound(&b.codec, b.actions) }
 
 func (b *Balancer) markUnreported(bucket *quotaBucket) { b.gossip.markUnreported(bucket) }
@@ -195,42 +163,3 @@
 // ownsQuotas tells whether quotas have owners: the fleet is so large that gossip to all of it would come too
 // late to go by.
 func (b *Balancer) ownsQuotas() bool { return b.quotas.haveOwners }
-
-// receiveQuotaMessage takes a quota request of a requester, the grant of an owner, or what a requester gives
-// back.
-func (b *Balancer) receiveQuotaMessage(from int, message []byte) {
-	switch message[0] {
-	case kindQuotaRequest:
-		if request, ok := b.codec.decodeQuotaRequest(message, &b.piggyback); ok {
-			b.receivePiggyback()
-			b.answerQuotaRequest(from, &request)
-		}
-	case kindQuotaGrant:
-		if grant, ok := decodeQuotaGrant(message, &b.piggyback); ok {
-			b.receivePiggyback()
-			b.receiveQuotaGrant(from, &grant)
-		}
-	case kindQuotaRelease:
-		if release, ok := decodeQuotaRelease(message); ok {
-			b.receiveQuotaRelease(from, release)
-		}
-	case kindReconciliation:
-		if tenant, sum, ok := decodeReconciliationMessage(message); ok {
-			b.receiveReconciliation(from, tenant, sum)
-		}
-	}
-}
-
-func (b *Balancer) receivePiggyback() {
-	b.overload.mixIntoPool(peerPoolSmoothing, &b.piggyback.pooled)
-	b.overQuota.receive(b.now, b.piggyback.overQuota)
-	b.receiveLoads(b.piggyback.loads)
-}
-
-// piggybackFor gathers what goes along with a message to a peer. It is valid until the next message.
-func (b *Balancer) piggybackFor(peer int) *piggyback {
-	b.piggyback.pooled = b.overload.pooled
-	b.piggyback.overQuota = b.overQuota.appendNewest(b.piggyback.overQuota[:0], b.now)
-	b.piggyback.loads = b.appendFreshestLoads(b.piggyback.loads[:0], peer)
-	return &b.piggyback
-}
--- a/balancer/quota_bucket.go
+++ b/balancer/quota_bucket.go
@@ -67,8 +67,8 @@
 	rate := plan.Rate / q.ownerCount
 	if q.owner.hasRequesters() && now-lastMessage > isolatedAfter {
 		// The requesters that the owner does not hear go on as before.
-		rate = math.Max(rate-q.owner.grantRate, -math.Max(q.tokens, 0)/math.Max(seconds, 1e-9))
-		q.owner.holdRates(now)
+		floor := -math.Max(q.tokens, 0) / math.Max(seconds, 1e-9)
+		rate = math.Max(rate-q.owner.heldGrantRate(now), floor)
 	}
 	q.tokens = math.Min(q.tokens+rate*seconds, plan.Burst/q.ownerCount)
 	q.hardLimit.refill(plan, seconds)
@@ -163,6 +163,14 @@
 	q.tokens = math.Min(q.tokens+units, q.plan.Burst/q.ownerCount)
 }
 
+// spendableRate is the units per second that may be spent for a period: what is there and what comes.
+func (q *quotaBucket) spendableRate(period time.Duration) float64 {
+	return math.Max(q.tokens, 0)/period.Seconds() + q.plan.Rate/q.ownerCount
+}
+
+// requestersPerOwner is the whole number of entry nodes that ask each owner.
+func (q *quotaBucket) requestersPerOwner() float64 { return float64(q.entryNodes.count / q.sharers) }
+
 // congested tells whether the tenant was rejected of late.
 func (q *quotaBucket) congested(now time.Duration) bool { return now < q.congestedUntil }
 
--- a/balancer/quota_owner.go
+++ b/balancer/quota_owner.go
@@ -13,15 +13,16 @@
 	isolatedSpendPeriod = 5 * time.Second
 	// maxAnsweredRequests is the number of answers that an owner keeps for requests that come again.
 	maxAnsweredRequests = 8
-	// inboxPressureFraction is the fraction of a node's limit on messages from which rejected requesters
-	// pause.
-	inboxPressureFraction = 0.7
 )
 
 // quotaOwner answers the quota requests of other nodes out of the buckets that this node owns.
 type quotaOwner struct {
-	messagesPerSecond float64 // limit on messages from peers
-	leaseDuration     time.Duration
+	capacity      float64 // quota requests for one tenant that the node takes in a second
+	leaseDuration time.Duration
+}
+
+func newQuotaOwner(settings *Settings, leaseDuration time.Duration) quotaOwner {
+	return quotaOwner{quotaInboxFraction * settings.PeerMessagesPerSecond, leaseDuration}
 }
 
 // ownerState is the owner's side of one owned quota.
@@ -50,36 +51,42 @@
 	expiresAt time.Duration
 }
 
-// answer answers a quota request for which the owner has no answer yet. inboxRate is the messages per second
-// that come from peers.
+// answer answers a quota request for which the owner has no answer yet. underPressure tells that the node's
+// inbox is.
 func (o *quotaOwner) answer(now time.Duration, bucket *quotaBucket, requester int, request *quotaRequest,
-	gossipInterval time.Duration, inboxRate float64,
+	gossipInterval time.Duration, underPressure bool,
 ) quotaGrant {
-	plan, state := bucket.plan, &bucket.owner
+	state := &bucket.owner
 	state.recordDemand(now, request.units+request.locallyRejectedUnits)
 	granted, retryAfter := bucket.check(now, request.units, gossipInterval)
-	if granted = granted && bucket.hardLimit.covers(plan, request.units); granted {
-		retryAfter = 0
-		bucket.hardLimit.acquire(plan, request.units)
-		bucket.acquire(request.units)
-		state.recordGrant(now, request.units)
-		if plan.MaxConcurrent > 0 {
-			lease := concurrencyLease{requester, request.number, now + o.leaseDuration}
-			state.leases = append(state.leases, lease)
-		}
-	} else if inboxRate > inboxPressureFraction*o.messagesPerSecond {
-		// More requesters ask in vain than the inbox takes: each pauses for a turn of all.
-		requestersPerOwner := float64(bucket.entryNodes.count / bucket.sharers)
-		turn := refillTime(requestersPerOwner, quotaInboxFraction*o.messagesPerSecond)
-		retryAfter = max(retryAfter, turn)
+	if granted = granted && bucket.hardLimit.covers(bucket.plan, request.units); granted {
+		o.grant(now, bucket, requester, request)
+	} else if underPressure {
+		// Requesters without a grant send more than the inbox takes: each pauses for a turn of all.
+		retryAfter = max(retryAfter, refillTime(bucket.requestersPerOwner(), o.capacity))
 	}
-	// A requester that hears nothing spends its part of what is there and of what comes within a while.
-	available := math.Max(bucket.tokens, 0)/isolatedSpendPeriod.Seconds() + plan.Rate/bucket.ownerCount
-	state.grantedFraction = math.Min(1, available/math.Max(state.demandRate, 1e-9))
+	state.estimateGrantedFraction(bucket.spendableRate(isolatedSpendPeriod))
 	state.rememberAnswer(answeredRequest{requester, request.number, granted, retryAfter})
 	return quotaGrant{request.number, granted, retryAfter, state.grantedFraction}
 }
 
+// grant takes what a requester is granted from the bucket.
+func (o *quotaOwner) grant(now time.Duration, bucket *quotaBucket, requester int, request *quotaRequest) {
+	bucket.hardLimit.acquire(bucket.plan, request.units)
+	bucket.acquire(request.units)
+	bucket.owner.recordGrant(now, request.units)
+	if bucket.plan.MaxConcurrent > 0 {
+		lease := concurrencyLease{requester, request.number, now + o.leaseDuration}
+		bucket.owner.leases = append(bucket.owner.leases, lease)
+	}
+}
+
+// estimateGrantedFraction sets the fraction of the demand that requesters may admit which don't hear the
+// owner, given the units per second that they may spend.
+func (o *ownerState) estimateGrantedFraction(spendableRate float64) {
+	o.grantedFraction = math.Min(1, spendableRate/math.Max(o.demandRate, 1e-9))
+}
+
 // previousAnswer repeats the answer to a request that was answered before.
 func (o *ownerState) previousAnswer(requester int, number uint64) (quotaGrant, bool) {
 	for i := range o.answered {
@@ -148,8 +155,11 @@
 	o.demandRate, o.grantRate, o.ratesAt = o.demandRate*retained, o.grantRate*retained, now
 }
 
-// holdRates keeps the averages as they are up to now.
-func (o *ownerState) holdRates(now time.Duration) { o.ratesAt = now }
+// heldGrantRate returns the units granted per second, which don't decay while requesters go unheard.
+func (o *ownerState) heldGrantRate(now time.Duration) float64 {
+	o.ratesAt = now
+	return o.grantRate
+}
 
 // ownerFor is the owner that a node asks for units.
 func (q *quotaBucket) ownerFor(node, nodeCount int) int {
@@ -183,7 +193,7 @@
 		!nodes.contains(b.settings.NodeIndex, b.settings.NodeCount) {
 		return
 	}
-	plan := &b.quotas.plans[request.plan]
+	plan := b.quotas.plan(request.plan)
 	bucket := b.quotaFor(request.tenant, plan, nodes)
 	if bucket.plan != plan || !bucket.owned {
 		return
@@ -191,7 +201,7 @@
 	bucket.adjust(bucket.owner.reconcile(from, request.reconciliation))
 	grant, known := bucket.owner.previousAnswer(from, request.number)
 	if !known {
-		grant = b.quotaOwner.answer(b.now, bucket, from, request, b.gossip.interval, b.inbox.rate)
+		grant = b.quotaOwner.answer(b.now, bucket, from, request, b.gossip.interval, b.inbox.underPressure())
 		b.overQuota.record(b.now, bucket.tenant, grant.grantedFraction)
 	}
 	b.actions.SendPeer(from, encodeQuotaGrant(&grant, b.piggybackFor(from)))
@@ -199,7 +209,7 @@
 
 // receiveReconciliation takes in a requester's corrections that come without a quota request.
 func (b *Balancer) receiveReconciliation(from int, tenant uint64, sum reconciliation) {
-	bucket := b.quotas.buckets[tenant]
+	bucket := b.quotas.find(tenant)
 	if bucket != nil && bucket.owned && bucket.entryNodes.contains(from, b.settings.NodeCount) {
 		b.refill(bucket)
 		bucket.adjust(bucket.owner.reconcile(from, sum))
@@ -208,7 +218,7 @@
 
 // receiveQuotaRelease takes back what a requester was granted.
 func (b *Balancer) receiveQuotaRelease(from int, release quotaRelease) {
-	if bucket := b.quotas.buckets[release.tenant]; bucket != nil && bucket.owned {
+	if bucket := b.quotas.find(release.tenant); bucket != nil && bucket.owned {
 		b.refill(bucket)
 		bucket.restore(release.units)
 		bucket.owner.releaseLease(from, release.number)
--- a/balancer/quota_requester.go
+++ b/balancer/quota_requester.go
@@ -22,6 +22,26 @@
 	maxUnansweredQuotaRequests = 3
 )
 
+// quotaRequestState is how far the quota request of a request has come.
+type quotaRequestState uint8
+
+const (
+	quotaNotRequested    quotaRequestState = iota // this node decides by itself
+	quotaRequested                                // to be repeated if no grant comes
+	quotaRequestedOnce                            // not to be repeated
+	quotaRequestRepeated                          // likewise, after the first was
+	quotaGranted                                  // by the owner, out of its part of the hard limit
+	quotaRejected                                 // by the owner
+	quotaUnanswered                               // decided without the owner, which gave no grant in time
+)
+
+// awaitsGrant tells whether the request waits for the owner.
+func (s quotaRequestState) awaitsGrant() bool {
+	return s == quotaRequested || s == quotaRequestedOnce || s == quotaRequestRepeated
+}
+
+func (s quotaRequestState) grantedByOwner() bool { return s == quotaGranted }
+
 // quotaRequester keeps how owners answer this node's quota requests.
 type quotaRequester struct {
 	unanswered []int // requests since the last grant, by owner
@@ -87,6 +107,11 @@
 	return q.unanswered[owner] == 0 && !inboxPressure
 }
 
+// recordAdmission notes a request that was decided without the owner's grant.
+func (q *quotaRequester) recordAdmission(number uint64, admission unansweredAdmission) {
+	q.admissions[number] = admission
+}
+
 // takeAdmission removes and returns a request that was decided without the owner's grant.
 func (q *quotaRequester) takeAdmission(number uint64, owner int) (unansweredAdmission, bool) {
 	admission, ok := q.admissions[number]
@@ -164,29 +189,34 @@
 		locallyRejectedUnits: r.quota.requester.takeRejected(),
 	}
 	b.actions.SendPeer(r.quotaOwner, b.codec.encodeQuotaRequest(&message, b.piggybackFor(r.quotaOwner)))
-	inboxPressure := b.inbox.rate > inboxPressureFraction*b.settings.PeerMessagesPerSecond
 	switch {
 	case !b.quotaRequester.waitsFor(r.quotaOwner):
 		b.decideWithoutOwner(r)
-	case r.finalQuotaRequest || !b.quotaRequester.mayRepeat(r.quotaOwner, inboxPressure):
-		r.finalQuotaRequest = true
-		b.actions.SetTimer(r.number<<timerBits|timerQuotaRequest,
-			quotaRequestTimeout-time.Duration(oneIf(r.quotaRequestRepeated))*quotaRequestRepeatAfter)
+	case r.quotaState == quotaRequestRepeated:
+		b.awaitGrant(r, quotaRequestTimeout-quotaRequestRepeatAfter)
+	case b.quotaRequester.mayRepeat(r.quotaOwner, b.inbox.underPressure()):
+		r.quotaState = quotaRequested
+		b.awaitGrant(r, quotaRequestRepeatAfter)
 	default:
-		b.actions.SetTimer(r.number<<timerBits|timerQuotaRequest, quotaRequestRepeatAfter)
+		r.quotaState = quotaRequestedOnce
+		b.awaitGrant(r, quotaRequestTimeout)
 	}
 }
 
+func (b *Balancer) awaitGrant(r *request, timeout time.Duration) {
+	b.actions.SetTimer(r.number<<timerBits|timerQuotaRequest, timeout)
+}
+
 // quotaRequestTimedOut repeats a quota request that got no grant, once, and then decides without the
 // owner. One more message costs less than a decision by probability.
 func (b *Balancer) quotaRequestTimedOut(r *request) {
 	switch {
-	case r.answered || r.decidedWithoutOwner || len(r.attempts) > 0:
-	case r.finalQuotaRequest:
-		b.decideWithoutOwner(r)
-	default:
-		r.finalQuotaRequest, r.quotaRequestRepeated = true, true
+	case r.answered || !r.quotaState.awaitsGrant():
+	case r.quotaState == quotaRequested:
+		r.quotaState = quotaRequestRepeated
 		b.requestQuota(r)
+	default:
+		b.decideWithoutOwner(r)
 	}
 }
 
@@ -195,7 +225,7 @@
 // that probability changes unheard. The owner counts what is sent later, or by itself (see
 // [quotaBucket.refill]).
 func (b *Balancer) decideWithoutOwner(r *request) {
-	r.decidedWithoutOwner = true
+	r.quotaState = quotaUnanswered
 	b.quotaRequester.recordUnanswered(r.quotaOwner)
 	grantedFraction := b.overQuota.grantedFraction(r.quota.tenant)
 	b.admit(r, b.rng.Float64() < grantedFraction, quotaRequestTimeout)
@@ -207,7 +237,7 @@
 		r.quota.requester.correct(admission.reportedUnits)
 		b.sendReconciliation(r.quota, r.quotaOwner)
 	}
-	b.quotaRequester.admissions[r.number] = admission
+	b.quotaRequester.recordAdmission(r.number, admission)
 }
 
 // isolated tells whether this node's quota requests come to nothing.
@@ -217,15 +247,16 @@
 func (b *Balancer) receiveQuotaGrant(from int, grant *quotaGrant) {
 	b.quotaRequester.recordGrant(from)
 	r := b.requests.byNumber[grant.number]
-	if r == nil || r.answered || r.quotaOwner != from || r.decidedWithoutOwner || len(r.attempts) > 0 {
+	if r == nil || r.answered || r.quotaOwner != from || !r.quotaState.awaitsGrant() {
 		b.receiveLateGrant(from, grant)
 		return
 	}
 	b.overQuota.record(b.now, r.quota.tenant, grant.grantedFraction)
+	r.quotaState = quotaGranted
 	if !grant.granted {
+		r.quotaState = quotaRejected
 		r.quota.requester.rejectUntil(b.now + grant.retryAfter)
 	}
-	r.grantedByOwner = grant.granted
 	b.admit(r, grant.granted, grant.retryAfter)
 }
 
@@ -241,10 +272,11 @@
 // releaseQuota returns units that were not used, and the lease of an attempt in flight.
 func (b *Balancer) releaseQuota(r *request, units float64) {
 	limited := r.quota.plan.MaxConcurrent > 0
-	if r.decidedWithoutOwner {
+	unanswered := r.quotaState == quotaUnanswered
+	if unanswered {
 		units = 0 // Whether the owner granted them is not known; only the lease is surely unused.
 	}
-	if !r.inQuota && !r.decidedWithoutOwner || units == 0 && !limited {
+	if !r.inQuota && !unanswered || units == 0 && !limited {
 		return
 	}
 	if !r.quota.owned || r.quotaOwner == b.settings.NodeIndex {
--- a/balancer/quota_table.go
+++ b/balancer/quota_table.go
@@ -71,6 +71,14 @@
 	return table
 }
 
+// start begins the filling of buckets.
+func (t *quotaTable) start(now time.Duration) { t.startedAt = now }
+
+func (t *quotaTable) plan(index int) *quotaPlan { return &t.plans[index] }
+
+// find returns a tenant's bucket, or nil.
+func (t *quotaTable) find(tenant uint64) *quotaBucket { return t.buckets[tenant] }
+
 // add makes the bucket of a tenant that has none. grantedFraction is what is known of the tenant's demand.
 func (t *quotaTable) add(
 	now time.Duration, tenant uint64, plan *quotaPlan, nodes entryNodes, grantedFraction float64,
@@ -141,7 +149,7 @@
 
 // quotaFor returns a tenant's bucket, refilled up to now.
 func (b *Balancer) quotaFor(tenant uint64, plan *quotaPlan, nodes entryNodes) *quotaBucket {
-	bucket := b.quotas.buckets[tenant]
+	bucket := b.quotas.find(tenant)
 	if bucket == nil {
 		bucket = b.quotas.add(b.now, tenant, plan, nodes, b.overQuota.grantedFraction(tenant))
 	}
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -23,15 +23,12 @@
 	attempts []attempt
 	inFlight int // attempts that have not ended
 
-	inQuota              bool
-	quotaOwner           int  // the node that decides on its quota
-	finalQuotaRequest    bool // the quota request is not repeated if it gets no grant
-	quotaRequestRepeated bool
-	grantedByOwner       bool // by another node, out of its part of the hard limit
-	decidedWithoutOwner  bool // the quota request got no grant in time
-	reconciled           bool // the units really used are settled
-	answered             bool // the client has its final answer, or has gone
-	responseStarted      bool // a streamed response has begun
+	inQuota         bool
+	quotaOwner      int // the node that decides on its quota
+	quotaState      quotaRequestState
+	reconciled      bool // the units really used are settled
+	answered        bool // the client has its final answer, or has gone
+	responseStarted bool // a streamed response has begun
 }
 
 // awaitsResponse reports whether the client still waits for the beginning of a response.
