--- /dev/null
+++ b/balancer/quota_bucket_test.go
@@ -0,0 +1,230 @@
+package balancer
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+const gossipEvery = 100 * ms
+
+// splitBucket is a full bucket of a quota that a number of nodes split.
+func splitBucket(plan Plan, nodes int) *quotaBucket {
+	return &quotaBucket{
+		plan: &quotaPlan{Plan: plan}, entryNodes: entryNodes{0, nodes}, sharers: nodes, ownerCount: 1,
+		tokens: plan.Burst, refilledAt: t0,
+	}
+}
+
+// ownedBucket is a full bucket of one of a quota's owners.
+func ownedBucket(plan Plan, owners int) *quotaBucket {
+	return &quotaBucket{
+		plan: &quotaPlan{Plan: plan}, entryNodes: entryNodes{0, 10 * owners}, owned: true, sharers: owners,
+		ownerCount: float64(owners), tokens: plan.Burst / float64(owners), refilledAt: t0,
+	}
+}
+
+// admitAll takes units as often as the bucket allows and returns how often.
+func admitAll(bucket *quotaBucket, now time.Duration, units float64) (admitted int) {
+	for granted, _ := bucket.check(now, units, gossipEvery); granted && admitted < 1000; admitted++ {
+		bucket.acquire(units)
+		bucket.requestStarted()
+		bucket.attemptStarted()
+		granted, _ = bucket.check(now, units, gossipEvery)
+	}
+	return admitted
+}
+
+func TestSplitBucketAdmitsItsPartBetweenRounds(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		bucket *quotaBucket
+		units  float64
+		want   []int // in each round
+	}{
+		{"alone", splitBucket(Plan{Rate: 1, Burst: 40}, 1), 1, []int{40, 0}},
+		{"two nodes", splitBucket(Plan{Rate: 1, Burst: 40}, 2), 1, []int{20, 10, 5}},
+		{"units", splitBucket(Plan{Rate: 1, Burst: 40}, 2), 6, []int{3, 1, 1, 0}},
+		{"less than one each", splitBucket(Plan{Rate: 1, Burst: 2}, 3), 1, []int{1, 1, 0}},
+		{"owner", ownedBucket(Plan{Rate: 1, Burst: 40}, 2), 1, []int{20, 0}},
+		{"attempts", splitBucket(Plan{MaxConcurrent: 6}, 2), 1, []int{3, 1, 1, 0}},
+		{"no quota", splitBucket(Plan{}, 2), 1, []int{1000}},
+	} {
+		for round, want := range c.want {
+			if got := admitAll(c.bucket, t0, c.units); got != want {
+				t.Errorf("%s: %d admitted in round %d, want %d", c.name, got, round, want)
+			}
+			c.bucket.closeGossipRound()
+		}
+	}
+}
+
+// A congested tenant has a request waiting at each node: the bucket must have the units of all.
+func TestCongestedTenantNeedsUnitsForAllNodes(t *testing.T) {
+	for _, c := range []struct {
+		tokens float64
+		after  time.Duration // since the rejection
+		want   bool
+	}{
+		{2.9, congestionPeriod - 1, false},
+		{3, congestionPeriod - 1, true},
+		{1, congestionPeriod, true},
+	} {
+		bucket := splitBucket(Plan{Rate: 1, Burst: 40}, 3)
+		bucket.tokens = 0
+		if granted, _ := bucket.check(t0, 1, gossipEvery); granted {
+			t.Fatal("granted by an empty bucket")
+		}
+		bucket.tokens = c.tokens
+		if granted, _ := bucket.check(t0+c.after, 1, gossipEvery); granted != c.want {
+			t.Errorf("%+v: %v", c, granted)
+		}
+	}
+}
+
+func TestRetryAfterOfARejection(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		bucket *quotaBucket
+		tokens float64
+		want   time.Duration
+	}{
+		{"units to come", splitBucket(Plan{Rate: 2, Burst: 10}, 2), -1, time.Second},
+		{"units of an owner's part", ownedBucket(Plan{Rate: 2, Burst: 10}, 2), 0, time.Second},
+		{"next round", splitBucket(Plan{Rate: 1000, Burst: 10}, 2), 0, gossipEvery},
+		{"bounded", splitBucket(Plan{Rate: 0.001, Burst: 10}, 2), 0, maxRefillTime},
+		{"attempts", splitBucket(Plan{MaxConcurrent: 0, Rate: 1000, Burst: 1}, 2), 0, gossipEvery},
+	} {
+		c.bucket.tokens = c.tokens
+		if granted, retryAfter := c.bucket.check(t0, 1, gossipEvery); granted || retryAfter != c.want {
+			t.Errorf("%s: %v, retry after %v, want %v", c.name, granted, retryAfter, c.want)
+		}
+	}
+}
+
+func TestRefill(t *testing.T) {
+	plan := Plan{Rate: 10, Burst: 40}
+	heard := func(bucket *quotaBucket) *quotaBucket { // by an owner
+		bucket.owner.requesters = map[int]reconciliation{1: {}}
+		return bucket
+	}
+	granting := func(bucket *quotaBucket, rate float64) *quotaBucket {
+		bucket.owner.grantRate = rate
+		return heard(bucket)
+	}
+	const silent, heardNow = t0 - isolatedAfter, t0 + time.Second
+	for _, c := range []struct {
+		name           string
+		bucket         *quotaBucket
+		tokens         float64
+		lastMessage    time.Duration
+		after          time.Duration
+		want           float64
+		wantRatesSince time.Duration
+	}{
+		{"whole rate", splitBucket(plan, 2), 0, silent, time.Second, 10, 0},
+		{"full", splitBucket(plan, 2), 35, silent, time.Second, 40, 0},
+		{"owed", splitBucket(plan, 2), -15, silent, time.Second, -5, 0},
+		{"owner's part", ownedBucket(plan, 2), 0, silent, time.Second, 5, 0},
+		{"owner that hears", granting(ownedBucket(plan, 2), 4), 0, heardNow, time.Second, 5, 0},
+		{"isolated owner", granting(ownedBucket(plan, 2), 4), 0, silent, time.Second, 1, t0 + time.Second},
+		{"isolated to the floor", granting(ownedBucket(plan, 2), 25), 10, silent, time.Second, 0, t0 + time.Second},
+		{"isolated and in debt", granting(ownedBucket(plan, 2), 25), -3, silent, time.Second, -3, t0 + time.Second},
+		{"isolated, no time", granting(ownedBucket(plan, 2), 25), 10, silent - 1, 0, 10, t0},
+	} {
+		c.bucket.tokens = c.tokens
+		c.bucket.refill(t0+c.after, c.lastMessage)
+		if got := c.bucket.tokens; math.Abs(got-c.want) > 1e-9 || c.bucket.owner.ratesAt != c.wantRatesSince {
+			t.Errorf("%s: %v tokens, want %v; rates of %v", c.name, got, c.want, c.bucket.owner.ratesAt)
+		}
+	}
+}
+
+// What owners are told keeps their tokens between a whole burst owed and their part of one.
+func TestOwnerTokensAreBounded(t *testing.T) {
+	for units, want := range map[float64]float64{3: 13, 100: 20, -3: 7, -49: -39, -50: -40, -1000: -40} {
+		bucket := ownedBucket(Plan{Rate: 10, Burst: 40}, 2)
+		bucket.tokens = 10
+		if bucket.adjust(units); bucket.tokens != want {
+			t.Errorf("%v tokens after %v units, want %v", bucket.tokens, units, want)
+		}
+	}
+	bucket := ownedBucket(Plan{Rate: 10, Burst: 40}, 2)
+	bucket.tokens = 10
+	if bucket.restore(100); bucket.tokens != 20 {
+		t.Errorf("%v tokens after 100 were returned, want 20", bucket.tokens)
+	}
+}
+
+func TestPeerUseIsBounded(t *testing.T) {
+	bucket := splitBucket(Plan{Rate: 10, Burst: 40}, 2)
+	if bucket.applyPeerUse(t0, 1, 2, &gossipEntry{units: 1e6}); bucket.tokens != -40 {
+		t.Errorf("%v tokens, want a burst owed", bucket.tokens)
+	}
+}
+
+// Peers that have missed too many rounds of gossip count as having no attempts in flight.
+func TestPeersInFlightAreForgotten(t *testing.T) {
+	const forgotten = maxMissedGossipIntervals * gossipEvery
+	bucket := splitBucket(Plan{MaxConcurrent: 10}, 3)
+	bucket.attemptStarted()
+	bucket.applyPeerUse(t0, 1, 3, &gossipEntry{inFlight: 2})
+	bucket.applyPeerUse(t0+1, 2, 3, &gossipEntry{inFlight: 3})
+	for after, want := range map[time.Duration]int{0: 4, forgotten - 1: 4, forgotten: 6, forgotten + 1: 9} {
+		if got := bucket.concurrencyHeadroom(t0+after, gossipEvery); got != want {
+			t.Errorf("headroom %d after %v, want %d", got, after, want)
+		}
+	}
+}
+
+func TestIdleBuckets(t *testing.T) {
+	const never = time.Hour
+	rated := Plan{Rate: 10, Burst: 40}
+	for _, c := range []struct {
+		name    string
+		plan    Plan
+		prepare func(*quotaBucket)
+		after   time.Duration
+	}{
+		{"full", rated, func(*quotaBucket) {}, 4 * time.Second},
+		{"empty", rated, func(b *quotaBucket) { b.tokens = 0 }, 8 * time.Second},
+		{"no rate", Plan{MaxConcurrent: 1}, func(*quotaBucket) {}, idleConcurrencyQuota},
+		{"hard limit", Plan{HardLimitRate: 1, HardLimitBurst: 9}, func(*quotaBucket) {}, 9 * time.Second},
+		{"in flight", rated, func(b *quotaBucket) { b.attemptStarted() }, never},
+		{"unreported", rated, func(b *quotaBucket) { b.queueForGossip() }, never},
+		{"leases", rated, func(b *quotaBucket) { b.owner.leases = make([]concurrencyLease, 1) }, never},
+	} {
+		bucket := splitBucket(c.plan, 1)
+		c.prepare(bucket)
+		if bucket.idle(t0 + c.after - 1) {
+			t.Errorf("%s: idle before %v", c.name, c.after)
+		}
+		if bucket.idle(t0+c.after) != (c.after != never) {
+			t.Errorf("%s: idle after %v: %v", c.name, c.after, c.after == never)
+		}
+	}
+}
+
+// Rule 5: a node that just started may succeed one that has used up its part of the hard limit.
+func TestHardLimitStartsEmpty(t *testing.T) {
+	plan := &quotaPlan{Plan: Plan{HardLimitRate: 20, HardLimitBurst: 40}}
+	limit := newNodeHardLimit(plan, 0, hardLimitPart{burst: 0.5, rate: 0.25})
+	if limit.covers(plan, 1) || limit.timeUntil(plan, 1) != 200*ms {
+		t.Errorf("covers units at the start, or after %v", limit.timeUntil(plan, 1))
+	}
+	limit.refill(plan, 1)
+	if limit.acquire(plan, 2); limit.tokens != 3 {
+		t.Errorf("%v tokens, want 3", limit.tokens)
+	}
+	if limit.refill(plan, 100); limit.tokens != 20 {
+		t.Errorf("%v tokens, want the node's part of the burst", limit.tokens)
+	}
+	if limit := newNodeHardLimit(plan, 100, hardLimitPart{0.5, 0.25}); limit.tokens != 20 {
+		t.Errorf("%v tokens 100 s after the start, want 20", limit.tokens)
+	}
+	none := &quotaPlan{}
+	limit = newNodeHardLimit(none, 0, hardLimitPart{1, 1})
+	if !limit.covers(none, 1e6) {
+		t.Error("a plan without a hard limit does not cover units")
+	}
+}
