--- a/cmd/opalhook/registry.go
+++ b/cmd/opalhook/registry.go
@@ -4,8 +4,9 @@
 	"context"
 	"errors"
 	"fmt"
+	"io"
 	"os"
-	"text/tabwriter"
+	"strings"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -54,12 +55,14 @@
 		Example: "  opalhook registry serve\n  opalhook registry serve --listen 127.0.0.2:8500 --raft 127.0.0.2:8501 --data r2 --join 127.0.0.1:8500",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			cfg.Log = s.logger()
+			cfg.Logger = s.logger()
 			srv, err := registry.Start(c.Context(), cfg)
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(c.OutOrStdout(), "list service at http://%s/registry/instances\n", srv.Addr())
+			if _, err := fmt.Fprintf(c.OutOrStdout(), "list service at http://%s/registry/instances\n", srv.Addr()); err != nil {
+				return errors.Join(err, srv.Close())
+			}
 			<-c.Context().Done()
 			return srv.Close()
 		},
@@ -68,7 +71,7 @@
 	c.Flags().StringVar(&cfg.Listen, "listen", defaultRegistry, "address for readers and writers")
 	c.Flags().StringVar(&cfg.Raft, "raft", defaultRaft, "address for the other replicas")
 	c.Flags().StringVar(&cfg.Join, "join", "", "HTTP address of a replica of the service to join, for a new folder")
-	c.Flags().DurationVar(&cfg.Timeout, "election-timeout", 0, "without a word of the leader after which another is elected (default 500ms)")
+	c.Flags().DurationVar(&cfg.ElectionTimeout, "election-timeout", 0, "without a word of the leader after which another is elected (default 500ms)")
 	return c
 }
 
@@ -88,13 +91,13 @@
 			if s.json() {
 				return writeJSON(c.OutOrStdout(), map[string]any{"generation": generation, "instances": entries})
 			}
-			w := tabwriter.NewWriter(c.OutOrStdout(), 0, 4, 2, ' ', 0)
-			fmt.Fprintln(w, "INSTANCE\tADDRESS\tLIFECYCLE\tZONE\tKIND\tWEIGHT")
+			var table strings.Builder
+			fmt.Fprintln(&table, "INSTANCE\tADDRESS\tLIFECYCLE\tZONE\tKIND\tWEIGHT")
 			for _, e := range entries {
-				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%g\n", e.InstanceID, e.HostPort, e.Lifecycle, e.Zone, e.MachineType, e.Weight)
+				fmt.Fprintf(&table, "%s\t%s\t%s\t%s\t%s\t%g\n", e.InstanceID, e.HostPort, e.Lifecycle, e.Zone, e.MachineType, e.Weight)
 			}
-			fmt.Fprintf(w, "generation %d, %d instances\n", generation, len(entries))
-			return w.Flush()
+			fmt.Fprintf(&table, "generation %d, %d instances\n", generation, len(entries))
+			return writeTable(c.OutOrStdout(), table.String())
 		},
 	}
 }
@@ -144,10 +147,13 @@
 				if reset {
 					kind = "whole list"
 				}
-				fmt.Fprintf(c.OutOrStdout(), "generation %d, %s:\n", generation, kind)
+				var text strings.Builder
+				fmt.Fprintf(&text, "generation %d, %s:\n", generation, kind)
 				for _, e := range entries {
-					fmt.Fprintf(c.OutOrStdout(), "  %s %s %s\n", e.InstanceID, e.HostPort, e.Lifecycle)
+					fmt.Fprintf(&text, "  %s %s %s\n", e.InstanceID, e.HostPort, e.Lifecycle)
 				}
+				_, err := io.WriteString(c.OutOrStdout(), text.String())
+				werr = errors.Join(werr, err)
 			})
 			if c.Context().Err() != nil {
 				return werr
@@ -165,7 +171,7 @@
 		return writeJSON(c.OutOrStdout(), o)
 	}
 	word := "done"
-	if o.Code == registry.Same {
+	if o.Code == registry.Unchanged {
 		word = "nothing to do"
 	}
 	_, err := fmt.Fprintf(c.OutOrStdout(), "%s, generation %d\n", word, o.Generation)
@@ -205,8 +211,9 @@
 }
 
 func registryChange(s *settings, client func() *registry.Client, bound func(*cobra.Command) (context.Context, context.CancelFunc), verb, short string,
-	do func(*registry.Client, context.Context, registry.Owner) (registry.Outcome, error)) *cobra.Command {
-	var o registry.Owner
+	do func(*registry.Client, context.Context, registry.InstanceRef) (registry.Outcome, error),
+) *cobra.Command {
+	var o registry.InstanceRef
 	c := &cobra.Command{
 		Use:     verb + " ID",
 		Short:   short,
@@ -241,20 +248,20 @@
 			if s.json() {
 				return errors.Join(append([]error{writeJSON(c.OutOrStdout(), all)}, errs...)...)
 			}
-			w := tabwriter.NewWriter(c.OutOrStdout(), 0, 4, 2, ' ', 0)
-			fmt.Fprintln(w, "REPLICA\tSTATE\tLEADER\tGENERATION\tENTRIES\tLEASES\tWATCHES\tEXPIRY")
+			var table strings.Builder
+			fmt.Fprintln(&table, "REPLICA\tSTATE\tLEADER\tGENERATION\tENTRIES\tLEASES\tWATCHES\tEXPIRY")
 			for i, st := range all {
 				if errs[i] != nil {
-					fmt.Fprintf(w, "%s\tno answer: %v\n", cl.Replicas[i], errs[i])
+					fmt.Fprintf(&table, "%s\tno answer: %v\n", cl.Replicas[i], errs[i])
 					continue
 				}
 				expiry := "runs"
-				if st.Paused {
+				if st.ExpirySuspended {
 					expiry = "PAUSED: many leases run out at once; look at the network before the instances"
 				}
-				fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%s\n", st.Replica, st.State, st.Leader, st.Generation, st.Entries, st.Leases, st.Watches, expiry)
+				fmt.Fprintf(&table, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%s\n", st.Replica, st.State, st.Leader, st.Generation, st.Entries, st.Leases, st.Watches, expiry)
 			}
-			return errors.Join(append(errs, w.Flush())...)
+			return errors.Join(append(errs, writeTable(c.OutOrStdout(), table.String()))...)
 		},
 	}
 }
@@ -295,7 +302,7 @@
 			if err != nil {
 				return fmt.Errorf("backup: %w", err)
 			}
-			defer f.Close()
+			defer func() { _ = f.Close() }() // it was read only
 			if epoch == 0 {
 				epoch = registry.EpochAt(time.Now())
 			}
