--- a/internal/edgenode/attempt_test.go
+++ b/internal/edgenode/attempt_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -28,11 +29,11 @@
 // out once, on another connection: nothing that came before it is its answer.
 func TestIdleConnectionChangesBeforeTheWrite(t *testing.T) {
 	for name, change := range map[string]func(net.Conn){
-		"half a line":        func(c net.Conn) { io.WriteString(c, "HTTP/1.1 200 OK\r\nConte") },
-		"the answer again":   func(c net.Conn) { io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother") },
-		"closed":             func(c net.Conn) { c.Close() },
-		"reset":              func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
-		"sending side ended": func(c net.Conn) { c.(*net.TCPConn).CloseWrite() },
+		"half a line":        func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nConte") },
+		"the answer again":   func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother") },
+		"closed":             func(c net.Conn) { _ = c.Close() },
+		"reset":              func(c net.Conn) { resetConn(c) },
+		"sending side ended": func(c net.Conn) { _ = c.(*net.TCPConn).CloseWrite() },
 	} {
 		s := newAppServer(t, say(okAnswer))
 		u := testUpstream(s.instance("a"))
@@ -103,12 +104,12 @@
 		if c.happens != nil {
 			c.happens(u, s.instance("a"))
 		}
-		if err := u.writeRequest(t.Context(), conn, &message{}, c.to, []byte("GET /x HTTP/1.1\r\nHost: a\r\n\r\n")); err != c.want {
+		if err := u.writeRequest(t.Context(), conn, &message{}, c.to, []byte("GET /x HTTP/1.1\r\nHost: a\r\n\r\n")); !errors.Is(err, c.want) {
 			t.Errorf("%s: error %v, want %v", name, err, c.want)
 		}
-		conn.Conn.(*net.TCPConn).CloseWrite()
-		conn.SetDeadline(time.Now().Add(patience))
-		io.Copy(io.Discard, conn) // the server ends once it has read all
+		_ = conn.Conn.(*net.TCPConn).CloseWrite()
+		setDeadline(t, conn)
+		_, _ = io.Copy(io.Discard, conn) // the server ends once it has read all
 		if n := len(s.requests()); (n == 1) != (c.want == nil) {
 			t.Errorf("%s: %d requests arrived", name, n)
 		}
@@ -173,20 +174,20 @@
 	t.Helper()
 	conns = make(chan net.Conn, 10)
 	lc := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
-		return raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
+		return raw.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
 	}}
 	ln, err := lc.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { ln.Close() })
+	t.Cleanup(func() { _ = ln.Close() })
 	go func() {
 		for {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			t.Cleanup(func() { c.Close() })
+			t.Cleanup(func() { _ = c.Close() })
 			conns <- c
 		}
 	}()
@@ -206,12 +207,12 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	defer cancel()
-	if err := conn.writeRemainder(ctx, writeLimits{completeBefore: time.Now().Add(50 * time.Millisecond)}, long.body); err != errTooLate || ctx.Err() != nil {
+	if err := conn.writeRemainder(ctx, writeLimits{completeBefore: time.Now().Add(50 * time.Millisecond)}, long.body); !errors.Is(err, errTooLate) || ctx.Err() != nil {
 		t.Errorf("error %v, want %v; the attempt's own time: %v", err, errTooLate, ctx.Err())
 	}
 	u.discard(conn)
 	c := await(t, "a connection", conns)
-	c.SetDeadline(time.Now().Add(patience))
+	setDeadline(t, c)
 	if n, _ := io.Copy(io.Discard, c); n >= int64(len(long.body)) {
 		t.Errorf("%d bytes arrived: all of it", n)
 	}
@@ -231,8 +232,8 @@
 			result <- res
 		}()
 		c := await(t, "a connection", conns)
-		io.ReadFull(c, make([]byte, 100))
-		io.WriteString(c, text)
+		_, _ = io.ReadFull(c, make([]byte, 100))
+		_, _ = io.WriteString(c, text)
 		wantResult(t, await(t, "a result", result), balancer.ConnectFailed)
 	}
 }
@@ -290,12 +291,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		server.Read(make([]byte, 4096))
-		io.WriteString(server, c.text)
+		_, _ = server.Read(make([]byte, 4096))
+		_, _ = io.WriteString(server, c.text)
 		if c.reset {
-			server.(*net.TCPConn).SetLinger(0)
+			resetOnClose(server)
 		}
-		server.Close()
+		_ = server.Close()
 		o := await(t, "a result", done)
 		if o.Result != c.want || c.want == balancer.OK && string(o.body) != "body" {
 			t.Errorf("%s: result %v, body %q", name, o.Result, o.body)
--- a/internal/edgenode/cross_test.go
+++ b/internal/edgenode/cross_test.go
@@ -95,8 +95,7 @@
 	t.Helper()
 	f := idleFront(t, cfg)
 	ln := listen(t)
-	go f.server.Serve(hooked{newClientListener(ln, f.conns), func(c *clientConn) { change(f, c) }})
-	t.Cleanup(func() { f.server.Close() })
+	serveClients(t, f, hooked{newClientListener(ln, f.conns), func(c *clientConn) { change(f, c) }})
 	return f, ln.Addr().String()
 }
 
@@ -263,8 +262,8 @@
 	if n := s.in(connResponding); n != 1 {
 		t.Error("the connection does not count as one with an answer under way")
 	}
-	client.Close()
-	if err := await(t, "the look's end", ended); err != io.EOF {
+	_ = client.Close()
+	if err := await(t, "the look's end", ended); !errors.Is(err, io.EOF) {
 		t.Errorf("error %v", err)
 	}
 }
@@ -294,7 +293,6 @@
 func TestQueueIsEmptiedBeforeTheListenerCloses(t *testing.T) {
 	f := idleFront(t, testConfig())
 	f.ready.Store(true)
-	t.Cleanup(func() { f.server.Close() })
 	ln := newClientListener(listen(t), f.conns)
 	var clients []*client
 	for range 20 {
@@ -305,7 +303,7 @@
 	closed := make(chan struct{})
 	go func() { ln.closeWhenQueueEmpty(); close(closed) }()
 	eventually(t, "the listener is told", func() bool { return ln.closingSince.Load() != nil })
-	go f.serve(ln) // nobody accepted until now
+	serveClients(t, f, ln) // nobody accepted until now
 	for i, c := range clients {
 		if a := c.read(); a.status != http.StatusOK {
 			t.Errorf("client %d: %+v", i, a)
@@ -313,7 +311,7 @@
 	}
 	await(t, "the listener's close", closed)
 	if c, err := net.Dial("tcp", ln.Addr().String()); err == nil {
-		c.Close()
+		_ = c.Close()
 		t.Error("the listener is still open")
 	}
 }
@@ -323,7 +321,7 @@
 	f := idleFront(t, testConfig())
 	ln := newClientListener(listen(t), f.conns)
 	f.draining.Store(true)
-	f.server.Close()
+	_ = f.server.Close()
 	if err := f.serve(ln); err != nil {
 		t.Errorf("error %v", err)
 	}
@@ -360,7 +358,7 @@
 				return
 			}
 			called <- struct{}{}
-			defer c.Close()
+			defer func() { _ = c.Close() }()
 		}
 	}()
 	return addrOf(ln), called
@@ -418,7 +416,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { syscall.Close(fd) })
+	t.Cleanup(func() { _ = syscall.Close(fd) })
 	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		t.Fatal(err)
 	}
@@ -432,7 +430,7 @@
 	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(at.(*syscall.SockaddrInet4).Port))
 	for range 3 { // fill its queue: what comes then is dropped
 		if c, err := net.DialTimeout("tcp", addr.String(), 100*time.Millisecond); err == nil {
-			t.Cleanup(func() { c.Close() })
+			t.Cleanup(func() { _ = c.Close() })
 		}
 	}
 	return addr
@@ -459,10 +457,10 @@
 		return len(f.node.inflight)
 	}
 	ways := map[string]func(*client){
-		"closes": func(c *client) { c.Close() },
-		"resets": func(c *client) { c.Conn.(*net.TCPConn).SetLinger(0); c.Close() },
+		"closes": func(c *client) { _ = c.Close() },
+		"resets": func(c *client) { resetConn(c.Conn) },
 		"closes its sending side": func(c *client) {
-			c.Conn.(*net.TCPConn).CloseWrite()
+			_ = c.Conn.(*net.TCPConn).CloseWrite()
 			if a := c.read(); a.status != http.StatusBadGateway {
 				t.Errorf("a client that still reads has %+v, want that it failed", a)
 			}
@@ -490,7 +488,7 @@
 	}
 	eventually(t, "all wait", func() bool { return open() == len(burst) && f.conns.taken() })
 	for _, c := range burst {
-		c.Close()
+		_ = c.Close()
 	}
 	eventually(t, "all are noticed", func() bool { return open() == 0 })
 }
@@ -540,17 +538,16 @@
 	draining.State = balancer.Draining
 	whole, drain := listJSON(1, true, up), listJSON(2, false, draining)
 	indented := strings.NewReplacer("{", "{\n  ", ",", ",\n  ").Replace(drain)
-	reset := func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() }
 	for name, ill := range map[string]struct {
 		text string         // behind the whole list
 		then func(net.Conn) // what becomes of the watch
 	}{
 		"silent":                {"", func(net.Conn) {}},
-		"reset":                 {"", reset},
+		"reset":                 {"", resetConn},
 		"indented":              {indented + "\n", func(net.Conn) {}},
-		"half a line, reset":    {drain[:len(drain)/2], reset},
+		"half a line, reset":    {drain[:len(drain)/2], resetConn},
 		"half a line, silent":   {drain[:len(drain)/2], func(net.Conn) {}},
-		"half an indented line": {indented[:len(indented)/2], reset},
+		"half an indented line": {indented[:len(indented)/2], resetConn},
 		"noise":                 {"<html>\n", func(net.Conn) {}},
 	} {
 		for _, pushed := range []bool{true, false} {
@@ -567,28 +564,28 @@
 								if err != nil {
 									return
 								}
-								t.Cleanup(func() { c.Close() })
+								t.Cleanup(func() { _ = c.Close() })
 								var head [512]byte
 								k, _ := c.Read(head[:])
-								io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
+								_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
 								if !strings.Contains(string(head[:k]), "watch=1") {
 									if first && !moves || !first {
 										select {
 										case <-broken:
-											io.WriteString(c, listJSON(2, true, draining))
+											_, _ = io.WriteString(c, listJSON(2, true, draining))
 										default:
-											io.WriteString(c, whole)
+											_, _ = io.WriteString(c, whole)
 										}
 									}
-									c.Close()
+									_ = c.Close()
 									continue
 								}
 								if n++; first && n == 1 {
-									io.WriteString(c, whole+"\n"+ill.text)
+									_, _ = io.WriteString(c, whole+"\n"+ill.text)
 									close(broken)
 									ill.then(c)
 								} else if !first || !moves { // this discovery has not heard of it, or it is down
-									io.WriteString(c, listJSON(2, true, draining)+"\n")
+									_, _ = io.WriteString(c, listJSON(2, true, draining)+"\n")
 								}
 							}
 						}()
@@ -635,7 +632,7 @@
 	for i := 1; i < len(text); i += 7 {
 		half := dial(t, n.addr)
 		half.send(text[:i])
-		half.Close()
+		_ = half.Close()
 	}
 	if a := c.ask(request("check", "last")); a.status != http.StatusOK {
 		t.Errorf("behind those who went: %+v", a)
--- a/internal/edgenode/crowd_test.go
+++ b/internal/edgenode/crowd_test.go
@@ -51,7 +51,7 @@
 	}
 	return runWithListener(ctx, cfg, nil, logger, func() (*net.TCPListener, error) {
 		file := os.NewFile(processListen, "listener")
-		defer file.Close()
+		defer func() { _ = file.Close() }()
 		ln, err := net.FileListener(file)
 		if err != nil {
 			return nil, err
@@ -68,7 +68,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }()
 	path := t.TempDir() + "/config.json"
 	config := map[string]any{
 		"name": "n0", "listen": ln.Addr().String(), "discovery": discovery, "seed": "1",
@@ -91,18 +91,18 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	ln.Close()
+	_ = ln.Close()
 	done := make(chan error, 1)
 	go func() { done <- cmd.Wait() }()
 	t.Cleanup(func() {
-		cmd.Process.Signal(syscall.SIGTERM)
+		_ = cmd.Process.Signal(syscall.SIGTERM) // a process that has ended is found below
 		select {
 		case err := <-done:
 			if err != nil {
 				t.Errorf("the node's process: %v, logged %s", err, logs)
 			}
 		case <-time.After(patience):
-			cmd.Process.Kill()
+			_ = cmd.Process.Kill()
 			t.Errorf("the node's process does not end, logged %s", logs)
 		}
 	})
@@ -129,7 +129,7 @@
 	}
 	at := serveDiscovery(t, func() string { hang(); return *list.Load() }, func(_ int, _ string, w io.Writer, ctx context.Context) {
 		hang()
-		io.WriteString(w, *list.Load()+"\n")
+		_, _ = io.WriteString(w, *list.Load()+"\n")
 		ctx, end := context.WithCancel(ctx)
 		defer end()
 		go func() {
@@ -163,10 +163,10 @@
 		case 1: // does not end its head
 			c.send("GET /check")
 		case 2: // has asked once; in a crowd it may have been closed unread
-			c.Write([]byte(readyRequest))
+			_, _ = c.Write([]byte(readyRequest))
 		}
 		go func() {
-			io.Copy(io.Discard, c.br)
+			_, _ = io.Copy(io.Discard, c.br)
 			closed <- struct{}{}
 		}()
 	}
@@ -179,8 +179,8 @@
 			if err != nil {
 				return false
 			}
-			defer c.Close()
-			c.SetDeadline(time.Now().Add(patience))
+			defer func() { _ = c.Close() }()
+			setDeadline(t, c)
 			asks++
 			if _, err := io.WriteString(c, request("check", fmt.Sprint("t", asks))); err != nil {
 				return false
--- a/internal/edgenode/front_test.go
+++ b/internal/edgenode/front_test.go
@@ -181,7 +181,7 @@
 	cfg.Settings.Classes[0].Deadline = 100 * time.Millisecond
 	n := run(t, cfg)
 	c := dial(t, n.addr)
-	c.SetDeadline(time.Now().Add(patience))
+	setDeadline(t, c)
 	if a := c.ask(request("check", "t1", "X-Expires-In", "1000000")); a.status != 429 && a.status != 502 {
 		t.Errorf("status %d", a.status)
 	}
@@ -255,7 +255,7 @@
 	c := dial(t, n.addr)
 	c.send(request("check", "t1"))
 	eventually(t, "request out", func() bool { return len(s.requests()) == 1 })
-	c.Close()
+	_ = c.Close()
 	wantClosed(t, await(t, "a connection", s.conns))
 	// The id is free once nothing is held any more.
 	eventually(t, "second request taken", func() bool {
@@ -323,8 +323,7 @@
 	f.node.balancer = nil
 	f.node.mu.Unlock()
 	ln := listen(t)
-	go f.serve(newClientListener(ln, f.conns))
-	t.Cleanup(func() { f.server.Close() })
+	serveClients(t, f, newClientListener(ln, f.conns))
 	a := dial(t, ln.Addr().String()).ask(request("check", "t1"))
 	if a.status != 502 || !strings.Contains(logs.String(), "balancer.(*Balancer).RequestArrived") {
 		t.Errorf("status %d, logged %q", a.status, logs.String())
@@ -369,7 +368,7 @@
 	eventually(t, "listener closed", func() bool {
 		c, err := net.Dial("tcp", n.addr)
 		if err == nil {
-			c.Close()
+			_ = c.Close()
 		}
 		return err != nil
 	})
--- a/internal/edgenode/golden_test.go
+++ b/internal/edgenode/golden_test.go
@@ -27,7 +27,7 @@
 func recordRequests(t *testing.T, answer string) (addr netip.AddrPort, heard <-chan string) {
 	t.Helper()
 	ln := listen(t)
-	t.Cleanup(func() { ln.Close() })
+	t.Cleanup(func() { _ = ln.Close() })
 	requests := make(chan string, 1000)
 	go func() {
 		for {
@@ -36,10 +36,10 @@
 				return
 			}
 			go func() {
-				defer c.Close()
+				defer func() { _ = c.Close() }()
 				if text, ok := readRequest(c); ok {
 					requests <- strings.ReplaceAll(text, ln.Addr().String(), "HOST")
-					io.WriteString(c, answer)
+					_, _ = io.WriteString(c, answer)
 				}
 			}()
 		}
@@ -57,7 +57,7 @@
 			return text, false
 		}
 		text += line
-		fmt.Sscanf(line, "Content-Length: %d", &length)
+		_, _ = fmt.Sscanf(line, "Content-Length: %d", &length)
 	}
 	body := make([]byte, length)
 	_, err := io.ReadFull(in, body)
--- a/internal/edgenode/gone_test.go
+++ b/internal/edgenode/gone_test.go
@@ -58,7 +58,7 @@
 				c := dial(t, addr)
 				left, noticed := make(chan struct{}), make(chan struct{})
 				leave := func() {
-					c.Close()
+					_ = c.Close()
 					close(left)
 					<-noticed
 				}
@@ -116,14 +116,13 @@
 		f.ServeHTTP(w, r)
 	})
 	ln := listen(t)
-	go f.serve(newClientListener(ln, f.conns))
-	t.Cleanup(func() { f.server.Close() })
+	serveClients(t, f, newClientListener(ln, f.conns))
 	open := dial(t, ln.Addr().String())
 	open.send(request("check", "open"))
 	eventually(t, "request out", func() bool { return len(s.requests()) == 1 })
 	stop()
 	n.close()
-	open.Close()
+	_ = open.Close()
 	await(t, "the end of the handler whose request was open", handled)
 	if a := dial(t, ln.Addr().String()).ask(request("check", "late")); a.status != http.StatusBadGateway {
 		t.Errorf("a request to a closed node has %+v, want that it failed", a)
--- a/internal/edgenode/harness_test.go
+++ b/internal/edgenode/harness_test.go
@@ -44,9 +44,9 @@
 	}
 	s := &appServer{ln: ln, serve: serve, conns: make(chan net.Conn, 1000)}
 	t.Cleanup(func() {
-		ln.Close()
+		_ = ln.Close()
 		for len(s.conns) > 0 {
-			(<-s.conns).Close()
+			_ = (<-s.conns).Close()
 		}
 	})
 	go func() {
@@ -63,7 +63,7 @@
 }
 
 func (s *appServer) loop(c net.Conn) {
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	br := bufio.NewReader(c)
 	for {
 		r, err := http.ReadRequest(br)
@@ -148,7 +148,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { ln.Close() })
+	t.Cleanup(func() { _ = ln.Close() })
 	return ln.(*net.TCPListener)
 }
 
@@ -203,11 +203,42 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	t.Cleanup(func() { _ = c.Close() })
+	setDeadline(t, c)
 	return &client{Conn: c, br: bufio.NewReader(c), t: t}
 }
 
+// setDeadline ends all reading and writing on a connection once the test has waited for too long.
+func setDeadline(t testing.TB, c net.Conn) {
+	t.Helper()
+	if err := c.SetDeadline(time.Now().Add(patience)); err != nil {
+		t.Errorf("deadline of a connection: %v", err)
+	}
+}
+
+// resetOnClose has the close of a connection reset it.
+func resetOnClose(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0) }
+
+// resetConn resets a connection.
+func resetConn(c net.Conn) {
+	resetOnClose(c)
+	_ = c.Close()
+}
+
+// serveClients serves the connections that come to a listener until the test ends.
+func serveClients(t testing.TB, f *frontend, ln net.Listener) {
+	t.Helper()
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		_ = f.server.Serve(ln) // ends with an error always
+	}()
+	t.Cleanup(func() {
+		_ = f.server.Close()
+		<-done
+	})
+}
+
 // answered is an answer as a client reads it.
 type answered struct {
 	status int
--- a/internal/edgenode/ready_test.go
+++ b/internal/edgenode/ready_test.go
@@ -26,12 +26,12 @@
 	return func(context.Context, string, string) (net.Conn, error) {
 		client, server := net.Pipe()
 		go func() {
-			defer server.Close()
+			defer func() { _ = server.Close() }()
 			if _, err := http.ReadRequest(bufio.NewReader(server)); err != nil {
 				return
 			}
 			time.Sleep(after)
-			io.WriteString(server, text)
+			_, _ = io.WriteString(server, text)
 		}()
 		return client, nil
 	}
--- a/internal/edgenode/side_test.go
+++ b/internal/edgenode/side_test.go
@@ -31,7 +31,7 @@
 			t.Errorf("call of %s", r.URL)
 		}
 		if r.URL.Query().Get("watch") == "" {
-			io.WriteString(w, whole())
+			_, _ = io.WriteString(w, whole())
 			return
 		}
 		w.WriteHeader(200)
@@ -53,7 +53,7 @@
 			tick.Stop()
 			return
 		case <-tick.C:
-			io.WriteString(w, "\n")
+			_, _ = io.WriteString(w, "\n")
 		}
 	}
 }
@@ -71,7 +71,7 @@
 	old, young := newAppServer(t, say(okAnswer)), newAppServer(t, say(okAnswer))
 	cfg := testConfig(old.instance("a"))
 	cfg.Discovery = serveDiscovery(t, func() string { return listJSON(8, true, young.instance("b")) }, func(n int, _ string, w io.Writer, ctx context.Context) {
-		fmt.Fprintf(w, "%s\n", listJSON(8, true, young.instance("b")))
+		_, _ = fmt.Fprintf(w, "%s\n", listJSON(8, true, young.instance("b")))
 		<-ctx.Done()
 	})
 	n := run(t, cfg)
@@ -100,7 +100,7 @@
 	asked := make(chan struct{}, 100)
 	cfg.Discovery = serveDiscovery(t, func() string { asked <- struct{}{}; <-tells; return whole }, func(n int, _ string, w io.Writer, ctx context.Context) {
 		<-tells
-		fmt.Fprintf(w, "%s\n", whole)
+		_, _ = fmt.Fprintf(w, "%s\n", whole)
 		beat(ctx, w)
 	})
 	ln := listen(t)
@@ -141,7 +141,7 @@
 	old, young := newAppServer(t, say(okAnswer)), newAppServer(t, say(okAnswer))
 	watched, left := make(chan struct{}, 100), make(chan struct{}, 100)
 	first := serveDiscovery(t, func() string { return listJSON(900, true, old.instance("a")) }, func(_ int, _ string, w io.Writer, ctx context.Context) {
-		fmt.Fprintf(w, "%s\n", listJSON(900, true, old.instance("a")))
+		_, _ = fmt.Fprintf(w, "%s\n", listJSON(900, true, old.instance("a")))
 		watched <- struct{}{}
 		beat(ctx, w)
 		left <- struct{}{}
@@ -149,7 +149,7 @@
 	froms := make(chan string, 100)
 	second := serveDiscovery(t, func() string { return listJSON(3, true, young.instance("b")) }, func(_ int, from string, w io.Writer, ctx context.Context) {
 		froms <- from
-		fmt.Fprintf(w, "%s\n", listJSON(3, true, young.instance("b")))
+		_, _ = fmt.Fprintf(w, "%s\n", listJSON(3, true, young.instance("b")))
 		beat(ctx, w)
 	})
 	cfg := testConfig(old.instance("a"))
@@ -221,7 +221,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close() })
+		t.Cleanup(func() { _ = c.Close() })
 		return c
 	}
 	addr := func(c *net.UDPConn) netip.AddrPort { return c.LocalAddr().(*net.UDPAddr).AddrPort() }
@@ -234,7 +234,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { p.conn.Close() })
+	t.Cleanup(func() { _ = p.conn.Close() })
 	heard := make(chan string, 10)
 	go p.receive(func(from int, message []byte) { heard <- fmt.Sprintf("%d %s", from, message) })
 	for _, d := range []struct {
@@ -254,7 +254,7 @@
 			t.Fatal(err)
 		}
 		buf := make([]byte, maxPeerMessage)
-		c.SetReadDeadline(time.Now().Add(patience))
+		setDeadline(t, c)
 		n, from, err := c.ReadFromUDPAddrPort(buf)
 		if err != nil || string(buf[:n]) != "hello" || from != addr(p.conn) {
 			t.Errorf("to %d: %q from %v, error %v", peer, buf[:n], from, err)
--- a/internal/edgenode/slots_test.go
+++ b/internal/edgenode/slots_test.go
@@ -1,6 +1,7 @@
 package edgenode
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -16,8 +17,7 @@
 	f.conns.max = most
 	f.ready.Store(true)
 	ln := listen(t)
-	go f.serve(newClientListener(ln, f.conns))
-	t.Cleanup(func() { f.server.Close() })
+	serveClients(t, f, newClientListener(ln, f.conns))
 	return f, ln.Addr().String()
 }
 
@@ -38,9 +38,10 @@
 
 func wantEOF(t *testing.T, what string, c *client) {
 	t.Helper()
+	var timeout net.Error
 	if _, err := c.br.ReadByte(); err == nil {
 		t.Errorf("%s: something came, want a close", what)
-	} else if ne, ok := err.(net.Error); ok && ne.Timeout() {
+	} else if errors.As(err, &timeout) && timeout.Timeout() {
 		t.Errorf("%s: still open", what)
 	}
 }
@@ -104,7 +105,7 @@
 	}
 	wantEOF(t, "after it", others[1])
 	for _, c := range []*client{first, others[0], others[2]} {
-		c.Close()
+		_ = c.Close()
 	}
 	eventually(t, "all gone", func() bool {
 		f.conns.mu.Lock()
@@ -162,7 +163,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
+	defer func() { _ = ln.Close() }()
 	s := newConnTable(2)
 	accept := func() (*client, *clientConn) {
 		c := dial(t, ln.Addr().String())
@@ -170,7 +171,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { nc.Close() })
+		t.Cleanup(func() { _ = nc.Close() })
 		taken, err := newClientConn(nc, s)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/edgenode/upstream_test.go
+++ b/internal/edgenode/upstream_test.go
@@ -118,7 +118,7 @@
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n",
 	} {
 		s := newAppServer(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
-			io.WriteString(c, text)
+			_, _ = io.WriteString(c, text)
 			return false
 		})
 		u := testUpstream(s.instance("a"))
@@ -242,7 +242,7 @@
 					return say(okAnswer)(conn, r, body)
 				}
 				time.Sleep(c.answer) // the server at work
-				conn.(*net.TCPConn).SetLinger(0)
+				resetOnClose(conn)
 				return false
 			})
 			u := testUpstream(s.instance("a"))
@@ -277,7 +277,7 @@
 // A 1xx answer is no part of the one that counts, which may come as late as it likes.
 func TestInterimAnswerThenAPause(t *testing.T) {
 	s := newAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
-		io.WriteString(c, "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n")
+		_, _ = io.WriteString(c, "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n")
 		time.Sleep(responseRestTimeout * 3 / 2) // the server at work
 		return say(okAnswer)(c, r, body)
 	})
@@ -303,7 +303,7 @@
 	s := newAppServer(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
 		if first {
 			first = false
-			io.WriteString(c, okAnswer)
+			_, _ = io.WriteString(c, okAnswer)
 			return true
 		}
 		return false
@@ -356,7 +356,7 @@
 	s := newAppServer(t, say(okAnswer))
 	u := testUpstream(s.instance("a"))
 	exchange(t, u, "a")
-	(<-s.conns).Close()
+	_ = (<-s.conns).Close()
 	c := u.backends["a"].idle[0]
 	eventually(t, "close arrived", func() bool { return !c.quiet() })
 	u.rest("a")
@@ -507,7 +507,7 @@
 	drains.State = balancer.Draining
 	u.update([]Instance{drains}, false)
 	u.open++
-	if _, err := u.dial(context.Background(), b); err != errNotUp {
+	if _, err := u.dial(context.Background(), b); !errors.Is(err, errNotUp) {
 		t.Errorf("error %v, want %v", err, errNotUp)
 	}
 	_, res := exchange(t, u, "a")
@@ -578,11 +578,11 @@
 		before := len(srv.requests())
 		in.State = balancer.Draining
 		closeAll(u.update([]Instance{in}, false))
-		if err := u.writeRequest(t.Context(), c, &message{}, writeLimits{}, []byte("GET /late HTTP/1.1\r\nHost: a\r\n\r\n")); err != errNotUp {
+		if err := u.writeRequest(t.Context(), c, &message{}, writeLimits{}, []byte("GET /late HTTP/1.1\r\nHost: a\r\n\r\n")); !errors.Is(err, errNotUp) {
 			t.Errorf("kept %v: written with error %v", kept, err)
 		}
-		c.SetDeadline(time.Now().Add(patience))
-		c.Conn.(*net.TCPConn).CloseWrite()
+		setDeadline(t, c)
+		_ = c.Conn.(*net.TCPConn).CloseWrite()
 		if n, err := io.Copy(io.Discard, c); n != 0 || err != nil { // the server closes what it has read to its end
 			t.Errorf("kept %v: %d bytes came back, error %v", kept, n, err)
 		}
@@ -712,7 +712,7 @@
 	c, other := dial(t, r.addr), dial(t, r.addr)
 	c.send(request("check", "held")) // on the server's one connection
 	await(t, "the held request is out", held)
-	s.ln.Close()
+	_ = s.ln.Close()
 	if a := other.ask(request("check", "refused")); a.status != http.StatusTooManyRequests {
 		t.Fatalf("with no connection to be had: %d", a.status)
 	}
