--- a/internal/edgenode/answer.go
+++ b/internal/edgenode/answer.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"opalhook/balancer"
+	"opalhook/internal/edgenode/decimal"
 )
 
 // Bounds of a response.
@@ -147,7 +148,7 @@
 	if text := resp.Header.Get("Endpoint-Load-Metrics"); text != "" {
 		r.loadReport = parseLoadReport(text)
 	}
-	if units, ok := parseDecimal(resp.Header.Get("X-Settled")); ok {
+	if units, ok := decimal.Parse(resp.Header.Get("X-Settled")); ok {
 		r.units = units
 	}
 	return r
--- a/internal/edgenode/attempt_test.go
+++ b/internal/edgenode/attempt_test.go
@@ -14,6 +14,8 @@
 	"time"
 
 	"opalhook/balancer"
+	"opalhook/internal/edgenode/endpointlist"
+	"opalhook/internal/edgenode/nodetest"
 )
 
 // rest makes the idle connections to a server old enough to be used again.
@@ -32,24 +34,24 @@
 		"half a line":        func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nConte") },
 		"the answer again":   func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother") },
 		"closed":             func(c net.Conn) { _ = c.Close() },
-		"reset":              func(c net.Conn) { resetConn(c) },
+		"reset":              func(c net.Conn) { nodetest.ResetConn(c) },
 		"sending side ended": func(c net.Conn) { _ = c.(*net.TCPConn).CloseWrite() },
 	} {
-		s := newAppServer(t, say(okAnswer))
-		u := testUpstream(s.instance("a"))
+		s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+		u := testUpstream(s.Endpoint("a"))
 		exchange(t, u, "a")
 		u.rest("a")
 		c := u.backends["a"].idle[0]
-		server := await(t, "a connection", s.conns)
+		server := nodetest.Await(t, "a connection", s.Conns)
 		c.raw = between{RawConn: c.raw, write: func() {
 			change(server)
-			eventually(t, "it has come", func() bool { return !c.quiet() })
+			nodetest.Eventually(t, "it has come", func() bool { return !c.quiet() })
 		}}
 		rep, res := exchange(t, u, "a")
 		if res != balancer.OK || string(rep.body) != "body" {
 			t.Errorf("%s: result %v, body %q", name, res, rep.body)
 		}
-		if n := len(s.requests()); n != 2 || u.open != 1 {
+		if n := len(s.Requests()); n != 2 || u.open != 1 {
 			t.Errorf("%s: %d copies of 2 requests, %d connections counted", name, n, u.open)
 		}
 	}
@@ -57,8 +59,8 @@
 
 // A connection is not used again for as long as a second answer may still come on it.
 func TestConnectionRestsBeforeItsNextRequest(t *testing.T) {
-	s := newAppServer(t, say(okAnswer))
-	u := testUpstream(s.instance("a"))
+	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	u := testUpstream(s.Endpoint("a"))
 	exchange(t, u, "a")
 	b := u.backends["a"]
 	used := b.idle[0]
@@ -77,40 +79,43 @@
 // become another one.
 func TestBoundsHoldAtTheWrite(t *testing.T) {
 	past, later := time.Now(), time.Now().Add(time.Hour)
-	as := func(change func(*Instance)) func(*upstream, Instance) {
-		return func(u *upstream, in Instance) { change(&in); closeAll(u.update([]Instance{in}, false)) }
+	as := func(change func(*endpointlist.Endpoint)) func(*upstream, endpointlist.Endpoint) {
+		return func(u *upstream, in endpointlist.Endpoint) {
+			change(&in)
+			closeAll(u.update([]endpointlist.Endpoint{in}, false))
+		}
 	}
 	for name, c := range map[string]struct {
 		to      writeLimits
-		happens func(*upstream, Instance)
+		happens func(*upstream, endpointlist.Endpoint)
 		want    error
 	}{
 		"in time":                   {to: writeLimits{startBefore: later, completeBefore: later}},
 		"no bounds":                 {},
 		"its time is over":          {to: writeLimits{startBefore: past}, want: errTooLate},
 		"its repeat is too late":    {to: writeLimits{startBefore: later, completeBefore: past}, want: errTooLate},
-		"the server restarted":      {happens: as(func(in *Instance) { in.StartedAt = time.Hour }), want: errNotUp},
-		"it is in another zone":     {happens: as(func(in *Instance) { in.Zone = "other" }), want: errNotUp},
-		"it is in another cell":     {happens: as(func(in *Instance) { in.Cell++ }), want: errNotUp},
-		"it is at another address":  {happens: as(func(in *Instance) { in.Addr = netip.MustParseAddrPort("127.0.0.1:1") }), want: errNotUp},
-		"the list says nothing new": {happens: as(func(*Instance) {})},
+		"the server restarted":      {happens: as(func(in *endpointlist.Endpoint) { in.StartedAt = time.Hour }), want: errNotUp},
+		"it is in another zone":     {happens: as(func(in *endpointlist.Endpoint) { in.Zone = "other" }), want: errNotUp},
+		"it is in another cell":     {happens: as(func(in *endpointlist.Endpoint) { in.Cell++ }), want: errNotUp},
+		"it is at another address":  {happens: as(func(in *endpointlist.Endpoint) { in.Addr = netip.MustParseAddrPort("127.0.0.1:1") }), want: errNotUp},
+		"the list says nothing new": {happens: as(func(*endpointlist.Endpoint) {})},
 	} {
-		s := newAppServer(t, say(okAnswer))
-		u := testUpstream(s.instance("a"))
+		s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+		u := testUpstream(s.Endpoint("a"))
 		conn, err := u.acquire(t.Context(), "a", nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if c.happens != nil {
-			c.happens(u, s.instance("a"))
+			c.happens(u, s.Endpoint("a"))
 		}
 		if err := u.writeRequest(t.Context(), conn, &message{}, c.to, []byte("GET /x HTTP/1.1\r\nHost: a\r\n\r\n")); !errors.Is(err, c.want) {
 			t.Errorf("%s: error %v, want %v", name, err, c.want)
 		}
 		_ = conn.Conn.(*net.TCPConn).CloseWrite()
-		setDeadline(t, conn)
+		nodetest.SetDeadline(t, conn)
 		_, _ = io.Copy(io.Discard, conn) // the server ends once it has read all
-		if n := len(s.requests()); (n == 1) != (c.want == nil) {
+		if n := len(s.Requests()); (n == 1) != (c.want == nil) {
 			t.Errorf("%s: %d requests arrived", name, n)
 		}
 	}
@@ -119,34 +124,34 @@
 // A repeat goes to the server as it was when it was chosen: not to one that has restarted since, or that
 // is in another zone by now.
 func TestRepeatGoesToTheServerThatWasChosen(t *testing.T) {
-	s := newAppServer(t, say(okAnswer))
-	u := testUpstream(s.instance("a"))
+	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	u := testUpstream(s.Endpoint("a"))
 	to := writeLimits{backend: u.lookup("a")}
-	restarted := s.instance("a")
+	restarted := s.Endpoint("a")
 	restarted.StartedAt = time.Hour
-	closeAll(u.update([]Instance{restarted}, false))
+	closeAll(u.update([]endpointlist.Endpoint{restarted}, false))
 	_, res := u.exchange(t.Context(), "a", &get, to)
 	wantResult(t, res, balancer.ConnectFailed)
 	_, res = u.exchange(t.Context(), "a", &get, writeLimits{backend: u.lookup("a")})
 	wantResult(t, res, balancer.OK)
-	if n := len(s.requests()); n != 1 {
+	if n := len(s.Requests()); n != 1 {
 		t.Errorf("%d requests arrived", n)
 	}
 }
 
 // The bound of a repeat comes from the request's first attempt that may have run, and reaches the write.
 func TestRepeatCarriesItsWindow(t *testing.T) {
-	s := newAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if r.Method == "POST" {
-			return say("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n")(c, r, body)
+			return nodetest.Say("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n")(c, r, body)
 		}
-		return say(okAnswer)(c, r, body)
+		return nodetest.Say(nodetest.OKResponse)(c, r, body)
 	})
-	n := idleFront(t, testConfig(s.instance("a"), s.instance("b"))).node
+	n := idleFront(t, testConfig(s.Endpoint("a"), s.Endpoint("b"))).node
 	ask := func(id, class, method string) *inflightRequest {
 		q := balancer.Request{ID: id, Class: class, Plan: "wide", Timeout: 10 * time.Second, Units: 1, EntryNodes: 1}
-		fl := n.startRequest(q, message{method: method, target: "/" + class, id: id}, time.Now().Add(patience))
-		await(t, "an answer", fl.response)
+		fl := n.startRequest(q, message{method: method, target: "/" + class, id: id}, time.Now().Add(nodetest.Patience))
+		nodetest.Await(t, "an answer", fl.response)
 		return fl
 	}
 	for i := range 10 { // by which repeats are earned
@@ -170,7 +175,7 @@
 }
 
 // slowReader is an app server that takes little of a request in at once.
-func slowReader(t *testing.T) (in Instance, conns chan net.Conn) {
+func slowReader(t *testing.T) (in endpointlist.Endpoint, conns chan net.Conn) {
 	t.Helper()
 	conns = make(chan net.Conn, 10)
 	lc := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
@@ -191,7 +196,7 @@
 			conns <- c
 		}
 	}()
-	return Instance{Endpoint: balancer.Endpoint{ID: "a"}, Addr: addrOf(ln)}, conns
+	return endpointlist.Endpoint{Endpoint: balancer.Endpoint{ID: "a"}, Addr: nodetest.AddrOf(ln)}, conns
 }
 
 // long is a request that no socket takes at once.
@@ -205,14 +210,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), nodetest.Patience)
 	defer cancel()
 	if err := conn.writeRemainder(ctx, writeLimits{completeBefore: time.Now().Add(50 * time.Millisecond)}, long.body); !errors.Is(err, errTooLate) || ctx.Err() != nil {
 		t.Errorf("error %v, want %v; the attempt's own time: %v", err, errTooLate, ctx.Err())
 	}
 	u.discard(conn)
-	c := await(t, "a connection", conns)
-	setDeadline(t, c)
+	c := nodetest.Await(t, "a connection", conns)
+	nodetest.SetDeadline(t, c)
 	if n, _ := io.Copy(io.Discard, c); n >= int64(len(long.body)) {
 		t.Errorf("%d bytes arrived: all of it", n)
 	}
@@ -223,7 +228,7 @@
 
 // An answer to a request that is not written yet is no answer to it: the attempt ends, and has never run.
 func TestAnswerBeforeTheRequestIsWritten(t *testing.T) {
-	for _, text := range []string{okAnswer, "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 503 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"} {
+	for _, text := range []string{nodetest.OKResponse, "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 503 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"} {
 		in, conns := slowReader(t)
 		u := testUpstream(in)
 		result := make(chan balancer.Result, 1)
@@ -231,10 +236,10 @@
 			_, res := u.exchange(context.Background(), "a", &long, writeLimits{})
 			result <- res
 		}()
-		c := await(t, "a connection", conns)
+		c := nodetest.Await(t, "a connection", conns)
 		_, _ = io.ReadFull(c, make([]byte, 100))
 		_, _ = io.WriteString(c, text)
-		wantResult(t, await(t, "a result", result), balancer.ConnectFailed)
+		wantResult(t, nodetest.Await(t, "a result", result), balancer.ConnectFailed)
 	}
 }
 
@@ -247,17 +252,16 @@
 		_, res := u.exchange(context.Background(), "a", &long, writeLimits{completeBefore: time.Now().Add(time.Hour)})
 		result <- res
 	}()
-	c := await(t, "a connection", conns)
-	s := &appServer{serve: say(okAnswer)}
-	go s.loop(c)
-	wantResult(t, await(t, "a result", result), balancer.OK)
+	c := nodetest.Await(t, "a connection", conns)
+	s := nodetest.ServeConn(c, nodetest.Say(nodetest.OKResponse))
+	wantResult(t, nodetest.Await(t, "a result", result), balancer.OK)
 	u.rest("a")
 	go func() {
 		_, res := u.exchange(context.Background(), "a", &get, writeLimits{})
 		result <- res
 	}()
-	wantResult(t, await(t, "a result on the same connection", result), balancer.OK)
-	if n := len(s.requests()); n != 2 {
+	wantResult(t, nodetest.Await(t, "a result on the same connection", result), balancer.OK)
+	if n := len(s.Requests()); n != 2 {
 		t.Errorf("%d requests on the connection", n)
 	}
 }
@@ -276,8 +280,8 @@
 		"turned away, but reset": {"HTTP/1.1 503 F\r\nX-Never-Ran: 1\r\n\r\n", true, balancer.Reset},
 		"too long":               {"HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", maxResponseBody+1), false, balancer.ErrorResponse},
 	} {
-		ln := listen(t)
-		u := testUpstream(Instance{Endpoint: balancer.Endpoint{ID: "a"}, Addr: addrOf(ln)})
+		ln := nodetest.Listen(t)
+		u := testUpstream(endpointlist.Endpoint{Endpoint: balancer.Endpoint{ID: "a"}, Addr: nodetest.AddrOf(ln)})
 		type outcome struct {
 			serverResponse
 			balancer.Result
@@ -294,10 +298,10 @@
 		_, _ = server.Read(make([]byte, 4096))
 		_, _ = io.WriteString(server, c.text)
 		if c.reset {
-			resetOnClose(server)
+			nodetest.ResetOnClose(server)
 		}
 		_ = server.Close()
-		o := await(t, "a result", done)
+		o := nodetest.Await(t, "a result", done)
 		if o.Result != c.want || c.want == balancer.OK && string(o.body) != "body" {
 			t.Errorf("%s: result %v, body %q", name, o.Result, o.body)
 		}
--- a/internal/edgenode/client_request.go
+++ b/internal/edgenode/client_request.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"opalhook/balancer"
+	"opalhook/internal/edgenode/decimal"
 )
 
 // Bounds of a request.
@@ -115,7 +116,7 @@
 // parseTimeout returns how long the client still waits: no longer than the class's clients do, since requests must not
 // pile up.
 func parseTimeout(expiresIn string, class balancer.Class) (time.Duration, error) {
-	seconds, ok := parseDecimal(expiresIn)
+	seconds, ok := decimal.Parse(expiresIn)
 	if !ok || seconds <= 0 {
 		return 0, badRequestf("X-Expires-In: malformed")
 	}
@@ -209,13 +210,13 @@
 	if maxUnits <= 0 {
 		maxUnits = defaultMaxUnits
 	}
-	units, ok = parseDecimal(text)
+	units, ok = decimal.Parse(text)
 	return units, ok && units > 0 && units <= maxUnits
 }
 
 // parseInt parses a whole number within bounds.
 func parseInt(text string, least, most int) (int, bool) {
-	x, ok := parseDecimal(text)
+	x, ok := decimal.Parse(text)
 	return int(x), ok && x == math.Trunc(x) && x >= float64(least) && x <= float64(most)
 }
 
--- a/internal/edgenode/config.go
+++ b/internal/edgenode/config.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"opalhook/balancer"
+	"opalhook/internal/edgenode/endpointlist"
 	"opalhook/internal/settings"
 )
 
@@ -27,7 +28,7 @@
 	Peers      []netip.AddrPort // by node index, this node's own included
 	PeersAll   netip.AddrPort   // reaches every edge node of the tier
 
-	CachedList List // the endpoints as this node last knew them
+	CachedList endpointlist.List // the endpoints as this node last knew them
 	Settings   balancer.Settings
 	Transport  settings.Transport
 
@@ -222,7 +223,7 @@
 	if len(file.Known) == 0 || string(file.Known) == "null" {
 		return nil
 	}
-	if c.CachedList, c.cachedListErrors, err = parseList(file.Known); err != nil {
+	if c.CachedList, c.cachedListErrors, err = endpointlist.Parse(file.Known); err != nil {
 		return fmt.Errorf("known: %w", err)
 	}
 	return nil
--- a/internal/edgenode/cross_test.go
+++ b/internal/edgenode/cross_test.go
@@ -17,6 +17,8 @@
 	"time"
 
 	"opalhook/balancer"
+	"opalhook/internal/edgenode/endpointlist"
+	"opalhook/internal/edgenode/nodetest"
 )
 
 // Events that cross: each test holds one side until the other has acted.
@@ -94,7 +96,7 @@
 func serveHooked(t *testing.T, cfg *Config, change func(f *frontend, c *clientConn)) (*frontend, string) {
 	t.Helper()
 	f := idleFront(t, cfg)
-	ln := listen(t)
+	ln := nodetest.Listen(t)
 	serveClients(t, f, hooked{newClientListener(ln, f.conns), func(c *clientConn) { change(f, c) }})
 	return f, ln.Addr().String()
 }
@@ -134,9 +136,9 @@
 // read, or in the moment after: both times the request is answered.
 func TestRequestCrossesTheLookAtARestingConnection(t *testing.T) {
 	for _, before := range []bool{true, false} {
-		s := newAppServer(t, say(okAnswer))
+		s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 		var looks atomic.Bool
-		_, addr := serveHooked(t, testConfig(s.instance("a")), func(f *frontend, c *clientConn) {
+		_, addr := serveHooked(t, testConfig(s.Endpoint("a")), func(f *frontend, c *clientConn) {
 			look := func() {
 				if looks.Load() && (c.hasUnread() || !before) {
 					f.conns.closeIdle()
@@ -148,10 +150,10 @@
 			}
 			c.raw = hook
 		})
-		c := dial(t, addr)
-		c.ask(request("check", "t1"))
+		c := nodetest.Dial(t, addr)
+		c.Ask(request("check", "t1"))
 		looks.Store(true)
-		if a := c.ask(request("check", "t2")); a.status != http.StatusOK {
+		if a := c.Ask(request("check", "t2")); a.Status != http.StatusOK {
 			t.Errorf("looked at before the read %v: %+v", before, a)
 		}
 	}
@@ -160,15 +162,15 @@
 // What comes on a connection that was given up stays unread and has no answer, by which its client can
 // tell that it may ask again.
 func TestRequestBehindTheCloseStaysUnread(t *testing.T) {
-	s := newAppServer(t, say(okAnswer))
+	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 	unread := make(chan bool, 1)
 	var asks atomic.Bool
-	_, addr := serveHooked(t, testConfig(s.instance("a")), func(f *frontend, c *clientConn) {
+	_, addr := serveHooked(t, testConfig(s.Endpoint("a")), func(f *frontend, c *clientConn) {
 		c.raw = between{RawConn: c.raw, read: func() {
 			if !asks.Load() {
 				return
 			}
-			eventually(t, "the next request has come", c.hasUnread) // or it could come behind the close
+			nodetest.Eventually(t, "the next request has come", c.hasUnread) // or it could come behind the close
 			f.conns.mu.Lock()
 			defer f.conns.mu.Unlock()
 			if c.state != connClosed {
@@ -181,17 +183,17 @@
 			}
 		}}
 	})
-	c := dial(t, addr)
-	c.ask(request("check", "t1"))
+	c := nodetest.Dial(t, addr)
+	c.Ask(request("check", "t1"))
 	asks.Store(true)
-	c.send(request("check", "t2"))
-	if !await(t, "the read", unread) {
+	c.Send(request("check", "t2"))
+	if !nodetest.Await(t, "the read", unread) {
 		t.Error("a request was taken in on a connection that was given up")
 	}
-	if _, err := c.br.ReadByte(); err == nil {
+	if _, err := c.Reader.ReadByte(); err == nil {
 		t.Error("something was answered on it")
 	}
-	if n := len(s.requests()); n != 1 {
+	if n := len(s.Requests()); n != 1 {
 		t.Errorf("%d requests went on", n)
 	}
 }
@@ -211,32 +213,32 @@
 			delete(f.conns.conns, c)
 		}}
 	})
-	c := dial(t, addr)
+	c := nodetest.Dial(t, addr)
 	text := request("book", "t1")
-	c.send(text[:len(text)-2])
-	eventually(t, "the rest is waited for", func() bool { return f.conns.in(connReading) == 1 && f.conns.taken() })
+	c.Send(text[:len(text)-2])
+	nodetest.Eventually(t, "the rest is waited for", func() bool { return f.conns.in(connReading) == 1 && f.conns.taken() })
 	last.Store(true)
-	c.send(text[len(text)-2:])
-	if b, err := c.br.ReadByte(); err == nil {
+	c.Send(text[len(text)-2:])
+	if b, err := c.Reader.ReadByte(); err == nil {
 		t.Errorf("answered with %q...", b)
 	}
 }
 
 // While an answer is on its way its connection is not taken for a resting one.
 func TestAnswerUnderWayIsNotClosed(t *testing.T) {
-	s := newAppServer(t, say(okAnswer))
-	_, addr := serveHooked(t, testConfig(s.instance("a")), func(f *frontend, c *clientConn) {
+	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	_, addr := serveHooked(t, testConfig(s.Endpoint("a")), func(f *frontend, c *clientConn) {
 		c.Conn = &writing{TCPConn: c.Conn.(*net.TCPConn), before: func() { f.conns.closeIdle() }}
 	})
-	if a := dial(t, addr).ask(request("check", "t1")); a.status != http.StatusOK {
+	if a := nodetest.Dial(t, addr).Ask(request("check", "t1")); a.Status != http.StatusOK {
 		t.Errorf("answer %+v", a)
 	}
 }
 
 // The look at the client that goes on under its answer does not take the connection for a resting one.
 func TestLookAtTheClientIsNoRest(t *testing.T) {
-	ln := listen(t)
-	client := dial(t, ln.Addr().String())
+	ln := nodetest.Listen(t)
+	client := nodetest.Dial(t, ln.Addr().String())
 	nc, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -258,58 +260,58 @@
 		_, err := c.Read(b[:])
 		ended <- err
 	}()
-	await(t, "the look", looks)
+	nodetest.Await(t, "the look", looks)
 	if n := s.in(connResponding); n != 1 {
 		t.Error("the connection does not count as one with an answer under way")
 	}
 	_ = client.Close()
-	if err := await(t, "the look's end", ended); !errors.Is(err, io.EOF) {
+	if err := nodetest.Await(t, "the look's end", ended); !errors.Is(err, io.EOF) {
 		t.Errorf("error %v", err)
 	}
 }
 
 // Bytes that come behind a request, too late to be read, don't reset the connection under the answer.
 func TestUnreadBytesDoNotResetTheAnswer(t *testing.T) {
-	s := newAppServer(t, say(okAnswer))
-	var c *client
-	f, addr := serveHooked(t, testConfig(s.instance("a")), func(f *frontend, conn *clientConn) {
+	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	var c *nodetest.Client
+	f, addr := serveHooked(t, testConfig(s.Endpoint("a")), func(f *frontend, conn *clientConn) {
 		conn.Conn = &writing{TCPConn: conn.Conn.(*net.TCPConn), behind: func() {
-			c.send("bytes that nobody reads")
-			eventually(t, "they have come", conn.hasUnread)
+			c.Send("bytes that nobody reads")
+			nodetest.Eventually(t, "they have come", conn.hasUnread)
 		}}
 	})
 	f.draining.Store(true) // so that the answer is the connection's last
-	c = dial(t, addr)
-	if a := c.ask(request("check", "t1")); a.status != http.StatusOK || !a.close {
+	c = nodetest.Dial(t, addr)
+	if a := c.Ask(request("check", "t1")); a.Status != http.StatusOK || !a.Close {
 		t.Errorf("answer %+v", a)
 	}
-	if _, err := c.br.ReadByte(); err != io.EOF {
+	if _, err := c.Reader.ReadByte(); err != io.EOF {
 		t.Errorf("behind the answer: %v, want an orderly end", err)
 	}
-	eventually(t, "its slot is free", func() bool { return len(f.conns.all()) == 0 })
+	nodetest.Eventually(t, "its slot is free", func() bool { return len(f.conns.all()) == 0 })
 }
 
 // Connections that stand in the listener's queue when it is to close are taken and answered.
 func TestQueueIsEmptiedBeforeTheListenerCloses(t *testing.T) {
 	f := idleFront(t, testConfig())
 	f.ready.Store(true)
-	ln := newClientListener(listen(t), f.conns)
-	var clients []*client
+	ln := newClientListener(nodetest.Listen(t), f.conns)
+	var clients []*nodetest.Client
 	for range 20 {
-		c := dial(t, ln.Addr().String())
-		c.send(readyRequest)
+		c := nodetest.Dial(t, ln.Addr().String())
+		c.Send(readyRequest)
 		clients = append(clients, c)
 	}
 	closed := make(chan struct{})
 	go func() { ln.closeWhenQueueEmpty(); close(closed) }()
-	eventually(t, "the listener is told", func() bool { return ln.closingSince.Load() != nil })
+	nodetest.Eventually(t, "the listener is told", func() bool { return ln.closingSince.Load() != nil })
 	serveClients(t, f, ln) // nobody accepted until now
 	for i, c := range clients {
-		if a := c.read(); a.status != http.StatusOK {
+		if a := c.Receive(); a.Status != http.StatusOK {
 			t.Errorf("client %d: %+v", i, a)
 		}
 	}
-	await(t, "the listener's close", closed)
+	nodetest.Await(t, "the listener's close", closed)
 	if c, err := net.Dial("tcp", ln.Addr().String()); err == nil {
 		_ = c.Close()
 		t.Error("the listener is still open")
@@ -319,7 +321,7 @@
 // The drain may have closed all before the library sees that its listener is closed: that is no failure.
 func TestDrainOvertakesTheListener(t *testing.T) {
 	f := idleFront(t, testConfig())
-	ln := newClientListener(listen(t), f.conns)
+	ln := newClientListener(nodetest.Listen(t), f.conns)
 	f.draining.Store(true)
 	_ = f.server.Close()
 	if err := f.serve(ln); err != nil {
@@ -330,7 +332,7 @@
 // An order to end that comes before the node is ready ends it, with no listener opened.
 func TestEndBeforeReady(t *testing.T) {
 	cfg := testConfig()
-	cfg.listWait = patience
+	cfg.listWait = nodetest.Patience
 	var asked chan struct{}
 	cfg.Discovery, asked = silentAgent(t)
 	ctx, stop := context.WithCancel(context.Background())
@@ -340,9 +342,9 @@
 			return nil, errors.New("the listener was opened")
 		})
 	}()
-	await(t, "the agent is asked", asked)
+	nodetest.Await(t, "the agent is asked", asked)
 	stop()
-	if err := await(t, "the node's end", done); err != nil {
+	if err := nodetest.Await(t, "the node's end", done); err != nil {
 		t.Error(err)
 	}
 }
@@ -350,7 +352,7 @@
 // silentAgent takes calls and answers none. called tells of each.
 func silentAgent(t *testing.T) (addr netip.AddrPort, called chan struct{}) {
 	called = make(chan struct{}, 1000)
-	ln := listen(t)
+	ln := nodetest.Listen(t)
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -361,49 +363,49 @@
 			defer func() { _ = c.Close() }()
 		}
 	}()
-	return addrOf(ln), called
+	return nodetest.AddrOf(ln), called
 }
 
 // A new configuration holds whenever its signal comes: before the node is ready, and while it drains.
 func TestReloadAtAnyMoment(t *testing.T) {
 	t.Run("before it is ready", func(t *testing.T) {
-		s := newAppServer(t, say(okAnswer))
+		s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 		cfg := testConfig()
-		cfg.listWait = patience
+		cfg.listWait = nodetest.Patience
 		var called chan struct{}
 		cfg.Discovery, called = silentAgent(t)
 		moved := *cfg
-		moved.Discovery = serveDiscovery(t, func() string { return listJSON(8, true, s.instance("a")) },
+		moved.Discovery = serveDiscovery(t, func() string { return nodetest.ListJSON(8, true, s.Endpoint("a")) },
 			func(_ int, _ string, w io.Writer, ctx context.Context) { beat(ctx, w) })
 		cfg.reload = func() (*Config, error) { return &moved, nil }
 		n := run(t, cfg)
-		await(t, "the first agent is asked", called)
+		nodetest.Await(t, "the first agent is asked", called)
 		n.hup <- syscall.SIGHUP
-		if a := dial(t, n.addr).ask(request("check", "t1")); a.status != http.StatusOK {
+		if a := nodetest.Dial(t, n.addr).Ask(request("check", "t1")); a.Status != http.StatusOK {
 			t.Errorf("answer %+v", a)
 		}
 	})
 	t.Run("while it drains", func(t *testing.T) {
 		hold := make(chan struct{})
-		s := newAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+		s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 			<-hold
-			return say(okAnswer)(c, r, body)
+			return nodetest.Say(nodetest.OKResponse)(c, r, body)
 		})
-		cfg := testConfig(s.instance("a"))
+		cfg := testConfig(s.Endpoint("a"))
 		moved := *cfg
 		var called chan struct{}
 		moved.Discovery, called = silentAgent(t)
 		cfg.reload = func() (*Config, error) { return &moved, nil }
 		n := run(t, cfg)
-		c := dial(t, n.addr)
-		c.send(request("check", "t1"))
-		eventually(t, "request out", func() bool { return len(s.requests()) == 1 })
+		c := nodetest.Dial(t, n.addr)
+		c.Send(request("check", "t1"))
+		nodetest.Eventually(t, "request out", func() bool { return len(s.Requests()) == 1 })
 		n.stop()
-		eventually(t, "draining", func() bool { return strings.Contains(n.logs.String(), "draining") })
+		nodetest.Eventually(t, "draining", func() bool { return strings.Contains(n.logs.String(), "draining") })
 		n.hup <- syscall.SIGHUP
-		await(t, "the new agent is asked", called)
+		nodetest.Await(t, "the new agent is asked", called)
 		close(hold)
-		if a := c.read(); a.status != http.StatusOK {
+		if a := c.Receive(); a.Status != http.StatusOK {
 			t.Errorf("answer %+v", a)
 		}
 	})
@@ -440,9 +442,9 @@
 // whatever it has sent behind it.
 func TestClientLeavesBeforeTheFirstAttempt(t *testing.T) {
 	at := blocked(t)
-	var servers []Instance
+	var servers []endpointlist.Endpoint
 	for i := range 300 { // so many that no request is refused for those that are out
-		servers = append(servers, Instance{Endpoint: balancer.Endpoint{ID: fmt.Sprint("s", i), Weight: 1, MachineType: "k", Zone: "z"}, Addr: at})
+		servers = append(servers, endpointlist.Endpoint{Endpoint: balancer.Endpoint{ID: fmt.Sprint("s", i), Weight: 1, MachineType: "k", Zone: "z"}, Addr: at})
 	}
 	cfg := testConfig(servers...)
 	cfg.Transport.ConnectTimeout = time.Hour
@@ -456,65 +458,65 @@
 		defer f.node.mu.Unlock()
 		return len(f.node.inflight)
 	}
-	ways := map[string]func(*client){
-		"closes": func(c *client) { _ = c.Close() },
-		"resets": func(c *client) { resetConn(c.Conn) },
-		"closes its sending side": func(c *client) {
+	ways := map[string]func(*nodetest.Client){
+		"closes": func(c *nodetest.Client) { _ = c.Close() },
+		"resets": func(c *nodetest.Client) { nodetest.ResetConn(c.Conn) },
+		"closes its sending side": func(c *nodetest.Client) {
 			_ = c.Conn.(*net.TCPConn).CloseWrite()
-			if a := c.read(); a.status != http.StatusBadGateway {
+			if a := c.Receive(); a.Status != http.StatusBadGateway {
 				t.Errorf("a client that still reads has %+v, want that it failed", a)
 			}
 		},
 	}
-	ask := func(id, behind string) *client {
-		c := dial(t, addr)
-		c.send(request("check", id, "X-Expires-In", "3600"))
-		eventually(t, "the request waits", func() bool { return open() > 0 && f.conns.in(connReading) == 0 })
-		c.send(behind)
+	ask := func(id, behind string) *nodetest.Client {
+		c := nodetest.Dial(t, addr)
+		c.Send(request("check", id, "X-Expires-In", "3600"))
+		nodetest.Eventually(t, "the request waits", func() bool { return open() > 0 && f.conns.in(connReading) == 0 })
+		c.Send(behind)
 		return c
 	}
 	for name, leave := range ways {
 		for _, behind := range []string{"", "x", request("check", "next")} {
 			c := ask("t1", behind)
-			eventually(t, "it is read", f.conns.taken)
+			nodetest.Eventually(t, "it is read", f.conns.taken)
 			leave(c)
-			eventually(t, fmt.Sprintf("a client that has sent %d bytes more and %s is noticed", len(behind), name),
+			nodetest.Eventually(t, fmt.Sprintf("a client that has sent %d bytes more and %s is noticed", len(behind), name),
 				func() bool { return open() == 0 })
 		}
 	}
-	var burst []*client
+	var burst []*nodetest.Client
 	for i := range 300 {
 		burst = append(burst, ask(fmt.Sprint("b", i), "more"))
 	}
-	eventually(t, "all wait", func() bool { return open() == len(burst) && f.conns.taken() })
+	nodetest.Eventually(t, "all wait", func() bool { return open() == len(burst) && f.conns.taken() })
 	for _, c := range burst {
 		_ = c.Close()
 	}
-	eventually(t, "all are noticed", func() bool { return open() == 0 })
+	nodetest.Eventually(t, "all are noticed", func() bool { return open() == 0 })
 }
 
 // What a client sends behind an open request is its next request, up to a bound.
 func TestBytesBehindARequest(t *testing.T) {
 	hold := make(chan struct{})
-	s := newAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		<-hold
-		return say(okAnswer)(c, r, body)
+		return nodetest.Say(nodetest.OKResponse)(c, r, body)
 	})
-	f, addr := serveHooked(t, testConfig(s.instance("a")), func(*frontend, *clientConn) {})
-	c, flood := dial(t, addr), dial(t, addr)
-	c.send(request("book", "t1"))
-	eventually(t, "request out", func() bool { return len(s.requests()) == 1 })
-	c.send(request("book", "t2"))
-	eventually(t, "what stands behind it is read", f.conns.taken)
-	flood.send(request("check", "t3"))
-	eventually(t, "requests out", func() bool { return len(s.requests()) == 2 })
-	flood.send(strings.Repeat("x", 2*maxReadAhead))
-	if a := flood.read(); a.status != http.StatusBadGateway {
+	f, addr := serveHooked(t, testConfig(s.Endpoint("a")), func(*frontend, *clientConn) {})
+	c, flood := nodetest.Dial(t, addr), nodetest.Dial(t, addr)
+	c.Send(request("book", "t1"))
+	nodetest.Eventually(t, "request out", func() bool { return len(s.Requests()) == 1 })
+	c.Send(request("book", "t2"))
+	nodetest.Eventually(t, "what stands behind it is read", f.conns.taken)
+	flood.Send(request("check", "t3"))
+	nodetest.Eventually(t, "requests out", func() bool { return len(s.Requests()) == 2 })
+	flood.Send(strings.Repeat("x", 2*maxReadAhead))
+	if a := flood.Receive(); a.Status != http.StatusBadGateway {
 		t.Errorf("answer to a flood %+v", a)
 	}
 	close(hold)
 	for i := range 2 {
-		if a := c.read(); a.status != http.StatusOK {
+		if a := c.Receive(); a.Status != http.StatusOK {
 			t.Errorf("request %d: %+v", i, a)
 		}
 	}
@@ -522,10 +524,10 @@
 
 // Requests that come as the drain ends are due before the process may be killed, whatever wait they ask for.
 func TestLateRequestOfADrainIsDue(t *testing.T) {
-	f, addr := serveHooked(t, testConfig(newAppServer(t, say(okAnswer)).instance("a")), func(*frontend, *clientConn) {})
+	f, addr := serveHooked(t, testConfig(nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse)).Endpoint("a")), func(*frontend, *clientConn) {})
 	past := time.Now()
 	f.answerBy.Store(&past)
-	if a := dial(t, addr).ask(request("check", "t1")); a.status != http.StatusTooManyRequests {
+	if a := nodetest.Dial(t, addr).Ask(request("check", "t1")); a.Status != http.StatusTooManyRequests {
 		t.Errorf("answer %+v, want a refusal at once", a)
 	}
 }
@@ -533,21 +535,21 @@
 // Whatever becomes of the list's calls, and wherever a new configuration moves them in the middle of it, a
 // drain reaches the connections, where lists are pushed as where they are asked for.
 func TestIllListsTellTheDrain(t *testing.T) {
-	up := Instance{Endpoint: balancer.Endpoint{ID: "a"}, Addr: netip.MustParseAddrPort("127.0.0.1:1")}
+	up := endpointlist.Endpoint{Endpoint: balancer.Endpoint{ID: "a"}, Addr: netip.MustParseAddrPort("127.0.0.1:1")}
 	draining := up
 	draining.State = balancer.Draining
-	whole, drain := listJSON(1, true, up), listJSON(2, false, draining)
+	whole, drain := nodetest.ListJSON(1, true, up), nodetest.ListJSON(2, false, draining)
 	indented := strings.NewReplacer("{", "{\n  ", ",", ",\n  ").Replace(drain)
 	for name, ill := range map[string]struct {
 		text string         // behind the whole list
 		then func(net.Conn) // what becomes of the watch
 	}{
 		"silent":                {"", func(net.Conn) {}},
-		"reset":                 {"", resetConn},
+		"reset":                 {"", nodetest.ResetConn},
 		"indented":              {indented + "\n", func(net.Conn) {}},
-		"half a line, reset":    {drain[:len(drain)/2], resetConn},
+		"half a line, reset":    {drain[:len(drain)/2], nodetest.ResetConn},
 		"half a line, silent":   {drain[:len(drain)/2], func(net.Conn) {}},
-		"half an indented line": {indented[:len(indented)/2], resetConn},
+		"half an indented line": {indented[:len(indented)/2], nodetest.ResetConn},
 		"noise":                 {"<html>\n", func(net.Conn) {}},
 	} {
 		for _, pushed := range []bool{true, false} {
@@ -557,7 +559,7 @@
 					// The first watch falls ill; whoever asks after it, here or at the next address, has the drain.
 					broken := make(chan struct{})
 					agent := func(first bool) netip.AddrPort {
-						ln := listen(t)
+						ln := nodetest.Listen(t)
 						go func() {
 							for n := 0; ; {
 								c, err := ln.Accept()
@@ -572,7 +574,7 @@
 									if first && !moves || !first {
 										select {
 										case <-broken:
-											_, _ = io.WriteString(c, listJSON(2, true, draining))
+											_, _ = io.WriteString(c, nodetest.ListJSON(2, true, draining))
 										default:
 											_, _ = io.WriteString(c, whole)
 										}
@@ -585,24 +587,24 @@
 									close(broken)
 									ill.then(c)
 								} else if !first || !moves { // this discovery has not heard of it, or it is down
-									_, _ = io.WriteString(c, listJSON(2, true, draining)+"\n")
+									_, _ = io.WriteString(c, nodetest.ListJSON(2, true, draining)+"\n")
 								}
 							}
 						}()
-						return addrOf(ln)
+						return nodetest.AddrOf(ln)
 					}
-					told := make(chan List, 100)
+					told := make(chan endpointlist.List, 100)
 					r := newDiscoveryClient(agent(true), Follower{pushed: pushed, fleetSize: 1, rng: rand.New(rand.NewPCG(1, 1))},
-						func(l List) { told <- l }, slog.New(slog.DiscardHandler))
+						func(l endpointlist.List) { told <- l }, slog.New(slog.DiscardHandler))
 					ctx, end := context.WithCancel(t.Context())
 					defer end()
 					go r.run(ctx)
-					await(t, "the first watch", broken)
+					nodetest.Await(t, "the first watch", broken)
 					if moves {
 						r.move(ctx, agent(false))
 					}
 					for {
-						for _, s := range await(t, "the drain", told).Servers {
+						for _, s := range nodetest.Await(t, "the drain", told).Endpoints {
 							if s.ID == "a" && s.State == balancer.Draining {
 								return
 							}
@@ -617,39 +619,39 @@
 // A request that comes a byte at a time is one, wherever it is cut; a body that ends early and one whose
 // client goes in its middle are none.
 func TestByteAtATime(t *testing.T) {
-	s := newAppServer(t, say(okAnswer))
-	n := run(t, testConfig(s.instance("a")))
-	c := dial(t, n.addr)
+	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	n := run(t, testConfig(s.Endpoint("a")))
+	c := nodetest.Dial(t, n.addr)
 	for i, class := range []string{"check", "book"} {
 		for _, b := range []byte(request(class, fmt.Sprint("t", i))) {
-			c.send(string(b))
+			c.Send(string(b))
 		}
-		if a := c.read(); a.status != http.StatusOK {
+		if a := c.Receive(); a.Status != http.StatusOK {
 			t.Errorf("%s: %+v", class, a)
 		}
 	}
 	text := request("book", "gone")
 	for i := 1; i < len(text); i += 7 {
-		half := dial(t, n.addr)
-		half.send(text[:i])
+		half := nodetest.Dial(t, n.addr)
+		half.Send(text[:i])
 		_ = half.Close()
 	}
-	if a := c.ask(request("check", "last")); a.status != http.StatusOK {
+	if a := c.Ask(request("check", "last")); a.Status != http.StatusOK {
 		t.Errorf("behind those who went: %+v", a)
 	}
-	if got := len(s.requests()); got != 3 {
+	if got := len(s.Requests()); got != 3 {
 		t.Errorf("%d requests went on, want 3", got)
 	}
 }
 
 // A discovery that takes calls and answers none does not keep a node from serving with its saved list.
 func TestSilentDiscoveryKeepsNobodyWaiting(t *testing.T) {
-	s := newAppServer(t, say(okAnswer))
-	cfg := testConfig(s.instance("a"))
+	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	cfg := testConfig(s.Endpoint("a"))
 	cfg.Discovery, _ = silentAgent(t)
 	cfg.listWait = polledListWait
 	n := run(t, cfg)
-	if a := dial(t, n.addr).ask(request("check", "t1")); a.status != http.StatusOK {
+	if a := nodetest.Dial(t, n.addr).Ask(request("check", "t1")); a.Status != http.StatusOK {
 		t.Errorf("answer %+v", a)
 	}
 }
--- a/internal/edgenode/crowd_test.go
+++ b/internal/edgenode/crowd_test.go
@@ -17,6 +17,9 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"opalhook/internal/edgenode/endpointlist"
+	"opalhook/internal/edgenode/nodetest"
 )
 
 // The environment of a test binary that stands in for an edge node's process.
@@ -61,9 +64,9 @@
 }
 
 // runLimited runs an edge node in a process that may hold so many descriptors.
-func runLimited(t *testing.T, descriptors int, discovery string, known ...Instance) (addr string, logs *syncBuffer) {
+func runLimited(t *testing.T, descriptors int, discovery string, known ...endpointlist.Endpoint) (addr string, logs *nodetest.Buffer) {
 	t.Helper()
-	ln := listen(t)
+	ln := nodetest.Listen(t)
 	file, err := ln.File()
 	if err != nil {
 		t.Fatal(err)
@@ -72,7 +75,7 @@
 	path := t.TempDir() + "/config.json"
 	config := map[string]any{
 		"name": "n0", "listen": ln.Addr().String(), "discovery": discovery, "seed": "1",
-		"limits": map[string]any{"sockets": descriptors}, "known": json.RawMessage(listJSON(7, true, known...)),
+		"limits": map[string]any{"sockets": descriptors}, "known": json.RawMessage(nodetest.ListJSON(7, true, known...)),
 		"settings": json.RawMessage(`{"instances":1,"registryMode":"push",
 			"lanes":[{"name":"check","idempotency":"retryable","onTime":20,"deadline":20}],
 			"tariffs":[{"name":"wide","rate":1000000,"burst":1000000}]}`),
@@ -84,7 +87,7 @@
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	logs = &syncBuffer{}
+	logs = &nodetest.Buffer{}
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), fmt.Sprintf("%s=%d", processLimit, descriptors), "PROXY_CONFIG="+path)
 	cmd.Stderr, cmd.ExtraFiles = logs, []*os.File{file}
@@ -101,12 +104,12 @@
 			if err != nil {
 				t.Errorf("the node's process: %v, logged %s", err, logs)
 			}
-		case <-time.After(patience):
+		case <-time.After(nodetest.Patience):
 			_ = cmd.Process.Kill()
 			t.Errorf("the node's process does not end, logged %s", logs)
 		}
 	})
-	eventually(t, "ready", func() bool { return strings.Contains(logs.String(), "msg=ready") })
+	nodetest.Eventually(t, "ready", func() bool { return strings.Contains(logs.String(), "msg=ready") })
 	return ln.Addr().String(), logs
 }
 
@@ -114,11 +117,11 @@
 // connections to servers and clients who ask, and follows the list once discovery is back.
 func TestRestingClientsLeaveRoomForDiscoveryAndServers(t *testing.T) {
 	const descriptors, crowd = 128, 300
-	old, young := newAppServer(t, say(okAnswer)), newAppServer(t, say(okAnswer))
+	old, young := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse)), nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 	var down atomic.Bool
 	var list atomic.Pointer[string]
 	tell := func(text string) { list.Store(&text) }
-	tell(listJSON(8, true, old.instance("a")))
+	tell(nodetest.ListJSON(8, true, old.Endpoint("a")))
 	out, hung := make(chan struct{}), make(chan struct{}, 1000)
 	forever := make(chan struct{})
 	hang := func() { // calls of an outage get no answer later either
@@ -142,45 +145,45 @@
 		beat(ctx, w)
 	})
 	t.Cleanup(func() { close(forever) }) // before discovery ends, which waits for its calls
-	addr, logs := runLimited(t, descriptors, at.String(), old.instance("a"))
+	addr, logs := runLimited(t, descriptors, at.String(), old.Endpoint("a"))
 	asks := 0
-	ask := func(c *client) answered {
+	ask := func(c *nodetest.Client) nodetest.Response {
 		asks++
-		return c.ask(request("check", fmt.Sprint("t", asks)))
+		return c.Ask(request("check", fmt.Sprint("t", asks)))
 	}
-	if a := ask(dial(t, addr)); a.status != http.StatusOK {
+	if a := ask(nodetest.Dial(t, addr)); a.Status != http.StatusOK {
 		t.Fatalf("before: %+v", a)
 	}
 
 	down.Store(true)
 	close(out)
-	await(t, "a call of the outage", hung)
+	nodetest.Await(t, "a call of the outage", hung)
 	closed := make(chan struct{}, crowd)
 	for i := range crowd {
-		c := dial(t, addr)
+		c := nodetest.Dial(t, addr)
 		switch i % 3 {
 		case 0: // says nothing
 		case 1: // does not end its head
-			c.send("GET /check")
+			c.Send("GET /check")
 		case 2: // has asked once; in a crowd it may have been closed unread
 			_, _ = c.Write([]byte(readyRequest))
 		}
 		go func() {
-			_, _ = io.Copy(io.Discard, c.br)
+			_, _ = io.Copy(io.Discard, c.Reader)
 			closed <- struct{}{}
 		}()
 	}
 	for range crowd - maxClientConns(descriptors) {
-		await(t, "the crowd is more than there is room for", closed)
+		nodetest.Await(t, "the crowd is more than there is room for", closed)
 	}
 	answeredInCrowd := func(what string) {
-		eventually(t, what, func() bool { // a new connection may be shut unread
+		nodetest.Eventually(t, what, func() bool { // a new connection may be shut unread
 			c, err := net.Dial("tcp", addr)
 			if err != nil {
 				return false
 			}
 			defer func() { _ = c.Close() }()
-			setDeadline(t, c)
+			nodetest.SetDeadline(t, c)
 			asks++
 			if _, err := io.WriteString(c, request("check", fmt.Sprint("t", asks))); err != nil {
 				return false
@@ -191,15 +194,15 @@
 	}
 	answeredInCrowd("an answer in the outage")
 
-	tell(listJSON(9, true, young.instance("b")))
+	tell(nodetest.ListJSON(9, true, young.Endpoint("b")))
 	down.Store(false)
-	eventually(t, "the new server is used", func() bool {
+	nodetest.Eventually(t, "the new server is used", func() bool {
 		answeredInCrowd("an answer after the outage")
-		return len(young.requests()) > 0
+		return len(young.Requests()) > 0
 	})
-	before := len(old.requests())
+	before := len(old.Requests())
 	answeredInCrowd("an answer by the new list")
-	if got := len(old.requests()); got != before {
+	if got := len(old.Requests()); got != before {
 		t.Errorf("%d requests to a server that has gone", got-before)
 	}
 	if text := logs.String(); strings.Contains(text, "too many open files") {
--- a/internal/edgenode/discovery_client.go
+++ b/internal/edgenode/discovery_client.go
@@ -10,6 +10,9 @@
 	"net/netip"
 	"sync"
 	"time"
+
+	"opalhook/internal/edgenode/decimal"
+	"opalhook/internal/edgenode/endpointlist"
 )
 
 // errSilence is the cause of an outage in which nothing came, not even an error.
@@ -26,7 +29,7 @@
 type discoveryClient struct {
 	addr     netip.AddrPort
 	follower Follower
-	apply    func(List)
+	apply    func(endpointlist.List)
 	log      *slog.Logger
 	dial     func(ctx context.Context, network, addr string) (net.Conn, error)
 
@@ -42,8 +45,8 @@
 type callEvent struct {
 	id          uint64
 	kind        callEventKind
-	list        List    // of a message; of what is malformed: what could be read of it
-	entryErrors []error // the malformed entries of a message
+	list        endpointlist.List // of a message; of what is malformed: what could be read of it
+	entryErrors []error           // the malformed entries of a message
 	err         error
 	retryAfter  time.Duration // of a rejection
 }
@@ -60,7 +63,7 @@
 	eventMalformed                      // the call has ended: what comes is no message
 )
 
-func newDiscoveryClient(addr netip.AddrPort, f Follower, apply func(List), log *slog.Logger) *discoveryClient {
+func newDiscoveryClient(addr netip.AddrPort, f Follower, apply func(endpointlist.List), log *slog.Logger) *discoveryClient {
 	return &discoveryClient{
 		addr:          addr,
 		follower:      f,
@@ -182,7 +185,7 @@
 	case eventMessage:
 		d.handleMessage(now, e)
 	case eventMalformed:
-		if f.callByID(e.id) != nil && len(e.list.Servers) > 0 {
+		if f.callByID(e.id) != nil && len(e.list.Endpoints) > 0 {
 			d.apply(e.list)
 		}
 		f.Malformed(now, e.id)
@@ -211,7 +214,7 @@
 
 func (d *discoveryClient) handleMessage(now time.Duration, e callEvent) {
 	malformed := len(e.entryErrors) > 0
-	if !d.follower.Message(now, e.id, Update{Version: e.list.Generation, Snapshot: e.list.Full, Malformed: malformed}) {
+	if !d.follower.Message(now, e.id, Update{Version: e.list.Generation, Snapshot: e.list.Snapshot, Malformed: malformed}) {
 		return
 	}
 	if malformed { // one line for a list, however many entries
@@ -282,7 +285,7 @@
 		return e
 	}
 	e.kind = eventRejected
-	if seconds, ok := parseDecimal(resp.Header.Get("Retry-After")); ok && seconds < maxRetryAfter {
+	if seconds, ok := decimal.Parse(resp.Header.Get("Retry-After")); ok && seconds < maxRetryAfter {
 		e.retryAfter = time.Duration(seconds * float64(time.Second))
 	}
 	return e
--- a/internal/edgenode/follow_test.go
+++ b/internal/edgenode/follow_test.go
@@ -13,6 +13,8 @@
 	"time"
 
 	"opalhook/balancer"
+	"opalhook/internal/edgenode/endpointlist"
+	"opalhook/internal/edgenode/nodetest"
 )
 
 // sim is a discovery and edge nodes that follow its list, on a clock of their own. The list has
@@ -102,8 +104,8 @@
 	}
 }
 
-func (n *simNode) apply(l List) {
-	for _, e := range l.Servers {
+func (n *simNode) apply(l endpointlist.List) {
+	for _, e := range l.Endpoints {
 		if e.ID == "a" && e.State == balancer.Draining && n.told == 0 {
 			n.told = n.sim.now
 		}
@@ -209,15 +211,15 @@
 }
 
 func (s *sim) list(from int) string {
-	a := Instance{Endpoint: balancer.Endpoint{ID: "a", Weight: 1}, Addr: netip.MustParseAddrPort("127.0.0.1:1")}
-	b := Instance{Endpoint: balancer.Endpoint{ID: "b", Weight: 1}, Addr: netip.MustParseAddrPort("127.0.0.1:2")}
+	a := endpointlist.Endpoint{Endpoint: balancer.Endpoint{ID: "a", Weight: 1}, Addr: netip.MustParseAddrPort("127.0.0.1:1")}
+	b := endpointlist.Endpoint{Endpoint: balancer.Endpoint{ID: "b", Weight: 1}, Addr: netip.MustParseAddrPort("127.0.0.1:2")}
 	if s.version >= 2 {
 		a.State = balancer.Draining
 	}
 	if from == 0 {
-		return listJSON(s.version, true, a, b)
+		return nodetest.ListJSON(s.version, true, a, b)
 	}
-	return listJSON(s.version, false, a)
+	return nodetest.ListJSON(s.version, false, a)
 }
 
 // each runs f on all calls that are out.
@@ -438,7 +440,7 @@
 		n.reg.moveTo(s.now, netip.MustParseAddrPort("127.0.0.1:2"))
 		n.step()
 		s.run(time.Second)
-		old.tell(callEvent{kind: eventMessage, list: List{Generation: 900, Servers: []Instance{{Endpoint: balancer.Endpoint{ID: "a", State: balancer.Draining}}}}})
+		old.tell(callEvent{kind: eventMessage, list: endpointlist.List{Generation: 900, Endpoints: []endpointlist.Endpoint{{Endpoint: balancer.Endpoint{ID: "a", State: balancer.Draining}}}}})
 		if n.told == 0 || n.reg.follower.version == 900 {
 			t.Errorf("pushed %v: news of the discovery that is left: told %v, version %d", pushed, n.told, n.reg.follower.version)
 		}
--- a/internal/edgenode/front_test.go
+++ b/internal/edgenode/front_test.go
@@ -13,24 +13,26 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"opalhook/internal/edgenode/nodetest"
 )
 
 // What goes on to an app server is what the client sent, byte for byte, with the
 // wait that is left; what concerns one connection alone does not go on.
 func TestRequestGoesOnUnchanged(t *testing.T) {
 	got := make(chan *http.Request, 1)
-	s := newAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		got <- r
-		return say("HTTP/1.1 200 OK\r\nContent-Type: a/b\r\nX-Secret: 1\r\nContent-Length: 4\r\n\r\nbody")(c, r, body)
+		return nodetest.Say("HTTP/1.1 200 OK\r\nContent-Type: a/b\r\nX-Secret: 1\r\nContent-Length: 4\r\n\r\nbody")(c, r, body)
 	})
-	n := run(t, testConfig(s.instance("a")))
-	a := dial(t, n.addr).ask(request("book", "t1", "Connection", "keep-alive, X-Hop", "X-Hop", "1", "TE", "trailers"))
-	if a.status != 200 || a.body != "body" || a.header.Get("Content-Type") != "a/b" {
+	n := run(t, testConfig(s.Endpoint("a")))
+	a := nodetest.Dial(t, n.addr).Ask(request("book", "t1", "Connection", "keep-alive, X-Hop", "X-Hop", "1", "TE", "trailers"))
+	if a.Status != 200 || a.Body != "body" || a.Header.Get("Content-Type") != "a/b" {
 		t.Errorf("answer %+v", a)
 	}
-	r := await(t, "the request", got)
-	if want := []string{"POST /book/a%2fb?customer=00000000b4d65521&x=%41+ slot"}; fmt.Sprint(s.requests()) != fmt.Sprint(want) {
-		t.Errorf("%q arrived, want %q", s.requests(), want)
+	r := nodetest.Await(t, "the request", got)
+	if want := []string{"POST /book/a%2fb?customer=00000000b4d65521&x=%41+ slot"}; fmt.Sprint(s.Requests()) != fmt.Sprint(want) {
+		t.Errorf("%q arrived, want %q", s.Requests(), want)
 	}
 	if r.Header.Get("X-Trace-Id") != "t1" || r.Header.Get("Idempotency-Key") != "key-t1" {
 		t.Errorf("header %v", r.Header)
@@ -49,8 +51,8 @@
 // A client's mistake is its own: a plain 4xx that no client takes for a refusal,
 // nothing sent on, and the connection good for the next request.
 func TestBadRequests(t *testing.T) {
-	s := newAppServer(t, say(okAnswer))
-	cfg := testConfig(s.instance("a"))
+	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	cfg := testConfig(s.Endpoint("a"))
 	cfg.Settings.NodeCount, cfg.Settings.MaxUnits = 2, 8
 	n := run(t, cfg)
 	const path = "/check?customer=00000000b4d65521"
@@ -106,48 +108,48 @@
 		{"60 MB", "book", []string{"Content-Length", "60000000"}, 413},
 		{"method of another class", "check", []string{"", "POST " + path + " HTTP/1.1", "Content-Length", "4", "body", "slot"}, 405},
 	} {
-		client := dial(t, n.addr)
-		if a := client.ask(request(c.class, "t1", c.replace...)); a.status != c.status {
-			t.Errorf("%s: status %d, want %d: %s", c.name, a.status, c.status, a.body)
-		} else if c.status == 405 && a.header.Get("Allow") != "GET" {
-			t.Errorf("%s: Allow %q", c.name, a.header.Get("Allow"))
-		} else if len(s.requests()) != 0 {
-			t.Fatalf("%s: %q went on", c.name, s.requests())
-		} else if a.close {
-			if _, err := client.br.ReadByte(); err != io.EOF {
+		client := nodetest.Dial(t, n.addr)
+		if a := client.Ask(request(c.class, "t1", c.replace...)); a.Status != c.status {
+			t.Errorf("%s: status %d, want %d: %s", c.name, a.Status, c.status, a.Body)
+		} else if c.status == 405 && a.Header.Get("Allow") != "GET" {
+			t.Errorf("%s: Allow %q", c.name, a.Header.Get("Allow"))
+		} else if len(s.Requests()) != 0 {
+			t.Fatalf("%s: %q went on", c.name, s.Requests())
+		} else if a.Close {
+			if _, err := client.Reader.ReadByte(); err != io.EOF {
 				t.Errorf("%s: after the last answer: %v, want EOF", c.name, err)
 			}
-		} else if a := client.ask("GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n"); a.status != 200 {
-			t.Errorf("%s: next request on the connection: status %d", c.name, a.status)
+		} else if a := client.Ask("GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n"); a.Status != 200 {
+			t.Errorf("%s: next request on the connection: status %d", c.name, a.Status)
 		}
 	}
 }
 
 func TestEndlessHead(t *testing.T) {
 	n := run(t, testConfig())
-	c := dial(t, n.addr)
-	c.send("GET /check HTTP/1.1\r\n")
+	c := nodetest.Dial(t, n.addr)
+	c.Send("GET /check HTTP/1.1\r\n")
 	go func() {
 		for err := error(nil); err == nil; {
 			_, err = io.WriteString(c, "X-Pad: pppppppppppppppppppppppp\r\n")
 		}
 	}()
-	if line, err := c.br.ReadString('\n'); err != nil || !strings.Contains(line, "431") {
+	if line, err := c.Reader.ReadString('\n'); err != nil || !strings.Contains(line, "431") {
 		t.Errorf("%q, %v", line, err)
 	}
 }
 
 func TestBodyLimit(t *testing.T) {
-	s := newAppServer(t, say(okAnswer))
-	n := run(t, testConfig(s.instance("a")))
+	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	n := run(t, testConfig(s.Endpoint("a")))
 	most := strings.Repeat("x", maxBody)
-	if a := dial(t, n.addr).ask(request("book", "t1", "Content-Length", strconv.Itoa(maxBody), "body", most)); a.status != 200 {
-		t.Errorf("largest body: status %d", a.status)
+	if a := nodetest.Dial(t, n.addr).Ask(request("book", "t1", "Content-Length", strconv.Itoa(maxBody), "body", most)); a.Status != 200 {
+		t.Errorf("largest body: status %d", a.Status)
 	}
-	if a := dial(t, n.addr).ask(request("book", "t2", "Content-Length", strconv.Itoa(maxBody+1), "body", most+"x")); a.status != 413 || !a.close {
-		t.Errorf("one byte more: status %d, closed %v", a.status, a.close)
+	if a := nodetest.Dial(t, n.addr).Ask(request("book", "t2", "Content-Length", strconv.Itoa(maxBody+1), "body", most+"x")); a.Status != 413 || !a.Close {
+		t.Errorf("one byte more: status %d, closed %v", a.Status, a.Close)
 	}
-	if got := len(s.requests()); got != 1 {
+	if got := len(s.Requests()); got != 1 {
 		t.Errorf("%d requests went on, want 1", got)
 	}
 }
@@ -161,14 +163,14 @@
 	}
 	n := run(t, testConfig())
 	whole := request("book", "t1")
-	var clients []*client
+	var clients []*nodetest.Client
 	for _, part := range []string{"", whole[:40], whole[:len(whole)-2]} {
-		c := dial(t, n.addr)
-		c.send(part)
+		c := nodetest.Dial(t, n.addr)
+		c.Send(part)
 		clients = append(clients, c)
 	}
 	for i, c := range clients {
-		if _, err := io.ReadAll(c.br); err != nil {
+		if _, err := io.ReadAll(c.Reader); err != nil {
 			t.Errorf("part %d: %v", i, err)
 		}
 	}
@@ -176,31 +178,31 @@
 
 // No client waits for longer than its class allows, so that requests can't pile up.
 func TestWaitIsThatOfTheClass(t *testing.T) {
-	s := newAppServer(t, func(net.Conn, *http.Request, []byte) bool { select {} })
-	cfg := testConfig(s.instance("a"))
+	s := nodetest.NewAppServer(t, func(net.Conn, *http.Request, []byte) bool { select {} })
+	cfg := testConfig(s.Endpoint("a"))
 	cfg.Settings.Classes[0].Deadline = 100 * time.Millisecond
 	n := run(t, cfg)
-	c := dial(t, n.addr)
-	setDeadline(t, c)
-	if a := c.ask(request("check", "t1", "X-Expires-In", "1000000")); a.status != 429 && a.status != 502 {
-		t.Errorf("status %d", a.status)
+	c := nodetest.Dial(t, n.addr)
+	nodetest.SetDeadline(t, c)
+	if a := c.Ask(request("check", "t1", "X-Expires-In", "1000000")); a.Status != 429 && a.Status != 502 {
+		t.Errorf("status %d", a.Status)
 	}
 }
 
 // Beyond its quota a customer is refused at once and told when to come back.
 func TestRefusal(t *testing.T) {
-	s := newAppServer(t, say(okAnswer))
-	n := run(t, testConfig(s.instance("a")))
-	c := dial(t, n.addr)
-	if a := c.ask(request("check", "t1", "X-Contract", "tight")); a.status != 200 {
-		t.Errorf("inside the quota: status %d", a.status)
-	}
-	a := c.ask(request("check", "t2", "X-Contract", "tight"))
-	wait, err := strconv.ParseFloat(a.header.Get("Retry-After"), 64)
-	if a.status != 429 || err != nil || wait <= 0 || wait > 2 {
-		t.Errorf("beyond it: status %d, Retry-After %q", a.status, a.header.Get("Retry-After"))
-	}
-	if got := len(s.requests()); got != 1 {
+	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	n := run(t, testConfig(s.Endpoint("a")))
+	c := nodetest.Dial(t, n.addr)
+	if a := c.Ask(request("check", "t1", "X-Contract", "tight")); a.Status != 200 {
+		t.Errorf("inside the quota: status %d", a.Status)
+	}
+	a := c.Ask(request("check", "t2", "X-Contract", "tight"))
+	wait, err := strconv.ParseFloat(a.Header.Get("Retry-After"), 64)
+	if a.Status != 429 || err != nil || wait <= 0 || wait > 2 {
+		t.Errorf("beyond it: status %d, Retry-After %q", a.Status, a.Header.Get("Retry-After"))
+	}
+	if got := len(s.Requests()); got != 1 {
 		t.Errorf("%d requests went on, want 1", got)
 	}
 }
@@ -208,13 +210,13 @@
 // The host bounds every request by its client's deadline, also at a server that is
 // silent for ever, and a keyed one that may have run is failed, not refused.
 func TestSilentServer(t *testing.T) {
-	s := newAppServer(t, func(net.Conn, *http.Request, []byte) bool { select {} })
-	n := run(t, testConfig(s.instance("a")))
-	a := dial(t, n.addr).ask(request("book", "t1", "X-Expires-In", "2"))
-	if a.status != 502 {
-		t.Errorf("status %d, want 502", a.status)
+	s := nodetest.NewAppServer(t, func(net.Conn, *http.Request, []byte) bool { select {} })
+	n := run(t, testConfig(s.Endpoint("a")))
+	a := nodetest.Dial(t, n.addr).Ask(request("book", "t1", "X-Expires-In", "2"))
+	if a.Status != 502 {
+		t.Errorf("status %d, want 502", a.Status)
 	}
-	wantClosed(t, await(t, "a connection", s.conns))
+	wantClosed(t, nodetest.Await(t, "a connection", s.Conns))
 }
 
 // A request that the module sits on gets its answer from the host all the same.
@@ -223,7 +225,7 @@
 	front, fl := idleFront(t, cfg), &inflightRequest{id: "t1", response: make(chan clientResponse, 1)}
 	front.node.inflight["t1"] = fl
 	front.node.abortRequest(fl)
-	if a := await(t, "an answer", fl.response); a.kind != responseFailed {
+	if a := nodetest.Await(t, "an answer", fl.response); a.kind != responseFailed {
 		t.Errorf("answer %+v", a)
 	}
 	if len(front.node.inflight) != 0 {
@@ -249,39 +251,39 @@
 
 // A client that goes away ends its request: the attempt is given up, the books cleared.
 func TestClientGone(t *testing.T) {
-	s := newAppServer(t, func(net.Conn, *http.Request, []byte) bool { select {} })
-	cfg := testConfig(s.instance("a"))
+	s := nodetest.NewAppServer(t, func(net.Conn, *http.Request, []byte) bool { select {} })
+	cfg := testConfig(s.Endpoint("a"))
 	n := run(t, cfg)
-	c := dial(t, n.addr)
-	c.send(request("check", "t1"))
-	eventually(t, "request out", func() bool { return len(s.requests()) == 1 })
+	c := nodetest.Dial(t, n.addr)
+	c.Send(request("check", "t1"))
+	nodetest.Eventually(t, "request out", func() bool { return len(s.Requests()) == 1 })
 	_ = c.Close()
-	wantClosed(t, await(t, "a connection", s.conns))
+	wantClosed(t, nodetest.Await(t, "a connection", s.Conns))
 	// The id is free once nothing is held any more.
-	eventually(t, "second request taken", func() bool {
-		again := dial(t, n.addr)
-		again.send(request("check", "t1", "X-Expires-In", "0.05"))
-		return again.read().status != 409
+	nodetest.Eventually(t, "second request taken", func() bool {
+		again := nodetest.Dial(t, n.addr)
+		again.Send(request("check", "t1", "X-Expires-In", "0.05"))
+		return again.Receive().Status != 409
 	})
 }
 
 // Two open requests with one id could not be told apart by the module.
 func TestIDInUse(t *testing.T) {
 	hold := make(chan struct{})
-	s := newAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		<-hold
-		return say(okAnswer)(c, r, body)
+		return nodetest.Say(nodetest.OKResponse)(c, r, body)
 	})
-	n := run(t, testConfig(s.instance("a")))
-	c := dial(t, n.addr)
-	c.send(request("check", "t1"))
-	eventually(t, "request out", func() bool { return len(s.requests()) == 1 })
-	if a := dial(t, n.addr).ask(request("check", "t1")); a.status != 409 {
-		t.Errorf("status %d, want 409", a.status)
+	n := run(t, testConfig(s.Endpoint("a")))
+	c := nodetest.Dial(t, n.addr)
+	c.Send(request("check", "t1"))
+	nodetest.Eventually(t, "request out", func() bool { return len(s.Requests()) == 1 })
+	if a := nodetest.Dial(t, n.addr).Ask(request("check", "t1")); a.Status != 409 {
+		t.Errorf("status %d, want 409", a.Status)
 	}
 	close(hold)
-	if a := c.read(); a.status != 200 {
-		t.Errorf("the first: status %d", a.status)
+	if a := c.Receive(); a.Status != 200 {
+		t.Errorf("the first: status %d", a.Status)
 	}
 }
 
@@ -289,49 +291,49 @@
 func TestBreakIsTriedElsewhere(t *testing.T) {
 	var broken atomic.Bool
 	var resets atomic.Int32
-	bad := newAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	bad := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if broken.Load() {
 			resets.Add(1)
 			return false
 		}
-		return say(okAnswer)(c, r, body)
+		return nodetest.Say(nodetest.OKResponse)(c, r, body)
 	})
-	good := newAppServer(t, say(okAnswer))
-	n := run(t, testConfig(bad.instance("a"), good.instance("b")))
-	c := dial(t, n.addr)
+	good := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	n := run(t, testConfig(bad.Endpoint("a"), good.Endpoint("b")))
+	c := nodetest.Dial(t, n.addr)
 	i := 0
-	ask := func() answered {
+	ask := func() nodetest.Response {
 		i++
-		return c.ask(request("check", fmt.Sprint("t", i)))
+		return c.Ask(request("check", fmt.Sprint("t", i)))
 	}
 	for range 20 { // the module earns further attempts by first ones
 		ask()
 	}
 	broken.Store(true)
-	eventually(t, "a reset and an answer for one request", func() bool {
+	nodetest.Eventually(t, "a reset and an answer for one request", func() bool {
 		before := resets.Load()
-		return ask().status == 200 && resets.Load() > before
+		return ask().Status == 200 && resets.Load() > before
 	})
 }
 
 // A panic of the module costs one request, which is answered, and is logged with its stack.
 func TestPanicIsAnswered(t *testing.T) {
 	f := idleFront(t, testConfig())
-	logs := &syncBuffer{}
+	logs := &nodetest.Buffer{}
 	f.node.log = slog.New(slog.NewTextHandler(logs, nil))
 	f.node.mu.Lock() // its timers fire meanwhile
 	f.node.balancer = nil
 	f.node.mu.Unlock()
-	ln := listen(t)
+	ln := nodetest.Listen(t)
 	serveClients(t, f, newClientListener(ln, f.conns))
-	a := dial(t, ln.Addr().String()).ask(request("check", "t1"))
-	if a.status != 502 || !strings.Contains(logs.String(), "balancer.(*Balancer).RequestArrived") {
-		t.Errorf("status %d, logged %q", a.status, logs.String())
+	a := nodetest.Dial(t, ln.Addr().String()).Ask(request("check", "t1"))
+	if a.Status != 502 || !strings.Contains(logs.String(), "balancer.(*Balancer).RequestArrived") {
+		t.Errorf("status %d, logged %q", a.Status, logs.String())
 	}
 	// One of the host's own.
 	f.node.cfg = nil
-	if a := dial(t, ln.Addr().String()).ask(request("check", "t2")); a.status != 500 {
-		t.Errorf("status %d", a.status)
+	if a := nodetest.Dial(t, ln.Addr().String()).Ask(request("check", "t2")); a.Status != 500 {
+		t.Errorf("status %d", a.Status)
 	}
 }
 
@@ -339,33 +341,33 @@
 // that then close; what is out is finished; then the process ends.
 func TestDrain(t *testing.T) {
 	hold := make(chan struct{})
-	s := newAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if strings.HasPrefix(r.RequestURI, "/book") {
 			<-hold
 		}
-		return say(okAnswer)(c, r, body)
+		return nodetest.Say(nodetest.OKResponse)(c, r, body)
 	})
-	cfg := testConfig(s.instance("a"))
+	cfg := testConfig(s.Endpoint("a"))
 	cfg.drainPeriod = 4 * time.Second
 	n := run(t, cfg)
-	idle, held := dial(t, n.addr), dial(t, n.addr)
-	if a := idle.ask("GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n"); a.status != 200 || a.close {
+	idle, held := nodetest.Dial(t, n.addr), nodetest.Dial(t, n.addr)
+	if a := idle.Ask("GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n"); a.Status != 200 || a.Close {
 		t.Errorf("before: %+v", a)
 	}
-	held.send(request("book", "t1"))
-	eventually(t, "request out", func() bool { return len(s.requests()) == 1 })
+	held.Send(request("book", "t1"))
+	nodetest.Eventually(t, "request out", func() bool { return len(s.Requests()) == 1 })
 	n.stop()
-	eventually(t, "draining", func() bool { return strings.Contains(n.logs.String(), "draining") })
-	if a := idle.ask(request("check", "t2")); a.status != 200 || !a.close {
+	nodetest.Eventually(t, "draining", func() bool { return strings.Contains(n.logs.String(), "draining") })
+	if a := idle.Ask(request("check", "t2")); a.Status != 200 || !a.Close {
 		t.Errorf("on a kept connection: %+v", a)
 	}
-	if a := dial(t, n.addr).ask(request("check", "t3")); a.status != 200 || !a.close {
+	if a := nodetest.Dial(t, n.addr).Ask(request("check", "t3")); a.Status != 200 || !a.Close {
 		t.Errorf("on a new connection: %+v", a)
 	}
-	if a := dial(t, n.addr).ask("GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n"); a.status != 503 {
+	if a := nodetest.Dial(t, n.addr).Ask("GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n"); a.Status != 503 {
 		t.Errorf("readiness: %+v", a)
 	}
-	eventually(t, "listener closed", func() bool {
+	nodetest.Eventually(t, "listener closed", func() bool {
 		c, err := net.Dial("tcp", n.addr)
 		if err == nil {
 			_ = c.Close()
@@ -373,7 +375,7 @@
 		return err != nil
 	})
 	close(hold)
-	if a := held.read(); a.status != 200 || !a.close {
+	if a := held.Receive(); a.Status != 200 || !a.Close {
 		t.Errorf("taken before: %+v", a)
 	}
 	select {
@@ -381,7 +383,7 @@
 		if n.done <- nil; err != nil { // for the clean-up
 			t.Error(err)
 		}
-	case <-time.After(patience):
+	case <-time.After(nodetest.Patience):
 		t.Error("the node does not end")
 	}
 }
@@ -401,19 +403,19 @@
 // A request whose head is on its way as the listener closes is taken and answered; a connection on which
 // nothing comes is closed.
 func TestRequestThatComesAsTheDrainEndsIsAnswered(t *testing.T) {
-	s := newAppServer(t, say(okAnswer))
-	n := run(t, testConfig(s.instance("a")))
-	kept, quiet := dial(t, n.addr), dial(t, n.addr)
-	kept.ask(request("check", "t1"))
-	quiet.ask(request("check", "t2"))
+	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	n := run(t, testConfig(s.Endpoint("a")))
+	kept, quiet := nodetest.Dial(t, n.addr), nodetest.Dial(t, n.addr)
+	kept.Ask(request("check", "t1"))
+	quiet.Ask(request("check", "t2"))
 	text := request("check", "t3")
-	kept.send(text[:20])
+	kept.Send(text[:20])
 	n.stop()
-	if _, err := quiet.br.ReadByte(); err != io.EOF {
+	if _, err := quiet.Reader.ReadByte(); err != io.EOF {
 		t.Errorf("an idle connection at the drain's end: %v", err)
 	}
-	kept.send(text[20:])
-	if a := kept.read(); a.status != http.StatusOK || !a.close {
+	kept.Send(text[20:])
+	if a := kept.Receive(); a.Status != http.StatusOK || !a.Close {
 		t.Errorf("answer %+v", a)
 	}
 }
@@ -483,10 +485,10 @@
 
 // The saved list serves while discovery is down.
 func TestKnownServes(t *testing.T) {
-	s := newAppServer(t, say(okAnswer))
-	n := run(t, testConfig(s.instance("a"))) // its discovery refuses connections
-	eventually(t, "discovery found down", func() bool { return strings.Contains(n.logs.String(), `msg="discovery watch lost"`) })
-	if a := dial(t, n.addr).ask(request("check", "t1")); a.status != 200 {
-		t.Errorf("status %d", a.status)
+	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	n := run(t, testConfig(s.Endpoint("a"))) // its discovery refuses connections
+	nodetest.Eventually(t, "discovery found down", func() bool { return strings.Contains(n.logs.String(), `msg="discovery watch lost"`) })
+	if a := nodetest.Dial(t, n.addr).Ask(request("check", "t1")); a.Status != 200 {
+		t.Errorf("status %d", a.Status)
 	}
 }
--- a/internal/edgenode/golden_test.go
+++ b/internal/edgenode/golden_test.go
@@ -18,6 +18,8 @@
 
 	"opalhook/balancer"
 	"opalhook/internal/discovery"
+	"opalhook/internal/edgenode/endpointlist"
+	"opalhook/internal/edgenode/nodetest"
 	"opalhook/internal/golden"
 	"opalhook/internal/settings"
 )
@@ -26,7 +28,7 @@
 // with HOST in place of the address, and answers with a text.
 func recordRequests(t *testing.T, answer string) (addr netip.AddrPort, heard <-chan string) {
 	t.Helper()
-	ln := listen(t)
+	ln := nodetest.Listen(t)
 	t.Cleanup(func() { _ = ln.Close() })
 	requests := make(chan string, 1000)
 	go func() {
@@ -44,7 +46,7 @@
 			}()
 		}
 	}()
-	return addrOf(ln), requests
+	return nodetest.AddrOf(ln), requests
 }
 
 // readRequest reads a request's bytes: its head and, where its length is told, its body.
@@ -69,7 +71,7 @@
 	t.Helper()
 	const list = `{"generation":41,"reset":true,"instances":[]}`
 	addr, heard := recordRequests(t, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s\n", len(list)+1, list))
-	r := newDiscoveryClient(addr, Follower{pushed: pushed, fleetSize: 1, pollInterval: defaultPollInterval, rng: rand.New(rand.NewPCG(1, 1))}, func(List) {}, slog.New(slog.DiscardHandler))
+	r := newDiscoveryClient(addr, Follower{pushed: pushed, fleetSize: 1, pollInterval: defaultPollInterval, rng: rand.New(rand.NewPCG(1, 1))}, func(endpointlist.List) {}, slog.New(slog.DiscardHandler))
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
@@ -85,12 +87,12 @@
 func TestGoldenDiscoveryRequests(t *testing.T) {
 	var requests string
 	followRequests(t, false, func(heard <-chan string) {
-		requests += await(t, "the first watch", heard) + await(t, "the next watch", heard)
+		requests += nodetest.Await(t, "the first watch", heard) + nodetest.Await(t, "the next watch", heard)
 	})
 	followRequests(t, true, func(heard <-chan string) {
-		fetch := await(t, "a request", heard)
+		fetch := nodetest.Await(t, "a request", heard)
 		for tries := 0; strings.Contains(fetch, "watch=") && tries < 5; tries++ { // on its way at the same time
-			fetch = await(t, "the fetch", heard)
+			fetch = nodetest.Await(t, "the fetch", heard)
 		}
 		requests += fetch
 	})
@@ -99,10 +101,10 @@
 
 // A node sends a server the recorded bytes: a probe for its load and requests of clients.
 func TestGoldenServerRequests(t *testing.T) {
-	addr, heard := recordRequests(t, okAnswer)
-	u := newUpstream(settings.Transport{ConnectTimeout: patience}, 10)
-	u.update([]Instance{{Endpoint: balancer.Endpoint{ID: "s"}, Addr: addr}}, true)
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	addr, heard := recordRequests(t, nodetest.OKResponse)
+	u := newUpstream(settings.Transport{ConnectTimeout: nodetest.Patience}, 10)
+	u.update([]endpointlist.Endpoint{{Endpoint: balancer.Endpoint{ID: "s"}, Addr: addr}}, true)
+	ctx, cancel := context.WithTimeout(t.Context(), nodetest.Patience)
 	defer cancel()
 	left := regexp.MustCompile(`X-Expires-In: \d+\.\d{3}\r\n`)
 	var transcript strings.Builder
@@ -115,7 +117,7 @@
 		if result != balancer.OK || string(rep.body) != "body" {
 			t.Errorf("%s: result %d, body %q", m.target, result, rep.body)
 		}
-		transcript.WriteString(left.ReplaceAllString(await(t, "request of "+m.target, heard), "X-Expires-In: SECONDS\r\n") + "\n")
+		transcript.WriteString(left.ReplaceAllString(nodetest.Await(t, "request of "+m.target, heard), "X-Expires-In: SECONDS\r\n") + "\n")
 	}
 	golden.Check(t, "golden/server-requests.txt", []byte(transcript.String()))
 }
@@ -164,9 +166,9 @@
 	case eventMalformed:
 		text = fmt.Sprintf("malformed %t %t %t\n", errors.Is(e.err, discovery.ErrTruncated), errors.Is(e.err, discovery.ErrNoMessage), errors.Is(e.err, discovery.ErrTooLong))
 	case eventMessage:
-		text = fmt.Sprintf("list %d whole %t, %d spoilt\n", e.list.Generation, e.list.Full, len(e.entryErrors))
+		text = fmt.Sprintf("list %d whole %t, %d spoilt\n", e.list.Generation, e.list.Snapshot, len(e.entryErrors))
 	}
-	for _, s := range e.list.Servers {
+	for _, s := range e.list.Endpoints {
 		text += fmt.Sprintf("  %q at %v state %d weight %v kind %q zone %q cell %d boot %v\n", s.ID, s.Addr, int(s.State), s.Weight, s.MachineType, s.Zone, s.Cell, s.StartedAt)
 	}
 	return text
@@ -185,9 +187,9 @@
 		fmt.Fprintf(&described, "%q: in flight %v queue %v util %v\n", text, load.InFlight, load.Queued, load.Utilization)
 	}
 	golden.Check(t, "golden/load-reports-read.txt", described.Bytes())
-	s := newAppServer(t, say("HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT inflight=7, queue=2, util=0.61\r\nX-Settled: 2.5\r\nContent-Length: 0\r\n\r\n"))
+	s := nodetest.NewAppServer(t, nodetest.Say("HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT inflight=7, queue=2, util=0.61\r\nX-Settled: 2.5\r\nContent-Length: 0\r\n\r\n"))
 	u := newUpstream(settings.Transport{ConnectTimeout: time.Minute}, 10)
-	u.update([]Instance{s.instance("s")}, true)
+	u.update([]endpointlist.Endpoint{s.Endpoint("s")}, true)
 	rep, result := u.exchange(t.Context(), "s", &message{method: "GET", target: loadPath}, writeLimits{})
 	if result != balancer.OK || rep.units != 2.5 || rep.loadReport == nil || *rep.loadReport != (balancer.LoadReport{InFlight: 7, Queued: 2, Utilization: 0.61}) {
 		t.Errorf("result %d, units %v, load %v", result, rep.units, rep.loadReport)
--- a/internal/edgenode/gone_test.go
+++ b/internal/edgenode/gone_test.go
@@ -10,12 +10,14 @@
 	"testing"
 
 	"opalhook/balancer"
+	"opalhook/internal/edgenode/endpointlist"
+	"opalhook/internal/edgenode/nodetest"
 )
 
 // wantServed waits until a test's app server is through with a connection: what came on it has been taken down.
 func wantServed(t *testing.T, c net.Conn) {
 	t.Helper()
-	eventually(t, "the app server is through with its connection", func() bool {
+	nodetest.Eventually(t, "the app server is through with its connection", func() bool {
 		raw, err := c.(*net.TCPConn).SyscallConn()
 		return err != nil || raw.Control(func(uintptr) {}) != nil
 	})
@@ -42,20 +44,20 @@
 		for _, further := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, further attempt: %v", class, further), func(t *testing.T) {
 				var fails atomic.Pointer[func()] // runs as the first server fails
-				first := newAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+				first := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 					if fail := fails.Load(); fail != nil {
 						(*fail)()
 						return false
 					}
-					return say(okAnswer)(c, r, body)
+					return nodetest.Say(nodetest.OKResponse)(c, r, body)
 				})
-				second := newAppServer(t, say(okAnswer))
-				f, addr := serveHooked(t, testConfig(first.instance("a")), func(*frontend, *clientConn) {})
+				second := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+				f, addr := serveHooked(t, testConfig(first.Endpoint("a")), func(*frontend, *clientConn) {})
 				n := f.node
 				for i := range 20 { // by which further attempts are earned
-					dial(t, addr).ask(request("check", fmt.Sprint("t", i)))
+					nodetest.Dial(t, addr).Ask(request("check", fmt.Sprint("t", i)))
 				}
-				c := dial(t, addr)
+				c := nodetest.Dial(t, addr)
 				left, noticed := make(chan struct{}), make(chan struct{})
 				leave := func() {
 					_ = c.Close()
@@ -63,9 +65,9 @@
 					<-noticed
 				}
 				secondOnly := func() {
-					old := first.instance("a")
+					old := first.Endpoint("a")
 					old.State = balancer.Draining
-					n.updateEndpoints(List{Servers: []Instance{old, second.instance("b")}}, balancer.UpdateDelta)
+					n.updateEndpoints(endpointlist.List{Endpoints: []endpointlist.Endpoint{old, second.Endpoint("b")}}, balancer.UpdateDelta)
 					leaveAtTheWrite(t, n, "b", leave)
 				}
 				if further {
@@ -73,25 +75,25 @@
 				} else {
 					secondOnly()
 				}
-				before := len(first.requests())
-				c.send(request(class, "gone"))
-				await(t, "the client's leaving", left)
-				eventually(t, "the node has noticed", func() bool {
+				before := len(first.Requests())
+				c.Send(request(class, "gone"))
+				nodetest.Await(t, "the client's leaving", left)
+				nodetest.Eventually(t, "the node has noticed", func() bool {
 					n.mu.Lock()
 					defer n.mu.Unlock()
 					return n.inflight["gone"].answered
 				})
 				close(noticed)
-				eventually(t, "the request is over", func() bool {
+				nodetest.Eventually(t, "the request is over", func() bool {
 					n.mu.Lock()
 					defer n.mu.Unlock()
 					return len(n.inflight) == 0
 				})
-				wantServed(t, await(t, "the connection to the second server", second.conns))
-				if got := second.requests(); len(got) != 0 {
+				wantServed(t, nodetest.Await(t, "the connection to the second server", second.Conns))
+				if got := second.Requests(); len(got) != 0 {
 					t.Errorf("sent on behind the close: %q", got)
 				}
-				if got := len(first.requests()) - before; further != (got == 1) {
+				if got := len(first.Requests()) - before; further != (got == 1) {
 					t.Errorf("%d attempts before the close", got)
 				}
 			})
@@ -101,10 +103,10 @@
 
 // A request that is open when its node closes, or that comes after, keeps no handler waiting.
 func TestHandlersEndWithTheNode(t *testing.T) {
-	s := newAppServer(t, func(net.Conn, *http.Request, []byte) bool { select {} })
+	s := nodetest.NewAppServer(t, func(net.Conn, *http.Request, []byte) bool { select {} })
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	n, err := newNode(ctx, testConfig(s.instance("a")), slog.New(slog.DiscardHandler))
+	n, err := newNode(ctx, testConfig(s.Endpoint("a")), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -115,17 +117,17 @@
 		defer func() { handled <- struct{}{} }()
 		f.ServeHTTP(w, r)
 	})
-	ln := listen(t)
+	ln := nodetest.Listen(t)
 	serveClients(t, f, newClientListener(ln, f.conns))
-	open := dial(t, ln.Addr().String())
-	open.send(request("check", "open"))
-	eventually(t, "request out", func() bool { return len(s.requests()) == 1 })
+	open := nodetest.Dial(t, ln.Addr().String())
+	open.Send(request("check", "open"))
+	nodetest.Eventually(t, "request out", func() bool { return len(s.Requests()) == 1 })
 	stop()
 	n.close()
 	_ = open.Close()
-	await(t, "the end of the handler whose request was open", handled)
-	if a := dial(t, ln.Addr().String()).ask(request("check", "late")); a.status != http.StatusBadGateway {
+	nodetest.Await(t, "the end of the handler whose request was open", handled)
+	if a := nodetest.Dial(t, ln.Addr().String()).Ask(request("check", "late")); a.Status != http.StatusBadGateway {
 		t.Errorf("a request to a closed node has %+v, want that it failed", a)
 	}
-	await(t, "the end of the handler whose request came after", handled)
+	nodetest.Await(t, "the end of the handler whose request came after", handled)
 }
--- a/internal/edgenode/list_bench_test.go
+++ b/internal/edgenode/list_bench_test.go
@@ -9,20 +9,22 @@
 	"testing"
 
 	"opalhook/balancer"
+	"opalhook/internal/edgenode/endpointlist"
+	"opalhook/internal/edgenode/nodetest"
 )
 
 // BenchmarkList takes whole lists in, from the bytes of a watch to the module: on one line, indented
 // over many, and in pieces of 48 bytes.
 func BenchmarkList(b *testing.B) {
 	for _, size := range []int{60, 350, 1024} {
-		var all []Instance
+		var all []endpointlist.Endpoint
 		for i := range size {
-			all = append(all, Instance{
+			all = append(all, endpointlist.Endpoint{
 				Endpoint: balancer.Endpoint{ID: fmt.Sprintf("s-%08x", i*7919), Zone: "z", MachineType: "k", Cell: i / 6, Weight: 1},
 				Addr:     netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 2, byte(i / 250), byte(i % 250)}), 8080),
 			})
 		}
-		line := []byte(listJSON(9, true, all...))
+		line := []byte(nodetest.ListJSON(9, true, all...))
 		var indented bytes.Buffer
 		if err := json.Indent(&indented, line, "", "  "); err != nil {
 			b.Fatal(err)
--- a/internal/edgenode/load_report.go
+++ b/internal/edgenode/load_report.go
@@ -1,11 +1,11 @@
 package edgenode
 
 import (
-	"strconv"
 	"strings"
 	"time"
 
 	"opalhook/balancer"
+	"opalhook/internal/edgenode/decimal"
 )
 
 // How an app server is asked for its load.
@@ -31,7 +31,7 @@
 	report := balancer.LoadReport{InFlight: -1, Queued: -1, Utilization: -1}
 	for _, pair := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
-		x, ok := parseDecimal(value)
+		x, ok := decimal.Parse(value)
 		if !ok {
 			continue
 		}
@@ -47,15 +47,3 @@
 	}
 	return &report
 }
-
-// maxDecimalLength bounds the digits that [parseDecimal] reads.
-const maxDecimalLength = 20
-
-// parseDecimal parses a plain decimal number from 0: no sign, exponent, hex or infinity.
-func parseDecimal(text string) (float64, bool) {
-	if text == "" || len(text) > maxDecimalLength || strings.Trim(text, "0123456789.") != "" {
-		return 0, false
-	}
-	x, err := strconv.ParseFloat(text, 64)
-	return x, err == nil
-}
--- a/internal/edgenode/message_reader.go
+++ b/internal/edgenode/message_reader.go
@@ -4,6 +4,7 @@
 	"fmt"
 
 	"opalhook/internal/discovery"
+	"opalhook/internal/edgenode/endpointlist"
 )
 
 // messageReader turns what comes on a call into events.
@@ -18,7 +19,7 @@
 		if r.done {
 			return
 		}
-		l, entryErrors, err := parseList(text)
+		l, entryErrors, err := endpointlist.Parse(text)
 		if err != nil {
 			events = append(events, r.malformed(err, text))
 			return
@@ -53,6 +54,6 @@
 	return callEvent{
 		kind: eventMalformed,
 		err:  fmt.Errorf("malformed message: %w", err),
-		list: List{Servers: instances(discovery.Salvage(text))},
+		list: endpointlist.List{Endpoints: endpointlist.Salvage(text)},
 	}
 }
--- a/internal/edgenode/node.go
+++ b/internal/edgenode/node.go
@@ -17,6 +17,7 @@
 	"time"
 
 	"opalhook/balancer"
+	"opalhook/internal/edgenode/endpointlist"
 	"opalhook/internal/settings"
 )
 
@@ -107,22 +108,22 @@
 }
 
 // updateEndpoints applies a list to the upstream's connections and to the balancer, as one event.
-func (n *Node) updateEndpoints(l List, kind balancer.UpdateKind) {
-	endpoints := make([]balancer.Endpoint, len(l.Servers))
-	for i, s := range l.Servers {
+func (n *Node) updateEndpoints(l endpointlist.List, kind balancer.UpdateKind) {
+	endpoints := make([]balancer.Endpoint, len(l.Endpoints))
+	for i, s := range l.Endpoints {
 		endpoints[i] = s.Endpoint
 	}
 	n.handleEvent(func(now time.Duration, out balancer.Actions) {
-		unused := n.upstream.update(l.Servers, kind != balancer.UpdateDelta)
+		unused := n.upstream.update(l.Endpoints, kind != balancer.UpdateDelta)
 		n.deferred = append(n.deferred, func() { closeAll(unused) })
 		n.balancer.EndpointsUpdated(now, kind, endpoints, out)
 	})
 }
 
 // receiveList applies a message of discovery.
-func (n *Node) receiveList(l List) {
+func (n *Node) receiveList(l endpointlist.List) {
 	kind := balancer.UpdateDelta
-	if l.Full {
+	if l.Snapshot {
 		kind = balancer.UpdateSnapshot
 	}
 	n.updateEndpoints(l, kind)
--- a/internal/edgenode/ready_test.go
+++ b/internal/edgenode/ready_test.go
@@ -16,6 +16,9 @@
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"opalhook/internal/edgenode/endpointlist"
+	"opalhook/internal/edgenode/nodetest"
 )
 
 // Nine in ten restarted nodes have to be ready within this time.
@@ -41,7 +44,7 @@
 // the test's own.
 func TestRestartedNodesAreReadyInTime(t *testing.T) {
 	const nodes, hour = 20, time.Hour
-	whole := listJSON(8, true)
+	whole := nodetest.ListJSON(8, true)
 	body := func(text string) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 	}
@@ -92,7 +95,7 @@
 	client := newDiscoveryClient(cfg.Discovery, Follower{
 		pushed: !cfg.Settings.PollEndpoints, fleetSize: cfg.Settings.NodeCount,
 		rng: rand.New(rand.NewPCG(seed, 1)),
-	}, func(List) {}, slog.New(slog.DiscardHandler))
+	}, func(endpointlist.List) {}, slog.New(slog.DiscardHandler))
 	client.dial = dial
 	done := make(chan struct{})
 	go func() { client.run(ctx); close(done) }()
--- a/internal/edgenode/run.go
+++ b/internal/edgenode/run.go
@@ -121,7 +121,7 @@
 	served := make(chan error, 1)
 	p.background.Go(func() { served <- front.serve(listener) })
 	front.ready.Store(true)
-	p.log.Info("ready", "listen", p.cfg.Listen, "endpoints", len(p.cfg.CachedList.Servers),
+	p.log.Info("ready", "listen", p.cfg.Listen, "endpoints", len(p.cfg.CachedList.Endpoints),
 		"pushed", !p.cfg.Settings.PollEndpoints)
 
 	ending := ctx.Done()
--- a/internal/edgenode/side_test.go
+++ b/internal/edgenode/side_test.go
@@ -19,6 +19,7 @@
 	"time"
 
 	"opalhook/balancer"
+	"opalhook/internal/edgenode/nodetest"
 )
 
 // serveDiscovery is an agent that answers each watch with what script gives for it, and a call for
@@ -68,23 +69,23 @@
 
 // What discovery tells reaches the choice of a server.
 func TestWatchMovesTraffic(t *testing.T) {
-	old, young := newAppServer(t, say(okAnswer)), newAppServer(t, say(okAnswer))
-	cfg := testConfig(old.instance("a"))
-	cfg.Discovery = serveDiscovery(t, func() string { return listJSON(8, true, young.instance("b")) }, func(n int, _ string, w io.Writer, ctx context.Context) {
-		_, _ = fmt.Fprintf(w, "%s\n", listJSON(8, true, young.instance("b")))
+	old, young := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse)), nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	cfg := testConfig(old.Endpoint("a"))
+	cfg.Discovery = serveDiscovery(t, func() string { return nodetest.ListJSON(8, true, young.Endpoint("b")) }, func(n int, _ string, w io.Writer, ctx context.Context) {
+		_, _ = fmt.Fprintf(w, "%s\n", nodetest.ListJSON(8, true, young.Endpoint("b")))
 		<-ctx.Done()
 	})
 	n := run(t, cfg)
-	c := dial(t, n.addr)
+	c := nodetest.Dial(t, n.addr)
 	i := 0
-	eventually(t, "new server used", func() bool {
+	nodetest.Eventually(t, "new server used", func() bool {
 		i++
-		c.ask(request("check", fmt.Sprint("t", i)))
-		return len(young.requests()) > 0
+		c.Ask(request("check", fmt.Sprint("t", i)))
+		return len(young.Requests()) > 0
 	})
-	before := len(old.requests())
-	c.ask(request("check", "last"))
-	if len(old.requests()) != before {
+	before := len(old.Requests())
+	c.Ask(request("check", "last"))
+	if len(old.Requests()) != before {
 		t.Error("a server that is gone is still used")
 	}
 }
@@ -92,18 +93,18 @@
 // What the agent has counts from a new process's first moment: no client is taken before it has
 // told, so that the saved list, which may be old, sends nobody to a server that has left.
 func TestNewProcessStartsFromWhatTheAgentHas(t *testing.T) {
-	old, young := newAppServer(t, say(okAnswer)), newAppServer(t, say(okAnswer))
+	old, young := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse)), nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 	tells, opened := make(chan struct{}), make(chan bool, 1)
-	cfg := testConfig(old.instance("a"))
-	cfg.listWait = patience
-	whole := listJSON(8, true, young.instance("b"))
+	cfg := testConfig(old.Endpoint("a"))
+	cfg.listWait = nodetest.Patience
+	whole := nodetest.ListJSON(8, true, young.Endpoint("b"))
 	asked := make(chan struct{}, 100)
 	cfg.Discovery = serveDiscovery(t, func() string { asked <- struct{}{}; <-tells; return whole }, func(n int, _ string, w io.Writer, ctx context.Context) {
 		<-tells
 		_, _ = fmt.Fprintf(w, "%s\n", whole)
 		beat(ctx, w)
 	})
-	ln := listen(t)
+	ln := nodetest.Listen(t)
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() {
@@ -117,20 +118,20 @@
 			return ln, nil
 		})
 	}()
-	await(t, "the agent is asked", asked)
+	nodetest.Await(t, "the agent is asked", asked)
 	close(tells)
-	if !await(t, "the listener", opened) {
+	if !nodetest.Await(t, "the listener", opened) {
 		t.Error("clients are taken before the agent has told what it has")
 	}
-	c := dial(t, ln.Addr().String())
-	if a := c.ask(request("check", "t1")); a.status != http.StatusOK {
+	c := nodetest.Dial(t, ln.Addr().String())
+	if a := c.Ask(request("check", "t1")); a.Status != http.StatusOK {
 		t.Errorf("answer %+v", a)
 	}
-	if len(old.requests()) > 0 || len(young.requests()) != 1 {
-		t.Errorf("%d requests to the server of the saved list, %d to the agent's", len(old.requests()), len(young.requests()))
+	if len(old.Requests()) > 0 || len(young.Requests()) != 1 {
+		t.Errorf("%d requests to the server of the saved list, %d to the agent's", len(old.Requests()), len(young.Requests()))
 	}
 	stop()
-	if err := await(t, "the node's end", done); err != nil {
+	if err := nodetest.Await(t, "the node's end", done); err != nil {
 		t.Error(err)
 	}
 }
@@ -138,21 +139,21 @@
 // A reload moves the watch at once and asks the new agent for the whole list: its versions
 // are its own. A configuration that can't be changes nothing.
 func TestReloadMovesTheWatch(t *testing.T) {
-	old, young := newAppServer(t, say(okAnswer)), newAppServer(t, say(okAnswer))
+	old, young := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse)), nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 	watched, left := make(chan struct{}, 100), make(chan struct{}, 100)
-	first := serveDiscovery(t, func() string { return listJSON(900, true, old.instance("a")) }, func(_ int, _ string, w io.Writer, ctx context.Context) {
-		_, _ = fmt.Fprintf(w, "%s\n", listJSON(900, true, old.instance("a")))
+	first := serveDiscovery(t, func() string { return nodetest.ListJSON(900, true, old.Endpoint("a")) }, func(_ int, _ string, w io.Writer, ctx context.Context) {
+		_, _ = fmt.Fprintf(w, "%s\n", nodetest.ListJSON(900, true, old.Endpoint("a")))
 		watched <- struct{}{}
 		beat(ctx, w)
 		left <- struct{}{}
 	})
 	froms := make(chan string, 100)
-	second := serveDiscovery(t, func() string { return listJSON(3, true, young.instance("b")) }, func(_ int, from string, w io.Writer, ctx context.Context) {
+	second := serveDiscovery(t, func() string { return nodetest.ListJSON(3, true, young.Endpoint("b")) }, func(_ int, from string, w io.Writer, ctx context.Context) {
 		froms <- from
-		_, _ = fmt.Fprintf(w, "%s\n", listJSON(3, true, young.instance("b")))
+		_, _ = fmt.Fprintf(w, "%s\n", nodetest.ListJSON(3, true, young.Endpoint("b")))
 		beat(ctx, w)
 	})
-	cfg := testConfig(old.instance("a"))
+	cfg := testConfig(old.Endpoint("a"))
 	cfg.Discovery = first
 	next := make(chan error, 1)
 	cfg.reload = func() (*Config, error) {
@@ -161,10 +162,10 @@
 		return &moved, <-next
 	}
 	n := run(t, cfg)
-	await(t, "the first agent is watched", watched) // a watch that has not begun can't be left
+	nodetest.Await(t, "the first agent is watched", watched) // a watch that has not begun can't be left
 	next <- errors.New("discovery: no port")
 	n.hup <- syscall.SIGHUP
-	eventually(t, "bad configuration logged", func() bool { return strings.Contains(n.logs.String(), "discovery: no port") })
+	nodetest.Eventually(t, "bad configuration logged", func() bool { return strings.Contains(n.logs.String(), "discovery: no port") })
 	select {
 	case <-left:
 		t.Fatal("the watch was left for a configuration that can't be")
@@ -172,16 +173,16 @@
 	}
 	next <- nil
 	n.hup <- syscall.SIGHUP
-	await(t, "the first agent is left", left)
-	if from := await(t, "the second agent is watched", froms); from != "0" && from != "3" {
+	nodetest.Await(t, "the first agent is left", left)
+	if from := nodetest.Await(t, "the second agent is watched", froms); from != "0" && from != "3" {
 		t.Errorf("the new agent is watched from version %s of the old one's", from)
 	}
-	c := dial(t, n.addr)
+	c := nodetest.Dial(t, n.addr)
 	i := 0
-	eventually(t, "new agent's server used", func() bool {
+	nodetest.Eventually(t, "new agent's server used", func() bool {
 		i++
-		c.ask(request("check", fmt.Sprint("t", i)))
-		return len(young.requests()) > 0
+		c.Ask(request("check", fmt.Sprint("t", i)))
+		return len(young.Requests()) > 0
 	})
 }
 
@@ -245,7 +246,7 @@
 			t.Fatal(err)
 		}
 	}
-	if got := await(t, "a datagram", heard); got != "1 hi" {
+	if got := nodetest.Await(t, "a datagram", heard); got != "1 hi" {
 		t.Errorf("heard %q, want the peer's message alone", got)
 	}
 
@@ -254,13 +255,13 @@
 			t.Fatal(err)
 		}
 		buf := make([]byte, maxPeerMessage)
-		setDeadline(t, c)
+		nodetest.SetDeadline(t, c)
 		n, from, err := c.ReadFromUDPAddrPort(buf)
 		if err != nil || string(buf[:n]) != "hello" || from != addr(p.conn) {
 			t.Errorf("to %d: %q from %v, error %v", peer, buf[:n], from, err)
 		}
 	}
-	var lines syncBuffer
+	var lines nodetest.Buffer
 	log := slog.New(slog.NewTextHandler(&lines, nil))
 	for _, peer := range []int{2, 2, 1, 1} {
 		p.sendMessage(peer, []byte("hello"), log)
@@ -278,7 +279,7 @@
 	f := idleFront(t, testConfig())
 	before := time.Duration(time.Now().UnixNano())
 	now := f.node.now()
-	if d := now - before; d < -time.Second || d > patience || f.node.now() < now {
+	if d := now - before; d < -time.Second || d > nodetest.Patience || f.node.now() < now {
 		t.Errorf("the clock reads %v past Unix time", d)
 	}
 }
--- a/internal/edgenode/slots_test.go
+++ b/internal/edgenode/slots_test.go
@@ -8,15 +8,18 @@
 	"net/http"
 	"testing"
 	"time"
+
+	"opalhook/internal/edgenode/endpointlist"
+	"opalhook/internal/edgenode/nodetest"
 )
 
 // slotFront serves clients with room for most connections.
-func slotFront(t *testing.T, most int, servers ...Instance) (*frontend, string) {
+func slotFront(t *testing.T, most int, servers ...endpointlist.Endpoint) (*frontend, string) {
 	t.Helper()
 	f := idleFront(t, testConfig(servers...))
 	f.conns.max = most
 	f.ready.Store(true)
-	ln := listen(t)
+	ln := nodetest.Listen(t)
 	serveClients(t, f, newClientListener(ln, f.conns))
 	return f, ln.Addr().String()
 }
@@ -36,10 +39,10 @@
 
 const readyRequest = "GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n"
 
-func wantEOF(t *testing.T, what string, c *client) {
+func wantEOF(t *testing.T, what string, c *nodetest.Client) {
 	t.Helper()
 	var timeout net.Error
-	if _, err := c.br.ReadByte(); err == nil {
+	if _, err := c.Reader.ReadByte(); err == nil {
 		t.Errorf("%s: something came, want a close", what)
 	} else if errors.As(err, &timeout) && timeout.Timeout() {
 		t.Errorf("%s: still open", what)
@@ -49,17 +52,17 @@
 // Clients that connect by hundreds and say nothing shut nobody out, and cost no one a
 // connection that is in use.
 func TestSilentClientsGiveWay(t *testing.T) {
-	s := newAppServer(t, say(okAnswer))
-	f, addr := slotFront(t, 8, s.instance("a"))
-	kept := dial(t, addr)
-	if a := kept.ask(readyRequest); a.status != 200 {
+	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	f, addr := slotFront(t, 8, s.Endpoint("a"))
+	kept := nodetest.Dial(t, addr)
+	if a := kept.Ask(readyRequest); a.Status != 200 {
 		t.Errorf("before: %+v", a)
 	}
-	var silents []*client
+	var silents []*nodetest.Client
 	for i := range 40 {
-		silents = append(silents, dial(t, addr))
+		silents = append(silents, nodetest.Dial(t, addr))
 		if i%10 == 0 {
-			if a := dial(t, addr).ask(request("check", fmt.Sprint("t", i))); a.status != 200 || a.close {
+			if a := nodetest.Dial(t, addr).Ask(request("check", fmt.Sprint("t", i))); a.Status != 200 || a.Close {
 				t.Errorf("between %d silent ones: %+v", i, a)
 			}
 		}
@@ -67,7 +70,7 @@
 	for i := range 20 {
 		wantEOF(t, fmt.Sprint("silent ", i), silents[i])
 	}
-	if a := kept.ask(request("check", "kept")); a.status != 200 {
+	if a := kept.Ask(request("check", "kept")); a.Status != 200 {
 		t.Errorf("on the connection kept: %+v", a)
 	}
 	f.conns.mu.Lock()
@@ -81,10 +84,10 @@
 // ones don't make a crowd, and the count of them follows every ending.
 func TestCrowdedAnswersClose(t *testing.T) {
 	f, addr := slotFront(t, 4)
-	first := dial(t, addr)
-	var others []*client
+	first := nodetest.Dial(t, addr)
+	var others []*nodetest.Client
 	for range 3 {
-		others = append(others, dial(t, addr))
+		others = append(others, nodetest.Dial(t, addr))
 	}
 	silents := func(n int) func() bool {
 		return func() bool {
@@ -93,21 +96,21 @@
 			return f.conns.newConns == n
 		}
 	}
-	eventually(t, "all accepted", silents(4))
-	if a := first.ask(readyRequest); a.status != 200 || a.close {
+	nodetest.Eventually(t, "all accepted", silents(4))
+	if a := first.Ask(readyRequest); a.Status != 200 || a.Close {
 		t.Errorf("among silent ones: %+v", a)
 	}
-	if a := others[0].ask(readyRequest); a.status != 200 || a.close {
+	if a := others[0].Ask(readyRequest); a.Status != 200 || a.Close {
 		t.Errorf("with half in use: %+v", a)
 	}
-	if a := others[1].ask(readyRequest); a.status != 200 || !a.close {
+	if a := others[1].Ask(readyRequest); a.Status != 200 || !a.Close {
 		t.Errorf("with three quarters in use: %+v", a)
 	}
 	wantEOF(t, "after it", others[1])
-	for _, c := range []*client{first, others[0], others[2]} {
+	for _, c := range []*nodetest.Client{first, others[0], others[2]} {
 		_ = c.Close()
 	}
-	eventually(t, "all gone", func() bool {
+	nodetest.Eventually(t, "all gone", func() bool {
 		f.conns.mu.Lock()
 		defer f.conns.mu.Unlock()
 		return len(f.conns.conns) == 0
@@ -122,35 +125,35 @@
 // newcomer is closed: it may have waited in vain for a slot otherwise.
 func TestWhoGivesWay(t *testing.T) {
 	hold := make(chan struct{})
-	s := newAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		<-hold
-		return say(okAnswer)(c, r, body)
+		return nodetest.Say(nodetest.OKResponse)(c, r, body)
 	})
-	f, addr := slotFront(t, 100, s.instance("a"), s.instance("b")) // so that nobody is told to close
+	f, addr := slotFront(t, 100, s.Endpoint("a"), s.Endpoint("b")) // so that nobody is told to close
 
-	busy, half, rested := dial(t, addr), dial(t, addr), dial(t, addr)
-	busy.send(request("check", "t1"))
-	eventually(t, "request out", func() bool { return len(s.requests()) == 1 })
-	half.send("GET /check")
-	eventually(t, "head begun", func() bool { return f.conns.age(connReading, readingGrace) == 1 })
-	if a := rested.ask(readyRequest); a.status != 200 {
+	busy, half, rested := nodetest.Dial(t, addr), nodetest.Dial(t, addr), nodetest.Dial(t, addr)
+	busy.Send(request("check", "t1"))
+	nodetest.Eventually(t, "request out", func() bool { return len(s.Requests()) == 1 })
+	half.Send("GET /check")
+	nodetest.Eventually(t, "head begun", func() bool { return f.conns.age(connReading, readingGrace) == 1 })
+	if a := rested.Ask(readyRequest); a.Status != 200 {
 		t.Errorf("%+v", a)
 	}
-	eventually(t, "idle", func() bool { return f.conns.age(connIdle, idleGrace) == 1 })
+	nodetest.Eventually(t, "idle", func() bool { return f.conns.age(connIdle, idleGrace) == 1 })
 	f.conns.mu.Lock()
 	f.conns.max = 3
 	f.conns.mu.Unlock()
-	second := dial(t, addr)
-	second.send(request("check", "t2"))
+	second := nodetest.Dial(t, addr)
+	second.Send(request("check", "t2"))
 	wantEOF(t, "the idle one", rested)
-	third := dial(t, addr)
-	third.send(request("check", "t3"))
+	third := nodetest.Dial(t, addr)
+	third.Send(request("check", "t3"))
 	wantEOF(t, "the one with half a head", half)
-	eventually(t, "requests out", func() bool { return len(s.requests()) == 3 })
-	wantEOF(t, "a newcomer with all busy", dial(t, addr))
+	nodetest.Eventually(t, "requests out", func() bool { return len(s.Requests()) == 3 })
+	wantEOF(t, "a newcomer with all busy", nodetest.Dial(t, addr))
 	close(hold)
-	for i, c := range []*client{busy, second, third} {
-		if a := c.read(); a.status != 200 {
+	for i, c := range []*nodetest.Client{busy, second, third} {
+		if a := c.Receive(); a.Status != 200 {
 			t.Errorf("request %d: %+v", i, a)
 		}
 	}
@@ -165,8 +168,8 @@
 	}
 	defer func() { _ = ln.Close() }()
 	s := newConnTable(2)
-	accept := func() (*client, *clientConn) {
-		c := dial(t, ln.Addr().String())
+	accept := func() (*nodetest.Client, *clientConn) {
+		c := nodetest.Dial(t, ln.Addr().String())
 		nc, err := ln.Accept()
 		if err != nil {
 			t.Fatal(err)
@@ -183,8 +186,8 @@
 	_, third := accept()
 	s.add(first)
 	s.add(second)
-	asks.send(readyRequest)
-	eventually(t, "request arrived", first.hasUnread)
+	asks.Send(readyRequest)
+	nodetest.Eventually(t, "request arrived", first.hasUnread)
 	if spare := s.add(third); spare != second {
 		t.Errorf("the one with a request gave way, or none: %v", spare)
 	}
--- a/internal/edgenode/upstream.go
+++ b/internal/edgenode/upstream.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"opalhook/balancer"
+	"opalhook/internal/edgenode/endpointlist"
 	"opalhook/internal/settings"
 )
 
@@ -58,7 +59,7 @@
 
 // update applies entries of the list, all there are if it is complete, and returns the idle connections that are of no
 // more use, for the caller to close. A server that drains, moved, restarted or left the list keeps none.
-func (u *upstream) update(entries []Instance, complete bool) (unused []*conn) {
+func (u *upstream) update(entries []endpointlist.Endpoint, complete bool) (unused []*conn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	listed := map[string]bool{}
@@ -80,7 +81,7 @@
 }
 
 // updateBackend applies one entry and returns the idle connections that are of no more use. Called under the mutex.
-func (u *upstream) updateBackend(e Instance) (unused []*conn) {
+func (u *upstream) updateBackend(e endpointlist.Endpoint) (unused []*conn) {
 	if e.State == balancer.Removed {
 		return u.remove(e.ID)
 	}
@@ -100,7 +101,7 @@
 }
 
 // describes tells whether an entry means the same server.
-func (b *backend) describes(e Instance) bool {
+func (b *backend) describes(e endpointlist.Endpoint) bool {
 	return b.addr == e.Addr && b.startedAt == e.StartedAt && b.zone == e.Zone && b.cell == e.Cell
 }
 
--- a/internal/edgenode/upstream_test.go
+++ b/internal/edgenode/upstream_test.go
@@ -16,10 +16,12 @@
 	"time"
 
 	"opalhook/balancer"
+	"opalhook/internal/edgenode/endpointlist"
+	"opalhook/internal/edgenode/nodetest"
 	"opalhook/internal/settings"
 )
 
-func testUpstream(servers ...Instance) *upstream {
+func testUpstream(servers ...endpointlist.Endpoint) *upstream {
 	u := newUpstream(settings.Transport{ConnIdle: time.Minute, ConnectTimeout: 5 * time.Second}, 100)
 	u.update(servers, true)
 	return u
@@ -29,7 +31,7 @@
 
 func exchange(t *testing.T, u *upstream, server string) (serverResponse, balancer.Result) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), nodetest.Patience)
 	defer cancel()
 	return u.exchange(ctx, server, &get, writeLimits{})
 }
@@ -44,7 +46,7 @@
 // wantClosed waits until the peer has closed its end.
 func wantClosed(t *testing.T, c net.Conn) {
 	t.Helper()
-	eventually(t, "connection closed by the node", func() bool {
+	nodetest.Eventually(t, "connection closed by the node", func() bool {
 		raw, err := c.(*net.TCPConn).SyscallConn()
 		if err != nil {
 			return true
@@ -65,11 +67,11 @@
 		want       balancer.Result
 		reused     bool
 	}{
-		{"served", okAnswer, balancer.OK, true},
+		{"served", nodetest.OKResponse, balancer.OK, true},
 		{"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n", balancer.OK, true},
-		{"interim answer first", "HTTP/1.1 103 Early Hints\r\n\r\n" + okAnswer, balancer.OK, true},
+		{"interim answer first", "HTTP/1.1 103 Early Hints\r\n\r\n" + nodetest.OKResponse, balancer.OK, true},
 		{"last on its connection", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\nbody", balancer.OK, false},
-		{"more than asked for", okAnswer + okAnswer, balancer.OK, false},
+		{"more than asked for", nodetest.OKResponse + nodetest.OKResponse, balancer.OK, false},
 		{"error", "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", balancer.ErrorResponse, true},
 		{"turned away, 503", "HTTP/1.1 503 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Overloaded, true},
 		{"turned away, 504", "HTTP/1.1 504 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Overloaded, true},
@@ -81,8 +83,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			s := newAppServer(t, say(c.text))
-			u := testUpstream(s.instance("a"))
+			s := nodetest.NewAppServer(t, nodetest.Say(c.text))
+			u := testUpstream(s.Endpoint("a"))
 			rep, res := exchange(t, u, "a")
 			wantResult(t, res, c.want)
 			if res == balancer.OK && string(rep.body) != "body" {
@@ -101,8 +103,8 @@
 		"": 0, "X-Settled: 3\r\n": 3, "X-Settled: 8\r\n": 8, "X-Settled: 9\r\n": 0,
 		"X-Settled: -1\r\n": 0, "X-Settled: many\r\n": 0, "X-Settled: 1e300\r\n": 0, "X-Settled: NaN\r\n": 0,
 	} {
-		s := newAppServer(t, say("HTTP/1.1 200 OK\r\n"+text+"Content-Length: 4\r\n\r\nbody"))
-		rep, res := exchange(t, testUpstream(s.instance("a")), "a")
+		s := nodetest.NewAppServer(t, nodetest.Say("HTTP/1.1 200 OK\r\n"+text+"Content-Length: 4\r\n\r\nbody"))
+		rep, res := exchange(t, testUpstream(s.Endpoint("a")), "a")
 		wantResult(t, res, balancer.OK)
 		if got := rep.settledUnits(8); got != want {
 			t.Errorf("%q: %v units, want %v", text, got, want)
@@ -117,11 +119,11 @@
 		"", "HTTP/1.1 200", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbo",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n",
 	} {
-		s := newAppServer(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
+		s := nodetest.NewAppServer(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
 			_, _ = io.WriteString(c, text)
 			return false
 		})
-		u := testUpstream(s.instance("a"))
+		u := testUpstream(s.Endpoint("a"))
 		_, res := exchange(t, u, "a")
 		wantResult(t, res, balancer.Reset)
 	}
@@ -145,16 +147,16 @@
 		name  string
 		serve func(net.Conn, *http.Request, []byte) bool
 	}{
-		{"noise", say("\x85\x14\xe8 no HTTP\r\n\r\n")},
-		{"another protocol", say("ICY 200 OK\r\nContent-Length: 4" + body)},
-		{"status no number", say("HTTP/1.1 2x0 OK\r\nContent-Length: 4" + body)},
-		{"line without colon", say("HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 4" + body)},
-		{"two lengths", say("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4" + body)},
-		{"negative length", say("HTTP/1.1 200 OK\r\nContent-Length: -1\r\nContent-Length: 4" + body)},
-		{"bad chunk", say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\nabcde\r\n0\r\n\r\n")},
-		{"no length", say("HTTP/1.1 200 OK" + body)},
-		{"length too large", say("HTTP/1.1 200 OK\r\nContent-Length: 5" + body)},
-		{"half a head", say("HTTP/1.1 200 OK\r\nContent-")},
+		{"noise", nodetest.Say("\x85\x14\xe8 no HTTP\r\n\r\n")},
+		{"another protocol", nodetest.Say("ICY 200 OK\r\nContent-Length: 4" + body)},
+		{"status no number", nodetest.Say("HTTP/1.1 2x0 OK\r\nContent-Length: 4" + body)},
+		{"line without colon", nodetest.Say("HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 4" + body)},
+		{"two lengths", nodetest.Say("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4" + body)},
+		{"negative length", nodetest.Say("HTTP/1.1 200 OK\r\nContent-Length: -1\r\nContent-Length: 4" + body)},
+		{"bad chunk", nodetest.Say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\nabcde\r\n0\r\n\r\n")},
+		{"no length", nodetest.Say("HTTP/1.1 200 OK" + body)},
+		{"length too large", nodetest.Say("HTTP/1.1 200 OK\r\nContent-Length: 5" + body)},
+		{"half a head", nodetest.Say("HTTP/1.1 200 OK\r\nContent-")},
 		{"endless head", endless("X-Pad: pppppppppppppppppppppppp\r\n")},
 		{"endless line", endless("pppppppppppppppppppppppp")},
 		{"endless 1xx answers", endless("\r\nHTTP/1.1 103 Early Hints\r\n")},
@@ -163,13 +165,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			s := newAppServer(t, func(conn net.Conn, r *http.Request, body []byte) bool {
+			s := nodetest.NewAppServer(t, func(conn net.Conn, r *http.Request, body []byte) bool {
 				if r.Header.Get("X-Trace-Id") == "fine" {
-					return say(okAnswer)(conn, r, body)
+					return nodetest.Say(nodetest.OKResponse)(conn, r, body)
 				}
 				return c.serve(conn, r, body)
 			})
-			u := testUpstream(s.instance("a"))
+			u := testUpstream(s.Endpoint("a"))
 			spare, err := u.acquire(context.Background(), "a", nil)
 			if err != nil {
 				t.Fatal(err)
@@ -180,7 +182,7 @@
 			if b := u.backends["a"]; len(b.idle) != 1 || u.open != 1 {
 				t.Errorf("%d connections idle, %d counted, want the other one", len(b.idle), u.open)
 			}
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			ctx, cancel := context.WithTimeout(context.Background(), nodetest.Patience)
 			defer cancel()
 			if _, res := u.exchange(ctx, "a", &message{method: "GET", target: "/check", id: "fine"}, writeLimits{}); res != balancer.OK {
 				t.Errorf("the next request: result %d", res)
@@ -192,11 +194,11 @@
 // Half an answer when the attempt's time ends is an error, not silence.
 func TestHalfAnAnswerIsNoSilence(t *testing.T) {
 	written := make(chan struct{}, 1)
-	s := newAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		defer func() { written <- struct{}{} }()
-		return say("HTTP/1.1 200 OK\r\n")(c, r, body)
+		return nodetest.Say("HTTP/1.1 200 OK\r\n")(c, r, body)
 	})
-	u := testUpstream(s.instance("a"))
+	u := testUpstream(s.Endpoint("a"))
 	spare, err := u.acquire(context.Background(), "a", nil)
 	if err != nil {
 		t.Fatal(err)
@@ -209,15 +211,15 @@
 	u.open++
 	u.release(other)
 	u.rest("a")
-	ctx, result := newEnding(), make(chan balancer.Result, 1)
+	ctx, result := nodetest.NewEndingContext(), make(chan balancer.Result, 1)
 	go func() {
 		_, res := u.exchange(ctx, "a", &get, writeLimits{})
 		result <- res
 	}()
-	await(t, "half an answer", written)
-	eventually(t, "it is read", func() bool { return drained(t, other.Conn) })
-	ctx.end(context.DeadlineExceeded)
-	wantResult(t, await(t, "a result", result), balancer.ErrorResponse)
+	nodetest.Await(t, "half an answer", written)
+	nodetest.Eventually(t, "it is read", func() bool { return nodetest.Drained(t, other.Conn) })
+	ctx.End(context.DeadlineExceeded)
+	wantResult(t, nodetest.Await(t, "a result", result), balancer.ErrorResponse)
 	if len(u.backends["a"].idle) != 1 {
 		t.Error("the other idle connection is gone")
 	}
@@ -237,18 +239,18 @@
 		"not much rested": {minKeepIdle / 2, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newAppServer(t, func(conn net.Conn, r *http.Request, body []byte) bool {
+			s := nodetest.NewAppServer(t, func(conn net.Conn, r *http.Request, body []byte) bool {
 				if r.Header.Get("X-Trace-Id") == "fine" {
-					return say(okAnswer)(conn, r, body)
+					return nodetest.Say(nodetest.OKResponse)(conn, r, body)
 				}
 				time.Sleep(c.answer) // the server at work
-				resetOnClose(conn)
+				nodetest.ResetOnClose(conn)
 				return false
 			})
-			u := testUpstream(s.instance("a"))
+			u := testUpstream(s.Endpoint("a"))
 			b := u.backends["a"]
 			fine := &message{method: "GET", target: "/check", id: "fine"}
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			ctx, cancel := context.WithTimeout(context.Background(), nodetest.Patience)
 			defer cancel()
 			rest := func(d time.Duration) {
 				u.exchange(ctx, "a", fine, writeLimits{})
@@ -276,20 +278,20 @@
 
 // A 1xx answer is no part of the one that counts, which may come as late as it likes.
 func TestInterimAnswerThenAPause(t *testing.T) {
-	s := newAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n")
 		time.Sleep(responseRestTimeout * 3 / 2) // the server at work
-		return say(okAnswer)(c, r, body)
+		return nodetest.Say(nodetest.OKResponse)(c, r, body)
 	})
-	u := testUpstream(s.instance("a"))
+	u := testUpstream(s.Endpoint("a"))
 	_, res := exchange(t, u, "a")
 	wantResult(t, res, balancer.OK)
 }
 
 // An attempt whose own time ends before it is written says nothing of its server.
 func TestOwnTimeEnds(t *testing.T) {
-	s := newAppServer(t, say(okAnswer))
-	u := testUpstream(s.instance("a"))
+	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	u := testUpstream(s.Endpoint("a"))
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(-time.Second))
 	defer cancel()
 	_, res := u.exchange(ctx, "a", &get, writeLimits{})
@@ -300,21 +302,21 @@
 // resends by itself would make a second copy.
 func TestNothingIsResent(t *testing.T) {
 	first := true
-	s := newAppServer(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
+	s := nodetest.NewAppServer(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
 		if first {
 			first = false
-			_, _ = io.WriteString(c, okAnswer)
+			_, _ = io.WriteString(c, nodetest.OKResponse)
 			return true
 		}
 		return false
 	})
-	u := testUpstream(s.instance("a"))
+	u := testUpstream(s.Endpoint("a"))
 	_, res := exchange(t, u, "a")
 	wantResult(t, res, balancer.OK)
 	u.rest("a")
 	_, res = exchange(t, u, "a")
 	wantResult(t, res, balancer.Reset)
-	if n := len(s.requests()); n != 2 {
+	if n := len(s.Requests()); n != 2 {
 		t.Errorf("%d copies arrived of 2 requests", n)
 	}
 }
@@ -322,11 +324,11 @@
 // The connection used last is used next, so that a quiet spell lets the others go.
 func TestPoolIsLIFO(t *testing.T) {
 	hold := make(chan struct{})
-	s := newAppServer(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
+	s := nodetest.NewAppServer(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
 		<-hold
-		return say(okAnswer)(c, nil, nil)
+		return nodetest.Say(nodetest.OKResponse)(c, nil, nil)
 	})
-	u := testUpstream(s.instance("a"))
+	u := testUpstream(s.Endpoint("a"))
 	done := make(chan balancer.Result, 2)
 	for range 2 {
 		go func() {
@@ -334,10 +336,10 @@
 			done <- res
 		}()
 	}
-	eventually(t, "two requests out", func() bool { return len(s.requests()) == 2 })
+	nodetest.Eventually(t, "two requests out", func() bool { return len(s.Requests()) == 2 })
 	close(hold)
-	wantResult(t, await(t, "a result", done), balancer.OK)
-	wantResult(t, await(t, "a result", done), balancer.OK)
+	wantResult(t, nodetest.Await(t, "a result", done), balancer.OK)
+	wantResult(t, nodetest.Await(t, "a result", done), balancer.OK)
 	idle := u.backends["a"].idle
 	if len(idle) != 2 {
 		t.Fatalf("%d idle connections for two requests at once", len(idle))
@@ -353,12 +355,12 @@
 // One that the server has closed meanwhile is noticed: a request written to it
 // would end as a reset, which a keyed request may not freely repeat.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
-	s := newAppServer(t, say(okAnswer))
-	u := testUpstream(s.instance("a"))
+	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	u := testUpstream(s.Endpoint("a"))
 	exchange(t, u, "a")
-	_ = (<-s.conns).Close()
+	_ = (<-s.Conns).Close()
 	c := u.backends["a"].idle[0]
-	eventually(t, "close arrived", func() bool { return !c.quiet() })
+	nodetest.Eventually(t, "close arrived", func() bool { return !c.quiet() })
 	u.rest("a")
 	_, res := exchange(t, u, "a")
 	wantResult(t, res, balancer.OK)
@@ -369,18 +371,18 @@
 
 // A connection near the age at which servers close is retired, in use and at rest.
 func TestIdleConnectionsRetire(t *testing.T) {
-	s := newAppServer(t, say(okAnswer))
-	u := testUpstream(s.instance("a"))
+	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	u := testUpstream(s.Endpoint("a"))
 	exchange(t, u, "a")
 	u.backends["a"].idle[0].idleSince = time.Now().Add(-u.maxIdle)
 	exchange(t, u, "a")
-	wantClosed(t, await(t, "a connection", s.conns))
+	wantClosed(t, nodetest.Await(t, "a connection", s.Conns))
 	u.backends["a"].idle[0].idleSince = time.Now().Add(-u.maxIdle)
 	u.maxIdle = 50 * time.Millisecond // sets the reaper's pace
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go u.reapIdle(ctx)
-	wantClosed(t, await(t, "a connection", s.conns))
+	wantClosed(t, nodetest.Await(t, "a connection", s.Conns))
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.open != 0 {
@@ -392,8 +394,8 @@
 // what it ends has never run.
 func TestDialIsBounded(t *testing.T) {
 	u := newUpstream(settings.Transport{ConnIdle: time.Minute, ConnectTimeout: 50 * time.Millisecond}, 100)
-	u.update([]Instance{{Endpoint: balancer.Endpoint{ID: "a"}, Addr: blocked(t)}}, true)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	u.update([]endpointlist.Endpoint{{Endpoint: balancer.Endpoint{ID: "a"}, Addr: blocked(t)}}, true)
+	ctx, cancel := context.WithTimeout(context.Background(), nodetest.Patience)
 	defer cancel()
 	_, res := u.exchange(ctx, "a", &get, writeLimits{})
 	wantResult(t, res, balancer.ConnectFailed)
@@ -408,17 +410,17 @@
 	for want, reason := range map[balancer.Result]error{
 		balancer.TimedOut: context.DeadlineExceeded, balancer.Cancelled: context.Canceled,
 	} {
-		s := newAppServer(t, func(net.Conn, *http.Request, []byte) bool { select {} })
-		u := testUpstream(s.instance("a"))
-		ctx, result := newEnding(), make(chan balancer.Result, 1)
+		s := nodetest.NewAppServer(t, func(net.Conn, *http.Request, []byte) bool { select {} })
+		u := testUpstream(s.Endpoint("a"))
+		ctx, result := nodetest.NewEndingContext(), make(chan balancer.Result, 1)
 		go func() {
 			_, res := u.exchange(ctx, "a", &get, writeLimits{})
 			result <- res
 		}()
-		eventually(t, "request out", func() bool { return len(s.requests()) == 1 })
-		ctx.end(reason)
-		wantResult(t, await(t, "a result", result), want)
-		wantClosed(t, await(t, "a connection", s.conns))
+		nodetest.Eventually(t, "request out", func() bool { return len(s.Requests()) == 1 })
+		ctx.End(reason)
+		wantResult(t, nodetest.Await(t, "a result", result), want)
+		wantClosed(t, nodetest.Await(t, "a connection", s.Conns))
 		if u.open != 0 {
 			t.Errorf("%d connections counted, none open", u.open)
 		}
@@ -428,29 +430,29 @@
 // After silence on one connection the others of that server are not used again: where
 // its machine is gone they are silent too, and each would cost a request its time.
 func TestSilenceDropsIdleConnections(t *testing.T) {
-	s := newAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if r.Header.Get("X-Trace-Id") == "silent" {
 			select {}
 		}
-		return say(okAnswer)(c, r, body)
+		return nodetest.Say(nodetest.OKResponse)(c, r, body)
 	})
-	u := testUpstream(s.instance("a"))
+	u := testUpstream(s.Endpoint("a"))
 	c, err := u.acquire(context.Background(), "a", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	exchange(t, u, "a")
 	u.release(c)
-	ctx, result := newEnding(), make(chan balancer.Result, 1)
+	ctx, result := nodetest.NewEndingContext(), make(chan balancer.Result, 1)
 	go func() {
 		_, res := u.exchange(ctx, "a", &message{method: "GET", target: "/check", id: "silent"}, writeLimits{})
 		result <- res
 	}()
-	eventually(t, "request out", func() bool { return len(s.requests()) == 2 })
-	ctx.end(context.DeadlineExceeded)
-	wantResult(t, await(t, "a result", result), balancer.TimedOut)
-	wantClosed(t, await(t, "a connection", s.conns))
-	wantClosed(t, await(t, "a second connection", s.conns))
+	nodetest.Eventually(t, "request out", func() bool { return len(s.Requests()) == 2 })
+	ctx.End(context.DeadlineExceeded)
+	wantResult(t, nodetest.Await(t, "a result", result), balancer.TimedOut)
+	wantClosed(t, nodetest.Await(t, "a connection", s.Conns))
+	wantClosed(t, nodetest.Await(t, "a second connection", s.Conns))
 	if u.open != 0 {
 		t.Errorf("%d connections counted, none open", u.open)
 	}
@@ -459,38 +461,47 @@
 // A server that moved, restarted, drains or is gone keeps no connection, neither an
 // idle one nor one that was busy when the list changed.
 func TestListDropsConnections(t *testing.T) {
-	for name, change := range map[string]func(Instance) ([]Instance, bool){
-		"moved": func(i Instance) ([]Instance, bool) {
+	for name, change := range map[string]func(endpointlist.Endpoint) ([]endpointlist.Endpoint, bool){
+		"moved": func(i endpointlist.Endpoint) ([]endpointlist.Endpoint, bool) {
 			i.Addr = netip.MustParseAddrPort("127.0.0.1:1")
-			return []Instance{i}, false
+			return []endpointlist.Endpoint{i}, false
 		},
-		"restarted": func(i Instance) ([]Instance, bool) { i.StartedAt = time.Hour; return []Instance{i}, false },
-		"draining":  func(i Instance) ([]Instance, bool) { i.State = balancer.Draining; return []Instance{i}, false },
-		"removed":   func(i Instance) ([]Instance, bool) { i.State = balancer.Removed; return []Instance{i}, false },
-		"vanished":  func(Instance) ([]Instance, bool) { return nil, true },
+		"restarted": func(i endpointlist.Endpoint) ([]endpointlist.Endpoint, bool) {
+			i.StartedAt = time.Hour
+			return []endpointlist.Endpoint{i}, false
+		},
+		"draining": func(i endpointlist.Endpoint) ([]endpointlist.Endpoint, bool) {
+			i.State = balancer.Draining
+			return []endpointlist.Endpoint{i}, false
+		},
+		"removed": func(i endpointlist.Endpoint) ([]endpointlist.Endpoint, bool) {
+			i.State = balancer.Removed
+			return []endpointlist.Endpoint{i}, false
+		},
+		"vanished": func(endpointlist.Endpoint) ([]endpointlist.Endpoint, bool) { return nil, true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			hold := make(chan struct{})
 			first := true
-			s := newAppServer(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
+			s := nodetest.NewAppServer(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
 				if !first {
 					<-hold
 				}
 				first = false
-				return say(okAnswer)(c, nil, nil)
+				return nodetest.Say(nodetest.OKResponse)(c, nil, nil)
 			})
-			u := testUpstream(s.instance("a"))
+			u := testUpstream(s.Endpoint("a"))
 			exchange(t, u, "a") // leaves one idle
 			done := make(chan balancer.Result)
 			go func() {
 				_, res := u.exchange(context.Background(), "a", &get, writeLimits{})
 				done <- res
 			}()
-			eventually(t, "second request out", func() bool { return len(s.requests()) == 2 })
-			closeAll(u.update(change(s.instance("a"))))
+			nodetest.Eventually(t, "second request out", func() bool { return len(s.Requests()) == 2 })
+			closeAll(u.update(change(s.Endpoint("a"))))
 			close(hold)
-			wantResult(t, await(t, "a result", done), balancer.OK)
-			wantClosed(t, await(t, "a connection", s.conns))
+			wantResult(t, nodetest.Await(t, "a result", done), balancer.OK)
+			wantClosed(t, nodetest.Await(t, "a connection", s.Conns))
 			if u.open != 0 {
 				t.Errorf("%d connections counted, none open", u.open)
 			}
@@ -500,28 +511,28 @@
 
 // Nothing new goes to a server that came to drain while the connection was made.
 func TestDrainDuringDial(t *testing.T) {
-	s := newAppServer(t, say(okAnswer))
-	u := testUpstream(s.instance("a"))
+	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	u := testUpstream(s.Endpoint("a"))
 	b := u.backends["a"]
-	drains := s.instance("a")
+	drains := s.Endpoint("a")
 	drains.State = balancer.Draining
-	u.update([]Instance{drains}, false)
+	u.update([]endpointlist.Endpoint{drains}, false)
 	u.open++
 	if _, err := u.dial(context.Background(), b); !errors.Is(err, errNotUp) {
 		t.Errorf("error %v, want %v", err, errNotUp)
 	}
 	_, res := exchange(t, u, "a")
 	wantResult(t, res, balancer.ConnectFailed)
-	if len(s.requests()) != 0 || u.open != 0 {
-		t.Errorf("requests %q, %d connections counted", s.requests(), u.open)
+	if len(s.Requests()) != 0 || u.open != 0 {
+		t.Errorf("requests %q, %d connections counted", s.Requests(), u.open)
 	}
 }
 
 // A request that has its final answer is not sent any more, also where its attempt has its connection
 // and nobody has told it.
 func TestNothingIsSentBehindTheFinalAnswer(t *testing.T) {
-	srv := newAppServer(t, say(okAnswer))
-	n, err := newNode(t.Context(), testConfig(srv.instance("a")), slog.New(slog.DiscardHandler))
+	srv := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	n, err := newNode(t.Context(), testConfig(srv.Endpoint("a")), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -551,7 +562,7 @@
 	if _, result := n.upstream.exchange(t.Context(), "a", &message{method: "GET", target: "/other"}, writeLimits{}); result != balancer.OK {
 		t.Errorf("another request: result %v", result)
 	}
-	if got := srv.requests(); len(got) != 1 || got[0] != "GET /other " {
+	if got := srv.Requests(); len(got) != 1 || got[0] != "GET /other " {
 		t.Errorf("sent %q", got)
 	}
 	n.close()
@@ -560,11 +571,11 @@
 // A request that was decided on and has its connection, but whose first byte has not gone out
 // when the news of the drain is applied, stays here: on a kept connection as on a new one.
 func TestDrainBeforeTheFirstByte(t *testing.T) {
-	srv := newAppServer(t, say(okAnswer))
+	srv := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 	for _, kept := range []bool{false, true} {
-		in := srv.instance("a")
-		u := newUpstream(settings.Transport{ConnIdle: time.Minute, ConnectTimeout: patience}, 10)
-		u.update([]Instance{in}, true)
+		in := srv.Endpoint("a")
+		u := newUpstream(settings.Transport{ConnIdle: time.Minute, ConnectTimeout: nodetest.Patience}, 10)
+		u.update([]endpointlist.Endpoint{in}, true)
 		if kept {
 			if _, result := u.exchange(t.Context(), "a", &message{method: "GET", target: "/first"}, writeLimits{}); result != balancer.OK {
 				t.Fatalf("first request: %v", result)
@@ -575,19 +586,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		before := len(srv.requests())
+		before := len(srv.Requests())
 		in.State = balancer.Draining
-		closeAll(u.update([]Instance{in}, false))
+		closeAll(u.update([]endpointlist.Endpoint{in}, false))
 		if err := u.writeRequest(t.Context(), c, &message{}, writeLimits{}, []byte("GET /late HTTP/1.1\r\nHost: a\r\n\r\n")); !errors.Is(err, errNotUp) {
 			t.Errorf("kept %v: written with error %v", kept, err)
 		}
-		setDeadline(t, c)
+		nodetest.SetDeadline(t, c)
 		_ = c.Conn.(*net.TCPConn).CloseWrite()
 		if n, err := io.Copy(io.Discard, c); n != 0 || err != nil { // the server closes what it has read to its end
 			t.Errorf("kept %v: %d bytes came back, error %v", kept, n, err)
 		}
 		u.discard(c)
-		if n := len(srv.requests()) - before; n != 0 {
+		if n := len(srv.Requests()) - before; n != 0 {
 			t.Errorf("kept %v: %d requests came in after the news", kept, n)
 		}
 		u.close()
@@ -597,13 +608,13 @@
 // At the limit on descriptors an idle connection gives way; with none idle the
 // attempt is moot, which is held against no server.
 func TestDescriptorsAreBudgeted(t *testing.T) {
-	a, b := newAppServer(t, say(okAnswer)), newAppServer(t, say(okAnswer))
-	u := testUpstream(a.instance("a"), b.instance("b"))
+	a, b := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse)), nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	u := testUpstream(a.Endpoint("a"), b.Endpoint("b"))
 	u.maxOpen = 1
 	exchange(t, u, "a")
 	_, res := exchange(t, u, "b")
 	wantResult(t, res, balancer.OK)
-	wantClosed(t, await(t, "a connection", a.conns))
+	wantClosed(t, nodetest.Await(t, "a connection", a.Conns))
 	busy, err := u.acquire(context.Background(), "b", nil)
 	if err != nil {
 		t.Fatal(err)
@@ -640,23 +651,23 @@
 	const warmUp, leastMet, whileSilent = 300, 100, 30 // requests
 	var gone atomic.Bool
 	var met atomic.Int32 // requests of clients that the preferred server has read
-	preferred := newAppServer(t, func(c net.Conn, r *http.Request, _ []byte) bool {
+	preferred := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, _ []byte) bool {
 		if r.RequestURI != loadPath {
 			met.Add(1)
 		}
 		return gone.Load() || answerWithQueue(c, r, 0)
 	})
 	// A queue this long outweighs any difference in latency, whatever the machine is busy with.
-	other := newAppServer(t, func(c net.Conn, r *http.Request, _ []byte) bool { return answerWithQueue(c, r, 10000) })
-	cfg := testConfig(preferred.instance("preferred"), other.instance("other"))
+	other := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, _ []byte) bool { return answerWithQueue(c, r, 10000) })
+	cfg := testConfig(preferred.Endpoint("preferred"), other.Endpoint("other"))
 	cfg.Settings.HealthChecks, cfg.Settings.LoadReports = true, balancer.LoadReportsInHealthChecks
 	r := run(t, cfg)
-	c, n := dial(t, r.addr), 0
+	c, n := nodetest.Dial(t, r.addr), 0
 	ask := func() (byPreferred bool) {
 		n++
 		before := met.Load()
-		if a := c.ask(request("check", fmt.Sprint("q", n))); a.status != http.StatusOK {
-			t.Fatalf("request %d: %d", n, a.status)
+		if a := c.Ask(request("check", fmt.Sprint("q", n))); a.Status != http.StatusOK {
+			t.Fatalf("request %d: %d", n, a.Status)
 		}
 		return met.Load() > before
 	}
@@ -666,7 +677,7 @@
 	}
 	before, logged := met.Load(), len(r.logs.String())
 	gone.Store(true)
-	eventually(t, "a probe finds the silent server", func() bool {
+	nodetest.Eventually(t, "a probe finds the silent server", func() bool {
 		return strings.Contains(r.logs.String()[logged:], `msg="endpoint unreachable until a health check succeeds" node=n0 endpoint=preferred`)
 	})
 	for range whileSilent {
@@ -676,7 +687,7 @@
 		t.Errorf("%d requests went to a silent server", got)
 	}
 	gone.Store(false)
-	for end := time.Now().Add(patience); met.Load() == before; ask() {
+	for end := time.Now().Add(nodetest.Patience); met.Load() == before; ask() {
 		if time.Now().After(end) {
 			t.Fatal("the server answers again and gets no request")
 		}
@@ -697,32 +708,32 @@
 // restarted: it must not count as cold, which would keep most requests from it.
 func TestRefusedConnectionAtALiveServer(t *testing.T) {
 	held, release := make(chan struct{}), make(chan struct{})
-	s := newAppServer(t, func(c net.Conn, r *http.Request, _ []byte) bool {
+	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, _ []byte) bool {
 		if r.Header.Get("X-Trace-Id") == "held" {
 			close(held)
 			<-release
 		}
-		_, err := io.WriteString(c, okAnswer)
+		_, err := io.WriteString(c, nodetest.OKResponse)
 		return err == nil
 	})
-	cfg := testConfig(s.instance("a"))
+	cfg := testConfig(s.Endpoint("a"))
 	cfg.Settings.SlowStartDuration, cfg.Settings.SlowStartInitialFraction = time.Hour, 0.01
 	cfg.Settings.OverloadFactor, cfg.Settings.OverloadWindow = 2, time.Second
 	r := run(t, cfg)
-	c, other := dial(t, r.addr), dial(t, r.addr)
-	c.send(request("check", "held")) // on the server's one connection
-	await(t, "the held request is out", held)
-	_ = s.ln.Close()
-	if a := other.ask(request("check", "refused")); a.status != http.StatusTooManyRequests {
-		t.Fatalf("with no connection to be had: %d", a.status)
+	c, other := nodetest.Dial(t, r.addr), nodetest.Dial(t, r.addr)
+	c.Send(request("check", "held")) // on the server's one connection
+	nodetest.Await(t, "the held request is out", held)
+	_ = s.Listener.Close()
+	if a := other.Ask(request("check", "refused")); a.Status != http.StatusTooManyRequests {
+		t.Fatalf("with no connection to be had: %d", a.Status)
 	}
 	close(release)
-	if a := c.read(); a.status != http.StatusOK {
-		t.Fatalf("the request held: %d", a.status)
+	if a := c.Receive(); a.Status != http.StatusOK {
+		t.Fatalf("the request held: %d", a.Status)
 	}
 	for i := range 20 {
-		if a := c.ask(request("check", fmt.Sprint("next", i))); a.status != http.StatusOK {
-			t.Fatalf("request %d after the old connection's answer: %d", i, a.status)
+		if a := c.Ask(request("check", fmt.Sprint("next", i))); a.Status != http.StatusOK {
+			t.Fatalf("request %d after the old connection's answer: %d", i, a.Status)
 		}
 	}
 }
