--- a/internal/edgenode/discovery_client.go
+++ b/internal/edgenode/follower/client.go
@@ -1,4 +1,4 @@
-package edgenode
+package follower
 
 import (
 	"context"
@@ -24,14 +24,15 @@
 	maxRetryAfter  = 1e6      // seconds; a larger Retry-After is ignored
 )
 
-// discoveryClient keeps a node's list of endpoints current: it is the host of a [Follower], with its clock and
-// its calls. One goroutine, run, owns the follower; each call has a goroutine that reads it.
-type discoveryClient struct {
+// Client keeps a node's list of endpoints current: it is the host of a [Follower], with its clock and
+// its calls. One goroutine, Run, owns the follower; each call has a goroutine that reads it.
+type Client struct {
 	addr     netip.AddrPort
-	follower Follower
+	follower *Follower
 	apply    func(endpointlist.List)
 	log      *slog.Logger
-	dial     func(ctx context.Context, network, addr string) (net.Conn, error)
+	// DialContext makes the connections of calls; it is not to be changed once Run is called.
+	DialContext func(ctx context.Context, network, addr string) (net.Conn, error)
 
 	moves     chan netip.AddrPort // where to follow the list from now on
 	events    chan callEvent
@@ -63,13 +64,15 @@
 	eventMalformed                      // the call has ended: what comes is no message
 )
 
-func newDiscoveryClient(addr netip.AddrPort, f Follower, apply func(endpointlist.List), log *slog.Logger) *discoveryClient {
-	return &discoveryClient{
+// NewClient returns a client of the discovery at an address. It calls apply with each message that is to be applied,
+// from the goroutine that calls Run.
+func NewClient(addr netip.AddrPort, f *Follower, apply func(endpointlist.List), log *slog.Logger) *Client {
+	return &Client{
 		addr:          addr,
 		follower:      f,
 		apply:         apply,
 		log:           log,
-		dial:          (&net.Dialer{Timeout: maxCallDuration}).DialContext,
+		DialContext:   (&net.Dialer{Timeout: MaxCallDuration}).DialContext,
 		moves:         make(chan netip.AddrPort),
 		events:        make(chan callEvent),
 		responded:     make(chan struct{}),
@@ -78,22 +81,25 @@
 	}
 }
 
-// move follows the list at another address from now on, or reads it again at the same one. It returns once run has
+// Responded is closed once discovery has reported a list, or that nothing has changed.
+func (d *Client) Responded() <-chan struct{} { return d.responded }
+
+// Move follows the list at another address from now on, or reads it again at the same one. It returns once Run has
 // taken that over, or ctx has ended.
-func (d *discoveryClient) move(ctx context.Context, to netip.AddrPort) {
+func (d *Client) Move(ctx context.Context, to netip.AddrPort) {
 	select {
 	case d.moves <- to:
 	case <-ctx.Done():
 	}
 }
 
-// run follows the list until ctx ends. Nothing is applied after it has returned.
-func (d *discoveryClient) run(ctx context.Context) {
+// Run follows the list until ctx ends. Nothing is applied after it has returned.
+func (d *Client) Run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	var reading sync.WaitGroup
 	defer reading.Wait()
 	defer cancel()
-	client := &http.Client{Transport: &http.Transport{DialContext: d.dial, DisableKeepAlives: true}}
+	client := &http.Client{Transport: &http.Transport{DialContext: d.DialContext, DisableKeepAlives: true}}
 	began := time.Now()
 	now := func() time.Duration { return time.Since(began) }
 	d.follower.Start(0)
@@ -130,7 +136,7 @@
 }
 
 // logTransition logs one line for an outage, however often calls fail in it, and one for its end.
-func (d *discoveryClient) logTransition(before reachability, cause error) {
+func (d *Client) logTransition(before reachability, cause error) {
 	now := d.follower.reachability
 	if now == before {
 		return
@@ -155,7 +161,7 @@
 
 // moveTo changes the address. The watches at the previous one stay open until the new one answers: it may be late,
 // and they still bring changes.
-func (d *discoveryClient) moveTo(now time.Duration, to netip.AddrPort) {
+func (d *Client) moveTo(now time.Duration, to netip.AddrPort) {
 	if to == d.addr {
 		d.follower.Refresh()
 		return
@@ -169,12 +175,12 @@
 }
 
 // handleEvent applies what a call has brought.
-func (d *discoveryClient) handleEvent(now time.Duration, e callEvent) {
+func (d *Client) handleEvent(now time.Duration, e callEvent) {
 	if _, previous := d.previousCalls[e.id]; previous {
 		d.handlePreviousEvent(e)
 		return
 	}
-	f := &d.follower
+	f := d.follower
 	switch e.kind {
 	case eventHead:
 		f.Received(now, e.id, false)
@@ -203,7 +209,7 @@
 }
 
 // handlePreviousEvent applies what a call to the previous address has brought.
-func (d *discoveryClient) handlePreviousEvent(e callEvent) {
+func (d *Client) handlePreviousEvent(e callEvent) {
 	switch e.kind {
 	case eventMessage:
 		d.apply(e.list)
@@ -212,7 +218,7 @@
 	}
 }
 
-func (d *discoveryClient) handleMessage(now time.Duration, e callEvent) {
+func (d *Client) handleMessage(now time.Duration, e callEvent) {
 	malformed := len(e.entryErrors) > 0
 	if !d.follower.Message(now, e.id, Update{Version: e.list.Generation, Snapshot: e.list.Snapshot, Malformed: malformed}) {
 		return
@@ -224,7 +230,7 @@
 }
 
 // markResponded notes that discovery, at the address in force, has reported what it has.
-func (d *discoveryClient) markResponded() {
+func (d *Client) markResponded() {
 	select {
 	case <-d.responded:
 	default:
@@ -236,7 +242,7 @@
 }
 
 // runCall makes one call and reports what it brings, until it ends or ctx does.
-func (d *discoveryClient) runCall(ctx context.Context, client *http.Client, addr netip.AddrPort, c Command) {
+func (d *Client) runCall(ctx context.Context, client *http.Client, addr netip.AddrPort, c Command) {
 	report := func(e callEvent) {
 		e.id = c.ID
 		select {
--- a/internal/edgenode/follower.go
+++ b/internal/edgenode/follower/follower.go
@@ -1,4 +1,6 @@
-package edgenode
+// Package follower keeps an edge node's list of endpoints current. [Follower] decides which calls of discovery are open:
+// a pure state machine, events in, commands out. [Client] is its host, with clock and sockets.
+package follower
 
 import (
 	"math/rand/v2"
@@ -7,7 +9,7 @@
 
 // Follower is the state machine that keeps an edge node on the endpoint list: what its calls of discovery bring
 // goes in, the calls to be made come out. It has no clock, no socket and no source of chance but what it is given;
-// [discoveryClient] is its host in an edge node. Times count from any origin.
+// [Client] is its host in an edge node. Times count from any origin.
 //
 // There are two kinds of calls. A watch stays open and brings changes. A fetch brings the whole list, at once or
 // not at all. There are two kinds of discovery as well, by the settings:
@@ -25,10 +27,7 @@
 //
 // An agent that rejects calls has a queue after all: then it is called as a service is.
 type Follower struct {
-	pushed       bool
-	fleetSize    int           // edge nodes
-	pollInterval time.Duration // lists polled: how often a node without a watch has to call
-	rng          *rand.Rand
+	config Config
 
 	version      uint64 // of the list that is held
 	freshness    freshness
@@ -44,6 +43,15 @@
 	lastID           uint64        // of the calls so far
 }
 
+// Config is what a follower is told.
+type Config struct {
+	Pushed       bool          // lists are pushed by an agent on the node's machine, not polled from a service
+	FleetSize    int           // edge nodes
+	PollInterval time.Duration // lists polled: how often a node without a watch has to call; 0: not told
+	Version      uint64        // of the list that the node holds at the start; 0: none
+	Rand         *rand.Rand    // of the times drawn; used by the follower alone
+}
+
 // freshness is what the node knows of its list.
 type freshness int
 
@@ -98,11 +106,8 @@
 	Malformed bool // some of its entries could not be read
 }
 
-// NewFollower returns the follower of an edge node that polls a list service shared by the whole fleet. It holds
-// the list of a version, 0 for none; pollInterval is how often it has to call without a watch, by the settings.
-func NewFollower(fleetSize int, pollInterval time.Duration, version uint64, rng *rand.Rand) *Follower {
-	return &Follower{fleetSize: fleetSize, pollInterval: pollInterval, version: version, rng: rng}
-}
+// New returns a follower, which is to be started.
+func New(c Config) *Follower { return &Follower{config: c, version: c.Version} }
 
 // Start begins with a list that may be old.
 func (f *Follower) Start(now time.Duration) {
@@ -116,7 +121,7 @@
 // AddressChanged reports that another agent or service is followed from now on, which counts its versions in its
 // own way. The host closes the calls to the previous one.
 func (f *Follower) AddressChanged(now time.Duration) {
-	*f = Follower{pushed: f.pushed, fleetSize: f.fleetSize, pollInterval: f.pollInterval, rng: f.rng, lastID: f.lastID}
+	*f = Follower{config: f.config, lastID: f.lastID}
 	f.Start(now)
 	f.suspect(snapshotNeeded)
 }
@@ -129,7 +134,9 @@
 }
 
 // rateLimited tells whether calls cost other nodes theirs.
-func (f *Follower) rateLimited() bool { return !f.pushed || f.reachability == discoveryThrottled }
+func (f *Follower) rateLimited() bool {
+	return !f.config.Pushed || f.reachability == discoveryThrottled
+}
 
 // suspect notes that the list may be outdated.
 func (f *Follower) suspect(by freshness) { f.freshness = max(f.freshness, by) }
--- a/internal/edgenode/follow_test.go
+++ b/internal/edgenode/follower/follower_test.go
@@ -1,4 +1,4 @@
-package edgenode
+package follower
 
 import (
 	"cmp"
@@ -50,7 +50,7 @@
 // simNode is an edge node: the registry without its sockets.
 type simNode struct {
 	sim  *sim
-	reg  *discoveryClient
+	reg  *Client
 	wake int           // number of the latest wake-up asked for
 	told time.Duration // when it learnt that a drains; 0: it has not
 }
@@ -73,10 +73,10 @@
 	s := &sim{version: 1, wording: func(message string, _ bool) []chunk { return []chunk{{0, message + "\n"}} }}
 	for i := range nodes {
 		n := &simNode{sim: s}
-		n.reg = newDiscoveryClient(netip.MustParseAddrPort("127.0.0.1:1"), Follower{
-			pushed: pushed, fleetSize: fleet, pollInterval: defaultPollInterval,
-			rng: rand.New(rand.NewPCG(uint64(i), 1)), version: 1,
-		}, n.apply, slog.New(slog.DiscardHandler))
+		n.reg = NewClient(netip.MustParseAddrPort("127.0.0.1:1"), New(Config{
+			Pushed: pushed, FleetSize: fleet, PollInterval: defaultPollInterval,
+			Rand: rand.New(rand.NewPCG(uint64(i), 1)), Version: 1,
+		}), n.apply, slog.New(slog.DiscardHandler))
 		s.nodes = append(s.nodes, n)
 		s.after(hop+time.Duration(i)*time.Millisecond/10, func() { n.reg.follower.Start(s.now); n.step() })
 	}
@@ -422,7 +422,7 @@
 			s.drain()
 			back := s.now
 			s.run(time.Minute)
-			if late := s.latest(back); late < 0 || late > 2*defaultPollInterval+maxCallDuration {
+			if late := s.latest(back); late < 0 || late > 2*defaultPollInterval+MaxCallDuration {
 				t.Errorf("%d nodes, pushed %v: the last one has it %v after there is room", fleet, pushed, late)
 			}
 		}
@@ -474,7 +474,7 @@
 
 // A fetch may be overtaken: what a watch has told since must not be taken back.
 func TestOvertakenFetchIsNotTaken(t *testing.T) {
-	f := Follower{pushed: true, fleetSize: 1, rng: rand.New(rand.NewPCG(1, 1)), version: 4}
+	f := New(Config{Pushed: true, FleetSize: 1, Rand: rand.New(rand.NewPCG(1, 1)), Version: 4})
 	f.Start(0)
 	f.Advance(0)
 	fetch := f.fetch.id
--- a/internal/edgenode/told_test.go
+++ b/internal/edgenode/follower/outage_test.go
@@ -1,4 +1,4 @@
-package edgenode
+package follower
 
 import (
 	"errors"
--- a/internal/edgenode/follower_schedule.go
+++ b/internal/edgenode/follower/schedule.go
@@ -1,4 +1,4 @@
-package edgenode
+package follower
 
 import "time"
 
@@ -8,13 +8,15 @@
 	reportedAfter     = 6 * time.Second // what a watch misses counts as reported this long after it fell silent
 )
 
+// MaxCallDuration is the time after which a call without an answer, or a suspect watch, is given up.
+const MaxCallDuration = 3 * time.Second
+
 // Timing of the calls.
 const (
 	pushedSilenceLimit   = emptyLineInterval + 300*time.Millisecond // silence after which a watch of an agent is suspect
 	polledSilenceLimit   = emptyLineInterval + time.Second          // silence after which a watch of the service is broken
 	pushedMessageTimeout = 200 * time.Millisecond                   // in which an agent writes a message, or answers a call
 	polledMessageTimeout = 3 * time.Second                          // in which the service does
-	maxCallDuration      = 3 * time.Second                          // after which an unanswered call or a suspect watch is given up
 	maxFetchInterval     = 150 * time.Millisecond                   // from one fetch to the next; half of it at least
 	responseReserve      = time.Second                              // of reportedAfter that is left for a call's answer
 	fleetCallInterval    = 100 * time.Millisecond                   // from one edge node's call to the next one's, over the fleet
@@ -41,7 +43,7 @@
 
 // Advance returns the commands that are due and the time by which it has to be called again.
 func (f *Follower) Advance(now time.Duration) (commands []Command, next time.Duration) {
-	s := &schedule{now: now, next: now + maxCallDuration}
+	s := &schedule{now: now, next: now + MaxCallDuration}
 	f.rereadIfDue(s)
 	f.closeWatchIfDue(s)
 	f.closeFetchIfDue(s)
@@ -96,7 +98,7 @@
 			f.markDown()
 		}
 	}
-	if s.due(w.lastActivity+maxCallDuration) || w.partial && s.due(w.messageStarted+maxCallDuration) {
+	if s.due(w.lastActivity+MaxCallDuration) || w.partial && s.due(w.messageStarted+MaxCallDuration) {
 		f.abandonWatch(s)
 	}
 }
@@ -110,7 +112,7 @@
 
 func (f *Follower) closeFetchIfDue(s *schedule) {
 	c := &f.fetch
-	if c.id != 0 && (s.due(c.lastActivity+pushedMessageTimeout) || s.due(c.opened+maxCallDuration) || f.rateLimited()) {
+	if c.id != 0 && (s.due(c.lastActivity+pushedMessageTimeout) || s.due(c.opened+MaxCallDuration) || f.rateLimited()) {
 		f.close(s, c)
 	}
 }
@@ -208,15 +210,15 @@
 
 // maxBackoff is the longest backoff: the one after it is over within four poll intervals of a failed call.
 func (f *Follower) maxBackoff() time.Duration {
-	if f.pollInterval <= 0 {
+	if f.config.PollInterval <= 0 {
 		return 2 * defaultPollInterval
 	}
-	return 2 * f.pollInterval
+	return 2 * f.config.PollInterval
 }
 
 // firstBackoffWindow is the first window where calls are rate-limited.
 func (f *Follower) firstBackoffWindow() time.Duration {
-	return time.Duration(f.fleetSize) * fleetCallInterval
+	return time.Duration(f.config.FleetSize) * fleetCallInterval
 }
 
 // fetchInterval draws the time from one call of an agent to the next.
@@ -229,5 +231,5 @@
 	if limit <= 0 {
 		return 0
 	}
-	return time.Duration(f.rng.Int64N(int64(limit)))
+	return time.Duration(f.config.Rand.Int64N(int64(limit)))
 }
--- a/internal/edgenode/list_bench_test.go
+++ b/internal/edgenode/list_bench_test.go
@@ -9,6 +9,7 @@
 	"testing"
 
 	"opalhook/balancer"
+	"opalhook/internal/discovery"
 	"opalhook/internal/edgenode/endpointlist"
 	"opalhook/internal/edgenode/nodetest"
 )
@@ -40,15 +41,20 @@
 					b.Fatal(err)
 				}
 				n.startBalancer()
+				receive := func(text []byte) {
+					l, _, err := endpointlist.Parse(text)
+					if err != nil {
+						b.Fatal(err)
+					}
+					n.receiveList(l)
+				}
 				b.ReportAllocs()
 				b.SetBytes(int64(len(c.text)))
 				for b.Loop() {
-					var in messageReader
+					var split discovery.Splitter
 					for rest := c.text; len(rest) > 0; rest = rest[min(c.piece, len(rest)):] {
-						for _, e := range in.read(rest[:min(c.piece, len(rest))], nil) {
-							if e.kind == eventMessage {
-								n.receiveList(e.list)
-							}
+						if err := split.Feed(rest[:min(c.piece, len(rest))], receive, func() {}); err != nil {
+							b.Fatal(err)
 						}
 					}
 					if len(n.upstream.backends) != size {
--- a/internal/edgenode/ready_test.go
+++ b/internal/edgenode/ready_test.go
@@ -18,6 +18,7 @@
 	"time"
 
 	"opalhook/internal/edgenode/endpointlist"
+	"opalhook/internal/edgenode/follower"
 	"opalhook/internal/edgenode/nodetest"
 )
 
@@ -56,7 +57,7 @@
 			return nil, errors.New("refused")
 		},
 		"gives no sign": func(context.Context, string, string) (net.Conn, error) {
-			time.Sleep(maxCallDuration)
+			time.Sleep(follower.MaxCallDuration)
 			return nil, errors.New("no answer")
 		},
 		"closes":           discoveryAnswering(0, ""),
@@ -92,13 +93,13 @@
 // timeToList is how long a new process waits before it opens its listener.
 func timeToList(t *testing.T, cfg *Config, seed uint64, dial func(ctx context.Context, network, addr string) (net.Conn, error), reloads bool) time.Duration {
 	ctx, stop := context.WithTimeout(t.Context(), 6*readyWithin) // a node that is not ready by then never is
-	client := newDiscoveryClient(cfg.Discovery, Follower{
-		pushed: !cfg.Settings.PollEndpoints, fleetSize: cfg.Settings.NodeCount,
-		rng: rand.New(rand.NewPCG(seed, 1)),
-	}, func(endpointlist.List) {}, slog.New(slog.DiscardHandler))
-	client.dial = dial
+	client := follower.NewClient(cfg.Discovery, follower.New(follower.Config{
+		Pushed: !cfg.Settings.PollEndpoints, FleetSize: cfg.Settings.NodeCount,
+		Rand: rand.New(rand.NewPCG(seed, 1)),
+	}), func(endpointlist.List) {}, slog.New(slog.DiscardHandler))
+	client.DialContext = dial
 	done := make(chan struct{})
-	go func() { client.run(ctx); close(done) }()
+	go func() { client.Run(ctx); close(done) }()
 	defer func() { stop(); <-done }()
 	reload := make(chan os.Signal, 1)
 	if reloads {
--- a/internal/edgenode/run.go
+++ b/internal/edgenode/run.go
@@ -10,6 +10,8 @@
 	"os"
 	"sync"
 	"time"
+
+	"opalhook/internal/edgenode/follower"
 )
 
 // Run runs an edge node until ctx ends, then drains it. At each signal on reload it reads its configuration
@@ -25,7 +27,7 @@
 	cfg       *Config
 	log       *slog.Logger
 	node      *Node
-	discovery *discoveryClient
+	discovery *follower.Client
 	following netip.AddrPort // the address of discovery in force
 	reload    <-chan os.Signal
 
@@ -70,20 +72,20 @@
 	if p.node.peers != nil {
 		p.background.Go(func() { p.node.peers.receive(p.node.receivePeerMessage) })
 	}
-	p.discovery = newDiscoveryClient(p.cfg.Discovery, p.newFollower(), p.node.receiveList, p.log)
-	p.background.Go(func() { p.discovery.run(life) })
+	p.discovery = follower.NewClient(p.cfg.Discovery, p.newFollower(), p.node.receiveList, p.log)
+	p.background.Go(func() { p.discovery.Run(life) })
 	p.background.Go(func() { p.node.upstream.reapIdle(life) })
 }
 
 // newFollower returns the follower of the configured discovery, from the cached list on.
-func (p *process) newFollower() Follower {
-	return Follower{
-		pushed:       !p.cfg.Settings.PollEndpoints,
-		fleetSize:    p.cfg.Settings.NodeCount,
-		pollInterval: p.cfg.Settings.PollInterval,
-		rng:          rand.New(rand.NewPCG(p.cfg.Seed, p.cfg.CachedList.Generation)),
-		version:      p.cfg.CachedList.Generation,
-	}
+func (p *process) newFollower() *follower.Follower {
+	return follower.New(follower.Config{
+		Pushed:       !p.cfg.Settings.PollEndpoints,
+		FleetSize:    p.cfg.Settings.NodeCount,
+		PollInterval: p.cfg.Settings.PollInterval,
+		Version:      p.cfg.CachedList.Generation,
+		Rand:         rand.New(rand.NewPCG(p.cfg.Seed, p.cfg.CachedList.Generation)),
+	})
 }
 
 // waitForList waits until discovery has reported what it has, for the configured time at most: the cached list
@@ -95,7 +97,7 @@
 	defer timeout.Stop()
 	for {
 		select {
-		case <-p.discovery.responded:
+		case <-p.discovery.Responded():
 			return true
 		case <-timeout.C:
 			p.log.Warn("no list from discovery yet, serving from the cached list",
@@ -159,6 +161,6 @@
 		return
 	}
 	p.log.Info("reloaded", "discovery", cfg.Discovery, "previous", p.following)
-	p.discovery.move(life, cfg.Discovery)
+	p.discovery.Move(life, cfg.Discovery)
 	p.following = cfg.Discovery
 }
--- a/internal/scale/restart.go
+++ b/internal/scale/restart.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"opalhook/internal/discovery"
-	"opalhook/internal/edgenode"
+	"opalhook/internal/edgenode/follower"
 )
 
 // Figures of a restart.
@@ -82,7 +82,7 @@
 
 // hollowNode is an edge node that only follows the list.
 type hollowNode struct {
-	follower *edgenode.Follower
+	follower *follower.Follower
 	call     uint64        // the watch that is out; 0: none
 	began    time.Duration // when its message did
 	wakes    uint64        // wakes asked for so far; an event of an earlier one is void
@@ -157,7 +157,7 @@
 	r := &restart{message: message, opens: joinPace{room: serviceJoins}, rng: rand.New(rand.NewPCG(seed, 0))}
 	for n := range nodes {
 		rng := rand.New(rand.NewPCG(seed, uint64(n)+1))
-		r.nodes = append(r.nodes, &hollowNode{follower: edgenode.NewFollower(fleet, restartWithin, 0, rng)})
+		r.nodes = append(r.nodes, &hollowNode{follower: follower.New(follower.Config{FleetSize: fleet, PollInterval: restartWithin, Rand: rng})})
 	}
 	return r
 }
@@ -200,7 +200,7 @@
 		r.queue.add(restartEvent{at: r.now + partEvery, node: e.node, kind: partComes, id: e.id})
 	case e.kind == messageComes:
 		r.end(h)
-		if h.follower.Message(r.now, e.id, edgenode.Update{Version: restartVersion, Snapshot: true}) {
+		if h.follower.Message(r.now, e.id, follower.Update{Version: restartVersion, Snapshot: true}) {
 			h.listed, h.listAt = true, r.now
 			return true
 		}
@@ -230,7 +230,7 @@
 }
 
 // answer is what the service does with a call.
-func (r *restart) answer(n int, o edgenode.Command) {
+func (r *restart) answer(n int, o follower.Command) {
 	h := r.nodes[n]
 	h.calls++
 	if !r.opens.allow(r.now) {
--- a/internal/testbed/mutant.go
+++ b/internal/testbed/mutant.go
@@ -21,14 +21,14 @@
 
 // mutants by name.
 var mutants = map[string]mutant{
-	"drain-after-reset": {"drains are ignored once a call of discovery has ended by itself", "internal/edgenode/discovery_client.go", [][2]string{
-		{"	apply    func(List)\n", "	apply    func(List)\n	broke    bool\n"},
+	"drain-after-reset": {"drains are ignored once a call of discovery has ended by itself", "internal/edgenode/follower/client.go", [][2]string{
+		{"	apply    func(endpointlist.List)\n", "	apply    func(endpointlist.List)\n	broke    bool\n"},
 		{"	case eventEnd:\n		f.Ended(", "	case eventEnd:\n		d.broke = d.broke || e.id == f.watch.id\n		f.Ended("},
 		{"	case eventRejected:\n		f.Rejected(", "	case eventRejected:\n		d.broke = d.broke || e.id == f.watch.id\n		f.Rejected("},
-		{"	if malformed { // one line", "	for i := range e.list.Servers {\n		if d.broke && e.list.Servers[i].State == 1 {\n" +
-			"			e.list.Servers[i].State = 0\n		}\n	}\n	if malformed { // one line"},
+		{"	if malformed { // one line", "	for i := range e.list.Endpoints {\n		if d.broke && e.list.Endpoints[i].State == 1 {\n" +
+			"			e.list.Endpoints[i].State = 0\n		}\n	}\n	if malformed { // one line"},
 	}},
-	"late-watch": {"a watch that broke is opened anew a minute later, and nothing else is asked", "internal/edgenode/follower_schedule.go", [][2]string{
+	"late-watch": {"a watch that broke is opened anew a minute later, and nothing else is asked", "internal/edgenode/follower/schedule.go", [][2]string{
 		{"	f.markDown()\n	f.suspect(listSuspect)\n	if !f.rateLimited() {\n", "	f.markDown()\n	f.watchAt = now + time.Minute\n	return\n	if !f.rateLimited() {\n"},
 		{"	f.suspect(listSuspect)\n	f.watchAt = now + max(", "	f.watchAt = now + time.Minute\n	return\n	f.watchAt = now + max("},
 		{"	if f.freshness != listCurrent && f.fetch.id == 0 && ", "	if f.freshness != listCurrent && f.version == 0 && f.fetch.id == 0 && "},
