--- a/internal/registry/fsm_test.go
+++ b/internal/registry/fsm_test.go
@@ -12,8 +12,8 @@
 	"github.com/hashicorp/raft"
 )
 
-// What one leadership found to have run out is not expired in another one's time: that may have
-// taken a renewal.
+// A lease that one leadership found to have expired is not expired in another one's term: that leader may have accepted
+// a renewal.
 func TestExpiryOfEarlierTermRejected(t *testing.T) {
 	m := newFSM(func(Command, Outcome) {})
 	apply := func(term uint64, c Command) Code {
@@ -33,55 +33,66 @@
 	}
 }
 
-// What the plan loses at once is neither forgotten as a change nor as a tombstone.
+// The entries that the plan loses at once are forgotten neither as changes nor as tombstones.
 func TestLostZoneStaysInHistory(t *testing.T) {
 	m := newFSM(func(Command, Outcome) {})
 	fillList(t, m.state, planZoneEntries+1)
 	m.publishRestored()
-	from := m.generation()
-	index := uint64(0)
+	before := m.generation()
 	for n := range planZoneEntries {
-		index++
 		text, err := json.Marshal(Command{Kind: Remove, ID: numberedEntry(n).InstanceID, Incarnation: 1})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if o := m.Apply(&raft.Log{Index: index, Data: text}).(Outcome); o.Code != Done {
+		if o := m.Apply(&raft.Log{Index: uint64(n) + 1, Data: text}).(Outcome); o.Code != Done {
 			t.Fatalf("%+v", o)
 		}
 	}
-	at, readings := from, 0
-	for m.generation() != at {
-		rd := m.readSince(at)
-		if len(rd.chunks) == 0 || len(rd.chunks) > maxChangesPerRead || rd.generation != at+uint64(len(rd.chunks)) {
-			t.Fatalf("from %d: %d chunks up to %d", at, len(rd.chunks), rd.generation)
-		}
-		for i, c := range rd.chunks {
-			if want := fmt.Sprintf(`{"generation":%d,"reset":false,`, at+1+uint64(i)); !bytes.Contains(c, []byte(want)) {
-				t.Fatalf("chunk %d from %d is %.80s", i, at, c)
-			}
-		}
-		select {
-		case <-rd.updated:
-		default:
-			if rd.generation != m.generation() {
-				t.Fatalf("a watch waits at %d of %d", rd.generation, m.generation())
-			}
-		}
-		at, readings = rd.generation, readings+1
+	reads := 0
+	for at := before; m.generation() != at; reads++ {
+		at = checkRead(t, m, at)
 	}
-	if want := (planZoneEntries + maxChangesPerRead - 1) / maxChangesPerRead; readings != want {
-		t.Errorf("read in %d parts, want %d", readings, want)
+	if want := (planZoneEntries + maxChangesPerRead - 1) / maxChangesPerRead; reads != want {
+		t.Errorf("read in %d parts, want %d", reads, want)
 	}
 	for _, n := range []int{0, planZoneEntries - 1} {
 		if o := m.state.Apply(Command{Kind: Register, Entry: numberedEntry(n), Incarnation: 1}); o.Code != StaleIncarnation {
-			t.Errorf("a late word of the life that ended, instance %d: %+v", n, o)
+			t.Errorf("a late registration of the removed incarnation, instance %d: %+v", n, o)
+		}
+	}
+}
+
+// checkRead reads what a watch at a generation gets, which must be the changes that follow, and returns the generation
+// after them.
+func checkRead(t *testing.T, m *fsm, at uint64) uint64 {
+	t.Helper()
+	read := m.readSince(at)
+	if len(read.chunks) == 0 || len(read.chunks) > maxChangesPerRead || read.generation != at+uint64(len(read.chunks)) {
+		t.Fatalf("from %d: %d chunks up to %d", at, len(read.chunks), read.generation)
+	}
+	for i, chunk := range read.chunks {
+		if want := fmt.Sprintf(`{"generation":%d,"reset":false,`, at+1+uint64(i)); !bytes.Contains(chunk, []byte(want)) {
+			t.Fatalf("chunk %d from %d is %.80s", i, at, chunk)
 		}
 	}
+	if read.generation != m.generation() && !isClosed(read.updated) {
+		t.Fatalf("a watch waits at %d of %d", read.generation, m.generation())
+	}
+	return read.generation
+}
+
+// isClosed reports whether a watch reads on at once.
+func isClosed(updated chan struct{}) bool {
+	select {
+	case <-updated:
+		return true
+	default:
+		return false
+	}
 }
 
-// A watch may begin with an earlier list and the changes since; a reader of the list gets it as
-// it stands. The list is encoded anew when the changes have come to a share of it.
+// A watch may begin with an earlier list and the changes since; a reader of the list gets the current one. The list is
+// encoded again when the changes have come to a fraction of it.
 func TestEncodedListIsShared(t *testing.T) {
 	m := newFSM(func(Command, Outcome) {})
 	fillList(t, m.state, 400)
@@ -98,9 +109,7 @@
 	if &first.chunks[0][0] != &second.chunks[0][0] || second.generation != first.generation {
 		t.Errorf("the list of %d was encoded anew at %d for one change", first.generation, second.generation)
 	}
-	select {
-	case <-second.updated:
-	default:
+	if !isClosed(second.updated) {
 		t.Error("a watch that begins with an earlier list waits for more")
 	}
 	if rest := m.readSince(second.generation); rest.generation != m.generation() || len(rest.chunks) != 1 {
@@ -117,7 +126,18 @@
 	if changes < 400/16 || changes > 400/4 {
 		t.Errorf("encoded anew after %d changes of 400 entries", changes)
 	}
-	// A list that came whole is another life: nothing of the one before is told.
+}
+
+// After a restore, readers get the restored list, though the one before has the same generation.
+func TestEncodedListIsNotSharedOverRestore(t *testing.T) {
+	m := newFSM(func(Command, Outcome) {})
+	fillList(t, m.state, 400)
+	m.publishRestored()
+	for n := range 50 {
+		m.state.Apply(Command{Kind: Drain, ID: numberedEntry(n).InstanceID})
+		m.publish()
+	}
+	m.currentList()
 	other := newFSM(func(Command, Outcome) {})
 	fillList(t, other.state, int(m.generation()))
 	text, err := json.Marshal(other.state)
@@ -127,12 +147,13 @@
 	if err := m.Restore(io.NopCloser(bytes.NewReader(text))); err != nil {
 		t.Fatal(err)
 	}
+	var now message
 	if err := json.Unmarshal(m.currentList().json(), &now); err != nil || len(now.Instances) != other.state.Len() {
 		t.Errorf("after a restore a reader gets %d entries of %d: %v", len(now.Instances), other.state.Len(), err)
 	}
 }
 
-// sink is a snapshot that is being written.
+// memorySink is a snapshot that is being written.
 type memorySink struct{ bytes.Buffer }
 
 func (*memorySink) Close() error  { return nil }
--- a/internal/registry/published.go
+++ b/internal/registry/published.go
@@ -54,14 +54,14 @@
 		changes = changes[1:]
 	}
 	// Versions share one array: what is appended lies behind what the earlier ones see.
-	m.storeVersion(appendEncoded(changes, m.state.changes[len(m.state.changes)-1]))
+	m.storeVersion(appendEncoded(changes, m.state.latestChange()))
 }
 
 // publishRestored encodes all changes of a state that replaced the one before. Called with mu held.
 func (m *fsm) publishRestored() {
 	m.restoreCount++
 	var changes []encodedChange
-	for _, c := range m.state.changes {
+	for _, c := range m.state.keptChanges() {
 		changes = appendEncoded(changes, c)
 	}
 	m.storeVersion(changes)
--- a/internal/registry/state_queries.go
+++ b/internal/registry/state_queries.go
@@ -53,6 +53,13 @@
 	return s.changes[generation-beforeOldest:], true
 }
 
+// keptChanges returns the latest changes, up to maxChanges, oldest first. The slice is the state's own and not to be
+// changed.
+func (s *State) keptChanges() []Change { return s.changes }
+
+// latestChange returns the change that made the current generation. There must be one.
+func (s *State) latestChange() Change { return s.changes[len(s.changes)-1] }
+
 // Leases returns the leases of the list, sorted by instance.
 func (s *State) Leases() []Lease {
 	var leases []Lease
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -1,6 +1,7 @@
 package registry
 
 import (
+	"errors"
 	"fmt"
 	"strings"
 	"testing"
@@ -54,6 +55,20 @@
 	}
 }
 
+// The error of an invalid registration holds the field's name for callers.
+func TestFieldErrors(t *testing.T) {
+	c := Command{Kind: Register, Entry: entry("s-a", 1)}
+	var field *FieldError
+	if err := ValidateRegistration(c); !errors.As(err, &field) || field.Field != "incarnation" || field.Reason == "" {
+		t.Errorf("error %v", err)
+	}
+	c.Entry.InstanceID, c.Entry.Zone = "", "a\nb"
+	err := ValidateRegistration(c)
+	if !errors.As(err, &field) || field.Field != "instanceId" || !strings.Contains(err.Error(), "zone: ") {
+		t.Errorf("of two invalid names: %v", err)
+	}
+}
+
 // The plan's list is taken, with room above it; one more than the bound is refused with the bound,
 // and taken when another has gone.
 func TestListCapacity(t *testing.T) {
