--- a/internal/registry/encoded_list.go
+++ b/internal/registry/encoded_list.go
@@ -44,11 +44,11 @@
 func (m *fsm) listForWatch() encodedList {
 	m.encodeMu.Lock()
 	defer m.encodeMu.Unlock()
-	return m.encodeList(func(list encodedList, _ *State) bool { return m.published.Load().isNear(list) })
+	return m.encodeList(func(list encodedList, _ *State) bool { return m.published.Load().isCloseTo(list) })
 }
 
-// isNear reports whether the changes since a list are kept and at most maxCachedListLag of its size.
-func (v *publishedVersion) isNear(list encodedList) bool {
+// isCloseTo reports whether the changes since a list are kept and at most maxCachedListLag of its size.
+func (v *publishedVersion) isCloseTo(list encodedList) bool {
 	changes, ok := v.changesSince(list.generation)
 	if !ok {
 		return false
--- a/internal/registry/fsm_test.go
+++ b/internal/registry/fsm_test.go
@@ -160,7 +160,7 @@
 func (*memorySink) Cancel() error { return nil }
 func (*memorySink) ID() string    { return "sink" }
 
-// A snapshot is of the moment at which it was taken, whatever comes before it is written down.
+// A snapshot has the state at which it was taken, whatever changes before it is written.
 func TestSnapshotIsolation(t *testing.T) {
 	m := newFSM(func(Command, Outcome) {})
 	fillList(t, m.state, 50)
@@ -185,8 +185,8 @@
 	}
 }
 
-// A watch of a replica that is lost goes on at another one, also at one that began with a snapshot:
-// from any generation it is told the same bytes.
+// A watch of a replica that is lost continues at another one, also at one that began with a snapshot: from any
+// generation it gets the same bytes.
 func TestWatchResumesAtAnotherReplica(t *testing.T) {
 	lost, other := newFSM(func(Command, Outcome) {}), newFSM(func(Command, Outcome) {})
 	for n := range 3 * maxChangesPerRead {
--- a/internal/registry/http_api_test.go
+++ b/internal/registry/http_api_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// The life of an entry over HTTP, and what a watch and a reader see of it.
+// The lifecycle of an entry over HTTP, and what a watch and a reader see of it.
 func TestInstanceLifecycle(t *testing.T) {
 	s := startReplica(t, t.TempDir(), "")
 	base := "http://" + s.Addr() + "/registry/instances"
@@ -32,7 +32,7 @@
 		{"removed", "DELETE", "/s-a?incarnation=5", "", 200, Done},
 		{"removed again", "DELETE", "/s-a?incarnation=5", "", 200, Unchanged},
 		{"registered late", "POST", "", registration("s-a", 1, 5, 0), 409, StaleIncarnation},
-		{"its next life", "POST", "", registration("s-a", 1, 6, 0), 200, Done},
+		{"its next start", "POST", "", registration("s-a", 1, 6, 0), 200, Done},
 	} {
 		status, text := call(t, c.method, base+c.path, c.body)
 		var o Outcome
@@ -47,18 +47,18 @@
 		seen = append(seen, fmt.Sprintf("%d %v %s", m.Generation, m.Reset, m.Instances[0].Lifecycle))
 	}
 	if got, want := fmt.Sprint(seen), "[2 false draining 3 false removed 4 false up]"; got != want {
-		t.Errorf("the watch tells %s, want %s", got, want)
+		t.Errorf("the watch gets %s, want %s", got, want)
 	}
 	if m := startWatch(t, s.Addr(), 0).next(t); !m.Reset || m.Generation != 4 || len(m.Instances) != 1 {
 		t.Errorf("a new watch gets %+v", m)
 	}
-	// A version that this list never had, at its leader: another list's. The whole of this one.
+	// The leader never had this generation: it is another list's, and the reader gets the full list of this one.
 	if m := startWatch(t, s.Addr(), 1<<40).next(t); !m.Reset || m.Generation != 4 {
 		t.Errorf("a reader of another list gets %+v", m)
 	}
 }
 
-// Bad input costs its sender an error and nobody else anything.
+// An invalid request gets an error and changes nothing.
 func TestInvalidRequests(t *testing.T) {
 	s := startReplica(t, t.TempDir(), "")
 	base := "http://" + s.Addr() + "/registry/instances"
@@ -108,8 +108,7 @@
 	}
 }
 
-// FuzzRegistration: whatever a client sends, it is turned down or makes a list that can be
-// written, read again and told.
+// Whatever a client sends is rejected, or makes a list that can be encoded and decoded.
 func FuzzRegistration(f *testing.F) {
 	f.Add(registration("s-a", 1, 1, 0))
 	f.Add(`{"instanceId":"s\u0000","hostPort":"[::1]:80","lifecycle":"up","weight":1e-320,"incarnation":9223372036854775807,"leaseMs":-1}`)
--- a/internal/registry/leases_test.go
+++ b/internal/registry/leases_test.go
@@ -48,8 +48,8 @@
 	l.Drop("s-00")
 }
 
-// When everybody's lease runs out at once it is the service that is ill: nobody is expired for
-// a while, then one by one; what is renewed meanwhile stays.
+// When all leases expire at once the service suspects itself: none is due for a while, then one after another; those
+// that are renewed meanwhile stay.
 func TestMassExpirySuspends(t *testing.T) {
 	l := NewLeases(0, leases(20, 10*time.Second), defaultSelfPreservation)
 	now, gone := 10*time.Second, 0
@@ -57,7 +57,7 @@
 		t.Fatalf("all at once: %v", due)
 	}
 	if !l.Suspended() {
-		t.Fatal("not paused")
+		t.Fatal("not suspended")
 	}
 	for now += time.Second; now < 30*time.Second; now += time.Second {
 		due := l.Due(now)
@@ -70,66 +70,78 @@
 		}
 	}
 	if gone < 3 || gone > 6 {
-		t.Errorf("%d gone in the ten seconds after the pause, one for each two seconds wanted", gone)
+		t.Errorf("%d gone in the ten seconds after the suspension, one for each two seconds wanted", gone)
 	}
 	for i := range 20 {
 		l.Renew(now, InstanceRef{fmt.Sprintf("s-%02d", i), 1})
 	}
 	if l.Due(now); l.Suspended() {
-		t.Error("still paused when all is well")
+		t.Error("still suspended when all leases are renewed")
 	}
 }
 
-// The leases' queue tells what a scan of all of them tells, after any grants, renewals, expiries
-// that fail and instances that go.
+// The queue of leases agrees with a scan of all of them, after any grants, renewals, failed expiries and removals.
 func TestLeaseQueueMatchesScan(t *testing.T) {
+	neverSuspends := SelfPreservation{MaxExpiringFraction: 1, Window: time.Second, SlowInterval: time.Second, MinLeases: 5}
 	rapid.Check(t, func(t *rapid.T) {
-		l, now := NewLeases(0, leases(4, 10*time.Second), SelfPreservation{MaxExpiringFraction: 1, Window: time.Second, SlowInterval: time.Second, MinLeases: 5}), time.Duration(0)
-		var out []InstanceRef
+		l, now := NewLeases(0, leases(4, 10*time.Second), neverSuspends), time.Duration(0)
+		var expiring []InstanceRef
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
-			o := InstanceRef{fmt.Sprintf("s-%02d", rapid.IntRange(0, 7).Draw(t, "instance")), rapid.Uint64Range(1, 2).Draw(t, "incarnation")}
+			id := fmt.Sprintf("s-%02d", rapid.IntRange(0, 7).Draw(t, "instance"))
+			ref := InstanceRef{id, rapid.Uint64Range(1, 2).Draw(t, "incarnation")}
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
-				l.Grant(now, Lease{o, time.Duration(rapid.IntRange(1, 12).Draw(t, "term")) * time.Second})
+				l.Grant(now, Lease{ref, time.Duration(rapid.IntRange(1, 12).Draw(t, "term")) * time.Second})
 			case 1, 2:
-				l.Renew(now, o)
+				l.Renew(now, ref)
 			case 3:
-				l.Drop(o.ID)
+				l.Drop(ref.ID)
 			case 4:
-				l.ExpiryFailed(out)
-				out = nil
+				l.ExpiryFailed(expiring)
+				expiring = nil
 			case 5:
-				var want []InstanceRef
-				for _, h := range sortedLeases(l) {
-					if !h.expiring && h.expiresAt <= now {
-						want = append(want, h.InstanceRef)
-					}
-				}
-				due := l.Due(now)
-				if fmt.Sprint(due) != fmt.Sprint(want) {
-					t.Fatalf("due at %v: %v, a scan finds %v", now, due, want)
-				}
-				out = append(out, due...)
-			}
-			first, waiting := time.Duration(-1), 0
-			for _, h := range l.entries {
-				if !h.expiring {
-					waiting++
-					if first < 0 || h.expiresAt < first {
-						first = h.expiresAt
-					}
-				}
-			}
-			at, ok := l.NextDue(now)
-			if ok != (waiting > 0) || ok && at != max(first, now) || len(l.queue) != waiting {
-				t.Fatalf("next at %v (%v), a scan finds %v; %d of %d in the queue", at, ok, first, len(l.queue), waiting)
+				expiring = append(expiring, checkDue(t, l, now)...)
 			}
+			checkNextDue(t, l, now)
 		}
 	})
 }
 
-// leasesOf lists what is held, sorted by instance.
+// checkDue compares the leases that are due with a scan, and returns them.
+func checkDue(t *rapid.T, l *Leases, now time.Duration) []InstanceRef {
+	var want []InstanceRef
+	for _, entry := range sortedLeases(l) {
+		if !entry.expiring && entry.expiresAt <= now {
+			want = append(want, entry.InstanceRef)
+		}
+	}
+	due := l.Due(now)
+	if fmt.Sprint(due) != fmt.Sprint(want) {
+		t.Fatalf("due at %v: %v, a scan finds %v", now, due, want)
+	}
+	return due
+}
+
+// checkNextDue compares the time at which a lease is due next, and the length of the queue, with a scan.
+func checkNextDue(t *rapid.T, l *Leases, now time.Duration) {
+	first, waiting := time.Duration(-1), 0
+	for _, entry := range l.entries {
+		if entry.expiring {
+			continue
+		}
+		waiting++
+		if first < 0 || entry.expiresAt < first {
+			first = entry.expiresAt
+		}
+	}
+	at, ok := l.NextDue(now)
+	if ok != (waiting > 0) || ok && at != max(first, now) || len(l.queue) != waiting {
+		t.Fatalf("next at %v (%v), a scan finds %v; %d of %d in the queue", at, ok, first, len(l.queue), waiting)
+	}
+}
+
+// sortedLeases returns all leases, sorted by instance.
 func sortedLeases(l *Leases) (all []*leaseEntry) {
 	for n := range 8 {
 		if h := l.entries[fmt.Sprintf("s-%02d", n)]; h != nil {
@@ -139,8 +151,8 @@
 	return all
 }
 
-// A zone of the plan that dies runs out together and is taken out together; so is a region of four.
-// Only what is larger is taken for an illness of the service.
+// The leases of a zone of the plan that is lost expire together and are due together; so are those of one region of four.
+// Only a larger loss suspends expiry.
 func TestLostZoneDoesNotSuspendExpiry(t *testing.T) {
 	const term, entries = 10 * time.Second, planEntries / 10
 	for name, c := range map[string]struct {
@@ -168,7 +180,7 @@
 		}
 		due := l.Due(term)
 		if paused := l.Suspended(); paused != c.paused {
-			t.Errorf("%s: expiry is paused: %v", name, paused)
+			t.Errorf("%s: expiry is suspended: %v", name, paused)
 		}
 		if c.paused {
 			lost = nil
--- a/internal/registry/replication_test.go
+++ b/internal/registry/replication_test.go
@@ -14,8 +14,8 @@
 	"github.com/hashicorp/raft"
 )
 
-// Three replicas: a write at a follower finds the leader, a new leader has all that was
-// acknowledged, and watches of every replica go on by changes.
+// Three replicas: a write at a follower finds the leader, a new leader has every acknowledged write, and watches of every
+// replica continue by changes.
 func TestReplication(t *testing.T) {
 	dirs := []string{t.TempDir(), t.TempDir(), t.TempDir()}
 	first := startReplica(t, dirs[0], "")
@@ -46,7 +46,7 @@
 			t.Errorf("a watch gets %+v", m)
 		}
 	}
-	// The one that was away takes up where the others are.
+	// The one that was away catches up.
 	back := startReplica(t, dirs[0], "", func(c *Config) { c.Listen, c.Raft = first.Addr(), raftAddr(first) })
 	waitFor(t, "the replica that was away has caught up", func() bool { return back.fsm.generation() == 11 })
 }
@@ -126,8 +126,8 @@
 	return errors.New("no space left on device")
 }
 
-// A write that can't be made durable is not acknowledged, and the client is told; once the disk
-// is well, sent again, it is done once.
+// A write that can't be made durable is not acknowledged, and the client gets an error; sent again once the disk works,
+// it takes effect once.
 func TestFullDisk(t *testing.T) {
 	for _, failure := range []diskFailure{diskFull, fsyncFailed} {
 		t.Run(string(failure), func(t *testing.T) { testFailingDisk(t, failure) })
--- a/internal/registry/restore_test.go
+++ b/internal/registry/restore_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// A backup taken of one service begins another, in an epoch of its own: a reader of the first
-// gets the whole list, and no generation is used twice.
+// A backup of one service begins another, in an epoch of its own: a reader of the first gets the full list, and no
+// generation is used twice.
 func TestBackupAndRestore(t *testing.T) {
 	s := startReplica(t, t.TempDir(), "")
 	base := "http://" + s.Addr() + "/registry/"
@@ -42,8 +42,8 @@
 	}
 }
 
-// A restored list begins an epoch: none of its generations was ever that of the list before,
-// and no reader of that can go on from a change.
+// A restored list begins an epoch: none of its generations was one of the list before, and no reader of that list can
+// continue by changes.
 func TestRestoreStartsNewEpoch(t *testing.T) {
 	s := NewState(0)
 	for n := range 20 {
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -20,14 +20,14 @@
 		t.Errorf("%d changes, %d and %d tombstones, %d entries", len(s.changes), len(s.tombstones), len(s.tombstoneOrder), s.Len())
 	}
 	if _, ok := s.ChangesSince(s.Generation() - maxChanges); !ok {
-		t.Error("the oldest change that is kept is not told")
+		t.Error("the oldest change that is kept is not returned")
 	}
 	if _, ok := s.ChangesSince(s.Generation() - maxChanges - 1); ok {
-		t.Error("a change that is not kept is told")
+		t.Error("a change that is not kept is returned")
 	}
 }
 
-// What can't be registered is refused with the field's name, and changes nothing.
+// An invalid registration is rejected with the field's name, and changes nothing.
 func TestInvalidRegistrations(t *testing.T) {
 	for field, change := range map[string]func(*Command){
 		"instanceId":  func(c *Command) { c.Entry.InstanceID = strings.Repeat("x", 1<<20) },
@@ -69,8 +69,8 @@
 	}
 }
 
-// The plan's list is taken, with room above it; one more than the bound is refused with the bound,
-// and taken when another has gone.
+// The plan's list is accepted, with headroom; one entry more than the bound is rejected with the bound, and accepted when
+// another was removed.
 func TestListCapacity(t *testing.T) {
 	if MaxEntries < planEntries*5/4 {
 		t.Errorf("the bound is %d entries, the plan's are %d", MaxEntries, planEntries)
--- a/internal/registry/watch.go
+++ b/internal/registry/watch.go
@@ -117,12 +117,12 @@
 		}
 		// A channel that ends with the replica would be one for all watches, and 10,000 would wait for its lock:
 		// shuttingDown is set before the last heartbeat instead.
-		beat := heartbeat.signal()
+		due := heartbeat.signal()
 		if s.shuttingDown.Load() {
 			return
 		}
 		select {
-		case <-beat:
+		case <-due:
 			read.chunks = [][]byte{s.heartbeatChunk}
 		case <-read.updated:
 			read = s.fsm.readSince(read.generation)
