--- a/internal/registry/leases_test.go
+++ b/internal/registry/leases_test.go
@@ -156,21 +156,21 @@
 func TestLostZoneDoesNotSuspendExpiry(t *testing.T) {
 	const term, entries = 10 * time.Second, planEntries / 10
 	for name, c := range map[string]struct {
-		share  int // one instance in so many is lost
-		paused bool
+		lostOneIn int // one instance in so many is lost
+		suspended bool
 	}{"zone": {15, false}, "region": {4, false}, "half": {2, true}} {
 		l := NewLeases(0, nil, defaultSelfPreservation)
 		var lost []InstanceRef
 		for n := range entries {
 			o := InstanceRef{numberedEntry(n).InstanceID, 1}
 			l.Grant(0, Lease{o, term})
-			if n%c.share == 0 {
+			if n%c.lostOneIn == 0 {
 				lost = append(lost, o)
 			}
 		}
 		for at := term / 3; at < term; at += term / 3 {
 			for n := range entries {
-				if n%c.share != 0 && !l.Renew(at, InstanceRef{numberedEntry(n).InstanceID, 1}) {
+				if n%c.lostOneIn != 0 && !l.Renew(at, InstanceRef{numberedEntry(n).InstanceID, 1}) {
 					t.Fatalf("%s: %d is not renewed", name, n)
 				}
 			}
@@ -179,10 +179,10 @@
 			}
 		}
 		due := l.Due(term)
-		if paused := l.Suspended(); paused != c.paused {
-			t.Errorf("%s: expiry is suspended: %v", name, paused)
+		if suspended := l.Suspended(); suspended != c.suspended {
+			t.Errorf("%s: expiry is suspended: %v", name, suspended)
 		}
-		if c.paused {
+		if c.suspended {
 			lost = nil
 		}
 		if !slices.Equal(due, lost) {
@@ -191,8 +191,8 @@
 	}
 }
 
-// What the leader looks at after each change of a list of 200,000 leases: the lease that runs out
-// first, by the queue and, as a measure, by a scan of all.
+// What the leader reads after each change of a list with 200,000 leases: the lease that expires first, by the queue and,
+// for comparison, by a scan of all.
 func BenchmarkNextLease(b *testing.B) {
 	l := NewLeases(0, nil, defaultSelfPreservation)
 	for n := range planEntries {
