--- a/cmd/opalhook/sweep.go
+++ b/cmd/opalhook/sweep.go
@@ -38,7 +38,7 @@
 		RunE: func(c *cobra.Command, _ []string) error { return f.sweep(c, s) },
 	}
 	c.Flags().StringVar(&f.seeds, "seeds", "1-20", "range of seeds, A-B, or one seed")
-	c.Flags().StringVar(&f.rule, "rule", "", "rule to strain: "+strings.Join(testbed.Aims, ", ")+" (default: anything)")
+	c.Flags().StringVar(&f.rule, "rule", "", "rule to strain: "+strings.Join(testbed.TargetRules, ", ")+" (default: anything)")
 	c.Flags().IntVar(&f.options.Jobs, "jobs", 4, "scenarios played at once; each takes one to two cores")
 	c.Flags().DurationVar(&f.options.Budget, "budget", 0, "time after which no scenario begins; 0: none")
 	c.Flags().IntVar(&f.options.Reduce, "reduce", 12, "plays that the reduction of a failing seed may take; 0: it is not reduced")
@@ -57,7 +57,7 @@
 	if f.options.Binary, err = sweepNode(c.Context(), f.binary, f.mutant, f.dir); err != nil {
 		return err
 	}
-	f.options.Aim, f.options.Dir, f.options.Log, f.options.Live = f.rule, f.dir, s.logger(), sweepProgress(os.Stderr)
+	f.options.Rule, f.options.Dir, f.options.Log, f.options.Live = f.rule, f.dir, s.logger(), sweepProgress(os.Stderr)
 	r, err := testbed.Sweep(c.Context(), f.options)
 	if err != nil {
 		return err
@@ -85,8 +85,8 @@
 	if o.From, o.To, err = testbed.ParseSeeds(f.seeds); err != nil {
 		return fmt.Errorf("--%w", err)
 	}
-	if f.rule != "" && !slices.Contains(testbed.Aims, f.rule) {
-		return fmt.Errorf("--rule: %q is none of %s", f.rule, strings.Join(testbed.Aims, ", "))
+	if f.rule != "" && !slices.Contains(testbed.TargetRules, f.rule) {
+		return fmt.Errorf("--rule: %q is none of %s", f.rule, strings.Join(testbed.TargetRules, ", "))
 	}
 	if o.Jobs < 1 || o.Reduce < 0 || o.Budget < 0 {
 		return fmt.Errorf("--jobs %d, --reduce %d, --budget %v: 1 job or more and nothing below 0 is wanted", o.Jobs, o.Reduce, o.Budget)
@@ -116,21 +116,21 @@
 }
 
 // sweepProgress writes a line as each trial ends. Progress that nobody can read is no reason to stop the sweep.
-func sweepProgress(out io.Writer) func(done, of int, t testbed.Trial) {
+func sweepProgress(out io.Writer) func(done, of int, t testbed.GeneratedRun) {
 	began := time.Now()
-	return func(done, of int, t testbed.Trial) {
+	return func(done, of int, t testbed.GeneratedRun) {
 		_, _ = fmt.Fprintf(out, "%5.0f s  %d of %d  seed %d: %s%s\n", time.Since(began).Seconds(), done, of, t.Seed, t.Verdict, because(t))
 	}
 }
 
 // because tells why a trial was no pass: the rules that it broke, or that it was not judged.
-func because(t testbed.Trial) string {
+func because(t testbed.GeneratedRun) string {
 	var words []string
 	for _, rule := range slices.Sorted(maps.Keys(t.Rules)) {
 		words = append(words, fmt.Sprintf("%s %d times", rule, t.Rules[rule]))
 	}
-	if t.Why != "" {
-		words = append(words, t.Why)
+	if t.Reason != "" {
+		words = append(words, t.Reason)
 	}
 	if len(words) == 0 {
 		return ""
@@ -142,15 +142,15 @@
 func sweepTable(out io.Writer, r *testbed.SweepReport, dir string) error {
 	var table strings.Builder
 	head := false
-	for _, t := range r.Trials {
-		if t.Verdict != testbed.Broke && t.Verdict != testbed.NotPlayed {
+	for _, t := range r.Runs {
+		if t.Verdict != testbed.BrokeRule && t.Verdict != testbed.NotPlayed {
 			continue
 		}
 		if !head {
 			head = true
 			fmt.Fprintln(&table, "seed\tverdict\tdeployment\tplay it again with")
 		}
-		fmt.Fprintf(&table, "%d\t%s%s\t%s\t%s\n", t.Seed, t.Verdict, because(t), t.Size, t.Again)
+		fmt.Fprintf(&table, "%d\t%s%s\t%s\t%s\n", t.Seed, t.Verdict, because(t), t.Size, t.Command)
 		if t.First != "" {
 			fmt.Fprintf(&table, "\t  %s\t\t\n", strings.TrimSpace(t.First))
 		}
@@ -163,7 +163,7 @@
 	}
 	var text strings.Builder
 	fmt.Fprintf(&text, "%d played of seeds %d-%d: %d passed, %d broke a rule, %d not judged, %d not played\n", r.Played, r.From, r.To,
-		r.Counts[testbed.Passed], r.Counts[testbed.Broke], r.Counts[testbed.NotJudged], r.Counts[testbed.NotPlayed])
+		r.Counts[testbed.Passed], r.Counts[testbed.BrokeRule], r.Counts[testbed.NotJudged], r.Counts[testbed.NotPlayed])
 	if r.Ended != "" {
 		fmt.Fprintln(&text, r.Ended)
 	}
--- a/cmd/opalhook/testbed.go
+++ b/cmd/opalhook/testbed.go
@@ -108,7 +108,7 @@
 
 func testbedFault(s *settings) *cobra.Command {
 	var at string
-	var f testbed.Commanded
+	var f testbed.CommandedFault
 	var last, late time.Duration
 	c := &cobra.Command{
 		Use:     "fault KIND [TARGET]",
@@ -117,7 +117,7 @@
 		Example: "  opalhook up --control 127.0.0.1:9911\n  opalhook testbed fault slow 3 --size 5 --for 10s\n  opalhook testbed fault kill 0 --for 4s",
 		Args:    cobra.RangeArgs(1, 2),
 		RunE: func(c *cobra.Command, args []string) error {
-			f.Kind, f.For, f.Late = args[0], testbed.Duration(last), testbed.Duration(late)
+			f.Kind, f.For, f.Delay = args[0], testbed.Duration(last), testbed.Duration(late)
 			if len(args) > 1 {
 				n, err := strconv.Atoi(args[1])
 				if err != nil {
@@ -125,7 +125,7 @@
 				}
 				f.Target = n
 			}
-			what, err := testbed.Command(c.Context(), at, f)
+			what, err := testbed.InjectFault(c.Context(), at, f)
 			if err != nil {
 				return err
 			}
--- a/cmd/opalhook/testbed_output.go
+++ b/cmd/opalhook/testbed_output.go
@@ -36,7 +36,7 @@
 // progressLine is a run's last second in a line. Requests are counted when due, what came of them when they ended.
 func progressLine(p testbed.Progress) string {
 	return fmt.Sprintf("%5.0f of %.0f s  requests %5d  served %5d  rejected %4d  failed %3d  p50 %4d ms  p99 %5d ms  nodes up %d  violations %d",
-		p.At.Seconds(), p.Of.Seconds(), p.Asked, p.Served, p.Refused, p.Failed, p.P50.Milliseconds(), p.P99.Milliseconds(), p.NodesUp, p.Violations)
+		p.At.Seconds(), p.Of.Seconds(), p.Requests, p.Served, p.Rejected, p.Failed, p.P50.Milliseconds(), p.P99.Milliseconds(), p.NodesUp, p.Violations)
 }
 
 // shownViolations bounds the violations in a summary; the result has more.
--- a/internal/testbed/block.go
+++ b/internal/testbed/address_block.go
@@ -5,9 +5,9 @@
 	"net"
 )
 
-// block is a range of loopback addresses that one run has to itself: 127.x.0.0/16, claimed
+// addressBlock is a range of loopback addresses that one run has to itself: 127.x.0.0/16, claimed
 // by a listener, so that many runs go side by side with the same ports.
-type block struct {
+type addressBlock struct {
 	second int
 	claim  net.Listener
 }
@@ -25,13 +25,13 @@
 	portAddrs = 250 // addresses of a kind that share a port
 )
 
-// claimBlock takes the first range that no other run has.
-func claimBlock() (*block, error) {
+// claimAddressBlock takes the first range that no other run has.
+func claimAddressBlock() (*addressBlock, error) {
 	var last error
 	for second := firstNet; second <= lastNet; second++ {
 		ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.255.254:%d", second, claimPort))
 		if err == nil {
-			return &block{second, ln}, nil
+			return &addressBlock{second, ln}, nil
 		}
 		last = err
 	}
@@ -39,19 +39,19 @@
 }
 
 // addr is the host of a party; third tells the kind of party.
-func (b *block) addr(third, number int) string {
+func (b *addressBlock) addr(third, number int) string {
 	return fmt.Sprintf("127.%d.%d.%d", b.second, third, number+1)
 }
 
 // hostPort is the address of a listener; numbers from portAddrs on take another port.
-func (b *block) hostPort(third, number int) string {
+func (b *addressBlock) hostPort(third, number int) string {
 	return fmt.Sprintf("%s:%d", b.addr(third, number%portAddrs), basePort+number/portAddrs)
 }
 
 // peerPort is the address on which a party takes what its peers send.
-func (b *block) peerPort(third, number int) string {
+func (b *addressBlock) peerPort(third, number int) string {
 	return fmt.Sprintf("%s:%d", b.addr(third, number%portAddrs), peerPort+number/portAddrs)
 }
 
 // release gives the range back.
-func (b *block) release() { _ = b.claim.Close() }
+func (b *addressBlock) release() { _ = b.claim.Close() }
--- a/internal/testbed/referee_test.go
+++ b/internal/testbed/checker_test.go
@@ -178,8 +178,8 @@
 	s := defaults()
 	s.Name, s.Duration = name, Duration(2*time.Second)
 	s.Fleet.Nodes, s.Fleet.Servers, s.Load.Rate, s.Load.WorkMS = 2, 4, 60, 10
-	s.Fleet.ListLate = 0
-	s.Load.Aim, s.Load.Deadline, s.Load.Heavy = Duration(500*ms), Duration(2*time.Second), 0
+	s.Fleet.ListDelay = 0
+	s.Load.LatencyObjective, s.Load.Deadline, s.Load.OverQuotaTenants = Duration(500*ms), Duration(2*time.Second), 0
 	return &s
 }
 
@@ -188,7 +188,7 @@
 	return Run(t.Context(), s, Options{Seed: 3, Binary: os.Args[0], Env: []string{standIn + "=" + how}, Dir: t.TempDir(), Log: slog.New(slog.DiscardHandler)})
 }
 
-// The referee catches a node that breaks a rule, each of them, and nothing in one that keeps
+// The checker catches a node that breaks a rule, each of them, and nothing in one that keeps
 // them.
 func TestRefereeCatchesEachViolation(t *testing.T) {
 	change := func(f func(s *Scenario)) func(*Scenario) { return f }
@@ -271,7 +271,7 @@
 	}
 	st := newStarter()
 	t.Cleanup(st.stop)
-	p, err := startProcess(st, dir, "child", os.Args[0], givesWay, []string{standIn + "=" + how, "PROXY_CONFIG=" + cfg})
+	p, err := startProcess(st, dir, "child", os.Args[0], nodeNiceness, []string{standIn + "=" + how, "PROXY_CONFIG=" + cfg})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testbed/control.go
+++ b/internal/testbed/control.go
@@ -18,33 +18,33 @@
 
 // metrics shows a run while it goes. What is counted lies with its owners; a scrape reads it.
 type metrics struct {
-	w       *world
-	tries   *prometheus.Desc
-	broken  *prometheus.Desc
-	held    *prometheus.Desc
-	memory  *prometheus.Desc
-	cpu     *prometheus.Desc
-	servers *prometheus.Desc
-	latency *prometheus.Desc
+	env        *environment
+	attempts   *prometheus.Desc
+	violations *prometheus.Desc
+	open       *prometheus.Desc
+	memory     *prometheus.Desc
+	cpu        *prometheus.Desc
+	servers    *prometheus.Desc
+	latency    *prometheus.Desc
 }
 
-func newMetrics(w *world) *metrics {
+func newMetrics(env *environment) *metrics {
 	name := func(n string) string { return "opalhook_lab_" + n }
 	return &metrics{
-		w:       w,
-		tries:   prometheus.NewDesc(name("tries_total"), "Tries of clients by how they ended.", []string{"outcome"}, nil),
-		broken:  prometheus.NewDesc(name("violations_total"), "Broken rules of the platform.", []string{"rule"}, nil),
-		held:    prometheus.NewDesc(name("tries_open"), "Tries taken by a node and not answered yet.", nil, nil),
-		memory:  prometheus.NewDesc(name("node_resident_bytes"), "Resident memory of an edge node.", []string{"node"}, nil),
-		cpu:     prometheus.NewDesc(name("node_cpu_seconds_total"), "CPU time of an edge node's process.", []string{"node"}, nil),
-		servers: prometheus.NewDesc(name("server_held"), "Requests that an app server holds.", []string{"server"}, nil),
-		latency: prometheus.NewDesc(name("latency_seconds"), "Latency of what was served, from when it was due.", nil, nil),
+		env:        env,
+		attempts:   prometheus.NewDesc(name("tries_total"), "Tries of clients by how they ended.", []string{"outcome"}, nil),
+		violations: prometheus.NewDesc(name("violations_total"), "Broken rules of the platform.", []string{"rule"}, nil),
+		open:       prometheus.NewDesc(name("tries_open"), "Tries taken by a node and not answered yet.", nil, nil),
+		memory:     prometheus.NewDesc(name("node_resident_bytes"), "Resident memory of an edge node.", []string{"node"}, nil),
+		cpu:        prometheus.NewDesc(name("node_cpu_seconds_total"), "CPU time of an edge node's process.", []string{"node"}, nil),
+		servers:    prometheus.NewDesc(name("server_held"), "Requests that an app server holds.", []string{"server"}, nil),
+		latency:    prometheus.NewDesc(name("latency_seconds"), "Latency of what was served, from when it was due.", nil, nil),
 	}
 }
 
 // Describe implements prometheus.Collector.
 func (m *metrics) Describe(out chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{m.tries, m.broken, m.held, m.memory, m.cpu, m.servers, m.latency} {
+	for _, d := range []*prometheus.Desc{m.attempts, m.violations, m.open, m.memory, m.cpu, m.servers, m.latency} {
 		out <- d
 	}
 }
@@ -54,145 +54,145 @@
 	send := func(d *prometheus.Desc, kind prometheus.ValueType, x float64, labels ...string) {
 		out <- prometheus.MustNewConstMetric(d, kind, x, labels...)
 	}
-	now := m.w.now()
+	now := m.env.now()
 	ends := map[string]int{"served": 0, "refused": 0, "failed": 0, "unreached": 0}
 	h := newHistogram()
-	m.w.ref.mu.Lock()
-	for i := range m.w.ref.records {
-		r := &m.w.ref.records[i]
+	m.env.checker.mu.Lock()
+	for i := range m.env.checker.records {
+		r := &m.env.checker.records[i]
 		if r.Due > now {
 			break
 		}
-		ends["refused"] += r.Refused
-		ends["failed"] += r.Failed - r.Unreach
-		ends["unreached"] += r.Unreach
+		ends["refused"] += r.Rejected
+		ends["failed"] += r.Failed - r.Unreached
+		ends["unreached"] += r.Unreached
 		if r.Served {
 			ends["served"]++
 			record(h, r.Done-r.Due)
 		}
 	}
-	for rule, n := range m.w.ref.broken {
-		send(m.broken, prometheus.CounterValue, float64(n), rule)
+	for rule, n := range m.env.checker.violationCount {
+		send(m.violations, prometheus.CounterValue, float64(n), rule)
 	}
-	m.w.ref.mu.Unlock()
+	m.env.checker.mu.Unlock()
 	for _, end := range sortedKeys(ends) {
-		send(m.tries, prometheus.CounterValue, float64(ends[end]), end)
+		send(m.attempts, prometheus.CounterValue, float64(ends[end]), end)
 	}
-	send(m.held, prometheus.GaugeValue, float64(m.w.ref.open()))
+	send(m.open, prometheus.GaugeValue, float64(m.env.checker.openAttempts()))
 	quantiles := map[float64]float64{}
 	for _, q := range []float64{50, 90, 99} {
 		quantiles[q/100] = quantile(h, q).Seconds()
 	}
 	out <- prometheus.MustNewConstSummary(m.latency, uint64(h.TotalCount()), h.Mean()/1e6*float64(h.TotalCount()), quantiles)
-	for _, n := range m.w.nodes {
+	for _, n := range m.env.nodes {
 		n.mu.Lock()
-		cpu, memory := n.cpu+n.last.cpu, n.last.memory
+		cpu, memory := n.endedCPU+n.lastUsage.cpu, n.lastUsage.memory
 		n.mu.Unlock()
 		send(m.memory, prometheus.GaugeValue, float64(memory), n.name)
 		send(m.cpu, prometheus.CounterValue, cpu.Seconds(), n.name)
 	}
-	for _, s := range m.w.servers {
+	for _, s := range m.env.servers {
 		s.mu.Lock()
-		id, held := s.id, s.m.held()
+		id, held := s.id, s.model.inFlight()
 		s.mu.Unlock()
 		send(m.servers, prometheus.GaugeValue, float64(held), id)
 	}
 }
 
 // serveControl serves the run's metrics, and takes faults, at an address until the run ends.
-func (w *world) serveControl(addr string) error {
+func (env *environment) serveControl(addr string) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return fmt.Errorf("control: %w", err)
 	}
 	reg := prometheus.NewRegistry()
-	if err := reg.Register(newMetrics(w)); err != nil {
+	if err := reg.Register(newMetrics(env)); err != nil {
 		return fmt.Errorf("metrics: %w", err)
 	}
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(reg, promhttp.HandlerOpts{}))
-	mux.HandleFunc("POST /fault", w.takeFault)
+	mux.HandleFunc("POST /fault", env.handleFault)
 	srv := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
-	w.log.Info("control", "metrics", "http://"+ln.Addr().String()+"/metrics")
-	w.work.Go(func() {
+	env.log.Info("control", "metrics", "http://"+ln.Addr().String()+"/metrics")
+	env.work.Go(func() {
 		if err := srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
-			w.fail(fmt.Errorf("control: %w", err))
+			env.fail(fmt.Errorf("control: %w", err))
 		}
 	})
-	w.work.Go(func() {
-		<-w.over
+	env.work.Go(func() {
+		<-env.over
 		_ = srv.Close()
 	})
 	return nil
 }
 
-// takeFault begins a fault of a running scenario: the body is one as in a scenario file, in
+// handleFault begins a fault of a running scenario: the body is one as in a scenario file, in
 // JSON, with a target in place of a choice of targets.
-func (w *world) takeFault(rw http.ResponseWriter, r *http.Request) {
-	var c Commanded
+func (env *environment) handleFault(rw http.ResponseWriter, r *http.Request) {
+	var c CommandedFault
 	d := json.NewDecoder(http.MaxBytesReader(rw, r.Body, 4096))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&c); err != nil {
 		http.Error(rw, "fault: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	ft := Fault{Kind: c.Kind, Zone: c.Zone, Size: c.Size, Late: c.Late, Way: c.Way, From: c.From, To: c.To, Does: c.Does, For: c.For}
+	ft := Fault{Kind: c.Kind, Zone: c.Zone, Size: c.Size, Delay: c.Delay, Way: c.Way, From: c.From, To: c.To, Does: c.Does, For: c.For}
 	kind := faultKinds[ft.Kind]
-	most := map[string]int{"nodes": len(w.nodes), "servers": len(w.servers)}[kind.target]
-	err := w.s.validateFault("fault.", &ft)
+	most := map[string]int{"nodes": len(env.nodes), "servers": len(env.servers)}[kind.target]
+	err := env.scenario.validateFault("fault.", &ft)
 	switch {
 	case err != nil:
-	case kind.relays && len(w.relays) == 0:
-		err = wrong("fault.kind", "%s wants links through relays, which this run has not: give its scenario a link fault", ft.Kind)
+	case kind.relays && len(env.relays) == 0:
+		err = fieldErrorf("fault.kind", "%s wants links through relays, which this run has not: give its scenario a link fault", ft.Kind)
 	case most > 0 && (c.Target < 0 || c.Target >= most):
-		err = wrong("fault.target", "%d is not from 0 to %d", c.Target, most-1)
+		err = fieldErrorf("fault.target", "%d is not from 0 to %d", c.Target, most-1)
 	}
 	if err != nil {
 		http.Error(rw, err.Error(), http.StatusBadRequest)
 		return
 	}
-	e := Event{At: w.now(), Target: c.Target}
+	e := FaultEvent{At: env.now(), Target: c.Target}
 	if most == 0 {
 		e.Target = -1
 	}
-	play := func(e Event) error {
-		w.lagMu.Lock()
-		w.commanded = append(w.commanded, Mark{w.now().Seconds(), ft.describe(e)})
-		w.lagMu.Unlock()
-		w.log.Info("fault by command", "what", ft.describe(e))
-		return w.applyFault(&ft, e)
+	play := func(e FaultEvent) error {
+		env.lagMu.Lock()
+		env.commandedFaults = append(env.commandedFaults, FaultMark{env.now().Seconds(), ft.describe(e)})
+		env.lagMu.Unlock()
+		env.log.Info("fault by command", "what", ft.describe(e))
+		return env.applyFault(&ft, e)
 	}
 	if err := play(e); err != nil {
 		http.Error(rw, err.Error(), http.StatusInternalServerError)
 		return
 	}
 	if ft.For > 0 {
-		w.after(time.Duration(ft.For), func() {
+		env.after(time.Duration(ft.For), func() {
 			e.End = true
 			if err := play(e); err != nil {
-				w.fail(fmt.Errorf("fault %s: %w", ft.describe(e), err))
+				env.fail(fmt.Errorf("fault %s: %w", ft.describe(e), err))
 			}
 		})
 	}
 	_, _ = fmt.Fprintln(rw, ft.describe(e)) // a caller that is gone needs no answer
 }
 
-// Commanded is a fault by command at run time.
-type Commanded struct {
+// CommandedFault is a fault by command at run time.
+type CommandedFault struct {
 	Kind   string   `json:"kind"`
 	Target int      `json:"target"` // number of the node or server
 	For    Duration `json:"for"`
 	Zone   string   `json:"zone"`
 	Size   float64  `json:"size"`
-	Late   Duration `json:"late"`
+	Delay  Duration `json:"late"`
 	Way    string   `json:"way"`
 	From   string   `json:"from"`
 	To     string   `json:"to"`
 	Does   string   `json:"does"`
 }
 
-// Command sends a fault to the run whose control address this is.
-func Command(ctx context.Context, addr string, c Commanded) (string, error) {
+// InjectFault sends a fault to the run whose control address this is.
+func InjectFault(ctx context.Context, addr string, c CommandedFault) (string, error) {
 	body, err := json.Marshal(c)
 	if err != nil {
 		return "", fmt.Errorf("fault: %w", err)
--- a/internal/testbed/control_test.go
+++ b/internal/testbed/control_test.go
@@ -23,8 +23,8 @@
 			return
 		}
 		asked = true
-		for _, c := range []Commanded{{Kind: "slow", Target: 1, Size: 3, For: Duration(200 * ms)}, {Kind: "flood"}, {Kind: "slow", Target: 99, Size: 3}, {Kind: "cut-zone", Zone: "a"}} {
-			_, err := Command(t.Context(), addr, c)
+		for _, c := range []CommandedFault{{Kind: "slow", Target: 1, Size: 3, For: Duration(200 * ms)}, {Kind: "flood"}, {Kind: "slow", Target: 99, Size: 3}, {Kind: "cut-zone", Zone: "a"}} {
+			_, err := InjectFault(t.Context(), addr, c)
 			errs = append(errs, err)
 		}
 		resp, err := http.Get("http://" + addr + "/metrics")
--- a/internal/testbed/core_test.go
+++ b/internal/testbed/core_test.go
@@ -15,7 +15,7 @@
 func serverFleet() *Fleet {
 	s := defaults()
 	f := s.Fleet
-	f.Cores, f.SlotsPerCore, f.QueuePerCore, f.Thrash, f.HandshakeWork = 2, 2, 1, 0, 0
+	f.Cores, f.SlotsPerCore, f.QueuePerCore, f.ContentionLoss, f.HandshakeWork = 2, 2, 1, 0, 0
 	return &f
 }
 
@@ -50,7 +50,7 @@
 func TestModelDoesNotDependOnWhenItIsAsked(t *testing.T) {
 	run := func(step time.Duration) (ends []time.Duration) {
 		f := serverFleet()
-		f.Thrash, f.ThrashAt = 0.3, 1
+		f.ContentionLoss, f.ContentionFrom = 0.3, 1
 		m := newModel(f, 0.05, 0, 0) // cold
 		for n := range 5 {
 			m.arrive(time.Duration(n)*30*ms, &job{work: 0.05, ended: func() { ends = append(ends, m.now) }})
@@ -71,7 +71,7 @@
 	}
 }
 
-// A cold server falls over when sent more than the multiple of what it can do, for the window;
+// A cold server fails of overload when sent more than the multiple of what it can do, for the window;
 // a warm one, or one sent less, does not.
 func TestColdModelFallsOver(t *testing.T) {
 	for _, c := range []struct {
@@ -81,14 +81,14 @@
 		fell  bool
 	}{{"flooded", 0, 4, true}, {"fed", 0, 1.5, false}, {"warm", -1, 20, false}} {
 		f := serverFleet()
-		f.Ramp = Duration(time.Hour)
+		f.SlowStartDuration = Duration(time.Hour)
 		m := newModel(f, 0.01, 0, c.boot)
-		can := float64(f.Cores) * f.ColdFrom
+		can := float64(f.Cores) * f.SlowStartInitialFraction
 		for at := time.Duration(0); at < 10*time.Second; at += 10 * ms {
 			m.arrive(at, &job{work: can * c.times * 0.01, ended: func() {}})
 		}
-		if m.fell != c.fell {
-			t.Errorf("%s: fell over: %v, want %v", c.name, m.fell, c.fell)
+		if m.failed != c.fell {
+			t.Errorf("%s: fell over: %v, want %v", c.name, m.failed, c.fell)
 		}
 	}
 }
@@ -96,7 +96,7 @@
 // One seed draws one schedule; another seed another; and what it draws is what was asked for.
 func TestScheduleIsDrawnFromTheSeed(t *testing.T) {
 	s := defaults()
-	s.Name, s.Duration, s.Load.Rate, s.Load.Heavy = "x", Duration(60*time.Second), 400, 0
+	s.Name, s.Duration, s.Load.Rate, s.Load.OverQuotaTenants = "x", Duration(60*time.Second), 400, 0
 	s.Load.Bursts = []Burst{{At: Duration(20 * time.Second), For: Duration(10 * time.Second), Times: 2}}
 	s.Faults = []Fault{{At: Duration(5 * time.Second), For: Duration(time.Second), Kind: "kill", Share: 0.5}}
 	a, b, other := Draw(&s, 7), Draw(&s, 7), Draw(&s, 8)
@@ -111,9 +111,9 @@
 		}
 		inside[burst]++
 		units += x.Units
-		c := a.Customers[x.Customer]
-		if d := (x.Node - c.First + s.Fleet.Nodes) % s.Fleet.Nodes; d >= c.Spread {
-			t.Fatalf("a request of a customer of nodes %d+%d comes through %d", c.First, c.Spread, x.Node)
+		c := a.Tenants[x.Tenant]
+		if d := (x.Node - c.FirstEntryNode + s.Fleet.Nodes) % s.Fleet.Nodes; d >= c.EntryNodes {
+			t.Fatalf("a request of a customer of nodes %d+%d comes through %d", c.FirstEntryNode, c.EntryNodes, x.Node)
 		}
 	}
 	if r := inside[0] / 50; math.Abs(r/400-1) > 0.05 {
--- /dev/null
+++ b/internal/testbed/environment.go
@@ -0,0 +1,586 @@
+package testbed
+
+import (
+	"cmp"
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"math/rand/v2"
+	"net/http"
+	"net/netip"
+	"path/filepath"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"time"
+)
+
+// Bounds on what a run waits for. None is a verdict on a healthy machine.
+const (
+	readyWithin = 60 * time.Second // a node is ready, also on a busy machine
+	stopWithin  = 15 * time.Second // a node ends after SIGTERM; then it is killed
+	oldAgentFor = 1500 * time.Millisecond
+	listsWithin = 10 * time.Second // all nodes are told of the last changes
+	lagTick     = 10 * time.Millisecond
+)
+
+// environment is one run: everything that plays in it and the clock.
+type environment struct {
+	scenario      *Scenario
+	schedule      *Schedule
+	seed          uint64
+	dir           string
+	nodeBinary    string
+	serviceBinary string // of the operators' command
+	nodeEnv       []string
+	log           *slog.Logger
+
+	origin time.Time     // of the monotonic clock
+	begun  atomic.Int64  // nanoseconds from the origin to the start of the schedule, once it has begun
+	over   chan struct{} // closed when the run ends
+	cancel context.CancelCauseFunc
+	ctx    context.Context
+	work   sync.WaitGroup
+
+	checker   *checker
+	list      *list
+	udp       *udpRelay
+	starter   *starter
+	addresses *addressBlock
+	servers   []*appServer
+	nodes     []*edgeNode
+	relays    map[[2]party]*tcpRelay // from one party to another; empty where links are direct
+	generator *loadGenerator
+
+	ids *lockedRand
+
+	connections, listCalls, overloadFailures atomic.Int64
+	crashes                                  atomic.Int64
+	commandedFaults                          []FaultMark // faults by command; under lagMu
+	memory                                   []float64   // by the second: the largest of a node, in MB; under lagMu
+	lagMu                                    sync.Mutex
+	lag                                      time.Duration // longest that the testbed itself stood still, of late
+	withheld                                 time.Duration // the most that slack has been
+}
+
+// lockedRand draws numbers for many goroutines. What it draws is not part of the schedule.
+type lockedRand struct {
+	mu  sync.Mutex
+	rng *rand.Rand
+}
+
+func (l *lockedRand) Uint32() uint32 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.rng.Uint32()
+}
+
+func (l *lockedRand) Uint64() uint64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.rng.Uint64()
+}
+
+// edgeNode is an edge node and its process, if one runs.
+type edgeNode struct {
+	number       int
+	name         string
+	listen, peer string
+	clients      string // where clients connect: listen, or a relay to it
+
+	config    sync.Mutex    // a restart and a move may write the node's configuration at once
+	discovery string        // where the node finds its agent; under config
+	agent     *agent        // the same
+	movedAt   time.Duration // when it was told of another agent last; the same; 0: never
+
+	mu           sync.Mutex
+	proc         *process
+	killedAt     time.Duration // last SIGKILL or crash; 0: none
+	dying        bool          // from SIGKILL until the process has ended
+	stopped      bool          // by SIGSTOP
+	resumedAt    time.Duration // last SIGCONT; 0: none
+	endedCPU     time.Duration // of processes that have ended
+	lastUsage    usage
+	peakMemory   int64
+	starved      time.Duration // within the last while, see sample
+	usageSamples []usage
+}
+
+func newEnvironment(ctx context.Context, s *Scenario, o Options) *environment {
+	ctx, cancel := context.WithCancelCause(ctx)
+	w := &environment{
+		scenario: s, schedule: Draw(s, o.Seed), seed: o.Seed, dir: o.Dir, nodeBinary: o.Binary, serviceBinary: o.Service, nodeEnv: o.Env, log: o.Log, origin: time.Now(), over: make(chan struct{}),
+		ctx: ctx, cancel: cancel, relays: map[[2]party]*tcpRelay{},
+		ids: &lockedRand{rng: random(o.Seed, streamServers)},
+	}
+	w.list = newList(w)
+	w.checker = newChecker(s, w.schedule)
+	w.checker.slack = w.slack
+	return w
+}
+
+// now is the time since the start of the schedule.
+func (env *environment) now() time.Duration {
+	return time.Since(env.origin) - time.Duration(env.begun.Load())
+}
+
+// wall is the clock's reading at a time of the run.
+func (env *environment) wall(at time.Duration) time.Time {
+	return env.origin.Add(time.Duration(env.begun.Load()) + at)
+}
+
+// fail ends the run: the testbed itself can't go on.
+func (env *environment) fail(err error) { env.cancel(err) }
+
+// sleep waits; it is false where the run ends first.
+func (env *environment) sleep(d time.Duration) bool {
+	t := time.NewTimer(d)
+	defer t.Stop()
+	select {
+	case <-t.C:
+		return true
+	case <-env.over:
+		return false
+	}
+}
+
+// spawn runs f beside the run, which waits for its end.
+func (env *environment) spawn(f func()) { env.work.Go(f) }
+
+// after runs f later, unless the run ends first.
+func (env *environment) after(d time.Duration, f func()) {
+	if d <= 0 {
+		f()
+		return
+	}
+	time.AfterFunc(d, func() {
+		select {
+		case <-env.over:
+		default:
+			f()
+		}
+	})
+}
+
+// build opens everything that the nodes will meet.
+func (env *environment) build() (err error) {
+	f := &env.scenario.Fleet
+	if env.addresses, err = claimAddressBlock(); err != nil {
+		return err
+	}
+	if env.udp, err = startUDPRelay(env, env.addresses.addr(4, 0)); err != nil {
+		return err
+	}
+	env.starter = newStarter()
+	if f.ListReplicas > 0 {
+		if env.list.service, err = startListService(env, env.serviceBinary); err != nil {
+			return err
+		}
+	}
+	for i := range f.Servers {
+		s, err := startServer(env, i, env.addresses.hostPort(2, i))
+		if err != nil {
+			return err
+		}
+		env.servers = append(env.servers, s)
+		env.list.publish(s.entry())
+	}
+	if env.list.service != nil && !env.list.service.awaitWritten() {
+		return errors.New("the list service does not take the first app servers")
+	}
+	if env.scenario.relayed() {
+		for n := range f.Nodes {
+			for i, s := range env.servers {
+				if err := env.startRelay(party{"node", n}, party{"server", i}, env.addresses.addr(5+n/250, n%250), s.addr); err != nil {
+					return err
+				}
+				if f.CrossDelay > 0 && f.zoneOf(n) != f.zoneOf(i) {
+					r := env.relays[[2]party{{"node", n}, {"server", i}}]
+					r.out.Delay, r.back.Delay = time.Duration(f.CrossDelay), time.Duration(f.CrossDelay)
+				}
+			}
+		}
+	}
+	var addrs []string
+	for i := range f.Nodes {
+		n := &edgeNode{number: i, name: fmt.Sprintf("n%d", i), listen: env.addresses.hostPort(1, i), peer: env.addresses.peerPort(1, i)}
+		if n.agent, err = startAgent(env.list, i, env.addresses.addr(3, i%250)+":0"); err != nil {
+			return err
+		}
+		env.nodes = append(env.nodes, n)
+		n.clients, n.discovery = n.listen, n.agent.addr
+		if env.scenario.relayed() {
+			clients, node, agent := party{"clients", 0}, party{"node", i}, party{"agent", i}
+			if err := errors.Join(env.startRelay(clients, node, env.addresses.addr(8, i), n.listen), env.startRelay(node, agent, env.addresses.addr(9, i), n.agent.addr)); err != nil {
+				return err
+			}
+			n.clients, n.discovery = env.relays[[2]party{clients, node}].addr, env.relays[[2]party{node, agent}].addr
+		}
+		addrs = append(addrs, n.clients)
+	}
+	env.generator = newLoadGenerator(env, addrs)
+	env.list.atStart, _ = env.list.since(0, true)
+	return nil
+}
+
+// startRelay puts a relay between two parties.
+func (env *environment) startRelay(from, to party, addr, target string) error {
+	r, err := startTCPRelay(env, env.seed, addr+":0", target, len(env.relays))
+	if err != nil {
+		return err
+	}
+	env.relays[[2]party{from, to}] = r
+	return nil
+}
+
+// relayed tells whether the links between nodes and servers go through relays.
+func (s *Scenario) relayed() bool {
+	for _, ft := range s.Faults {
+		if faultKinds[ft.Kind].relays {
+			return true
+		}
+	}
+	return s.Fleet.CrossDelay > 0
+}
+
+// descriptors is about how many a run needs in the testbed's process: listeners, a connection for
+// each request that is open when answers take as long as they are wanted within, and what
+// nodes keep to servers.
+func (s *Scenario) descriptors() int {
+	f := &s.Fleet
+	most := 1.0
+	for _, b := range s.Load.Bursts {
+		most = max(most, b.Times)
+	}
+	n := 200 + f.Nodes*4 + f.Servers*2 + int(2*most*s.Load.Rate*s.Load.LatencyObjective.s()) + f.Nodes*min(f.Servers, 60)
+	if s.relayed() {
+		n += f.Nodes*f.Servers + 2*f.Nodes*min(f.Servers, 60)
+	}
+	return n
+}
+
+// startNode starts a node's process and waits until it is ready. One that ends before is
+// an error that shows its log.
+func (env *environment) startNode(n *edgeNode) error {
+	path, err := env.writeConfig(n)
+	if err != nil {
+		return err
+	}
+	p, err := startProcess(env.starter, env.dir, n.name, env.nodeBinary, nodeNiceness, append([]string{"PROXY_CONFIG=" + path}, env.nodeEnv...))
+	if err != nil {
+		return err
+	}
+	peer, err := netip.ParseAddrPort(n.peer)
+	if err != nil {
+		return fmt.Errorf("%s: %w", n.name, err)
+	}
+	env.udp.join(n.number, peer)
+	n.mu.Lock()
+	n.proc, n.lastUsage, n.usageSamples = p, usage{}, nil
+	n.mu.Unlock()
+	env.work.Go(func() {
+		select {
+		case <-env.over:
+			return
+		case <-p.ended:
+		}
+		n.mu.Lock()
+		n.endedCPU += n.lastUsage.cpu
+		n.lastUsage = usage{}
+		n.mu.Unlock()
+		if p.crashed() {
+			env.crashes.Add(1)
+			n.mu.Lock()
+			n.killedAt = env.now()
+			n.mu.Unlock()
+			env.log.Error("a node crashed", "node", n.name, "how", p.err, "log", tail(filepath.Join(env.dir, n.name+".log")))
+		}
+	})
+	client := &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+	for began := time.Now(); ; {
+		resp, err := client.Get("http://" + n.listen + "/health/ready")
+		if err == nil {
+			_ = resp.Body.Close()
+			if resp.StatusCode == http.StatusOK {
+				return nil
+			}
+		}
+		select {
+		case <-p.ended:
+			if p.wasKilled() {
+				return nil
+			}
+			return fmt.Errorf("%s ended before it was ready: %w\n%s", n.name, cmp.Or(p.err, errExitedWithoutError), tail(filepath.Join(env.dir, n.name+".log")))
+		case <-env.over:
+			return nil
+		case <-time.After(10 * time.Millisecond):
+		}
+		if time.Since(began) > readyWithin {
+			return fmt.Errorf("%s is not ready after %v\n%s", n.name, readyWithin, tail(filepath.Join(env.dir, n.name+".log")))
+		}
+	}
+}
+
+// startNodes starts all nodes, a few at a time.
+func (env *environment) startNodes() error {
+	errs := make([]error, len(env.nodes))
+	var all sync.WaitGroup
+	turn := make(chan struct{}, 8)
+	for i, n := range env.nodes {
+		all.Go(func() {
+			turn <- struct{}{}
+			defer func() { <-turn }()
+			errs[i] = env.startNode(n)
+		})
+	}
+	all.Wait()
+	return errors.Join(errs...)
+}
+
+// process is the node's process, nil before the first.
+func (n *edgeNode) process() *process {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.proc
+}
+
+// answerable tells whether the node could answer all the time since then: it lived, nobody had
+// stopped it, and its link to the clients was sound.
+func (env *environment) answerable(node int, since time.Duration) bool {
+	if r := env.relays[[2]party{{"clients", 0}, {"node", node}}]; r != nil && !r.healthySince(since) {
+		return false
+	}
+	n := env.nodes[node]
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return (n.killedAt == 0 || n.killedAt < since) && !n.dying && !n.stopped && (n.resumedAt == 0 || n.resumedAt < since)
+}
+
+// stall stops a node's process, or lets it go on.
+func (env *environment) stall(n *edgeNode, stop bool) error {
+	n.mu.Lock()
+	p := n.proc
+	if n.stopped = stop; !stop {
+		n.resumedAt = env.now()
+	}
+	n.mu.Unlock()
+	if stop {
+		return p.signal(syscall.SIGSTOP)
+	}
+	return p.signal(syscall.SIGCONT)
+}
+
+// kill ends a node's process with no chance to finish.
+func (env *environment) kill(n *edgeNode) error {
+	n.mu.Lock()
+	p := n.proc
+	n.dying = true // what is sent from now on may meet a node that still takes it in
+	n.mu.Unlock()
+	if err := p.signal(syscall.SIGKILL); err != nil {
+		return err
+	}
+	<-p.ended
+	n.mu.Lock()
+	n.killedAt, n.dying = env.now(), false
+	n.mu.Unlock()
+	return nil
+}
+
+// restart is a planned restart: SIGTERM, and a new process once the old one has ended. One
+// that ignores the signal is killed in the end.
+func (env *environment) restart(n *edgeNode) error {
+	p := n.process()
+	if err := p.signal(syscall.SIGTERM); err != nil {
+		return err
+	}
+	env.after(sigtermNotice, func() {
+		f := env.generator.nodes[n.number]
+		f.mu.Lock()
+		f.up = false
+		f.mu.Unlock()
+	})
+	select {
+	case <-p.ended:
+	case <-env.over:
+		return nil
+	case <-time.After(time.Duration(env.scenario.Load.Deadline) + stopWithin):
+		env.log.Warn("a node ignores SIGTERM and is killed", "node", n.name)
+		if err := env.kill(n); err != nil {
+			return err
+		}
+	}
+	return env.startNode(n)
+}
+
+// moveDiscovery gives a node another discovery agent and SIGHUP; the old agent takes no new watch and
+// ends the open ones a little later.
+func (env *environment) moveDiscovery(n *edgeNode) error {
+	a, err := startAgent(env.list, n.number, env.addresses.addr(3, n.number%250)+":0")
+	if err != nil {
+		return err
+	}
+	n.config.Lock()
+	old := n.agent
+	n.agent, n.discovery, n.movedAt = a, a.addr, env.now()
+	n.config.Unlock()
+	if _, err := env.writeConfig(n); err != nil {
+		return err
+	}
+	env.after(oldAgentFor, old.close)
+	return n.process().signal(syscall.SIGHUP)
+}
+
+// addressedFor gives a message of the list the addresses at which the node reaches the servers.
+func (env *environment) addressedFor(node int, m listMessage) listMessage {
+	if len(env.relays) == 0 {
+		return m
+	}
+	list := append([]Entry(nil), m.Instances...)
+	for i := range list {
+		list[i].HostPort = env.relays[[2]party{{"node", node}, {"server", list[i].number}}].addr
+	}
+	m.Instances = list
+	return m
+}
+
+// recordDelivered books what a node was told.
+func (env *environment) recordDelivered(node int, m listMessage) {
+	env.recordDeliveredAt(node, m, env.now())
+}
+
+// recordDeliveredAt books what counts as told to a node from a time on.
+func (env *environment) recordDeliveredAt(node int, m listMessage, now time.Duration) {
+	listed := map[string]bool{}
+	for _, e := range m.Instances {
+		listed[e.InstanceID] = true
+		env.checker.entryDelivered(node, e.InstanceID, e.Lifecycle, now, e.StartedAtMs > 0)
+	}
+	if m.Reset {
+		env.checker.snapshotDelivered(node, listed, now)
+	}
+}
+
+// slack is what the machine did not give: how long the testbed stood still and a node had no
+// core, of late. Time limits are widened by it, so that a verdict does not depend on what
+// else the machine does.
+func (env *environment) slack(node int) time.Duration {
+	env.lagMu.Lock()
+	lag := env.lag
+	env.lagMu.Unlock()
+	if node < 0 || node >= len(env.nodes) {
+		return lag
+	}
+	n := env.nodes[node]
+	n.mu.Lock()
+	starved := n.starved
+	n.mu.Unlock()
+	return lag + starved
+}
+
+// mostSlack is the most that slack has been in the run.
+func (env *environment) mostSlack() time.Duration {
+	env.lagMu.Lock()
+	defer env.lagMu.Unlock()
+	return env.withheld
+}
+
+// watchLag measures how long the testbed stands still. A lag counts for some seconds.
+func (env *environment) watchLag() {
+	for env.measureLag() {
+	}
+}
+
+func (env *environment) measureLag() bool {
+	began := time.Now()
+	if !env.sleep(lagTick) {
+		return false
+	}
+	late := time.Since(began) - lagTick
+	env.lagMu.Lock()
+	defer env.lagMu.Unlock()
+	env.lag -= env.lag / 500 // falls to a third in five seconds
+	env.lag = max(env.lag, late)
+	return true
+}
+
+// sample reads what the nodes use. What a node was starved of counts for some seconds.
+func (env *environment) sample() {
+	const kept = 10
+	most := int64(0)
+	defer func() {
+		env.lagMu.Lock()
+		defer env.lagMu.Unlock()
+		for sec := int(env.now() / time.Second); len(env.memory) <= sec; {
+			env.memory = append(env.memory, 0)
+		}
+		last := &env.memory[len(env.memory)-1]
+		*last = max(*last, float64(most)/(1<<20))
+	}()
+	for _, n := range env.nodes {
+		p := n.process()
+		if p == nil {
+			continue
+		}
+		u := p.usage()
+		if u.memory == 0 {
+			continue
+		}
+		n.mu.Lock()
+		n.lastUsage = u
+		n.peakMemory = max(n.peakMemory, u.memory)
+		most = max(most, u.memory)
+		n.usageSamples = append(n.usageSamples, u)
+		if len(n.usageSamples) > kept {
+			n.usageSamples = n.usageSamples[1:]
+		}
+		n.starved = u.starved - n.usageSamples[0].starved
+		n.mu.Unlock()
+		slack := env.slack(n.number)
+		env.lagMu.Lock()
+		env.withheld = max(env.withheld, slack)
+		env.lagMu.Unlock()
+	}
+}
+
+// end stops everything: the run's processes first, then its sockets. It returns when nothing
+// of the run is left.
+func (env *environment) end() {
+	select {
+	case <-env.over:
+		return
+	default:
+	}
+	close(env.over)
+	var stops sync.WaitGroup
+	for _, n := range env.nodes {
+		if p := n.process(); p != nil {
+			stops.Go(func() { p.stop(stopWithin) })
+		}
+	}
+	if env.generator != nil {
+		env.generator.close()
+	}
+	stops.Wait()
+	env.list.close()
+	for _, s := range env.servers {
+		s.close()
+	}
+	for _, r := range env.relays {
+		r.close()
+	}
+	if env.udp != nil {
+		env.udp.close()
+	}
+	if env.list.service != nil {
+		env.list.service.stop()
+	}
+	env.work.Wait()
+	if env.starter != nil {
+		env.starter.stop()
+	}
+	if env.addresses != nil {
+		env.addresses.release()
+	}
+	env.cancel(nil)
+}
--- a/internal/testbed/fault.go
+++ b/internal/testbed/fault.go
@@ -7,20 +7,20 @@
 )
 
 // playFaults carries out the schedule's faults, each when it is due.
-func (w *world) playFaults() {
-	for _, e := range w.d.Faults {
-		if d := e.At - w.now(); d > 0 && !w.sleep(d) {
+func (env *environment) playFaults() {
+	for _, e := range env.schedule.Faults {
+		if d := e.At - env.now(); d > 0 && !env.sleep(d) {
 			return
 		}
-		ft := &w.s.Faults[e.Fault]
-		w.log.Info("fault", "at", e.At.Seconds(), "what", ft.describe(e))
+		ft := &env.scenario.Faults[e.Fault]
+		env.log.Info("fault", "at", e.At.Seconds(), "what", ft.describe(e))
 		// A restart waits for a process to end: the time line goes on.
-		w.work.Go(func() {
-			if err := w.applyFault(ft, e); err != nil {
+		env.work.Go(func() {
+			if err := env.applyFault(ft, e); err != nil {
 				select {
-				case <-w.over: // what is under way as the run ends is ended, too
+				case <-env.over: // what is under way as the run ends is ended, too
 				default:
-					w.fail(fmt.Errorf("fault %s at %v: %w", ft.describe(e), e.At, err))
+					env.fail(fmt.Errorf("fault %s at %v: %w", ft.describe(e), e.At, err))
 				}
 			}
 		})
@@ -28,14 +28,14 @@
 }
 
 // applyFault begins or ends a fault at one target.
-func (w *world) applyFault(ft *Fault, e Event) error {
-	var n *nodeState
+func (env *environment) applyFault(ft *Fault, e FaultEvent) error {
+	var n *edgeNode
 	var s *appServer
 	switch faultKinds[ft.Kind].target {
 	case "nodes":
-		n = w.nodes[e.Target]
+		n = env.nodes[e.Target]
 	case "servers":
-		s = w.servers[e.Target]
+		s = env.servers[e.Target]
 	}
 	share := func(set func(*serverFaults, float64)) {
 		size := ft.Size
@@ -47,21 +47,21 @@
 	switch ft.Kind {
 	case "kill":
 		if e.End {
-			return w.startNode(n)
+			return env.startNode(n)
 		}
-		return w.kill(n)
+		return env.kill(n)
 	case "restart":
 		if e.End {
 			return nil
 		}
-		return w.restart(n)
+		return env.restart(n)
 	case "stall":
-		return w.stall(n, !e.End)
+		return env.stall(n, !e.End)
 	case "hup":
 		if e.End {
 			return nil
 		}
-		return w.move(n)
+		return env.moveDiscovery(n)
 	case "slow":
 		s.fault(func(_ *serverFaults, m *model) {
 			if m.slow = ft.Size; e.End {
@@ -75,74 +75,74 @@
 	case "reset":
 		share(func(f *serverFaults, x float64) { f.resets = x })
 	case "spoil":
-		share(func(f *serverFaults, x float64) { f.bad = x })
+		share(func(f *serverFaults, x float64) { f.malformed = x })
 	case "dead":
 		if e.End {
-			return s.revive(false)
+			return s.restart(false)
 		}
-		s.die()
+		s.crash()
 	case "drain":
 		if e.End {
-			s.gone()
+			s.remove()
 		} else {
 			s.drain()
 		}
 	case "replace":
 		if !e.End {
-			s.gone()
-			return s.revive(true)
+			s.remove()
+			return s.restart(true)
 		}
 	case "lose-zone":
-		for _, i := range w.s.Fleet.inZone(w.s.Fleet.Servers, ft.Zone) {
+		for _, i := range env.scenario.Fleet.inZone(env.scenario.Fleet.Servers, ft.Zone) {
 			if !e.End {
-				w.servers[i].die()
-			} else if err := w.servers[i].revive(false); err != nil {
+				env.servers[i].crash()
+			} else if err := env.servers[i].restart(false); err != nil {
 				return err
 			}
 		}
 	case "cut-zone":
-		inside := func(i int) bool { return w.s.Fleet.zoneOf(i) == ft.Zone }
-		return w.cut(ft.Way, !e.End, inside, inside)
+		inside := func(i int) bool { return env.scenario.Fleet.zoneOf(i) == ft.Zone }
+		return env.cut(ft.Way, !e.End, inside, inside)
 	case "cut-node":
-		return w.cut(ft.Way, !e.End, func(i int) bool { return i == e.Target }, func(int) bool { return false })
+		return env.cut(ft.Way, !e.End, func(i int) bool { return i == e.Target }, func(int) bool { return false })
 	case "link":
-		return w.applyLinkFault(ft, e.End)
+		return env.applyLinkFault(ft, e.End)
 	case "peer-loss":
 		loss := ft.Size
 		if e.End {
-			loss = w.s.Fleet.PeerLoss
+			loss = env.scenario.Fleet.PeerLoss
 		}
-		w.udp.setLoss(loss)
+		env.udp.setLoss(loss)
 	case "list-late":
-		w.list.mu.Lock()
-		if w.list.late = time.Duration(ft.Late); e.End {
-			w.list.late = 0
+		env.list.mu.Lock()
+		if env.list.extraDelay = time.Duration(ft.Delay); e.End {
+			env.list.extraDelay = 0
 		}
-		w.list.mu.Unlock()
+		env.list.mu.Unlock()
 	case "list-down":
-		w.list.setDown(!e.End)
+		env.list.setDown(!e.End)
 	case "list-reset", "list-silent":
 		if !e.End {
-			w.list.disturb(ft.Kind == "list-silent")
+			env.list.breakWatches(ft.Kind == "list-silent")
 		}
 	case "list-words":
-		if w.list.word(ft.Does); e.End {
-			w.list.word("")
+		if env.list.setEncoding(ft.Does); e.End {
+			env.list.setEncoding("")
 		}
 	case "list-kill":
 		if e.End {
-			return w.list.service.revive()
+			return env.list.service.restartKilled()
 		}
-		return w.list.service.kill(ft.Share == 1)
+		return env.list.service.kill(ft.Share == 1)
 	}
 	return nil
 }
 
 // cut changes the links between what is inside and what is outside: out is from inside to
 // outside, in the other way.
-func (w *world) cut(way string, cut bool, nodeInside, serverInside func(int) bool) error {
+func (env *environment) cut(way string, cut bool, nodeInside, serverInside func(int) bool) error {
 	out, in := way != "in", way != "out"
-	for k, r := range w.relays {
+	for k, r := range env.relays {
 		if k[0].kind != "node" || k[1].kind != "server" {
 			continue
 		}
@@ -162,11 +162,11 @@
 			return err
 		}
 	}
-	for i := range w.nodes {
-		for j := range w.nodes {
+	for i := range env.nodes {
+		for j := range env.nodes {
 			if nodeInside(i) && !nodeInside(j) {
-				w.udp.set(i, j, func(l *LinkState) { l.Cut = cut && out })
-				w.udp.set(j, i, func(l *LinkState) { l.Cut = cut && in })
+				env.udp.set(i, j, func(l *LinkState) { l.Cut = cut && out })
+				env.udp.set(j, i, func(l *LinkState) { l.Cut = cut && in })
 			}
 		}
 	}
@@ -175,12 +175,12 @@
 
 // applyLinkFault begins or ends a fault of links: what goes from one party to the other, and for
 // resets and refusals the connections between them.
-func (w *world) applyLinkFault(ft *Fault, end bool) error {
-	from, err := w.s.parties(ft.From)
+func (env *environment) applyLinkFault(ft *Fault, end bool) error {
+	from, err := env.scenario.parties(ft.From)
 	if err != nil {
 		return err
 	}
-	to, err := w.s.parties(ft.To)
+	to, err := env.scenario.parties(ft.To)
 	if err != nil {
 		return err
 	}
@@ -195,7 +195,7 @@
 		case "loss":
 			l.Loss = x * ft.Size
 		case "delay":
-			l.Delay = time.Duration(x * float64(ft.Late))
+			l.Delay = time.Duration(x * float64(ft.Delay))
 		case "rate":
 			l.Rate = x * ft.Size
 		}
@@ -206,9 +206,9 @@
 				b.number = a.number
 			}
 			if a.kind == "node" && b.kind == "node" && a != b {
-				w.udp.set(a.number, b.number, change)
+				env.udp.set(a.number, b.number, change)
 			}
-			there, back := w.relays[[2]party{a, b}], w.relays[[2]party{b, a}]
+			there, back := env.relays[[2]party{a, b}], env.relays[[2]party{b, a}]
 			var err error
 			switch {
 			case there != nil && (ft.Does == "reset" || ft.Does == "refuse"):
@@ -226,8 +226,8 @@
 	return nil
 }
 
-// describe names what a fault does, for logs and pictures.
-func (ft *Fault) describe(e Event) string {
+// describe names what a fault does, for logs and charts.
+func (ft *Fault) describe(e FaultEvent) string {
 	var b strings.Builder
 	b.WriteString(ft.Kind)
 	if e.Target >= 0 {
--- a/internal/testbed/link_tcp.go
+++ b/internal/testbed/link_tcp.go
@@ -35,8 +35,8 @@
 
 // relayedConn is one connection through a relay.
 type relayedConn struct {
-	near, far net.Conn
-	missed    bool // bytes or an end were withheld: the ends no longer agree
+	client, server net.Conn
+	missed         bool // bytes or an end were withheld: the ends no longer agree
 }
 
 func startTCPRelay(clock runClock, seed uint64, addr, target string, stream int) (*tcpRelay, error) {
@@ -73,7 +73,7 @@
 		}
 		if cut { // it came up as the link went down
 			r.clock.spawn(func() {
-				r.blackhole(&relayedConn{near: c})
+				r.blackhole(&relayedConn{client: c})
 			})
 			continue
 		}
@@ -88,7 +88,7 @@
 	if !r.add(p) {
 		return
 	}
-	_, _ = io.Copy(io.Discard, p.near) // ends with any error: the connection is over
+	_, _ = io.Copy(io.Discard, p.client) // ends with any error: the connection is over
 }
 
 // add enters a connection, so that close ends it. It returns false if the relay is closed already: then nobody
@@ -107,9 +107,9 @@
 	r.mu.Lock()
 	delete(r.open, p)
 	r.mu.Unlock()
-	_ = p.near.Close()
-	if p.far != nil {
-		_ = p.far.Close()
+	_ = p.client.Close()
+	if p.server != nil {
+		_ = p.server.Close()
 	}
 }
 
@@ -120,7 +120,7 @@
 		reset(near)
 		return
 	}
-	p := &relayedConn{near: near, far: far}
+	p := &relayedConn{client: near, server: far}
 	defer r.remove(p)
 	if !r.add(p) {
 		return
@@ -185,9 +185,9 @@
 		return
 	}
 	for p := range r.open {
-		reset(p.near)
-		if p.far != nil {
-			reset(p.far)
+		reset(p.client)
+		if p.server != nil {
+			reset(p.server)
 		}
 	}
 }
@@ -256,9 +256,9 @@
 	r.fillers = nil
 	for p := range r.open {
 		if p.missed {
-			reset(p.near)
-			if p.far != nil {
-				reset(p.far)
+			reset(p.client)
+			if p.server != nil {
+				reset(p.server)
 			}
 		}
 	}
@@ -289,9 +289,9 @@
 	_ = r.ln.Close()
 	closeAll(r.fillers)
 	for p := range r.open {
-		_ = p.near.Close()
-		if p.far != nil {
-			_ = p.far.Close()
+		_ = p.client.Close()
+		if p.server != nil {
+			_ = p.server.Close()
 		}
 	}
 }
--- a/internal/testbed/link_test.go
+++ b/internal/testbed/link_test.go
@@ -43,7 +43,7 @@
 func TestLinkClosesWhatItIsAboutToCarry(t *testing.T) {
 	for what, relay := range map[string]func(*tcpRelay, net.Conn){
 		"carried":    (*tcpRelay).carry,
-		"blackholed": func(r *tcpRelay, near net.Conn) { r.blackhole(&relayedConn{near: near}) },
+		"blackholed": func(r *tcpRelay, near net.Conn) { r.blackhole(&relayedConn{client: near}) },
 	} {
 		t.Run(what, func(t *testing.T) {
 			link, err := NewLink(listenTCP(t).Addr().String(), 1)
--- a/internal/testbed/link_udp.go
+++ b/internal/testbed/link_udp.go
@@ -14,7 +14,7 @@
 // what reaches j comes from peers[i]: one socket for each node is enough, since the source
 // tells who wrote and the socket who is meant.
 type udpRelay struct {
-	w     *world
+	env   *environment
 	peers []string
 	all   string
 	socks []*net.UDPConn // by node; the last is for all
@@ -30,10 +30,10 @@
 	counts struct{ sent, lost, refused int } // datagrams
 }
 
-func startUDPRelay(w *world, block string) (*udpRelay, error) {
-	n := w.s.Fleet.Nodes
+func startUDPRelay(env *environment, block string) (*udpRelay, error) {
+	n := env.scenario.Fleet.Nodes
 	u := &udpRelay{
-		w: w, rng: random(w.seed, streamLinks), from: map[netip.AddrPort]int{}, links: map[[2]int]LinkState{}, loss: w.s.Fleet.PeerLoss,
+		env: env, rng: random(env.seed, streamLinks), from: map[netip.AddrPort]int{}, links: map[[2]int]LinkState{}, loss: env.scenario.Fleet.PeerLoss,
 		inbox: make([]float64, n), inAt: make([]time.Duration, n), homes: make([]netip.AddrPort, n),
 	}
 	for i := range n + 1 {
@@ -50,7 +50,7 @@
 		}
 	}
 	for to, c := range u.socks {
-		w.work.Go(func() { u.carry(to, c) })
+		env.work.Go(func() { u.carry(to, c) })
 	}
 	return u, nil
 }
@@ -80,7 +80,7 @@
 			continue
 		}
 		if n > 256 {
-			u.w.fail(fmt.Errorf("node %d sent a datagram of more than 256 bytes", from))
+			u.env.fail(fmt.Errorf("node %d sent a datagram of more than 256 bytes", from))
 			return
 		}
 		msg := append([]byte(nil), buf[:n]...)
@@ -100,8 +100,8 @@
 func (u *udpRelay) deliver(from, to int, msg []byte) {
 	u.mu.Lock()
 	u.counts.sent++
-	now := u.w.now()
-	rate := u.w.s.Fleet.InboxPerS
+	now := u.env.now()
+	rate := u.env.scenario.Fleet.PeerMessagesPerSecond
 	u.inbox[to] = min(u.inbox[to]+rate*(now-u.inAt[to]).Seconds(), rate)
 	u.inAt[to] = now
 	link := u.links[[2]int{from, to}]
@@ -117,10 +117,10 @@
 	}
 	u.inbox[to]--
 	home := u.homes[to]
-	d := time.Duration((0.5+u.rng.Float64())*float64(u.w.s.Fleet.PeerDelay)) + link.Delay
+	d := time.Duration((0.5+u.rng.Float64())*float64(u.env.scenario.Fleet.PeerDelay)) + link.Delay
 	u.mu.Unlock()
 	// A datagram that can't be sent is lost, as others are.
-	u.w.after(d, func() { _, _ = u.socks[from].WriteToUDPAddrPort(msg, home) })
+	u.env.after(d, func() { _, _ = u.socks[from].WriteToUDPAddrPort(msg, home) })
 }
 
 func (u *udpRelay) set(from, to int, change func(*LinkState)) {
--- a/internal/testbed/list.go
+++ b/internal/testbed/list.go
@@ -40,100 +40,100 @@
 
 // Figures of the platform's discovery.
 const (
-	beatEvery    = 2 * time.Second         // the pace of a watch's empty lines
-	silentTold   = 6 * time.Second         // what a silent watch misses counts as told so long after it fell silent
-	movedTold    = 4 * time.Second         // after SIGHUP, what the new discovery has
-	askWithin    = 10 * time.Second        // where lists are asked for: a node without a watch has to ask so often
-	failedTimes  = 4                       // and so many times more seldom after a failed call
-	noticed      = 2500 * time.Millisecond // in which a watch's silence can be noticed: an empty line is late
-	lineMost     = 2 * time.Second         // a call waits in the service's line, and is turned away then
-	pieceOfWords = 48                      // bytes in a piece of a message that trickles
+	heartbeatInterval = 2 * time.Second         // the pace of a watch's empty lines
+	silentWatchGrace  = 6 * time.Second         // what a silent watch misses counts as told so long after it fell silent
+	moveGrace         = 4 * time.Second         // after SIGHUP, what the new discovery has
+	pollInterval      = 10 * time.Second        // where lists are asked for: a node without a watch has to ask so often
+	failedPollFactor  = 4                       // and so many times more seldom after a failed call
+	silenceNoticed    = 2500 * time.Millisecond // in which a watch's silence can be noticed: an empty line is late
+	maxCallWait       = 2 * time.Second         // a call waits in the service's line, and is turned away then
+	trickleChunk      = 48                      // bytes in a piece of a message that trickles
 )
 
 // Ways in which changes may be worded.
-var listWords = []string{"indent", "trickle", "half", "noise", "entry"}
+var listEncodings = []string{"indent", "trickle", "half", "noise", "entry"}
 
 // list is the stand-in for discovery: one versioned list, told late.
 type list struct {
-	w *world
-
-	mu         sync.Mutex
-	generation uint64
-	entries    map[string]Entry // all that are not removed
-	log        []Entry          // log[i] made generation i+1
-	more       chan struct{}    // closed at the next change
-	late       time.Duration    // beyond the scenario's own
-	down       bool
-	words      string                  // how changes are worded; "": on one line
-	first      listMessage             // the list of the run's start
-	lineFree   time.Time               // when the service has served the calls in its line
-	service    *service                // where the list is kept if not here; nil: here
-	happened   map[happening]time.Time // when the list took each change in
-	numbers    map[string]int          // of the servers, by the names that they have had
-	agents     atomic.Int64            // of the project, that were started
-	started    []*agent
-	back       atomic.Int64            // messages that took a node's list back
-	told       *hdrhistogram.Histogram // microseconds from there to each node's being told
-}
-
-// happening is one change of one start of an app server.
-type happening struct {
+	env *environment
+
+	mu            sync.Mutex
+	generation    uint64
+	entries       map[string]Entry // all that are not removed
+	history       []Entry          // log[i] made generation i+1
+	changes       chan struct{}    // closed at the next change
+	extraDelay    time.Duration    // beyond the scenario's own
+	down          bool
+	encoding      string                  // how changes are worded; "": on one line
+	atStart       listMessage             // the list of the run's start
+	nextCallAt    time.Time               // when the service has served the calls in its line
+	service       *listService            // where the list is kept if not here; nil: here
+	eventTimes    map[listEvent]time.Time // when the list took each change in
+	serverNumbers map[string]int          // of the servers, by the names that they have had
+	projectAgents atomic.Int64            // of the project, that were started
+	agents        []*agent
+	rollbacks     atomic.Int64            // messages that took a node's list back
+	delays        *hdrhistogram.Histogram // microseconds from there to each node's being told
+}
+
+// listEvent is one change of one start of an app server.
+type listEvent struct {
 	id, lifecycle string
 	started       int64
 }
 
-func newList(w *world) *list {
-	return &list{w: w, entries: map[string]Entry{}, more: make(chan struct{}), happened: map[happening]time.Time{}, numbers: map[string]int{}, told: newHistogram()}
+func newList(env *environment) *list {
+	return &list{env: env, entries: map[string]Entry{}, changes: make(chan struct{}), eventTimes: map[listEvent]time.Time{}, serverNumbers: map[string]int{}, delays: newHistogram()}
 }
 
-// changed takes in an entry, once discovery has noticed.
-func (l *list) changed(e Entry) {
+// publishLater takes in an entry, once discovery has noticed.
+func (l *list) publishLater(e Entry) {
 	l.mu.Lock()
-	late := time.Duration(l.w.s.Fleet.ListLate) + l.late
+	late := time.Duration(l.env.scenario.Fleet.ListDelay) + l.extraDelay
 	l.mu.Unlock()
-	l.w.after(late, func() { l.put(e) })
+	l.env.after(late, func() { l.publish(e) })
 }
 
-// put makes an entry the next generation.
-func (l *list) put(e Entry) {
-	if l.take(e) {
-		l.has(listMessage{Instances: []Entry{e}})
+// publish makes an entry the next generation.
+func (l *list) publish(e Entry) {
+	if l.apply(e) {
+		l.markDelivered(listMessage{Instances: []Entry{e}})
 	}
 }
 
-// take makes an entry the next generation and tells whether the agents have it at once.
-func (l *list) take(e Entry) bool {
+// apply makes an entry the next generation and tells whether the agents have it at once.
+func (l *list) apply(e Entry) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.generation++
-	l.log = append(l.log, e)
-	l.happened[happening{e.InstanceID, e.Lifecycle, e.StartedAtMs}], l.numbers[e.InstanceID] = time.Now(), e.number
+	l.history = append(l.history, e)
+	l.eventTimes[listEvent{e.InstanceID, e.Lifecycle, e.StartedAtMs}], l.serverNumbers[e.InstanceID] = time.Now(), e.number
 	if l.service != nil {
-		l.service.put(e)
+		l.service.enqueue(e)
 	}
 	if e.Lifecycle == "removed" {
 		delete(l.entries, e.InstanceID)
 	} else {
 		l.entries[e.InstanceID] = e
 	}
-	close(l.more)
-	l.more = make(chan struct{})
+	close(l.changes)
+	l.changes = make(chan struct{})
 	return l.service == nil && !l.down
 }
 
-// has books what the agents have: it counts as told, whether or not it has come to the nodes.
-func (l *list) has(m listMessage) {
-	for _, n := range l.w.nodes {
+// markDelivered books what the agents have: it counts as told, whether or not it has come to the nodes.
+func (l *list) markDelivered(m listMessage) {
+	for _, n := range l.env.nodes {
 		n.config.Lock()
-		l.nodeHas(n, m)
+		l.markDeliveredTo(n, m)
 		n.config.Unlock()
 	}
 }
 
-// nodeHas is has for one node, whose configuration is locked.
-func (l *list) nodeHas(n *nodeState, m listMessage) {
-	if at, ok := n.agent.toldAt(l.w.now(), n.movedAt); ok {
-		l.w.toldFrom(n.number, m, at)
+// markDeliveredTo is has for one node, whose configuration is locked.
+func (l *list) markDeliveredTo(n *edgeNode, m listMessage) {
+	if at, ok := n.agent.deliveredAt(l.env.now(), n.movedAt); ok {
+		l.env.recordDeliveredAt(n.number, m, at)
 	}
 }
 
@@ -147,10 +147,10 @@
 		for _, e := range l.entries {
 			m.Instances = append(m.Instances, e)
 		}
-		return m, l.more
+		return m, l.changes
 	}
 	last := map[string]int{}
-	for _, e := range l.log[from:] {
+	for _, e := range l.history[from:] {
 		if i, seen := last[e.InstanceID]; seen {
 			m.Instances[i] = e
 			continue
@@ -158,12 +158,12 @@
 		last[e.InstanceID] = len(m.Instances)
 		m.Instances = append(m.Instances, e)
 	}
-	return m, l.more
+	return m, l.changes
 }
 
-// known is the list that a node starts with. The list service numbers its versions itself, and
+// initial is the list that a node starts with. The list service numbers its versions itself, and
 // tells the whole list to one that holds none.
-func (l *list) known() listMessage {
+func (l *list) initial() listMessage {
 	m, _ := l.since(0, true)
 	if l.service != nil {
 		m.Generation = 0
@@ -171,25 +171,25 @@
 	return m
 }
 
-// heard books how late a node was told of changes; what comes as a whole list is none.
-func (l *list) heard(m listMessage) {
+// recordDelay books how late a node was told of changes; what comes as a whole list is none.
+func (l *list) recordDelay(m listMessage) {
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, e := range m.Instances {
-		if at, ok := l.happened[happening{e.InstanceID, e.Lifecycle, e.StartedAtMs}]; ok && !m.Reset {
-			record(l.told, now.Sub(at))
+		if at, ok := l.eventTimes[listEvent{e.InstanceID, e.Lifecycle, e.StartedAtMs}]; ok && !m.Reset {
+			record(l.delays, now.Sub(at))
 		}
 	}
 }
 
-// right counts the nodes that have been told of the list as it is.
-func (l *list) right() (n int) {
+// upToDate counts the nodes that have been told of the list as it is.
+func (l *list) upToDate() (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.w.ref.mu.Lock()
-	defer l.w.ref.mu.Unlock()
-	for _, told := range l.w.ref.told {
+	l.env.checker.mu.Lock()
+	defer l.env.checker.mu.Unlock()
+	for _, told := range l.env.checker.delivered {
 		same := true
 		for id, k := range told {
 			e, listed := l.entries[id]
@@ -212,35 +212,35 @@
 	l.mu.Lock()
 	back := l.service == nil && l.down && !down
 	l.down = down
-	started := slices.Clone(l.started)
+	started := slices.Clone(l.agents)
 	l.mu.Unlock()
 	if down {
-		l.disturb(true)
+		l.breakWatches(true)
 	}
 	if back {
 		for _, a := range started {
 			a.mu.Lock()
-			if a.silentAt > 0 && l.w.now()-a.silentAt > noticed {
+			if a.silentAt > 0 && l.env.now()-a.silentAt > silenceNoticed {
 				a.silentAt = 0
 			}
 			a.mu.Unlock()
 		}
 		whole, _ := l.since(0, true)
-		l.has(whole)
+		l.markDelivered(whole)
 	}
 }
 
-// word sets how changes are worded.
-func (l *list) word(how string) {
+// setEncoding sets how changes are worded.
+func (l *list) setEncoding(how string) {
 	l.mu.Lock()
-	l.words = how
+	l.encoding = how
 	l.mu.Unlock()
 }
 
-// worded is a message as it is written, in pieces.
-func (l *list) worded(m listMessage) ([][]byte, error) {
+// encode is a message as it is written, in pieces.
+func (l *list) encode(m listMessage) ([][]byte, error) {
 	l.mu.Lock()
-	how := l.words
+	how := l.encoding
 	l.mu.Unlock()
 	text, err := json.Marshal(m)
 	if err != nil {
@@ -265,22 +265,22 @@
 	}
 	text = append(text, '\n')
 	if how == "trickle" {
-		return slices.Collect(slices.Chunk(text, pieceOfWords)), nil
+		return slices.Collect(slices.Chunk(text, trickleChunk)), nil
 	}
 	return [][]byte{text}, nil
 }
 
-// disturb resets or silences all open watches.
-func (l *list) disturb(silent bool) {
+// breakWatches resets or silences all open watches.
+func (l *list) breakWatches(silent bool) {
 	l.mu.Lock()
-	all := slices.Clone(l.started)
+	all := slices.Clone(l.agents)
 	l.mu.Unlock()
 	for _, a := range all {
 		a.mu.Lock()
 		for w := range a.watches {
 			delete(a.watches, w)
 			if silent {
-				a.silentAt = l.w.now()
+				a.silentAt = l.env.now()
 				close(w.silent)
 			} else {
 				close(w.reset)
@@ -290,29 +290,29 @@
 	}
 }
 
-// line has a call wait for its turn at the service; it is false where the call is turned away.
-func (l *list) line(ctx context.Context) bool {
-	perS := l.w.s.Fleet.ListCallsPerS
+// admitCall has a call wait for its turn at the service; it is false where the call is turned away.
+func (l *list) admitCall(ctx context.Context) bool {
+	perS := l.env.scenario.Fleet.ListCallsPerS
 	if perS == 0 {
 		return true
 	}
 	l.mu.Lock()
 	now := time.Now()
-	if l.lineFree.Before(now) {
-		l.lineFree = now
+	if l.nextCallAt.Before(now) {
+		l.nextCallAt = now
 	}
-	wait := l.lineFree.Sub(now)
-	if wait > lineMost {
+	wait := l.nextCallAt.Sub(now)
+	if wait > maxCallWait {
 		l.mu.Unlock()
 		return false
 	}
-	l.lineFree = l.lineFree.Add(time.Duration(float64(time.Second) / perS))
+	l.nextCallAt = l.nextCallAt.Add(time.Duration(float64(time.Second) / perS))
 	l.mu.Unlock()
 	select {
 	case <-time.After(wait):
 		return true
 	case <-ctx.Done():
-	case <-l.w.over:
+	case <-l.env.over:
 	}
 	return false
 }
@@ -328,19 +328,19 @@
 
 // agent is the discovery agent on one node's machine.
 type agent struct {
-	l    *list
+	list *list
 	node int
 	srv  *http.Server
 	addr string
 
-	follows []string // addresses of the list service's replicas, or that of the project's agent
-	proc    *process // of that; nil: none
-	last    uint64   // version that the node was told last
+	sources        []string // addresses of the list service's replicas, or that of the project's agent
+	proc           *process // of that; nil: none
+	lastGeneration uint64   // version that the node was told last
 
-	mu       sync.Mutex
-	watches  map[*openWatch]struct{}
-	silentAt time.Duration // when the open watch fell silent, until discovery is called again; 0: it has not
-	failed   bool          // the latest call was turned away or met an outage
+	mu             sync.Mutex
+	watches        map[*openWatch]struct{}
+	silentAt       time.Duration // when the open watch fell silent, until discovery is called again; 0: it has not
+	lastCallFailed bool          // the latest call was turned away or met an outage
 }
 
 // openWatch is a watch that works.
@@ -348,39 +348,39 @@
 	reset, silent chan struct{} // closed to have it broken
 }
 
-// toldAt is when what the agent gets now counts as told to its node. Where lists are asked for
+// deliveredAt is when what the agent gets now counts as told to its node. Where lists are asked for
 // and the node has a watch that works, it counts when it is written, and ok is false.
-func (a *agent) toldAt(now, moved time.Duration) (at time.Duration, ok bool) {
+func (a *agent) deliveredAt(now, moved time.Duration) (at time.Duration, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	at = now
 	switch {
 	case a.silentAt > 0:
-		at = max(at, a.silentAt+silentTold)
-	case a.l.w.s.Fleet.ListAsked && len(a.watches) > 0:
+		at = max(at, a.silentAt+silentWatchGrace)
+	case a.list.env.scenario.Fleet.ListPolled && len(a.watches) > 0:
 		return 0, false
-	case a.l.w.s.Fleet.ListAsked && a.failed:
-		at += failedTimes * askWithin
-	case a.l.w.s.Fleet.ListAsked:
-		at += askWithin
+	case a.list.env.scenario.Fleet.ListPolled && a.lastCallFailed:
+		at += failedPollFactor * pollInterval
+	case a.list.env.scenario.Fleet.ListPolled:
+		at += pollInterval
 	}
 	if moved > 0 {
-		at = max(at, moved+movedTold)
+		at = max(at, moved+moveGrace)
 	}
 	return at, true
 }
 
-// called notes that the node has called, and whether it is answered.
-func (a *agent) called(answered bool) {
+// recordCall notes that the node has called, and whether it is answered.
+func (a *agent) recordCall(answered bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.failed = !answered; answered {
+	if a.lastCallFailed = !answered; answered {
 		a.silentAt = 0
 	}
 }
 
-// open notes a watch that works, until its end.
-func (a *agent) open() (w *openWatch, end func()) {
+// addWatch notes a watch that works, until its end.
+func (a *agent) addWatch() (w *openWatch, end func()) {
 	w = &openWatch{make(chan struct{}), make(chan struct{})}
 	a.mu.Lock()
 	a.watches[w] = struct{}{}
@@ -398,24 +398,24 @@
 	if err != nil {
 		return nil, fmt.Errorf("list agent of node %d: %w", node, err)
 	}
-	a := &agent{l: l, node: node, addr: ln.Addr().String(), watches: map[*openWatch]struct{}{}}
+	a := &agent{list: l, node: node, addr: ln.Addr().String(), watches: map[*openWatch]struct{}{}}
 	a.srv = &http.Server{Handler: a, ReadHeaderTimeout: 5 * time.Second}
 	if l.service != nil {
-		a.follows = l.service.addresses()
+		a.sources = l.service.addresses()
 	}
-	if l.w.s.Fleet.ListAgents {
-		own := fmt.Sprintf("%s:%d", l.w.block.addr(11, node%250), agentPort+l.agents.Add(1)) // a node that moves has a second one
+	if l.env.scenario.Fleet.ListAgents {
+		own := fmt.Sprintf("%s:%d", l.env.addresses.addr(11, node%250), agentPort+l.projectAgents.Add(1)) // a node that moves has a second one
 		if a.proc, err = l.service.startAgent(node, own); err != nil {
 			return nil, err
 		}
-		a.follows = []string{own}
+		a.sources = []string{own}
 	}
 	l.mu.Lock()
-	l.started = append(l.started, a)
+	l.agents = append(l.agents, a)
 	l.mu.Unlock()
-	l.w.work.Go(func() {
+	l.env.work.Go(func() {
 		if err := a.srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
-			l.w.fail(fmt.Errorf("list agent of node %d: %w", node, err))
+			l.env.fail(fmt.Errorf("list agent of node %d: %w", node, err))
 		}
 	})
 	return a, nil
@@ -427,26 +427,26 @@
 		http.NotFound(w, r)
 		return
 	}
-	if a.l.isDown() {
-		a.called(false)
-		a.quiet(r.Context())
+	if a.list.isDown() {
+		a.recordCall(false)
+		a.staySilent(r.Context())
 		return
 	}
-	a.l.w.listCalls.Add(1)
-	if !a.l.line(r.Context()) {
-		a.called(false)
+	a.list.env.listCalls.Add(1)
+	if !a.list.admitCall(r.Context()) {
+		a.recordCall(false)
 		http.Error(w, "the line is full", http.StatusServiceUnavailable)
 		return
 	}
-	a.called(true)
+	a.recordCall(true)
 	whole := r.URL.Query().Get("watch") == ""
-	if whole && a.l.service != nil {
+	if whole && a.list.service != nil {
 		a.relay(w, r, 0, true)
 		return
 	}
 	if whole {
-		m, _ := a.l.since(0, true)
-		a.write(w, m)
+		m, _ := a.list.since(0, true)
+		a.send(w, m)
 		return
 	}
 	from, err := strconv.ParseUint(r.URL.Query().Get("from"), 10, 64)
@@ -454,23 +454,23 @@
 		http.Error(w, "from: a generation is wanted", http.StatusBadRequest)
 		return
 	}
-	if a.l.service != nil {
+	if a.list.service != nil {
 		a.relay(w, r, from, false)
 		return
 	}
 	rc := http.NewResponseController(w)
-	open, end := a.open()
+	open, end := a.addWatch()
 	defer end()
-	m, more := a.l.since(from, false)
-	beat := time.NewTicker(beatEvery)
+	m, more := a.list.since(from, false)
+	beat := time.NewTicker(heartbeatInterval)
 	defer beat.Stop()
 	for {
-		if a.l.isDown() {
-			a.quiet(r.Context())
+		if a.list.isDown() {
+			a.staySilent(r.Context())
 			return
 		}
 		if m.Reset || len(m.Instances) > 0 {
-			if !a.write(w, m) {
+			if !a.send(w, m) {
 				return
 			}
 			from = m.Generation
@@ -481,12 +481,12 @@
 		select {
 		case <-r.Context().Done():
 			return
-		case <-a.l.w.over:
+		case <-a.list.env.over:
 			return
 		case <-open.reset:
 			panic(http.ErrAbortHandler) // net/http's way to break a connection off
 		case <-open.silent:
-			a.quiet(r.Context())
+			a.staySilent(r.Context())
 			return
 		case <-beat.C:
 			if _, err := w.Write([]byte("\n")); err != nil {
@@ -494,7 +494,7 @@
 			}
 			m = listMessage{}
 		case <-more:
-			m, more = a.l.since(from, false)
+			m, more = a.list.since(from, false)
 		}
 	}
 }
@@ -504,15 +504,15 @@
 func (a *agent) relay(w http.ResponseWriter, r *http.Request, from uint64, whole bool) {
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
-	defer context.AfterFunc(a.l.w.ctx, cancel)()
+	defer context.AfterFunc(a.list.env.ctx, cancel)()
 	rc := http.NewResponseController(w)
 	if !whole && rc.Flush() != nil {
 		return
 	}
-	a.l.service.follow(ctx, a.follows, a.node, from, func(m *listMessage) bool {
+	a.list.service.follow(ctx, a.sources, a.node, from, func(m *listMessage) bool {
 		switch {
-		case a.l.isDown():
-			a.quiet(ctx)
+		case a.list.isDown():
+			a.staySilent(ctx)
 			return false
 		case whole && (m == nil || !m.Reset):
 			return true
@@ -520,34 +520,34 @@
 			_, err := w.Write([]byte("\n"))
 			return err == nil && rc.Flush() == nil
 		}
-		a.l.mu.Lock()
-		if m.Generation < a.last {
-			a.l.back.Add(1)
+		a.list.mu.Lock()
+		if m.Generation < a.lastGeneration {
+			a.list.rollbacks.Add(1)
 		}
-		a.last = m.Generation
+		a.lastGeneration = m.Generation
 		for i := range m.Instances {
-			m.Instances[i].number = a.l.numbers[m.Instances[i].InstanceID]
+			m.Instances[i].number = a.list.serverNumbers[m.Instances[i].InstanceID]
 		}
-		a.l.mu.Unlock()
-		return a.write(w, *m) && !whole
+		a.list.mu.Unlock()
+		return a.send(w, *m) && !whole
 	})
 }
 
-// quiet is silence on an open connection.
-func (a *agent) quiet(ctx context.Context) {
+// staySilent is silence on an open connection.
+func (a *agent) staySilent(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-a.l.w.over:
+	case <-a.list.env.over:
 	}
 }
 
-// write sends one message with the addresses that this node must use, and books that the
+// send sends one message with the addresses that this node must use, and books that the
 // node was told.
-func (a *agent) write(w http.ResponseWriter, m listMessage) bool {
-	m = a.l.w.seenFrom(a.node, m)
-	pieces, err := a.l.worded(m)
+func (a *agent) send(w http.ResponseWriter, m listMessage) bool {
+	m = a.list.env.addressedFor(a.node, m)
+	pieces, err := a.list.encode(m)
 	if err != nil {
-		a.l.w.fail(fmt.Errorf("list: %w", err))
+		a.list.env.fail(fmt.Errorf("list: %w", err))
 		return false
 	}
 	for _, text := range pieces {
@@ -558,15 +558,15 @@
 			return false
 		}
 	}
-	a.l.w.told(a.node, m)
-	a.l.heard(m)
+	a.list.env.recordDelivered(a.node, m)
+	a.list.recordDelay(m)
 	return true
 }
 
 // close ends all agents that were ever started: one that a node has left may be open still.
 func (l *list) close() {
 	l.mu.Lock()
-	all := l.started
+	all := l.agents
 	l.mu.Unlock()
 	for _, a := range all {
 		a.close()
--- a/internal/testbed/service.go
+++ b/internal/testbed/list_service.go
@@ -21,19 +21,19 @@
 	"time"
 )
 
-// service is the project's own list service, in place of the lab's list: replicas as processes,
-// to which the lab writes what happens to the app servers and from which the agents tell the
+// listService is the project's own list service, in place of the testbed's list: replicas as processes,
+// to which the testbed writes what happens to the app servers and from which the agents tell the
 // nodes.
-type service struct {
-	w        *world
-	program  string
-	replicas []*replica
-	writes   [writers]chan Entry // by server, in the order in which they happened
-	waiting  atomic.Int64
-	calls    *http.Client
+type listService struct {
+	env           *environment
+	program       string
+	replicas      []*replica
+	writes        [writers]chan Entry // by server, in the order in which they happened
+	pendingWrites atomic.Int64
+	calls         *http.Client
 
-	mu   sync.Mutex
-	incs map[string]uint64 // starts of an instance
+	mu           sync.Mutex
+	incarnations map[string]uint64 // starts of an instance
 }
 
 // replica is one process of the list service.
@@ -53,12 +53,12 @@
 	writesQueued = 1 << 12 // of each
 )
 
-// startService starts the replicas, one after another.
-func startService(w *world, program string) (*service, error) {
-	s := &service{w: w, program: program, incs: map[string]uint64{}, calls: &http.Client{Timeout: serviceCall}}
-	for i := range w.s.Fleet.ListReplicas {
-		r := &replica{name: fmt.Sprintf("list-%d", i), listen: w.block.hostPort(10, i), raft: w.block.peerPort(10, i)}
-		r.dir = filepath.Join(w.dir, r.name)
+// startListService starts the replicas, one after another.
+func startListService(env *environment, program string) (*listService, error) {
+	s := &listService{env: env, program: program, incarnations: map[string]uint64{}, calls: &http.Client{Timeout: serviceCall}}
+	for i := range env.scenario.Fleet.ListReplicas {
+		r := &replica{name: fmt.Sprintf("list-%d", i), listen: env.addresses.hostPort(10, i), raft: env.addresses.peerPort(10, i)}
+		r.dir = filepath.Join(env.dir, r.name)
 		if err := os.RemoveAll(r.dir); err != nil {
 			return s, fmt.Errorf("%s: %w", r.name, err)
 		}
@@ -66,24 +66,24 @@
 		if err := s.start(r); err != nil {
 			return s, err
 		}
-		if err := s.answers(r); err != nil {
+		if err := s.awaitLeader(r); err != nil {
 			return s, err
 		}
 	}
 	for i := range s.writes {
 		s.writes[i] = make(chan Entry, writesQueued)
-		w.spawn(func() { s.write(s.writes[i]) })
+		env.spawn(func() { s.write(s.writes[i]) })
 	}
 	return s, nil
 }
 
 // start starts a replica's process; one whose folder is new joins the first.
-func (s *service) start(r *replica) error {
+func (s *listService) start(r *replica) error {
 	args := []string{"registry", "serve", "-v", "--listen", r.listen, "--raft", r.raft, "--data", r.dir}
 	if r != s.replicas[0] {
 		args = append(args, "--join", s.replicas[0].listen)
 	}
-	p, err := startProcess(s.w.starter, s.w.dir, r.name, s.program, 0, nil, args...)
+	p, err := startProcess(s.env.starter, s.env.dir, r.name, s.program, 0, nil, args...)
 	if err != nil {
 		return err
 	}
@@ -93,29 +93,29 @@
 	return nil
 }
 
-// answers waits until a replica knows a leader.
-func (s *service) answers(r *replica) error {
+// awaitLeader waits until a replica knows a leader.
+func (s *listService) awaitLeader(r *replica) error {
 	for end := time.Now().Add(readyWithin); time.Now().Before(end); {
 		if st, err := s.status(r); err == nil && st.Leader != "" {
 			return nil
 		}
 		if r.proc.crashed() {
-			return fmt.Errorf("%s has ended: %s", r.name, tail(filepath.Join(s.w.dir, r.name+".log")))
+			return fmt.Errorf("%s has ended: %s", r.name, tail(filepath.Join(s.env.dir, r.name+".log")))
 		}
-		if !s.w.sleep(servicePause) {
+		if !s.env.sleep(servicePause) {
 			return errors.New("the run has ended")
 		}
 	}
-	return fmt.Errorf("%s: no leader: %s", r.name, tail(filepath.Join(s.w.dir, r.name+".log")))
+	return fmt.Errorf("%s: no leader: %s", r.name, tail(filepath.Join(s.env.dir, r.name+".log")))
 }
 
-// replicaStatus is what the lab reads of a replica's status.
+// replicaStatus is what the testbed reads of a replica's status.
 type replicaStatus struct {
 	State  string `json:"state"`
 	Leader string `json:"leader"`
 }
 
-func (s *service) status(r *replica) (st replicaStatus, err error) {
+func (s *listService) status(r *replica) (st replicaStatus, err error) {
 	resp, err := s.calls.Get("http://" + r.listen + "/registry/status")
 	if err != nil {
 		return st, err
@@ -124,52 +124,52 @@
 	return st, json.NewDecoder(resp.Body).Decode(&st)
 }
 
-// put takes in what happened to an app server; it is written after what happened to it before.
-func (s *service) put(e Entry) {
+// enqueue takes in what happened to an app server; it is written after what happened to it before.
+func (s *listService) enqueue(e Entry) {
 	select {
 	case s.writes[e.number%writers] <- e:
-		s.waiting.Add(1)
+		s.pendingWrites.Add(1)
 	default:
-		s.w.fail(fmt.Errorf("the list service takes no writes: %d wait", writesQueued))
+		s.env.fail(fmt.Errorf("the list service takes no writes: %d wait", writesQueued))
 	}
 }
 
 // write brings what happened to the service, one after another, each until it is done.
-func (s *service) write(happened <-chan Entry) {
+func (s *listService) write(happened <-chan Entry) {
 	for {
 		select {
-		case <-s.w.over:
+		case <-s.env.over:
 			return
 		case e := <-happened:
-			if err := s.do(e); err != nil {
-				s.w.fail(fmt.Errorf("list service: %s %s: %w", e.InstanceID, e.Lifecycle, err))
+			if err := s.carryOut(e); err != nil {
+				s.env.fail(fmt.Errorf("list service: %s %s: %w", e.InstanceID, e.Lifecycle, err))
 				return
 			}
-			s.waiting.Add(-1)
+			s.pendingWrites.Add(-1)
 		}
 	}
 }
 
-// written waits until everything that has happened is written.
-func (s *service) written() bool {
+// awaitWritten waits until everything that has happened is written.
+func (s *listService) awaitWritten() bool {
 	for end := time.Now().Add(readyWithin); time.Now().Before(end); {
-		if s.waiting.Load() == 0 {
+		if s.pendingWrites.Load() == 0 {
 			return true
 		}
-		if !s.w.sleep(servicePause) {
+		if !s.env.sleep(servicePause) {
 			break
 		}
 	}
 	return false
 }
 
-// do carries out one write, at one replica after another.
-func (s *service) do(e Entry) error {
+// carryOut carries out one write, at one replica after another.
+func (s *listService) carryOut(e Entry) error {
 	s.mu.Lock()
 	if e.Lifecycle == "up" {
-		s.incs[e.InstanceID]++
+		s.incarnations[e.InstanceID]++
 	}
-	inc := s.incs[e.InstanceID]
+	inc := s.incarnations[e.InstanceID]
 	s.mu.Unlock()
 	method, path, body := http.MethodPost, "/registry/instances", []byte(nil)
 	own := "/" + url.PathEscape(e.InstanceID)
@@ -189,7 +189,7 @@
 		method, path = http.MethodDelete, path+own+mark
 	}
 	for i := 0; ; i++ {
-		req, err := http.NewRequestWithContext(s.w.ctx, method, "http://"+s.replicas[i%len(s.replicas)].listen+path, bytes.NewReader(body))
+		req, err := http.NewRequestWithContext(s.env.ctx, method, "http://"+s.replicas[i%len(s.replicas)].listen+path, bytes.NewReader(body))
 		if err != nil {
 			return err
 		}
@@ -204,14 +204,14 @@
 				return fmt.Errorf("%s: %s", resp.Status, text)
 			}
 		}
-		if !s.w.sleep(servicePause) {
+		if !s.env.sleep(servicePause) {
 			return nil // the run has ended
 		}
 	}
 }
 
 // kill ends the replica that leads with SIGKILL, if one does, or all.
-func (s *service) kill(all bool) error {
+func (s *listService) kill(all bool) error {
 	for _, r := range s.replicas {
 		r.mu.Lock()
 		p := r.proc
@@ -227,8 +227,8 @@
 	return nil
 }
 
-// revive starts the replicas again that were killed.
-func (s *service) revive() error {
+// restartKilled starts the replicas again that were killed.
+func (s *listService) restartKilled() error {
 	for _, r := range s.replicas {
 		r.mu.Lock()
 		p := r.proc
@@ -244,12 +244,12 @@
 }
 
 // startAgent starts the project's agent beside a node.
-func (s *service) startAgent(node int, addr string) (*process, error) {
+func (s *listService) startAgent(node int, addr string) (*process, error) {
 	args := []string{"agent", "-v", "--listen", addr, "--name", fmt.Sprintf("n%d", node), "--replicas", strings.Join(s.addresses(), ",")}
-	return startProcess(s.w.starter, s.w.dir, fmt.Sprintf("agent-%d", node), s.program, 0, nil, args...)
+	return startProcess(s.env.starter, s.env.dir, fmt.Sprintf("agent-%d", node), s.program, 0, nil, args...)
 }
 
-func (s *service) addresses() (out []string) {
+func (s *listService) addresses() (out []string) {
 	for _, r := range s.replicas {
 		out = append(out, r.listen)
 	}
@@ -258,7 +258,7 @@
 
 // follow hands on each message from a generation on, from one address after another, until ctx
 // ends or heard is false. An empty line is a message of none. It believes what it hears.
-func (s *service) follow(ctx context.Context, addrs []string, first int, from uint64, heard func(m *listMessage) bool) {
+func (s *listService) follow(ctx context.Context, addrs []string, first int, from uint64, heard func(m *listMessage) bool) {
 	for i := first; ; i++ {
 		if !s.followOne(ctx, addrs[i%len(addrs)], &from, heard) {
 			return
@@ -272,7 +272,7 @@
 }
 
 // followOne follows one watch to its end; it is false where nobody listens any more.
-func (s *service) followOne(ctx context.Context, addr string, from *uint64, heard func(m *listMessage) bool) bool {
+func (s *listService) followOne(ctx context.Context, addr string, from *uint64, heard func(m *listMessage) bool) bool {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	silence := time.AfterFunc(watchSilent, cancel)
@@ -301,7 +301,7 @@
 		}
 		var m listMessage
 		if err := json.Unmarshal(lines.Bytes(), &m); err != nil {
-			s.w.fail(fmt.Errorf("list service: %w in %q", err, clip(lines.Text())))
+			s.env.fail(fmt.Errorf("list service: %w in %q", err, clip(lines.Text())))
 			return false
 		}
 		*from = m.Generation
@@ -313,7 +313,7 @@
 }
 
 // stop ends the replicas.
-func (s *service) stop() {
+func (s *listService) stop() {
 	var stops sync.WaitGroup
 	for _, r := range s.replicas {
 		if r.proc != nil {
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -17,7 +17,7 @@
 )
 
 // starter starts processes from one thread that lives as long as the run: the kernel ends
-// a child whose parent's thread ends, so that none outlives the lab, however that ends.
+// a child whose parent's thread ends, so that none outlives the testbed, however that ends.
 type starter struct {
 	jobs chan func()
 	done chan struct{}
@@ -54,14 +54,14 @@
 	ended chan struct{}
 	err   error // how it ended, once ended is closed
 
-	mu     sync.Mutex
-	told   bool // to end: its end is no crash
-	killed bool
+	mu            sync.Mutex
+	stopRequested bool // to end: its end is no crash
+	killed        bool
 }
 
-// givesWay is the niceness of the nodes: they give way to what plays the world around them, as they would on machines of
+// nodeNiceness is the niceness of the nodes: they give way to what plays the environment around them, as they would on machines of
 // their own.
-const givesWay = 5
+const nodeNiceness = 5
 
 // startProcess starts a program with its output in a file; the log of an earlier process of
 // the name is kept and added to.
@@ -95,7 +95,7 @@
 func (p *process) signal(sig syscall.Signal) error {
 	p.mu.Lock()
 	if sig == syscall.SIGTERM || sig == syscall.SIGKILL {
-		p.told = true
+		p.stopRequested = true
 	}
 	if sig == syscall.SIGKILL {
 		p.killed = true
@@ -120,7 +120,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !p.told
+	return !p.stopRequested
 }
 
 // wasKilled tells whether the process died or was killed with no chance to finish.
--- a/internal/testbed/report.go
+++ b/internal/testbed/report.go
@@ -19,7 +19,7 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Size of the pictures.
+// Size of the charts.
 const (
 	plotWidth  = 9 * vg.Inch
 	plotHeight = 3.2 * vg.Inch
@@ -31,8 +31,8 @@
 	at   func(s *Series) float64 // NaN: nothing to draw
 }
 
-// picture is one plot of a report.
-type picture struct {
+// chart is one plot of a report.
+type chart struct {
 	file, title, unit string
 	lines             []line
 }
@@ -44,18 +44,18 @@
 	return of / all
 }
 
-func (r *Result) pictures() []picture {
-	ps := []picture{
+func (r *Result) charts() []chart {
+	ps := []chart{
 		{"latency.svg", "Latency of what was served, from when it was due", "ms", []line{
 			{"p50", func(s *Series) float64 { return s.P50 }}, {"p99", func(s *Series) float64 { return s.P99 }},
 		}},
 		{"goodput.svg", "Goodput: worth in time, of what quotas allow", "share", []line{
-			{"goodput", func(s *Series) float64 { return share(s.Worth, s.Offered) }},
-			{"served", func(s *Series) float64 { return share(float64(s.Served), float64(s.Asked)) }},
+			{"goodput", func(s *Series) float64 { return share(s.Value, s.OfferedValue) }},
+			{"served", func(s *Series) float64 { return share(float64(s.Served), float64(s.Requests)) }},
 		}},
 		{"refusals.svg", "Tries refused and failed a second", "tries", []line{
-			{"refused", func(s *Series) float64 { return float64(s.Refused) }},
-			{"refused with room", func(s *Series) float64 { return float64(s.RefusedAt) }},
+			{"refused", func(s *Series) float64 { return float64(s.Rejected) }},
+			{"refused with room", func(s *Series) float64 { return float64(s.RejectedInQuota) }},
 			{"failed", func(s *Series) float64 { return float64(s.Failed - s.Unreached) }},
 			{"came to no node", func(s *Series) float64 { return float64(s.Unreached) }},
 		}},
@@ -68,15 +68,15 @@
 	}
 	zones := map[string]bool{}
 	for i := range r.Series {
-		for z := range r.Series[i].ZoneAsked {
+		for z := range r.Series[i].ZoneRequests {
 			zones[z] = true
 		}
 	}
 	var by []line
 	for _, z := range sortedKeys(zones) {
-		by = append(by, line{z, func(s *Series) float64 { return share(float64(s.ZoneServed[z]), float64(s.ZoneAsked[z])) }})
+		by = append(by, line{z, func(s *Series) float64 { return share(float64(s.ZoneServed[z]), float64(s.ZoneRequests[z])) }})
 	}
-	return append(ps, picture{"zones.svg", "Share of first tries served, by the zone of the node", "share", by})
+	return append(ps, chart{"zones.svg", "Share of first tries served, by the zone of the node", "share", by})
 }
 
 func sortedKeys[V any](m map[string]V) []string {
@@ -88,8 +88,8 @@
 	return keys
 }
 
-// draw makes the picture, with the faults as upright lines.
-func (p *picture) draw(r *Result) ([]byte, error) {
+// render makes the chart, with the faults as upright lines.
+func (p *chart) render(r *Result) ([]byte, error) {
 	pl := plot.New()
 	pl.Title.Text, pl.X.Label.Text, pl.Y.Label.Text = p.title, "s", p.unit
 	pl.X.Min, pl.X.Max, pl.Y.Min = 0, r.Duration, 0
@@ -135,7 +135,7 @@
 }
 
 // markTimes are the times of faults, each once.
-func markTimes(marks []Mark) (at []float64) {
+func markTimes(marks []FaultMark) (at []float64) {
 	for _, m := range marks {
 		if !slices.Contains(at, m.At) {
 			at = append(at, m.At)
@@ -147,7 +147,7 @@
 // reportFile is the report in a run's folder.
 const reportFile = "report.md"
 
-// Report writes a run's report, Markdown with pictures beside it, and returns its path.
+// Report writes a run's report, Markdown with charts beside it, and returns its path.
 func Report(dir string) (string, error) {
 	r, err := ReadResult(dir)
 	if err != nil {
@@ -192,8 +192,8 @@
 		}
 	}
 	b.WriteString("\n## Over time\n\nDashed lines are the faults.\n\n")
-	for _, p := range r.pictures() {
-		svg, err := p.draw(r)
+	for _, p := range r.charts() {
+		svg, err := p.render(r)
 		if err != nil {
 			return "", err
 		}
--- a/internal/testbed/result.go
+++ b/internal/testbed/result.go
@@ -15,24 +15,24 @@
 
 // Series is one second of a run. Tries count in the second in which they were due.
 type Series struct {
-	Asked      int            `json:"asked"`
-	Served     int            `json:"served"`
-	Refused    int            `json:"refused"`
-	RefusedAt  int            `json:"refused_with_room"`
-	Failed     int            `json:"failed"`
-	Unreached  int            `json:"unreached"` // of the failed ones: they came to no node
-	Worth      float64        `json:"worth"`     // earned within the aim, inside quotas
-	Offered    float64        `json:"offered"`   // to be had inside quotas
-	P50        float64        `json:"p50_ms"`
-	P99        float64        `json:"p99_ms"`
-	Memory     float64        `json:"memory_mb"` // largest of the nodes
-	ZoneServed map[string]int `json:"zone_served"`
-	ZoneAsked  map[string]int `json:"zone_asked"`
-	hist       *hdrhistogram.Histogram
+	Requests        int            `json:"asked"`
+	Served          int            `json:"served"`
+	Rejected        int            `json:"refused"`
+	RejectedInQuota int            `json:"refused_with_room"`
+	Failed          int            `json:"failed"`
+	Unreached       int            `json:"unreached"` // of the failed ones: they came to no node
+	Value           float64        `json:"worth"`     // earned within the latency objective, inside quotas
+	OfferedValue    float64        `json:"offered"`   // to be had inside quotas
+	P50             float64        `json:"p50_ms"`
+	P99             float64        `json:"p99_ms"`
+	Memory          float64        `json:"memory_mb"` // largest of the nodes
+	ZoneServed      map[string]int `json:"zone_served"`
+	ZoneRequests    map[string]int `json:"zone_asked"`
+	hist            *hdrhistogram.Histogram
 }
 
-// Mark is a fault on the time line.
-type Mark struct {
+// FaultMark is a fault on the time line.
+type FaultMark struct {
 	At   float64 `json:"at_s"`
 	What string  `json:"what"`
 }
@@ -56,7 +56,7 @@
 	Duration   float64            `json:"duration_s"`
 	Figures    map[string]float64 `json:"figures"`
 	Series     []Series           `json:"series"`
-	Marks      []Mark             `json:"marks"`
+	Marks      []FaultMark        `json:"marks"`
 	Broken     map[string]int     `json:"broken_rules"`
 	Violations []Violation        `json:"violations"`
 	Checks     []Checked          `json:"checks"`
@@ -95,32 +95,32 @@
 }
 
 // result sums the run up.
-func (w *world) result(up int) *Result {
+func (env *environment) result(up int) *Result {
 	r := &Result{
-		Scenario: w.s.Name, About: w.s.About, Seed: w.seed, Digest: w.d.Digest(), Binary: w.binary, Nodes: w.s.Fleet.Nodes,
-		Servers: w.s.Fleet.Servers, Duration: w.s.Duration.s(),
+		Scenario: env.scenario.Name, About: env.scenario.About, Seed: env.seed, Digest: env.schedule.Digest(), Binary: env.nodeBinary, Nodes: env.scenario.Fleet.Nodes,
+		Servers: env.scenario.Fleet.Servers, Duration: env.scenario.Duration.s(),
 	}
-	r.Broken, r.Violations = w.ref.verdict()
-	for _, e := range w.d.Faults {
-		r.Marks = append(r.Marks, Mark{e.At.Seconds(), w.s.Faults[e.Fault].describe(e)})
+	r.Broken, r.Violations = env.checker.verdict()
+	for _, e := range env.schedule.Faults {
+		r.Marks = append(r.Marks, FaultMark{e.At.Seconds(), env.scenario.Faults[e.Fault].describe(e)})
 	}
-	r.Marks = append(r.Marks, w.commanded...)
-	r.Series = w.series()
-	r.Figures = w.figures(0, time.Duration(w.s.Duration))
-	ms := func(q float64) float64 { return quantile(w.list.told, q).Seconds() * 1e3 }
+	r.Marks = append(r.Marks, env.commandedFaults...)
+	r.Series = env.series()
+	r.Figures = env.figures(0, time.Duration(env.scenario.Duration))
+	ms := func(q float64) float64 { return quantile(env.list.delays, q).Seconds() * 1e3 }
 	whole := map[string]float64{ // of the whole run, whichever part of it is looked at
-		"restored_nodes": float64(up), "lists_right": float64(w.list.right()) / float64(len(w.nodes)),
-		"versions_back": float64(w.list.back.Load()), "slack_ms": w.mostSlack().Seconds() * 1e3,
+		"restored_nodes": float64(up), "lists_right": float64(env.list.upToDate()) / float64(len(env.nodes)),
+		"versions_back": float64(env.list.rollbacks.Load()), "slack_ms": env.mostSlack().Seconds() * 1e3,
 		"list_p50_ms": ms(50), "list_p99_ms": ms(99), "list_max_ms": ms(100),
 	}
 	maps.Copy(r.Figures, whole)
 	r.Behind = r.Figures["lateness_ms"] > behindFrom.Seconds()*1000
-	for _, e := range w.s.Expect {
+	for _, e := range env.scenario.Expect {
 		to := time.Duration(e.To)
 		if to == 0 {
-			to = time.Duration(w.s.Duration)
+			to = time.Duration(env.scenario.Duration)
 		}
-		f := w.figures(time.Duration(e.From), to)
+		f := env.figures(time.Duration(e.From), to)
 		maps.Copy(f, whole)
 		got := f[e.Figure]
 		r.Checks = append(r.Checks, Checked{e, got, (e.Min == nil || got >= *e.Min) && (e.Max == nil || got <= *e.Max)})
@@ -129,35 +129,35 @@
 }
 
 // series is the run by seconds.
-func (w *world) series() []Series {
-	out := make([]Series, int(math.Ceil(w.s.Duration.s())))
+func (env *environment) series() []Series {
+	out := make([]Series, int(math.Ceil(env.scenario.Duration.s())))
 	for i := range out {
-		out[i] = Series{hist: newHistogram(), ZoneServed: map[string]int{}, ZoneAsked: map[string]int{}}
+		out[i] = Series{hist: newHistogram(), ZoneServed: map[string]int{}, ZoneRequests: map[string]int{}}
 	}
-	aim := time.Duration(w.s.Load.Aim)
-	for i := range w.ref.records {
-		r := &w.ref.records[i]
+	aim := time.Duration(env.scenario.Load.LatencyObjective)
+	for i := range env.checker.records {
+		r := &env.checker.records[i]
 		s := &out[min(int(r.Due/time.Second), len(out)-1)]
-		zone := w.s.Fleet.zoneOf(r.Node)
-		s.Asked++
-		s.ZoneAsked[zone]++
-		s.Refused += r.Refused
-		s.RefusedAt += r.Room
+		zone := env.scenario.Fleet.zoneOf(r.Node)
+		s.Requests++
+		s.ZoneRequests[zone]++
+		s.Rejected += r.Rejected
+		s.RejectedInQuota += r.RejectedInQuota
 		s.Failed += r.Failed
-		s.Unreached += r.Unreach
-		s.Offered += r.Offered
+		s.Unreached += r.Unreached
+		s.OfferedValue += r.OfferedValue
 		if r.Served {
 			s.Served++
 			s.ZoneServed[zone]++
 			record(s.hist, r.Done-r.Due)
 			if r.Done-r.Due <= aim && r.InQuota {
-				s.Worth += r.Worth
+				s.Value += r.Value
 			}
 		}
 	}
 	for i := range out {
-		if i < len(w.memory) {
-			out[i].Memory = w.memory[i]
+		if i < len(env.memory) {
+			out[i].Memory = env.memory[i]
 		}
 		out[i].P50 = quantile(out[i].hist, 50).Seconds() * 1000
 		out[i].P99 = quantile(out[i].hist, 99).Seconds() * 1000
@@ -167,26 +167,26 @@
 
 // figures computes what expect lines may name, over the arrivals due from one time to
 // another. What is not bound to an arrival is of the whole run.
-func (w *world) figures(from, to time.Duration) map[string]float64 {
+func (env *environment) figures(from, to time.Duration) map[string]float64 {
 	var asked, tries, served, refused, room, failed int
 	var worth, offered float64
 	lat, late := newHistogram(), newHistogram()
-	aim := time.Duration(w.s.Load.Aim)
+	aim := time.Duration(env.scenario.Load.LatencyObjective)
 	seconds := map[int][2]int{}
-	for i := range w.ref.records {
-		r := &w.ref.records[i]
+	for i := range env.checker.records {
+		r := &env.checker.records[i]
 		if r.Due < from || r.Due >= to {
 			continue
 		}
 		sec := seconds[int(r.Due/time.Second)]
 		sec[0]++
 		asked++
-		tries += r.Tries
-		refused += r.Refused
-		room += r.Room
+		tries += r.Attempts
+		refused += r.Rejected
+		room += r.RejectedInQuota
 		failed += r.Failed
-		offered += r.Offered
-		if r.Tries > 0 {
+		offered += r.OfferedValue
+		if r.Attempts > 0 {
 			record(late, r.Lateness)
 		}
 		if r.Served {
@@ -194,7 +194,7 @@
 			sec[1]++
 			record(lat, r.Done-r.Due)
 			if r.Done-r.Due <= aim && r.InQuota {
-				worth += r.Worth
+				worth += r.Value
 			}
 		}
 		seconds[int(r.Due/time.Second)] = sec
@@ -205,33 +205,33 @@
 	}
 	var cpu time.Duration
 	peak := int64(0)
-	for _, n := range w.nodes {
+	for _, n := range env.nodes {
 		n.mu.Lock()
-		cpu += n.cpu + n.last.cpu
-		peak = max(peak, n.peak)
+		cpu += n.endedCPU + n.lastUsage.cpu
+		peak = max(peak, n.peakMemory)
 		n.mu.Unlock()
 	}
 	broken := 0
-	for _, n := range w.ref.broken {
+	for _, n := range env.checker.violationCount {
 		broken += n
 	}
 	all := 0
-	for i := range w.ref.records {
-		all += w.ref.records[i].Tries
+	for i := range env.checker.records {
+		all += env.checker.records[i].Attempts
 	}
-	w.udp.mu.Lock()
-	datagrams := w.udp.counts
-	w.udp.mu.Unlock()
+	env.udp.mu.Lock()
+	datagrams := env.udp.counts
+	env.udp.mu.Unlock()
 	per := func(x float64, n int) float64 { return x / math.Max(float64(n), 1) }
 	return map[string]float64{
 		"goodput": worth / math.Max(offered, 1e-9), "served": per(float64(served), asked), "refused": per(float64(refused), tries),
 		"refused_room": per(float64(room), tries), "failed": per(float64(failed), tries),
-		"beyond_quota": w.ref.beyond / math.Max(w.ref.inside+w.ref.beyond, 1), "answers": float64(served + refused + failed),
-		"violations": float64(broken), "crashes": float64(w.crashes.Load()), "p50_ms": quantile(lat, 50).Seconds() * 1000,
+		"beyond_quota": env.checker.unitsOverQuota / math.Max(env.checker.unitsInQuota+env.checker.unitsOverQuota, 1), "answers": float64(served + refused + failed),
+		"violations": float64(broken), "crashes": float64(env.crashes.Load()), "p50_ms": quantile(lat, 50).Seconds() * 1000,
 		"p99_ms": quantile(lat, 99).Seconds() * 1000, "lateness_ms": quantile(late, 99).Seconds() * 1000,
 		"datagrams_lost": per(float64(datagrams.lost+datagrams.refused), datagrams.sent),
-		"connections":    per(float64(w.connections.Load()), all), "memory_mb": float64(peak) / (1 << 20),
-		"cpu_us": per(float64(cpu.Microseconds()), all), "servers_fell": float64(w.serversFell.Load()), "worst_second": worst,
+		"connections":    per(float64(env.connections.Load()), all), "memory_mb": float64(peak) / (1 << 20),
+		"cpu_us": per(float64(cpu.Microseconds()), all), "servers_fell": float64(env.overloadFailures.Load()), "worst_second": worst,
 	}
 }
 
--- a/internal/testbed/run.go
+++ b/internal/testbed/run.go
@@ -18,23 +18,23 @@
 	Env     []string       // added to the nodes' environment
 	Dir     string         // takes configurations, logs and the result; made if it is not there
 	Control string         // address at which Prometheus finds the run and faults are taken; "": nowhere
-	Log     *slog.Logger   // faults and what the lab meets
+	Log     *slog.Logger   // faults and what the testbed meets
 	Live    func(Progress) // called about once a second; may be nil
 }
 
 // Progress is the state of a run while it goes.
 type Progress struct {
 	At, Of     time.Duration
-	Asked      int // first tries due in the last second
+	Requests   int // first attempts due in the last second
 	Served     int // of those that ended in it
-	Refused    int
+	Rejected   int
 	Failed     int
 	P50, P99   time.Duration
 	NodesUp    int
 	Violations int
 }
 
-// Run plays a scenario and leaves its result in the folder. The error is of the lab itself:
+// Run plays a scenario and leaves its result in the folder. The error is of the testbed itself:
 // what the nodes did wrong is in the result. Whatever ends the run, nothing of it is left
 // running when Run returns.
 func Run(ctx context.Context, s *Scenario, o Options) (res *Result, err error) {
@@ -44,7 +44,7 @@
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
 		return nil, fmt.Errorf("folder of the run: %w", err)
 	}
-	w := newWorld(ctx, s, o)
+	w := newEnvironment(ctx, s, o)
 	defer w.end()
 	if err := w.build(); err != nil {
 		return nil, err
@@ -64,7 +64,7 @@
 	played := make(chan struct{})
 	go func() {
 		defer close(played)
-		w.front.run()
+		w.generator.run()
 	}()
 	select {
 	case <-played:
@@ -78,7 +78,7 @@
 		return nil, ctx.Err()
 	}
 	w.sample()
-	up := w.settled()
+	up := w.awaitRecovery()
 	w.end()
 	res = w.result(up)
 	return res, res.write(o.Dir)
@@ -86,25 +86,25 @@
 
 // begin sets the clock to zero, and with it what was booked while the nodes started. No
 // request has come yet.
-func (w *world) begin() {
-	w.begun.Store(int64(time.Since(w.origin)))
-	for _, s := range w.servers {
+func (env *environment) begin() {
+	env.begun.Store(int64(time.Since(env.origin)))
+	for _, s := range env.servers {
 		s.mu.Lock()
-		s.m.now = 0
+		s.model.now = 0
 		s.loads = nil
 		s.mu.Unlock()
 	}
-	w.udp.mu.Lock()
-	clear(w.udp.inAt)
-	w.udp.mu.Unlock()
-	w.ref.mu.Lock()
-	for _, m := range w.ref.told {
+	env.udp.mu.Lock()
+	clear(env.udp.inAt)
+	env.udp.mu.Unlock()
+	env.checker.mu.Lock()
+	for _, m := range env.checker.delivered {
 		for id, k := range m {
 			k.at = 0
 			m[id] = k
 		}
 	}
-	w.ref.mu.Unlock()
+	env.checker.mu.Unlock()
 }
 
 // needDescriptors raises the limit on open files as far as allowed, and tells if that is not
@@ -127,37 +127,37 @@
 	return nil
 }
 
-// settled waits until every node that no fault has ended for good takes requests again, for as
+// awaitRecovery waits until every node that no fault has ended for good takes requests again, for as
 // long as a start may take, and counts those that do.
-func (w *world) settled() (up int) {
+func (env *environment) awaitRecovery() (up int) {
 	gone := map[int]bool{}
-	for _, e := range w.d.Faults {
-		if w.s.Faults[e.Fault].Kind == "kill" {
+	for _, e := range env.schedule.Faults {
+		if env.scenario.Faults[e.Fault].Kind == "kill" {
 			gone[e.Target] = !e.End
 		}
 	}
-	want := len(w.nodes)
+	want := len(env.nodes)
 	for _, dead := range gone {
 		if dead {
 			want--
 		}
 	}
 	for end := time.Now().Add(readyWithin); time.Now().Before(end); {
-		if up = w.answering(); up >= want || !w.sleep(frontChecks) {
+		if up = env.nodesUp(); up >= want || !env.sleep(readinessInterval) {
 			break
 		}
 	}
-	for end := time.Now().Add(listsWithin); time.Now().Before(end) && w.list.right() < want; {
-		if w.list.isDown() || !w.sleep(frontChecks) {
+	for end := time.Now().Add(listsWithin); time.Now().Before(end) && env.list.upToDate() < want; {
+		if env.list.isDown() || !env.sleep(readinessInterval) {
 			break
 		}
 	}
 	return up
 }
 
-// answering counts the nodes that take requests.
-func (w *world) answering() (up int) {
-	for _, n := range w.front.nodes {
+// nodesUp counts the nodes that take requests.
+func (env *environment) nodesUp() (up int) {
+	for _, n := range env.generator.nodes {
 		n.mu.Lock()
 		if n.up {
 			up++
@@ -168,45 +168,45 @@
 }
 
 // measure samples the nodes and tells of the progress until the run ends.
-func (w *world) measure(live func(Progress)) {
-	for tick := 0; w.sleep(500 * time.Millisecond); tick++ {
-		w.sample()
+func (env *environment) measure(live func(Progress)) {
+	for tick := 0; env.sleep(500 * time.Millisecond); tick++ {
+		env.sample()
 		if live != nil && tick%2 == 1 {
-			live(w.progress())
+			live(env.progress())
 		}
 	}
 }
 
 // progress is about the last second.
-func (w *world) progress() Progress {
-	now := w.now()
-	p := Progress{At: now, Of: time.Duration(w.s.Duration), NodesUp: w.answering()}
+func (env *environment) progress() Progress {
+	now := env.now()
+	p := Progress{At: now, Of: time.Duration(env.scenario.Duration), NodesUp: env.nodesUp()}
 	h := newHistogram()
-	w.ref.mu.Lock()
-	for i := range w.ref.records {
-		r := &w.ref.records[i]
+	env.checker.mu.Lock()
+	for i := range env.checker.records {
+		r := &env.checker.records[i]
 		if r.Due > now {
 			break
 		}
 		if r.Due > now-time.Second {
-			p.Asked++
+			p.Requests++
 		}
 		if r.Done > now-time.Second {
 			switch {
 			case r.Served:
 				p.Served++
 				record(h, r.Done-r.Due)
-			case r.Refused > 0:
-				p.Refused++
+			case r.Rejected > 0:
+				p.Rejected++
 			default:
 				p.Failed++
 			}
 		}
 	}
-	for _, n := range w.ref.broken {
+	for _, n := range env.checker.violationCount {
 		p.Violations += n
 	}
-	w.ref.mu.Unlock()
+	env.checker.mu.Unlock()
 	p.P50, p.P99 = quantile(h, 50), quantile(h, 99)
 	return p
 }
--- a/internal/testbed/scenario.go
+++ b/internal/testbed/scenario.go
@@ -49,98 +49,98 @@
 
 // Class is a class of requests.
 type Class struct {
-	Name   string  `toml:"name"`
-	Share  float64 `toml:"share"`  // of the requests
-	Unsafe bool    `toml:"unsafe"` // must never run twice
-	Worth  float64 `toml:"worth"`
+	Name           string  `toml:"name"`
+	Share          float64 `toml:"share"`  // of the requests
+	NonIdempotent  bool    `toml:"unsafe"` // must never run twice
+	PriorityWeight float64 `toml:"worth"`
 }
 
 // method is the one that the class's clients use.
 func (c *Class) method() string {
-	if c.Unsafe {
+	if c.NonIdempotent {
 		return "POST"
 	}
 	return "GET"
 }
 
-// Plan is a customer's contract. Rates are units a second.
+// Plan is a tenant's contract. Rates are units a second.
 type Plan struct {
-	Name         string  `toml:"name"`
-	Share        float64 `toml:"share"` // of the use inside quotas
-	Rate         float64 `toml:"rate"`
-	Burst        float64 `toml:"burst"`
-	CeilingRate  float64 `toml:"ceiling_rate"` // 0: none
-	CeilingBurst float64 `toml:"ceiling_burst"`
-	Slack        float64 `toml:"slack"`
-	Price        float64 `toml:"price"`
-	OverWorth    float64 `toml:"over_worth"`
-	OverCost     float64 `toml:"over_cost"`
+	Name           string  `toml:"name"`
+	Share          float64 `toml:"share"` // of the use inside quotas
+	Rate           float64 `toml:"rate"`
+	Burst          float64 `toml:"burst"`
+	HardLimitRate  float64 `toml:"ceiling_rate"` // 0: none
+	HardLimitBurst float64 `toml:"ceiling_burst"`
+	HardLimitSlack float64 `toml:"slack"`
+	WeightFactor   float64 `toml:"price"`
+	OverQuotaValue float64 `toml:"over_worth"`
+	OverQuotaCost  float64 `toml:"over_cost"`
 }
 
-// complete puts in the classes and plans that are not written.
-func (s *Scenario) complete() {
+// addDefaults puts in the classes and plans that are not written.
+func (s *Scenario) addDefaults() {
 	if len(s.Classes) == 0 {
-		s.Classes = []Class{{Name: "price-check", Share: 1 - s.Load.Unsafe, Worth: 3}, {Name: "quote-issue", Share: s.Load.Unsafe, Unsafe: true, Worth: 5}}
+		s.Classes = []Class{{Name: "price-check", Share: 1 - s.Load.NonIdempotentShare, PriorityWeight: 3}, {Name: "quote-issue", Share: s.Load.NonIdempotentShare, NonIdempotent: true, PriorityWeight: 5}}
 	}
 	if len(s.Plans) == 0 {
 		s.Plans = []Plan{
-			{Name: "petit", Rate: 2.6, Burst: 16, Price: 0.72, OverWorth: 0.2, Share: 0.28},
-			{Name: "moyen", Rate: 14, Burst: 29, Price: 1.1, OverCost: 1, Share: 0.38},
-			{Name: "grand", Rate: 60, Burst: 97, Price: 1.8, OverCost: 0.8, CeilingRate: 120, CeilingBurst: 194, Slack: 19.4, Share: 0.34},
+			{Name: "petit", Rate: 2.6, Burst: 16, WeightFactor: 0.72, OverQuotaValue: 0.2, Share: 0.28},
+			{Name: "moyen", Rate: 14, Burst: 29, WeightFactor: 1.1, OverQuotaCost: 1, Share: 0.38},
+			{Name: "grand", Rate: 60, Burst: 97, WeightFactor: 1.8, OverQuotaCost: 0.8, HardLimitRate: 120, HardLimitBurst: 194, HardLimitSlack: 19.4, Share: 0.34},
 		}
 	}
 }
 
 // Fleet is the edge nodes and the app servers behind them.
 type Fleet struct {
-	Nodes         int      `toml:"nodes"`
-	Servers       int      `toml:"servers"`
-	Zones         []string `toml:"zones"` // nodes and servers are dealt round these
-	Cores         int      `toml:"cores"` // of an app server
-	SlotsPerCore  int      `toml:"slots_per_core"`
-	QueuePerCore  int      `toml:"queue_per_core"`
-	Thrash        float64  `toml:"thrash"`    // share of efficiency lost for each slot's worth held beyond thrash_at
-	ThrashAt      float64  `toml:"thrash_at"` // requests held per core from which efficiency falls
-	ColdFrom      float64  `toml:"cold_from"` // share of its capacity that a started server has
-	Ramp          Duration `toml:"ramp"`      // time in which it becomes warm
-	FallMultiple  float64  `toml:"fall_multiple"`
-	FallFor       Duration `toml:"fall_for"`
-	Connections   int      `toml:"connections"`    // that one app server takes
-	HandshakeWork Duration `toml:"handshake_work"` // core time that a new connection costs
-	ConnIdle      Duration `toml:"conn_idle"`
-	ReportEvery   Duration `toml:"report_every"`
-	ReportLate    Duration `toml:"report_late"`
-	ListLate      Duration `toml:"list_late"`        // from a change at a server to the agents' telling it
-	ListReplicas  int      `toml:"list_replicas"`    // of the project's own list service; 0: the lab keeps the list
-	ListAgents    bool     `toml:"list_agents"`      // the project's own agent stands between its list service and each node
-	ListAsked     bool     `toml:"list_asked"`       // lists are asked for, from one service for all nodes; else an agent pushes them
-	ListCallsPerS float64  `toml:"list_calls_per_s"` // that this service answers; 0: any number
-	StaleKnown    bool     `toml:"stale_known"`      // a process starts with the list of the run's start
-	NoPeers       bool     `toml:"no_peers"`         // nodes may not message one another
-	InboxPerS     float64  `toml:"inbox_per_s"`      // datagrams that a node takes in
-	PeerLoss      float64  `toml:"peer_loss"`
-	PeerDelay     Duration `toml:"peer_delay"`
-	CrossDelay    Duration `toml:"cross_delay"` // one way between zones; needs the relays
-	MemoryMB      int      `toml:"memory_mb"`
-	Sockets       int      `toml:"sockets"`
+	Nodes                    int      `toml:"nodes"`
+	Servers                  int      `toml:"servers"`
+	Zones                    []string `toml:"zones"` // nodes and servers are dealt round these
+	Cores                    int      `toml:"cores"` // of an app server
+	SlotsPerCore             int      `toml:"slots_per_core"`
+	QueuePerCore             int      `toml:"queue_per_core"`
+	ContentionLoss           float64  `toml:"thrash"`    // share of efficiency lost for each slot's worth held beyond thrash_at
+	ContentionFrom           float64  `toml:"thrash_at"` // requests held per core from which efficiency falls
+	SlowStartInitialFraction float64  `toml:"cold_from"` // share of its capacity that a started server has
+	SlowStartDuration        Duration `toml:"ramp"`      // time in which it becomes warm
+	OverloadFactor           float64  `toml:"fall_multiple"`
+	OverloadWindow           Duration `toml:"fall_for"`
+	Connections              int      `toml:"connections"`    // that one app server takes
+	HandshakeWork            Duration `toml:"handshake_work"` // core time that a new connection costs
+	ConnIdle                 Duration `toml:"conn_idle"`
+	ReportEvery              Duration `toml:"report_every"`
+	ReportDelay              Duration `toml:"report_late"`
+	ListDelay                Duration `toml:"list_late"`        // from a change at a server to the agents' telling it
+	ListReplicas             int      `toml:"list_replicas"`    // of the project's own list service; 0: the testbed keeps the list
+	ListAgents               bool     `toml:"list_agents"`      // the project's own agent stands between its list service and each node
+	ListPolled               bool     `toml:"list_asked"`       // lists are asked for, from one service for all nodes; else an agent pushes them
+	ListCallsPerS            float64  `toml:"list_calls_per_s"` // that this service answers; 0: any number
+	StaleStartList           bool     `toml:"stale_known"`      // a process starts with the list of the run's start
+	NoGossip                 bool     `toml:"no_peers"`         // nodes may not message one another
+	PeerMessagesPerSecond    float64  `toml:"inbox_per_s"`      // datagrams that a node takes in
+	PeerLoss                 float64  `toml:"peer_loss"`
+	PeerDelay                Duration `toml:"peer_delay"`
+	CrossDelay               Duration `toml:"cross_delay"` // one way between zones; needs the relays
+	MemoryMB                 int      `toml:"memory_mb"`
+	Sockets                  int      `toml:"sockets"`
 }
 
 // Load is what clients ask.
 type Load struct {
-	Rate       float64  `toml:"rate"`     // requests a second inside the quotas
-	WorkMS     float64  `toml:"work_ms"`  // core time of a request, on average
-	Aim        Duration `toml:"aim"`      // an answer is wanted by then
-	Deadline   Duration `toml:"deadline"` // a client waits no longer over all its tries
-	Retries    int      `toml:"retries"`
-	Honour     float64  `toml:"honour"` // share of clients that keep to Retry-After
-	MarkRetry  bool     `toml:"mark_retry"`
-	Unsafe     float64  `toml:"unsafe"` // share of requests that must never run twice
-	Skew       float64  `toml:"skew"`   // how unevenly a customer's requests spread over its nodes, 0 for evenly
-	Spread     float64  `toml:"spread"` // share of the nodes that a customer's requests come through; 0: two to four nodes
-	Heavy      float64  `toml:"heavy"`  // share of customers that ask three times their quota
-	FrontSees  Duration `toml:"front_sees"`
-	ShiftEvery Duration `toml:"shift_every"` // how often a customer's busiest node changes
-	Bursts     []Burst  `toml:"burst"`
+	Rate               float64  `toml:"rate"`     // requests a second inside the quotas
+	WorkMS             float64  `toml:"work_ms"`  // core time of a request, on average
+	LatencyObjective   Duration `toml:"aim"`      // an answer is wanted by then
+	Deadline           Duration `toml:"deadline"` // a client waits no longer over all its attempts
+	Retries            int      `toml:"retries"`
+	RetryAfterShare    float64  `toml:"honour"` // share of clients that keep to Retry-After
+	MarkRetry          bool     `toml:"mark_retry"`
+	NonIdempotentShare float64  `toml:"unsafe"` // share of requests that must never run twice
+	Skew               float64  `toml:"skew"`   // how unevenly a tenant's requests spread over its nodes, 0 for evenly
+	EntryNodeShare     float64  `toml:"spread"` // share of the nodes that a tenant's requests come through; 0: two to four nodes
+	OverQuotaTenants   float64  `toml:"heavy"`  // share of tenants that ask three times their quota
+	FailureDetection   Duration `toml:"front_sees"`
+	ShiftEvery         Duration `toml:"shift_every"` // how often a tenant's busiest node changes
+	Bursts             []Burst  `toml:"burst"`
 }
 
 // Burst multiplies the rate for a while.
@@ -160,7 +160,7 @@
 	Share float64  `toml:"share"` // targets as a share of all
 	Size  float64  `toml:"size"`  // times slower, or the share of requests or datagrams hit
 	Step  Duration `toml:"step"`  // from one target to the next
-	Late  Duration `toml:"late"`  // of list-late and delay
+	Delay Duration `toml:"late"`  // of list-late and delay
 	Way   string   `toml:"way"`   // of cuts: both, in, out, seen from the zone or node
 	From  string   `toml:"from"`  // of links: clients, node:N, nodes, zone:Z
 	To    string   `toml:"to"`    // of links: node:N, nodes, server:N, servers, zone:Z, agent
@@ -242,17 +242,17 @@
 		Duration: Duration(20 * time.Second),
 		Fleet: Fleet{
 			Nodes: 4, Servers: 12, Zones: []string{"a", "b", "c"}, Cores: 4, SlotsPerCore: 4, QueuePerCore: 16,
-			Thrash: 0.2, ThrashAt: 5, ColdFrom: 0.3, Ramp: Duration(10 * time.Second), FallMultiple: 2.5, FallFor: Duration(3 * time.Second),
+			ContentionLoss: 0.2, ContentionFrom: 5, SlowStartInitialFraction: 0.3, SlowStartDuration: Duration(10 * time.Second), OverloadFactor: 2.5, OverloadWindow: Duration(3 * time.Second),
 			Connections: 600, HandshakeWork: Duration(time.Millisecond), ConnIdle: Duration(15 * time.Second),
-			ReportEvery: Duration(200 * time.Millisecond), ReportLate: Duration(50 * time.Millisecond), ListLate: Duration(time.Second),
-			InboxPerS: 40, PeerLoss: 0.01, PeerDelay: Duration(2 * time.Millisecond), MemoryMB: 192, Sockets: 1024,
+			ReportEvery: Duration(200 * time.Millisecond), ReportDelay: Duration(50 * time.Millisecond), ListDelay: Duration(time.Second),
+			PeerMessagesPerSecond: 40, PeerLoss: 0.01, PeerDelay: Duration(2 * time.Millisecond), MemoryMB: 192, Sockets: 1024,
 		},
 		Load: Load{
-			Rate: 150, WorkMS: 100, Aim: Duration(time.Second), Deadline: Duration(4 * time.Second), Retries: 1, Honour: 0.7,
-			MarkRetry: true, Unsafe: 0.36, Skew: 0.5, Heavy: 0.08, FrontSees: Duration(time.Second), ShiftEvery: Duration(15 * time.Second),
+			Rate: 150, WorkMS: 100, LatencyObjective: Duration(time.Second), Deadline: Duration(4 * time.Second), Retries: 1, RetryAfterShare: 0.7,
+			MarkRetry: true, NonIdempotentShare: 0.36, Skew: 0.5, OverQuotaTenants: 0.08, FailureDetection: Duration(time.Second), ShiftEvery: Duration(15 * time.Second),
 		},
 	}
-	s.complete()
+	s.addDefaults()
 	return s
 }
 
@@ -315,13 +315,13 @@
 
 func (e *fieldError) Error() string { return e.field + ": " + e.want }
 
-func wrong(field, format string, args ...any) error {
+func fieldErrorf(field, format string, args ...any) error {
 	return &fieldError{field, fmt.Sprintf(format, args...)}
 }
 
 // validate returns an error that names the first field that can't be.
 func (s *Scenario) validate() error {
-	s.complete()
+	s.addDefaults()
 	f, l := &s.Fleet, &s.Load
 	for _, c := range []struct {
 		field       string
@@ -334,21 +334,21 @@
 		{"fleet.cores", float64(f.Cores), 1, 1024},
 		{"fleet.slots_per_core", float64(f.SlotsPerCore), 1, 1000},
 		{"fleet.queue_per_core", float64(f.QueuePerCore), 0, 10000},
-		{"fleet.thrash", f.Thrash, 0, 1},
-		{"fleet.thrash_at", f.ThrashAt, 1, 1000},
-		{"fleet.cold_from", f.ColdFrom, 0.01, 1},
-		{"fleet.ramp", f.Ramp.s(), 0, 3600},
-		{"fleet.fall_multiple", f.FallMultiple, 1, 100},
-		{"fleet.fall_for", f.FallFor.s(), 0.1, 60},
+		{"fleet.thrash", f.ContentionLoss, 0, 1},
+		{"fleet.thrash_at", f.ContentionFrom, 1, 1000},
+		{"fleet.cold_from", f.SlowStartInitialFraction, 0.01, 1},
+		{"fleet.ramp", f.SlowStartDuration.s(), 0, 3600},
+		{"fleet.fall_multiple", f.OverloadFactor, 1, 100},
+		{"fleet.fall_for", f.OverloadWindow.s(), 0.1, 60},
 		{"fleet.connections", float64(f.Connections), 1, 1e6},
 		{"fleet.handshake_work", f.HandshakeWork.s(), 0, 1},
 		{"fleet.conn_idle", f.ConnIdle.s(), 0.1, 3600},
 		{"fleet.report_every", f.ReportEvery.s(), 0, 60},
-		{"fleet.report_late", f.ReportLate.s(), 0, 60},
-		{"fleet.list_late", f.ListLate.s(), 0, 60},
+		{"fleet.report_late", f.ReportDelay.s(), 0, 60},
+		{"fleet.list_late", f.ListDelay.s(), 0, 60},
 		{"fleet.list_replicas", float64(f.ListReplicas), 0, 7},
 		{"fleet.list_calls_per_s", f.ListCallsPerS, 0, 1e6},
-		{"fleet.inbox_per_s", f.InboxPerS, 1, 1e6},
+		{"fleet.inbox_per_s", f.PeerMessagesPerSecond, 1, 1e6},
 		{"fleet.peer_loss", f.PeerLoss, 0, 1},
 		{"fleet.peer_delay", f.PeerDelay.s(), 0, 1},
 		{"fleet.cross_delay", f.CrossDelay.s(), 0, 1},
@@ -356,41 +356,41 @@
 		{"fleet.sockets", float64(f.Sockets), 64, 1 << 20},
 		{"load.rate", l.Rate, 0.1, 100000},
 		{"load.work_ms", l.WorkMS, 0.01, 10000},
-		{"load.aim", l.Aim.s(), 0.01, 60},
-		{"load.deadline", l.Deadline.s(), l.Aim.s(), 60},
+		{"load.aim", l.LatencyObjective.s(), 0.01, 60},
+		{"load.deadline", l.Deadline.s(), l.LatencyObjective.s(), 60},
 		{"load.retries", float64(l.Retries), 0, 10},
-		{"load.honour", l.Honour, 0, 1},
-		{"load.unsafe", l.Unsafe, 0, 1},
+		{"load.honour", l.RetryAfterShare, 0, 1},
+		{"load.unsafe", l.NonIdempotentShare, 0, 1},
 		{"load.skew", l.Skew, 0, 5},
-		{"load.heavy", l.Heavy, 0, 1},
-		{"load.spread", l.Spread, 0, 1},
-		{"load.front_sees", l.FrontSees.s(), 0, 60},
+		{"load.heavy", l.OverQuotaTenants, 0, 1},
+		{"load.spread", l.EntryNodeShare, 0, 1},
+		{"load.front_sees", l.FailureDetection.s(), 0, 60},
 		{"load.shift_every", l.ShiftEvery.s(), 0.1, 3600},
 	} {
 		if !(c.got >= c.least && c.got <= c.most) {
-			return wrong(c.field, "%v is not from %v to %v", c.got, c.least, c.most)
+			return fieldErrorf(c.field, "%v is not from %v to %v", c.got, c.least, c.most)
 		}
 	}
 	switch {
 	case s.Name == "":
-		return wrong("name", "is empty; a name is wanted")
+		return fieldErrorf("name", "is empty; a name is wanted")
 	case f.ListAgents && f.ListReplicas == 0:
-		return wrong("fleet.list_agents", "wants list_replicas, 3 or 5, that they follow")
-	case f.ListAsked && f.ListReplicas > 0:
-		return wrong("fleet.list_asked", "the project's own list service pushes its lists: leave out list_replicas")
-	case f.ListCallsPerS > 0 && !f.ListAsked:
-		return wrong("fleet.list_calls_per_s", "is of a service that lists are asked from: set list_asked as well")
+		return fieldErrorf("fleet.list_agents", "wants list_replicas, 3 or 5, that they follow")
+	case f.ListPolled && f.ListReplicas > 0:
+		return fieldErrorf("fleet.list_asked", "the project's own list service pushes its lists: leave out list_replicas")
+	case f.ListCallsPerS > 0 && !f.ListPolled:
+		return fieldErrorf("fleet.list_calls_per_s", "is of a service that lists are asked from: set list_asked as well")
 	case len(f.Zones) == 0 || len(f.Zones) > 26:
-		return wrong("fleet.zones", "%d zones; 1 to 26 are wanted", len(f.Zones))
+		return fieldErrorf("fleet.zones", "%d zones; 1 to 26 are wanted", len(f.Zones))
 	case l.Rate*s.Duration.s() > 5e6:
-		return wrong("load.rate", "%v a second for %v are over 5 million requests", l.Rate, time.Duration(s.Duration))
+		return fieldErrorf("load.rate", "%v a second for %v are over 5 million requests", l.Rate, time.Duration(s.Duration))
 	}
 	if err := s.validateTiers(); err != nil {
 		return err
 	}
 	for i, b := range l.Bursts {
 		if b.Times <= 0 || b.Times > 100 {
-			return wrong(fmt.Sprintf("load.burst[%d].times", i), "%v is not above 0 and up to 100", b.Times)
+			return fieldErrorf(fmt.Sprintf("load.burst[%d].times", i), "%v is not above 0 and up to 100", b.Times)
 		}
 	}
 	for i := range s.Faults {
@@ -401,10 +401,10 @@
 	for i, e := range s.Expect {
 		field := fmt.Sprintf("expect[%d].", i)
 		if _, ok := figureNames[e.Figure]; !ok {
-			return wrong(field+"figure", "%q is none of %s", e.Figure, names(figureNames))
+			return fieldErrorf(field+"figure", "%q is none of %s", e.Figure, names(figureNames))
 		}
 		if e.Min == nil && e.Max == nil {
-			return wrong(field+"figure", "min or max is wanted beside it")
+			return fieldErrorf(field+"figure", "min or max is wanted beside it")
 		}
 	}
 	return nil
@@ -418,17 +418,17 @@
 		field := fmt.Sprintf("class[%d].", i)
 		switch {
 		case !plainName(c.Name) || seen[c.Name]:
-			return wrong(field+"name", "%q is not a name of its own of letters, digits and -", c.Name)
+			return fieldErrorf(field+"name", "%q is not a name of its own of letters, digits and -", c.Name)
 		case !(c.Share >= 0 && c.Share <= 1):
-			return wrong(field+"share", "%v is not from 0 to 1", c.Share)
-		case !(c.Worth >= 0 && c.Worth <= 1e6):
-			return wrong(field+"worth", "%v is not from 0 to 1e6", c.Worth)
+			return fieldErrorf(field+"share", "%v is not from 0 to 1", c.Share)
+		case !(c.PriorityWeight >= 0 && c.PriorityWeight <= 1e6):
+			return fieldErrorf(field+"worth", "%v is not from 0 to 1e6", c.PriorityWeight)
 		}
 		seen[c.Name] = true
 		sum += c.Share
 	}
 	if math.Abs(sum-1) > 0.01 {
-		return wrong("class[0].share", "all shares make %v, not 1", sum)
+		return fieldErrorf("class[0].share", "all shares make %v, not 1", sum)
 	}
 	clear(seen)
 	sum = 0
@@ -441,26 +441,26 @@
 		}{
 			{"share", p.Share, 0, 1},
 			{"rate", p.Rate, 0.01, 1e6},
-			{"burst", p.Burst, mostUnits, 1e7},
-			{"ceiling_rate", p.CeilingRate, 0, 1e6},
-			{"ceiling_burst", p.CeilingBurst, 0, 1e7},
-			{"slack", p.Slack, 0, 1e7},
-			{"price", p.Price, 0, 1e6},
-			{"over_worth", p.OverWorth, 0, 1},
-			{"over_cost", p.OverCost, 0, 100},
+			{"burst", p.Burst, maxUnits, 1e7},
+			{"ceiling_rate", p.HardLimitRate, 0, 1e6},
+			{"ceiling_burst", p.HardLimitBurst, 0, 1e7},
+			{"slack", p.HardLimitSlack, 0, 1e7},
+			{"price", p.WeightFactor, 0, 1e6},
+			{"over_worth", p.OverQuotaValue, 0, 1},
+			{"over_cost", p.OverQuotaCost, 0, 100},
 		} {
 			if !(c.got >= c.least && c.got <= c.most) {
-				return wrong(field+c.field, "%v is not from %v to %v", c.got, c.least, c.most)
+				return fieldErrorf(field+c.field, "%v is not from %v to %v", c.got, c.least, c.most)
 			}
 		}
 		if !plainName(p.Name) || seen[p.Name] {
-			return wrong(field+"name", "%q is not a name of its own of letters, digits and -", p.Name)
+			return fieldErrorf(field+"name", "%q is not a name of its own of letters, digits and -", p.Name)
 		}
 		seen[p.Name] = true
 		sum += p.Share
 	}
 	if math.Abs(sum-1) > 0.01 {
-		return wrong("plan[0].share", "all shares make %v, not 1", sum)
+		return fieldErrorf("plan[0].share", "all shares make %v, not 1", sum)
 	}
 	return nil
 }
@@ -477,35 +477,35 @@
 	}
 	switch {
 	case !ok:
-		return wrong(field+"kind", "%q is none of %s", ft.Kind, names(faultKinds))
+		return fieldErrorf(field+"kind", "%q is none of %s", ft.Kind, names(faultKinds))
 	case ft.At > s.Duration:
-		return wrong(field+"at", "%v is after the run's end", time.Duration(ft.At))
+		return fieldErrorf(field+"at", "%v is after the run's end", time.Duration(ft.At))
 	case kind.target == "zone" && ft.Zone == "":
-		return wrong(field+"kind", "%s wants a zone", ft.Kind)
+		return fieldErrorf(field+"kind", "%s wants a zone", ft.Kind)
 	case ft.Zone != "" && !slices.Contains(s.Fleet.Zones, ft.Zone):
-		return wrong(field+"zone", "%q is none of %s", ft.Zone, strings.Join(s.Fleet.Zones, ", "))
+		return fieldErrorf(field+"zone", "%q is none of %s", ft.Zone, strings.Join(s.Fleet.Zones, ", "))
 	case ft.Count < 0 || ft.Count > all:
-		return wrong(field+"count", "%d is not from 0 to %d", ft.Count, all)
+		return fieldErrorf(field+"count", "%d is not from 0 to %d", ft.Count, all)
 	case ft.Share < 0 || ft.Share > 1:
-		return wrong(field+"share", "%v is not from 0 to 1", ft.Share)
+		return fieldErrorf(field+"share", "%v is not from 0 to 1", ft.Share)
 	case ft.Kind == "slow" && ft.Size < 1:
-		return wrong(field+"kind", "slow wants a size of 1 or more, times slower")
+		return fieldErrorf(field+"kind", "slow wants a size of 1 or more, times slower")
 	case slices.Contains([]string{"error", "reset", "spoil", "peer-loss"}, ft.Kind) && !(ft.Size > 0 && ft.Size <= 1):
-		return wrong(field+"kind", "%s wants a size above 0 and up to 1, a share", ft.Kind)
-	case ft.Kind == "list-late" && ft.Late <= 0:
-		return wrong(field+"kind", "%s wants late, a duration", ft.Kind)
+		return fieldErrorf(field+"kind", "%s wants a size above 0 and up to 1, a share", ft.Kind)
+	case ft.Kind == "list-late" && ft.Delay <= 0:
+		return fieldErrorf(field+"kind", "%s wants late, a duration", ft.Kind)
 	case ft.Kind == "list-kill" && ft.Share != 0 && ft.Share != 1:
-		return wrong(field+"share", "%v is neither 0, for the leader, nor 1, for all", ft.Share)
+		return fieldErrorf(field+"share", "%v is neither 0, for the leader, nor 1, for all", ft.Share)
 	case ft.Kind == "list-kill" && s.Fleet.ListReplicas == 0:
-		return wrong(field+"kind", "list-kill wants fleet.list_replicas, 3 or 5")
+		return fieldErrorf(field+"kind", "list-kill wants fleet.list_replicas, 3 or 5")
 	case strings.HasPrefix(ft.Kind, "list-") && ft.Kind != "list-kill" && ft.Kind != "list-down" && ft.Kind != "list-late" && s.Fleet.ListReplicas > 0:
-		return wrong(field+"kind", "%s is of the lab's own list: leave out fleet.list_replicas", ft.Kind)
-	case ft.Kind == "list-words" && !slices.Contains(listWords, ft.Does):
-		return wrong(field+"does", "%q is none of %s", ft.Does, strings.Join(listWords, ", "))
+		return fieldErrorf(field+"kind", "%s is of the lab's own list: leave out fleet.list_replicas", ft.Kind)
+	case ft.Kind == "list-words" && !slices.Contains(listEncodings, ft.Does):
+		return fieldErrorf(field+"does", "%q is none of %s", ft.Does, strings.Join(listEncodings, ", "))
 	case ft.Kind == "stall" && ft.For <= 0:
-		return wrong(field+"kind", "stall wants for, a duration")
+		return fieldErrorf(field+"kind", "stall wants for, a duration")
 	case !slices.Contains([]string{"", "both", "in", "out"}, ft.Way):
-		return wrong(field+"way", "%q is none of both, in, out", ft.Way)
+		return fieldErrorf(field+"way", "%q is none of both, in, out", ft.Way)
 	}
 	if ft.Kind == "link" {
 		return s.validateLink(field, ft)
@@ -517,31 +517,31 @@
 func (s *Scenario) validateLink(field string, ft *Fault) error {
 	from, err := s.parties(ft.From)
 	if err != nil || len(from) == 0 || from[0].kind == "server" || from[0].kind == "agent" {
-		return wrong(field+"from", "%q is none of clients, nodes, node:N, zone:Z", ft.From)
+		return fieldErrorf(field+"from", "%q is none of clients, nodes, node:N, zone:Z", ft.From)
 	}
 	to, err := s.parties(ft.To)
 	if err != nil || len(to) == 0 || to[0].kind == "clients" {
-		return wrong(field+"to", "%q is none of nodes, node:N, servers, server:N, zone:Z, agent", ft.To)
+		return fieldErrorf(field+"to", "%q is none of nodes, node:N, servers, server:N, zone:Z, agent", ft.To)
 	}
 	if from[0].kind == "clients" && to[0].kind != "node" {
-		return wrong(field+"to", "clients have links to nodes alone, not to %q", ft.To)
+		return fieldErrorf(field+"to", "clients have links to nodes alone, not to %q", ft.To)
 	}
 	switch ft.Does {
 	case "silence", "reset", "refuse":
 	case "loss":
 		if !(ft.Size > 0 && ft.Size <= 1) {
-			return wrong(field+"does", "loss wants a size above 0 and up to 1, a share")
+			return fieldErrorf(field+"does", "loss wants a size above 0 and up to 1, a share")
 		}
 	case "delay":
-		if ft.Late <= 0 {
-			return wrong(field+"does", "delay wants late, a duration")
+		if ft.Delay <= 0 {
+			return fieldErrorf(field+"does", "delay wants late, a duration")
 		}
 	case "rate":
 		if ft.Size < 1 {
-			return wrong(field+"does", "rate wants a size, bytes a second")
+			return fieldErrorf(field+"does", "rate wants a size, bytes a second")
 		}
 	default:
-		return wrong(field+"does", "%q is none of silence, reset, refuse, loss, delay, rate", ft.Does)
+		return fieldErrorf(field+"does", "%q is none of silence, reset, refuse, loss, delay, rate", ft.Does)
 	}
 	return nil
 }
--- a/internal/testbed/schedule.go
+++ b/internal/testbed/schedule.go
@@ -16,56 +16,56 @@
 // Streams of random numbers, one for each thing that is drawn, so that a change to one
 // leaves the others as they were.
 const (
-	streamCustomers = iota + 1
+	streamTenants = iota + 1
 	streamArrivals
 	streamFaults
 	streamClients
 	streamServers
 	streamLinks
-	streamTrials
+	streamGenerated
 )
 
 func random(seed uint64, stream int) *rand.Rand { return rand.New(rand.NewPCG(seed, uint64(stream))) }
 
 const (
-	mostUnits = 8    // of one request
-	guessCV   = 0.5  // how far a guess of units lies from the truth
-	workCV    = 0.8  // of the work of one request, beyond what its units tell
-	moreUnits = 0.45 // chance that a request has one unit more
+	maxUnits          = 8    // of one request
+	guessCV           = 0.5  // how far a guess of units lies from the truth
+	workCV            = 0.8  // of the work of one request, beyond what its units tell
+	anotherUnitChance = 0.45 // chance that a request has one unit more
 )
 
-// Customer is one that asks.
-type Customer struct {
-	ID     uint64
-	Plan   int
-	Spread int // edge nodes that its requests come through
-	First  int // number of the first
-	Rate   float64
-	weight []float64 // of each of its nodes, busiest first
+// Tenant is one that asks.
+type Tenant struct {
+	ID             uint64
+	Plan           int
+	EntryNodes     int // edge nodes that its requests come through
+	FirstEntryNode int // number of the first
+	Rate           float64
+	weight         []float64 // of each of its nodes, busiest first
 }
 
-// Arrival is one first try of a client.
+// Arrival is one first attempt of a client.
 type Arrival struct {
-	At       time.Duration
-	ID       string
-	Customer int
-	Class    int
-	Node     int     // number of the edge node that it comes through
-	Units    float64 // that it counts in the end
-	Guess    float64 // that its client says
-	Work     float64 // core seconds
-	Wait     time.Duration
+	At     time.Duration
+	ID     string
+	Tenant int
+	Class  int
+	Node   int     // number of the edge node that it comes through
+	Units  float64 // that it counts in the end
+	Guess  float64 // that its client says
+	Work   float64 // core seconds
+	Wait   time.Duration
 }
 
 // Schedule is all that a run draws ahead.
 type Schedule struct {
-	Customers []Customer
-	Arrivals  []Arrival
-	Faults    []Event
+	Tenants  []Tenant
+	Arrivals []Arrival
+	Faults   []FaultEvent
 }
 
-// Event is the beginning or the end of a fault at one target.
-type Event struct {
+// FaultEvent is the beginning or the end of a fault at one target.
+type FaultEvent struct {
 	At     time.Duration
 	Fault  int // number in the scenario
 	Target int // number of a node or server; -1 where the fault has none
@@ -75,7 +75,7 @@
 // Draw makes the schedule of a scenario. It depends on the scenario and the seed alone.
 func Draw(s *Scenario, seed uint64) *Schedule {
 	d := &Schedule{}
-	d.drawCustomers(s, random(seed, streamCustomers))
+	d.drawTenants(s, random(seed, streamTenants))
 	d.drawArrivals(s, random(seed, streamArrivals))
 	d.drawFaults(s, random(seed, streamFaults))
 	return d
@@ -84,39 +84,39 @@
 // meanUnits is the mean of drawUnits.
 func meanUnits() float64 {
 	sum, p := 0.0, 1.0
-	for n := 1; n <= mostUnits; n++ {
-		q := p * (1 - moreUnits)
-		if n == mostUnits {
+	for n := 1; n <= maxUnits; n++ {
+		q := p * (1 - anotherUnitChance)
+		if n == maxUnits {
 			q = p
 		}
-		sum, p = sum+float64(n)*q, p*moreUnits
+		sum, p = sum+float64(n)*q, p*anotherUnitChance
 	}
 	return sum
 }
 
 func drawUnits(rng *rand.Rand) float64 {
 	n := 1
-	for n < mostUnits && rng.Float64() < moreUnits {
+	for n < maxUnits && rng.Float64() < anotherUnitChance {
 		n++
 	}
 	return float64(n)
 }
 
-// leastUse is what rounding may leave of a plan's share, in requests a second: no customer is made of it.
-const leastUse = 1e-9
+// minUse is what rounding may leave of a plan's share, in requests a second: no tenant is made of it.
+const minUse = 1e-9
 
-// drawCustomers adds customers of each plan until they ask for its share of the load. What
+// drawTenants adds tenants of each plan until they ask for its share of the load. What
 // heavy ones ask beyond their quota comes on top.
-func (d *Schedule) drawCustomers(s *Scenario, rng *rand.Rand) {
+func (d *Schedule) drawTenants(s *Scenario, rng *rand.Rand) {
 	for p, plan := range s.Plans {
-		for left := s.Load.Rate * plan.Share; left > leastUse; {
+		for left := s.Load.Rate * plan.Share; left > minUse; {
 			full := plan.Rate / meanUnits() // requests a second that use the whole quota
 			use := 0.2 + 0.3*rng.Float64()
 			if rng.Float64() < 0.17 {
 				use = 0.95
 			}
 			ask := use
-			if rng.Float64() < s.Load.Heavy {
+			if rng.Float64() < s.Load.OverQuotaTenants {
 				use, ask = 1, 3
 			}
 			if use*full > left {
@@ -125,18 +125,18 @@
 			}
 			left -= use * full
 			spread := 2 + rng.IntN(3)
-			if s.Load.Spread > 0 {
-				spread = max(spread, int(s.Load.Spread*float64(s.Fleet.Nodes)))
+			if s.Load.EntryNodeShare > 0 {
+				spread = max(spread, int(s.Load.EntryNodeShare*float64(s.Fleet.Nodes)))
 			}
-			if plan.CeilingBurst > 0 { // or no node's part of it would hold a request
-				spread = min(spread, int(plan.CeilingBurst/(2*mostUnits)))
+			if plan.HardLimitBurst > 0 { // or no node's part of it would hold a request
+				spread = min(spread, int(plan.HardLimitBurst/(2*maxUnits)))
 			}
 			spread = min(spread, s.Fleet.Nodes)
-			c := Customer{ID: rng.Uint64N(1 << 33), Plan: p, Spread: spread, First: rng.IntN(s.Fleet.Nodes), Rate: ask * full}
+			c := Tenant{ID: rng.Uint64N(1 << 33), Plan: p, EntryNodes: spread, FirstEntryNode: rng.IntN(s.Fleet.Nodes), Rate: ask * full}
 			for range spread {
 				c.weight = append(c.weight, math.Exp(s.Load.Skew*rng.NormFloat64()))
 			}
-			d.Customers = append(d.Customers, c)
+			d.Tenants = append(d.Tenants, c)
 		}
 	}
 }
@@ -155,8 +155,8 @@
 // drawArrivals draws a Poisson stream, thinned from the highest rate that bursts reach.
 func (d *Schedule) drawArrivals(s *Scenario, rng *rand.Rand) {
 	total, most := 0.0, 1.0
-	sum := make([]float64, len(d.Customers))
-	for i, c := range d.Customers {
+	sum := make([]float64, len(d.Tenants))
+	for i, c := range d.Tenants {
 		total += c.Rate
 		sum[i] = total
 	}
@@ -174,11 +174,11 @@
 		}
 		keep := rng.Float64()*most < s.Load.rateAt(at)
 		i, _ := slices.BinarySearch(sum, rng.Float64()*total)
-		c := &d.Customers[min(i, len(sum)-1)]
+		c := &d.Tenants[min(i, len(sum)-1)]
 		units := drawUnits(rng)
 		a := Arrival{
-			At: at, ID: fmt.Sprintf("%016x", rng.Uint64()), Customer: min(i, len(sum)-1), Units: units,
-			Guess: math.Min(math.Max(math.Round(units*guess.Rand()), 1), mostUnits),
+			At: at, ID: fmt.Sprintf("%016x", rng.Uint64()), Tenant: min(i, len(sum)-1), Units: units,
+			Guess: math.Min(math.Max(math.Round(units*guess.Rand()), 1), maxUnits),
 			Work:  s.Load.WorkMS / 1000 * units / meanUnits() * work.Rand(),
 			Wait:  time.Duration((0.5 + 0.5*rng.Float64()) * float64(s.Load.Deadline)),
 			Node:  c.pick(rng.Float64(), int(at/time.Duration(s.Load.ShiftEvery)), s.Fleet.Nodes),
@@ -200,18 +200,18 @@
 	return 0
 }
 
-// pick chooses one of the customer's nodes; shift moves the weights round.
-func (c *Customer) pick(x float64, shift, nodes int) int {
+// pick chooses one of the tenant's nodes; shift moves the weights round.
+func (c *Tenant) pick(x float64, shift, nodes int) int {
 	total := 0.0
 	for _, w := range c.weight {
 		total += w
 	}
 	for i := range c.weight {
-		if x -= c.weight[(i+shift)%c.Spread] / total; x < 0 {
-			return (c.First + i) % nodes
+		if x -= c.weight[(i+shift)%c.EntryNodes] / total; x < 0 {
+			return (c.FirstEntryNode + i) % nodes
 		}
 	}
-	return c.First % nodes
+	return c.FirstEntryNode % nodes
 }
 
 // drawFaults chooses the targets of every fault and lays them on the time line.
@@ -234,13 +234,13 @@
 		}
 		for k, target := range of {
 			at := time.Duration(ft.At) + time.Duration(k)*time.Duration(ft.Step)
-			d.Faults = append(d.Faults, Event{At: at, Fault: i, Target: target})
+			d.Faults = append(d.Faults, FaultEvent{At: at, Fault: i, Target: target})
 			if ft.For > 0 {
-				d.Faults = append(d.Faults, Event{At: at + time.Duration(ft.For), Fault: i, Target: target, End: true})
+				d.Faults = append(d.Faults, FaultEvent{At: at + time.Duration(ft.For), Fault: i, Target: target, End: true})
 			}
 		}
 	}
-	slices.SortStableFunc(d.Faults, func(a, b Event) int { return int(a.At - b.At) })
+	slices.SortStableFunc(d.Faults, func(a, b FaultEvent) int { return int(a.At - b.At) })
 }
 
 // inZone lists the numbers of nodes or servers in a zone, all where it is "".
@@ -266,12 +266,12 @@
 			h.Write(b[:])
 		}
 	}
-	for _, c := range d.Customers {
-		put(c.ID, uint64(c.Plan), uint64(c.Spread), uint64(c.First), math.Float64bits(c.Rate))
+	for _, c := range d.Tenants {
+		put(c.ID, uint64(c.Plan), uint64(c.EntryNodes), uint64(c.FirstEntryNode), math.Float64bits(c.Rate))
 	}
 	for _, a := range d.Arrivals {
 		h.Write([]byte(a.ID))
-		put(uint64(a.At), uint64(a.Customer), uint64(a.Class), uint64(a.Node), math.Float64bits(a.Units), math.Float64bits(a.Guess),
+		put(uint64(a.At), uint64(a.Tenant), uint64(a.Class), uint64(a.Node), math.Float64bits(a.Units), math.Float64bits(a.Guess),
 			math.Float64bits(a.Work), uint64(a.Wait))
 	}
 	for _, e := range d.Faults {
--- a/internal/testbed/settings.go
+++ b/internal/testbed/settings.go
@@ -35,39 +35,39 @@
 	var lanes, tariffs []object
 	for _, c := range s.Classes {
 		effect := "retryable"
-		if c.Unsafe {
+		if c.NonIdempotent {
 			effect = "fragile"
 		}
 		lanes = append(lanes, object{
 			"name": c.Name, "idempotency": effect, "keyScope": "all", "memorySpan": 5.0, "deadline": l.Deadline.s(),
-			"onTime": l.Aim.s(), "lateWorth": 0.2, "streamed": false, "worth": c.Worth,
+			"onTime": l.LatencyObjective.s(), "lateWorth": 0.2, "streamed": false, "worth": c.PriorityWeight,
 		})
 	}
 	for _, p := range s.Plans {
 		tariffs = append(tariffs, object{
-			"name": p.Name, "quotaRate": p.Rate, "peakUnits": p.Burst, "neverOverRate": p.CeilingRate,
-			"hardBurst": p.CeilingBurst, "capSlack": p.Slack, "worthFactor": p.Price, "extraWorth": p.OverWorth, "overCost": p.OverCost, "maxOut": 0,
+			"name": p.Name, "quotaRate": p.Rate, "peakUnits": p.Burst, "neverOverRate": p.HardLimitRate,
+			"hardBurst": p.HardLimitBurst, "capSlack": p.HardLimitSlack, "worthFactor": p.WeightFactor, "extraWorth": p.OverQuotaValue, "overCost": p.OverQuotaCost, "maxOut": 0,
 		})
 	}
 	mode := "automatic"
-	if f.ListAsked {
+	if f.ListPolled {
 		mode = "subscribe"
 	}
 	return object{
 		"clients": object{"marksRetry": l.MarkRetry}, "domainType": "gate",
-		"familyInfo": object{"counter": false, "inboxPerS": f.InboxPerS, "meter": 0.0, "postPaid": true, "unitsTop": mostUnits},
+		"familyInfo": object{"counter": false, "inboxPerS": f.PeerMessagesPerSecond, "meter": 0.0, "postPaid": true, "unitsTop": maxUnits},
 		"feedback":   object{"fields": []string{"outstanding"}, "how": "answers"}, "flavors": []string{"std-4c"},
 		"goal":      object{"whole": 0.65, "worstClass": 0.1, "worstTenant": 0.15, "worstWindow": 0.1},
 		"instances": f.Nodes, "me": node, "lanes": lanes, "localities": f.Zones, "zone": f.zoneOf(node),
 		"penalties": object{"crossZone": 0.0091, "lateFail": 0.08, "peer": 0.03, "waste": 0.05, "handshake": 0.01},
 		"policyLimits": object{
 			"cancel": true, "connIdle": f.ConnIdle.s(), "connectTimeout": 0.25, "cpuUsPerS": 500000, "maxRetryAfter": 0.5,
-			"mostTries": 5, "openCap": 20000, "parallelTries": true, "peers": !f.NoPeers, "probes": false, "retryAfter": true, "streamsPerConn": 1,
+			"mostTries": 5, "openCap": 20000, "parallelTries": true, "peers": !f.NoGossip, "probes": false, "retryAfter": true, "streamsPerConn": 1,
 		},
 		"registryMode": mode,
 		"rules": object{
-			"answerSlack": answerSlack.Seconds(), "askWithin": askWithin.Seconds(), "coldFrom": f.ColdFrom, "drainGrace": drainGrace.Seconds(),
-			"fallMultiple": f.FallMultiple, "overloadFor": f.FallFor.s(), "rampTime": f.Ramp.s(),
+			"answerSlack": answerSlack.Seconds(), "askWithin": pollInterval.Seconds(), "coldFrom": f.SlowStartInitialFraction, "drainGrace": drainGrace.Seconds(),
+			"fallMultiple": f.OverloadFactor, "overloadFor": f.OverloadWindow.s(), "rampTime": f.SlowStartDuration.s(),
 		},
 		"stage": 0, "tariffs": tariffs, "tick": 0.002, "tiers": []string{"devis-pool"}, "weights": "rough",
 	}
@@ -75,33 +75,33 @@
 
 // writeConfig writes a node's configuration and returns its path. A node that reads the file
 // sees the old one or the new one, whole.
-func (w *world) writeConfig(n *nodeState) (string, error) {
+func (env *environment) writeConfig(n *edgeNode) (string, error) {
 	n.config.Lock()
 	defer n.config.Unlock()
-	m := w.list.known()
-	if w.s.Fleet.StaleKnown && w.now() > 0 {
-		m = w.list.first
+	m := env.list.initial()
+	if env.scenario.Fleet.StaleStartList && env.now() > 0 {
+		m = env.list.atStart
 	}
 	c := nodeConfig{
-		Name: n.name, Listen: n.listen, Discovery: n.discovery, Seed: fmt.Sprintf("%016x", w.ids.Uint64()),
-		Limits: limits{1, w.s.Fleet.MemoryMB, w.s.Fleet.Sockets}, PeerListen: n.peer, Peers: w.udp.peers, PeersAll: w.udp.all,
-		Known: w.seenFrom(n.number, m), Settings: w.s.settings(n.number),
+		Name: n.name, Listen: n.listen, Discovery: n.discovery, Seed: fmt.Sprintf("%016x", env.ids.Uint64()),
+		Limits: limits{1, env.scenario.Fleet.MemoryMB, env.scenario.Fleet.Sockets}, PeerListen: n.peer, Peers: env.udp.peers, PeersAll: env.udp.all,
+		Known: env.addressedFor(n.number, m), Settings: env.scenario.settings(n.number),
 	}
 	text, err := json.MarshalIndent(c, "", " ")
 	if err != nil {
 		return "", fmt.Errorf("configuration of %s: %w", n.name, err)
 	}
-	path := filepath.Join(w.dir, n.name+".json")
+	path := filepath.Join(env.dir, n.name+".json")
 	if err := os.WriteFile(path+".new", text, 0o644); err != nil {
 		return "", fmt.Errorf("configuration of %s: %w", n.name, err)
 	}
 	if err := os.Rename(path+".new", path); err != nil {
 		return "", fmt.Errorf("configuration of %s: %w", n.name, err)
 	}
-	w.told(n.number, c.Known)
-	if w.s.Fleet.StaleKnown && !w.list.isDown() { // what its agent has counts from a process's first moment
-		whole, _ := w.list.since(0, true)
-		w.list.nodeHas(n, whole)
+	env.recordDelivered(n.number, c.Known)
+	if env.scenario.Fleet.StaleStartList && !env.list.isDown() { // what its agent has counts from a process's first moment
+		whole, _ := env.list.since(0, true)
+		env.list.markDeliveredTo(n, whole)
 	}
 	return path, nil
 }
--- a/internal/testbed/sweep.go
+++ b/internal/testbed/sweep.go
@@ -17,39 +17,39 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// SweepOptions say which trials a sweep plays and how.
+// SweepOptions say which generated scenarios a sweep plays and how.
 type SweepOptions struct {
 	From, To uint64        // seeds, both played
-	Aim      string        // one of Aims; "": anything
-	Jobs     int           // trials played at once
-	Budget   time.Duration // no trial begins after it, and no reduction goes on; 0: none
-	Reduce   int           // plays that the reduction of a failing trial may take; 0: it is not reduced
+	Rule     string        // one of TargetRules; "": anything
+	Jobs     int           // generated scenarios played at once
+	Budget   time.Duration // no generated scenario begins after it, and no reduction goes on; 0: none
+	Reduce   int           // plays that the reduction of a failing generated scenario may take; 0: it is not reduced
 	Binary   string        // of the edge node
-	Dir      string        // takes a folder for each failing trial, and the report
+	Dir      string        // takes a folder for each failing generated scenario, and the report
 	Log      *slog.Logger
-	Live     func(done, of int, t Trial) // called as trials end; may be nil
+	Live     func(done, of int, t GeneratedRun) // called as generated scenarios end; may be nil
 }
 
-// Verdict is what came of a trial.
+// Verdict is what came of a generated scenario.
 type Verdict string
 
-// Verdicts. A trial in which no rule was broken counts as passed only where the machine gave the
+// Verdicts. A generated scenario in which no rule was broken counts as passed only where the machine gave the
 // lab and the nodes what they needed: one too slow for the draw judges nothing.
 const (
 	Passed    Verdict = "passed"
-	Broke     Verdict = "broke a rule"
+	BrokeRule Verdict = "broke a rule"
 	NotJudged Verdict = "not judged"
 	NotPlayed Verdict = "not played"
 )
 
-// Trial is one draw and what came of it.
-type Trial struct {
+// GeneratedRun is one draw and what came of it.
+type GeneratedRun struct {
 	Seed    uint64         `json:"seed"`
 	Verdict Verdict        `json:"verdict"`
 	Rules   map[string]int `json:"rules,omitempty"` // broken ones; "crash" for processes that ended
 	First   string         `json:"first,omitempty"` // of the violations
-	Why     string         `json:"why,omitempty"`   // it was not judged or played
-	Again   string         `json:"again,omitempty"` // the command that plays it again
+	Reason  string         `json:"why,omitempty"`   // it was not judged or played
+	Command string         `json:"again,omitempty"` // the command that plays it again
 	Reduced string         `json:"reduced,omitempty"`
 	Size    string         `json:"size"`
 	Faults  []string       `json:"faults"`
@@ -58,31 +58,31 @@
 
 // SweepReport is all that a sweep played, by seed.
 type SweepReport struct {
-	Aim    string          `json:"rule,omitempty"`
+	Rule   string          `json:"rule,omitempty"`
 	From   uint64          `json:"from"`
 	To     uint64          `json:"to"`
 	Played int             `json:"played"`
 	Counts map[Verdict]int `json:"verdicts"`
 	Ended  string          `json:"ended,omitempty"` // why before the last seed
-	Trials []Trial         `json:"trials"`
+	Runs   []GeneratedRun  `json:"trials"`
 }
 
-// OK tells whether every trial that was played was judged by its rules and kept them; what was
+// OK tells whether every generated scenario that was played was judged by its rules and kept them; what was
 // not judged is no failure, nor is it a pass.
-func (r *SweepReport) OK() bool { return r.Counts[Broke] == 0 && r.Counts[NotPlayed] == 0 }
+func (r *SweepReport) OK() bool { return r.Counts[BrokeRule] == 0 && r.Counts[NotPlayed] == 0 }
 
-// Sweep plays the trials of a range of seeds. A signal or the budget ends it early: the report
-// has what was played. The error is of the lab itself.
+// Sweep plays the generated scenarios of a range of seeds. A signal or the budget ends it early: the report
+// has what was played. The error is of the testbed itself.
 func Sweep(ctx context.Context, o SweepOptions) (*SweepReport, error) {
 	switch {
 	case o.From > o.To:
 		return nil, fmt.Errorf("seeds: %d-%d ends before it begins", o.From, o.To)
-	case o.To-o.From >= mostTrials:
-		return nil, fmt.Errorf("seeds: %d-%d are over %d", o.From, o.To, mostTrials)
+	case o.To-o.From >= maxSeeds:
+		return nil, fmt.Errorf("seeds: %d-%d are over %d", o.From, o.To, maxSeeds)
 	case o.Jobs < 1:
 		return nil, fmt.Errorf("jobs: %d is below 1", o.Jobs)
 	}
-	if _, err := DrawTrial(o.From, o.Aim); err != nil {
+	if _, err := GenerateScenario(o.From, o.Rule); err != nil {
 		return nil, err
 	}
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
@@ -92,7 +92,7 @@
 	if o.Budget > 0 {
 		end = time.Now().Add(o.Budget)
 	}
-	r := &SweepReport{Aim: o.Aim, From: o.From, To: o.To, Counts: map[Verdict]int{}}
+	r := &SweepReport{Rule: o.Rule, From: o.From, To: o.To, Counts: map[Verdict]int{}}
 	var mu sync.Mutex
 	next := o.From
 	take := func() (seed uint64, ok bool) {
@@ -112,12 +112,12 @@
 				if !ok {
 					return
 				}
-				t := o.trial(ctx, seed, end)
+				t := o.runSeed(ctx, seed, end)
 				if ctx.Err() != nil && t.Verdict == NotPlayed {
 					return // the signal ended it
 				}
 				mu.Lock()
-				r.Trials = append(r.Trials, t)
+				r.Runs = append(r.Runs, t)
 				r.Played++
 				r.Counts[t.Verdict]++
 				done := r.Played
@@ -129,7 +129,7 @@
 		})
 	}
 	work.Wait()
-	slices.SortFunc(r.Trials, func(a, b Trial) int { return int(int64(a.Seed) - int64(b.Seed)) })
+	slices.SortFunc(r.Runs, func(a, b GeneratedRun) int { return int(int64(a.Seed) - int64(b.Seed)) })
 	switch {
 	case ctx.Err() != nil:
 		r.Ended = "ended by a signal"
@@ -146,22 +146,22 @@
 	return r, nil
 }
 
-// mostTrials bounds a range of seeds.
-const mostTrials = 100_000
+// maxSeeds bounds a range of seeds.
+const maxSeeds = 100_000
 
-// slackMost is what the machine may withhold in a trial that is to count as passed: less than
+// maxSlack is what the machine may withhold in a generated scenario that is to count as passed: less than
 // the grace of the shortest rule.
-const slackMost = 200 * time.Millisecond
+const maxSlack = 200 * time.Millisecond
 
-// trial draws, plays and judges one seed, and reduces it if it fails.
-func (o *SweepOptions) trial(ctx context.Context, seed uint64, end time.Time) Trial {
-	s, err := DrawTrial(seed, o.Aim)
+// runSeed draws, plays and judges one seed, and reduces it if it fails.
+func (o *SweepOptions) runSeed(ctx context.Context, seed uint64, end time.Time) GeneratedRun {
+	s, err := GenerateScenario(seed, o.Rule)
 	if err != nil {
-		return Trial{Seed: seed, Verdict: NotPlayed, Why: err.Error()}
+		return GeneratedRun{Seed: seed, Verdict: NotPlayed, Reason: err.Error()}
 	}
 	dir := filepath.Join(o.Dir, fmt.Sprintf("seed-%d", seed))
 	t := o.play(ctx, s, seed, dir)
-	if t.Verdict != Broke {
+	if t.Verdict != BrokeRule {
 		if t.Verdict != NotPlayed {
 			_ = os.RemoveAll(dir) // a folder that stays misleads nobody: the report names what failed
 		}
@@ -169,35 +169,35 @@
 	}
 	path := filepath.Join(dir, "scenario.toml")
 	if err := s.write(path); err != nil {
-		t.Why = err.Error()
+		t.Reason = err.Error()
 		return t
 	}
-	t.Again = o.again(path, seed)
+	t.Command = o.command(path, seed)
 	if small, n := o.reduce(ctx, s, seed, t, dir, end); n > 0 {
 		path := filepath.Join(dir, "reduced.toml")
 		if err := small.write(path); err != nil {
-			t.Why = err.Error()
+			t.Reason = err.Error()
 			return t
 		}
-		t.Reduced = fmt.Sprintf("%s, %d faults, %v: %s", small.size(), len(small.Faults), time.Duration(small.Duration), o.again(path, seed))
+		t.Reduced = fmt.Sprintf("%s, %d faults, %v: %s", small.size(), len(small.Faults), time.Duration(small.Duration), o.command(path, seed))
 	}
 	return t
 }
 
-// again is the command that plays a scenario again.
-func (o *SweepOptions) again(path string, seed uint64) string {
+// command is the command that plays a scenario again.
+func (o *SweepOptions) command(path string, seed uint64) string {
 	return fmt.Sprintf("opalhook lab run %s --seed %d --node-binary %s", path, seed, o.Binary)
 }
 
 // play plays a scenario once.
-func (o *SweepOptions) play(ctx context.Context, s *Scenario, seed uint64, dir string) Trial {
-	t := Trial{Seed: seed, Verdict: Passed, Size: s.size()}
+func (o *SweepOptions) play(ctx context.Context, s *Scenario, seed uint64, dir string) GeneratedRun {
+	t := GeneratedRun{Seed: seed, Verdict: Passed, Size: s.size()}
 	for _, ft := range s.Faults {
 		t.Faults = append(t.Faults, ft.brief())
 	}
 	r, err := Run(ctx, s, Options{Seed: seed, Binary: o.Binary, Dir: dir, Log: o.Log})
 	if err != nil {
-		t.Verdict, t.Why = NotPlayed, err.Error()
+		t.Verdict, t.Reason = NotPlayed, err.Error()
 		return t
 	}
 	t.Rules = maps.Clone(r.Broken)
@@ -207,14 +207,14 @@
 	t.slack = time.Duration(r.Figures["slack_ms"] * float64(time.Millisecond))
 	switch {
 	case len(t.Rules) > 0:
-		t.Verdict = Broke
+		t.Verdict = BrokeRule
 		if len(r.Violations) > 0 {
 			t.First = r.Violations[0].String()
 		}
 	case r.Behind:
-		t.Verdict, t.Why = NotJudged, fmt.Sprintf("the generator was %.0f ms late: the machine is too slow for this draw", r.Figures["lateness_ms"])
-	case t.slack > slackMost:
-		t.Verdict, t.Why = NotJudged, fmt.Sprintf("the machine withheld %v: it is too slow for this draw", t.slack.Round(time.Millisecond))
+		t.Verdict, t.Reason = NotJudged, fmt.Sprintf("the generator was %.0f ms late: the machine is too slow for this draw", r.Figures["lateness_ms"])
+	case t.slack > maxSlack:
+		t.Verdict, t.Reason = NotJudged, fmt.Sprintf("the machine withheld %v: it is too slow for this draw", t.slack.Round(time.Millisecond))
 	}
 	return t
 }
@@ -222,7 +222,7 @@
 // reduce takes away from a failing scenario what it can while the same rule is still broken: its
 // faults and bursts one by one, half of its processes, its last seconds. It returns how many
 // steps were taken.
-func (o *SweepOptions) reduce(ctx context.Context, s *Scenario, seed uint64, failed Trial, dir string, end time.Time) (small *Scenario, steps int) {
+func (o *SweepOptions) reduce(ctx context.Context, s *Scenario, seed uint64, failed GeneratedRun, dir string, end time.Time) (small *Scenario, steps int) {
 	plays := 0
 	try := func(change func(c *Scenario) bool) bool {
 		if plays >= o.Reduce || ctx.Err() != nil || !end.IsZero() && time.Now().After(end) {
@@ -257,7 +257,7 @@
 	for try(func(c *Scenario) bool { c.Fleet.Servers /= 2; return c.Fleet.Servers > 1 }) {
 	}
 	try(func(c *Scenario) bool {
-		c.Duration -= Duration(trialTail / 2)
+		c.Duration -= Duration(generatedTail / 2)
 		return c.Duration > Duration(time.Second)
 	})
 	_ = os.RemoveAll(filepath.Join(dir, "smaller")) // scratch
@@ -289,7 +289,7 @@
 func (s *Scenario) size() string {
 	f := &s.Fleet
 	list := "pushed"
-	if f.ListAsked {
+	if f.ListPolled {
 		list = "asked for"
 	}
 	return fmt.Sprintf("%d nodes, %d servers, %d zones, %.0f/s, deadline %v, lists %s", f.Nodes, f.Servers, len(f.Zones), s.Load.Rate,
--- a/internal/testbed/sweep_test.go
+++ b/internal/testbed/sweep_test.go
@@ -15,12 +15,12 @@
 	path := filepath.Join(t.TempDir(), "trial.toml")
 	seen := map[string]int{}
 	for seed := uint64(1); seed <= 100; seed++ {
-		for _, aim := range append(Aims, "") {
-			s, err := DrawTrial(seed, aim)
+		for _, aim := range append(TargetRules, "") {
+			s, err := GenerateScenario(seed, aim)
 			if err != nil {
 				t.Fatal(err)
 			}
-			again, _ := DrawTrial(seed, aim)
+			again, _ := GenerateScenario(seed, aim)
 			if !reflect.DeepEqual(s, again) {
 				t.Fatalf("seed %d draws two trials", seed)
 			}
@@ -35,8 +35,8 @@
 				t.Fatalf("seed %d, %q: read back as another one", seed, aim)
 			}
 			for what, is := range map[string]bool{
-				"asked": s.Fleet.ListAsked, "pushed": !s.Fleet.ListAsked, "line": s.Fleet.ListCallsPerS > 0,
-				"no peers": s.Fleet.NoPeers, "many servers": s.Fleet.Servers > 128, "one zone": len(s.Fleet.Zones) == 1, "zones": len(s.Fleet.Zones) > 1,
+				"asked": s.Fleet.ListPolled, "pushed": !s.Fleet.ListPolled, "line": s.Fleet.ListCallsPerS > 0,
+				"no peers": s.Fleet.NoGossip, "many servers": s.Fleet.Servers > 128, "one zone": len(s.Fleet.Zones) == 1, "zones": len(s.Fleet.Zones) > 1,
 				"short": s.Load.Deadline < Duration(800*ms), "one node": s.Fleet.Nodes == 1,
 			} {
 				if is {
@@ -57,7 +57,7 @@
 			t.Errorf("%d trials with %q of 600", seen[what], what)
 		}
 	}
-	if _, err := DrawTrial(1, "luck"); err == nil {
+	if _, err := GenerateScenario(1, "luck"); err == nil {
 		t.Error("a rule that there is not is strained")
 	}
 }
@@ -95,12 +95,12 @@
 		{"asked, no watch", true, false, false, 0, 0, 30 * time.Second},
 		{"asked, turned away", true, false, true, 0, 0, 60 * time.Second},
 	} {
-		w := &world{s: &Scenario{Fleet: Fleet{ListAsked: c.asked}}}
-		a := &agent{l: &list{w: w}, watches: map[*openWatch]struct{}{}, silentAt: c.silent, failed: c.failed}
+		w := &environment{scenario: &Scenario{Fleet: Fleet{ListPolled: c.asked}}}
+		a := &agent{list: &list{env: w}, watches: map[*openWatch]struct{}{}, silentAt: c.silent, lastCallFailed: c.failed}
 		if c.watching {
-			a.open()
+			a.addWatch()
 		}
-		at, ok := a.toldAt(now, c.moved)
+		at, ok := a.deliveredAt(now, c.moved)
 		if ok != (c.want != 0) || ok && at != c.want {
 			t.Errorf("%s: told at %v, %v, want %v", c.name, at, ok, c.want)
 		}
@@ -156,13 +156,13 @@
 	}
 	told := 0
 	r, err := Sweep(t.Context(), SweepOptions{
-		From: sweepSeed, To: sweepSeed, Aim: "drains", Jobs: 2, Reduce: 1, Binary: binary, Dir: dir,
-		Log: slog.New(slog.DiscardHandler), Live: func(int, int, Trial) { told++ },
+		From: sweepSeed, To: sweepSeed, Rule: "drains", Jobs: 2, Reduce: 1, Binary: binary, Dir: dir,
+		Log: slog.New(slog.DiscardHandler), Live: func(int, int, GeneratedRun) { told++ },
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Played != 1 || told != 1 || r.Counts[Broke] != 1 || r.OK() || r.Trials[0].Rules[RuleDrain] == 0 || r.Trials[0].Again == "" {
+	if r.Played != 1 || told != 1 || r.Counts[BrokeRule] != 1 || r.OK() || r.Runs[0].Rules[RuleDrain] == 0 || r.Runs[0].Command == "" {
 		t.Fatalf("report %+v", r)
 	}
 	if _, err := LoadScenario(filepath.Join(dir, "seed-4", "scenario.toml")); err != nil {
@@ -171,7 +171,7 @@
 	if _, err := os.Stat(filepath.Join(dir, "sweep.json")); err != nil {
 		t.Error(err)
 	}
-	for _, o := range []SweepOptions{{From: 3, To: 2, Jobs: 1}, {From: 1, To: 1, Jobs: 0}, {From: 1, To: 1, Jobs: 1, Aim: "luck"}, {From: 1, To: 1 << 40, Jobs: 1}} {
+	for _, o := range []SweepOptions{{From: 3, To: 2, Jobs: 1}, {From: 1, To: 1, Jobs: 0}, {From: 1, To: 1, Jobs: 1, Rule: "luck"}, {From: 1, To: 1 << 40, Jobs: 1}} {
 		if _, err := Sweep(t.Context(), o); err == nil {
 			t.Errorf("%+v is played", o)
 		}
