--- a/internal/testbed/checker.go
+++ b/internal/testbed/checker.go
@@ -68,14 +68,6 @@
 	overQuota bool
 }
 
-// quota is the truth of one tenant's stores.
-type quota struct {
-	at                      time.Duration
-	tokens, hardLimitTokens float64
-	offered                 float64 // of one gateway that saw all first attempts
-	offeredAt               time.Duration
-}
-
 // delivery is what a node was told of a server.
 type delivery struct {
 	state      string
@@ -105,26 +97,6 @@
 // in so many.
 const closedPerRequests = 200
 
-// Record is the life of one arrival, over all attempts of its client.
-type Record struct {
-	Due             time.Duration
-	Sent            time.Duration // of the first attempt; 0: it could not be
-	Done            time.Duration // of the last answer; 0: none came
-	Node            int
-	Class           int
-	Plan            int
-	Attempts        int
-	Rejected        int
-	Failed          int
-	RejectedInQuota int // of the refused ones, with half of the quota unused
-	Served          bool
-	InQuota         bool          // the attempt that was served was inside the quota
-	Value           float64       // inside the quota
-	OfferedValue    float64       // what one gateway that saw all would let in
-	Unreached       int           // attempts that reached no node
-	Lateness        time.Duration // of the generator: from when it was due to when its client set about it
-}
-
 func newChecker(s *Scenario, d *Schedule) *checker {
 	r := &checker{
 		scenario: s, schedule: d, attempts: map[string]*clientAttempt{}, quotas: make([]quota, len(d.Tenants)), work: map[string]map[int]float64{},
@@ -304,40 +276,6 @@
 	return t, len(t.upstream) - 1, true
 }
 
-// refill brings a tenant's stores to a time. Called under the mutex.
-func (r *checker) refill(customer int, at time.Duration) *quota {
-	q, p := &r.quotas[customer], r.scenario.Plans[r.schedule.Tenants[customer].Plan]
-	if dt := (at - q.at).Seconds(); dt > 0 {
-		q.tokens = math.Min(q.tokens+p.Rate*dt, p.Burst)
-		q.hardLimitTokens = math.Min(q.hardLimitTokens+p.HardLimitRate*dt, p.HardLimitBurst)
-		q.at = at
-	}
-	return q
-}
-
-// chargeUnits takes an attempt's units from its tenant's stores as it is first sent on, and tells
-// whether it is beyond the quota. Called under the mutex.
-func (r *checker) chargeUnits(t *clientAttempt, at time.Duration) (beyond bool) {
-	a := &r.schedule.Arrivals[t.arrival]
-	p := r.scenario.Plans[r.schedule.Tenants[a.Tenant].Plan]
-	q := r.refill(a.Tenant, at)
-	if beyond = q.tokens < a.Guess; beyond {
-		r.unitsOverQuota += a.Guess
-	} else {
-		q.tokens -= a.Guess
-		r.unitsInQuota += a.Guess
-	}
-	if p.HardLimitRate > 0 {
-		q.hardLimitTokens -= a.Guess
-		// Attempts that two nodes sent within the lag may arrive in either order.
-		lag := (ceilingLag + r.slack(t.node)).Seconds()
-		if slack := p.HardLimitSlack + p.HardLimitRate*lag; q.hardLimitTokens < -slack {
-			r.violate(at, RuleCeiling, t.node, t.id, "customer %016x is %.0f units below its ceiling's store", r.schedule.Tenants[a.Tenant].ID, -q.hardLimitTokens)
-		}
-	}
-	return beyond
-}
-
 // upstreamRejected books an answer that tells that the attempt never ran.
 func (r *checker) upstreamRejected(t *clientAttempt, attempt int) {
 	r.mu.Lock()
@@ -345,20 +283,6 @@
 	t.upstream[attempt].neverRan = true
 }
 
-// responseMade books the answer that a server made, before its first byte is written, and the
-// settlement of its units.
-func (r *checker) responseMade(t *clientAttempt, attempt int, body string, at time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	truth := &t.upstream[attempt]
-	truth.response = body
-	a := &r.schedule.Arrivals[t.arrival]
-	if !truth.overQuota {
-		q := r.refill(a.Tenant, at)
-		q.tokens = math.Min(q.tokens+a.Guess-a.Units, r.scenario.Plans[r.schedule.Tenants[a.Tenant].Plan].Burst)
-	}
-}
-
 // entryDelivered books that a node's agent has written an entry of the list.
 func (r *checker) entryDelivered(node int, server, state string, at time.Duration, started bool) {
 	r.mu.Lock()
--- a/internal/testbed/environment.go
+++ b/internal/testbed/environment.go
@@ -1,18 +1,13 @@
 package testbed
 
 import (
-	"cmp"
 	"context"
 	"errors"
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
-	"net/http"
-	"net/netip"
-	"path/filepath"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"time"
 )
 
@@ -82,31 +77,6 @@
 	return l.rng.Uint64()
 }
 
-// edgeNode is an edge node and its process, if one runs.
-type edgeNode struct {
-	number       int
-	name         string
-	listen, peer string
-	clients      string // where clients connect: listen, or a relay to it
-
-	config    sync.Mutex    // a restart and a move may write the node's configuration at once
-	discovery string        // where the node finds its agent; under config
-	agent     *agent        // the same
-	movedAt   time.Duration // when it was told of another agent last; the same; 0: never
-
-	mu           sync.Mutex
-	proc         *process
-	killedAt     time.Duration // last SIGKILL or crash; 0: none
-	dying        bool          // from SIGKILL until the process has ended
-	stopped      bool          // by SIGSTOP
-	resumedAt    time.Duration // last SIGCONT; 0: none
-	endedCPU     time.Duration // of processes that have ended
-	lastUsage    usage
-	peakMemory   int64
-	starved      time.Duration // within the last while, see sample
-	usageSamples []usage
-}
-
 func newEnvironment(ctx context.Context, s *Scenario, o Options) *environment {
 	ctx, cancel := context.WithCancelCause(ctx)
 	w := &environment{
@@ -260,177 +230,6 @@
 	return n
 }
 
-// startNode starts a node's process and waits until it is ready. One that ends before is
-// an error that shows its log.
-func (env *environment) startNode(n *edgeNode) error {
-	path, err := env.writeConfig(n)
-	if err != nil {
-		return err
-	}
-	p, err := startProcess(env.starter, env.dir, n.name, env.nodeBinary, nodeNiceness, append([]string{"PROXY_CONFIG=" + path}, env.nodeEnv...))
-	if err != nil {
-		return err
-	}
-	peer, err := netip.ParseAddrPort(n.peer)
-	if err != nil {
-		return fmt.Errorf("%s: %w", n.name, err)
-	}
-	env.udp.join(n.number, peer)
-	n.mu.Lock()
-	n.proc, n.lastUsage, n.usageSamples = p, usage{}, nil
-	n.mu.Unlock()
-	env.work.Go(func() {
-		select {
-		case <-env.over:
-			return
-		case <-p.ended:
-		}
-		n.mu.Lock()
-		n.endedCPU += n.lastUsage.cpu
-		n.lastUsage = usage{}
-		n.mu.Unlock()
-		if p.crashed() {
-			env.crashes.Add(1)
-			n.mu.Lock()
-			n.killedAt = env.now()
-			n.mu.Unlock()
-			env.log.Error("a node crashed", "node", n.name, "how", p.err, "log", tail(filepath.Join(env.dir, n.name+".log")))
-		}
-	})
-	client := &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for began := time.Now(); ; {
-		resp, err := client.Get("http://" + n.listen + "/health/ready")
-		if err == nil {
-			_ = resp.Body.Close()
-			if resp.StatusCode == http.StatusOK {
-				return nil
-			}
-		}
-		select {
-		case <-p.ended:
-			if p.wasKilled() {
-				return nil
-			}
-			return fmt.Errorf("%s ended before it was ready: %w\n%s", n.name, cmp.Or(p.err, errExitedWithoutError), tail(filepath.Join(env.dir, n.name+".log")))
-		case <-env.over:
-			return nil
-		case <-time.After(10 * time.Millisecond):
-		}
-		if time.Since(began) > readyWithin {
-			return fmt.Errorf("%s is not ready after %v\n%s", n.name, readyWithin, tail(filepath.Join(env.dir, n.name+".log")))
-		}
-	}
-}
-
-// startNodes starts all nodes, a few at a time.
-func (env *environment) startNodes() error {
-	errs := make([]error, len(env.nodes))
-	var all sync.WaitGroup
-	turn := make(chan struct{}, 8)
-	for i, n := range env.nodes {
-		all.Go(func() {
-			turn <- struct{}{}
-			defer func() { <-turn }()
-			errs[i] = env.startNode(n)
-		})
-	}
-	all.Wait()
-	return errors.Join(errs...)
-}
-
-// process is the node's process, nil before the first.
-func (n *edgeNode) process() *process {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.proc
-}
-
-// answerable tells whether the node could answer all the time since then: it lived, nobody had
-// stopped it, and its link to the clients was sound.
-func (env *environment) answerable(node int, since time.Duration) bool {
-	if r := env.relays[[2]party{{"clients", 0}, {"node", node}}]; r != nil && !r.healthySince(since) {
-		return false
-	}
-	n := env.nodes[node]
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return (n.killedAt == 0 || n.killedAt < since) && !n.dying && !n.stopped && (n.resumedAt == 0 || n.resumedAt < since)
-}
-
-// stall stops a node's process, or lets it go on.
-func (env *environment) stall(n *edgeNode, stop bool) error {
-	n.mu.Lock()
-	p := n.proc
-	if n.stopped = stop; !stop {
-		n.resumedAt = env.now()
-	}
-	n.mu.Unlock()
-	if stop {
-		return p.signal(syscall.SIGSTOP)
-	}
-	return p.signal(syscall.SIGCONT)
-}
-
-// kill ends a node's process with no chance to finish.
-func (env *environment) kill(n *edgeNode) error {
-	n.mu.Lock()
-	p := n.proc
-	n.dying = true // what is sent from now on may meet a node that still takes it in
-	n.mu.Unlock()
-	if err := p.signal(syscall.SIGKILL); err != nil {
-		return err
-	}
-	<-p.ended
-	n.mu.Lock()
-	n.killedAt, n.dying = env.now(), false
-	n.mu.Unlock()
-	return nil
-}
-
-// restart is a planned restart: SIGTERM, and a new process once the old one has ended. One
-// that ignores the signal is killed in the end.
-func (env *environment) restart(n *edgeNode) error {
-	p := n.process()
-	if err := p.signal(syscall.SIGTERM); err != nil {
-		return err
-	}
-	env.after(sigtermNotice, func() {
-		f := env.generator.nodes[n.number]
-		f.mu.Lock()
-		f.up = false
-		f.mu.Unlock()
-	})
-	select {
-	case <-p.ended:
-	case <-env.over:
-		return nil
-	case <-time.After(time.Duration(env.scenario.Load.Deadline) + stopWithin):
-		env.log.Warn("a node ignores SIGTERM and is killed", "node", n.name)
-		if err := env.kill(n); err != nil {
-			return err
-		}
-	}
-	return env.startNode(n)
-}
-
-// moveDiscovery gives a node another discovery agent and SIGHUP; the old agent takes no new watch and
-// ends the open ones a little later.
-func (env *environment) moveDiscovery(n *edgeNode) error {
-	a, err := startAgent(env.list, n.number, env.addresses.addr(3, n.number%250)+":0")
-	if err != nil {
-		return err
-	}
-	n.config.Lock()
-	old := n.agent
-	n.agent, n.discovery, n.movedAt = a, a.addr, env.now()
-	n.config.Unlock()
-	if _, err := env.writeConfig(n); err != nil {
-		return err
-	}
-	env.after(oldAgentFor, old.close)
-	return n.process().signal(syscall.SIGHUP)
-}
-
 // addressedFor gives a message of the list the addresses at which the node reaches the servers.
 func (env *environment) addressedFor(node int, m listMessage) listMessage {
 	if len(env.relays) == 0 {
@@ -461,88 +260,6 @@
 	}
 }
 
-// slack is what the machine did not give: how long the testbed stood still and a node had no
-// core, of late. Time limits are widened by it, so that a verdict does not depend on what
-// else the machine does.
-func (env *environment) slack(node int) time.Duration {
-	env.lagMu.Lock()
-	lag := env.lag
-	env.lagMu.Unlock()
-	if node < 0 || node >= len(env.nodes) {
-		return lag
-	}
-	n := env.nodes[node]
-	n.mu.Lock()
-	starved := n.starved
-	n.mu.Unlock()
-	return lag + starved
-}
-
-// mostSlack is the most that slack has been in the run.
-func (env *environment) mostSlack() time.Duration {
-	env.lagMu.Lock()
-	defer env.lagMu.Unlock()
-	return env.withheld
-}
-
-// watchLag measures how long the testbed stands still. A lag counts for some seconds.
-func (env *environment) watchLag() {
-	for env.measureLag() {
-	}
-}
-
-func (env *environment) measureLag() bool {
-	began := time.Now()
-	if !env.sleep(lagTick) {
-		return false
-	}
-	late := time.Since(began) - lagTick
-	env.lagMu.Lock()
-	defer env.lagMu.Unlock()
-	env.lag -= env.lag / 500 // falls to a third in five seconds
-	env.lag = max(env.lag, late)
-	return true
-}
-
-// sample reads what the nodes use. What a node was starved of counts for some seconds.
-func (env *environment) sample() {
-	const kept = 10
-	most := int64(0)
-	defer func() {
-		env.lagMu.Lock()
-		defer env.lagMu.Unlock()
-		for sec := int(env.now() / time.Second); len(env.memory) <= sec; {
-			env.memory = append(env.memory, 0)
-		}
-		last := &env.memory[len(env.memory)-1]
-		*last = max(*last, float64(most)/(1<<20))
-	}()
-	for _, n := range env.nodes {
-		p := n.process()
-		if p == nil {
-			continue
-		}
-		u := p.usage()
-		if u.memory == 0 {
-			continue
-		}
-		n.mu.Lock()
-		n.lastUsage = u
-		n.peakMemory = max(n.peakMemory, u.memory)
-		most = max(most, u.memory)
-		n.usageSamples = append(n.usageSamples, u)
-		if len(n.usageSamples) > kept {
-			n.usageSamples = n.usageSamples[1:]
-		}
-		n.starved = u.starved - n.usageSamples[0].starved
-		n.mu.Unlock()
-		slack := env.slack(n.number)
-		env.lagMu.Lock()
-		env.withheld = max(env.withheld, slack)
-		env.lagMu.Unlock()
-	}
-}
-
 // end stops everything: the run's processes first, then its sockets. It returns when nothing
 // of the run is left.
 func (env *environment) end() {
--- a/internal/testbed/sweep.go
+++ b/internal/testbed/sweep.go
@@ -13,8 +13,6 @@
 	"strings"
 	"sync"
 	"time"
-
-	"github.com/pelletier/go-toml/v2"
 )
 
 // SweepOptions say which generated scenarios a sweep plays and how.
@@ -273,18 +271,6 @@
 	return &c
 }
 
-// write writes the scenario as a file that LoadScenario reads.
-func (s *Scenario) write(path string) error {
-	text, err := toml.Marshal(s)
-	if err != nil {
-		return fmt.Errorf("scenario: %w", err)
-	}
-	if err := os.WriteFile(path, text, 0o644); err != nil {
-		return fmt.Errorf("scenario: %w", err)
-	}
-	return nil
-}
-
 // size names what is played, in few words.
 func (s *Scenario) size() string {
 	f := &s.Fleet
