--- a/internal/testbed/app_server.go
+++ b/internal/testbed/app_server.go
@@ -123,6 +123,22 @@
 	}
 }
 
+// chances are what was drawn for one request, in this order whatever comes of it.
+type chances struct {
+	fails, resets, malformed bool
+	malformation             int
+}
+
+// drawChances draws what goes wrong with a request. Called under the mutex.
+func (s *appServer) drawChances() chances {
+	return chances{
+		fails:        s.rng.Float64() < s.faults.errors,
+		resets:       s.rng.Float64() < s.faults.resets,
+		malformed:    s.rng.Float64() < s.faults.malformed,
+		malformation: s.rng.IntN(malformations),
+	}
+}
+
 // answer serves one request that has come whole; it is false where the connection ends.
 func (s *appServer) answer(c net.Conn, r *http.Request, body string, crowded bool) bool {
 	id := r.Header.Get("X-Trace-Id")
@@ -134,67 +150,75 @@
 	if !ok {
 		return s.respond(c, "400 Bad Request", "", "no client sent this")
 	}
+	arrival := &s.env.schedule.Arrivals[t.arrival]
 	s.mu.Lock()
-	f, state := s.faults, s.state
-	failing := s.rng.Float64() < f.errors
-	resets := s.rng.Float64() < f.resets
-	spoilt := s.rng.Float64() < f.malformed
-	kind := s.rng.IntN(4)
-	j := &job{work: s.env.schedule.Arrivals[t.arrival].Work}
-	ran := make(chan struct{})
-	j.ended = func() { close(ran) }
-	taken, fell := false, false
-	if !f.hang && !failing && state == "up" && !crowded {
-		was := s.model.failed
-		taken = s.model.arrive(now, j)
-		fell = s.model.failed && !was
-		s.recordLoad(now)
-		s.scheduleWake()
+	hangs, drawn := s.faults.hang, s.drawChances()
+	var ran <-chan struct{}
+	failed := false
+	if !hangs && !drawn.fails && s.state == "up" && !crowded {
+		ran, failed = s.accept(arrival.Work, now)
 	}
 	s.mu.Unlock()
-	if fell {
+	if failed {
 		s.env.overloadFailures.Add(1)
 		s.env.checker.serverOverloaded(s.name(), now)
 		s.crash()
 	}
 	switch {
-	case f.hang:
+	case hangs:
 		_ = c.SetReadDeadline(time.Time{})
 		_, _ = io.Copy(io.Discard, c) // until the node gives up
 		return false
-	case failing:
+	case drawn.fails:
 		return s.respond(c, "500 Internal Server Error", "", "failed")
-	case !taken:
+	case ran == nil:
 		s.env.checker.upstreamRejected(t, attempt)
-		if !s.respond(c, "503 Service Unavailable", "X-Never-Ran: 1\r\n", "full") {
-			return false
-		}
-		return !crowded
+		return s.respond(c, "503 Service Unavailable", "X-Never-Ran: 1\r\n", "full") && !crowded
 	}
 	select {
 	case <-ran:
 	case <-s.env.over:
 		return false
 	}
-	if resets {
+	text := fmt.Sprintf("quote %s %s %d\n", id, s.name(), attempt)
+	switch {
+	case drawn.resets:
 		reset(c)
 		return false
-	}
-	now = s.env.now()
-	answer := fmt.Sprintf("quote %s %s %d\n", id, s.name(), attempt)
-	a := &s.env.schedule.Arrivals[t.arrival]
-	if spoilt {
-		_, _ = io.WriteString(c, malformedResponse(kind, answer)) // the node may have given up
-		if kind != 0 {
-			_ = c.SetReadDeadline(time.Now().Add(time.Second))
-			_, _ = io.Copy(io.Discard, c)
-		}
+	case drawn.malformed:
+		s.respondMalformed(c, drawn.malformation, text)
 		return false
 	}
-	s.env.checker.responseMade(t, attempt, answer, now)
-	return s.respond(c, "200 OK", fmt.Sprintf("X-Settled: %.0f\r\n", a.Units), answer)
+	s.env.checker.responseMade(t, attempt, text, s.env.now())
+	return s.respond(c, "200 OK", fmt.Sprintf("X-Settled: %.0f\r\n", arrival.Units), text)
 }
 
+// accept hands work to the model. ran is closed when it has run, and nil where it was rejected unseen; failed tells
+// that it was what overloaded the server to failure. Called under the mutex.
+func (s *appServer) accept(work float64, now time.Duration) (ran <-chan struct{}, failed bool) {
+	ended := make(chan struct{})
+	before := s.model.failed
+	if s.model.arrive(now, &job{work: work, ended: func() { close(ended) }}) {
+		ran = ended
+	}
+	s.recordLoad(now)
+	s.scheduleWake()
+	return ran, s.model.failed && !before
+}
+
+// respondMalformed writes a response that can't be read, and waits a little for the node to give up where that is for
+// the node to notice.
+func (s *appServer) respondMalformed(c net.Conn, malformation int, text string) {
+	_, _ = io.WriteString(c, malformedResponse(malformation, text)) // the node may have given up
+	if malformation != 0 {
+		_ = c.SetReadDeadline(time.Now().Add(time.Second))
+		_, _ = io.Copy(io.Discard, c)
+	}
+}
+
+// malformations is the number of ways in which malformedResponse spoils a response.
+const malformations = 4
+
 // malformedResponse words an answer that can't be read.
 func malformedResponse(kind int, answer string) string {
 	switch kind {
--- a/internal/testbed/control.go
+++ b/internal/testbed/control.go
@@ -138,7 +138,7 @@
 	}
 	ft := Fault{Kind: c.Kind, Zone: c.Zone, Size: c.Size, Delay: c.Delay, Way: c.Way, From: c.From, To: c.To, Does: c.Does, For: c.For}
 	kind := faultKinds[ft.Kind]
-	most := map[string]int{"nodes": len(env.nodes), "servers": len(env.servers)}[kind.target]
+	most := map[faultTarget]int{faultsNodes: len(env.nodes), faultsServers: len(env.servers)}[kind.target]
 	err := env.scenario.validateFault("fault.", &ft)
 	switch {
 	case err != nil:
--- a/internal/testbed/edge_node.go
+++ b/internal/testbed/edge_node.go
@@ -56,49 +56,70 @@
 	n.mu.Lock()
 	n.proc, n.lastUsage, n.usageSamples = p, usage{}, nil
 	n.mu.Unlock()
-	env.work.Go(func() {
-		select {
-		case <-env.over:
-			return
-		case <-p.ended:
-		}
-		n.mu.Lock()
-		n.endedCPU += n.lastUsage.cpu
-		n.lastUsage = usage{}
-		n.mu.Unlock()
-		if p.crashed() {
-			env.crashes.Add(1)
-			n.mu.Lock()
-			n.killedAt = env.now()
-			n.mu.Unlock()
-			env.log.Error("a node crashed", "node", n.name, "how", p.err, "log", tail(filepath.Join(env.dir, n.name+".log")))
-		}
-	})
+	env.work.Go(func() { env.awaitExit(n, p) })
+	return env.awaitReady(n, p)
+}
+
+// awaitExit books the end of a node's process, and whether it crashed.
+func (env *environment) awaitExit(n *edgeNode, p *process) {
+	select {
+	case <-env.over:
+		return
+	case <-p.ended:
+	}
+	n.mu.Lock()
+	n.endedCPU += n.lastUsage.cpu
+	n.lastUsage = usage{}
+	n.mu.Unlock()
+	if !p.crashed() {
+		return
+	}
+	env.crashes.Add(1)
+	n.mu.Lock()
+	n.killedAt = env.now()
+	n.mu.Unlock()
+	env.log.Error("node crashed", "node", n.name, "err", p.err, "log", tail(env.logPath(n)))
+}
+
+// readyPause is the time between two looks at a node that starts.
+const readyPause = 10 * time.Millisecond
+
+// awaitReady waits until a node answers that it is ready. It is no error where a fault or the run's end ended it.
+func (env *environment) awaitReady(n *edgeNode, p *process) error {
 	client := &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for began := time.Now(); ; {
-		resp, err := client.Get("http://" + n.listen + "/health/ready")
-		if err == nil {
-			_ = resp.Body.Close()
-			if resp.StatusCode == http.StatusOK {
-				return nil
-			}
+		if isReady(client, n.listen) {
+			return nil
 		}
 		select {
 		case <-p.ended:
 			if p.wasKilled() {
 				return nil
 			}
-			return fmt.Errorf("%s ended before it was ready: %w\n%s", n.name, cmp.Or(p.err, errExitedWithoutError), tail(filepath.Join(env.dir, n.name+".log")))
+			return fmt.Errorf("%s ended before it was ready: %w\n%s", n.name, cmp.Or(p.err, errExitedWithoutError), tail(env.logPath(n)))
 		case <-env.over:
 			return nil
-		case <-time.After(10 * time.Millisecond):
+		case <-time.After(readyPause):
 		}
 		if time.Since(began) > readyWithin {
-			return fmt.Errorf("%s is not ready after %v\n%s", n.name, readyWithin, tail(filepath.Join(env.dir, n.name+".log")))
+			return fmt.Errorf("%s is not ready after %v\n%s", n.name, readyWithin, tail(env.logPath(n)))
 		}
 	}
 }
 
+// isReady tells whether a node answers that it takes requests.
+func isReady(client *http.Client, addr string) bool {
+	resp, err := client.Get("http://" + addr + "/health/ready")
+	if err != nil {
+		return false
+	}
+	_ = resp.Body.Close()
+	return resp.StatusCode == http.StatusOK
+}
+
+// logPath is the file that takes what a node's processes write.
+func (env *environment) logPath(n *edgeNode) string { return filepath.Join(env.dir, n.name+".log") }
+
 // startNodes starts all nodes, a few at a time.
 func (env *environment) startNodes() error {
 	errs := make([]error, len(env.nodes))
--- a/internal/testbed/environment.go
+++ b/internal/testbed/environment.go
@@ -135,7 +135,6 @@
 
 // build opens everything that the nodes will meet.
 func (env *environment) build() (err error) {
-	f := &env.scenario.Fleet
 	if env.addresses, err = claimAddressBlock(); err != nil {
 		return err
 	}
@@ -143,6 +142,30 @@
 		return err
 	}
 	env.starter = newStarter()
+	if err := env.buildServers(); err != nil {
+		return err
+	}
+	if env.scenario.relayed() {
+		if err := env.buildServerRelays(); err != nil {
+			return err
+		}
+	}
+	var addrs []string
+	for i := range env.scenario.Fleet.Nodes {
+		n, err := env.buildNode(i)
+		if err != nil {
+			return err
+		}
+		addrs = append(addrs, n.clients)
+	}
+	env.generator = newLoadGenerator(env, addrs)
+	env.list.atStart, _ = env.list.since(0, true)
+	return nil
+}
+
+// buildServers opens the app servers, and before them the list service if one is to hold their list.
+func (env *environment) buildServers() (err error) {
+	f := &env.scenario.Fleet
 	if f.ListReplicas > 0 {
 		if env.list.service, err = startListService(env, env.serviceBinary); err != nil {
 			return err
@@ -159,41 +182,51 @@
 	if env.list.service != nil && !env.list.service.awaitWritten() {
 		return errors.New("the list service does not take the first app servers")
 	}
-	if env.scenario.relayed() {
-		for n := range f.Nodes {
-			for i, s := range env.servers {
-				if err := env.startRelay(party{"node", n}, party{"server", i}, env.addresses.addr(5+n/250, n%250), s.addr); err != nil {
-					return err
-				}
-				if f.CrossDelay > 0 && f.zoneOf(n) != f.zoneOf(i) {
-					r := env.relays[[2]party{{"node", n}, {"server", i}}]
-					r.out.Delay, r.back.Delay = time.Duration(f.CrossDelay), time.Duration(f.CrossDelay)
-				}
-			}
-		}
-	}
-	var addrs []string
-	for i := range f.Nodes {
-		n := &edgeNode{number: i, name: fmt.Sprintf("n%d", i), listen: env.addresses.hostPort(1, i), peer: env.addresses.peerPort(1, i)}
-		if n.agent, err = startAgent(env.list, i, env.addresses.addr(3, i%250)+":0"); err != nil {
-			return err
-		}
-		env.nodes = append(env.nodes, n)
-		n.clients, n.discovery = n.listen, n.agent.addr
-		if env.scenario.relayed() {
-			clients, node, agent := party{"clients", 0}, party{"node", i}, party{"agent", i}
-			if err := errors.Join(env.startRelay(clients, node, env.addresses.addr(8, i), n.listen), env.startRelay(node, agent, env.addresses.addr(9, i), n.agent.addr)); err != nil {
+	return nil
+}
+
+// buildServerRelays opens a relay between each node and each app server.
+func (env *environment) buildServerRelays() error {
+	f := &env.scenario.Fleet
+	for n := range f.Nodes {
+		for i, s := range env.servers {
+			node, server := party{"node", n}, party{"server", i}
+			if err := env.startRelay(node, server, env.addresses.addr(5+n/250, n%250), s.addr); err != nil {
 				return err
 			}
-			n.clients, n.discovery = env.relays[[2]party{clients, node}].addr, env.relays[[2]party{node, agent}].addr
+			if f.CrossDelay > 0 && f.zoneOf(n) != f.zoneOf(i) {
+				r := env.relays[[2]party{node, server}]
+				r.out.Delay, r.back.Delay = time.Duration(f.CrossDelay), time.Duration(f.CrossDelay)
+			}
 		}
-		addrs = append(addrs, n.clients)
 	}
-	env.generator = newLoadGenerator(env, addrs)
-	env.list.atStart, _ = env.list.since(0, true)
 	return nil
 }
 
+// buildNode opens what stands around one node: its agent, and its links to that and to the clients.
+func (env *environment) buildNode(number int) (n *edgeNode, err error) {
+	n = &edgeNode{
+		number: number, name: fmt.Sprintf("n%d", number), listen: env.addresses.hostPort(1, number), peer: env.addresses.peerPort(1, number),
+	}
+	if n.agent, err = startAgent(env.list, number, env.addresses.addr(3, number%250)+":0"); err != nil {
+		return nil, err
+	}
+	env.nodes = append(env.nodes, n)
+	n.clients, n.discovery = n.listen, n.agent.addr
+	if !env.scenario.relayed() {
+		return n, nil
+	}
+	clients, node, agent := party{"clients", 0}, party{"node", number}, party{"agent", number}
+	if err := errors.Join(
+		env.startRelay(clients, node, env.addresses.addr(8, number), n.listen),
+		env.startRelay(node, agent, env.addresses.addr(9, number), n.agent.addr),
+	); err != nil {
+		return nil, err
+	}
+	n.clients, n.discovery = env.relays[[2]party{clients, node}].addr, env.relays[[2]party{node, agent}].addr
+	return n, nil
+}
+
 // startRelay puts a relay between two parties.
 func (env *environment) startRelay(from, to party, addr, target string) error {
 	r, err := startTCPRelay(env, env.seed, addr+":0", target, len(env.relays))
--- a/internal/testbed/fault.go
+++ b/internal/testbed/fault.go
@@ -29,77 +29,100 @@
 
 // applyFault begins or ends a fault at one target.
 func (env *environment) applyFault(ft *Fault, e FaultEvent) error {
-	var n *edgeNode
-	var s *appServer
-	switch faultKinds[ft.Kind].target {
-	case "nodes":
-		n = env.nodes[e.Target]
-	case "servers":
-		s = env.servers[e.Target]
+	switch {
+	case strings.HasPrefix(ft.Kind, "list-"):
+		return env.applyListFault(ft, e.End)
+	case faultKinds[ft.Kind].relays, ft.Kind == "peer-loss":
+		return env.applyNetworkFault(ft, e)
+	case faultKinds[ft.Kind].target == faultsNodes:
+		return env.applyNodeFault(ft, env.nodes[e.Target], e.End)
+	case faultKinds[ft.Kind].target == faultsServers:
+		return applyServerFault(ft, env.servers[e.Target], e.End)
 	}
-	share := func(set func(*serverFaults, float64)) {
-		size := ft.Size
-		if e.End {
-			size = 0
-		}
-		s.fault(func(f *serverFaults, _ *model) { set(f, size) })
-	}
-	switch ft.Kind {
-	case "kill":
-		if e.End {
-			return env.startNode(n)
-		}
+	return env.loseZone(ft.Zone, e.End)
+}
+
+// applyNodeFault begins or ends a fault of an edge node's process.
+func (env *environment) applyNodeFault(ft *Fault, n *edgeNode, end bool) error {
+	switch {
+	case ft.Kind == "stall":
+		return env.stall(n, !end)
+	case ft.Kind == "kill" && end:
+		return env.startNode(n)
+	case ft.Kind == "kill":
 		return env.kill(n)
-	case "restart":
-		if e.End {
-			return nil
-		}
+	case ft.Kind == "restart" && !end:
 		return env.restart(n)
-	case "stall":
-		return env.stall(n, !e.End)
-	case "hup":
-		if e.End {
-			return nil
-		}
+	case ft.Kind == "hup" && !end:
 		return env.moveDiscovery(n)
-	case "slow":
-		s.fault(func(_ *serverFaults, m *model) {
-			if m.slow = ft.Size; e.End {
-				m.slow = 1
-			}
-		})
-	case "hang":
-		s.fault(func(f *serverFaults, _ *model) { f.hang = !e.End })
-	case "error":
-		share(func(f *serverFaults, x float64) { f.errors = x })
-	case "reset":
-		share(func(f *serverFaults, x float64) { f.resets = x })
-	case "spoil":
-		share(func(f *serverFaults, x float64) { f.malformed = x })
+	}
+	return nil // a restart and a move end by themselves
+}
+
+// applyServerFault begins or ends a fault of an app server.
+func applyServerFault(ft *Fault, s *appServer, end bool) error {
+	switch ft.Kind {
 	case "dead":
-		if e.End {
+		if end {
 			return s.restart(false)
 		}
 		s.crash()
 	case "drain":
-		if e.End {
+		if end {
 			s.remove()
 		} else {
 			s.drain()
 		}
 	case "replace":
-		if !e.End {
+		if !end {
 			s.remove()
 			return s.restart(true)
 		}
-	case "lose-zone":
-		for _, i := range env.scenario.Fleet.inZone(env.scenario.Fleet.Servers, ft.Zone) {
-			if !e.End {
-				env.servers[i].crash()
-			} else if err := env.servers[i].restart(false); err != nil {
-				return err
-			}
+	default:
+		s.fault(func(f *serverFaults, m *model) { f.set(ft, m, end) })
+	}
+	return nil
+}
+
+// set begins or ends a fault of a server that goes on.
+func (f *serverFaults) set(ft *Fault, m *model, end bool) {
+	share := ft.Size
+	if end {
+		share = 0
+	}
+	switch ft.Kind {
+	case "slow":
+		if m.slow = ft.Size; end {
+			m.slow = 1
+		}
+	case "hang":
+		f.hang = !end
+	case "error":
+		f.errors = share
+	case "reset":
+		f.resets = share
+	case "spoil":
+		f.malformed = share
+	}
+}
+
+// loseZone ends the app servers of a zone, or starts them again.
+func (env *environment) loseZone(zone string, end bool) error {
+	for _, i := range env.scenario.Fleet.inZone(env.scenario.Fleet.Servers, zone) {
+		if !end {
+			env.servers[i].crash()
+			continue
 		}
+		if err := env.servers[i].restart(false); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// applyNetworkFault begins or ends a fault of what carries bytes between parties.
+func (env *environment) applyNetworkFault(ft *Fault, e FaultEvent) error {
+	switch ft.Kind {
 	case "cut-zone":
 		inside := func(i int) bool { return env.scenario.Fleet.zoneOf(i) == ft.Zone }
 		return env.cut(ft.Way, !e.End, inside, inside)
@@ -107,30 +130,32 @@
 		return env.cut(ft.Way, !e.End, func(i int) bool { return i == e.Target }, func(int) bool { return false })
 	case "link":
 		return env.applyLinkFault(ft, e.End)
-	case "peer-loss":
-		loss := ft.Size
-		if e.End {
-			loss = env.scenario.Fleet.PeerLoss
-		}
-		env.udp.setLoss(loss)
+	}
+	loss := ft.Size
+	if e.End {
+		loss = env.scenario.Fleet.PeerLoss
+	}
+	env.udp.setLoss(loss)
+	return nil
+}
+
+// applyListFault begins or ends a fault of discovery.
+func (env *environment) applyListFault(ft *Fault, end bool) error {
+	switch ft.Kind {
 	case "list-late":
-		env.list.mu.Lock()
-		if env.list.extraDelay = time.Duration(ft.Delay); e.End {
-			env.list.extraDelay = 0
-		}
-		env.list.mu.Unlock()
+		env.list.setExtraDelay(time.Duration(ft.Delay), end)
 	case "list-down":
-		env.list.setDown(!e.End)
+		env.list.setDown(!end)
 	case "list-reset", "list-silent":
-		if !e.End {
+		if !end {
 			env.list.breakWatches(ft.Kind == "list-silent")
 		}
 	case "list-words":
-		if env.list.setEncoding(ft.Does); e.End {
+		if env.list.setEncoding(ft.Does); end {
 			env.list.setEncoding("")
 		}
 	case "list-kill":
-		if e.End {
+		if end {
 			return env.list.service.restartKilled()
 		}
 		return env.list.service.kill(ft.Share == 1)
--- a/internal/testbed/fault_kinds.go
+++ b/internal/testbed/fault_kinds.go
@@ -7,35 +7,48 @@
 	"strings"
 )
 
-// Kinds of faults: what they are aimed at, and whether the links must go through relays.
-var faultKinds = map[string]struct {
-	target string
-	relays bool
+// faultTarget is what a fault is aimed at.
+type faultTarget int
+
+const (
+	faultsAll     faultTarget = iota // everything of a kind at once
+	faultsNodes                      // edge nodes, one by one
+	faultsServers                    // app servers, one by one
+	faultsZone                       // a zone as a whole
+)
+
+// faultKind is what there is to know of a kind of fault.
+type faultKind struct {
+	target faultTarget
+	relays bool // the links must go through relays
 	about  string
-}{
-	"kill":        {"nodes", false, "SIGKILL; started again after `for`, under the same name"},
-	"restart":     {"nodes", false, "SIGTERM one after another, started again when it has ended"},
-	"stall":       {"nodes", false, "SIGSTOP, SIGCONT after `for`"},
-	"hup":         {"nodes", false, "a new configuration that moves discovery, then SIGHUP"},
-	"slow":        {"servers", false, "`size` times slower"},
-	"hang":        {"servers", false, "takes requests, answers none"},
-	"error":       {"servers", false, "answers a share `size` with 500"},
-	"reset":       {"servers", false, "resets a share `size` under the request"},
-	"spoil":       {"servers", false, "spoils a share `size` of its answers"},
-	"dead":        {"servers", false, "refuses connections and resets those it has; cold afterwards"},
-	"drain":       {"servers", false, "drains for `for`, then is gone"},
-	"replace":     {"servers", false, "gone, and a cold one with a new id at the same address"},
-	"cut-zone":    {"zone", true, "no packet between the zone and the others"},
-	"lose-zone":   {"zone", false, "the zone's app servers die and return cold"},
-	"cut-node":    {"nodes", true, "no packet between a node and servers and peers"},
-	"link":        {"all", true, "the link `from` a party `to` another, that way alone: `does` silence, reset, refuse, loss (`size`), delay (`late`) or rate (`size` bytes a second)"},
-	"peer-loss":   {"all", false, "a share `size` of the datagrams is lost"},
-	"list-late":   {"all", false, "discovery tells `late` later"},
-	"list-down":   {"all", false, "agents stay silent and take no watch"},
-	"list-reset":  {"all", false, "the open watches are reset"},
-	"list-silent": {"all", false, "nothing comes on the open watches any more"},
-	"list-words":  {"all", false, "changes are told as `does` says: indent, over many lines; trickle, in small pieces; half, without an end; noise; entry, with a spoilt one beside"},
-	"list-kill":   {"all", false, "SIGKILL of the list service's leader, or of all replicas where `share` is 1; started again after `for`"},
+}
+
+// faultKinds are the kinds of faults by the names that scenarios give them.
+var faultKinds = map[string]faultKind{
+	"kill":        {faultsNodes, false, "SIGKILL; started again after `for`, under the same name"},
+	"restart":     {faultsNodes, false, "SIGTERM one after another, started again when it has ended"},
+	"stall":       {faultsNodes, false, "SIGSTOP, SIGCONT after `for`"},
+	"hup":         {faultsNodes, false, "a new configuration that moves discovery, then SIGHUP"},
+	"slow":        {faultsServers, false, "`size` times slower"},
+	"hang":        {faultsServers, false, "takes requests, answers none"},
+	"error":       {faultsServers, false, "answers a share `size` with 500"},
+	"reset":       {faultsServers, false, "resets a share `size` under the request"},
+	"spoil":       {faultsServers, false, "spoils a share `size` of its answers"},
+	"dead":        {faultsServers, false, "refuses connections and resets those it has; cold afterwards"},
+	"drain":       {faultsServers, false, "drains for `for`, then is gone"},
+	"replace":     {faultsServers, false, "gone, and a cold one with a new id at the same address"},
+	"cut-zone":    {faultsZone, true, "no packet between the zone and the others"},
+	"lose-zone":   {faultsZone, false, "the zone's app servers die and return cold"},
+	"cut-node":    {faultsNodes, true, "no packet between a node and servers and peers"},
+	"link":        {faultsAll, true, "the link `from` a party `to` another, that way alone: `does` silence, reset, refuse, loss (`size`), delay (`late`) or rate (`size` bytes a second)"},
+	"peer-loss":   {faultsAll, false, "a share `size` of the datagrams is lost"},
+	"list-late":   {faultsAll, false, "discovery tells `late` later"},
+	"list-down":   {faultsAll, false, "agents stay silent and take no watch"},
+	"list-reset":  {faultsAll, false, "the open watches are reset"},
+	"list-silent": {faultsAll, false, "nothing comes on the open watches any more"},
+	"list-words":  {faultsAll, false, "changes are told as `does` says: indent, over many lines; trickle, in small pieces; half, without an end; noise; entry, with a spoilt one beside"},
+	"list-kill":   {faultsAll, false, "SIGKILL of the list service's leader, or of all replicas where `share` is 1; started again after `for`"},
 }
 
 // party is an end of a link.
--- a/internal/testbed/generate.go
+++ b/internal/testbed/generate.go
@@ -50,27 +50,36 @@
 
 // GenerateScenario draws a deployment within what the platform's protocol describes and a time line of
 // faults on it, both by the seed alone. rule is one of TargetRules, or "" for anything.
-func GenerateScenario(seed uint64, aim string) (*Scenario, error) {
-	if aim != "" && !slices.Contains(TargetRules, aim) {
-		return nil, fmt.Errorf("rule: %q is none of %v", aim, TargetRules)
+func GenerateScenario(seed uint64, rule string) (*Scenario, error) {
+	if rule != "" && !slices.Contains(TargetRules, rule) {
+		return nil, fmt.Errorf("rule: %q is none of %v", rule, TargetRules)
 	}
 	s := defaults()
 	s.Name, s.About = fmt.Sprintf("trial-%d", seed), "drawn by the sweep"
-	if aim != "" {
-		s.Name += "-" + aim
-		s.About += ", aimed at " + aim
+	if rule != "" {
+		s.Name += "-" + rule
+		s.About += ", aimed at " + rule
 	}
-	s.deployment(sampler{rand.New(rand.NewPCG(seed, streamGenerated<<8|generatedSettings))}, aim)
-	s.timeline(sampler{rand.New(rand.NewPCG(seed, streamGenerated<<8|generatedFaults))}, aim)
+	s.deployment(sampler{rand.New(rand.NewPCG(seed, streamGenerated<<8|generatedSettings))}, rule)
+	s.timeline(sampler{rand.New(rand.NewPCG(seed, streamGenerated<<8|generatedFaults))}, rule)
 	if err := s.validate(); err != nil {
 		return nil, fmt.Errorf("trial of seed %d: %w", seed, err)
 	}
 	return &s, nil
 }
 
-func (s *Scenario) deployment(d sampler, aim string) {
-	f, l := &s.Fleet, &s.Load
-	s.Classes, s.Plans = nil, nil
+// deployment draws what runs and what is asked of it. The order of the parts is that of the draws: another would draw
+// other scenarios from the same seed.
+func (s *Scenario) deployment(d sampler, rule string) {
+	s.Fleet.drawSize(d)
+	s.Fleet.drawConditions(d)
+	s.drawClasses(d)
+	s.drawPlans(d, rule)
+	s.drawLoad(d)
+}
+
+// drawSize draws how many nodes and app servers there are, and what an app server can do.
+func (f *Fleet) drawSize(d sampler) {
 	f.Nodes = d.count(1, 4)
 	if d.chance(0.1) {
 		f.Nodes = d.count(8, 12)
@@ -91,6 +100,10 @@
 	f.ContentionLoss, f.ContentionFrom = round(d.in(0.04, 0.3)), round(d.in(3, 8))
 	f.SlowStartInitialFraction, f.SlowStartDuration = round(d.in(0.16, 0.46)), d.time(5*time.Second, 16*time.Second)
 	f.OverloadFactor, f.OverloadWindow = round(d.in(2, 4)), d.time(1500*time.Millisecond, 3*time.Second)
+}
+
+// drawConditions draws connections, load reports, discovery, gossip and what a node may use.
+func (f *Fleet) drawConditions(d sampler) {
 	f.Connections, f.HandshakeWork, f.ConnIdle = f.Cores*d.count(100, 800), d.time(0, 2*time.Millisecond), d.time(2*time.Second, 30*time.Second)
 	f.ReportEvery, f.ReportDelay = d.time(100*time.Millisecond, 700*time.Millisecond), d.time(20*time.Millisecond, 300*time.Millisecond)
 	f.ListDelay = d.time(50*time.Millisecond, time.Second)
@@ -100,22 +113,33 @@
 		f.ListCallsPerS = float64(f.Nodes * d.count(2, 10))
 	}
 	f.MemoryMB, f.Sockets = d.count(64, 192), d.count(256, 1024)
+}
 
-	shares := d.shares(d.count(1, 4))
-	for i, x := range shares {
+func (s *Scenario) drawClasses(d sampler) {
+	s.Classes = nil
+	for i, x := range d.shares(d.count(1, 4)) {
 		s.Classes = append(s.Classes, Class{Name: fmt.Sprintf("class-%d", i), Share: x, NonIdempotent: d.chance(0.5), PriorityWeight: float64(d.count(1, 6))})
 	}
-	shares = d.shares(d.count(1, 4))
-	for i, x := range shares {
-		p := Plan{Name: fmt.Sprintf("plan-%d", i), Share: x, Rate: round(d.scale(1, 60)), WeightFactor: round(d.in(0.5, 2)), OverQuotaValue: round(d.in(0, 0.2)), OverQuotaCost: round(d.in(0, 1.2))}
+}
+
+func (s *Scenario) drawPlans(d sampler, rule string) {
+	s.Plans = nil
+	for i, x := range d.shares(d.count(1, 4)) {
+		p := Plan{
+			Name: fmt.Sprintf("plan-%d", i), Share: x, Rate: round(d.scale(1, 60)), WeightFactor: round(d.in(0.5, 2)), OverQuotaValue: round(d.in(0, 0.2)), OverQuotaCost: round(d.in(0, 1.2)),
+		}
 		p.Burst = math.Ceil(max(2*maxUnits, p.Rate*d.in(1, 5)))
-		if d.chance(0.5) || aim == "ceilings" {
+		if d.chance(0.5) || rule == "ceilings" {
 			times := d.in(1.7, 2.5)
 			p.HardLimitRate, p.HardLimitBurst = round(p.Rate*times), math.Ceil(max(p.Burst*times, 4*maxUnits))
 			p.HardLimitSlack = max(maxUnits, math.Ceil(p.HardLimitBurst/10))
 		}
 		s.Plans = append(s.Plans, p)
 	}
+}
+
+func (s *Scenario) drawLoad(d sampler) {
+	f, l := &s.Fleet, &s.Load
 	l.WorkMS = math.Round(d.scale(15, 150))
 	l.Rate = math.Ceil(min(generatedRate, d.in(0.2, 0.7)*float64(f.Servers*f.Cores)*1000/l.WorkMS))
 	l.Deadline = d.time(400*time.Millisecond, 4*time.Second)
@@ -127,7 +151,7 @@
 
 // timeline draws what goes wrong: a few troubles, each of one fault or of several that belong
 // together, and the end of the run far enough behind the last.
-func (s *Scenario) timeline(d sampler, aim string) {
+func (s *Scenario) timeline(d sampler, rule string) {
 	kinds := map[string][]func(sampler, Duration){
 		"drains":   {s.drains},
 		"lost":     {s.restarts, s.restarts, s.servers, s.lists},
@@ -135,8 +159,8 @@
 		"ceilings": {s.peers, s.restarts, s.bursts},
 		"twice":    {s.servers, s.servers, s.restarts},
 	}
-	all := kinds[aim]
-	if aim == "" {
+	all := kinds[rule]
+	if rule == "" {
 		all = []func(sampler, Duration){s.drains, s.lists, s.restarts, s.servers, s.colds, s.peers, s.bursts, s.cuts}
 	}
 	at := d.time(generatedFirst, 3*time.Second)
--- a/internal/testbed/list.go
+++ b/internal/testbed/list.go
@@ -196,6 +196,15 @@
 	return n
 }
 
+// setExtraDelay has discovery tell of changes so much later than the scenario says, until that ends.
+func (l *list) setExtraDelay(delay time.Duration, end bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.extraDelay = delay; end {
+		l.extraDelay = 0
+	}
+}
+
 // setDown ends or begins service. The open watches fall silent. What the agents get at the return
 // counts at once, unless the outage was shorter than a silent watch takes to be noticed.
 func (l *list) setDown(down bool) {
--- a/internal/testbed/list_agent.go
+++ b/internal/testbed/list_agent.go
@@ -115,24 +115,15 @@
 		http.NotFound(w, r)
 		return
 	}
-	if a.list.isDown() {
-		a.recordCall(false)
-		a.staySilent(r.Context())
+	if !a.admit(w, r) {
 		return
 	}
-	a.list.env.listCalls.Add(1)
-	if !a.list.admitCall(r.Context()) {
-		a.recordCall(false)
-		http.Error(w, "the line is full", http.StatusServiceUnavailable)
-		return
-	}
-	a.recordCall(true)
-	whole := r.URL.Query().Get("watch") == ""
-	if whole && a.list.service != nil {
+	watch := r.URL.Query().Get("watch") != ""
+	switch {
+	case !watch && a.list.service != nil:
 		a.relay(w, r, 0, true)
 		return
-	}
-	if whole {
+	case !watch:
 		m, _ := a.list.since(0, true)
 		a.send(w, m)
 		return
@@ -146,12 +137,34 @@
 		a.relay(w, r, from, false)
 		return
 	}
+	a.watch(w, r, from)
+}
+
+// admit takes a call, unless discovery is down, when it says nothing, or too many wait.
+func (a *agent) admit(w http.ResponseWriter, r *http.Request) bool {
+	if a.list.isDown() {
+		a.recordCall(false)
+		a.staySilent(r.Context())
+		return false
+	}
+	a.list.env.listCalls.Add(1)
+	if !a.list.admitCall(r.Context()) {
+		a.recordCall(false)
+		http.Error(w, "the line is full", http.StatusServiceUnavailable)
+		return false
+	}
+	a.recordCall(true)
+	return true
+}
+
+// watch tells the node the changes after a generation as they come.
+func (a *agent) watch(w http.ResponseWriter, r *http.Request, from uint64) {
 	rc := http.NewResponseController(w)
 	open, end := a.addWatch()
 	defer end()
-	m, more := a.list.since(from, false)
-	beat := time.NewTicker(heartbeatInterval)
-	defer beat.Stop()
+	m, changes := a.list.since(from, false)
+	heartbeat := time.NewTicker(heartbeatInterval)
+	defer heartbeat.Stop()
 	for {
 		if a.list.isDown() {
 			a.staySilent(r.Context())
@@ -176,13 +189,13 @@
 		case <-open.silent:
 			a.staySilent(r.Context())
 			return
-		case <-beat.C:
+		case <-heartbeat.C:
 			if _, err := w.Write([]byte("\n")); err != nil {
 				return
 			}
 			m = listMessage{}
-		case <-more:
-			m, more = a.list.since(from, false)
+		case <-changes:
+			m, changes = a.list.since(from, false)
 		}
 	}
 }
--- a/internal/testbed/load_generator.go
+++ b/internal/testbed/load_generator.go
@@ -104,11 +104,8 @@
 				continue
 			}
 			g.env.work.Go(func() {
-				if resp, err := client.Get("http://" + n.addr + "/health/ready"); err == nil {
-					_ = resp.Body.Close()
-					if resp.StatusCode == http.StatusOK {
-						n.setUp(true)
-					}
+				if isReady(client, n.addr) {
+					n.setUp(true)
 				}
 			})
 		}
--- a/internal/testbed/report.go
+++ b/internal/testbed/report.go
@@ -154,59 +154,97 @@
 		return "", err
 	}
 	var b strings.Builder
+	r.writeHead(&b)
+	r.writeViolations(&b)
+	r.writeChecks(&b)
+	r.writeFigures(&b)
+	r.writeFaults(&b)
+	if err := r.writeCharts(&b, dir); err != nil {
+		return "", err
+	}
+	path := filepath.Join(dir, reportFile)
+	if err := os.WriteFile(path, []byte(b.String()), 0o644); err != nil {
+		return "", fmt.Errorf("report: %w", err)
+	}
+	return path, nil
+}
+
+func (r *Result) writeHead(b *strings.Builder) {
 	verdict := "passed"
 	if !r.OK() {
 		verdict = "FAILED"
 	}
-	fmt.Fprintf(&b, "# %s: %s\n\n%s\n\n", r.Scenario, verdict, r.About)
-	fmt.Fprintf(&b, "%d edge nodes, %d app servers, %.0f s, seed %d, schedule %s\n\n", r.Nodes, r.Servers, r.Duration, r.Seed, r.Digest)
+	fmt.Fprintf(b, "# %s: %s\n\n%s\n\n", r.Scenario, verdict, r.About)
+	fmt.Fprintf(b, "%d edge nodes, %d app servers, %.0f s, seed %d, schedule %s\n\n", r.Nodes, r.Servers, r.Duration, r.Seed, r.Digest)
 	if r.Behind {
-		fmt.Fprintf(&b, "**The generator fell behind** (99th percentile %.1f ms): the machine is too small for this load. Latencies still count from when requests were due.\n\n", r.Figures["lateness_ms"])
+		fmt.Fprintf(b, "**The load generator fell behind** (99th percentile %.1f ms): the machine is too small for this load. Latencies still count from when requests were due.\n\n", r.Figures["lateness_ms"])
 	}
-	if len(r.Broken) > 0 {
-		b.WriteString("## Broken rules\n\n")
-		for _, rule := range sortedKeys(r.Broken) {
-			fmt.Fprintf(&b, "- %s: %d\n", rule, r.Broken[rule])
-		}
-		b.WriteString("\n```\n")
-		for _, v := range r.Violations[:min(len(r.Violations), 20)] {
-			fmt.Fprintln(&b, v)
-		}
-		b.WriteString("```\n\n")
+}
+
+// reportedViolations bounds the violations that a report shows; the result has more.
+const reportedViolations = 20
+
+func (r *Result) writeViolations(b *strings.Builder) {
+	if len(r.Broken) == 0 {
+		return
+	}
+	b.WriteString("## Broken rules\n\n")
+	for _, rule := range sortedKeys(r.Broken) {
+		fmt.Fprintf(b, "- %s: %d\n", rule, r.Broken[rule])
+	}
+	b.WriteString("\n```\n")
+	for _, v := range r.Violations[:min(len(r.Violations), reportedViolations)] {
+		fmt.Fprintln(b, v)
 	}
-	if len(r.Checks) > 0 {
-		b.WriteString("## Expected\n\n| figure | window | wanted | got | |\n| --- | --- | --- | --- | --- |\n")
-		for _, c := range r.Checks {
-			fmt.Fprintf(&b, "| %s | %s | %s | %.4g | %s |\n", c.Expect.Figure, c.Expect.window(), c.Expect.Bound(), c.Got, map[bool]string{true: "ok", false: "**not met**"}[c.OK])
+	b.WriteString("```\n\n")
+}
+
+func (r *Result) writeChecks(b *strings.Builder) {
+	if len(r.Checks) == 0 {
+		return
+	}
+	b.WriteString("## Expected\n\n| figure | window | wanted | got | |\n| --- | --- | --- | --- | --- |\n")
+	for _, c := range r.Checks {
+		met := "ok"
+		if !c.OK {
+			met = "**not met**"
 		}
-		b.WriteString("\n")
+		fmt.Fprintf(b, "| %s | %s | %s | %.4g | %s |\n", c.Expect.Figure, c.Expect.window(), c.Expect.Bound(), c.Got, met)
 	}
+	b.WriteString("\n")
+}
+
+func (r *Result) writeFigures(b *strings.Builder) {
 	b.WriteString("## Figures\n\n| figure | value | what it is |\n| --- | --- | --- |\n")
 	for _, f := range sortedKeys(figureNames) {
-		fmt.Fprintf(&b, "| %s | %.4g | %s |\n", f, r.Figures[f], figureNames[f])
+		fmt.Fprintf(b, "| %s | %.4g | %s |\n", f, r.Figures[f], figureNames[f])
 	}
-	if len(r.Marks) > 0 {
-		b.WriteString("\n## Faults\n\n")
-		for _, m := range r.Marks {
-			fmt.Fprintf(&b, "- %.1f s: %s\n", m.At, m.What)
-		}
+}
+
+func (r *Result) writeFaults(b *strings.Builder) {
+	if len(r.Marks) == 0 {
+		return
 	}
+	b.WriteString("\n## Faults\n\n")
+	for _, m := range r.Marks {
+		fmt.Fprintf(b, "- %.1f s: %s\n", m.At, m.What)
+	}
+}
+
+// writeCharts writes the charts into the folder and refers to them.
+func (r *Result) writeCharts(b *strings.Builder, dir string) error {
 	b.WriteString("\n## Over time\n\nDashed lines are the faults.\n\n")
-	for _, p := range r.charts() {
-		svg, err := p.render(r)
+	for _, c := range r.charts() {
+		svg, err := c.render(r)
 		if err != nil {
-			return "", err
+			return err
 		}
-		if err := os.WriteFile(filepath.Join(dir, p.file), svg, 0o644); err != nil {
-			return "", fmt.Errorf("report: %w", err)
+		if err := os.WriteFile(filepath.Join(dir, c.file), svg, 0o644); err != nil {
+			return fmt.Errorf("report: %w", err)
 		}
-		fmt.Fprintf(&b, "![%s](%s)\n\n", p.title, p.file)
-	}
-	path := filepath.Join(dir, reportFile)
-	if err := os.WriteFile(path, []byte(b.String()), 0o644); err != nil {
-		return "", fmt.Errorf("report: %w", err)
+		fmt.Fprintf(b, "![%s](%s)\n\n", c.title, c.file)
 	}
-	return path, nil
+	return nil
 }
 
 func (e *Expect) window() string {
--- a/internal/testbed/scenario_validate.go
+++ b/internal/testbed/scenario_validate.go
@@ -20,58 +20,95 @@
 	return &fieldError{field, fmt.Sprintf(format, args...)}
 }
 
+// bounds are the values that a field may have.
+type bounds struct {
+	field    string
+	got      float64
+	min, max float64 // both may be
+}
+
+// checkBounds returns an error that names the first field outside its bounds; what is no number is outside.
+func checkBounds(prefix string, all []bounds) error {
+	for _, b := range all {
+		if !(b.got >= b.min && b.got <= b.max) {
+			return fieldErrorf(prefix+b.field, "%v is not from %v to %v", b.got, b.min, b.max)
+		}
+	}
+	return nil
+}
+
 // validate returns an error that names the first field that can't be.
 func (s *Scenario) validate() error {
 	s.addDefaults()
-	f, l := &s.Fleet, &s.Load
-	for _, c := range []struct {
-		field       string
-		got         float64
-		least, most float64
-	}{
-		{"duration", s.Duration.s(), 1, 3600},
-		{"fleet.nodes", float64(f.Nodes), 1, 1024},
-		{"fleet.servers", float64(f.Servers), 1, 1024},
-		{"fleet.cores", float64(f.Cores), 1, 1024},
-		{"fleet.slots_per_core", float64(f.SlotsPerCore), 1, 1000},
-		{"fleet.queue_per_core", float64(f.QueuePerCore), 0, 10000},
-		{"fleet.thrash", f.ContentionLoss, 0, 1},
-		{"fleet.thrash_at", f.ContentionFrom, 1, 1000},
-		{"fleet.cold_from", f.SlowStartInitialFraction, 0.01, 1},
-		{"fleet.ramp", f.SlowStartDuration.s(), 0, 3600},
-		{"fleet.fall_multiple", f.OverloadFactor, 1, 100},
-		{"fleet.fall_for", f.OverloadWindow.s(), 0.1, 60},
-		{"fleet.connections", float64(f.Connections), 1, 1e6},
-		{"fleet.handshake_work", f.HandshakeWork.s(), 0, 1},
-		{"fleet.conn_idle", f.ConnIdle.s(), 0.1, 3600},
-		{"fleet.report_every", f.ReportEvery.s(), 0, 60},
-		{"fleet.report_late", f.ReportDelay.s(), 0, 60},
-		{"fleet.list_late", f.ListDelay.s(), 0, 60},
-		{"fleet.list_replicas", float64(f.ListReplicas), 0, 7},
-		{"fleet.list_calls_per_s", f.ListCallsPerS, 0, 1e6},
-		{"fleet.inbox_per_s", f.PeerMessagesPerSecond, 1, 1e6},
-		{"fleet.peer_loss", f.PeerLoss, 0, 1},
-		{"fleet.peer_delay", f.PeerDelay.s(), 0, 1},
-		{"fleet.cross_delay", f.CrossDelay.s(), 0, 1},
-		{"fleet.memory_mb", float64(f.MemoryMB), 16, 1 << 20},
-		{"fleet.sockets", float64(f.Sockets), 64, 1 << 20},
-		{"load.rate", l.Rate, 0.1, 100000},
-		{"load.work_ms", l.WorkMS, 0.01, 10000},
-		{"load.aim", l.LatencyObjective.s(), 0.01, 60},
-		{"load.deadline", l.Deadline.s(), l.LatencyObjective.s(), 60},
-		{"load.retries", float64(l.Retries), 0, 10},
-		{"load.honour", l.RetryAfterShare, 0, 1},
-		{"load.unsafe", l.NonIdempotentShare, 0, 1},
-		{"load.skew", l.Skew, 0, 5},
-		{"load.heavy", l.OverQuotaTenants, 0, 1},
-		{"load.spread", l.EntryNodeShare, 0, 1},
-		{"load.front_sees", l.FailureDetection.s(), 0, 60},
-		{"load.shift_every", l.ShiftEvery.s(), 0.1, 3600},
-	} {
-		if !(c.got >= c.least && c.got <= c.most) {
-			return fieldErrorf(c.field, "%v is not from %v to %v", c.got, c.least, c.most)
+	checks := []func() error{
+		func() error { return checkBounds("", []bounds{{"duration", s.Duration.s(), 1, 3600}}) },
+		s.Fleet.checkBounds,
+		s.Load.checkBounds,
+		s.validateTogether,
+		s.validateClasses,
+		s.validatePlans,
+		s.validateBursts,
+		s.validateFaults,
+		s.validateExpects,
+	}
+	for _, check := range checks {
+		if err := check(); err != nil {
+			return err
 		}
 	}
+	return nil
+}
+
+func (f *Fleet) checkBounds() error {
+	return checkBounds("fleet.", []bounds{
+		{"nodes", float64(f.Nodes), 1, 1024},
+		{"servers", float64(f.Servers), 1, 1024},
+		{"cores", float64(f.Cores), 1, 1024},
+		{"slots_per_core", float64(f.SlotsPerCore), 1, 1000},
+		{"queue_per_core", float64(f.QueuePerCore), 0, 10000},
+		{"thrash", f.ContentionLoss, 0, 1},
+		{"thrash_at", f.ContentionFrom, 1, 1000},
+		{"cold_from", f.SlowStartInitialFraction, 0.01, 1},
+		{"ramp", f.SlowStartDuration.s(), 0, 3600},
+		{"fall_multiple", f.OverloadFactor, 1, 100},
+		{"fall_for", f.OverloadWindow.s(), 0.1, 60},
+		{"connections", float64(f.Connections), 1, 1e6},
+		{"handshake_work", f.HandshakeWork.s(), 0, 1},
+		{"conn_idle", f.ConnIdle.s(), 0.1, 3600},
+		{"report_every", f.ReportEvery.s(), 0, 60},
+		{"report_late", f.ReportDelay.s(), 0, 60},
+		{"list_late", f.ListDelay.s(), 0, 60},
+		{"list_replicas", float64(f.ListReplicas), 0, 7},
+		{"list_calls_per_s", f.ListCallsPerS, 0, 1e6},
+		{"inbox_per_s", f.PeerMessagesPerSecond, 1, 1e6},
+		{"peer_loss", f.PeerLoss, 0, 1},
+		{"peer_delay", f.PeerDelay.s(), 0, 1},
+		{"cross_delay", f.CrossDelay.s(), 0, 1},
+		{"memory_mb", float64(f.MemoryMB), 16, 1 << 20},
+		{"sockets", float64(f.Sockets), 64, 1 << 20},
+	})
+}
+
+func (l *Load) checkBounds() error {
+	return checkBounds("load.", []bounds{
+		{"rate", l.Rate, 0.1, 100000},
+		{"work_ms", l.WorkMS, 0.01, 10000},
+		{"aim", l.LatencyObjective.s(), 0.01, 60},
+		{"deadline", l.Deadline.s(), l.LatencyObjective.s(), 60},
+		{"retries", float64(l.Retries), 0, 10},
+		{"honour", l.RetryAfterShare, 0, 1},
+		{"unsafe", l.NonIdempotentShare, 0, 1},
+		{"skew", l.Skew, 0, 5},
+		{"heavy", l.OverQuotaTenants, 0, 1},
+		{"spread", l.EntryNodeShare, 0, 1},
+		{"front_sees", l.FailureDetection.s(), 0, 60},
+		{"shift_every", l.ShiftEvery.s(), 0.1, 3600},
+	})
+}
+
+// validateTogether checks what depends on more than one field, and names.
+func (s *Scenario) validateTogether() error {
+	f, l := &s.Fleet, &s.Load
 	switch {
 	case s.Name == "":
 		return fieldErrorf("name", "is empty; a name is wanted")
@@ -86,19 +123,28 @@
 	case l.Rate*s.Duration.s() > 5e6:
 		return fieldErrorf("load.rate", "%v a second for %v are over 5 million requests", l.Rate, time.Duration(s.Duration))
 	}
-	if err := s.validateTiers(); err != nil {
-		return err
-	}
-	for i, b := range l.Bursts {
+	return nil
+}
+
+func (s *Scenario) validateBursts() error {
+	for i, b := range s.Load.Bursts {
 		if b.Times <= 0 || b.Times > 100 {
 			return fieldErrorf(fmt.Sprintf("load.burst[%d].times", i), "%v is not above 0 and up to 100", b.Times)
 		}
 	}
+	return nil
+}
+
+func (s *Scenario) validateFaults() error {
 	for i := range s.Faults {
 		if err := s.validateFault(fmt.Sprintf("fault[%d].", i), &s.Faults[i]); err != nil {
 			return err
 		}
 	}
+	return nil
+}
+
+func (s *Scenario) validateExpects() error {
 	for i, e := range s.Expect {
 		field := fmt.Sprintf("expect[%d].", i)
 		if _, ok := figureNames[e.Figure]; !ok {
@@ -111,8 +157,10 @@
 	return nil
 }
 
-// validateTiers checks classes and plans.
-func (s *Scenario) validateTiers() error {
+// shareTolerance is what shares that make a whole may miss it by.
+const shareTolerance = 0.01
+
+func (s *Scenario) validateClasses() error {
 	seen := map[string]bool{}
 	sum := 0.0
 	for i, c := range s.Classes {
@@ -128,18 +176,18 @@
 		seen[c.Name] = true
 		sum += c.Share
 	}
-	if math.Abs(sum-1) > 0.01 {
+	if math.Abs(sum-1) > shareTolerance {
 		return fieldErrorf("class[0].share", "all shares make %v, not 1", sum)
 	}
-	clear(seen)
-	sum = 0
+	return nil
+}
+
+func (s *Scenario) validatePlans() error {
+	seen := map[string]bool{}
+	sum := 0.0
 	for i, p := range s.Plans {
 		field := fmt.Sprintf("plan[%d].", i)
-		for _, c := range []struct {
-			field       string
-			got         float64
-			least, most float64
-		}{
+		if err := checkBounds(field, []bounds{
 			{"share", p.Share, 0, 1},
 			{"rate", p.Rate, 0.01, 1e6},
 			{"burst", p.Burst, maxUnits, 1e7},
@@ -149,10 +197,8 @@
 			{"price", p.WeightFactor, 0, 1e6},
 			{"over_worth", p.OverQuotaValue, 0, 1},
 			{"over_cost", p.OverQuotaCost, 0, 100},
-		} {
-			if !(c.got >= c.least && c.got <= c.most) {
-				return fieldErrorf(field+c.field, "%v is not from %v to %v", c.got, c.least, c.most)
-			}
+		}); err != nil {
+			return err
 		}
 		if !plainName(p.Name) || seen[p.Name] {
 			return fieldErrorf(field+"name", "%q is not a name of its own of letters, digits and -", p.Name)
@@ -160,7 +206,7 @@
 		seen[p.Name] = true
 		sum += p.Share
 	}
-	if math.Abs(sum-1) > 0.01 {
+	if math.Abs(sum-1) > shareTolerance {
 		return fieldErrorf("plan[0].share", "all shares make %v, not 1", sum)
 	}
 	return nil
@@ -173,7 +219,7 @@
 func (s *Scenario) validateFault(field string, ft *Fault) error {
 	kind, ok := faultKinds[ft.Kind]
 	all := s.Fleet.Nodes
-	if kind.target == "servers" {
+	if kind.target == faultsServers {
 		all = s.Fleet.Servers
 	}
 	switch {
@@ -181,7 +227,7 @@
 		return fieldErrorf(field+"kind", "%q is none of %s", ft.Kind, names(faultKinds))
 	case ft.At > s.Duration:
 		return fieldErrorf(field+"at", "%v is after the run's end", time.Duration(ft.At))
-	case kind.target == "zone" && ft.Zone == "":
+	case kind.target == faultsZone && ft.Zone == "":
 		return fieldErrorf(field+"kind", "%s wants a zone", ft.Kind)
 	case ft.Zone != "" && !slices.Contains(s.Fleet.Zones, ft.Zone):
 		return fieldErrorf(field+"zone", "%q is none of %s", ft.Zone, strings.Join(s.Fleet.Zones, ", "))
--- a/internal/testbed/schedule.go
+++ b/internal/testbed/schedule.go
@@ -220,14 +220,14 @@
 		kind := faultKinds[ft.Kind]
 		var of []int
 		switch kind.target {
-		case "nodes":
+		case faultsNodes:
 			of = s.Fleet.inZone(s.Fleet.Nodes, ft.Zone)
-		case "servers":
+		case faultsServers:
 			of = s.Fleet.inZone(s.Fleet.Servers, ft.Zone)
 		default:
 			of = []int{-1}
 		}
-		if kind.target == "nodes" || kind.target == "servers" {
+		if kind.target == faultsNodes || kind.target == faultsServers {
 			rng.Shuffle(len(of), func(a, b int) { of[a], of[b] = of[b], of[a] })
 			n := max(ft.Count, int(math.Round(ft.Share*float64(len(of)))), 1)
 			of = of[:min(n, len(of))]
--- a/internal/testbed/sweep.go
+++ b/internal/testbed/sweep.go
@@ -1,6 +1,7 @@
 package testbed
 
 import (
+	"cmp"
 	"context"
 	"encoding/json"
 	"errors"
@@ -72,76 +73,110 @@
 // Sweep plays the generated scenarios of a range of seeds. A signal or the budget ends it early: the report
 // has what was played. The error is of the testbed itself.
 func Sweep(ctx context.Context, o SweepOptions) (*SweepReport, error) {
-	switch {
-	case o.From > o.To:
-		return nil, fmt.Errorf("seeds: %d-%d ends before it begins", o.From, o.To)
-	case o.To-o.From >= maxSeeds:
-		return nil, fmt.Errorf("seeds: %d-%d are over %d", o.From, o.To, maxSeeds)
-	case o.Jobs < 1:
-		return nil, fmt.Errorf("jobs: %d is below 1", o.Jobs)
-	}
-	if _, err := GenerateScenario(o.From, o.Rule); err != nil {
+	if err := o.check(); err != nil {
 		return nil, err
 	}
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
 		return nil, fmt.Errorf("folder of the sweep: %w", err)
 	}
-	var end time.Time
+	s := sweeper{o: &o, next: o.From, report: &SweepReport{Rule: o.Rule, From: o.From, To: o.To, Counts: map[Verdict]int{}}}
 	if o.Budget > 0 {
-		end = time.Now().Add(o.Budget)
-	}
-	r := &SweepReport{Rule: o.Rule, From: o.From, To: o.To, Counts: map[Verdict]int{}}
-	var mu sync.Mutex
-	next := o.From
-	take := func() (seed uint64, ok bool) {
-		mu.Lock()
-		defer mu.Unlock()
-		if ctx.Err() != nil || next > o.To || !end.IsZero() && time.Now().After(end) {
-			return 0, false
-		}
-		next++
-		return next - 1, true
+		s.end = time.Now().Add(o.Budget)
 	}
 	var work sync.WaitGroup
 	for range o.Jobs {
-		work.Go(func() {
-			for {
-				seed, ok := take()
-				if !ok {
-					return
-				}
-				t := o.runSeed(ctx, seed, end)
-				if ctx.Err() != nil && t.Verdict == NotPlayed {
-					return // the signal ended it
-				}
-				mu.Lock()
-				r.Runs = append(r.Runs, t)
-				r.Played++
-				r.Counts[t.Verdict]++
-				done := r.Played
-				mu.Unlock()
-				if o.Live != nil {
-					o.Live(done, int(o.To-o.From+1), t)
-				}
-			}
-		})
+		work.Go(func() { s.work(ctx) })
 	}
 	work.Wait()
-	slices.SortFunc(r.Runs, func(a, b GeneratedRun) int { return int(int64(a.Seed) - int64(b.Seed)) })
+	slices.SortFunc(s.report.Runs, func(a, b GeneratedRun) int { return cmp.Compare(a.Seed, b.Seed) })
 	switch {
 	case ctx.Err() != nil:
-		r.Ended = "ended by a signal"
-	case next <= o.To:
-		r.Ended = fmt.Sprintf("the budget of %v is over", o.Budget)
+		s.report.Ended = "ended by a signal"
+	case s.next <= o.To:
+		s.report.Ended = fmt.Sprintf("the budget of %v is over", o.Budget)
+	}
+	if err := s.report.write(o.Dir); err != nil {
+		return nil, err
+	}
+	return s.report, nil
+}
+
+// check returns an error that names the first option that can't be.
+func (o *SweepOptions) check() error {
+	switch {
+	case o.From > o.To:
+		return fmt.Errorf("seeds: %d-%d ends before it begins", o.From, o.To)
+	case o.To-o.From >= maxSeeds:
+		return fmt.Errorf("seeds: %d-%d are over %d", o.From, o.To, maxSeeds)
+	case o.Jobs < 1:
+		return fmt.Errorf("jobs: %d is below 1", o.Jobs)
 	}
+	_, err := GenerateScenario(o.From, o.Rule)
+	return err
+}
+
+// sweeper is a sweep under way, shared by its jobs.
+type sweeper struct {
+	o   *SweepOptions
+	end time.Time // after which nothing begins; zero: never
+
+	mu     sync.Mutex
+	next   uint64 // seed
+	report *SweepReport
+}
+
+// work plays seeds until none is left or the sweep ends.
+func (s *sweeper) work(ctx context.Context) {
+	for {
+		seed, ok := s.take(ctx)
+		if !ok {
+			return
+		}
+		r := s.o.runSeed(ctx, seed, s.end)
+		if ctx.Err() != nil && r.Verdict == NotPlayed {
+			return // the signal ended it
+		}
+		done := s.book(r)
+		if s.o.Live != nil {
+			s.o.Live(done, int(s.o.To-s.o.From+1), r)
+		}
+	}
+}
+
+// take is the next seed to play; ok is false where the sweep ends.
+func (s *sweeper) take(ctx context.Context) (seed uint64, ok bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if ctx.Err() != nil || s.next > s.o.To || !s.end.IsZero() && time.Now().After(s.end) {
+		return 0, false
+	}
+	s.next++
+	return s.next - 1, true
+}
+
+// book adds a run to the report and returns how many there are.
+func (s *sweeper) book(r GeneratedRun) (done int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.report.Runs = append(s.report.Runs, r)
+	s.report.Played++
+	s.report.Counts[r.Verdict]++
+	return s.report.Played
+}
+
+// sweepFile is where a sweep's folder keeps its report.
+const sweepFile = "sweep.json"
+
+// write writes the report into the sweep's folder.
+func (r *SweepReport) write(dir string) error {
 	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
-		return nil, fmt.Errorf("report of the sweep: %w", err)
+		return fmt.Errorf("report of the sweep: %w", err)
 	}
-	if err := os.WriteFile(filepath.Join(o.Dir, "sweep.json"), append(text, '\n'), 0o644); err != nil {
-		return nil, fmt.Errorf("report of the sweep: %w", err)
+	if err := os.WriteFile(filepath.Join(dir, sweepFile), append(text, '\n'), 0o644); err != nil {
+		return fmt.Errorf("report of the sweep: %w", err)
 	}
-	return r, nil
+	return nil
 }
 
 // maxSeeds bounds a range of seeds.
@@ -184,7 +219,7 @@
 
 // command is the command that plays a scenario again.
 func (o *SweepOptions) command(path string, seed uint64) string {
-	return fmt.Sprintf("opalhook lab run %s --seed %d --node-binary %s", path, seed, o.Binary)
+	return fmt.Sprintf("opalhook testbed run %s --seed %d --node-binary %s", path, seed, o.Binary)
 }
 
 // play plays a scenario once.
