--- a/internal/scale/fleet_test.go
+++ b/internal/scale/fleet_test.go
@@ -23,7 +23,7 @@
 	for _, tenant := range drawTenants(f.rng, fleetPlans(), firsts, requestsPerS*nodes) {
 		f.arrive(tenant, end)
 	}
-	if err := f.clock.runUntil(t.Context(), end+secondsToAnswer); err != nil {
+	if err := f.clock.runUntil(t.Context(), end+clientDeadline); err != nil {
 		t.Fatal(err)
 	}
 	f.finish()
@@ -35,18 +35,18 @@
 func TestFleetInvariants(t *testing.T) {
 	for _, spread := range []int{1, 3, 8} {
 		f, c := steadyFleet(t, 1, spread, 40)
-		if c.requests == 0 || c.served+c.refused+c.failed != c.requests || c.unanswered+c.finalAgain != 0 {
+		if c.requests == 0 || c.served+c.rejected+c.failed != c.requests || c.unanswered+c.duplicateAnswers != 0 {
 			t.Errorf("spread %d: %d requests, %d served, %d refused, %d failed, %d without an answer, %d answered again",
-				spread, c.requests, c.served, c.refused, c.failed, c.unanswered, c.finalAgain)
+				spread, c.requests, c.served, c.rejected, c.failed, c.unanswered, c.duplicateAnswers)
 		}
-		if c.longest > maxMessage {
-			t.Errorf("spread %d: a message of %d bytes", spread, c.longest)
+		if c.longestMessage > maxMessage {
+			t.Errorf("spread %d: a message of %d bytes", spread, c.longestMessage)
 		}
 		if c.arrived > c.messages() {
 			t.Errorf("spread %d: %d of %d messages arrived", spread, c.arrived, c.messages())
 		}
 		seconds := (f.clock.now - time.Hour).Seconds()
-		for _, n := range f.order {
+		for _, n := range f.added {
 			if taken := float64(n.counts.arrived - n.counts.discarded); taken > f.inboxRate*(seconds+1) {
 				t.Errorf("spread %d: node %d took %v messages in %v s", spread, n.number, taken, seconds)
 			}
@@ -54,14 +54,14 @@
 				t.Errorf("spread %d: node %d still holds %d requests", spread, n.number, len(n.open))
 			}
 		}
-		if spread > 1 && (c.asks == 0 || c.answers == 0) {
-			t.Errorf("spread %d: %d asks, %d answers", spread, c.asks, c.answers)
+		if spread > 1 && (c.quotaRequests == 0 || c.quotaGrants == 0) {
+			t.Errorf("spread %d: %d asks, %d answers", spread, c.quotaRequests, c.quotaGrants)
 		}
 		if spread == 1 && c.messages() > 0 {
 			t.Errorf("spread 1: %d messages", c.messages())
 		}
-		if c.beyondUnits > c.admittedUnits || spread == 1 && c.beyondUnits > 0 {
-			t.Errorf("spread %d: %v of %v units beyond quotas", spread, c.beyondUnits, c.admittedUnits)
+		if c.overQuotaUnits > c.admittedUnits || spread == 1 && c.overQuotaUnits > 0 {
+			t.Errorf("spread %d: %v of %v units beyond quotas", spread, c.overQuotaUnits, c.admittedUnits)
 		}
 	}
 }
@@ -93,7 +93,7 @@
 	b := newInbox(40, 0)
 	taken := 0
 	for i := range 1000 { // 100 a second for 10 s
-		if b.take(time.Duration(i) * 10 * time.Millisecond) {
+		if b.accept(time.Duration(i) * 10 * time.Millisecond) {
 			taken++
 		}
 	}
@@ -108,8 +108,8 @@
 	lost := 0
 	const messages = 20000
 	for range messages {
-		delay, arrives := f.link.cross()
-		if delay < linkFastest || delay >= linkSlowest {
+		delay, arrives := f.link.send()
+		if delay < minLinkDelay || delay >= maxLinkDelay {
 			t.Fatalf("delay %v", delay)
 		}
 		if !arrives {
@@ -154,8 +154,8 @@
 	sum := 0.0
 	for _, tenant := range drawTenants(f.rng, fleetPlans(), []int{2, 5}, 1000) {
 		sum += tenant.demand
-		if tenant.first != 2 && tenant.first != 5 {
-			t.Fatalf("first gateway %d", tenant.first)
+		if tenant.firstEntryNode != 2 && tenant.firstEntryNode != 5 {
+			t.Fatalf("first gateway %d", tenant.firstEntryNode)
 		}
 	}
 	if sum < 999.9 || sum > 1000.1 {
@@ -167,7 +167,7 @@
 		u := drawUnits(f.rng)
 		units, most = units+u, max(most, u)
 	}
-	if mean := units / draws; most != mostUnits || mean < 0.95*meanUnits() || mean > 1.05*meanUnits() {
+	if mean := units / draws; most != maxUnits || mean < 0.95*meanUnits() || mean > 1.05*meanUnits() {
 		t.Errorf("units of %v in the mean, %v at most", mean, most)
 	}
 }
--- a/internal/scale/link.go
+++ b/internal/scale/link.go
@@ -9,18 +9,18 @@
 // Peer links, as the platform has them: a message is late, or lost, and an edge node discards what
 // arrives faster than its inbox takes.
 const (
-	maxMessage  = 256 // bytes of a datagram
-	linkFastest = 2 * time.Millisecond
-	linkSlowest = 15 * time.Millisecond
-	linkLoss    = 0.04 // the middle of what the platform may lose, 0 to 0.08
+	maxMessage   = 256 // bytes of a datagram
+	minLinkDelay = 2 * time.Millisecond
+	maxLinkDelay = 15 * time.Millisecond
+	linkLoss     = 0.04 // the middle of what the platform may lose, 0 to 0.08
 )
 
 // link draws how a message crosses from one edge node to another.
 type link struct{ rng *rand.Rand }
 
-// cross returns the delay of one message, or false for one that is lost.
-func (l link) cross() (time.Duration, bool) {
-	delay := linkFastest + time.Duration(l.rng.Int64N(int64(linkSlowest-linkFastest)))
+// send returns the delay of one message, or false for one that is lost.
+func (l link) send() (time.Duration, bool) {
+	delay := minLinkDelay + time.Duration(l.rng.Int64N(int64(maxLinkDelay-minLinkDelay)))
 	return delay, l.rng.Float64() >= linkLoss
 }
 
@@ -35,8 +35,8 @@
 	return inbox{rate: rate, tokens: rate, at: now}
 }
 
-// take tells whether a message is taken in; it is discarded otherwise.
-func (b *inbox) take(now time.Duration) bool {
+// accept tells whether a message is taken in; it is discarded otherwise.
+func (b *inbox) accept(now time.Duration) bool {
 	b.tokens = math.Min(b.tokens+b.rate*(now-b.at).Seconds(), b.rate)
 	b.at = now
 	if b.tokens < 1 {
@@ -46,13 +46,13 @@
 	return true
 }
 
-// messageKind is the first byte of a message between gateways, which says what it is.
+// messageKind is the first byte of a message between nodes, which says what it is.
 type messageKind byte
 
-// Kinds of messages that are counted apart, as package choice encodes them.
+// Kinds of messages that are counted apart, as the balancer encodes them.
 const (
-	messageAsk    messageKind = 1 // a member asks a holder for a request's units
-	messageAnswer messageKind = 2 // and is answered
+	messageQuotaRequest messageKind = 1 // a node asks the quota's owner for a request's units
+	messageQuotaGrant   messageKind = 2 // and is answered
 )
 
 func kindOf(message []byte) messageKind {
--- a/internal/scale/list.go
+++ b/internal/scale/list.go
@@ -196,7 +196,7 @@
 	defer func() { err = errors.Join(err, service.close()) }()
 	run := serviceRun{at: at, rows: rows, service: service, writer: newListWriter(service.Addr()), watches: watchesOf(rows.size)}
 	defer run.writer.close()
-	return errors.Join(run.followed(), run.comingBack(), run.wholeLists())
+	return errors.Join(run.followed(), run.reconnects(), run.snapshots())
 }
 
 // serviceRun is the measurement of one list.
@@ -240,7 +240,7 @@
 		if err != nil {
 			return err
 		}
-		last, err := watches.reach(r.at.ctx, generation)
+		last, err := watches.awaitGeneration(r.at.ctx, generation)
 		if err != nil {
 			return err
 		}
@@ -249,8 +249,8 @@
 	r.rows.time("first change, to the last watch", late[0])
 	r.rows.time("next two changes, most to the last watch", slices.Max(late[1:]))
 	told := watches.count()
-	r.rows.bytes("one change, most to a watch", told.most/singleChanges)
-	return told.first
+	r.rows.bytes("one change, most to a watch", told.maxBytes/singleChanges)
+	return told.firstError
 }
 
 // zone measures the loss of a zone, one removal for each entry.
@@ -266,7 +266,7 @@
 		return err
 	}
 	written := time.Since(began)
-	last, err := watches.reach(r.at.ctx, r.beforeZone+uint64(lost))
+	last, err := watches.awaitGeneration(r.at.ctx, r.beforeZone+uint64(lost))
 	if err != nil {
 		return err
 	}
@@ -275,10 +275,10 @@
 	r.rows.time("zone lost, from the first removal to the last watch", last.Sub(began))
 	r.rows.time("zone lost, from the last removal to the last watch", max(last.Sub(began)-written, 0))
 	told := watches.count()
-	r.rows.bytes("zone lost, most to a watch", told.most-before.most)
-	r.rows.count("watches told otherwise than each change once and in order", told.broken)
-	r.rows.count("whole lists to watches that were open", int(told.wholes))
-	return told.first
+	r.rows.bytes("zone lost, most to a watch", told.maxBytes-before.maxBytes)
+	r.rows.count("watches told otherwise than each change once and in order", told.outOfOrder)
+	r.rows.count("whole lists to watches that were open", int(told.snapshots))
+	return told.firstError
 }
 
 // opened opens watches from a generation, waits until the last has the list, and closes them. It returns
@@ -290,15 +290,15 @@
 		return told, 0, err
 	}
 	defer watches.close()
-	last, err := watches.reach(r.at.ctx, r.service.Generation())
+	last, err := watches.awaitGeneration(r.at.ctx, r.service.Generation())
 	if err != nil {
 		return told, 0, err
 	}
 	return watches.count(), last.Sub(began), nil
 }
 
-// comingBack measures all watches as they come back together, from before the zone was lost.
-func (r *serviceRun) comingBack() error {
+// reconnects measures all watches as they come back together, from before the zone was lost.
+func (r *serviceRun) reconnects() error {
 	if err := r.at.next("all watches come back"); err != nil {
 		return err
 	}
@@ -307,14 +307,14 @@
 		return err
 	}
 	r.rows.time("all come back, until the last has the list", took)
-	r.rows.bytes("all come back, most to a watch", told.most)
-	r.rows.count("all come back, whole lists", int(told.wholes))
-	r.rows.count("all come back, told otherwise than each change once and in order", told.broken)
-	return told.first
+	r.rows.bytes("all come back, most to a watch", told.maxBytes)
+	r.rows.count("all come back, whole lists", int(told.snapshots))
+	r.rows.count("all come back, told otherwise than each change once and in order", told.outOfOrder)
+	return told.firstError
 }
 
-// wholeLists measures whole lists to watches that begin anew.
-func (r *serviceRun) wholeLists() error {
+// snapshots measures whole lists to watches that begin anew.
+func (r *serviceRun) snapshots() error {
 	if err := r.at.next("telling whole lists"); err != nil {
 		return err
 	}
@@ -326,7 +326,7 @@
 	r.rows.count("whole list, watches that take it at once", readers)
 	r.rows.add("whole list, factor from these to all watches", float64(r.watches)/float64(readers), "")
 	r.rows.time("whole list, until the last of these has it", took)
-	r.rows.bytes("whole list, most to a watch", told.most)
-	r.rows.count("whole list, whole lists told", int(told.wholes))
-	return told.first
+	r.rows.bytes("whole list, most to a watch", told.maxBytes)
+	r.rows.count("whole list, whole lists told", int(told.snapshots))
+	return told.firstError
 }
--- a/internal/scale/list_expiry.go
+++ b/internal/scale/list_expiry.go
@@ -11,13 +11,13 @@
 // The lease of the zone's instances must outlast the opening of all watches, of which a replica
 // takes 2,000 a second, and the renewal of each lease after it.
 const (
-	zoneLeaseLeast = 5 * time.Second
-	zoneLeaseWatch = 4 * time.Millisecond // for each watch
+	minZoneLease      = 5 * time.Second
+	zoneLeasePerWatch = 4 * time.Millisecond // for each watch
 )
 
 // zoneLease is the lease of the zone's instances in a list of that many entries.
 func zoneLease(entries int) time.Duration {
-	return zoneLeaseLeast + time.Duration(watchesOf(entries))*zoneLeaseWatch
+	return minZoneLease + time.Duration(watchesOf(entries))*zoneLeasePerWatch
 }
 
 // ListExpiry measures the loss of a zone as the service finds it: the leases of its instances run
@@ -67,8 +67,8 @@
 	return fmt.Sprintf("leases of %v ran out before all watches were open and the leases renewed: generation %d, not %d", e.lease, e.now, e.before)
 }
 
-// notYet returns an error where a lease has run out.
-func (r *expiryRun) notYet() error {
+// checkNoneExpired returns an error where a lease has run out.
+func (r *expiryRun) checkNoneExpired() error {
 	if now := r.service.Generation(); now != r.before {
 		return &earlyExpiryError{r.lease, r.before, now}
 	}
@@ -103,7 +103,7 @@
 	began := time.Now()
 	err = eachOfZone(r.at.ctx, r.rows.size, r.writer.renew)
 	renewed := time.Now()
-	if err := errors.Join(r.notYet(), err); err != nil {
+	if err := errors.Join(r.checkNoneExpired(), err); err != nil {
 		return ends, err
 	}
 	r.rows.time("zone's leases", r.lease)
@@ -120,7 +120,7 @@
 	if err != nil {
 		return err
 	}
-	last, err := watches.reach(r.at.ctx, after.Generation)
+	last, err := watches.awaitGeneration(r.at.ctx, after.Generation)
 	if err != nil {
 		return err
 	}
@@ -130,10 +130,10 @@
 	r.rows.time("zone expired, from the first lease's end to the last watch", last.Sub(ends.first))
 	r.rows.time("zone expired, from the last lease's end to the last watch", max(last.Sub(ends.last), 0))
 	r.rows.time("zone expired, from the first watch that has it all to the last", last.Sub(told.firstWhen))
-	r.rows.bytes("zone expired, most to a watch", told.most)
-	r.rows.count("watches told otherwise than each change once and in order", told.broken)
-	r.rows.count("whole lists to watches that were open", int(told.wholes))
-	return told.first
+	r.rows.bytes("zone expired, most to a watch", told.maxBytes)
+	r.rows.count("watches told otherwise than each change once and in order", told.outOfOrder)
+	r.rows.count("whole lists to watches that were open", int(told.snapshots))
+	return told.firstError
 }
 
 // awaitExpiry waits until as few entries are left as the other zones have. The service is asked only
@@ -158,13 +158,13 @@
 
 // expiryError tells that entries stay whose leases have run out.
 type expiryError struct {
-	entries, others int // in the list, and of zones whose leases last
-	paused          bool
-	why             error
+	entries, expected int // in the list, and of zones whose leases last
+	suspended         bool
+	why               error
 }
 
 func (e *expiryError) Error() string {
-	return fmt.Sprintf("%d entries are left, %d of other zones; expiry is paused: %v: %v", e.entries, e.others, e.paused, e.why)
+	return fmt.Sprintf("%d entries are left, %d of other zones; expiry is paused: %v: %v", e.entries, e.expected, e.suspended, e.why)
 }
 
 func (e *expiryError) Unwrap() error { return e.why }
--- a/internal/scale/list_expiry_test.go
+++ b/internal/scale/list_expiry_test.go
@@ -65,7 +65,7 @@
 // startExpiry starts a service whose zone has a lease.
 func startExpiry(t *testing.T, entries int, lease time.Duration) *expiryRun {
 	t.Helper()
-	image, err := listImage(entries, lease)
+	image, err := listSnapshot(entries, lease)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,7 +93,7 @@
 		t.Fatal(err)
 	}
 	var list discovery.Message
-	if _, err := run.writer.ask(t.Context(), http.MethodGet, "instances", &list); err != nil {
+	if _, err := run.writer.call(t.Context(), http.MethodGet, "instances", &list); err != nil {
 		t.Fatal(err)
 	}
 	want := slices.DeleteFunc(serviceEntries(entries), func(e discovery.Entry) bool { return e.Zone == listEntry(lostZone).Zone })
@@ -133,7 +133,7 @@
 	run.at.ctx = ctx
 	_, err := run.awaitExpiry()
 	var expiry *expiryError
-	if !errors.As(err, &expiry) || !errors.Is(err, context.Canceled) || expiry.entries != 60 || expiry.others != 56 || expiry.paused {
+	if !errors.As(err, &expiry) || !errors.Is(err, context.Canceled) || expiry.entries != 60 || expiry.expected != 56 || expiry.suspended {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/scale/list_lost.go
+++ b/internal/scale/list_lost.go
@@ -10,8 +10,8 @@
 	"opalhook/internal/registry"
 )
 
-// comingBackDraws are the draws of the replicas at which watches come back, beside those of the seed.
-const comingBackDraws = 0x105e
+// reconnectStream are the draws of the replicas at which watches come back, beside those of the seed.
+const reconnectStream = 0x105e
 
 // ListLostReplica measures a service of three replicas that loses one with all its watches.
 func ListLostReplica() Part {
@@ -77,7 +77,7 @@
 	}
 	change, err := r.client.Drain(r.at.ctx, owner(lostZone+1))
 	if err == nil {
-		_, err = watches.reach(r.at.ctx, change.Generation)
+		_, err = watches.awaitGeneration(r.at.ctx, change.Generation)
 	}
 	if err != nil {
 		watches.close()
@@ -95,9 +95,9 @@
 	before := watches.count()
 	generation := r.leader.Generation() + uint64(zoneEntries(r.rows.size)) // once all are removed
 	loss := r.begin()
-	watches.ended()
+	watches.awaitEnd()
 	loss.ended = time.Now()
-	starts := r.startsOfLost(watches)
+	starts := r.drawReconnects(watches)
 	back, err := openWatches(r.at.ctx, starts, r.at.env.Seed)
 	if err != nil {
 		return errors.Join(err, loss.wait())
@@ -109,17 +109,17 @@
 	}
 	loss.addRows(r.rows)
 	r.rows.count("another replica leads than before", oneIf(!r.leader.IsLeader()))
-	r.countBack(starts)
-	return r.countTold(watches, back, before.most)
+	r.countReconnects(starts)
+	return r.countReceived(watches, back, before.maxBytes)
 }
 
 // reach waits until all watches that came back have the list as it is, and until they have it without the zone.
 func (r *lostRun) reach(back *listWatches, loss *replicaLoss, generation uint64) (err error) {
-	loss.upToDate, err = back.reach(r.at.ctx, r.leader.Generation())
+	loss.upToDate, err = back.awaitGeneration(r.at.ctx, r.leader.Generation())
 	if err := errors.Join(err, loss.wait()); err != nil {
 		return err
 	}
-	loss.last, err = back.reach(r.at.ctx, generation)
+	loss.last, err = back.awaitGeneration(r.at.ctx, generation)
 	return err
 }
 
@@ -135,7 +135,7 @@
 	work             sync.WaitGroup
 	stopped, removed error
 	mu               sync.Mutex
-	longest          time.Duration // of the removals, with all tries
+	longest          time.Duration // of the removals, with all attempts
 }
 
 // addRows adds how long it took.
@@ -176,7 +176,7 @@
 
 // owner is an instance as it is at the start.
 func owner(n int) registry.InstanceRef {
-	return registry.InstanceRef{ID: listEntry(n).InstanceID, Incarnation: firstLife}
+	return registry.InstanceRef{ID: listEntry(n).InstanceID, Incarnation: firstIncarnation}
 }
 
 func (l *replicaLoss) took(removal time.Duration) {
@@ -190,19 +190,19 @@
 	return errors.Join(l.stopped, l.removed)
 }
 
-// startsOfLost draws a replica for each watch that has ended. It goes on from what it was told last.
-func (r *lostRun) startsOfLost(watches *listWatches) []watchStart {
-	rng := rand.New(rand.NewPCG(r.at.env.Seed, comingBackDraws))
+// drawReconnects draws a replica for each watch that has ended. It goes on from what it was told last.
+func (r *lostRun) drawReconnects(watches *listWatches) []watchStart {
+	rng := rand.New(rand.NewPCG(r.at.env.Seed, reconnectStream))
 	others := []string{r.leader.Addr(), r.stays.Addr()}
 	starts := make([]watchStart, len(watches.all))
 	for i, w := range watches.all {
-		starts[i] = watchStart{others[rng.IntN(len(others))], w.told.Load().at}
+		starts[i] = watchStart{others[rng.IntN(len(others))], w.received.Load().at}
 	}
 	return starts
 }
 
-// countBack counts the watches that come back at each replica.
-func (r *lostRun) countBack(starts []watchStart) {
+// countReconnects counts the watches that come back at each replica.
+func (r *lostRun) countReconnects(starts []watchStart) {
 	leads := 0
 	for _, start := range starts {
 		leads += oneIf(start.addr == r.leader.Addr())
@@ -211,15 +211,15 @@
 	r.rows.count("come back, at the replica that follows", len(starts)-leads)
 }
 
-// countTold counts what was told to watches at the replica that was lost and then at the others.
-func (r *lostRun) countTold(watches, back *listWatches, before uint64) error {
+// countReceived counts what was told to watches at the replica that was lost and then at the others.
+func (r *lostRun) countReceived(watches, back *listWatches, before uint64) error {
 	var most uint64
 	for i, w := range watches.all {
-		most = max(most, w.told.Load().bytes+back.all[i].told.Load().bytes)
+		most = max(most, w.received.Load().bytes+back.all[i].received.Load().bytes)
 	}
 	old, now := watches.count(), back.count()
 	r.rows.bytes("come back, most to a watch from the loss on", most-before)
-	r.rows.count("come back, whole lists", int(old.wholes+now.wholes))
-	r.rows.count("come back, told otherwise than each change once and in order", old.broken+now.broken)
-	return errors.Join(old.first, now.first)
+	r.rows.count("come back, whole lists", int(old.snapshots+now.snapshots))
+	r.rows.count("come back, told otherwise than each change once and in order", old.outOfOrder+now.outOfOrder)
+	return errors.Join(old.firstError, now.firstError)
 }
--- a/internal/scale/list_renew.go
+++ b/internal/scale/list_renew.go
@@ -189,7 +189,7 @@
 		closing = "Connection: close\r\n"
 	}
 	id := listEntry(c.rng.IntN(c.leases)).InstanceID
-	request := fmt.Appendf(nil, "POST /registry/instances/%s/renew?incarnation=%d HTTP/1.1\r\nHost: list\r\nContent-Length: 0\r\n%s\r\n", id, firstLife, closing)
+	request := fmt.Appendf(nil, "POST /registry/instances/%s/renew?incarnation=%d HTTP/1.1\r\nHost: list\r\nContent-Length: 0\r\n%s\r\n", id, firstIncarnation, closing)
 	for len(request) > 0 {
 		n, err := uninterrupted(syscall.Write, c.fd, request)
 		if err != nil {
--- a/internal/scale/list_service.go
+++ b/internal/scale/list_service.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// firstLife is the incarnation of every instance at the start.
-const firstLife = 1
+// firstIncarnation is the incarnation of every instance at the start.
+const firstIncarnation = 1
 
 // listState is a list of that many entries. Those of the zone that may be lost have a lease of their own.
 func listState(entries int, zoneLease time.Duration) (*registry.State, error) {
@@ -52,7 +52,7 @@
 		if n%planZones == lostZone {
 			lease = zoneLease
 		}
-		o := state.Apply(registry.Command{Kind: registry.Register, Entry: listEntry(n), Incarnation: firstLife, Lease: lease})
+		o := state.Apply(registry.Command{Kind: registry.Register, Entry: listEntry(n), Incarnation: firstIncarnation, Lease: lease})
 		if o.Code != registry.Done {
 			return nil, fmt.Errorf("entry %d: %s: %s", n, o.Code, o.Message)
 		}
@@ -148,15 +148,15 @@
 	if err := s.next("restoring a list"); err != nil {
 		return nil, err
 	}
-	image, err := listImage(entries, zoneLease)
+	image, err := listSnapshot(entries, zoneLease)
 	if err != nil {
 		return nil, err
 	}
 	return startFirst(s.ctx, image, election)
 }
 
-// listImage is the backup of a list of that many entries.
-func listImage(entries int, zoneLease time.Duration) ([]byte, error) {
+// listSnapshot is the backup of a list of that many entries.
+func listSnapshot(entries int, zoneLease time.Duration) ([]byte, error) {
 	state, err := listState(entries, zoneLease)
 	if err != nil {
 		return nil, err
--- a/internal/scale/list_socket.go
+++ b/internal/scale/list_socket.go
@@ -5,8 +5,8 @@
 	"syscall"
 )
 
-// smallReceiveBuffer keeps the system from growing a connection's receive buffer to megabytes.
-func smallReceiveBuffer(_ context.Context, _, _ string, raw syscall.RawConn) error {
+// limitReceiveBuffer keeps the system from growing a connection's receive buffer to megabytes.
+func limitReceiveBuffer(_ context.Context, _, _ string, raw syscall.RawConn) error {
 	var err error
 	if ctl := raw.Control(func(fd uintptr) {
 		err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, watchBuffer)
--- a/internal/scale/list_test.go
+++ b/internal/scale/list_test.go
@@ -164,7 +164,7 @@
 // A lease that is not there is no renewal measured.
 func TestRenewalsOfOthersFail(t *testing.T) {
 	t.Parallel()
-	image, err := listImage(4, listLease)
+	image, err := listSnapshot(4, listLease)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -219,8 +219,8 @@
 				_ = far.Close()
 			}()
 			w.follow(func() {})
-			if got := w.told.Load(); (got.broken != nil) != c.broken || got.at != c.at && !c.broken {
-				t.Errorf("%s in pieces of %d: at %d, %v", name, piece, got.at, got.broken)
+			if got := w.received.Load(); (got.outOfOrder != nil) != c.broken || got.at != c.at && !c.broken {
+				t.Errorf("%s in pieces of %d: at %d, %v", name, piece, got.at, got.outOfOrder)
 			}
 		}
 	}
--- a/internal/scale/list_watch.go
+++ b/internal/scale/list_watch.go
@@ -35,19 +35,19 @@
 
 // watchState is what a watch has been told.
 type watchState struct {
-	at     uint64      // generation
-	when   time.Time   // when it had come
-	bytes  uint64      // of messages, as chunks of HTTP/1.1; without empty lines
-	wholes uint64      // whole lists
-	broken *watchError // the first thing that was not a change told once and in order
+	at         uint64      // generation
+	when       time.Time   // when it had come
+	bytes      uint64      // of messages, as chunks of HTTP/1.1; without empty lines
+	snapshots  uint64      // whole lists
+	outOfOrder *watchError // the first thing that was not a change told once and in order
 }
 
 // listWatch follows the list over a connection, as an edge node does, and counts what it is told.
 type listWatch struct {
-	conn  net.Conn
-	lines *bufio.Reader
-	read  watchState                 // by the goroutine that reads
-	told  atomic.Pointer[watchState] // for the others; not changed once it is there
+	conn     net.Conn
+	lines    *bufio.Reader
+	read     watchState                 // by the goroutine that reads
+	received atomic.Pointer[watchState] // for the others; not changed once it is there
 }
 
 // openWatch opens a watch that goes on from a generation. A replica that turns it away is asked
@@ -69,7 +69,7 @@
 
 // dialWatch tries once. A wait above 0 says when to try again.
 func dialWatch(ctx context.Context, addr string, from uint64) (w *listWatch, wait time.Duration, err error) {
-	d := net.Dialer{ControlContext: smallReceiveBuffer}
+	d := net.Dialer{ControlContext: limitReceiveBuffer}
 	conn, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, 0, err
@@ -140,9 +140,9 @@
 			return
 		}
 		if message { // no empty line
-			w.take(generation, reset, length)
+			w.record(generation, reset, length)
 		}
-		if w.read.bytes != w.told.Load().bytes && !w.anotherLine() {
+		if w.read.bytes != w.received.Load().bytes && !w.anotherLine() {
 			w.publish()
 			told()
 		}
@@ -155,14 +155,14 @@
 	return err == nil && bytes.IndexByte(at, '\n') >= 0
 }
 
-// take books a message.
-func (w *listWatch) take(generation uint64, reset bool, length int) {
+// record books a message.
+func (w *listWatch) record(generation uint64, reset bool, length int) {
 	r := &w.read
-	if inOrder := generation == r.at+1 || reset && generation >= r.at; !inOrder && r.broken == nil {
-		r.broken = &watchError{r.at, generation, reset}
+	if inOrder := generation == r.at+1 || reset && generation >= r.at; !inOrder && r.outOfOrder == nil {
+		r.outOfOrder = &watchError{r.at, generation, reset}
 	}
 	if reset {
-		r.wholes++
+		r.snapshots++
 	}
 	r.bytes += uint64(length + len(strconv.FormatInt(int64(length), 16)) + 2*len("\r\n"))
 	r.at = generation
@@ -171,18 +171,18 @@
 func (w *listWatch) publish() {
 	w.read.when = time.Now()
 	told := w.read
-	w.told.Store(&told)
+	w.received.Store(&told)
 }
 
 // listWatches are the watches of a fleet.
 type listWatches struct {
-	all  []*listWatch
-	work sync.WaitGroup
-	told chan struct{} // something was told since it was last read
+	all      []*listWatch
+	work     sync.WaitGroup
+	progress chan struct{} // something was told since it was last read
 }
 
-// openAtOnce bounds the connections that are being opened, by what a listener queues.
-const openAtOnce = 512
+// maxConcurrentDials bounds the connections that are being opened, by what a listener queues.
+const maxConcurrentDials = 512
 
 // watchStart is where a watch is opened, and from which generation it goes on.
 type watchStart struct {
@@ -197,10 +197,10 @@
 
 // openWatches opens watches, all at once.
 func openWatches(ctx context.Context, starts []watchStart, seed uint64) (*listWatches, error) {
-	ws := &listWatches{all: make([]*listWatch, len(starts)), told: make(chan struct{}, 1)}
+	ws := &listWatches{all: make([]*listWatch, len(starts)), progress: make(chan struct{}, 1)}
 	errs := make([]error, len(starts))
 	var opening sync.WaitGroup
-	room := make(chan struct{}, openAtOnce)
+	room := make(chan struct{}, maxConcurrentDials)
 	for i, start := range starts {
 		opening.Go(func() {
 			room <- struct{}{}
@@ -210,7 +210,7 @@
 				w, err = openWatch(ctx, start.addr, start.from, rand.New(rand.NewPCG(seed, uint64(i))))
 			}
 			if ws.all[i], errs[i] = w, err; err == nil {
-				ws.work.Go(func() { w.follow(ws.tell) })
+				ws.work.Go(func() { w.follow(ws.notify) })
 			}
 		})
 	}
@@ -231,15 +231,15 @@
 	return nil
 }
 
-func (ws *listWatches) tell() {
+func (ws *listWatches) notify() {
 	select {
-	case ws.told <- struct{}{}:
+	case ws.progress <- struct{}{}:
 	default:
 	}
 }
 
-// ended waits until the other end has closed all.
-func (ws *listWatches) ended() { ws.work.Wait() }
+// awaitEnd waits until the other end has closed all.
+func (ws *listWatches) awaitEnd() { ws.work.Wait() }
 
 // close closes all and waits until they are read no more.
 func (ws *listWatches) close() {
@@ -251,13 +251,13 @@
 	ws.work.Wait()
 }
 
-// reach waits until all watches have a generation, and returns when the last of them had it.
-func (ws *listWatches) reach(ctx context.Context, generation uint64) (last time.Time, err error) {
+// awaitGeneration waits until all watches have a generation, and returns when the last of them had it.
+func (ws *listWatches) awaitGeneration(ctx context.Context, generation uint64) (last time.Time, err error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*serviceWithin)
 	defer cancel()
 	behind := ws.all
 	for len(behind) > 0 {
-		if told := behind[0].told.Load(); told.at >= generation {
+		if told := behind[0].received.Load(); told.at >= generation {
 			if told.when.After(last) {
 				last = told.when
 			}
@@ -267,7 +267,7 @@
 		select {
 		case <-ctx.Done():
 			return last, fmt.Errorf("%d of %d watches have not reached generation %d: %w", len(behind), len(ws.all), generation, ctx.Err())
-		case <-ws.told:
+		case <-ws.progress:
 		}
 	}
 	return last, nil
@@ -275,18 +275,18 @@
 
 // count sums what the watches were told.
 func (ws *listWatches) count() (t watchTotals) {
-	t.least = ^uint64(0)
+	t.minBytes = ^uint64(0)
 	for _, w := range ws.all {
-		told := w.told.Load()
-		t.most, t.least = max(t.most, told.bytes), min(t.least, told.bytes)
-		t.wholes += told.wholes
+		told := w.received.Load()
+		t.maxBytes, t.minBytes = max(t.maxBytes, told.bytes), min(t.minBytes, told.bytes)
+		t.snapshots += told.snapshots
 		if t.firstWhen.IsZero() || told.when.Before(t.firstWhen) {
 			t.firstWhen = told.when
 		}
-		if told.broken != nil {
-			t.broken++
-			if t.first == nil {
-				t.first = told.broken
+		if told.outOfOrder != nil {
+			t.outOfOrder++
+			if t.firstError == nil {
+				t.firstError = told.outOfOrder
 			}
 		}
 	}
@@ -295,9 +295,9 @@
 
 // watchTotals are counts over watches.
 type watchTotals struct {
-	least, most uint64    // bytes of a watch
-	firstWhen   time.Time // when the first watch had what it was told last
-	wholes      uint64    // whole lists
-	broken      int       // watches that were told a change twice, out of order or not at all
-	first       error     // what the first of these was told
+	minBytes, maxBytes uint64    // bytes of a watch
+	firstWhen          time.Time // when the first watch had what it was told last
+	snapshots          uint64    // whole lists
+	outOfOrder         int       // watches that were told a change twice, out of order or not at all
+	firstError         error     // what the first of these was told
 }
--- a/internal/scale/list_write.go
+++ b/internal/scale/list_write.go
@@ -41,9 +41,9 @@
 
 // send sends a change of an instance that is as it was at the start.
 func (w *listWriter) send(ctx context.Context, method, what string) (generation uint64, err error) {
-	path := fmt.Sprintf("instances/%s?incarnation=%d", what, firstLife)
+	path := fmt.Sprintf("instances/%s?incarnation=%d", what, firstIncarnation)
 	var o registry.Outcome
-	answered, err := w.ask(ctx, method, path, &o)
+	answered, err := w.call(ctx, method, path, &o)
 	if err != nil {
 		return 0, err
 	}
@@ -55,12 +55,12 @@
 
 // status asks the replica for what it says of itself.
 func (w *listWriter) status(ctx context.Context) (status registry.Status, err error) {
-	_, err = w.ask(ctx, http.MethodGet, "status", &status)
+	_, err = w.call(ctx, http.MethodGet, "status", &status)
 	return status, err
 }
 
-// ask sends a request and reads its answer, whose HTTP status it returns.
-func (w *listWriter) ask(ctx context.Context, method, path string, answer any) (status string, err error) {
+// call sends a request and reads its answer, whose HTTP status it returns.
+func (w *listWriter) call(ctx context.Context, method, path string, answer any) (status string, err error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+w.addr+"/registry/"+path, nil)
 	if err != nil {
 		return "", err
--- a/internal/scale/nodelist.go
+++ b/internal/scale/nodelist.go
@@ -13,39 +13,39 @@
 
 // The edge node of the plan.
 const (
-	planInstances = 4100
-	planRequests  = 512.0 // requests a second on a node
-	planSpread    = 3     // gateways that a customer comes in through
+	planInstances  = 4100
+	planRequests   = 512.0 // requests a second on a node
+	planEntryNodes = 3     // nodes that a tenant comes in through
 )
 
 const (
-	measuredNode  = planInstances / 2
-	peerServers   = 200 // servers that the peers' lists have: enough for their messages to carry news
-	listWarmup    = 500 * time.Millisecond
-	listRestarts  = 20 // restarts, each a drain, a removal and an arrival
-	restartGap    = 50 * time.Millisecond
-	wholeLists    = 3 // lists after the first
-	listStages    = 4
-	loadSteps     = 10          // of the load, for the progress
-	shortLoad     = time.Second // measured load where a list is long
-	longLoad      = 4 * time.Second
-	shortListMost = 20000
+	measuredNode = planInstances / 2
+	peerServers  = 200 // servers that the peers' lists have: enough for their messages to carry news
+	listWarmup   = 500 * time.Millisecond
+	listRestarts = 20 // restarts, each a drain, a removal and an arrival
+	restartGap   = 50 * time.Millisecond
+	wholeLists   = 3 // lists after the first
+	listStages   = 4
+	loadSteps    = 10          // of the load, for the progress
+	shortLoad    = time.Second // measured load where a list is long
+	longLoad     = 4 * time.Second
+	maxShortList = 20000
 )
 
 // listLoad is for how long of the simulated time a node is measured: less where each call is dear.
 func listLoad(servers int) time.Duration {
-	if servers <= shortListMost {
+	if servers <= maxShortList {
 		return longLoad
 	}
 	return shortLoad
 }
 
-// nodeList is one gateway of the plan's fleet against the length of the list of servers.
+// nodeList is one node of the plan's fleet against the length of the list of servers.
 func nodeList() Part {
 	return Part{
 		Name: nodeListName,
 		Title: fmt.Sprintf("One edge node of %d at %g requests a second, spread %d, against the length of the list",
-			planInstances, planRequests, planSpread),
+			planInstances, planRequests, planEntryNodes),
 		Size:    "servers in the list",
 		Sizes:   []int{200, 2000, 20000, 200000},
 		Small:   []int{50, 200},
@@ -60,10 +60,10 @@
 	env     Env
 	size    int
 	fleet   *fleet
-	node    *node
+	node    *simulatedNode
 	watch   *stopwatch
-	heap    uint64 // before the gateway was made
-	holding uint64 // heap that the gateway holds with its list
+	heap    uint64 // before the node was made
+	holding uint64 // heap that the node holds with its list
 	loaded  uint64 // and after the load
 	load    counts // of the measured load
 	met     int    // servers met in it
@@ -88,9 +88,9 @@
 
 // start makes the peers, then the measured node with its list.
 func (b *listBench) start() error {
-	b.fleet = newFleet(b.env.Seed, planInstances, planSpread)
+	b.fleet = newFleet(b.env.Seed, planInstances, planEntryNodes)
 	var firsts []int
-	for number := measuredNode - planSpread + 1; number < measuredNode+planSpread; number++ {
+	for number := measuredNode - planEntryNodes + 1; number < measuredNode+planEntryNodes; number++ {
 		if number <= measuredNode {
 			firsts = append(firsts, number)
 		}
@@ -101,10 +101,10 @@
 		if err != nil {
 			return err
 		}
-		peer.list(callFirstList, balancer.UpdateSnapshot, serverList(min(b.size, peerServers)))
+		peer.updateEndpoints(callFirstSnapshot, balancer.UpdateSnapshot, serverList(min(b.size, peerServers)))
 	}
 	end := b.fleet.clock.now + listWarmup + listLoad(b.size)
-	for _, t := range drawTenants(b.fleet.rng, fleetPlans(), firsts, planRequests*planSpread) {
+	for _, t := range drawTenants(b.fleet.rng, fleetPlans(), firsts, planRequests*planEntryNodes) {
 		b.fleet.arrive(t, end)
 	}
 	b.heap = heapInUse()
@@ -113,8 +113,8 @@
 		return err
 	}
 	b.watch = newStopwatch()
-	b.list(callFirstList, balancer.UpdateSnapshot, serverList(b.size))
-	b.holding = b.heapMore()
+	b.list(callFirstSnapshot, balancer.UpdateSnapshot, serverList(b.size))
+	b.holding = b.heapAdded()
 	return nil
 }
 
@@ -126,7 +126,7 @@
 	}
 	b.fleet.reset()
 	b.node.watch = b.watch
-	defer func() { b.load, b.met = b.node.counts, len(b.node.met) }()
+	defer func() { b.load, b.met = b.node.counts, len(b.node.usedEndpoints) }()
 	began, load := clock.now, listLoad(b.size)
 	for step := range time.Duration(loadSteps) {
 		b.env.Progress(1, listStages, fmt.Sprintf("requests and messages, %d of %d", step, loadSteps))
@@ -135,11 +135,11 @@
 		}
 	}
 	b.node.watch = nil // a node at rest is not what is measured
-	if err := clock.runUntil(b.ctx, clock.now+secondsToAnswer); err != nil {
+	if err := clock.runUntil(b.ctx, clock.now+clientDeadline); err != nil {
 		return err
 	}
 	b.fleet.finish()
-	b.loaded = b.heapMore()
+	b.loaded = b.heapAdded()
 	return nil
 }
 
@@ -148,7 +148,7 @@
 	for _, met := range b.serversMet(listRestarts) {
 		for _, state := range []balancer.EndpointState{balancer.Draining, balancer.Up} {
 			met.State = state
-			if err := b.apply(callMetChange, met); err != nil {
+			if err := b.apply(callUsedEndpointChange, met); err != nil {
 				return err
 			}
 		}
@@ -159,7 +159,7 @@
 // serversMet returns at most so many servers that the node has sent to.
 func (b *listBench) serversMet(most int) (met []balancer.Endpoint) {
 	for i := 0; i < b.size && len(met) < most; i++ {
-		if s := server(i); b.node.met[s.ID] {
+		if s := server(i); b.node.usedEndpoints[s.ID] {
 			met = append(met, s)
 		}
 	}
@@ -172,17 +172,17 @@
 	for i := range restarts {
 		leaving := server(i * (b.size / restarts))
 		leaving.State = balancer.Draining
-		if err := b.apply(callChange, leaving); err != nil {
+		if err := b.apply(callEndpointChange, leaving); err != nil {
 			return err
 		}
 		leaving.State = balancer.Removed
-		if err := b.apply(callChange, leaving); err != nil {
+		if err := b.apply(callEndpointChange, leaving); err != nil {
 			return err
 		}
 		b.last++
 		arriving := server(b.last)
 		arriving.StartedAt = b.fleet.clock.now
-		if err := b.apply(callChange, arriving); err != nil {
+		if err := b.apply(callEndpointChange, arriving); err != nil {
 			return err
 		}
 	}
@@ -198,7 +198,7 @@
 // list times what the list brings, and nothing else.
 func (b *listBench) list(kind callKind, form balancer.UpdateKind, entries []balancer.Endpoint) {
 	b.node.watch = b.watch
-	b.node.list(kind, form, entries)
+	b.node.updateEndpoints(kind, form, entries)
 	b.node.watch = nil
 }
 
@@ -208,13 +208,13 @@
 		if err := b.ctx.Err(); err != nil {
 			return err
 		}
-		b.list(callNextList, balancer.UpdateSnapshot, serverList(b.size))
+		b.list(callNextSnapshot, balancer.UpdateSnapshot, serverList(b.size))
 	}
 	return nil
 }
 
-// heapMore is the heap that has come since the measured gateway was made: its own, and little else.
-func (b *listBench) heapMore() uint64 {
+// heapAdded is the heap that has come since the measured node was made: its own, and little else.
+func (b *listBench) heapAdded() uint64 {
 	now := heapInUse()
 	return max(now, b.heap) - b.heap
 }
@@ -238,21 +238,21 @@
 		name string
 		kind callKind
 	}{
-		{"request, server chosen", callChosen},
-		{"request, peer asked", callAsked},
+		{"request, server chosen", callRequestAdmitted},
+		{"request, peer asked", callRequestForwardedToOwner},
 		{"outcome", callOutcome},
-		{"message, ask answered", callAsk},
-		{"message, answer and send", callGranted},
-		{"message, other answer", callAnswer},
+		{"message, ask answered", callQuotaRequest},
+		{"message, answer and send", callQuotaGranted},
+		{"message, other answer", callQuotaRejected},
 		{"tick", callTick},
-		{"one change", callChange},
-		{"one change of a server met", callMetChange},
+		{"one change", callEndpointChange},
+		{"one change of a server met", callUsedEndpointChange},
 	} {
 		r.time(b.watch, q.name+", p50", q.kind, 0.5)
 		r.time(b.watch, q.name+", p99", q.kind, 0.99)
 	}
-	r.time(b.watch, "whole list, first", callFirstList, 0.5)
-	r.time(b.watch, "whole list, again", callNextList, 0.5)
+	r.time(b.watch, "whole list, first", callFirstSnapshot, 0.5)
+	r.time(b.watch, "whole list, again", callNextSnapshot, 0.5)
 	r.addKnown("heap, list held", float64(b.holding), "B")
 	r.addKnown("heap, after load", float64(b.loaded), "B")
 	if b.load.requests > 0 {
@@ -269,18 +269,18 @@
 	rate("ticks", len(b.watch.took[callTick]))
 	rate("requests", c.requests)
 	rate("requests served", c.served)
-	rate("requests refused", c.refused)
+	rate("requests refused", c.rejected)
 	rate("requests failed", c.failed)
-	rate("sends", c.sends)
-	rate("asks sent", c.asks)
-	rate("answers sent", c.answers)
-	rate("other messages sent", c.others)
+	rate("sends", c.attempts)
+	rate("asks sent", c.quotaRequests)
+	rate("answers sent", c.quotaGrants)
+	rate("other messages sent", c.otherMessages)
 	rate("messages taken in", c.arrived-c.discarded)
 	rate("messages discarded", c.discarded)
 	r.add("bytes sent", float64(c.bytes)/seconds, "B/s")
 	r.add("requests measured", float64(c.requests), "")
 	r.add("servers met", float64(b.met), "")
-	holds := b.node.gateway.Stats()
+	holds := b.node.balancer.Stats()
 	r.add("servers in the subset", float64(holds.SubsetEndpoints), "")
 	r.add("servers kept in full", float64(holds.TrackedEndpoints), "")
 	r.add("servers of the subset that share a name", float64(holds.HashCollisions), "")
--- a/internal/scale/nodelist_test.go
+++ b/internal/scale/nodelist_test.go
@@ -128,8 +128,8 @@
 			t.Fatal(err)
 		}
 		heap[i] = float64(b.holding)
-		if len(b.fleet.order) != 2*planSpread-1 {
-			t.Errorf("%d nodes", len(b.fleet.order))
+		if len(b.fleet.added) != 2*planEntryNodes-1 {
+			t.Errorf("%d nodes", len(b.fleet.added))
 		}
 	}
 	if heap[1] <= heap[0] {
--- a/internal/scale/part.go
+++ b/internal/scale/part.go
@@ -15,7 +15,7 @@
 	Size  string // what a size counts, as "servers in the list"
 	Sizes []int  // measured unless told otherwise, ascending, up to the plan's
 	Small []int  // measured by the tests, a fraction of a second each
-	// Memory estimates the bytes that a size takes at its peak; the host refuses a size that
+	// Memory estimates the bytes that a size takes at its peak; the host rejects a size that
 	// would pass half of the machine's memory.
 	Memory func(size int) uint64
 	// Measure measures one size. It returns what it has with the context's error when cut off.
--- a/internal/scale/plot.go
+++ b/internal/scale/plot.go
@@ -14,7 +14,7 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Size of the pictures: one panel for each unit, one below the other.
+// Size of the charts: one panel for each unit, one below the other.
 const (
 	panelWidth  = 11 * vg.Inch
 	legendWidth = 3.6 * vg.Inch // right of the curves
@@ -22,7 +22,7 @@
 	curveWidth  = 1.2 // points
 )
 
-// WritePlots writes a picture of each part that has something to draw into a folder, and returns the paths.
+// WritePlots writes a chart of each part that has something to draw into a folder, and returns the paths.
 func (r *Report) WritePlots(dir string) ([]string, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, fmt.Errorf("folder of the plots: %w", err)
@@ -30,15 +30,15 @@
 	var paths []string
 	for i := range r.Parts {
 		p := &r.Parts[i]
-		picture, err := p.draw()
+		chart, err := p.render()
 		if err != nil {
 			return paths, fmt.Errorf("plot of %s: %w", p.Name, err)
 		}
-		if picture == nil {
+		if chart == nil {
 			continue
 		}
 		path := filepath.Join(dir, p.Name+".svg")
-		if err := os.WriteFile(path, picture, 0o644); err != nil {
+		if err := os.WriteFile(path, chart, 0o644); err != nil {
 			return paths, fmt.Errorf("plot of %s: %w", p.Name, err)
 		}
 		paths = append(paths, path)
@@ -46,8 +46,8 @@
 	return paths, nil
 }
 
-// draw makes the picture of a part, or nil where no quantity has two sizes.
-func (p *PartReport) draw() ([]byte, error) {
+// render makes the chart of a part, or nil where no quantity has two sizes.
+func (p *PartReport) render() ([]byte, error) {
 	var plots [][]*plot.Plot
 	var legends []plot.Legend
 	for _, unit := range p.units() {
@@ -63,15 +63,15 @@
 		return nil, nil
 	}
 	plots[0][0].Title.Text = p.Title
-	picture := vgsvg.New(panelWidth, panelHeight*vg.Length(len(plots)))
-	whole := draw.New(picture)
+	chart := vgsvg.New(panelWidth, panelHeight*vg.Length(len(plots)))
+	whole := draw.New(chart)
 	tiles := draw.Tiles{Rows: len(plots), Cols: 1}
 	for i, row := range plot.Align(plots, tiles, draw.Crop(whole, 0, -legendWidth, 0, 0)) {
 		plots[i][0].Draw(row[0])
 		legends[i].Draw(tiles.At(whole, 0, i))
 	}
 	var out bytes.Buffer
-	if _, err := picture.WriteTo(&out); err != nil {
+	if _, err := chart.WriteTo(&out); err != nil {
 		return nil, err
 	}
 	return out.Bytes(), nil
--- a/internal/scale/quota.go
+++ b/internal/scale/quota.go
@@ -14,7 +14,7 @@
 
 // The simulated fleet of the quota measurements.
 const (
-	quotaNodes          = 48 // large enough for customers' quotas to be kept by holders
+	quotaNodes          = 48 // large enough for tenants' quotas to have owners
 	quotaServersPerNode = 2
 	quotaWarmup         = 3 * time.Second
 	quotaLoad           = 5 * time.Second
@@ -22,8 +22,8 @@
 	heapArrivals        = time.Second / 4
 )
 
-// quotaSpreads are the numbers of gateways that customers come in through, measured one after the other.
-var quotaSpreads = []int{1, 2, 3, 8}
+// quotaEntryNodes are the numbers of nodes that tenants come in through, measured one after the other.
+var quotaEntryNodes = []int{1, 2, 3, 8}
 
 // quota is what the quotas' messages take, and what is admitted beyond quotas.
 func quota() Part {
@@ -42,10 +42,10 @@
 func measureQuota(ctx context.Context, size int, env Env) ([]Row, error) {
 	r := rowWriter{part: quotaName, size: size}
 	tenants := 0 // the same at each spread
-	for i, spread := range quotaSpreads {
-		env.Progress(i, len(quotaSpreads), fmt.Sprintf("spread %d", spread))
+	for i, spread := range quotaEntryNodes {
+		env.Progress(i, len(quotaEntryNodes), fmt.Sprintf("spread %d", spread))
 		run := quotaRun{seed: env.Seed, nodes: quotaNodes, spread: spread, requestsPerS: float64(size)}
-		if err := run.play(ctx); err != nil {
+		if err := run.run(ctx); err != nil {
 			return r.rows, err
 		}
 		heap, err := heapATenant(ctx, env.Seed, spread)
@@ -57,7 +57,7 @@
 		r.add(fmt.Sprintf("heap a tenant on a node, spread %d", spread), heap, "B")
 	}
 	r.add("tenants of the fleet", float64(tenants), "")
-	env.Progress(len(quotaSpreads), len(quotaSpreads), "done")
+	env.Progress(len(quotaEntryNodes), len(quotaEntryNodes), "done")
 	return r.rows, nil
 }
 
@@ -73,8 +73,8 @@
 	quota   float64 // units that the quotas of all tenants gave in that time
 }
 
-// play runs the fleet. What was counted is not valid if it returns an error.
-func (q *quotaRun) play(ctx context.Context) error {
+// run runs the fleet. What was counted is not valid if it returns an error.
+func (q *quotaRun) run(ctx context.Context) error {
 	f := newFleet(q.seed, q.nodes, q.spread)
 	if err := f.addAll(quotaServersPerNode * q.nodes); err != nil {
 		return err
@@ -98,12 +98,12 @@
 		return err
 	}
 	q.counts = f.total()
-	if err := f.clock.runUntil(ctx, end+secondsToAnswer); err != nil {
+	if err := f.clock.runUntil(ctx, end+clientDeadline); err != nil {
 		return err
 	}
 	f.finish()
 	last := f.total()
-	q.counts.unanswered, q.counts.finalAgain = last.unanswered, last.finalAgain
+	q.counts.unanswered, q.counts.duplicateAnswers = last.unanswered, last.duplicateAnswers
 	return nil
 }
 
@@ -115,18 +115,18 @@
 	}
 	rate := func(count int) float64 { return float64(count) / quotaLoad.Seconds() / float64(q.nodes) }
 	add("requests", rate(c.requests), "1/s")
-	add("asks sent", rate(c.asks), "1/s")
-	add("answers sent", rate(c.answers), "1/s")
-	add("other messages sent", rate(c.others), "1/s")
+	add("asks sent", rate(c.quotaRequests), "1/s")
+	add("answers sent", rate(c.quotaGrants), "1/s")
+	add("other messages sent", rate(c.otherMessages), "1/s")
 	add("bytes sent", rate(c.bytes), "B/s")
 	add("messages arriving", rate(c.arrived), "1/s")
-	add("bytes taken in", rate(c.heard), "B/s")
+	add("bytes taken in", rate(c.receivedBytes), "B/s")
 	add("lost at the inbox", share(float64(c.discarded), float64(c.arrived)), "share")
-	add("refused", share(float64(c.refused), float64(c.requests)), "share")
-	add("refused with half of the quota unused", share(float64(c.refusedRoom), float64(c.requests)), "share")
-	add("units beyond quotas, of the quotas", share(c.beyondUnits, q.quota), "share")
-	add("units beyond quotas, of those admitted", share(c.beyondUnits, c.admittedUnits), "share")
-	add("longest message", float64(c.longest), "B")
+	add("refused", share(float64(c.rejected), float64(c.requests)), "share")
+	add("refused with half of the quota unused", share(float64(c.rejectedInQuota), float64(c.requests)), "share")
+	add("units beyond quotas, of the quotas", share(c.overQuotaUnits, q.quota), "share")
+	add("units beyond quotas, of those admitted", share(c.overQuotaUnits, c.admittedUnits), "share")
+	add("longest message", float64(c.longestMessage), "B")
 }
 
 // share is a part of a whole; 0 of nothing.
@@ -147,20 +147,20 @@
 		if err != nil {
 			return 0, err
 		}
-		n.list(callFirstList, balancer.UpdateSnapshot, serverList(quotaServersPerNode*quotaNodes))
+		n.updateEndpoints(callFirstSnapshot, balancer.UpdateSnapshot, serverList(quotaServersPerNode*quotaNodes))
 	}
 	plans := fleetPlans()
 	tenants := make([]tenant, heapTenants)
 	before := heapInUse()
 	for i := range tenants {
 		t := &tenants[i]
-		*t = tenant{key: uint64(i), plan: &plans[0], level: plans[0].Burst, filled: f.clock.now}
-		for _, n := range f.order {
-			f.clock.after(time.Duration(f.rng.Int64N(int64(heapArrivals))), func() { n.request(t) })
+		*t = tenant{key: uint64(i), plan: &plans[0], tokens: plans[0].Burst, refilledAt: f.clock.now}
+		for _, n := range f.added {
+			f.clock.after(time.Duration(f.rng.Int64N(int64(heapArrivals))), func() { n.requestArrives(t) })
 		}
 	}
 	// Timers of requests end with the deadline; stores are kept for longer than that.
-	if err := f.clock.runUntil(ctx, f.clock.now+heapArrivals+secondsToAnswer); err != nil {
+	if err := f.clock.runUntil(ctx, f.clock.now+heapArrivals+clientDeadline); err != nil {
 		return 0, err
 	}
 	f.clock.events = slices.Clone(f.clock.events)
--- a/internal/scale/quota_test.go
+++ b/internal/scale/quota_test.go
@@ -16,7 +16,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, spread := range quotaSpreads {
+		for _, spread := range quotaEntryNodes {
 			of := func(quantity string) float64 { return value(t, rows, fmt.Sprintf("%s, spread %d", quantity, spread)) }
 			if got := of("requests"); got < 0.7*float64(size) || got > 1.3*float64(size) {
 				t.Errorf("size %d, spread %d: %v requests a second", size, spread, got)
@@ -42,7 +42,7 @@
 // An inbox that loses half of what comes shows in the share that is lost.
 func TestQuotaShowsLossAtTheInbox(t *testing.T) {
 	run := quotaRun{seed: 1, nodes: 24, spread: 3, requestsPerS: 60}
-	if err := run.play(t.Context()); err != nil {
+	if err := run.run(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	c := &run.counts
--- a/internal/scale/restart.go
+++ b/internal/scale/restart.go
@@ -70,7 +70,7 @@
 // restart is many edge nodes that start at once, on a simulated clock.
 type restart struct {
 	now     time.Duration
-	nodes   []*hollowNode
+	nodes   []*simulatedFollower
 	queue   restartQueue
 	message int        // bytes of a whole list
 	opens   joinPace   // of the service
@@ -80,8 +80,8 @@
 	turned  int        // calls turned away
 }
 
-// hollowNode is an edge node that only follows the list.
-type hollowNode struct {
+// simulatedFollower is an edge node that only follows the list.
+type simulatedFollower struct {
 	follower *edgenode.Follower
 	call     uint64        // the watch that is out; 0: none
 	began    time.Duration // when its message did
@@ -157,7 +157,7 @@
 	r := &restart{message: message, opens: joinPace{room: serviceJoins}, rng: rand.New(rand.NewPCG(seed, 0))}
 	for n := range nodes {
 		rng := rand.New(rand.NewPCG(seed, uint64(n)+1))
-		r.nodes = append(r.nodes, &hollowNode{follower: edgenode.NewFollower(fleet, restartWithin, 0, rng)})
+		r.nodes = append(r.nodes, &simulatedFollower{follower: edgenode.NewFollower(fleet, restartWithin, 0, rng)})
 	}
 	return r
 }
@@ -181,7 +181,7 @@
 			}
 		}
 		r.now = e.at
-		listed += oneIf(r.take(e))
+		listed += oneIf(r.apply(e))
 	}
 	for _, h := range r.nodes {
 		r.end(h)
@@ -189,8 +189,8 @@
 	return nil
 }
 
-// take lets something happen, and returns whether a node has got its list by it.
-func (r *restart) take(e restartEvent) (listed bool) {
+// apply lets something happen, and returns whether a node has got its list by it.
+func (r *restart) apply(e restartEvent) (listed bool) {
 	h := r.nodes[e.node]
 	switch {
 	case e.kind == nodeWakes && e.id != h.wakes || e.kind != nodeWakes && e.id != h.call || h.listed:
@@ -242,17 +242,17 @@
 	r.open++
 	r.most = max(r.most, r.open)
 	h.follower.Received(r.now, o.ID, true)
-	r.queue.add(restartEvent{at: r.now + r.takes(), node: n, kind: messageComes, id: o.ID})
+	r.queue.add(restartEvent{at: r.now + r.acceptanceTime(), node: n, kind: messageComes, id: o.ID})
 	r.queue.add(restartEvent{at: r.now + partEvery, node: n, kind: partComes, id: o.ID})
 }
 
-// takes is how long a whole list takes over a node's link.
-func (r *restart) takes() time.Duration {
+// acceptanceTime is how long a whole list takes over a node's link.
+func (r *restart) acceptanceTime() time.Duration {
 	return time.Duration(math.Ceil(float64(r.message) / controlRate * float64(time.Second)))
 }
 
 // end ends a node's call and books what has come on it.
-func (r *restart) end(h *hollowNode) {
+func (r *restart) end(h *simulatedFollower) {
 	if h.call == 0 {
 		return
 	}
@@ -275,7 +275,7 @@
 	}
 	slices.Sort(at)
 	rows.bytes("whole list", uint64(r.message))
-	rows.time("whole list, at the link's pace", r.takes())
+	rows.time("whole list, at the link's pace", r.acceptanceTime())
 	rows.count("nodes", len(r.nodes))
 	rows.count("nodes that have their list", len(at))
 	if len(at) == len(r.nodes) {
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -50,11 +50,11 @@
 		e.Part, e.Size, formatBytes(float64(e.Need)), formatBytes(float64(e.Memory)), formatBytes(float64(e.Most)))
 }
 
-// sizeMost is the largest size: far beyond any fleet, and its estimate of memory is no overflow.
-const sizeMost = 1 << 31
+// maxSize is the largest size: far beyond any fleet, and its estimate of memory is no overflow.
+const maxSize = 1 << 31
 
-// memoryShare is the divisor of the machine's memory that gives what may be used.
-const memoryShare = 2
+// memoryDivisor is the divisor of the machine's memory that gives what may be used.
+const memoryDivisor = 2
 
 // Run measures the parts one after the other. It returns an [InputError] or a [MemoryError], and
 // measures nothing, where what was asked for can't be. The report has what was measured until the
@@ -128,8 +128,8 @@
 		switch {
 		case size < 1:
 			return nil, &InputError{"sizes", fmt.Sprintf("%d is below 1", size)}
-		case size > sizeMost:
-			return nil, &InputError{"sizes", fmt.Sprintf("%d is above %d", size, sizeMost)}
+		case size > maxSize:
+			return nil, &InputError{"sizes", fmt.Sprintf("%d is above %d", size, maxSize)}
 		}
 	}
 	parts[0].Sizes = slices.Compact(slices.Sorted(slices.Values(o.Sizes)))
@@ -143,7 +143,7 @@
 	return names
 }
 
-// checkMemory refuses the first size that would take too much.
+// checkMemory rejects the first size that would take too much.
 func (o *Options) checkMemory(parts []Part) error {
 	memory := o.Memory
 	if memory == 0 {
@@ -154,8 +154,8 @@
 	}
 	for _, p := range parts {
 		for _, size := range p.Sizes {
-			if need := p.Memory(size); need > memory/memoryShare {
-				return &MemoryError{Part: p.Name, Size: size, Need: need, Most: memory / memoryShare, Memory: memory}
+			if need := p.Memory(size); need > memory/memoryDivisor {
+				return &MemoryError{Part: p.Name, Size: size, Need: need, Most: memory / memoryDivisor, Memory: memory}
 			}
 		}
 	}
--- a/internal/scale/stopwatch.go
+++ b/internal/scale/stopwatch.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// callKind is a kind of calls of a gateway that is timed apart.
+// callKind is a kind of calls of a node that is timed apart.
 type callKind int
 
 const (
-	callRequest   callKind = iota // a request that was refused at once, or is held by this gateway and waits
-	callChosen                    // a request for which a server was chosen at once
-	callAsked                     // a request for whose units a peer was asked first
-	callOutcome                   // the end of an attempt
-	callAsk                       // a peer's ask, and the answer to it
-	callAnswer                    // a peer's answer that led to no send: a refusal, or one that came too late
-	callGranted                   // a peer's answer, and the choice of a server that it led to
-	callMessage                   // another message
-	callTick                      // the regular timer
-	callTimer                     // another timer
-	callChange                    // one change of the list
-	callMetChange                 // one change of a server that the gateway has sent to
-	callFirstList                 // the first whole list
-	callNextList                  // a whole list after it
+	callRequest                 callKind = iota // a request that was rejected at once, or is of a quota that this node owns, and waits
+	callRequestAdmitted                         // a request for which a server was chosen at once
+	callRequestForwardedToOwner                 // a request for whose units a peer was asked first
+	callOutcome                                 // the end of an attempt
+	callQuotaRequest                            // a peer's quota request, and the answer to it
+	callQuotaRejected                           // a peer's answer that led to no send: a rejection, or one that came too late
+	callQuotaGranted                            // a peer's answer, and the choice of a server that it led to
+	callMessage                                 // another message
+	callTick                                    // the regular timer
+	callTimer                                   // another timer
+	callEndpointChange                          // one change of the list
+	callUsedEndpointChange                      // one change of a server that the node has sent to
+	callFirstSnapshot                           // the first whole list
+	callNextSnapshot                            // a whole list after it
 )
 
-// stopwatch keeps how long the calls of a gateway took.
+// stopwatch keeps how long the calls of a node took.
 type stopwatch struct{ took map[callKind][]time.Duration }
 
 func newStopwatch() *stopwatch { return &stopwatch{took: map[callKind][]time.Duration{}} }
--- a/internal/testbed/app_server.go
+++ b/internal/testbed/app_server.go
@@ -219,7 +219,7 @@
 // malformations is the number of ways in which malformedResponse spoils a response.
 const malformations = 4
 
-// malformedResponse words an answer that can't be read.
+// malformedResponse is a response that can't be read.
 func malformedResponse(kind int, answer string) string {
 	switch kind {
 	case 0:
--- a/internal/testbed/checker.go
+++ b/internal/testbed/checker.go
@@ -13,7 +13,7 @@
 	RuleLost    = "lost"    // a request taken by a live node gets one final answer, in time
 	RuleTwice   = "twice"   // what must never run twice doesn't, and is not called harmless to try again
 	RuleDrain   = "drain"   // nothing new goes to a server that drains, after the grace
-	RuleCold    = "cold"    // no cold server is pushed over
+	RuleCold    = "cold"    // no cold server is overloaded to failure
 	RuleCeiling = "ceiling" // all nodes together keep a tenant's ceiling
 	RuleOwn     = "own"     // an answer is the one that a server made for this request
 	RuleForeign = "foreign" // a server gets only what a client sent
@@ -25,7 +25,7 @@
 	drainGrace   = 500 * time.Millisecond
 	socketSlack  = 50 * time.Millisecond // by which each time limit is extended on sockets
 	ceilingLag   = 150 * time.Millisecond
-	knowingShare = 2.0 / 3 // of the work that pushed a server over, from nodes told of its start
+	knowingShare = 2.0 / 3 // of the work that overloaded a server to failure, from nodes told of its start
 )
 
 // Violation is one broken rule.
@@ -75,7 +75,7 @@
 	knowsStart bool // it knows of the cold start
 }
 
-// checker holds nodes to the rules. It is told by all sides and decides nothing else.
+// checker checks nodes against the rules. It is told by all sides and decides nothing else.
 type checker struct {
 	mu             sync.Mutex
 	scenario       *Scenario
@@ -304,7 +304,7 @@
 	}
 }
 
-// serverOverloaded books that a cold server was pushed over. The rule is broken if most of the work came
+// serverOverloaded books that a cold server was overloaded to failure. The rule is broken if most of the work came
 // from nodes that knew of its start.
 func (r *checker) serverOverloaded(server string, at time.Duration) {
 	r.mu.Lock()
--- a/internal/testbed/checker_quota.go
+++ b/internal/testbed/checker_quota.go
@@ -9,7 +9,7 @@
 type quota struct {
 	at                      time.Duration
 	tokens, hardLimitTokens float64
-	offered                 float64 // of one gateway that saw all first attempts
+	offered                 float64 // of one node that saw all first attempts
 	offeredAt               time.Duration
 }
 
--- a/internal/testbed/list.go
+++ b/internal/testbed/list.go
@@ -40,7 +40,7 @@
 	failedPollFactor  = 4                       // and so many times more seldom after a failed call
 	silenceNoticed    = 2500 * time.Millisecond // in which a watch's silence can be noticed: an empty line is late
 	maxCallWait       = 2 * time.Second         // a call waits in the service's line, and is turned away then
-	trickleChunk      = 48                      // bytes in a piece of a message that trickles
+	trickleChunk      = 48                      // bytes of a chunk of a message that trickles
 )
 
 // list is the stand-in for discovery: one versioned list, told late.
@@ -50,11 +50,11 @@
 	mu            sync.Mutex
 	generation    uint64
 	entries       map[string]Entry // all that are not removed
-	history       []Entry          // log[i] made generation i+1
+	history       []Entry          // history[i] made generation i+1
 	changes       chan struct{}    // closed at the next change
 	extraDelay    time.Duration    // beyond the scenario's own
 	down          bool
-	encoding      string                  // how changes are worded; "": on one line
+	encoding      string                  // how changes are encoded; "": on one line
 	atStart       listMessage             // the list of the run's start
 	nextCallAt    time.Time               // when the service has served the calls in its line
 	service       *listService            // where the list is kept if not here; nil: here
@@ -120,7 +120,7 @@
 	}
 }
 
-// markDeliveredTo is has for one node, whose configuration is locked.
+// markDeliveredTo is markDelivered for one node, whose configuration is locked.
 func (l *list) markDeliveredTo(n *edgeNode, m listMessage) {
 	if at, ok := n.agent.deliveredAt(l.env.now(), n.movedAt); ok {
 		l.env.recordDeliveredAt(n.number, m, at)
--- a/internal/testbed/list_encoding.go
+++ b/internal/testbed/list_encoding.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// Ways in which changes may be worded.
+// Ways in which changes may be encoded.
 var listEncodings = []string{"indent", "trickle", "half", "noise", "entry"}
 
-// setEncoding sets how changes are worded.
+// setEncoding sets how changes are encoded.
 func (l *list) setEncoding(how string) {
 	l.mu.Lock()
 	l.encoding = how
--- a/internal/testbed/load_generator.go
+++ b/internal/testbed/load_generator.go
@@ -250,7 +250,7 @@
 	}
 }
 
-// encodeRequest words a request whose client waits for so long.
+// encodeRequest encodes a request whose client waits for so long.
 func (g *loadGenerator) encodeRequest(t *clientAttempt, a *Arrival, c *Tenant, wait time.Duration) string {
 	class := g.env.scenario.Classes[a.Class]
 	text := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Contract: %s\r\nX-Expires-In: %.3f\r\n"+
--- a/internal/testbed/model.go
+++ b/internal/testbed/model.go
@@ -24,7 +24,7 @@
 	queue         []*job
 	handshakeDebt float64 // core seconds owed to handshakes: they come before all else
 	failed        bool
-	recent        []recentArrival // work that has come within the window of the fall-over rule
+	recent        []recentArrival // work that has come within the window of the overload rule
 	recentWork    float64         // of it
 }
 
--- a/internal/testbed/record.go
+++ b/internal/testbed/record.go
@@ -15,11 +15,11 @@
 	Attempts        int
 	Rejected        int
 	Failed          int
-	RejectedInQuota int // of the refused ones, with half of the quota unused
+	RejectedInQuota int // of the rejected ones, with half of the quota unused
 	Served          bool
 	InQuota         bool          // the attempt that was served was inside the quota
 	Value           float64       // inside the quota
-	OfferedValue    float64       // what one gateway that saw all would let in
+	OfferedValue    float64       // what one node that saw all would let in
 	Unreached       int           // attempts that reached no node
 	Lateness        time.Duration // of the generator: from when it was due to when its client set about it
 }
