--- a/internal/scale/list.go
+++ b/internal/scale/list.go
@@ -90,52 +90,79 @@
 }
 
 func measureState(at *listSteps, rows *rowsOf) (err error) {
-	if err := at.next("filling the list"); err != nil {
+	image, err := measureEncoding(at, rows)
+	if err != nil {
+		return err
+	}
+	service, err := measureRestore(at, rows, image)
+	if err != nil {
+		return err
+	}
+	defer func() { err = errors.Join(err, service.close()) }()
+	if err := measureSnapshot(at, rows, service); err != nil {
 		return err
 	}
+	return measureRecovery(at, rows, service)
+}
+
+// measureEncoding fills a state, encodes it and decodes it again. It returns the encoded state.
+func measureEncoding(at *listSteps, rows *rowsOf) (image []byte, err error) {
+	if err := at.next("filling the list"); err != nil {
+		return nil, err
+	}
 	before := heapInUse()
 	state, err := listState(rows.size, listLease)
 	if err != nil {
-		return err
+		return nil, err
 	}
 	rows.bytes("heap of the state", heapGrowth(before))
 	began := time.Now()
-	image, err := json.Marshal(state)
-	if err != nil {
-		return err
+	if image, err = json.Marshal(state); err != nil {
+		return nil, err
 	}
 	rows.time("snapshot, to encode", time.Since(began))
 	rows.bytes("snapshot", uint64(len(image)))
 	began = time.Now()
 	if err := json.Unmarshal(image, new(registry.State)); err != nil {
-		return err
+		return nil, err
 	}
 	rows.time("snapshot, to decode", time.Since(began))
 	runtime.KeepAlive(state)
+	return image, nil
+}
 
+// measureRestore starts a replica from a backup.
+func measureRestore(at *listSteps, rows *rowsOf, image []byte) (*listReplica, error) {
 	if err := at.next("restoring a backup"); err != nil {
-		return err
+		return nil, err
 	}
-	before = heapInUse()
-	began = time.Now()
+	before := heapInUse()
+	began := time.Now()
 	service, err := startReplica(at.ctx, image)
 	if err != nil {
-		return err
+		return nil, err
 	}
-	defer func() { err = errors.Join(err, service.close()) }()
 	rows.time("restore of a backup, until the replica leads", time.Since(began))
 	rows.bytes("heap of a replica", heapGrowth(before))
 	runtime.KeepAlive(image)
+	return service, nil
+}
 
+// measureSnapshot has a replica write its snapshot.
+func measureSnapshot(at *listSteps, rows *rowsOf, service *listReplica) error {
 	if err := at.next("writing a snapshot"); err != nil {
 		return err
 	}
-	began = time.Now()
+	began := time.Now()
 	if err := service.Snapshot(); err != nil {
 		return err
 	}
 	rows.time("snapshot, to its file", time.Since(began))
+	return nil
+}
 
+// measureRecovery ends a replica and starts it from its snapshot.
+func measureRecovery(at *listSteps, rows *rowsOf, service *listReplica) error {
 	if err := at.next("recovering"); err != nil {
 		return err
 	}
@@ -143,7 +170,7 @@
 	if err := service.stop(); err != nil {
 		return err
 	}
-	began = time.Now()
+	began := time.Now()
 	if err := service.start(at.ctx, ""); err != nil {
 		return err
 	}
@@ -151,7 +178,7 @@
 	if got := service.Generation(); got != generation {
 		return fmt.Errorf("recovered generation %d, not %d", got, generation)
 	}
-	return err
+	return nil
 }
 
 // heapGrowth is what the live heap is larger than before.
--- a/internal/testbed/app_server.go
+++ b/internal/testbed/app_server.go
@@ -150,13 +150,12 @@
 	if !ok {
 		return s.respond(c, "400 Bad Request", "", "no client sent this")
 	}
-	arrival := &s.env.schedule.Arrivals[t.arrival]
 	s.mu.Lock()
 	hangs, drawn := s.faults.hang, s.drawChances()
 	var ran <-chan struct{}
 	failed := false
 	if !hangs && !drawn.fails && s.state == "up" && !crowded {
-		ran, failed = s.accept(arrival.Work, now)
+		ran, failed = s.accept(s.env.schedule.Arrivals[t.arrival].Work, now)
 	}
 	s.mu.Unlock()
 	if failed {
@@ -177,10 +176,15 @@
 	}
 	select {
 	case <-ran:
+		return s.answerRun(c, t, attempt, drawn)
 	case <-s.env.over:
 		return false
 	}
-	text := fmt.Sprintf("quote %s %s %d\n", id, s.name(), attempt)
+}
+
+// answerRun answers an attempt that has run; it is false where the connection ends.
+func (s *appServer) answerRun(c net.Conn, t *clientAttempt, attempt int, drawn chances) bool {
+	text := fmt.Sprintf("quote %s %s %d\n", t.id, s.name(), attempt)
 	switch {
 	case drawn.resets:
 		reset(c)
@@ -190,7 +194,7 @@
 		return false
 	}
 	s.env.checker.responseMade(t, attempt, text, s.env.now())
-	return s.respond(c, "200 OK", fmt.Sprintf("X-Settled: %.0f\r\n", arrival.Units), text)
+	return s.respond(c, "200 OK", fmt.Sprintf("X-Settled: %.0f\r\n", s.env.schedule.Arrivals[t.arrival].Units), text)
 }
 
 // accept hands work to the model. ran is closed when it has run, and nil where it was rejected unseen; failed tells
