--- a/cmd/opalhook/main.go
+++ b/cmd/opalhook/main.go
@@ -1,4 +1,4 @@
-// Command opalhook is the operators' command: it runs the lab and the fleet's own processes.
+// Command opalhook is the operators' command: it runs the testbed and the fleet's own processes.
 package main
 
 import (
--- a/cmd/opalhook/registry.go
+++ b/cmd/opalhook/registry.go
@@ -20,28 +20,38 @@
 	defaultRaft     = "127.0.0.1:8501"
 )
 
+// registryFlags are the flags that the subcommands of `registry` share.
+type registryFlags struct {
+	*settings
+	at     []string // HTTP addresses of replicas
+	within time.Duration
+}
+
+// client is a client of the replicas.
+func (f *registryFlags) client() *registry.Client { return &registry.Client{Replicas: f.at} }
+
+// context bounds what a subcommand asks of the service.
+func (f *registryFlags) context(c *cobra.Command) (context.Context, context.CancelFunc) {
+	return context.WithTimeout(c.Context(), f.within)
+}
+
 // registryCommand is the group of the list service.
 func registryCommand(s *settings) *cobra.Command {
-	var at []string
-	var within time.Duration
+	f := registryFlags{settings: s}
 	c := &cobra.Command{
 		Use:     "registry",
-		Short:   "Run the list of app servers, read it and change it",
+		Short:   "Run the list service, read its list of app servers and change it",
 		Example: "  opalhook registry serve\n  opalhook registry register s-1 127.0.0.1:9001 --zone a\n  opalhook registry list",
 		Args:    cobra.NoArgs,
 		RunE:    func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
-	c.PersistentFlags().StringSliceVar(&at, "at", []string{defaultRegistry}, "HTTP addresses of replicas")
-	c.PersistentFlags().DurationVar(&within, "within", 15*time.Second, "how long to go on trying")
-	client := func() *registry.Client { return &registry.Client{Replicas: at} }
-	bound := func(c *cobra.Command) (context.Context, context.CancelFunc) {
-		return context.WithTimeout(c.Context(), within)
-	}
-	c.AddCommand(registryServe(s), registryList(s, client, bound), registryShow(s, client, bound), registryWatch(s, client), registryRegister(s, client, bound),
-		registryChange(s, client, bound, "drain", "Let an instance finish what it has", (*registry.Client).Drain),
-		registryChange(s, client, bound, "remove", "Take an instance out of the list", (*registry.Client).Remove),
-		registryChange(s, client, bound, "renew", "Extend an instance's lease by its term", (*registry.Client).Renew),
-		registryStatus(s, client, bound), registryBackup(client, bound), registryRestore(s), registryDismiss(s, client, bound))
+	c.PersistentFlags().StringSliceVar(&f.at, "at", []string{defaultRegistry}, "HTTP addresses of replicas")
+	c.PersistentFlags().DurationVar(&f.within, "within", 15*time.Second, "how long to go on trying")
+	c.AddCommand(registryServe(s), registryList(&f), registryShow(&f), registryWatch(&f), registryRegister(&f),
+		registryChange(&f, "drain", "Let an instance finish the requests it has", (*registry.Client).Drain),
+		registryChange(&f, "remove", "Take an instance out of the list", (*registry.Client).Remove),
+		registryChange(&f, "renew", "Extend an instance's lease by its term", (*registry.Client).Renew),
+		registryStatus(&f), registryBackup(&f), registryRestore(s), registryDismiss(&f))
 	return c
 }
 
@@ -75,20 +85,20 @@
 	return c
 }
 
-func registryList(s *settings, client func() *registry.Client, bound func(*cobra.Command) (context.Context, context.CancelFunc)) *cobra.Command {
+func registryList(f *registryFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:     "list",
 		Short:   "Show the list",
 		Example: "  opalhook registry list\n  opalhook registry list --at 127.0.0.1:8500,127.0.0.2:8500 -o json",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			ctx, cancel := bound(c)
+			ctx, cancel := f.context(c)
 			defer cancel()
-			generation, entries, err := client().List(ctx)
+			generation, entries, err := f.client().List(ctx)
 			if err != nil {
 				return err
 			}
-			if s.json() {
+			if f.json() {
 				return writeJSON(c.OutOrStdout(), map[string]any{"generation": generation, "instances": entries})
 			}
 			var table strings.Builder
@@ -102,20 +112,20 @@
 	}
 }
 
-func registryShow(s *settings, client func() *registry.Client, bound func(*cobra.Command) (context.Context, context.CancelFunc)) *cobra.Command {
+func registryShow(f *registryFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:     "show ID",
 		Short:   "Show one instance as all acknowledged writes have left it",
 		Example: "  opalhook registry show s-1 -o json",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			ctx, cancel := bound(c)
+			ctx, cancel := f.context(c)
 			defer cancel()
-			st, err := client().Show(ctx, args[0])
+			st, err := f.client().Show(ctx, args[0])
 			if err != nil {
 				return err
 			}
-			if s.json() {
+			if f.json() {
 				return writeJSON(c.OutOrStdout(), st)
 			}
 			lease := "none"
@@ -129,7 +139,7 @@
 	}
 }
 
-func registryWatch(s *settings, client func() *registry.Client) *cobra.Command {
+func registryWatch(f *registryFlags) *cobra.Command {
 	var from uint64
 	c := &cobra.Command{
 		Use:     "watch",
@@ -138,8 +148,8 @@
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			var werr error
-			err := client().Watch(c.Context(), from, func(generation uint64, reset bool, entries []registry.Entry) {
-				if s.json() {
+			err := f.client().Watch(c.Context(), from, func(generation uint64, reset bool, entries []registry.Entry) {
+				if f.json() {
 					werr = errors.Join(werr, writeJSON(c.OutOrStdout(), map[string]any{"generation": generation, "reset": reset, "instances": entries}))
 					return
 				}
@@ -165,8 +175,8 @@
 	return c
 }
 
-// done tells how a write came out.
-func done(s *settings, c *cobra.Command, o registry.Outcome) error {
+// writeOutcome tells how a write came out.
+func writeOutcome(s *settings, c *cobra.Command, o registry.Outcome) error {
 	if s.json() {
 		return writeJSON(c.OutOrStdout(), o)
 	}
@@ -178,7 +188,7 @@
 	return err
 }
 
-func registryRegister(s *settings, client func() *registry.Client, bound func(*cobra.Command) (context.Context, context.CancelFunc)) *cobra.Command {
+func registryRegister(f *registryFlags) *cobra.Command {
 	var r registry.Registration
 	var lease time.Duration
 	c := &cobra.Command{
@@ -187,17 +197,17 @@
 		Example: "  opalhook registry register s-1 127.0.0.1:9001 --zone a --kind std-4c --lease 10s",
 		Args:    cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
-			ctx, cancel := bound(c)
+			ctx, cancel := f.context(c)
 			defer cancel()
 			r.InstanceID, r.HostPort, r.Lifecycle, r.LeaseMs = args[0], args[1], registry.Up, lease.Milliseconds()
 			if r.Incarnation == 0 {
 				r.Incarnation = uint64(time.Now().UnixMicro())
 			}
-			o, err := client().Register(ctx, r)
+			o, err := f.client().Register(ctx, r)
 			if err != nil {
 				return err
 			}
-			return done(s, c, o)
+			return writeOutcome(f.settings, c, o)
 		},
 	}
 	c.Flags().StringVar(&r.Zone, "zone", "", "where it stands")
@@ -210,7 +220,7 @@
 	return c
 }
 
-func registryChange(s *settings, client func() *registry.Client, bound func(*cobra.Command) (context.Context, context.CancelFunc), verb, short string,
+func registryChange(f *registryFlags, verb, short string,
 	do func(*registry.Client, context.Context, registry.InstanceRef) (registry.Outcome, error),
 ) *cobra.Command {
 	var o registry.InstanceRef
@@ -220,32 +230,32 @@
 		Example: "  opalhook registry " + verb + " s-1 --incarnation 3",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			ctx, cancel := bound(c)
+			ctx, cancel := f.context(c)
 			defer cancel()
 			o.ID = args[0]
-			out, err := do(client(), ctx, o)
+			out, err := do(f.client(), ctx, o)
 			if err != nil {
 				return err
 			}
-			return done(s, c, out)
+			return writeOutcome(f.settings, c, out)
 		},
 	}
 	c.Flags().Uint64Var(&o.Incarnation, "incarnation", 0, "only this start of it; 0: whichever is there")
 	return c
 }
 
-func registryStatus(s *settings, client func() *registry.Client, bound func(*cobra.Command) (context.Context, context.CancelFunc)) *cobra.Command {
+func registryStatus(f *registryFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:     "status",
 		Short:   "Show each replica: who leads, versions, leases, watches",
 		Example: "  opalhook registry status --at 127.0.0.1:8500,127.0.0.2:8500",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			ctx, cancel := bound(c)
+			ctx, cancel := f.context(c)
 			defer cancel()
-			cl := client()
+			cl := f.client()
 			all, errs := cl.Status(ctx)
-			if s.json() {
+			if f.json() {
 				return errors.Join(append([]error{writeJSON(c.OutOrStdout(), all)}, errs...)...)
 			}
 			var table strings.Builder
@@ -266,20 +276,20 @@
 	}
 }
 
-func registryBackup(client func() *registry.Client, bound func(*cobra.Command) (context.Context, context.CancelFunc)) *cobra.Command {
+func registryBackup(f *registryFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:     "backup FILE",
 		Short:   "Write the list to a new file",
 		Example: "  opalhook registry backup list-monday.json",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			ctx, cancel := bound(c)
+			ctx, cancel := f.context(c)
 			defer cancel()
-			f, err := os.OpenFile(args[0], os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
+			file, err := os.OpenFile(args[0], os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 			if err != nil {
 				return fmt.Errorf("backup: %w", err)
 			}
-			if err := errors.Join(client().Backup(ctx, f), f.Sync(), f.Close()); err != nil {
+			if err := errors.Join(f.client().Backup(ctx, file), file.Sync(), file.Close()); err != nil {
 				return errors.Join(err, os.Remove(args[0]))
 			}
 			return nil
@@ -322,20 +332,20 @@
 	return c
 }
 
-func registryDismiss(s *settings, client func() *registry.Client, bound func(*cobra.Command) (context.Context, context.CancelFunc)) *cobra.Command {
+func registryDismiss(f *registryFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:     "dismiss REPLICA",
 		Short:   "Take a replica out of the service for good",
 		Example: "  opalhook registry status\n  opalhook registry dismiss r0123456789ab@127.0.0.2:8500",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			ctx, cancel := bound(c)
+			ctx, cancel := f.context(c)
 			defer cancel()
-			o, err := client().RemoveReplica(ctx, args[0])
+			o, err := f.client().RemoveReplica(ctx, args[0])
 			if err != nil {
 				return err
 			}
-			return done(s, c, o)
+			return writeOutcome(f.settings, c, o)
 		},
 	}
 }
