--- a/internal/testbed/control.go
+++ b/internal/testbed/control.go
@@ -113,7 +113,7 @@
 	mux.Handle("GET /metrics", promhttp.HandlerFor(reg, promhttp.HandlerOpts{}))
 	mux.HandleFunc("POST /fault", env.handleFault)
 	srv := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
-	env.log.Info("control", "metrics", "http://"+ln.Addr().String()+"/metrics")
+	env.log.Info("control address open", "metrics", "http://"+ln.Addr().String()+"/metrics")
 	env.work.Go(func() {
 		if err := srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
 			env.fail(fmt.Errorf("control: %w", err))
@@ -159,7 +159,7 @@
 		env.lagMu.Lock()
 		env.commandedFaults = append(env.commandedFaults, FaultMark{env.now().Seconds(), ft.describe(e)})
 		env.lagMu.Unlock()
-		env.log.Info("fault by command", "what", ft.describe(e))
+		env.log.Info("fault injected by command", "fault", ft.describe(e))
 		return env.applyFault(&ft, e)
 	}
 	if err := play(e); err != nil {
--- a/internal/testbed/edge_node.go
+++ b/internal/testbed/edge_node.go
@@ -203,7 +203,7 @@
 	case <-env.over:
 		return nil
 	case <-time.After(time.Duration(env.scenario.Load.Deadline) + stopWithin):
-		env.log.Warn("a node ignores SIGTERM and is killed", "node", n.name)
+		env.log.Warn("node ignores SIGTERM, killing it", "node", n.name)
 		if err := env.kill(n); err != nil {
 			return err
 		}
--- a/internal/testbed/fault.go
+++ b/internal/testbed/fault.go
@@ -13,7 +13,7 @@
 			return
 		}
 		ft := &env.scenario.Faults[e.Fault]
-		env.log.Info("fault", "at", e.At.Seconds(), "what", ft.describe(e))
+		env.log.Info("fault injected", "at", e.At.Seconds(), "fault", ft.describe(e))
 		// A restart waits for a process to end: the time line goes on.
 		env.work.Go(func() {
 			if err := env.applyFault(ft, e); err != nil {
