--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -19,7 +19,6 @@
 import (
 	"fmt"
 	"log/slog"
-	"math"
 	"math/rand/v2"
 	"time"
 )
@@ -65,8 +64,10 @@
 		planIndex: map[string]int{},
 		requests:  newRequestTable(),
 		overload:  newOverloadController(),
-		latency:   newLatencyTracker(len(s.Classes)),
-		endpoints: newEndpointSet(),
+		latency:   newLatencyTracker(s.Classes),
+		endpoints: newEndpointSet(&s),
+		slowStart: newSlowStart(&s),
+		health:    newHealthChecker(&s),
 		quotas:    newQuotaTable(),
 		gossip:    gossipState{peers: make([]peerState, s.NodeCount)},
 	}
@@ -93,6 +94,9 @@
 			float64(b.settings.NodeCount-1) / in * float64(time.Second))
 		b.gossip.interval = max(gap, b.settings.Tick, minGossipInterval)
 	}
+	if b.ownsQuotas() {
+		b.endpoints.sizing.enable()
+	}
 	// Nodes that are started together must not act in step.
 	b.actions.SetTimer(timerControlInterval, time.Duration(b.rng.Int64N(int64(controlInterval))))
 	if b.settings.Gossip && b.settings.NodeCount > 1 {
@@ -149,9 +153,9 @@
 	b.controlOverload()
 	b.dropIdleQuotas()
 	if b.ownsQuotas() {
-		b.dropUnused()
+		b.endpoints.dropUnused(b.now)
 	}
-	b.updateEndpoints()
+	b.closeEndpointInterval()
 	b.concurrency.closeInterval(b.now - b.started)
 	b.gossip.closeInterval()
 	b.sendHealthCheck()
@@ -168,30 +172,6 @@
 	}
 }
 
-// updateEndpoints ages what was learned of endpoints without attempts in flight, and takes the means over
-// endpoints.
-func (b *Balancer) updateEndpoints() {
-	var warmWeight, load, reported float64
-	retained := math.Exp(-controlInterval.Seconds() / observationDecay.Seconds())
-	for _, endpoint := range b.endpoints.tracked {
-		b.accrueSlowStartTokens(endpoint) // also before the endpoint is first considered for a request
-		warm := endpoint.slowStartTokens < 0
-		if warm && endpoint.acceptsRequests() && endpoint.inSubset {
-			warmWeight += b.weight(endpoint)
-		}
-		if endpoint.acceptsRequests() && endpoint.reportedLoad >= 0 && !endpoint.refusesConnections {
-			load += endpoint.otherNodesLoad
-			reported++
-		}
-		if endpoint.inFlight == 0 {
-			endpoint.latencyRatio = 1 + (endpoint.latencyRatio-1)*retained
-			endpoint.errorRate *= retained
-		}
-	}
-	b.endpoints.meanLoad = load / math.Max(reported, 1)
-	b.slowStart.closeInterval(warmWeight)
-}
-
 // log passes a line on unless another was logged less than logInterval ago.
 func (b *Balancer) log(level slog.Level, message string, attributes ...slog.Attr) {
 	if b.now-b.lastLogged < logInterval {
@@ -219,12 +199,7 @@
 
 // Stats returns how much the balancer holds now.
 func (b *Balancer) Stats() Stats {
-	stats := Stats{ListedEndpoints: len(b.endpoints.list.slotByID), TrackedEndpoints: len(b.endpoints.tracked)}
-	for _, endpoint := range b.endpoints.tracked {
-		if endpoint.inSubset && endpoint.listed {
-			stats.SubsetEndpoints++
-			stats.HashCollisions += int(oneIf(b.endpoints.subsetByHash[endpoint.shortHash] == nil))
-		}
-	}
+	var stats Stats
+	b.endpoints.addStats(&stats)
 	return stats
 }
--- a/balancer/cold_fleet_test.go
+++ b/balancer/cold_fleet_test.go
@@ -66,8 +66,10 @@
 }
 
 func newColdFleet(t *testing.T, gates, servers int, seed uint64) *coldFleet {
-	f := &coldFleet{now: t0, rng: rand.New(rand.NewPCG(seed, 2)), servers: map[string]*coldServer{}, attempts: map[string]int{},
-		inboxes: make([][]time.Duration, gates)}
+	f := &coldFleet{
+		now: t0, rng: rand.New(rand.NewPCG(seed, 2)), servers: map[string]*coldServer{}, attempts: map[string]int{},
+		inboxes: make([][]time.Duration, gates),
+	}
 	f.set = testSettings()
 	f.set.NodeCount, f.set.PeerMessagesPerSecond, f.set.LoadReports = gates, 40, LoadReportsInResponses
 	f.set.SlowStartInitialFraction, f.set.SlowStartDuration, f.set.OverloadWindow = 0.16, 16*time.Second, 1500*ms
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -76,12 +76,12 @@
 func (b *Balancer) allowedDelay(class int) float64 {
 	mostValuable := 0.0
 	for i := range b.settings.Classes {
-		mostValuable = math.Max(mostValuable, b.settings.Classes[i].PriorityWeight/b.workOf(i))
+		mostValuable = math.Max(mostValuable, b.settings.Classes[i].PriorityWeight/b.latency.work(i))
 	}
 	c := &b.settings.Classes[class]
 	rank := 1.0
 	if mostValuable > 0 {
-		rank = (1 + c.PriorityWeight/b.workOf(class)/mostValuable) / 2
+		rank = (1 + c.PriorityWeight/b.latency.work(class)/mostValuable) / 2
 	}
 	return maxQueueingFraction * rank * c.LatencyObjective.Seconds()
 }
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -5,85 +5,132 @@
 	"time"
 )
 
-// maxSuspectedRestarts is the most failed connections that are remembered of a server.
-const maxSuspectedRestarts = 8
-
-// endpoint is what is known of one server.
+// endpoint is what a node knows of an endpoint that it tracks: its entry in the endpoint list, and what its
+// attempts and the other nodes' reports have shown.
 type endpoint struct {
 	Endpoint
-	// What each request looks at stands first.
-	inFlight              int           // attempts out
-	ejectedUntil          time.Duration // ejected until then
-	suspectedRestart      time.Duration // last connection that did not come up, and may tell of a restart
-	inSubset              bool          // of this gateway's subset
-	listed                bool
-	unreachable           bool          // silent to all that was sent of late: out until it is heard
-	ejectedAsUnresponsive bool          // an attempt came to nothing, and nothing was heard of it since
-	refusesConnections    bool          // the latest news is that it takes no connection
-	lastResponseFailed    bool          // or that its last answer was an error
-	lastProgress          time.Duration // last answer or first attempt out
-	loadReportedAt        time.Duration // when its load was told
-	errorRate             float64       // share of failures, averaged
-	latencyRatio          float64       // latency as a multiple of its class's mean, averaged
-	// requests that it holds, as reported to this or another gateway; below 0: not told
-	reportedLoad          float64
-	otherNodesLoad        float64 // of them, those that are not this gateway's
-	reportedQueue         float64 // reported queue
-	slowStartTokens       float64 // requests that may be sent while cold; below 0: not begun
-	slowStartAccruedAt    time.Duration
-	countedWeight         float64 // weight with which it is counted in [Gateway.members]; 0: it is not
-	consecutiveEjections  int     // ejections in a row
-	rendezvousKey         uint64  // from which its order of the gateways comes
-	shortHash             uint16  // its name in news
-	subsetsWithIt         int     // gateways whose subsets hold it, when last counted
-	lastSubsetRank        uint64  // of the last of these in its order
-	utilizationReportedAt time.Duration
-	// all connections that did not come up and may tell of a restart, oldest first
-	suspectedRestarts []time.Duration
-	lastResponse      time.Duration // last sign of life: an answer of any kind
-	// a connection failed then, and a probe was sent at once to see why; 0: none is out
-	confirmingSince time.Duration
-	lastHealthCheck time.Duration // last probe
+	inFlight     int           // this node's attempts in flight
+	listed       bool          // in the endpoint list
+	inSubset     bool          // in this node's subset
+	lastProgress time.Duration // last response, or the attempt that ended a time without any in flight
+	latencyRatio float64       // latency as a multiple of its class's mean, averaged
+
+	health    endpointHealth
+	load      endpointLoad
+	slowStart slowStartBudget
+	restarts  restartEvidence
+
+	rendezvousKey uint64  // from which its order of the nodes follows
+	shortHash     uint16  // its name in load gossip
+	sharers       sharers // the nodes whose subsets hold it
+	countedWeight float64 // weight with which [endpointSet.subsetWeights] counts it; 0: it doesn't
 }
 
-// recordLoad takes in how many requests the server holds.
-func (s *endpoint) recordLoad(n float64, at time.Duration) {
-	s.reportedLoad, s.otherNodesLoad, s.loadReportedAt, s.refusesConnections, s.lastResponseFailed = n,
-		math.Max(n-float64(s.inFlight), 0), at, false, false
-	if s.ejectedAsUnresponsive {
-		s.ejectedAsUnresponsive, s.ejectedUntil = false, 0
+// newEndpoint returns an endpoint of which nothing is known but its entry in the list.
+func newEndpoint(entry Endpoint) *endpoint {
+	return &endpoint{
+		Endpoint:      entry,
+		listed:        true,
+		latencyRatio:  1,
+		load:          endpointLoad{queued: unreported, requests: unreported},
+		slowStart:     slowStartBudget{tokens: warmedUp},
+		rendezvousKey: endpointKey(entry.ID),
+		shortHash:     shortEndpointHash(entry.ID),
 	}
 }
 
-// suspectRestart takes in a connection that did not come up: the process may have restarted.
-func (s *endpoint) suspectRestart(now time.Duration) {
-	if len(s.suspectedRestarts) == maxSuspectedRestarts {
-		s.suspectedRestarts = s.suspectedRestarts[:maxSuspectedRestarts-1]
+// acceptsRequests reports whether the endpoint is listed and not draining.
+func (e *endpoint) acceptsRequests() bool { return e.listed && e.State == Up }
+
+// weight returns the listed weight, 1 where the list gives none.
+func (e *endpoint) weight() float64 { return weightOr1(e.Weight) }
+
+// lastStart returns when the endpoint's process last started, as far as the list or a failed connection
+// shows; 0 is long ago.
+func (e *endpoint) lastStart() time.Duration { return max(e.StartedAt, e.restarts.latest) }
+
+// update takes over a new entry of the list.
+func (e *endpoint) update(entry Endpoint) {
+	if e.StartedAt != entry.StartedAt {
+		e.forgetProcess()
 	}
-	s.suspectedRestarts = append(s.suspectedRestarts, now)
-	s.suspectedRestart = now
+	e.Endpoint, e.listed = entry, entry.State != Removed
 }
 
-// confirmUpSince takes in that the process has been up since a time: connections that failed from then on
-// were no
-// sign of a restart.
-func (s *endpoint) confirmUpSince(at time.Duration) {
-	n := len(s.suspectedRestarts)
-	for n > 0 && s.suspectedRestarts[n-1] >= at {
-		n--
-	}
-	if n == len(s.suspectedRestarts) {
-		return
-	}
-	s.suspectedRestarts = s.suspectedRestarts[:n]
-	if s.suspectedRestart = 0; n > 0 {
-		s.suspectedRestart = s.suspectedRestarts[n-1]
+// forgetProcess forgets what was learned of a process that another has replaced.
+func (e *endpoint) forgetProcess() {
+	e.latencyRatio = 1
+	e.health.reset()
+	e.load.reset()
+	e.slowStart.reset()
+}
+
+// recordLoad records how many requests the endpoint held at a time. That it reported them shows that it
+// responds.
+func (e *endpoint) recordLoad(requests float64, at time.Duration) {
+	e.load.record(requests, float64(e.inFlight), at)
+	e.health.endUnresponsiveEjection()
+}
+
+// recordGossipedLoad records the load that another node has seen at a time, and whether its last response
+// was an error.
+func (e *endpoint) recordGossipedLoad(requests float64, lastResponseFailed bool, at time.Duration) {
+	e.recordLoad(requests, at)
+	e.load.lastResponseFailed = lastResponseFailed
+	e.health.recordError(oneIf(lastResponseFailed))
+}
+
+// recordGossipedRefusal records a connection that another node was refused at a time, which ejects the
+// endpoint.
+func (e *endpoint) recordGossipedRefusal(now, at time.Duration) {
+	e.load.recordRefusal(at)
+	if !e.health.ejected(now) {
+		e.health.eject(now)
 	}
 }
 
-// acceptsRequests tells whether the server is in the list and not draining.
-func (s *endpoint) acceptsRequests() bool { return s.listed && s.State == Up }
+// recordLatencyRatio adds a latency, as a multiple of its class's mean, to the average.
+func (e *endpoint) recordLatencyRatio(ratio float64) {
+	e.latencyRatio += latencySmoothing * (ratio - e.latencyRatio)
+}
+
+// decay moves what was learned toward what is usual; keep is the fraction that remains of the difference.
+func (e *endpoint) decay(keep float64) {
+	e.latencyRatio = 1 + (e.latencyRatio-1)*keep
+	e.health.errorRate *= keep
+}
+
+// unreported stands for a figure of the load that no report has given.
+const unreported = -1
+
+// endpointLoad is the load of an endpoint as reported to this node or, by load gossip, to another.
+type endpointLoad struct {
+	requests              float64       // requests that it held; below 0: unreported
+	otherNodes            float64       // of these, the ones that were not this node's
+	queued                float64       // requests that waited; below 0: unreported
+	reportedAt            time.Duration // when the requests were reported, or an error or refusal met
+	refusesConnections    bool          // the latest news is that it refuses connections
+	lastResponseFailed    bool          // or that its last response was an error
+	utilizationReportedAt time.Duration // 0: never
+}
+
+// record takes a report of the requests held at a time, of which some are this node's.
+func (l *endpointLoad) record(requests, ownInFlight float64, at time.Duration) {
+	l.requests, l.otherNodes, l.reportedAt = requests, math.Max(requests-ownInFlight, 0), at
+	l.refusesConnections, l.lastResponseFailed = false, false
+}
+
+// recordError records that a response was an error.
+func (l *endpointLoad) recordError(at time.Duration) { l.lastResponseFailed, l.reportedAt = true, at }
+
+// recordRefusal records that a connection was refused.
+func (l *endpointLoad) recordRefusal(at time.Duration) { l.refusesConnections, l.reportedAt = true, at }
+
+// known reports whether the load was reported and nothing since has shown the endpoint down.
+func (l *endpointLoad) known() bool { return l.requests >= 0 && !l.refusesConnections }
 
-func (b *Balancer) weight(s *endpoint) float64 {
-	return weightOr1(s.Weight)
+// reset forgets the load of a process that is gone.
+func (l *endpointLoad) reset() {
+	l.queued, l.requests, l.reportedAt = unreported, unreported, 0
+	l.refusesConnections, l.lastResponseFailed = false, false
 }
--- a/balancer/endpoint_list.go
+++ b/balancer/endpoint_list.go
@@ -5,41 +5,37 @@
 	"time"
 )
 
-// slotIndex is the number of a listed server. One that is removed leaves its slot to the next that comes.
+// slotIndex is the index of a listed endpoint. One that is removed leaves its slot to the next that is added.
 type slotIndex int32
 
-// listedEndpoint is an entry of the list. Weight, zone, cell and kind are numbers in the list's tables.
+// listedEndpoint is an entry of the list. Weight, zone, cell and machine type are indices in the list's
+// tables.
 type listedEndpoint struct {
 	id            string
 	startedAt     time.Duration
-	entersAt      float64 // see [Gateway.entersAt]
+	entersAt      float64 // see [subsetSizing.entersAt]
 	weight        int32
 	zone          int32
 	cell          int32
 	machineType   int32
-	poolPositions [poolsPerEndpoint]int32 // in each of its pools
+	poolPositions [poolsPerEndpoint]int32 // in each of its pools of the reserve
 	state         listedState
 	inReserve     bool
-	snapshotMark  bool // that of the list when it was last told
-	tracked       bool // more is kept of it, in [Gateway.byID]
+	snapshotMark  bool // that of the list when it last named the endpoint
+	tracked       bool // [endpointSet.trackedByID] has it
 }
 
-// listedState is a [ServerState] in a byte.
+// listedState is an [EndpointState] in a byte. A free slot is [Removed].
 type listedState int8
 
-// pool is a set of slots from which one can be drawn. Order has no meaning.
-type pool []slotIndex
-
-// poolsPerEndpoint is the number of pools that a server is in: of all, of its zone and of its cell.
-const poolsPerEndpoint = 3
-
-// valueTable numbers values that many servers share.
+// valueTable numbers values that many endpoints share.
 type valueTable[T comparable] struct {
 	values  []T
 	numbers map[T]int32
 }
 
-// number returns the number of a value; the number that a server had before is a guess that saves a look-up.
+// number returns the number of a value, a new one for a new value. The number that an endpoint had before
+// is a guess that saves a look-up.
 func (t *valueTable[T]) number(value T, guess int32) int32 {
 	if int(guess) < len(t.values) && t.values[guess] == value {
 		return guess
@@ -56,31 +52,38 @@
 	return number
 }
 
-// endpointList is the list as it was last told, with the reserve: pools of the servers that may be sent to
-// although nothing is known of them but what the list says.
+// endpointList is the endpoint list as last received, held compactly: most of its endpoints are never sent
+// to by this node.
 type endpointList struct {
 	entries       []listedEndpoint
 	free          []slotIndex
 	slotByID      map[string]slotIndex
-	expectedSlot  slotIndex    // that of the entry behind the one found last
-	activeWeights weightCounts // of the servers that take work
+	expectedSlot  slotIndex    // the slot behind the one found last
+	activeWeights weightCounts // of the endpoints that accept requests
 	weights       valueTable[float64]
 	zones         valueTable[string]
 	cells         valueTable[int]
 	machineTypes  valueTable[string]
-	reserve       pool
-	reserveByZone []pool // by the zone's number
-	reserveByCell []pool // by the cell's
-	warmUps       warmUpQueue
-	// of the servers that can enter this gateway's subset; may hold free slots, or one twice
+	reserve       reserve
+
+	// subsetCandidates are the slots of endpoints that can enter this node's subset. Some may be free or
+	// twice in it, up to maxSubsetCandidates in all.
 	subsetCandidates    []slotIndex
-	maxSubsetCandidates int  // slots in near from which on these are dropped
-	snapshotMark        bool // changes with each whole list
-	namedInSnapshot     int  // listed servers that the last whole list and changes since have named
-	entryReads          int  // entries read out one by one
-	lookups             int  // entries that were looked up by their id
+	maxSubsetCandidates int
+
+	snapshotMark    bool // changes with each snapshot
+	namedInSnapshot int  // listed endpoints that the last snapshot and the changes since have named
+	entryReads      int  // entries read out one by one
+	lookups         int  // entries that were looked up by their id
 }
 
+const (
+	// staleSlack is the number of values or slots left behind by endpoints long gone that any list may hold.
+	staleSlack = 1024
+	// minSubsetCandidates is half the number of candidates that are kept before free slots are looked for.
+	minSubsetCandidates = 64
+)
+
 func newEndpointList(size int) *endpointList {
 	return &endpointList{
 		entries:  make([]listedEndpoint, 0, size),
@@ -88,195 +91,180 @@
 	}
 }
 
-// find returns the slot of a server. Lists come in one order as a rule: the next entry is looked at first.
-func (l *endpointList) find(id string) (at slotIndex, listed bool) {
-	at = l.expectedSlot
-	if int(at) >= len(l.entries) || l.isFree(at) || l.entries[at].id != id {
+// length returns the number of listed endpoints.
+func (l *endpointList) length() int { return len(l.slotByID) }
+
+// find returns the slot of an endpoint. Lists mostly come in the same order: the next slot is tried first.
+func (l *endpointList) find(id string) (slot slotIndex, listed bool) {
+	slot = l.expectedSlot
+	if int(slot) >= len(l.entries) || l.isFree(slot) || l.entries[slot].id != id {
 		l.lookups++
-		if at, listed = l.slotByID[id]; !listed {
+		if slot, listed = l.slotByID[id]; !listed {
 			return 0, false
 		}
 	}
-	l.expectedSlot = at + 1
-	return at, true
+	l.expectedSlot = slot + 1
+	return slot, true
 }
 
-// add enters a server of which nothing is told yet.
-func (l *endpointList) add(id string) (at slotIndex) {
-	at = l.newSlot()
-	l.slotByID[id] = at
-	l.entries[at].id, l.entries[at].state, l.entries[at].snapshotMark = id, listedState(Removed),
-		!l.snapshotMark
-	return at
+// add lists an endpoint, as yet without an entry: [endpointList.update] follows.
+func (l *endpointList) add(id string) slotIndex {
+	slot := l.newSlot()
+	l.slotByID[id] = slot
+	entry := &l.entries[slot]
+	entry.id, entry.state, entry.snapshotMark = id, listedState(Removed), !l.snapshotMark
+	return slot
 }
 
-// update changes what is told of a server, and takes it out of the reserve.
-func (l *endpointList) update(at slotIndex, e Endpoint) {
-	l.removeFromReserve(at)
-	l.countActive(at, -1)
-	s := &l.entries[at]
-	s.startedAt, s.state = e.StartedAt, listedState(e.State)
-	l.markNamedInSnapshot(at)
-	s.weight = l.weights.number(weightOr1(e.Weight), s.weight)
-	s.zone = l.zones.number(e.Zone, s.zone)
-	s.cell = l.cells.number(e.Cell, s.cell)
-	s.machineType = l.machineTypes.number(e.MachineType, s.machineType)
-	l.reserveByZone = grown(l.reserveByZone, len(l.zones.values))
-	l.reserveByCell = grown(l.reserveByCell, len(l.cells.values))
-	l.countActive(at, 1)
+// update changes the entry of an endpoint, which leaves the reserve.
+func (l *endpointList) update(slot slotIndex, e Endpoint) {
+	l.removeFromReserve(slot)
+	l.countActive(slot, -1)
+	entry := &l.entries[slot]
+	entry.startedAt, entry.state = e.StartedAt, listedState(e.State)
+	l.markNamedInSnapshot(slot)
+	entry.weight = l.weights.number(weightOr1(e.Weight), entry.weight)
+	entry.zone = l.zones.number(e.Zone, entry.zone)
+	entry.cell = l.cells.number(e.Cell, entry.cell)
+	entry.machineType = l.machineTypes.number(e.MachineType, entry.machineType)
+	l.reserve.grow(len(l.zones.values), len(l.cells.values))
+	l.countActive(slot, 1)
 }
 
-// confirm notes that a whole list names a server as it is listed already, and tells whether it does.
-func (l *endpointList) confirm(at slotIndex, e *Endpoint) bool {
-	if !l.hasSameEntry(at, e) {
+// confirm reports whether a snapshot's entry is the one that is listed, and notes that it was named.
+func (l *endpointList) confirm(slot slotIndex, e *Endpoint) bool {
+	if !l.hasSameEntry(slot, e) {
 		return false
 	}
-	l.markNamedInSnapshot(at)
+	l.markNamedInSnapshot(slot)
 	return true
 }
 
-// markNamedInSnapshot notes that a listed server is named by the list as it is told now.
-func (l *endpointList) markNamedInSnapshot(at slotIndex) {
-	if s := &l.entries[at]; s.snapshotMark != l.snapshotMark {
-		s.snapshotMark = l.snapshotMark
+// markNamedInSnapshot notes that the present snapshot names a listed endpoint.
+func (l *endpointList) markNamedInSnapshot(slot slotIndex) {
+	if entry := &l.entries[slot]; entry.snapshotMark != l.snapshotMark {
+		entry.snapshotMark = l.snapshotMark
 		l.namedInSnapshot++
 	}
 }
 
-// hasSameEntry tells whether a listed server's entry is the one given.
-func (l *endpointList) hasSameEntry(at slotIndex, e *Endpoint) bool {
-	s := &l.entries[at]
-	return s.startedAt == e.StartedAt && s.state == listedState(e.State) &&
-		l.machineTypes.values[s.machineType] == e.MachineType &&
-		l.zones.values[s.zone] == e.Zone && l.cells.values[s.cell] == e.Cell &&
-		l.weight(at) == weightOr1(e.Weight)
-}
-
-// grown returns a slice of at least a length.
-func grown[T any](s []T, length int) []T {
-	for len(s) < length {
-		var none T
-		s = append(s, none)
-	}
-	return s
+// hasSameEntry reports whether the entry is the one that is listed.
+func (l *endpointList) hasSameEntry(slot slotIndex, e *Endpoint) bool {
+	entry := &l.entries[slot]
+	return entry.startedAt == e.StartedAt && entry.state == listedState(e.State) &&
+		l.machineTypes.values[entry.machineType] == e.MachineType &&
+		l.zones.values[entry.zone] == e.Zone && l.cells.values[entry.cell] == e.Cell &&
+		l.weight(slot) == weightOr1(e.Weight)
 }
 
-// setEntersAt sets the number of subsets for each server from which on one is in this gateway's, see
-// [Gateway.entersAt].
-func (l *endpointList) setEntersAt(at slotIndex, subsets float64) {
-	l.entries[at].entersAt = subsets
+// setEntersAt sets the number of subsets for each endpoint from which on this one is in this node's subset,
+// see [subsetSizing.entersAt].
+func (l *endpointList) setEntersAt(slot slotIndex, subsets float64) {
+	l.entries[slot].entersAt = subsets
 	if subsets == never {
 		return
 	}
 	if len(l.subsetCandidates) >= l.maxSubsetCandidates {
 		l.compactSubsetCandidates()
 	}
-	l.subsetCandidates = append(l.subsetCandidates, at)
+	l.subsetCandidates = append(l.subsetCandidates, slot)
 }
 
-// resetEntersAt sets that number anew for all servers.
+// resetEntersAt sets that number anew for all endpoints.
 func (l *endpointList) resetEntersAt(subsets func(id string) float64) {
 	l.subsetCandidates = l.subsetCandidates[:0]
-	for at := range l.entries {
-		if !l.isFree(slotIndex(at)) {
-			l.setEntersAt(slotIndex(at), subsets(l.entries[at].id))
+	for i := range l.entries {
+		if slot := slotIndex(i); !l.isFree(slot) {
+			l.setEntersAt(slot, subsets(l.entries[slot].id))
 		}
 	}
 }
 
-// compactSubsetCandidates drops from near what is gone or stands there twice, and lets as many slots come
-// again before the
-// next time.
+// compactSubsetCandidates drops the candidates that are gone or present twice. It lets as many again be added
+// before the next time, so that the cost of an addition stays constant on average.
 func (l *endpointList) compactSubsetCandidates() {
 	slices.Sort(l.subsetCandidates)
 	l.subsetCandidates = slices.Compact(l.subsetCandidates)
 	l.subsetCandidates = slices.DeleteFunc(l.subsetCandidates,
-		func(at slotIndex) bool { return l.entries[at].entersAt == never })
+		func(slot slotIndex) bool { return l.entries[slot].entersAt == never })
 	l.maxSubsetCandidates = 2 * max(len(l.subsetCandidates), minSubsetCandidates)
 }
 
-// minSubsetCandidates is half of the slots that near has room for, however few servers can enter the subset.
-const minSubsetCandidates = 64
-
 func (l *endpointList) newSlot() slotIndex {
 	if last := len(l.free) - 1; last >= 0 {
-		at := l.free[last]
+		slot := l.free[last]
 		l.free = l.free[:last]
-		return at
+		return slot
 	}
 	l.entries = append(l.entries, listedEndpoint{})
 	return slotIndex(len(l.entries) - 1)
 }
 
-// isFree tells whether no server is listed at a slot.
-func (l *endpointList) isFree(at slotIndex) bool {
-	return EndpointState(l.entries[at].state) == Removed
+// isFree reports whether no endpoint is listed at a slot.
+func (l *endpointList) isFree(slot slotIndex) bool {
+	return EndpointState(l.entries[slot].state) == Removed
 }
 
-// remove takes a server off the list.
-func (l *endpointList) remove(at slotIndex) {
-	l.removeFromReserve(at)
-	l.countActive(at, -1)
-	delete(l.slotByID, l.entries[at].id)
-	if l.entries[at].snapshotMark == l.snapshotMark {
+// remove takes an endpoint off the list.
+func (l *endpointList) remove(slot slotIndex) {
+	l.removeFromReserve(slot)
+	l.countActive(slot, -1)
+	delete(l.slotByID, l.entries[slot].id)
+	if l.entries[slot].snapshotMark == l.snapshotMark {
 		l.namedInSnapshot--
 	}
-	l.entries[at] = listedEndpoint{state: listedState(Removed), entersAt: never}
-	l.free = append(l.free, at)
+	l.entries[slot] = listedEndpoint{state: listedState(Removed), entersAt: never}
+	l.free = append(l.free, slot)
 }
 
-// beginSnapshot starts a whole list: what is not put until end is no longer listed.
+// beginSnapshot begins a snapshot: what it doesn't name until [endpointList.endSnapshot] is no longer listed.
 func (l *endpointList) beginSnapshot() {
 	l.snapshotMark, l.namedInSnapshot, l.expectedSlot = !l.snapshotMark, 0, 0
 }
 
-// endSnapshot removes what a whole list has not named. A list that names all servers as before leaves nothing
-// to look
-// for.
+// endSnapshot removes what the snapshot has not named. After one that named all endpoints, as most do,
+// there is nothing to look for.
 func (l *endpointList) endSnapshot() {
-	if l.namedInSnapshot == len(l.slotByID) {
+	if l.namedInSnapshot == l.length() {
 		return
 	}
-	for at := range l.entries {
-		if !l.isFree(slotIndex(at)) && l.entries[at].snapshotMark != l.snapshotMark {
-			l.remove(slotIndex(at))
+	for i := range l.entries {
+		slot := slotIndex(i)
+		if !l.isFree(slot) && l.entries[slot].snapshotMark != l.snapshotMark {
+			l.remove(slot)
 		}
 	}
 }
 
-// stale tells whether most of what the list holds room for is of servers long gone.
+// stale reports whether most of the list's slots or values are of endpoints long gone.
 func (l *endpointList) stale() bool {
 	values := len(l.weights.values) + len(l.zones.values) + len(l.cells.values) + len(l.machineTypes.values)
-	return max(values, len(l.entries)) > 4*(len(l.slotByID)+staleSlack)
+	return max(values, len(l.entries)) > 4*(l.length()+staleSlack)
 }
 
-// staleSlack is what a list may hold for servers long gone, however short it is.
-const staleSlack = 1024
-
-// countActive keeps the number and the weights of the servers that take work.
-func (l *endpointList) countActive(at slotIndex, by int) {
-	if EndpointState(l.entries[at].state) == Up {
-		l.activeWeights.add(l.weight(at), by)
+// countActive changes the count of the weight of an endpoint that accepts requests.
+func (l *endpointList) countActive(slot slotIndex, change int) {
+	if EndpointState(l.entries[slot].state) == Up {
+		l.activeWeights.add(l.weight(slot), change)
 	}
 }
 
-// endpointAt returns the entry in the form in which it was told.
-func (l *endpointList) endpointAt(at slotIndex) Endpoint {
+// endpointAt returns an entry in the form in which it was received.
+func (l *endpointList) endpointAt(slot slotIndex) Endpoint {
 	l.entryReads++
-	s := &l.entries[at]
-	return Endpoint{ID: s.id, State: EndpointState(s.state), Weight: l.weight(at),
-		MachineType: l.machineTypes.values[s.machineType],
-		Zone:        l.zones.values[s.zone], Cell: l.cells.values[s.cell], StartedAt: s.startedAt}
-}
-
-// weight returns a server's weight, 1 where none was told.
-func (l *endpointList) weight(at slotIndex) float64 {
-	return l.weights.values[l.entries[at].weight]
+	entry := &l.entries[slot]
+	return Endpoint{
+		ID:          entry.id,
+		State:       EndpointState(entry.state),
+		Weight:      l.weight(slot),
+		MachineType: l.machineTypes.values[entry.machineType],
+		Zone:        l.zones.values[entry.zone],
+		Cell:        l.cells.values[entry.cell],
+		StartedAt:   entry.startedAt,
+	}
 }
 
-func weightOr1(weight float64) float64 {
-	if weight > 0 {
-		return weight
-	}
-	return 1
+// weight returns an endpoint's weight, 1 where none is given.
+func (l *endpointList) weight(slot slotIndex) float64 {
+	return l.weights.values[l.entries[slot].weight]
 }
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -79,9 +79,9 @@
 		t.Errorf("%d of %d went to a server told to take no connection", to, all)
 	}
 	// What is told again is no news, and must not keep the server out for longer.
-	until := g.endpoints.trackedByID["s0"].ejectedUntil
+	until := g.endpoints.trackedByID["s0"].health.ejectedUntil
 	g.PeerMessage(until+10*ms, 10, whispers(teller, tr, until), r)
-	if g.endpoints.trackedByID["s0"].ejectedUntil != until {
+	if g.endpoints.trackedByID["s0"].health.ejectedUntil != until {
 		t.Error("old news counted twice")
 	}
 }
@@ -98,17 +98,17 @@
 	g.now = t0 + 2*time.Second
 	g.receiveLoadGossip(entry(s.shortHash, 50, byte(1500*ms/ageUnit)))
 	g.receiveLoadGossip(entry(s.shortHash^1, 50, 0))
-	if s.reportedLoad != 3 {
-		t.Errorf("load %v after old news", s.reportedLoad)
+	if s.load.requests != 3 {
+		t.Errorf("load %v after old news", s.load.requests)
 	}
 	g.receiveLoadGossip(entry(s.shortHash, 50, byte(500*ms/ageUnit)))
-	if s.reportedLoad != 50 {
-		t.Errorf("load %v after news", s.reportedLoad)
+	if s.load.requests != 50 {
+		t.Errorf("load %v after news", s.load.requests)
 	}
-	g.endpoints.subsetByHash[s.shortHash] = nil
+	g.endpoints.index.byHash[s.shortHash] = nil
 	g.receiveLoadGossip(entry(s.shortHash, 60, 0))
-	if s.reportedLoad != 50 {
-		t.Errorf("load %v after news that may be of another server", s.reportedLoad)
+	if s.load.requests != 50 {
+		t.Errorf("load %v after news that may be of another server", s.load.requests)
 	}
 }
 
@@ -219,7 +219,7 @@
 		for range times {
 			now += 100 * ms
 			learns(t, teller, tr, now, "s0", res, &LoadReport{InFlight: 0, Queued: -1, Utilization: -1})
-			teller.endpoints.trackedByID["s0"].ejectedUntil = 0 // the teller goes on trying
+			teller.endpoints.trackedByID["s0"].health.ejectedUntil = 0 // the teller goes on trying
 			g.PeerMessage(now+10*ms, 10, whispers(teller, tr, now+5*ms), r)
 		}
 	}
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -1,226 +1,169 @@
 package balancer
 
 import (
-	"log/slog"
 	"math"
 	"time"
 )
 
 const (
-	// share of a new outcome in a server's error average
-	errorSmoothing = 0.2
-	// error average that ejects: about three failures in a row
-	ejectionErrorRate = 0.35
-	baseEjection      = 500 * time.Millisecond // first ejection; doubles up to ejectMost
-	maxEjection       = 8 * time.Second
-	// time constant for forgetting what was learned of a server
-	observationDecay = 5 * time.Second
-	// mean latencies of silence after which a server counts as mute
+	errorSmoothing    = 0.2  // weight of a new outcome in an endpoint's error rate
+	ejectionErrorRate = 0.35 // error rate that ejects: about three failures in a row
+	timeoutError      = 0.5  // a timeout as a part of an error: the endpoint may be slow only
+
+	baseEjection         = 500 * time.Millisecond // the first ejection; each in a row lasts twice as long
+	maxEjection          = 8 * time.Second
+	maxEjectionDoublings = 10
+	unresponsiveEjection = 4 * time.Second // of an endpoint that let an attempt come to nothing
+
+	observationDecay = 5 * time.Second        // time constant for forgetting what was learned of an endpoint
+	slowConnect      = 100 * time.Millisecond // connections that fail sooner were refused: no silence
+	minTimeoutMean   = 1e-3                   // seconds; least mean latency that timeouts are held against
+
+	// unresponsiveAfterMeans is the silence of an endpoint with attempts in flight after which it counts as
+	// unresponsive, in mean latencies.
 	unresponsiveAfterMeans = 3.0
-	// for which one that let an attempt come to nothing is left
-	unresponsiveEjection = 4 * time.Second
-	slowConnect          = 100 * time.Millisecond // a connection refused at once is no silence
+	// minSilenceDivisor bounds that silence below: its most, divided by this.
+	minSilenceDivisor = 4
 )
 
-// healthChecker paces health checks.
-type healthChecker struct {
-	checkTokens float64 // health checks earned by attempts
+// endpointHealth is whether an endpoint responds, and how well. The zero value is a healthy endpoint.
+type endpointHealth struct {
+	errorRate            float64       // fraction of failed attempts, averaged
+	ejectedUntil         time.Duration // it gets requests before that only where no other endpoint is left
+	consecutiveEjections int
+	// ejectedAsUnresponsive says that an attempt came to nothing, and that nothing was heard of the
+	// endpoint since.
+	ejectedAsUnresponsive bool
+	// unreachable says that all that was sent lately came to nothing: no request until it responds.
+	unreachable  bool
+	lastResponse time.Duration // of any kind, to an attempt or a health check
+	lastCheck    time.Duration // when the last health check was sent
 }
 
-// recordOutcome keeps a server's health.
-func (b *Balancer) recordOutcome(r *request, s *endpoint, o Outcome) {
-	if b.settings.LoadReports == LoadReportsInResponses { // elsewhere an answer has none to give
-		b.recordLoadReport(s, o.LoadReport)
-	}
-	bad := 1.0
-	switch o.Result {
-	case OK, Overloaded, ErrorResponse:
-		b.recordResponse(s)
-		if o.ConnectedAt > 0 {
-			s.confirmUpSince(o.ConnectedAt)
-		}
-	case TimedOut, ConnectFailed:
-		b.recordNoResponse(s, b.now-o.Elapsed)
-		if o.Elapsed >= slowConnect {
-			b.ejectUnresponsive(s, b.now-o.Elapsed)
-		}
-	}
-	switch o.Result {
-	case OK:
-		bad = 0
-		s.lastProgress, s.consecutiveEjections = b.now, 0
-		b.concurrency.responses++
-		b.recordLatency(r.class, s, o.Elapsed)
-		// Rule 4: only of servers that count in the mean, and only work that is known: answers of
-		// draining servers or a guess that proves too high would inflate what cold ones may be sent.
-		if b.warmUpFraction(s) >= 1 && s.acceptsRequests() && s.inSubset {
-			b.slowStart.warmWorkDone += b.learnedWork(r.class)
-		}
-	case NotSent, Cancelled:
-		return
-	case Overloaded:
-		s.lastProgress = b.now
-		b.overload.sampleOccupancy(1)
-		s.ejectedUntil = max(s.ejectedUntil, b.now+controlInterval)
-		return
-	case TimedOut:
-		b.overload.sampleOccupancy(1)
-		s.latencyRatio += latencySmoothing * (o.Elapsed.Seconds()/math.Max(b.latency.classes[r.class].mean,
-			1e-3) - s.latencyRatio)
-		bad = 0.5
-	case ErrorResponse:
-		s.lastProgress, s.lastResponseFailed, s.loadReportedAt = b.now, true, b.now
-	}
-	if o.Result == ConnectFailed {
-		// The process may have restarted and be cold, long before the list says so. Also covers one
-		// that comes back after a cut. A reset alone is no sign: where connections break one by one,
-		// all servers would count as cold, and one that dies refuses new connections as well.
-		// Single connections fail at servers that live too: an answer on one made before takes it back, or
-		// that to a probe sent at once, before any process could have started.
-		s.suspectRestart(b.now)
-		s.refusesConnections, s.loadReportedAt = true, b.now
-		if b.settings.HealthChecks && b.settings.LoadReports != NoLoadReports && s.confirmingSince == 0 &&
-			s.acceptsRequests() {
-			s.confirmingSince, s.lastHealthCheck = b.now, b.now
-			b.actions.HealthCheck(s.ID)
-		}
-	}
-	s.errorRate += errorSmoothing * (bad - s.errorRate)
-	if (s.errorRate > ejectionErrorRate || o.Result == ConnectFailed) && b.now >= s.ejectedUntil {
-		b.eject(s)
-		b.log(slog.LevelInfo, "endpoint ejected", slog.String("endpoint", s.ID), slog.Any("result", o.Result),
-			slog.Int("consecutive_ejections", s.consecutiveEjections))
-	}
+// ejected reports whether the endpoint is ejected.
+func (h *endpointHealth) ejected(now time.Duration) bool { return now < h.ejectedUntil }
+
+// eject ejects the endpoint, for twice as long as the time before.
+func (h *endpointHealth) eject(now time.Duration) {
+	h.ejectedUntil = now + min(baseEjection<<min(h.consecutiveEjections, maxEjectionDoublings), maxEjection)
+	h.consecutiveEjections++
+	h.errorRate = ejectionErrorRate / 2
 }
 
-// recordLoadReport takes in a load report.
-func (b *Balancer) recordLoadReport(s *endpoint, l *LoadReport) {
-	if l == nil {
-		return
-	}
-	if l.Queued >= 0 {
-		s.reportedQueue = l.Queued
-	}
-	if l.InFlight >= 0 {
-		s.recordLoad(l.InFlight, b.now)
-	}
-	if l.Utilization >= 0 {
-		s.utilizationReportedAt = b.now
-		b.overload.sampleOccupancy(math.Min(l.Utilization, 1))
-	}
+// ejectFor ejects the endpoint for a time at least.
+func (h *endpointHealth) ejectFor(now, atLeast time.Duration) {
+	h.ejectedUntil = max(h.ejectedUntil, now+atLeast)
 }
 
-// recordResponse takes in an answer of any kind.
-func (b *Balancer) recordResponse(s *endpoint) {
-	if s.ejectedAsUnresponsive {
-		s.ejectedAsUnresponsive, s.ejectedUntil = false, 0
-	}
-	if s.unreachable {
-		s.unreachable, s.ejectedUntil, s.consecutiveEjections = false, 0, 0
-		b.log(slog.LevelInfo, "endpoint responds again", slog.String("endpoint", s.ID))
+// ejectAsUnresponsive ejects the endpoint until a time has passed or it is heard of.
+func (h *endpointHealth) ejectAsUnresponsive(now time.Duration) {
+	h.ejectedAsUnresponsive = true
+	h.ejectFor(now, unresponsiveEjection)
+}
+
+// endUnresponsiveEjection ends such an ejection.
+func (h *endpointHealth) endUnresponsiveEjection() {
+	if h.ejectedAsUnresponsive {
+		h.ejectedAsUnresponsive, h.ejectedUntil = false, 0
 	}
-	s.lastResponse = b.now
 }
 
-// recordNoResponse takes in that something sent to the server at a time came to nothing. If all else sent
-// since did as
-// well, the machine has died, vanished or is cut off, long before the list says so. It gets no request until
-// it is heard again: probes find that out, where an ejection's end would risk a request, or several at once,
-// each time. It covers lost halls, single machines and cut links; it harms where servers answer nothing at
-// all for as long as a probe waits and then go on: for a round of probes the others carry their load.
-func (b *Balancer) recordNoResponse(s *endpoint, sent time.Duration) {
-	if !b.settings.HealthChecks || b.settings.LoadReports == NoLoadReports || s.lastResponse >= sent ||
-		s.unreachable {
-		return
+// recordResponse records a response of any kind. It reports whether the endpoint was unreachable until now.
+func (h *endpointHealth) recordResponse(now time.Duration) (recovered bool) {
+	h.endUnresponsiveEjection()
+	if recovered = h.unreachable; recovered {
+		h.unreachable, h.ejectedUntil, h.consecutiveEjections = false, 0, 0
+	}
+	h.lastResponse = now
+	return recovered
+}
+
+// recordNoResponse records that something that was sent at a time came to nothing. Where nothing has come
+// back since then either, the endpoint is unreachable: the machine has died or is cut off, long before the
+// list says so. It reports whether that is new.
+//
+// An unreachable endpoint gets no request until it responds. Health checks find that out, where the end of
+// an ejection would risk a request, or several at once, each time. It covers lost zones, single machines
+// and cut links; it harms where endpoints don't respond at all for as long as a health check waits and then
+// go on: until the next round of health checks the others carry their load.
+func (h *endpointHealth) recordNoResponse(sentAt time.Duration) (lost bool) {
+	if h.lastResponse >= sentAt || h.unreachable {
+		return false
 	}
-	s.unreachable = true
-	b.log(slog.LevelInfo, "endpoint unreachable until a health check succeeds", slog.String("endpoint", s.ID))
+	h.unreachable = true
+	return true
 }
 
-// unresponsive tells whether the server is known to answer nothing: it was silent to probes or, in a large
-// fleet, no gateway has told of an answer since this one's attempts there have been out for several times
-// the mean. One gateway's silence may be chance, but a server that lives answers some gateway many times a
-// second.
-func (b *Balancer) unresponsive(s *endpoint) bool {
+// recordError adds an outcome to the error rate: 0 for a good one, 1 for an error.
+func (h *endpointHealth) recordError(amount float64) {
+	h.errorRate += errorSmoothing * (amount - h.errorRate)
+}
+
+// reset forgets the health of a process that another has replaced.
+func (h *endpointHealth) reset() {
+	h.errorRate, h.consecutiveEjections, h.ejectedUntil, h.unreachable = 0, 0, 0, false
+}
+
+// healthCriteria is what endpoints are judged by at one moment.
+type healthCriteria struct {
+	largeFleet bool    // load gossip tells of endpoints what other nodes see
+	maxSilence float64 // seconds without news of an endpoint with attempts in flight
+}
+
+// unresponsive reports whether the endpoint is known not to respond: it was silent to health checks or, in
+// a large fleet, no node has reported a response since this node's attempts there have been in flight for
+// several times the mean. Silence to one node may be chance, but an endpoint that lives answers some node
+// many times a second.
+func (e *endpoint) unresponsive(now time.Duration, criteria healthCriteria) bool {
 	switch {
-	case s.unreachable:
+	case e.health.unreachable:
 		return true
-	case !b.ownsQuotas():
+	case !criteria.largeFleet:
 		return false
-	case s.ejectedAsUnresponsive && b.now < s.ejectedUntil:
+	case e.health.ejectedAsUnresponsive && e.health.ejected(now):
 		return true
-	case s.inFlight == 0:
+	case e.inFlight == 0:
 		return false
 	}
-	aim := recentAttemptFraction * b.longestLatencyObjective().Seconds()
-	wait := math.Min(math.Max(unresponsiveAfterMeans*b.meanLatency(), aim/4), aim)
-	return (b.now - max(s.lastProgress, s.loadReportedAt)).Seconds() > wait
+	return (now - max(e.lastProgress, e.load.reportedAt)).Seconds() > criteria.maxSilence
 }
 
-func (b *Balancer) eject(s *endpoint) {
-	s.ejectedUntil = b.now + min(baseEjection<<min(s.consecutiveEjections, 10), maxEjection)
-	s.consecutiveEjections++
-	s.errorRate = ejectionErrorRate / 2
+// deprioritized reports whether the endpoint gets requests only where no other is left. An ejection ends
+// too soon for a fleet in which load gossip brings the endpoint's errors from all nodes: there it lasts
+// while the error rate is high.
+func (e *endpoint) deprioritized(now time.Duration, criteria healthCriteria) bool {
+	return e.health.ejected(now) ||
+		e.health.errorRate > ejectionErrorRate && criteria.largeFleet ||
+		e.unresponsive(now, criteria)
 }
 
-// ejectUnresponsive takes in that an attempt came to nothing at a server of which no gateway has told since
-// it was
-// sent. To try such a server costs a request; news ends that sooner than a try would.
-func (b *Balancer) ejectUnresponsive(s *endpoint, sent time.Duration) {
-	if b.ownsQuotas() && max(s.lastResponse, s.loadReportedAt) <= sent {
-		s.ejectedAsUnresponsive, s.ejectedUntil = true, max(s.ejectedUntil, b.now+unresponsiveEjection)
-	}
+// healthChecker paces health checks: a node sends at most half as many as it sends attempts. The zero value
+// sends none.
+type healthChecker struct {
+	enabled bool
+	tokens  float64 // health checks earned by attempts, at most one
 }
 
-// deprioritized tells whether the server is kept for when no other is left. An ejection ends too soon for a
-// fleet
-// that
-// hears of the same server's errors from all its gateways: there it stays aside while its answers are bad.
-func (b *Balancer) deprioritized(s *endpoint) bool {
-	return b.now < s.ejectedUntil || s.errorRate > ejectionErrorRate && b.ownsQuotas() || b.unresponsive(s)
+func newHealthChecker(settings *Settings) healthChecker {
+	return healthChecker{enabled: settings.HealthChecks && settings.LoadReports != NoLoadReports}
 }
 
-// HealthChecked brings the result of a probe.
-func (b *Balancer) HealthChecked(now time.Duration, id string, res Result, l *LoadReport, out Actions) {
-	b.now, b.actions = now, out
-	s := b.endpoints.trackedByID[id]
-	if s == nil {
-		return
-	}
-	switch res {
-	case OK:
-		b.recordLoadReport(s, l)
-		fallthrough
-	case Overloaded, ErrorResponse:
-		b.recordResponse(s)
-		if s.confirmingSince > 0 {
-			s.confirmUpSince(s.confirmingSince)
-		}
-	case ConnectFailed:
-		s.suspectRestart(b.now)
-		fallthrough
-	case TimedOut:
-		b.recordNoResponse(s, s.lastHealthCheck)
-	}
-	s.confirmingSince = 0
-}
-
-// sendHealthCheck probes the server least lately probed. A gateway probes at most half as often as it sends.
-func (b *Balancer) sendHealthCheck() {
-	b.health.checkTokens = math.Min(b.health.checkTokens+b.overload.pooled[poolSent]/2, 1)
-	if !b.settings.HealthChecks || b.settings.LoadReports == NoLoadReports || len(b.endpoints.tracked) == 0 ||
-		b.health.checkTokens < 1 {
-		return
-	}
-	b.health.checkTokens = 0
+// next returns the endpoint to check now, the one checked least lately, or nil. Attempts is their number in a
+// control interval.
+func (c *healthChecker) next(now time.Duration, tracked []*endpoint, attempts float64) *endpoint {
+	c.tokens = math.Min(c.tokens+attempts/2, 1)
+	if !c.enabled || len(tracked) == 0 || c.tokens < 1 {
+		return nil
+	}
+	c.tokens = 0
 	var next *endpoint
-	for _, s := range b.endpoints.tracked {
-		if s.acceptsRequests() && (next == nil || s.lastHealthCheck < next.lastHealthCheck) {
-			next = s
+	for _, e := range tracked {
+		if e.acceptsRequests() && (next == nil || e.health.lastCheck < next.health.lastCheck) {
+			next = e
 		}
 	}
 	if next != nil {
-		next.lastHealthCheck = b.now
-		b.actions.HealthCheck(next.ID)
+		next.health.lastCheck = now
 	}
+	return next
 }
--- a/balancer/health_test.go
+++ b/balancer/health_test.go
@@ -15,21 +15,21 @@
 	q := &request{}
 	var last time.Duration
 	for i := 1; i <= 6; i++ {
-		g.now = s.ejectedUntil
+		g.now = s.health.ejectedUntil
 		if i == 1 {
 			g.now = t0
 		}
 		g.actions = r
 		g.recordOutcome(q, s, Outcome{Result: ConnectFailed})
-		span := s.ejectedUntil - g.now
+		span := s.health.ejectedUntil - g.now
 		if span <= last && span != maxEjection {
 			t.Errorf("ejection %d lasts %v after %v", i, span, last)
 		}
 		last = span
 	}
 	g.recordOutcome(q, s, Outcome{Result: OK, Elapsed: ms})
-	if s.consecutiveEjections != 0 {
-		t.Errorf("%d strikes after an answer", s.consecutiveEjections)
+	if s.health.consecutiveEjections != 0 {
+		t.Errorf("%d strikes after an answer", s.health.consecutiveEjections)
 	}
 }
 
@@ -72,7 +72,7 @@
 			for at := time.Duration(0); at < s.OverloadWindow; at += 50 * ms {
 				sent += flood(g, r, t0+at, 2, newRequest(int(at/ms), "safe", "rate", 1))
 			}
-			work = float64(sent) * g.workOf(0)
+			work = float64(sent) * g.latency.work(0)
 		}
 		// One core's work, the least that a server can do when warm, is what the budget is taken of.
 		share := s.SlowStartInitialFraction + (1-s.SlowStartInitialFraction)*s.OverloadWindow.Seconds()/s.SlowStartDuration.Seconds()
@@ -150,12 +150,12 @@
 func TestCostOfSymptoms(t *testing.T) {
 	for name, spoil := range map[string]func(*endpoint){
 		"silent":    func(s *endpoint) { s.lastProgress = t0 - time.Second },
-		"failing":   func(s *endpoint) { s.errorRate = 0.3 },
+		"failing":   func(s *endpoint) { s.health.errorRate = 0.3 },
 		"slow":      func(s *endpoint) { s.latencyRatio = 2 },
 		"cold":      func(s *endpoint) { s.StartedAt = t0 - ms },
-		"queueing":  func(s *endpoint) { s.reportedQueue = 3 },
+		"queueing":  func(s *endpoint) { s.load.queued = 3 },
 		"more out":  func(s *endpoint) { s.inFlight = 2 },
-		"was reset": func(s *endpoint) { s.suspectedRestart = t0 },
+		"was reset": func(s *endpoint) { s.restarts.latest = t0 },
 	} {
 		g, _ := newGate(t, testSettings(), fleet(2)...)
 		a, b := g.endpoints.tracked[0], g.endpoints.tracked[1]
@@ -185,7 +185,7 @@
 		}
 		return n
 	}
-	s.lastHealthCheck = now
+	s.health.lastCheck = now
 	g.HealthChecked(now+ms, "s0", TimedOut, nil, r)
 	if n := sentTo("s0"); n != 0 {
 		t.Errorf("%d requests sent to a server that is silent to probes", n)
@@ -195,15 +195,15 @@
 		t.Error("no request sent to a server that answers again")
 	}
 	g.RequestArrived(now+ms, newRequest(1, "safe", "rate", 9), r)
-	s.lastHealthCheck, s.lastResponse = now, now+ms
+	s.health.lastCheck, s.health.lastResponse = now, now+ms
 	g.HealthChecked(now+2*ms, "s0", TimedOut, nil, r)
-	if s.unreachable {
+	if s.health.unreachable {
 		t.Error("a server that has answered since the probe counts as silent")
 	}
 	// Nor does one that was restarted.
-	s.unreachable = true
+	s.health.unreachable = true
 	g.EndpointsUpdated(now, UpdateDelta, []Endpoint{{ID: "s0", MachineType: "k", Zone: "a", StartedAt: now}}, r)
-	if s.unreachable {
+	if s.health.unreachable {
 		t.Error("a restarted server counts as silent")
 	}
 }
@@ -237,7 +237,7 @@
 	g, r := newGate(t, testSettings(), fleet(12)...)
 	g.settings.NodeCount = 6
 	for i := range 9 {
-		g.endpoints.trackedByID[fmt.Sprintf("s%d", i)].ejectedUntil = t0 + time.Hour
+		g.endpoints.trackedByID[fmt.Sprintf("s%d", i)].health.ejectedUntil = t0 + time.Hour
 	}
 	for _, id := range []string{"s9", "s10"} {
 		g.endpoints.trackedByID[id].inFlight, g.endpoints.trackedByID[id].lastProgress = 9, t0
@@ -284,16 +284,16 @@
 	g, r = newGate(t, testSettings(), fleet(1)...)
 	s = g.endpoints.tracked[0]
 	for i := range 2 * maxSuspectedRestarts {
-		s.suspectRestart(t0 + time.Duration(i+1)*ms)
+		s.restarts.suspect(t0 + time.Duration(i+1)*ms)
 	}
 	g.now, g.actions = t0+time.Second, r
 	g.recordLatency(0, s, ms) // its class is known
 	q := &request{}
 	g.recordOutcome(q, s, Outcome{Result: OK, Elapsed: ms, ConnectedAt: t0 + 3*ms/2})
-	if s.suspectedRestart != t0+ms {
-		t.Errorf("in doubt since %v, want the failure before the connection was made", s.suspectedRestart-t0)
+	if s.restarts.latest != t0+ms {
+		t.Errorf("in doubt since %v, want the failure before the connection was made", s.restarts.latest-t0)
 	}
-	if g.recordOutcome(q, s, Outcome{Result: OK, Elapsed: ms, ConnectedAt: t0 + ms/2}); s.suspectedRestart != 0 {
+	if g.recordOutcome(q, s, Outcome{Result: OK, Elapsed: ms, ConnectedAt: t0 + ms/2}); s.restarts.latest != 0 {
 		t.Error("cold after an answer on a connection older than all failures")
 	}
 }
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -6,122 +6,198 @@
 )
 
 const (
-	// share of a new sample in a server's latency average
-	latencySmoothing = 0.15
-	meanSmoothing    = 0.05 // share of a new sample in the slow means
-	// samples in a mean that may count as the lowest latency
-	minBaselineSamples = 16
-	// share by which the lowest latency creeps up at each batch
-	baselineGrowth = 0.01
+	latencySmoothing   = 0.15 // weight of a new sample in an endpoint's latency ratio
+	meanSmoothing      = 0.05 // weight of a new sample in the means of classes and machine types
+	minBaselineSamples = 16   // samples in a batch whose mean may be the lowest latency
+	baselineGrowth     = 0.01 // fraction by which the lowest latency grows with each batch
+	minMeanLatency     = 1e-6 // seconds; keeps ratios to a mean finite
+	// unlearnedWorkDivisor gives the work of a class with no response yet, as a part of its latency
+	// objective.
+	unlearnedWorkDivisor = 4
 )
 
 // latencyTracker holds the latencies learned for each class and machine type.
 type latencyTracker struct {
 	classes          []classLatency // by class index
-	machineTypeIndex map[string]int
-	machineTypes     []*machineTypeLatency // by machine type index
+	machineTypes     []machineTypeLatency
+	machineTypeIndex map[string]int // of those that have responded
 }
 
-func newLatencyTracker(classes int) latencyTracker {
-	return latencyTracker{classes: make([]classLatency, classes), machineTypeIndex: map[string]int{}}
+func newLatencyTracker(classes []Class) latencyTracker {
+	t := latencyTracker{classes: make([]classLatency, len(classes)), machineTypeIndex: map[string]int{}}
+	for i := range classes {
+		t.classes[i].objective = classes[i].LatencyObjective
+	}
+	return t
 }
 
-// machineTypeLatency is the latency of a kind as a multiple of the mean.
-type machineTypeLatency struct{ meanRatio, samples float64 }
-
 // classLatency is the latency learned for a class.
 type classLatency struct {
-	mean, deviation float64 // seconds
+	objective       time.Duration
+	mean, deviation float64 // seconds; mean 0: no response yet
 	samples         int
-	byMachineType   []baselineLatency
-	initialTimeout  time.Duration // wait that a client's first try has left
+	byMachineType   []baselineLatency // by machine type index
+	initialTimeout  time.Duration     // timeout that a client's first attempt has left
 }
 
-// baselineLatency finds the lowest mean latency of a class on one kind of server.
-type baselineLatency struct {
-	sum     float64
-	samples int
-	lowest  float64
-}
-
-// recordLatency learns from one answered attempt.
-func (b *Balancer) recordLatency(class int, s *endpoint, took time.Duration) {
-	c := &b.latency.classes[class]
-	x := took.Seconds()
+// record adds a latency in seconds to the mean and deviation.
+func (c *classLatency) record(latency float64) {
 	if c.mean == 0 {
-		c.mean, c.deviation = x, x/2
+		c.mean, c.deviation = latency, latency/2
 	}
 	c.samples++
-	c.deviation += meanSmoothing * (math.Abs(x-c.mean) - c.deviation)
-	c.mean += meanSmoothing * (x - c.mean)
-	s.latencyRatio += latencySmoothing * (x/math.Max(c.mean, 1e-6) - s.latencyRatio)
-	for len(c.byMachineType) <= b.latency.machineTypeIndex[s.MachineType] {
+	c.deviation += meanSmoothing * (math.Abs(latency-c.mean) - c.deviation)
+	c.mean += meanSmoothing * (latency - c.mean)
+}
+
+// ratio returns a latency in seconds as a multiple of the mean.
+func (c *classLatency) ratio(latency float64) float64 {
+	return latency / math.Max(c.mean, minMeanLatency)
+}
+
+// baseline returns the class's lowest latency on a machine type.
+func (c *classLatency) baseline(machineType int) *baselineLatency {
+	for len(c.byMachineType) <= machineType {
 		c.byMachineType = append(c.byMachineType, baselineLatency{})
 	}
-	l := b.latency.machineTypes[b.latency.machineTypeIndex[s.MachineType]]
-	l.samples++
-	l.meanRatio += math.Max(1/(l.samples+1), meanSmoothing) * (x/math.Max(c.mean, 1e-6) - l.meanRatio)
-	k := &c.byMachineType[b.latency.machineTypeIndex[s.MachineType]]
-	k.sum += x
-	if k.samples++; k.samples >= minBaselineSamples {
-		k.lowest *= 1 + baselineGrowth
-		if m := k.sum / float64(k.samples); k.lowest == 0 || m < k.lowest {
-			k.lowest = m
-		}
-		k.sum, k.samples = 0, 0
+	return &c.byMachineType[machineType]
+}
+
+// machineTypeLatency is the latency of a machine type as a multiple of the classes' means.
+type machineTypeLatency struct{ meanRatio, samples float64 }
+
+// record adds a latency as a multiple of its class's mean.
+func (m *machineTypeLatency) record(ratio float64) {
+	m.samples++
+	m.meanRatio += math.Max(1/(m.samples+1), meanSmoothing) * (ratio - m.meanRatio)
+}
+
+// baselineLatency finds the latency of a class on an idle endpoint of one machine type: the lowest mean of
+// a batch of samples, which grows slowly so that it can follow. The zero value has none yet.
+type baselineLatency struct {
+	sum     float64 // seconds, of the batch
+	samples int     // in the batch
+	lowest  float64 // seconds; 0: no batch is complete
+}
+
+// record adds a latency in seconds.
+func (l *baselineLatency) record(latency float64) {
+	l.sum += latency
+	if l.samples++; l.samples < minBaselineSamples {
+		return
 	}
-	if b.settings.LoadReports == NoLoadReports || s.utilizationReportedAt == 0 {
-		if k.lowest > 0 {
-			// Each latency weighs by its length, which makes the mean over a probe 1 - lowest/mean.
-			b.overload.addOccupancy(x/k.lowest-1, x/k.lowest)
-		} else {
-			// or a few full refusals would be all there is
-			b.overload.addOccupancy(0, 1)
-		}
+	l.lowest *= 1 + baselineGrowth
+	if mean := l.sum / float64(l.samples); l.lowest == 0 || mean < l.lowest {
+		l.lowest = mean
+	}
+	l.sum, l.samples = 0, 0
+}
+
+// record learns from a response. It returns the latency as a multiple of the class's mean and as a multiple
+// of the lowest on that machine type, 1 as long as that is unknown.
+func (t *latencyTracker) record(class int, machineType string, elapsed time.Duration) (
+	ratio, baselineRatio float64,
+) {
+	c, latency := &t.classes[class], elapsed.Seconds()
+	c.record(latency)
+	ratio = c.ratio(latency)
+	index := t.indexOf(machineType)
+	t.machineTypes[index].record(ratio)
+	baseline := c.baseline(index)
+	baseline.record(latency)
+	if baseline.lowest == 0 {
+		return ratio, 1
+	}
+	return ratio, latency / baseline.lowest
+}
+
+// indexOf returns the index of a machine type, a new one for one not seen before.
+func (t *latencyTracker) indexOf(machineType string) int {
+	index, known := t.machineTypeIndex[machineType]
+	if !known {
+		index = len(t.machineTypes)
+		t.machineTypeIndex[machineType] = index
+		t.machineTypes = append(t.machineTypes, machineTypeLatency{meanRatio: 1})
 	}
+	return index
 }
 
-func (b *Balancer) meanLatency() float64 {
-	var sum, n float64
-	for i := range b.latency.classes {
-		if b.latency.classes[i].mean > 0 {
-			sum, n = sum+b.latency.classes[i].mean, n+1
+// mean returns the mean latency over the classes that have one, in seconds.
+func (t *latencyTracker) mean() float64 {
+	var sum, classes float64
+	for i := range t.classes {
+		if t.classes[i].mean > 0 {
+			sum, classes = sum+t.classes[i].mean, classes+1
 		}
 	}
-	return sum / math.Max(n, 1)
+	return sum / math.Max(classes, 1)
 }
 
-// learnedWork is 0 as long as nothing is known of the class.
-func (b *Balancer) learnedWork(class int) float64 {
-	least := 0.0
-	for _, k := range b.latency.classes[class].byMachineType {
-		if k.lowest > 0 && (least == 0 || k.lowest < least) {
-			least = k.lowest
+// learnedWork returns the work of a request of a class, as its lowest latency in seconds; 0 as long as that
+// is unknown.
+func (t *latencyTracker) learnedWork(class int) float64 {
+	work := 0.0
+	for i := range t.classes[class].byMachineType {
+		lowest := t.classes[class].byMachineType[i].lowest
+		if lowest > 0 && (work == 0 || lowest < work) {
+			work = lowest
 		}
 	}
-	return least
+	return work
+}
+
+// work returns the work of a request of a class in seconds, a guess as long as it is unknown.
+func (t *latencyTracker) work(class int) float64 {
+	if work := t.learnedWork(class); work > 0 {
+		return work
+	}
+	return t.classes[class].objective.Seconds() / unlearnedWorkDivisor
+}
+
+// longestWork returns the work of a request of the class that takes most, in seconds.
+func (t *latencyTracker) longestWork() float64 {
+	work := 0.0
+	for class := range t.classes {
+		work = math.Max(work, t.work(class))
+	}
+	return work
+}
+
+// longestObjective returns the longest latency objective of the classes.
+func (t *latencyTracker) longestObjective() time.Duration {
+	var longest time.Duration
+	for i := range t.classes {
+		longest = max(longest, t.classes[i].objective)
+	}
+	return longest
 }
 
-// workOf is the work of one request of a class, in seconds of the lowest latency seen.
-func (b *Balancer) workOf(class int) float64 {
-	if w := b.learnedWork(class); w > 0 {
-		return w
+// relativeSpeed returns the speed of a machine type as a fraction of the usual one, at most 1.
+func (t *latencyTracker) relativeSpeed(machineType string) float64 {
+	index, known := t.machineTypeIndex[machineType]
+	if !known {
+		return 1
 	}
-	return b.settings.Classes[class].LatencyObjective.Seconds() / 4
+	return math.Min(1/t.machineTypes[index].meanRatio, 1)
 }
 
-func (b *Balancer) longestLatencyObjective() (d time.Duration) {
-	for _, c := range b.settings.Classes {
-		d = max(d, c.LatencyObjective)
+// recordLatency learns from a response of the endpoint. Where no endpoint's utilization is reported, the
+// occupancy is inferred from the latency.
+func (b *Balancer) recordLatency(class int, e *endpoint, elapsed time.Duration) {
+	ratio, baselineRatio := b.latency.record(class, e.MachineType, elapsed)
+	e.recordLatencyRatio(ratio)
+	if b.settings.LoadReports == NoLoadReports || e.load.utilizationReportedAt == 0 {
+		// Each latency counts as often as it is long, which makes the mean over an assessment 1 -
+		// lowest/mean.
+		b.overload.addOccupancy(baselineRatio-1, baselineRatio)
 	}
-	return d
 }
 
-// relativeCapacity is the server's size: as listed or, where all are listed alike, by the speed of its kind.
-func (b *Balancer) relativeCapacity(s *endpoint) float64 {
-	if k := b.latency.machineTypeIndex[s.MachineType]; !b.endpoints.list.activeWeights.differ() &&
-		b.latency.machineTypes[k].samples > 0 {
-		return b.weight(s) * math.Min(1/b.latency.machineTypes[k].meanRatio, 1)
+// relativeCapacity returns the endpoint's size: as listed or, where all are listed alike, by the speed of its
+// machine type.
+func (b *Balancer) relativeCapacity(e *endpoint) float64 {
+	if b.endpoints.list.activeWeights.differ() {
+		return e.weight()
 	}
-	return b.weight(s)
+	return e.weight() * b.latency.relativeSpeed(e.MachineType)
 }
--- a/balancer/load_codec.go
+++ b/balancer/load_codec.go
@@ -47,16 +47,16 @@
 func (g *Balancer) appendLoadGossip(b []byte, to int) []byte {
 	b = g.appendOverQuota(b)
 	for _, s := range g.freshestLoads(maxLoadEntries, to) {
-		load := byte(math.Min(math.Max(math.Round(s.reportedLoad), 0), loadErrorBit-2))
+		load := byte(math.Min(math.Max(math.Round(s.load.requests), 0), loadErrorBit-2))
 		switch {
-		case s.refusesConnections:
+		case s.load.refusesConnections:
 			load = loadRefusesConnections
-		case s.lastResponseFailed:
+		case s.load.lastResponseFailed:
 			load |= loadErrorBit
 		}
 		b = binary.BigEndian.AppendUint16(b, s.shortHash)
 		// rounded up, or old news would grow young
-		b = append(b, load, byte((g.now-s.loadReportedAt+ageUnit-1)/ageUnit))
+		b = append(b, load, byte((g.now-s.load.reportedAt+ageUnit-1)/ageUnit))
 	}
 	return b
 }
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -156,7 +156,7 @@
 	if !g.exceedsConcurrencyLimit(0) {
 		t.Fatal("9 attempts out at two servers are no jam")
 	}
-	g.endpoints.trackedByID["s0"].unreachable = true
+	g.endpoints.trackedByID["s0"].health.unreachable = true
 	if g.exceedsConcurrencyLimit(0) {
 		t.Error("attempts at a silent server read as a jam of all")
 	}
@@ -176,16 +176,16 @@
 		t.Errorf("%d out with all servers up, want %v", got, minConcurrencyPerEndpoint*n)
 	}
 	for i := range n / 2 {
-		g.endpoints.trackedByID[fmt.Sprintf("s%d", i)].unreachable = true
+		g.endpoints.trackedByID[fmt.Sprintf("s%d", i)].health.unreachable = true
 	}
 	if got := most(); got != minConcurrencyPerEndpoint*n/2 {
 		t.Errorf("%d out with half of the servers silent, want %v", got, minConcurrencyPerEndpoint*n/2)
 	}
 	g.now = t0
 	for _, s := range g.endpoints.tracked {
-		s.unreachable = false
+		s.health.unreachable = false
 		if s.ID < "s5" {
-			s.suspectedRestart = t0
+			s.restarts.latest = t0
 		}
 	}
 	if got := most(); got >= minConcurrencyPerEndpoint*n {
--- a/balancer/pick_law_test.go
+++ b/balancer/pick_law_test.go
@@ -14,13 +14,13 @@
 func plainlyAdmissible(g *Balancer, r *request, e Endpoint) bool {
 	s := g.endpoints.trackedByID[e.ID]
 	if s == nil {
-		s = &endpoint{Endpoint: e, listed: true, slowStartTokens: -1}
+		s = newEndpoint(e)
 	}
 	takes := e.State == Up
 	warm := g.warmUpFraction(s) >= 1
-	holds := position(endpointKey(e.ID), g.settings.NodeIndex, g.settings.NodeCount, g.settings.NodeCount) < int(g.endpoints.subsetsPerEndpoint+fraction(endpointKey(e.ID)))
-	saved := warm || holds && s.slowStartTokens >= 1
-	return takes && g.mayAttempt(r, s) && saved && !(s.unreachable && len(r.attempts) > 0)
+	holds := position(endpointKey(e.ID), g.settings.NodeIndex, g.settings.NodeCount, g.settings.NodeCount) < int(g.endpoints.sizing.subsetsPerEndpoint+fraction(endpointKey(e.ID)))
+	saved := warm || holds && s.slowStart.tokens >= 1
+	return takes && g.mayAttempt(r, s) && saved && !(s.health.unreachable && len(r.attempts) > 0)
 }
 
 // Whatever has happened to the list and its servers, a server is found exactly where a scan over all servers
@@ -110,8 +110,10 @@
 	r := &request{Request: newRequest(0, "safe", "rate", 1), class: rapid.IntRange(0, 2).Draw(t, "class")}
 	if known := g.endpoints.tracked; len(known) > 0 && rapid.Bool().Draw(t, "further") {
 		s := known[rapid.IntRange(0, len(known)-1).Draw(t, "tried")]
-		r.attempts = append(r.attempts, attempt{endpoint: s, sentAt: m.now, zone: s.Zone, cell: s.Cell, done: true,
-			neverRan: rapid.Bool().Draw(t, "never ran"), result: Reset})
+		r.attempts = append(r.attempts, attempt{
+			endpoint: s, sentAt: m.now, zone: s.Zone, cell: s.Cell, done: true,
+			neverRan: rapid.Bool().Draw(t, "never ran"), result: Reset,
+		})
 	}
 	g.now, g.actions = m.now, &m.out
 	fit := map[string]bool{}
@@ -160,7 +162,7 @@
 // tryCredit brings what may be sent to a cold server up to date, as a choice does.
 func (b *Balancer) tryCredit(id string) {
 	if s := b.endpoints.trackedByID[id]; s != nil {
-		b.accrueSlowStartTokens(s)
+		b.accrueSlowStart(s)
 	}
 }
 
@@ -183,9 +185,9 @@
 	}
 	m.checkWeights(t)
 	g.now = m.now
-	g.moveWarmedUpToReserve()
+	g.endpoints.moveWarmedUpToReserve(m.now)
 	waiting := map[string]bool{}
-	for _, at := range g.endpoints.list.reserve {
+	for _, at := range g.endpoints.list.reserve.all {
 		waiting[g.endpoints.list.entries[at].id] = true
 	}
 	for id, e := range m.listed {
@@ -193,18 +195,18 @@
 			t.Fatalf("%+v is listed as %+v", e, got)
 		}
 		s := g.endpoints.trackedByID[id]
-		if s != nil && (s.Endpoint != e || !s.listed) || g.trackedAt(g.endpoints.list.slotByID[id]) != s {
-			t.Fatalf("%+v is known as %+v, at its slot as %+v", e, s, g.trackedAt(g.endpoints.list.slotByID[id]))
+		if s != nil && (s.Endpoint != e || !s.listed) || g.endpoints.trackedAt(g.endpoints.list.slotByID[id]) != s {
+			t.Fatalf("%+v is known as %+v, at its slot as %+v", e, s, g.endpoints.trackedAt(g.endpoints.list.slotByID[id]))
 		}
 		cold := e.StartedAt != 0 && m.now < e.StartedAt+g.settings.SlowStartDuration
 		if fit := s == nil && e.State == Up && !cold; waiting[id] != fit {
 			t.Fatalf("%+v waits in the reserve: %v", e, waiting[id])
 		}
-		if s == nil && position(endpointKey(id), g.settings.NodeIndex, g.settings.NodeCount, g.settings.NodeCount) < int(g.endpoints.subsetsPerEndpoint+fraction(endpointKey(id))) {
+		if s == nil && position(endpointKey(id), g.settings.NodeIndex, g.settings.NodeCount, g.settings.NodeCount) < int(g.endpoints.sizing.subsetsPerEndpoint+fraction(endpointKey(id))) {
 			t.Fatalf("%s is not known, and the subset is to hold it", id)
 		}
 	}
-	if len(waiting) != len(g.endpoints.list.reserve) {
+	if len(waiting) != len(g.endpoints.list.reserve.all) {
 		t.Fatal("a server waits twice")
 	}
 	m.checkNames(t)
@@ -220,17 +222,17 @@
 			named[s.shortHash] = append(named[s.shortHash], s)
 		}
 	}
-	if len(m.g.endpoints.shared) != members || len(m.g.endpoints.subsetByHash) != len(named) {
-		t.Fatalf("%d members, %d shared, %d named", members, len(m.g.endpoints.shared), len(m.g.endpoints.subsetByHash))
+	if len(m.g.endpoints.index.shared) != members || len(m.g.endpoints.index.byHash) != len(named) {
+		t.Fatalf("%d members, %d shared, %d named", members, len(m.g.endpoints.index.shared), len(m.g.endpoints.index.byHash))
 	}
-	for _, s := range m.g.endpoints.shared {
-		first := int(m.g.endpoints.subsetsPerEndpoint + fraction(s.rendezvousKey))
+	for _, s := range m.g.endpoints.index.shared {
+		first := int(m.g.endpoints.sizing.subsetsPerEndpoint + fraction(s.rendezvousKey))
 		if m.g.ownsQuotas() && s.lastSubsetRank != lastRank(s.rendezvousKey, m.g.settings.NodeCount, first) {
 			t.Fatalf("%s is shared with others than the first %d gateways", s.ID, first)
 		}
 	}
 	for hash, servers := range named {
-		if got := m.g.endpoints.subsetByHash[hash]; len(servers) == 1 && got != servers[0] || len(servers) > 1 && got != nil {
+		if got := m.g.endpoints.index.byHash[hash]; len(servers) == 1 && got != servers[0] || len(servers) > 1 && got != nil {
 			t.Fatalf("%v has the name of %v", got, servers)
 		}
 	}
--- a/balancer/quota_owner.go
+++ b/balancer/quota_owner.go
@@ -67,8 +67,10 @@
 		b.acquire(st, m.units)
 		st.recordGrant(b.now, m.units)
 		if p.MaxConcurrent > 0 {
-			st.leases = append(st.leases, concurrencyLease{from, m.number,
-				b.now + b.longestLatencyObjective()})
+			st.leases = append(st.leases, concurrencyLease{
+				from, m.number,
+				b.now + b.latency.longestObjective(),
+			})
 		}
 	} else if b.gossip.messageRate > inboxPressureFraction*b.settings.PeerMessagesPerSecond {
 		// More members ask in vain than the inbox takes: each pauses until it is their turn again.
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -118,7 +118,7 @@
 	r.quota.inFlight++
 	b.markUnreported(r.quota)
 	if b.warmUpFraction(to) < 1 {
-		to.slowStartTokens = math.Max(to.slowStartTokens-1, 0)
+		to.slowStart.withdraw()
 	}
 	sendBy := b.retryDeadline(r)
 	r.attempts = append(r.attempts, attempt{endpoint: to, sentAt: b.now, zone: to.Zone, cell: to.Cell})
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -3,110 +3,158 @@
 import "math"
 
 const (
-	errorCostFactor = 8 // cost factor of an error average of 1
-	// added for a server that is kept for when no other is left
+	errorCostFactor     = 8    // additional cost factor of an error rate of 1
+	crossZoneFactor     = 1.1  // cost factor of another zone where crossing has a price
+	triedEndpointFactor = 4    // cost factor of an endpoint at which this request has failed
+	minLatencyRatio     = 0.1  // in costs, so that load counts also where responses are fast
+	minCostMean         = 1e-3 // seconds; mean latency that silence is held against, at least
+
+	// Costs of the tiers of endpoints, each above all costs of the tiers before.
+	notSampledCost    = 1e3 // of the subset, but not drawn by its size
+	outsideSubsetCost = 1e5
 	deprioritizedCost = 1e6
-	outsideSubsetCost = 1e5 // for one outside the subset
-	notSampledCost    = 1e3 // for one that was not drawn by its size
-	// cost factor of a server that this request has tried
-	triedEndpointFactor = 4
-	// cost factor of another zone where crossing has a price
-	crossZoneFactor   = 1.1
-	maxReserveSamples = 4 // draws from the reserve for one that is accepted by its weight
+
+	minSamples        = 2 // endpoints of the subset that a selection compares, at least
+	maxReserveSamples = 4 // draws from the reserve for an endpoint that is accepted by its weight
 )
 
-// selectEndpoint returns the server with the least expected delay that the request may go to, or nil.
+// selection is the state of the choice of an endpoint for an attempt: the power of random choices. Nodes
+// that all took the best of all endpoints would crowd it, so each compares a few drawn at random.
+type selection struct {
+	request       *request
+	criteria      healthCriteria
+	samples       int // endpoints of the subset still to compare
+	best          *endpoint
+	bestCost      float64
+	deprioritized bool // best is
+	outsideSubset int  // endpoints in service outside the subset
+}
+
+// done reports whether enough endpoints were compared. Where the best is deprioritized all are.
+func (s *selection) done() bool { return s.best != nil && s.samples == 0 && !s.deprioritized }
+
+// offer compares an endpoint with the best so far.
+func (s *selection) offer(e *endpoint, cost float64, deprioritized bool) {
+	for i := range s.request.attempts {
+		if a := &s.request.attempts[i]; a.endpoint == e && a.result != OK {
+			cost *= triedEndpointFactor
+		}
+	}
+	if cost < s.bestCost {
+		s.best, s.bestCost, s.deprioritized = e, cost, deprioritized
+	}
+}
+
+// needsReserve reports whether the subset has no endpoint in service for the request. As many of the
+// reserve stand in for the subset as that has endpoints.
+func (s *selection) needsReserve(subsetSize int) bool {
+	subsetServes := s.best != nil && s.best.inSubset && !s.deprioritized
+	return !subsetServes && s.outsideSubset < subsetSize
+}
+
+// selectEndpoint returns the endpoint with the lowest expected delay that a further attempt of the request
+// may go to, or nil.
 func (b *Balancer) selectEndpoint(r *request) *endpoint {
-	var best *endpoint
-	bestCost, spares := math.Inf(1), 0
-	// Gateways that all took the best of all servers would crowd it. Each looks at a random part.
-	samples := max(len(b.endpoints.tracked)/b.settings.NodeCount+1, 2)
-	for i := range b.endpoints.tracked {
-		if best != nil && samples == 0 && !b.deprioritized(best) {
+	tracked := b.endpoints.tracked
+	s := selection{
+		request:  r,
+		criteria: b.healthCriteria(),
+		samples:  max(len(tracked)/b.settings.NodeCount+1, minSamples),
+		bestCost: math.Inf(1),
+	}
+	for i := range tracked {
+		if s.done() {
 			break
 		}
-		j := i + b.rng.IntN(len(b.endpoints.tracked)-i)
-		b.endpoints.tracked[i], b.endpoints.tracked[j] = b.endpoints.tracked[j], b.endpoints.tracked[i]
-		s := b.endpoints.tracked[i]
-		if !s.acceptsRequests() || !b.mayAttempt(r, s) || !b.slowStartAllows(s) {
-			continue
-		}
-		cost := b.cost(s)
-		switch {
-		case s.unreachable && len(r.attempts) > 0:
-			continue // a further attempt there would only cost the client time
-		case b.deprioritized(s):
-			// only if no other is left; no look, or those in service would be taken blindly
-			cost += deprioritizedCost
-		case !s.inSubset:
-			cost += outsideSubsetCost // only if none of the subset is in service
-			spares++
-		case b.rng.Float64()*b.endpoints.subsetWeights.largest > b.relativeCapacity(s):
-			cost += notSampledCost // candidates are drawn by their size
-		default:
-			samples = max(samples-1, 0)
-		}
-		for _, a := range r.attempts {
-			if a.endpoint == s && a.result != OK {
-				cost *= triedEndpointFactor
-			}
-		}
-		if cost < bestCost {
-			best, bestCost = s, cost
+		drawn := i + b.rng.IntN(len(tracked)-i)
+		tracked[i], tracked[drawn] = tracked[drawn], tracked[i]
+		if e := tracked[i]; b.maySelect(r, e) {
+			cost, deprioritized := b.tierCost(&s, e)
+			s.offer(e, b.cost(e)+cost, deprioritized)
 		}
 	}
-	if best != nil && best.inSubset && !b.deprioritized(best) || spares >= b.subsetSize() {
-		return best
+	if !s.needsReserve(b.endpoints.subsetSize()) {
+		return s.best
 	}
-	// As many of the reserve take the place of the subset as that has servers.
-	if s := b.sampleReserve(r); s != nil && (best == nil || b.cost(s)+outsideSubsetCost <= bestCost) {
-		best = s
+	if e := b.sampleReserve(r); e != nil && (s.best == nil || b.cost(e)+outsideSubsetCost <= s.bestCost) {
+		return e
+	}
+	return s.best
+}
+
+// maySelect reports whether a further attempt of the request may go to the endpoint. A retry at an
+// unreachable one would only cost the client time.
+func (b *Balancer) maySelect(r *request, e *endpoint) bool {
+	return e.acceptsRequests() && b.mayAttempt(r, e) && b.slowStartAllows(e) &&
+		!(e.health.unreachable && len(r.attempts) > 0)
+}
+
+// tierCost returns the additional cost of an endpoint's tier. Those of the subset that are drawn by their
+// size use up the samples; ones out of service don't, or those in service would be chosen blindly.
+func (b *Balancer) tierCost(s *selection, e *endpoint) (cost float64, deprioritized bool) {
+	switch {
+	case e.deprioritized(b.now, s.criteria):
+		return deprioritizedCost, true
+	case !e.inSubset:
+		s.outsideSubset++
+		return outsideSubsetCost, false
+	case b.rng.Float64()*b.endpoints.subsetWeights.largest > b.relativeCapacity(e):
+		return notSampledCost, false
 	}
-	return best
+	s.samples = max(s.samples-1, 0)
+	return 0, false
 }
 
-func (b *Balancer) cost(s *endpoint) float64 {
-	lat := s.latencyRatio
-	if s.inFlight > 0 {
-		// Silence with work out counts as latency: it covers pauses, silent death and cut links alike.
-		lat = math.Max(lat, (b.now-s.lastProgress).Seconds()/math.Max(b.meanLatency(), 1e-3))
+// cost returns the expected delay of a request at the endpoint, as a multiple of the usual latency.
+func (b *Balancer) cost(e *endpoint) float64 {
+	ratio := e.latencyRatio
+	if e.inFlight > 0 {
+		// Silence with attempts in flight counts as latency: it covers pauses, dead machines and cut links
+		// alike.
+		ratio = math.Max(ratio, (b.now-e.lastProgress).Seconds()/math.Max(b.latency.mean(), minCostMean))
 	}
-	held := float64(s.inFlight) + math.Max(s.reportedQueue, 0) + b.expectedOtherLoad(s)
-	cost := math.Max(lat, 0.1) * (1 + held) * (1 + errorCostFactor*s.errorRate)
-	cost /= b.warmUpFraction(s)
-	if s.Zone != b.settings.Zone && b.settings.CrossZonePrice > 0 {
+	load := float64(e.inFlight) + math.Max(e.load.queued, 0) + b.expectedOtherLoad(e)
+	cost := math.Max(ratio, minLatencyRatio) * (1 + load) * (1 + errorCostFactor*e.health.errorRate)
+	cost /= b.warmUpFraction(e)
+	if e.Zone != b.settings.Zone && b.settings.CrossZonePrice > 0 {
 		cost *= crossZoneFactor
 	}
 	return cost
 }
 
-// sampleReserve returns a server of the reserve that the request may go to, or nil.
+// sampleReserve returns an endpoint of the reserve that the request may go to, or nil.
 func (b *Balancer) sampleReserve(r *request) *endpoint {
-	b.moveWarmedUpToReserve()
-	from := b.endpoints.list.reserve
-	for i := range r.attempts { // a keyed request that may have run stays where its repeats are dropped
-		a, c := &r.attempts[i], &b.settings.Classes[r.class]
-		switch {
-		case a.neverRan || c.Idempotency != IdempotentWithKey:
-		case c.DedupScope == DedupZone:
-			from = b.endpoints.list.reserveInZone(a.zone)
-		case c.DedupScope == DedupCell:
-			from = b.endpoints.list.reserveInCell(a.cell)
-		}
-	}
-	if len(from) == 0 {
+	b.endpoints.moveWarmedUpToReserve(b.now)
+	candidates := b.reserveFor(r)
+	if len(candidates) == 0 {
 		return nil
 	}
-	at := from[b.rng.IntN(len(from))]
+	list := b.endpoints.list
+	slot := candidates[b.rng.IntN(len(candidates))]
 	for n := 1; n < maxReserveSamples &&
-		b.rng.Float64()*b.endpoints.list.activeWeights.largest > b.endpoints.list.weight(at); n++ {
-		at = from[b.rng.IntN(len(from))]
+		b.rng.Float64()*list.activeWeights.largest > list.weight(slot); n++ {
+		slot = candidates[b.rng.IntN(len(candidates))]
 	}
-	if !b.mayAttempt(r, &endpoint{Endpoint: b.endpoints.list.endpointAt(at)}) {
+	if !b.mayAttempt(r, &endpoint{Endpoint: list.endpointAt(slot)}) {
 		return nil
 	}
-	s := b.track(at)
-	s.lastProgress = b.now
-	b.updateReserve(at)
-	return s
+	return b.endpoints.trackFromReserve(b.now, slot)
+}
+
+// reserveFor returns the part of the reserve that the request may go to: one with an idempotency key that
+// may have run stays where its repeats are dropped.
+func (b *Balancer) reserveFor(r *request) pool {
+	class := &b.settings.Classes[r.class]
+	candidates := b.endpoints.list.reserve.all
+	for i := range r.attempts {
+		a := &r.attempts[i]
+		switch {
+		case a.neverRan || class.Idempotency != IdempotentWithKey:
+		case class.DedupScope == DedupZone:
+			candidates = b.endpoints.list.reserveInZone(a.zone)
+		case class.DedupScope == DedupCell:
+			candidates = b.endpoints.list.reserveInCell(a.cell)
+		}
+	}
+	return candidates
 }
--- a/balancer/subset_bench_test.go
+++ b/balancer/subset_bench_test.go
@@ -71,9 +71,9 @@
 					g.EndpointsUpdated(t0, UpdateDelta, list[int(float64(servers)/listLengthSlack):servers], r)
 					b.StartTimer()
 				}
-				number := g.endpoints.subsetsPerEndpoint
+				number := g.endpoints.sizing.subsetsPerEndpoint
 				g.EndpointsUpdated(t0, UpdateDelta, list[at:at+1], r)
-				if g.endpoints.subsetsPerEndpoint == number {
+				if g.endpoints.sizing.subsetsPerEndpoint == number {
 					b.Fatalf("the number of subsets stays at %v", number)
 				}
 			}
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -97,7 +97,7 @@
 		{1, 1, 1}, {2, 9, 9}, {25, 3, 3}, {300, 200, 200}, {1024, 1024, 256}, {4100, 200_000, 64},
 	} {
 		g, _ := newGate(t, subsetSettings(c.nodes))
-		per := g.subsetsPerEndpointFor(float64(c.servers))
+		per := g.endpoints.sizing.subsetsFor(float64(c.servers))
 		list := manyServers(c.servers)
 		s, err := evenness(c.sample, c.nodes, func(server, node int) bool {
 			key := endpointKey(list[server*(c.servers/c.sample)].ID)
@@ -128,11 +128,11 @@
 		sizes[n] = float64(g.Stats().SubsetEndpoints)
 		total := 0.0
 		for _, s := range g.endpoints.tracked {
-			total += g.weight(s)
+			total += s.weight()
 		}
 		for _, s := range g.endpoints.tracked {
 			held[s.ID]++
-			load[s.ID] += g.weight(s) / total
+			load[s.ID] += s.weight() / total
 		}
 	}
 	perServer, perWeight := make([]float64, servers), map[float64][]float64{}
@@ -218,7 +218,7 @@
 // apply brings a change of one server to all gateways of a fleet.
 func (c *serverChanges) apply(t *testing.T, gates []*Balancer, e Endpoint) {
 	t.Helper()
-	before, number := subsetsOf(gates), gates[0].endpoints.subsetsPerEndpoint
+	before, number := subsetsOf(gates), gates[0].endpoints.sizing.subsetsPerEndpoint
 	for _, g := range gates {
 		g.EndpointsUpdated(t0, UpdateDelta, []Endpoint{e}, &recorder{})
 	}
@@ -228,7 +228,7 @@
 		own += oneIf(before[n][e.ID] != after[n][e.ID])
 	}
 	all := changedMembers(before, after)
-	if gates[0].endpoints.subsetsPerEndpoint == number {
+	if gates[0].endpoints.sizing.subsetsPerEndpoint == number {
 		if c.settled++; all != own {
 			t.Errorf("%s: %v members changed where %v must and the number of subsets stays", e.ID, all, own)
 		}
@@ -286,10 +286,10 @@
 	const nodes, servers, sample = 4100, 200_000, 4000
 	g, _ := newGate(t, subsetSettings(nodes))
 	larger, _ := newGate(t, subsetSettings(nodes+1))
-	per := g.subsetsPerEndpointFor(servers)
-	if per != minSubsetSize || g.subsetsPerEndpointFor(servers+1) != per || larger.subsetsPerEndpointFor(servers) != per {
+	per := g.endpoints.sizing.subsetsFor(servers)
+	if per != minSubsetSize || g.endpoints.sizing.subsetsFor(servers+1) != per || larger.endpoints.sizing.subsetsFor(servers) != per {
 		t.Fatalf("%v subsets a server, %v with one server more, %v with one node more", per,
-			g.subsetsPerEndpointFor(servers+1), larger.subsetsPerEndpointFor(servers))
+			g.endpoints.sizing.subsetsFor(servers+1), larger.endpoints.sizing.subsetsFor(servers))
 	}
 	entered, left := 0, 0
 	for n := range sample {
@@ -427,10 +427,10 @@
 		e := s.Endpoint
 		e.StartedAt = g.now
 		g.EndpointsUpdated(g.now, UpdateDelta, []Endpoint{e}, r)
-		s.slowStartTokens, s.slowStartAccruedAt = 0, g.now // nothing saved up yet
+		s.slowStart.tokens, s.slowStart.accruedAt = 0, g.now // nothing saved up yet
 	},
 	"silent": func(g *Balancer, s *endpoint, r *recorder) { g.recordNoResponse(s, g.now) },
-	"errors": func(g *Balancer, s *endpoint, r *recorder) { g.eject(s) },
+	"errors": func(g *Balancer, s *endpoint, r *recorder) { s.health.eject(g.now) },
 }
 
 // Where a whole subset is of no use, the same decision must find another server, and the gateways that have
@@ -464,7 +464,7 @@
 				g.AttemptFinished(t0, Outcome{ID: q.ID, Result: OK, Answered: true, Elapsed: ms}, r)
 			}
 			// As many as a subset holds stand in for it, and one may have been drawn beside them.
-			if known := g.Stats().TrackedEndpoints; known > len(members)+g.subsetSize()+1 {
+			if known := g.Stats().TrackedEndpoints; known > len(members)+g.endpoints.subsetSize()+1 {
 				t.Errorf("%s: %d servers known, %d of them in the subset", way, known, len(members))
 			}
 		}
@@ -520,13 +520,13 @@
 // What was used of the reserve is forgotten once the subset is back, and its servers wait in the reserve again.
 func TestReserveIsForgotten(t *testing.T) {
 	g, r := newGate(t, subsetSettings(100), manyServers(400)...)
-	members, waiting := g.Stats().TrackedEndpoints, len(g.endpoints.list.reserve)
+	members, waiting := g.Stats().TrackedEndpoints, len(g.endpoints.list.reserve.all)
 	for _, s := range g.endpoints.tracked {
-		g.eject(s)
+		s.health.eject(g.now)
 	}
 	g.RequestArrived(t0, newRequest(1, "safe", "rate", 1), r)
-	if known := g.Stats().TrackedEndpoints; known != members+1 || len(g.endpoints.list.reserve) != waiting-1 {
-		t.Fatalf("%d known, %d in the reserve", known, len(g.endpoints.list.reserve))
+	if known := g.Stats().TrackedEndpoints; known != members+1 || len(g.endpoints.list.reserve.all) != waiting-1 {
+		t.Fatalf("%d known, %d in the reserve", known, len(g.endpoints.list.reserve.all))
 	}
 	g.TimerFired(t0+time.Minute, timerControlInterval, r)
 	if g.Stats().TrackedEndpoints != members+1 {
@@ -534,8 +534,8 @@
 	}
 	g.AttemptFinished(t0+time.Minute, Outcome{ID: "r1", Result: OK, Answered: true, Elapsed: ms}, r)
 	g.TimerFired(t0+2*time.Minute, timerControlInterval, r)
-	if known := g.Stats().TrackedEndpoints; known != members || len(g.endpoints.list.reserve) != waiting {
-		t.Errorf("%d known, %d in the reserve, want %d and %d", known, len(g.endpoints.list.reserve), members, waiting)
+	if known := g.Stats().TrackedEndpoints; known != members || len(g.endpoints.list.reserve.all) != waiting {
+		t.Errorf("%d known, %d in the reserve, want %d and %d", known, len(g.endpoints.list.reserve.all), members, waiting)
 	}
 }
 
@@ -559,7 +559,7 @@
 				fit = append(fit, slotIndex(at))
 			}
 		}
-		return g.track(fit[g.rng.IntN(len(fit))])
+		return g.endpoints.track(fit[g.rng.IntN(len(fit))])
 	}
 	if n := drawReads(g, scan); n <= maxReserveSamples {
 		t.Errorf("a scan passes: %d entries read", n)
@@ -578,7 +578,7 @@
 			g.RequestArrived(t0, newRequest(1, "keyed", "rate", 1), r)
 			first := g.requests.byID["r1"].attempts[0]
 			for _, sv := range g.endpoints.tracked {
-				g.eject(sv)
+				sv.health.eject(g.now)
 			}
 			g.AttemptFinished(t0+ms, Outcome{ID: "r1", Result: Reset, Elapsed: ms}, r)
 			req := g.requests.byID["r1"]
@@ -633,7 +633,7 @@
 	}
 	s := gates[0].settings
 	share := s.SlowStartInitialFraction + (1-s.SlowStartInitialFraction)*1/s.SlowStartDuration.Seconds()
-	allowed := s.OverloadFactor * share * s.OverloadWindow.Seconds() / gates[0].workOf(2)
+	allowed := s.OverloadFactor * share * s.OverloadWindow.Seconds() / gates[0].latency.work(2)
 	if most := allowed + 2*math.Sqrt(allowed) + 2; sends == 0 || float64(sends) > most {
 		t.Errorf("%d requests to a cold server in a second, at most %.1f", sends, most)
 	}
@@ -656,7 +656,7 @@
 	}
 	entered := 0
 	for _, g := range holders(gates, "cold") {
-		credit := g.endpoints.trackedByID["cold"].slowStartTokens
+		credit := g.endpoints.trackedByID["cold"].slowStart.tokens
 		if slices.Contains(first, g) {
 			continue
 		}
@@ -682,8 +682,10 @@
 		g.EndpointsUpdated(t0, UpdateSnapshot, list, r)
 	}
 	l := g.endpoints.list
-	for what, n := range map[string]int{"servers": len(l.entries), "zones": len(l.zones.values), "kinds": len(l.machineTypes.values),
-		"cells": len(l.cells.values), "weights": len(l.weights.values), "pools": len(l.reserveByZone)} {
+	for what, n := range map[string]int{
+		"servers": len(l.entries), "zones": len(l.zones.values), "kinds": len(l.machineTypes.values),
+		"cells": len(l.cells.values), "weights": len(l.weights.values), "pools": len(l.reserve.byZone),
+	} {
 		if n > 4*(10+staleSlack)+10 {
 			t.Errorf("%d %s for a list of ten servers", n, what)
 		}
@@ -789,13 +791,16 @@
 		moved := fleet(2)[1]
 		moved.MachineType = "other"
 		g.EndpointsUpdated(t0, UpdateDelta, []Endpoint{moved}, r)
-		first, other := g.latency.machineTypes[g.latency.machineTypeIndex["k"]], g.latency.machineTypes[g.latency.machineTypeIndex["other"]]
-		if _, known := g.latency.machineTypeIndex["other"]; !known || first == other {
-			t.Fatalf("%d nodes: kinds %v", nodes, g.latency.machineTypeIndex)
+		g.recordLatency(0, g.endpoints.trackedByID["s0"], 40*ms)
+		for range 2 {
+			g.recordLatency(0, g.endpoints.trackedByID[moved.ID], 50*ms)
+		}
+		first, other := g.latency.indexOf("k"), g.latency.indexOf("other")
+		if first == other || len(g.latency.machineTypes) != 2 {
+			t.Fatalf("%d nodes: machine types %v", nodes, g.latency.machineTypeIndex)
 		}
-		g.recordLatency(0, g.endpoints.trackedByID[moved.ID], 50*ms)
-		if first.samples != 0 || other.samples != 1 {
-			t.Errorf("%d nodes: %v latencies of the first kind, %v of the new one", nodes, first.samples, other.samples)
+		if a, b := g.latency.machineTypes[first].samples, g.latency.machineTypes[other].samples; a != 1 || b != 2 {
+			t.Errorf("%d nodes: %v latencies of the first machine type, %v of the new one", nodes, a, b)
 		}
 	}
 }
@@ -896,7 +901,7 @@
 	member := g.endpoints.tracked[0]
 	for n := 0; ; n++ { // another member of the same short hash
 		e := Endpoint{ID: fmt.Sprintf("other-%d", n), MachineType: "k", Zone: "a"}
-		if shortEndpointHash(e.ID) == member.shortHash && g.entersAt(e.ID) <= g.endpoints.subsetsPerEndpoint {
+		if shortEndpointHash(e.ID) == member.shortHash && g.endpoints.sizing.entersAt(e.ID) <= g.endpoints.sizing.subsetsPerEndpoint {
 			g.EndpointsUpdated(t0, UpdateDelta, []Endpoint{e}, r)
 			break
 		}
--- a/balancer/tracking.go
+++ b/balancer/tracking.go
@@ -1,144 +1,149 @@
 package balancer
 
-// endpointSet holds the endpoint list, this node's subset of it, and what was learned of the endpoints in
-// use.
-type endpointSet struct {
-	list               *endpointList
-	subsetsPerEndpoint float64 // number of subsets that hold each endpoint
-	smoothedListLength float64 // from which that follows
-	rankedNodes        int     // places in an endpoint's order of the nodes that are told apart
-	hasUnlisted        bool    // a tracked endpoint is no longer listed
-	subsetDirty        bool    // the subset differs from what subsetByHash and shared hold
+import (
+	"math"
+	"time"
+)
 
-	tracked       []*endpoint // those of the subset, and others while they are used
-	trackedByID   map[string]*endpoint
-	subsetByHash  map[uint16]*endpoint // nil for a hash that several share
-	shared        []sharedEndpoint     // those of the subset, for load gossip
-	subsetWeights weightCounts         // of the subset's endpoints that accept requests
-	// mean of the other nodes' requests at an endpoint, over those reported
-	meanLoad float64
-}
+// reserveRetention is how long an endpoint of the reserve stays tracked after its last use.
+const reserveRetention = 5 * time.Second
 
-func newEndpointSet() endpointSet {
-	return endpointSet{
-		list:         newEndpointList(0),
-		trackedByID:  map[string]*endpoint{},
-		subsetByHash: map[uint16]*endpoint{},
+// trackedAt returns what is known of a listed endpoint, nil where that is no more than its entry.
+func (s *endpointSet) trackedAt(slot slotIndex) *endpoint {
+	if entry := &s.list.entries[slot]; entry.tracked {
+		return s.trackedByID[entry.id]
 	}
+	return nil
 }
 
-// trackedAt returns what is known of a listed server, nil where that is nothing more than what the list says.
-func (b *Balancer) trackedAt(at slotIndex) *endpoint {
-	if e := &b.endpoints.list.entries[at]; e.tracked {
-		return b.endpoints.trackedByID[e.id]
-	}
-	return nil
+// track begins to keep what is learned of a listed endpoint.
+func (s *endpointSet) track(slot slotIndex) *endpoint {
+	e := newEndpoint(s.list.endpointAt(slot))
+	s.trackedByID[e.ID] = e
+	s.list.entries[slot].tracked = true
+	s.tracked = append(s.tracked, e)
+	return e
 }
 
-// track begins to keep what is learned of a listed server.
-func (b *Balancer) track(at slotIndex) *endpoint {
-	e := b.endpoints.list.endpointAt(at)
-	s := &endpoint{Endpoint: e, latencyRatio: 1, reportedQueue: -1, slowStartTokens: -1, reportedLoad: -1,
-		listed: true, rendezvousKey: endpointKey(e.ID)}
-	s.shortHash = shortEndpointHash(e.ID)
-	b.endpoints.trackedByID[e.ID] = s
-	b.endpoints.list.entries[at].tracked = true
-	b.endpoints.tracked = append(b.endpoints.tracked, s)
-	b.trackMachineType(e.MachineType)
-	return s
+// trackFromReserve tracks an endpoint of the reserve that is sent to.
+func (s *endpointSet) trackFromReserve(now time.Duration, slot slotIndex) *endpoint {
+	e := s.track(slot)
+	e.lastProgress = now
+	s.updateReserve(now, slot)
+	return e
 }
 
-// updateTracked takes over what the list says of a server that is known.
-func (b *Balancer) updateTracked(s *endpoint, e Endpoint) {
-	if s.StartedAt != e.StartedAt {
-		// A restarted server is another one: nothing learned of it holds.
-		s.errorRate, s.consecutiveEjections, s.ejectedUntil, s.latencyRatio, s.reportedQueue,
-			s.slowStartTokens, s.unreachable = 0, 0, 0, 1, -1, -1, false
-		s.reportedLoad, s.loadReportedAt, s.refusesConnections, s.lastResponseFailed = -1, 0, false, false
-	}
-	b.trackMachineType(e.MachineType)
-	s.Endpoint, s.listed = e, e.State != Removed
-	b.endpoints.hasUnlisted = b.endpoints.hasUnlisted || !s.listed
-	b.countInSubset(s)
+// updateTracked takes over a new entry of an endpoint that is tracked.
+func (s *endpointSet) updateTracked(e *endpoint, entry Endpoint) {
+	e.update(entry)
+	s.hasUnlisted = s.hasUnlisted || !e.listed
+	s.countInSubset(e)
 }
 
-// countInSubset keeps the weights of the subset's servers that take work.
-func (b *Balancer) countInSubset(s *endpoint) {
+// countInSubset keeps the weights of the subset's endpoints that accept requests.
+func (s *endpointSet) countInSubset(e *endpoint) {
 	weight := 0.0
-	if s.inSubset && s.acceptsRequests() {
-		weight = b.weight(s)
+	if e.inSubset && e.acceptsRequests() {
+		weight = e.weight()
 	}
-	if weight == s.countedWeight {
+	if weight == e.countedWeight {
 		return
 	}
-	if s.countedWeight > 0 {
-		b.endpoints.subsetWeights.add(s.countedWeight, -1)
+	if e.countedWeight > 0 {
+		s.subsetWeights.add(e.countedWeight, -1)
 	}
 	if weight > 0 {
-		b.endpoints.subsetWeights.add(weight, 1)
+		s.subsetWeights.add(weight, 1)
 	}
-	s.countedWeight = weight
+	e.countedWeight = weight
 }
 
-// trackMachineType begins to keep what is learned of a kind of servers.
-func (b *Balancer) trackMachineType(kind string) {
-	if _, known := b.latency.machineTypeIndex[kind]; !known {
-		b.latency.machineTypeIndex[kind] = len(b.latency.machineTypeIndex)
-		b.latency.machineTypes = append(b.latency.machineTypes, &machineTypeLatency{meanRatio: 1})
-	}
-}
-
-// dropUnused drops what is known of servers outside the subset that are no longer used.
-func (b *Balancer) dropUnused() {
-	b.moveWarmedUpToReserve()
-	b.retainTracked(b.isInUse)
-	b.indexSubset()
+// dropUnused stops tracking endpoints outside the subset that are no longer in use.
+func (s *endpointSet) dropUnused(now time.Duration) {
+	s.moveWarmedUpToReserve(now)
+	s.retain(now, func(e *endpoint) bool { return s.isInUse(now, e) })
+	s.index.rebuild(s.tracked, &s.sizing)
 }
 
-// isInUse tells whether what is known of a server is still of use.
-func (b *Balancer) isInUse(s *endpoint) bool {
+// isInUse reports whether what is known of an endpoint is still of use.
+func (s *endpointSet) isInUse(now time.Duration, e *endpoint) bool {
 	switch {
-	case s.inSubset && s.listed, s.inFlight > 0:
+	case e.inSubset && e.listed, e.inFlight > 0:
 		return true
-	case !s.listed:
+	case !e.listed:
 		return false
 	}
-	return b.now-s.lastProgress <= reserveRetention || b.now < s.ejectedUntil || b.warmUpFraction(s) < 1
+	return now-e.lastProgress <= reserveRetention || e.health.ejected(now) ||
+		s.warmUp.fraction(e.lastStart(), now) < 1
 }
 
-// dropUnlisted drops servers that are no longer listed, unless attempts are out at them.
-func (b *Balancer) dropUnlisted() {
-	if !b.endpoints.hasUnlisted {
+// dropUnlisted stops tracking endpoints that are no longer listed, once no attempt is in flight there.
+func (s *endpointSet) dropUnlisted(now time.Duration) {
+	if !s.hasUnlisted {
 		return
 	}
-	b.endpoints.hasUnlisted = false
-	b.retainTracked(func(s *endpoint) bool {
-		waits := !s.listed && s.inFlight > 0
-		b.endpoints.hasUnlisted = b.endpoints.hasUnlisted || waits
-		return s.listed || waits
+	s.hasUnlisted = false
+	s.retain(now, func(e *endpoint) bool {
+		s.hasUnlisted = s.hasUnlisted || !e.listed && e.inFlight > 0
+		return e.listed || e.inFlight > 0
 	})
 }
 
-// retainTracked drops what is known of all servers but some.
-func (b *Balancer) retainTracked(keep func(*endpoint) bool) {
-	kept := b.endpoints.tracked[:0]
-	for _, s := range b.endpoints.tracked {
-		if keep(s) {
-			kept = append(kept, s)
+// retain stops tracking all endpoints but some.
+func (s *endpointSet) retain(now time.Duration, keep func(*endpoint) bool) {
+	retained := s.tracked[:0]
+	for _, e := range s.tracked {
+		if keep(e) {
+			retained = append(retained, e)
 		} else {
-			b.stopTracking(s)
+			s.stopTracking(now, e)
 		}
 	}
-	clear(b.endpoints.tracked[len(kept):])
-	b.endpoints.tracked = kept
+	clear(s.tracked[len(retained):])
+	s.tracked = retained
 }
 
-// stopTracking drops what is known of a server. One that is listed may wait in the reserve.
-func (b *Balancer) stopTracking(s *endpoint) {
-	delete(b.endpoints.trackedByID, s.ID)
-	b.endpoints.subsetDirty = b.endpoints.subsetDirty || s.inSubset
-	if at, listed := b.endpoints.list.slotByID[s.ID]; listed {
-		b.endpoints.list.entries[at].tracked = false
-		b.updateReserve(at)
+// stopTracking forgets what is known of an endpoint. One that is listed may return to the reserve.
+func (s *endpointSet) stopTracking(now time.Duration, e *endpoint) {
+	delete(s.trackedByID, e.ID)
+	s.index.dirty = s.index.dirty || e.inSubset
+	if slot, listed := s.list.slotByID[e.ID]; listed {
+		s.list.entries[slot].tracked = false
+		s.updateReserve(now, slot)
+	}
+}
+
+// addStats adds what the set holds to the counts.
+func (s *endpointSet) addStats(stats *Stats) {
+	stats.ListedEndpoints, stats.TrackedEndpoints = s.list.length(), len(s.tracked)
+	for _, e := range s.tracked {
+		if !e.inSubset || !e.listed {
+			continue
+		}
+		stats.SubsetEndpoints++
+		if s.index.byHash[e.shortHash] == nil {
+			stats.HashCollisions++
+		}
+	}
+}
+
+// closeEndpointInterval brings slow-start budgets up to date, learns from what the endpoints have done in a
+// control interval and lets what is known of idle ones fade.
+func (b *Balancer) closeEndpointInterval() {
+	var warmWeight, load, reports float64
+	keep := math.Exp(-controlInterval.Seconds() / observationDecay.Seconds())
+	for _, e := range b.endpoints.tracked {
+		b.accrueSlowStart(e) // from the time that it is tracked on, not from its first selection
+		if !e.slowStart.bounded() && e.acceptsRequests() && e.inSubset {
+			warmWeight += e.weight()
+		}
+		if e.acceptsRequests() && e.load.known() {
+			load, reports = load+e.load.otherNodes, reports+1
+		}
+		if e.inFlight == 0 {
+			e.decay(keep)
+		}
 	}
+	b.endpoints.meanLoad = load / math.Max(reports, 1)
+	b.slowStart.closeInterval(warmWeight)
 }
--- a/balancer/weights.go
+++ b/balancer/weights.go
@@ -1,21 +1,21 @@
 package balancer
 
-// weightCounts counts servers by their weights.
+// weightCounts counts endpoints by weight. The zero value counts none.
 type weightCounts struct {
 	total    int
-	largest  float64 // of the weights counted; 0 where there are none
+	largest  float64 // largest weight counted; 0: none is
 	byWeight map[float64]int
 }
 
-// add counts a number of servers of a weight more, or fewer.
-func (c *weightCounts) add(weight float64, by int) {
+// add changes the number of endpoints of a weight.
+func (c *weightCounts) add(weight float64, change int) {
 	if c.byWeight == nil {
 		c.byWeight = map[float64]int{}
 	}
-	c.total += by
-	left := c.byWeight[weight] + by
-	if left > 0 {
-		c.byWeight[weight] = left
+	c.total += change
+	count := c.byWeight[weight] + change
+	if count > 0 {
+		c.byWeight[weight] = count
 		c.largest = max(c.largest, weight)
 		return
 	}
@@ -32,5 +32,13 @@
 	}
 }
 
-// differ tells whether the servers counted are of more than one weight.
+// differ reports whether more than one weight is counted.
 func (c *weightCounts) differ() bool { return len(c.byWeight) > 1 }
+
+// weightOr1 returns a listed weight, 1 where none is given.
+func weightOr1(weight float64) float64 {
+	if weight > 0 {
+		return weight
+	}
+	return 1
+}
