--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -95,7 +95,7 @@
 		b.gossip.interval = max(gap, b.settings.Tick, minGossipInterval)
 	}
 	if b.ownsQuotas() {
-		b.endpoints.sizing.enable()
+		b.endpoints.enableSubset()
 	}
 	// Nodes that are started together must not act in step.
 	b.actions.SetTimer(timerControlInterval, time.Duration(b.rng.Int64N(int64(controlInterval))))
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -72,6 +72,19 @@
 	e.health.endUnresponsiveEjection()
 }
 
+// recordLoadReport records the figures of a load report that it has.
+func (e *endpoint) recordLoadReport(report *LoadReport, now time.Duration) {
+	if report.Queued >= 0 {
+		e.load.queued = report.Queued
+	}
+	if report.InFlight >= 0 {
+		e.recordLoad(report.InFlight, now)
+	}
+	if report.Utilization >= 0 {
+		e.load.utilizationReportedAt = now
+	}
+}
+
 // recordGossipedLoad records the load that another node has seen at a time, and whether its last response
 // was an error.
 func (e *endpoint) recordGossipedLoad(requests float64, lastResponseFailed bool, at time.Duration) {
@@ -97,7 +110,7 @@
 // decay moves what was learned toward what is usual; keep is the fraction that remains of the difference.
 func (e *endpoint) decay(keep float64) {
 	e.latencyRatio = 1 + (e.latencyRatio-1)*keep
-	e.health.errorRate *= keep
+	e.health.decay(keep)
 }
 
 // unreported stands for a figure of the load that no report has given.
--- a/balancer/endpoint_list.go
+++ b/balancer/endpoint_list.go
@@ -94,6 +94,24 @@
 // length returns the number of listed endpoints.
 func (l *endpointList) length() int { return len(l.slotByID) }
 
+// slotOf returns the slot of an endpoint.
+func (l *endpointList) slotOf(id string) (slot slotIndex, listed bool) {
+	slot, listed = l.slotByID[id]
+	return slot, listed
+}
+
+// isTracked reports whether this node tracks a listed endpoint.
+func (l *endpointList) isTracked(slot slotIndex) bool { return l.entries[slot].tracked }
+
+// setTracked notes whether this node tracks a listed endpoint.
+func (l *endpointList) setTracked(slot slotIndex, tracked bool) { l.entries[slot].tracked = tracked }
+
+// idOf returns the id of a listed endpoint.
+func (l *endpointList) idOf(slot slotIndex) string { return l.entries[slot].id }
+
+// entersAt returns the number of subsets for each endpoint from which on this one is in this node's subset.
+func (l *endpointList) entersAt(slot slotIndex) float64 { return l.entries[slot].entersAt }
+
 // find returns the slot of an endpoint. Lists mostly come in the same order: the next slot is tried first.
 func (l *endpointList) find(id string) (slot slotIndex, listed bool) {
 	slot = l.expectedSlot
--- a/balancer/endpoint_set.go
+++ b/balancer/endpoint_set.go
@@ -86,7 +86,7 @@
 func (s *endpointSet) applyEntry(now time.Duration, entry *Endpoint) {
 	slot, listed := s.list.find(entry.ID)
 	switch {
-	case listed && !s.list.entries[slot].tracked && s.list.confirm(slot, entry):
+	case listed && !s.list.isTracked(slot) && s.list.confirm(slot, entry):
 		return
 	case entry.State != Removed:
 		s.listEndpoint(now, slot, listed, *entry)
@@ -103,7 +103,7 @@
 	if !listedBefore {
 		slot = s.list.add(entry.ID)
 		s.list.setEntersAt(slot, s.sizing.entersAt(entry.ID))
-		s.list.entries[slot].tracked = s.trackedByID[entry.ID] != nil
+		s.list.setTracked(slot, s.trackedByID[entry.ID] != nil)
 	}
 	s.list.update(slot, entry)
 	s.updateMembership(now, slot, listedBefore)
@@ -116,7 +116,7 @@
 	if change == subsetStays {
 		return
 	}
-	s.index.dirty = true
+	s.index.invalidate()
 	if change == subsetBeyondRanks {
 		s.list.resetEntersAt(s.sizing.entersAt)
 	}
@@ -128,7 +128,7 @@
 // updateMembership has a listed endpoint enter the subset or leave it, where the number of subsets asks for
 // that.
 func (s *endpointSet) updateMembership(now time.Duration, slot slotIndex, listedBefore bool) {
-	member := !s.list.isFree(slot) && s.sizing.contains(s.list.entries[slot].entersAt)
+	member := !s.list.isFree(slot) && s.sizing.contains(s.list.entersAt(slot))
 	e := s.trackedAt(slot)
 	if e == nil && !member || e != nil && e.inSubset == member {
 		return
@@ -136,7 +136,8 @@
 	if e == nil {
 		e = s.track(slot)
 	}
-	e.inSubset, s.index.dirty = member, true
+	e.inSubset = member
+	s.index.invalidate()
 	s.countInSubset(e)
 	if member && listedBefore {
 		e.slowStart.startEmpty(now)
@@ -154,5 +155,11 @@
 	s.list.moveWarmedUpToReserve(now, s.warmUp.duration)
 }
 
+// enableSubset has the subset hold a part of the list only, as in a large fleet.
+func (s *endpointSet) enableSubset() { s.sizing.enable() }
+
+// subsetsPerEndpoint returns the number of nodes whose subsets hold each endpoint.
+func (s *endpointSet) subsetsPerEndpoint() float64 { return s.sizing.subsetsPerEndpoint }
+
 // subsetSize returns the number of endpoints in a subset, on average and at least one.
 func (s *endpointSet) subsetSize() int { return s.sizing.size(s.list.length()) }
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -99,6 +99,15 @@
 	h.errorRate += errorSmoothing * (amount - h.errorRate)
 }
 
+// decay lets the error rate fade; keep is the fraction that remains.
+func (h *endpointHealth) decay(keep float64) { h.errorRate *= keep }
+
+// recordSuccess records an OK, after which ejections are short again.
+func (h *endpointHealth) recordSuccess() { h.consecutiveEjections = 0 }
+
+// recordCheck records that a health check is sent.
+func (h *endpointHealth) recordCheck(now time.Duration) { h.lastCheck = now }
+
 // reset forgets the health of a process that another has replaced.
 func (h *endpointHealth) reset() {
 	h.errorRate, h.consecutiveEjections, h.ejectedUntil, h.unreachable = 0, 0, 0, false
@@ -163,7 +172,7 @@
 		}
 	}
 	if next != nil {
-		next.health.lastCheck = now
+		next.health.recordCheck(now)
 	}
 	return next
 }
--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -50,7 +50,8 @@
 
 // recordSuccess records an OK.
 func (b *Balancer) recordSuccess(class int, e *endpoint, elapsed time.Duration) {
-	e.lastProgress, e.health.consecutiveEjections = b.now, 0
+	e.lastProgress = b.now
+	e.health.recordSuccess()
 	b.concurrency.responses++
 	b.recordLatency(class, e, elapsed)
 	// Only endpoints that count in the mean and only work that is known: responses of draining endpoints,
@@ -84,7 +85,7 @@
 	e.restarts.suspect(b.now)
 	e.load.recordRefusal(b.now)
 	if b.health.enabled && e.acceptsRequests() && e.restarts.startConfirming(b.now) {
-		e.health.lastCheck = b.now
+		e.health.recordCheck(b.now)
 		b.actions.HealthCheck(e.ID)
 	}
 }
@@ -117,14 +118,8 @@
 	if report == nil {
 		return
 	}
-	if report.Queued >= 0 {
-		e.load.queued = report.Queued
-	}
-	if report.InFlight >= 0 {
-		e.recordLoad(report.InFlight, b.now)
-	}
+	e.recordLoadReport(report, b.now)
 	if report.Utilization >= 0 {
-		e.load.utilizationReportedAt = b.now
 		b.overload.sampleOccupancy(math.Min(report.Utilization, 1))
 	}
 }
--- a/balancer/reserve.go
+++ b/balancer/reserve.go
@@ -2,9 +2,13 @@
 
 import (
 	"container/heap"
+	"math/rand/v2"
 	"time"
 )
 
+// maxReserveSamples is the number of draws for an endpoint that is accepted by its weight.
+const maxReserveSamples = 4
+
 // pool is a set of slots from which one can be drawn at random. Its order has no meaning.
 type pool []slotIndex
 
@@ -108,6 +112,16 @@
 	return nil
 }
 
+// sampleByWeight draws an endpoint from a part of the reserve that isn't empty, by weight as far as a few
+// draws can.
+func (l *endpointList) sampleByWeight(candidates pool, rng *rand.Rand) slotIndex {
+	slot := candidates[rng.IntN(len(candidates))]
+	for n := 1; n < maxReserveSamples && rng.Float64()*l.activeWeights.largest > l.weight(slot); n++ {
+		slot = candidates[rng.IntN(len(candidates))]
+	}
+	return slot
+}
+
 // warmUpEnd is when a started endpoint is warm.
 type warmUpEnd struct {
 	at   time.Duration
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -14,8 +14,7 @@
 	outsideSubsetCost = 1e5
 	deprioritizedCost = 1e6
 
-	minSamples        = 2 // endpoints of the subset that a selection compares, at least
-	maxReserveSamples = 4 // draws from the reserve for an endpoint that is accepted by its weight
+	minSamples = 2 // endpoints of the subset that a selection compares, at least
 )
 
 // selection is the state of the choice of an endpoint for an attempt: the power of random choices. Nodes
@@ -55,20 +54,18 @@
 // selectEndpoint returns the endpoint with the lowest expected delay that a further attempt of the request
 // may go to, or nil.
 func (b *Balancer) selectEndpoint(r *request) *endpoint {
-	tracked := b.endpoints.tracked
+	tracked := len(b.endpoints.tracked)
 	s := selection{
 		request:  r,
 		criteria: b.healthCriteria(),
-		samples:  max(len(tracked)/b.settings.NodeCount+1, minSamples),
+		samples:  max(tracked/b.settings.NodeCount+1, minSamples),
 		bestCost: math.Inf(1),
 	}
 	for i := range tracked {
 		if s.done() {
 			break
 		}
-		drawn := i + b.rng.IntN(len(tracked)-i)
-		tracked[i], tracked[drawn] = tracked[drawn], tracked[i]
-		if e := tracked[i]; b.maySelect(r, e) {
+		if e := b.endpoints.sample(i, b.rng); b.maySelect(r, e) {
 			cost, deprioritized := b.tierCost(&s, e)
 			s.offer(e, b.cost(e)+cost, deprioritized)
 		}
@@ -129,13 +126,8 @@
 	if len(candidates) == 0 {
 		return nil
 	}
-	list := b.endpoints.list
-	slot := candidates[b.rng.IntN(len(candidates))]
-	for n := 1; n < maxReserveSamples &&
-		b.rng.Float64()*list.activeWeights.largest > list.weight(slot); n++ {
-		slot = candidates[b.rng.IntN(len(candidates))]
-	}
-	if !b.mayAttempt(r, &endpoint{Endpoint: list.endpointAt(slot)}) {
+	slot := b.endpoints.list.sampleByWeight(candidates, b.rng)
+	if !b.mayAttempt(r, &endpoint{Endpoint: b.endpoints.list.endpointAt(slot)}) {
 		return nil
 	}
 	return b.endpoints.trackFromReserve(b.now, slot)
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -130,7 +130,7 @@
 
 // accrueSlowStart brings an endpoint's slow-start budget up to date.
 func (b *Balancer) accrueSlowStart(e *endpoint) {
-	b.slowStart.accrue(e, b.now, b.endpoints.sizing.subsetsPerEndpoint, &b.latency, b.rng)
+	b.slowStart.accrue(e, b.now, b.endpoints.subsetsPerEndpoint(), &b.latency, b.rng)
 }
 
 // warmUpFraction returns the lowest fraction of its capacity that the endpoint can have by now.
--- a/balancer/subset_index.go
+++ b/balancer/subset_index.go
@@ -20,6 +20,12 @@
 
 func newSubsetIndex() subsetIndex { return subsetIndex{byHash: map[uint16]*endpoint{}} }
 
+// invalidate notes that the subset has changed.
+func (i *subsetIndex) invalidate() { i.dirty = true }
+
+// isAmbiguous reports whether an endpoint of the subset shares its short hash with another.
+func (i *subsetIndex) isAmbiguous(e *endpoint) bool { return i.byHash[e.shortHash] == nil }
+
 // rebuild brings the index up to date with the endpoints that are tracked, if the subset has changed.
 func (i *subsetIndex) rebuild(tracked []*endpoint, sizing *subsetSizing) {
 	if !i.dirty {
--- a/balancer/tracking.go
+++ b/balancer/tracking.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"math/rand/v2"
 	"time"
 )
 
@@ -10,8 +11,8 @@
 
 // trackedAt returns what is known of a listed endpoint, nil where that is no more than its entry.
 func (s *endpointSet) trackedAt(slot slotIndex) *endpoint {
-	if entry := &s.list.entries[slot]; entry.tracked {
-		return s.trackedByID[entry.id]
+	if s.list.isTracked(slot) {
+		return s.trackedByID[s.list.idOf(slot)]
 	}
 	return nil
 }
@@ -20,7 +21,7 @@
 func (s *endpointSet) track(slot slotIndex) *endpoint {
 	e := newEndpoint(s.list.endpointAt(slot))
 	s.trackedByID[e.ID] = e
-	s.list.entries[slot].tracked = true
+	s.list.setTracked(slot, true)
 	s.tracked = append(s.tracked, e)
 	return e
 }
@@ -106,9 +107,11 @@
 // stopTracking forgets what is known of an endpoint. One that is listed may return to the reserve.
 func (s *endpointSet) stopTracking(now time.Duration, e *endpoint) {
 	delete(s.trackedByID, e.ID)
-	s.index.dirty = s.index.dirty || e.inSubset
-	if slot, listed := s.list.slotByID[e.ID]; listed {
-		s.list.entries[slot].tracked = false
+	if e.inSubset {
+		s.index.invalidate()
+	}
+	if slot, listed := s.list.slotOf(e.ID); listed {
+		s.list.setTracked(slot, false)
 		s.updateReserve(now, slot)
 	}
 }
@@ -121,22 +124,34 @@
 			continue
 		}
 		stats.SubsetEndpoints++
-		if s.index.byHash[e.shortHash] == nil {
+		if s.index.isAmbiguous(e) {
 			stats.HashCollisions++
 		}
 	}
 }
 
-// closeEndpointInterval brings slow-start budgets up to date, learns from what the endpoints have done in a
-// control interval and lets what is known of idle ones fade.
-func (b *Balancer) closeEndpointInterval() {
-	var warmWeight, load, reports float64
-	keep := math.Exp(-controlInterval.Seconds() / observationDecay.Seconds())
-	for _, e := range b.endpoints.tracked {
-		b.accrueSlowStart(e) // from the time that it is tracked on, not from its first selection
+// sample moves a random one of the endpoints from a position on to that position and returns it.
+func (s *endpointSet) sample(i int, rng *rand.Rand) *endpoint {
+	drawn := i + rng.IntN(len(s.tracked)-i)
+	s.tracked[i], s.tracked[drawn] = s.tracked[drawn], s.tracked[i]
+	return s.tracked[i]
+}
+
+// warmWeight returns the weight of the subset's warm endpoints that accept requests.
+func (s *endpointSet) warmWeight() (weight float64) {
+	for _, e := range s.tracked {
 		if !e.slowStart.bounded() && e.acceptsRequests() && e.inSubset {
-			warmWeight += e.weight()
+			weight += e.weight()
 		}
+	}
+	return weight
+}
+
+// closeInterval takes the mean of the loads reported and lets what is known of idle endpoints fade.
+func (s *endpointSet) closeInterval() {
+	var load, reports float64
+	keep := math.Exp(-controlInterval.Seconds() / observationDecay.Seconds())
+	for _, e := range s.tracked {
 		if e.acceptsRequests() && e.load.known() {
 			load, reports = load+e.load.otherNodes, reports+1
 		}
@@ -144,6 +159,14 @@
 			e.decay(keep)
 		}
 	}
-	b.endpoints.meanLoad = load / math.Max(reports, 1)
-	b.slowStart.closeInterval(warmWeight)
+	s.meanLoad = load / math.Max(reports, 1)
+}
+
+// closeEndpointInterval ends a control interval for the endpoints.
+func (b *Balancer) closeEndpointInterval() {
+	for _, e := range b.endpoints.tracked {
+		b.accrueSlowStart(e) // from the time that it is tracked on, not from its first selection
+	}
+	b.slowStart.closeInterval(b.endpoints.warmWeight())
+	b.endpoints.closeInterval()
 }
