--- /dev/null
+++ b/balancer/endpoint_list_test.go
@@ -0,0 +1,120 @@
+package balancer
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+)
+
+// A list that is replaced over and over, or was long once, must not leave what it held behind for ever.
+func TestReplacedListsLeaveNothingBehind(t *testing.T) {
+	g, r := newGate(t, subsetSettings(100), manyServers(20_000)...)
+	for n := range 2000 {
+		var list []Endpoint
+		for i := range 10 {
+			id := fmt.Sprintf("s%d-%d", n, i)
+			list = append(list, Endpoint{ID: id, MachineType: id, Zone: id, Cell: n*10 + i, Weight: float64(n*10 + i + 1)})
+		}
+		g.EndpointsUpdated(t0, UpdateSnapshot, list, r)
+	}
+	l := g.endpoints.list
+	for what, n := range map[string]int{
+		"servers": len(l.entries), "zones": len(l.zones.values), "kinds": len(l.machineTypes.values),
+		"cells": len(l.cells.values), "weights": len(l.weights.values), "pools": len(l.reserve.byZone),
+	} {
+		if n > 4*(10+staleSlack)+10 {
+			t.Errorf("%d %s for a list of ten servers", n, what)
+		}
+	}
+	if len(l.slotByID) != 10 || g.Stats().TrackedEndpoints > 10 {
+		t.Errorf("%d listed, %+v", len(l.slotByID), g.Stats())
+	}
+}
+
+// A whole list removes what it does not name, whatever else it says, and however its servers were listed before.
+func TestWholeListRemovesWhatItDoesNotName(t *testing.T) {
+	a, b, c := Endpoint{ID: "a"}, Endpoint{ID: "b"}, Endpoint{ID: "c"}
+	gone := func(e Endpoint) Endpoint {
+		e.State = Removed
+		return e
+	}
+	for name, test := range map[string]struct {
+		before  [][]Endpoint // the first is a whole list, the others are changes
+		list    []Endpoint
+		removed []string
+	}{
+		"all named":                    {before: [][]Endpoint{{a, b, c}}, list: []Endpoint{a, b, c}},
+		"one missing":                  {before: [][]Endpoint{{a, b, c}}, list: []Endpoint{a, b}, removed: []string{"c"}},
+		"one named twice, one missing": {before: [][]Endpoint{{a, b, c}}, list: []Endpoint{a, a, b}, removed: []string{"c"}},
+		"a new one for a missing one":  {before: [][]Endpoint{{a, b}}, list: []Endpoint{a, c}, removed: []string{"b"}},
+		"named and taken back":         {before: [][]Endpoint{{a, b, c}}, list: []Endpoint{a, b, gone(b)}, removed: []string{"b", "c"}},
+		"taken back unnamed":           {before: [][]Endpoint{{a, b, c}}, list: []Endpoint{gone(a), b}, removed: []string{"a", "c"}},
+		"listed by a change":           {before: [][]Endpoint{{a}, {b, c}}, list: []Endpoint{a, b}, removed: []string{"c"}},
+		"changed to as it was":         {before: [][]Endpoint{{a, b}, {gone(b)}, {b, c}}, list: []Endpoint{a, b}, removed: []string{"c"}},
+		"removed by a change":          {before: [][]Endpoint{{a, b, c}, {gone(c)}}, list: []Endpoint{a}, removed: []string{"b", "c"}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			g, r := newGate(t, subsetSettings(100), test.before[0]...)
+			for _, changes := range test.before[1:] {
+				g.EndpointsUpdated(t0, UpdateDelta, changes, r)
+			}
+			for round := range 2 { // a list that comes again finds things as it left them
+				g.EndpointsUpdated(t0, UpdateSnapshot, test.list, r)
+				for _, id := range []string{"a", "b", "c"} {
+					wanted := !slices.Contains(test.removed, id) && slices.ContainsFunc(test.list, func(e Endpoint) bool { return e.ID == id })
+					if _, listed := g.endpoints.list.slotByID[id]; listed != wanted {
+						t.Errorf("list %d: %s is listed: %v", round+1, id, listed)
+					}
+				}
+			}
+		})
+	}
+}
+
+// A whole list that comes in the order of the one before must be taken in without a look-up of each entry, also
+// behind entries that are gone or new.
+func TestListInTheSameOrderIsNotLookedUp(t *testing.T) {
+	const servers = 20_000
+	list := manyServers(servers)
+	g, r := newGate(t, subsetSettings(1000), list...)
+	lookups := func(form UpdateKind, list []Endpoint) int {
+		before := g.endpoints.list.lookups
+		g.EndpointsUpdated(t0, form, list, r)
+		return g.endpoints.list.lookups - before
+	}
+	if n := lookups(UpdateSnapshot, list); n != 0 {
+		t.Errorf("%d look-ups for the same list", n)
+	}
+	fewer := slices.Delete(slices.Clone(list), servers/2, servers/2+3)
+	if n := lookups(UpdateSnapshot, fewer); n != 1 {
+		t.Errorf("%d look-ups for a list with a gap", n)
+	}
+	more := slices.Insert(slices.Clone(fewer), 7, Endpoint{ID: "new", MachineType: "k", Zone: "a", Weight: 1})
+	if n := lookups(UpdateSnapshot, more); n > 4 {
+		t.Errorf("%d look-ups for a list with an entry more", n)
+	}
+	if listed := g.Stats().ListedEndpoints; listed != len(more) {
+		t.Errorf("%d listed of %d", listed, len(more))
+	}
+	slices.Reverse(more)
+	if n := lookups(UpdateSnapshot, more); n < servers/2 || g.Stats().ListedEndpoints != len(more) {
+		t.Errorf("%d look-ups for a list in another order, %d listed", n, g.Stats().ListedEndpoints)
+	}
+}
+
+// Slots that servers have left must not be taken for those of a server without an id.
+func TestServerWithoutAnIDIsListedAsOthers(t *testing.T) {
+	list := manyServers(4)
+	g, r := newGate(t, subsetSettings(100), list...)
+	gone := list[1]
+	gone.State = Removed
+	g.EndpointsUpdated(t0, UpdateDelta, []Endpoint{list[0], gone}, r)
+	g.EndpointsUpdated(t0, UpdateDelta, []Endpoint{list[0], {MachineType: "k", Zone: "a"}}, r)
+	if st := g.Stats(); st.ListedEndpoints != 4 || g.endpoints.list.activeWeights.total != 4 {
+		t.Errorf("%d listed, %d up, want 4", st.ListedEndpoints, g.endpoints.list.activeWeights.total)
+	}
+	g.EndpointsUpdated(t0, UpdateSnapshot, list, r)
+	if st := g.Stats(); st.ListedEndpoints != 4 || g.endpoints.trackedByID[""] != nil {
+		t.Errorf("%d listed, want 4; without an id: %v", st.ListedEndpoints, g.endpoints.trackedByID[""])
+	}
+}
