--- a/balancer/endpoint_list_test.go
+++ b/balancer/endpoint_list_test.go
@@ -7,8 +7,8 @@
 )
 
 // A list that is replaced over and over, or was long once, must not leave what it held behind for ever.
-func TestReplacedListsLeaveNothingBehind(t *testing.T) {
-	g, r := newGate(t, subsetSettings(100), manyServers(20_000)...)
+func TestReplacedListsAreReleased(t *testing.T) {
+	g, r := newGate(t, subsetSettings(100), testEndpoints(20_000)...)
 	for n := range 2000 {
 		var list []Endpoint
 		for i := range 10 {
@@ -23,7 +23,7 @@
 		"cells": len(l.cells.values), "weights": len(l.weights.values), "pools": len(l.reserve.byZone),
 	} {
 		if n > 4*(10+staleSlack)+10 {
-			t.Errorf("%d %s for a list of ten servers", n, what)
+			t.Errorf("%d %s for a list of ten endpoints", n, what)
 		}
 	}
 	if len(l.slotByID) != 10 || g.Stats().TrackedEndpoints > 10 {
@@ -31,8 +31,8 @@
 	}
 }
 
-// A whole list removes what it does not name, whatever else it says, and however its servers were listed before.
-func TestWholeListRemovesWhatItDoesNotName(t *testing.T) {
+// A whole list removes what it does not name, whatever else it says, and however its endpoints were listed before.
+func TestSnapshotRemovesWhatItDoesNotName(t *testing.T) {
 	a, b, c := Endpoint{ID: "a"}, Endpoint{ID: "b"}, Endpoint{ID: "c"}
 	gone := func(e Endpoint) Endpoint {
 		e.State = Removed
@@ -73,9 +73,9 @@
 
 // A whole list that comes in the order of the one before must be taken in without a look-up of each entry, also
 // behind entries that are gone or new.
-func TestListInTheSameOrderIsNotLookedUp(t *testing.T) {
-	const servers = 20_000
-	list := manyServers(servers)
+func TestSnapshotInSameOrderNeedsNoLookups(t *testing.T) {
+	const endpoints = 20_000
+	list := testEndpoints(endpoints)
 	g, r := newGate(t, subsetSettings(1000), list...)
 	lookups := func(form UpdateKind, list []Endpoint) int {
 		before := g.endpoints.list.lookups
@@ -85,7 +85,7 @@
 	if n := lookups(UpdateSnapshot, list); n != 0 {
 		t.Errorf("%d look-ups for the same list", n)
 	}
-	fewer := slices.Delete(slices.Clone(list), servers/2, servers/2+3)
+	fewer := slices.Delete(slices.Clone(list), endpoints/2, endpoints/2+3)
 	if n := lookups(UpdateSnapshot, fewer); n != 1 {
 		t.Errorf("%d look-ups for a list with a gap", n)
 	}
@@ -97,14 +97,14 @@
 		t.Errorf("%d listed of %d", listed, len(more))
 	}
 	slices.Reverse(more)
-	if n := lookups(UpdateSnapshot, more); n < servers/2 || g.Stats().ListedEndpoints != len(more) {
+	if n := lookups(UpdateSnapshot, more); n < endpoints/2 || g.Stats().ListedEndpoints != len(more) {
 		t.Errorf("%d look-ups for a list in another order, %d listed", n, g.Stats().ListedEndpoints)
 	}
 }
 
-// Slots that servers have left must not be taken for those of a server without an id.
-func TestServerWithoutAnIDIsListedAsOthers(t *testing.T) {
-	list := manyServers(4)
+// Slots that endpoints have left must not be taken for those of an endpoint without an id.
+func TestEndpointWithoutIDIsListed(t *testing.T) {
+	list := testEndpoints(4)
 	g, r := newGate(t, subsetSettings(100), list...)
 	gone := list[1]
 	gone.State = Removed
--- /dev/null
+++ b/balancer/selection_law_test.go
@@ -0,0 +1,261 @@
+package balancer
+
+import (
+	"fmt"
+	"maps"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// plainlyAdmissible tells by the rules alone whether a request may go to a listed endpoint: the way of a node
+// that keeps all endpoints and goes through them.
+func admissibleByScan(b *Balancer, r *request, e Endpoint) bool {
+	s := b.endpoints.trackedByID[e.ID]
+	if s == nil {
+		s = newEndpoint(e)
+	}
+	takes := e.State == Up
+	warm := b.warmUpFraction(s) >= 1
+	holds := position(endpointKey(e.ID), b.settings.NodeIndex, b.settings.NodeCount, b.settings.NodeCount) < int(b.endpoints.sizing.subsetsPerEndpoint+fraction(endpointKey(e.ID)))
+	saved := warm || holds && s.slowStart.tokens >= 1
+	return takes && b.mayAttempt(r, s) && saved && !(s.health.unreachable && len(r.attempts) > 0)
+}
+
+// Whatever has happened to the list and its endpoints, an endpoint is found exactly where a scan over all endpoints
+// finds one, and it is one of those that the scan allows.
+func TestSelectionAgreesWithScan(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		s := subsetSettings(rapid.SampledFrom([]int{1, 2, 30, 100}).Draw(t, "nodes"))
+		s.Classes[1].DedupScope = rapid.SampledFrom([]DedupScope{DedupFleet, DedupZone, DedupCell}).Draw(t, "group")
+		s.NodeIndex = rapid.IntRange(0, s.NodeCount-1).Draw(t, "me")
+		b, err := New(s, rapid.Uint64().Draw(t, "seed"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		m := &selectionMachine{balancer: b, now: t0, listed: map[string]Endpoint{}}
+		b.Start(t0, &m.recorder)
+		t.Repeat(map[string]func(*rapid.T){
+			"whole list": m.snapshot, "change": m.delta, "request": m.request, "outcome": m.outcome, "tick": m.tick, "": m.check,
+		})
+	})
+}
+
+// pickMachine drives a node and knows the list that it was told.
+type selectionMachine struct {
+	balancer *Balancer
+	recorder recorder
+	now      time.Duration
+	listed   map[string]Endpoint
+	sent     int
+}
+
+const selectionEndpoints = 60
+
+// drawServer draws an entry of one of few endpoints.
+func (m *selectionMachine) drawEndpoint(t *rapid.T) Endpoint {
+	n := rapid.IntRange(0, selectionEndpoints-1).Draw(t, "server")
+	e := Endpoint{ID: fmt.Sprintf("s%d", n), MachineType: "k", Zone: string(rune('a' + n%3)), Cell: n % 4, Weight: float64(1 + n%3)}
+	switch rapid.IntRange(0, 7).Draw(t, "moved") { // most endpoints stay what they are
+	case 0:
+		e.Zone = "d"
+	case 1:
+		e.Cell = 5
+	case 2:
+		e.Weight = 4
+	case 3:
+		e.MachineType = "other"
+	}
+	e.State = rapid.SampledFrom([]EndpointState{Up, Up, Up, Draining, Removed}).Draw(t, "state")
+	if rapid.IntRange(0, 3).Draw(t, "cold") == 0 {
+		e.StartedAt = m.now
+	}
+	return e
+}
+
+func (m *selectionMachine) snapshot(t *rapid.T) {
+	var list []Endpoint
+	clear(m.listed)
+	for range rapid.IntRange(0, selectionEndpoints).Draw(t, "length") {
+		e := m.drawEndpoint(t)
+		list = append(list, e)
+		m.record(e)
+	}
+	m.balancer.EndpointsUpdated(m.now, UpdateSnapshot, list, &m.recorder)
+}
+
+func (m *selectionMachine) delta(t *rapid.T) {
+	e := m.drawEndpoint(t)
+	m.record(e)
+	m.balancer.EndpointsUpdated(m.now, UpdateDelta, []Endpoint{e}, &m.recorder)
+}
+
+func (m *selectionMachine) record(e Endpoint) {
+	if e.State == Removed {
+		delete(m.listed, e.ID)
+		return
+	}
+	m.listed[e.ID] = e
+}
+
+func (m *selectionMachine) tick(t *rapid.T) {
+	m.now += time.Duration(rapid.IntRange(0, 9000).Draw(t, "ms")) * ms
+	m.balancer.TimerFired(m.now, timerControlInterval, &m.recorder)
+}
+
+// request makes a request, which may stay out, and holds the choice against the scan.
+func (m *selectionMachine) request(t *rapid.T) {
+	b := m.balancer
+	r := &request{Request: newRequest(0, "safe", "rate", 1), class: rapid.IntRange(0, 2).Draw(t, "class")}
+	if known := b.endpoints.tracked; len(known) > 0 && rapid.Bool().Draw(t, "further") {
+		s := known[rapid.IntRange(0, len(known)-1).Draw(t, "tried")]
+		r.attempts = append(r.attempts, attempt{
+			endpoint: s, sentAt: m.now, zone: s.Zone, cell: s.Cell, done: true,
+			neverRan: rapid.Bool().Draw(t, "never ran"), result: Reset,
+		})
+	}
+	b.now, b.actions = m.now, &m.recorder
+	fit := map[string]bool{}
+	for id, e := range m.listed {
+		b.accrueIfTracked(id)
+		if admissibleByScan(b, r, e) {
+			fit[id] = true
+		}
+	}
+	s := b.selectEndpoint(r)
+	if s == nil && len(fit) > 0 || s != nil && !fit[s.ID] {
+		t.Fatalf("picked %+v of %v", s, fit)
+	}
+	if s == nil {
+		return
+	}
+	if best, got := m.bestTier(fit), m.tier(s.ID); got != best {
+		t.Fatalf("picked %+v, of tier %d, where one of tier %d is there", s, got, best)
+	}
+	m.sent++
+	q := newRequest(m.sent, "safe", "rate", 1)
+	b.RequestArrived(m.now, q, &m.recorder)
+}
+
+// tier is 0 for an endpoint of the subset in service, 1 for another in service and 2 for one that is kept for when
+// no other is left.
+func (m *selectionMachine) tier(id string) int {
+	s := m.balancer.endpoints.trackedByID[id]
+	switch {
+	case s != nil && m.balancer.deprioritized(s):
+		return 2
+	case s != nil && s.inSubset:
+		return 0
+	}
+	return 1
+}
+
+func (m *selectionMachine) bestTier(fit map[string]bool) int {
+	best := 2
+	for id := range fit {
+		best = min(best, m.tier(id))
+	}
+	return best
+}
+
+// tryCredit brings what may be sent to a cold endpoint up to date, as a choice does.
+func (b *Balancer) accrueIfTracked(id string) {
+	if s := b.endpoints.trackedByID[id]; s != nil {
+		b.accrueSlowStart(s)
+	}
+}
+
+func (m *selectionMachine) outcome(t *rapid.T) {
+	id := fmt.Sprintf("r%d", rapid.IntRange(1, max(m.sent, 1)).Draw(t, "request"))
+	r := m.balancer.requests.byID[id]
+	if r == nil || len(r.attempts) == 0 {
+		return
+	}
+	res := Result(rapid.IntRange(int(OK), int(NotSent)).Draw(t, "result"))
+	n := len(r.attempts) - 1
+	m.balancer.AttemptFinished(m.now, Outcome{ID: id, Attempt: n, Result: res, Answered: res == OK, Elapsed: 200 * ms, EndpointID: r.attempts[n].endpoint.ID}, &m.recorder)
+}
+
+// check holds the state against the list.
+func (m *selectionMachine) check(t *rapid.T) {
+	b := m.balancer
+	if len(b.endpoints.list.slotByID) != len(m.listed) {
+		t.Fatalf("%d listed, want %d", len(b.endpoints.list.slotByID), len(m.listed))
+	}
+	m.checkWeights(t)
+	b.now = m.now
+	b.endpoints.moveWarmedUpToReserve(m.now)
+	waiting := map[string]bool{}
+	for _, at := range b.endpoints.list.reserve.all {
+		waiting[b.endpoints.list.entries[at].id] = true
+	}
+	for id, e := range m.listed {
+		if got := b.endpoints.list.endpointAt(b.endpoints.list.slotByID[id]); got != e {
+			t.Fatalf("%+v is listed as %+v", e, got)
+		}
+		s := b.endpoints.trackedByID[id]
+		if s != nil && (s.Endpoint != e || !s.listed) || b.endpoints.trackedAt(b.endpoints.list.slotByID[id]) != s {
+			t.Fatalf("%+v is known as %+v, at its slot as %+v", e, s, b.endpoints.trackedAt(b.endpoints.list.slotByID[id]))
+		}
+		cold := e.StartedAt != 0 && m.now < e.StartedAt+b.settings.SlowStartDuration
+		if fit := s == nil && e.State == Up && !cold; waiting[id] != fit {
+			t.Fatalf("%+v waits in the reserve: %v", e, waiting[id])
+		}
+		if s == nil && position(endpointKey(id), b.settings.NodeIndex, b.settings.NodeCount, b.settings.NodeCount) < int(b.endpoints.sizing.subsetsPerEndpoint+fraction(endpointKey(id))) {
+			t.Fatalf("%s is not known, and the subset is to hold it", id)
+		}
+	}
+	if len(waiting) != len(b.endpoints.list.reserve.all) {
+		t.Fatal("an endpoint waits twice")
+	}
+	m.checkIndex(t)
+}
+
+// checkNames holds the names of news against the endpoints that are known.
+func (m *selectionMachine) checkIndex(t *rapid.T) {
+	named := map[uint16][]*endpoint{}
+	members := 0
+	for _, s := range m.balancer.endpoints.tracked {
+		if s.inSubset {
+			members++
+			named[s.shortHash] = append(named[s.shortHash], s)
+		}
+	}
+	if len(m.balancer.endpoints.index.shared) != members || len(m.balancer.endpoints.index.byHash) != len(named) {
+		t.Fatalf("%d members, %d shared, %d named", members, len(m.balancer.endpoints.index.shared), len(m.balancer.endpoints.index.byHash))
+	}
+	for _, s := range m.balancer.endpoints.index.shared {
+		first := int(m.balancer.endpoints.sizing.subsetsPerEndpoint + fraction(s.rendezvousKey))
+		if m.balancer.ownsQuotas() && s.lastSubsetRank != lastRank(s.rendezvousKey, m.balancer.settings.NodeCount, first) {
+			t.Fatalf("%s is shared with others than the first %d nodes", s.ID, first)
+		}
+	}
+	for hash, endpoints := range named {
+		if got := m.balancer.endpoints.index.byHash[hash]; len(endpoints) == 1 && got != endpoints[0] || len(endpoints) > 1 && got != nil {
+			t.Fatalf("%v has the name of %v", got, endpoints)
+		}
+	}
+}
+
+// checkWeights holds the counts of weights against a scan.
+func (m *selectionMachine) checkWeights(t *rapid.T) {
+	var listed, members weightCounts
+	for id, e := range m.listed {
+		if e.State != Up {
+			continue
+		}
+		listed.add(e.Weight, 1)
+		if s := m.balancer.endpoints.trackedByID[id]; s != nil && s.inSubset {
+			members.add(e.Weight, 1)
+		}
+	}
+	for _, c := range []struct {
+		name      string
+		got, want weightCounts
+	}{{"the list", m.balancer.endpoints.list.activeWeights, listed}, {"the subset", m.balancer.endpoints.subsetWeights, members}} {
+		if c.got.total != c.want.total || c.got.largest != c.want.largest || !maps.Equal(c.got.byWeight, c.want.byWeight) {
+			t.Fatalf("weights of %s: %+v, want %+v", c.name, c.got, c.want)
+		}
+	}
+}
--- a/balancer/selection_test.go
+++ b/balancer/selection_test.go
@@ -7,53 +7,53 @@
 	"time"
 )
 
-// A server that fails fast must not draw traffic; the last one must not be ejected.
-func TestFastErrorsAreShunned(t *testing.T) {
-	g, r := newGate(t, testSettings(), fleet(4)...)
+// An endpoint that fails fast must not draw traffic; the last one must not be ejected.
+func TestFastErrorsDrawNoRequests(t *testing.T) {
+	b, r := newGate(t, testSettings(), fleet(4)...)
 	bad := 0
 	for i := 0; i < 400; i++ {
 		now := t0 + time.Duration(i)*20*ms
 		q := newRequest(i, "unsafe", "rate", uint64(i))
-		g.RequestArrived(now, q, r)
+		b.RequestArrived(now, q, r)
 		a := strings.Fields(r.last())
 		if a[0] == "send" && a[2] == "s0" {
 			bad++
-			g.AttemptFinished(now+ms, Outcome{ID: q.ID, Result: ErrorResponse, EndpointID: "s0", Elapsed: ms}, r)
+			b.AttemptFinished(now+ms, Outcome{ID: q.ID, Result: ErrorResponse, EndpointID: "s0", Elapsed: ms}, r)
 		} else {
-			g.AttemptFinished(now+10*ms, Outcome{ID: q.ID, Result: OK, Answered: true, EndpointID: a[2], Elapsed: 50 * ms}, r)
+			b.AttemptFinished(now+10*ms, Outcome{ID: q.ID, Result: OK, Answered: true, EndpointID: a[2], Elapsed: 50 * ms}, r)
 		}
 	}
 	if bad > 20 {
-		t.Errorf("%d of 400 requests went to the failing server", bad)
+		t.Errorf("%d of 400 requests went to the failing endpoint", bad)
 	}
-	g.EndpointsUpdated(t0+9*time.Second, UpdateSnapshot, fleet(1), r)
-	g.RequestArrived(t0+9*time.Second, newRequest(1000, "safe", "rate", 5000), r)
+	b.EndpointsUpdated(t0+9*time.Second, UpdateSnapshot, fleet(1), r)
+	b.RequestArrived(t0+9*time.Second, newRequest(1000, "safe", "rate", 5000), r)
 	if r.last() != "send r1000 s0" {
-		t.Errorf("the last server is not used: %q", r.last())
+		t.Errorf("the last endpoint is not used: %q", r.last())
 	}
 }
 
 // Silence with work out counts as latency.
-func TestSilentServerIsAvoided(t *testing.T) {
-	g, r := newGate(t, testSettings(), fleet(2)...)
+func TestSilentEndpointIsAvoided(t *testing.T) {
+	b, r := newGate(t, testSettings(), fleet(2)...)
 	toSilent := 0
 	for i := 0; i < 200; i++ {
 		now := t0 + time.Duration(i)*20*ms
 		q := newRequest(i, "unsafe", "rate", uint64(i))
-		g.RequestArrived(now, q, r)
+		b.RequestArrived(now, q, r)
 		a := strings.Fields(r.last())
 		if a[0] == "send" && a[2] == "s0" {
 			toSilent++
 		} else {
-			g.AttemptFinished(now+10*ms, Outcome{ID: q.ID, Result: OK, Answered: true, EndpointID: a[2], Elapsed: 50 * ms}, r)
+			b.AttemptFinished(now+10*ms, Outcome{ID: q.ID, Result: OK, Answered: true, EndpointID: a[2], Elapsed: 50 * ms}, r)
 		}
 	}
 	if toSilent > 10 {
-		t.Errorf("%d of 200 requests went to the silent server", toSilent)
+		t.Errorf("%d of 200 requests went to the silent endpoint", toSilent)
 	}
 }
 
-// Of two servers alike, the silent, the failing, the slow, the cold and the full one costs more.
+// Of two endpoints alike, the silent, the failing, the slow, the cold and the full one costs more.
 func TestCostOfSymptoms(t *testing.T) {
 	for name, spoil := range map[string]func(*endpoint){
 		"silent":    func(s *endpoint) { s.lastProgress = t0 - time.Second },
@@ -64,37 +64,37 @@
 		"more out":  func(s *endpoint) { s.inFlight = 2 },
 		"was reset": func(s *endpoint) { s.restarts.latest = t0 },
 	} {
-		g, _ := newGate(t, testSettings(), fleet(2)...)
-		a, b := g.endpoints.tracked[0], g.endpoints.tracked[1]
-		for _, s := range g.endpoints.tracked {
+		b, _ := newGate(t, testSettings(), fleet(2)...)
+		usual, spoilt := b.endpoints.tracked[0], b.endpoints.tracked[1]
+		for _, s := range b.endpoints.tracked {
 			s.inFlight, s.lastProgress = 1, t0
 		}
-		g.latency.classes[0].mean = 0.1
-		spoil(b)
-		if g.cost(b) < 1.3*g.cost(a) {
-			t.Errorf("%s: cost %v against %v", name, g.cost(b), g.cost(a))
+		b.latency.classes[0].mean = 0.1
+		spoil(spoilt)
+		if b.cost(spoilt) < 1.3*b.cost(usual) {
+			t.Errorf("%s: cost %v against %v", name, b.cost(spoilt), b.cost(usual))
 		}
 	}
 }
 
-// Servers that are out must not use up the looks: the choice among the others would be blind.
-func TestOutServersTakeNoLook(t *testing.T) {
-	g, r := newGate(t, testSettings(), fleet(12)...)
-	g.settings.NodeCount = 6
+// Endpoints that are out must not use up the looks: the choice among the others would be blind.
+func TestDeprioritizedEndpointsUseNoSamples(t *testing.T) {
+	b, r := newGate(t, testSettings(), fleet(12)...)
+	b.settings.NodeCount = 6
 	for i := range 9 {
-		g.endpoints.trackedByID[fmt.Sprintf("s%d", i)].health.ejectedUntil = t0 + time.Hour
+		b.endpoints.trackedByID[fmt.Sprintf("s%d", i)].health.ejectedUntil = t0 + time.Hour
 	}
 	for _, id := range []string{"s9", "s10"} {
-		g.endpoints.trackedByID[id].inFlight, g.endpoints.trackedByID[id].lastProgress = 9, t0
+		b.endpoints.trackedByID[id].inFlight, b.endpoints.trackedByID[id].lastProgress = 9, t0
 	}
 	blind := 0
 	for i := range 100 {
-		g.actions, g.now = r, t0
-		if s := g.selectEndpoint(&request{number: uint64(i)}); s.ID != "s11" {
+		b.actions, b.now = r, t0
+		if s := b.selectEndpoint(&request{number: uint64(i)}); s.ID != "s11" {
 			blind++
 		}
 	}
 	if blind > 5 {
-		t.Errorf("%d of 100 went past the idle server of three", blind)
+		t.Errorf("%d of 100 went past the idle endpoint of three", blind)
 	}
 }
--- a/balancer/subset_bench_test.go
+++ b/balancer/subset_bench_test.go
@@ -9,8 +9,8 @@
 // planNodes is the number of nodes of the fleet that is planned, whose lists are benchmarked.
 const planNodes = 4100
 
-// benchGate returns a gateway of a large fleet without a list.
-func benchGate(b *testing.B) (*Balancer, *recorder) {
+// benchGate returns a node of a large fleet without a list.
+func newBenchmarkBalancer(b *testing.B) (*Balancer, *recorder) {
 	b.Helper()
 	s := subsetSettings(planNodes)
 	s.NodeIndex = 7
@@ -23,13 +23,13 @@
 	return g, r
 }
 
-// BenchmarkListChange measures a change of one server, which drains or comes back: one of the subset, and one that
+// BenchmarkListChange measures a change of one endpoint, which drains or comes back: one of the subset, and one that
 // waits in the reserve.
-func BenchmarkListChange(b *testing.B) {
+func BenchmarkDelta(b *testing.B) {
 	const others = 4000
-	for _, servers := range []int{2000, 200_000} {
-		list := manyServers(servers)
-		g, r := benchGate(b)
+	for _, endpoints := range []int{2000, 200_000} {
+		list := testEndpoints(endpoints)
+		g, r := newBenchmarkBalancer(b)
 		g.EndpointsUpdated(t0, UpdateSnapshot, list, r)
 		changed := map[string][]Endpoint{}
 		for _, e := range list {
@@ -42,7 +42,7 @@
 			}
 		}
 		for name, of := range changed {
-			b.Run(fmt.Sprintf("%s/%d", name, servers), func(b *testing.B) {
+			b.Run(fmt.Sprintf("%s/%d", name, endpoints), func(b *testing.B) {
 				for n := 0; b.Loop(); n++ {
 					e := of[n%len(of)]
 					e.State = []EndpointState{Draining, Up}[n/len(of)%2]
@@ -53,22 +53,22 @@
 	}
 }
 
-// BenchmarkListGrowth measures the change that brings one more server to a list that has grown by so much that the
-// number of subsets for each server follows it.
+// BenchmarkListGrowth measures the change that brings one more endpoint to a list that has grown by so much that the
+// number of subsets for each endpoint follows it.
 func BenchmarkListGrowth(b *testing.B) {
 	const growth = 500
-	for _, servers := range []int{2000, 20_000, 80_000} {
-		list := manyServers(servers + growth)
-		b.Run(fmt.Sprint(servers), func(b *testing.B) {
+	for _, endpoints := range []int{2000, 20_000, 80_000} {
+		list := testEndpoints(endpoints + growth)
+		b.Run(fmt.Sprint(endpoints), func(b *testing.B) {
 			var g *Balancer
 			var r *recorder
 			for n := 0; b.Loop(); n++ {
-				at := servers + n%growth
-				if at == servers {
+				at := endpoints + n%growth
+				if at == endpoints {
 					b.StopTimer()
-					g, r = benchGate(b)
-					g.EndpointsUpdated(t0, UpdateSnapshot, list[:int(float64(servers)/listLengthSlack)], r)
-					g.EndpointsUpdated(t0, UpdateDelta, list[int(float64(servers)/listLengthSlack):servers], r)
+					g, r = newBenchmarkBalancer(b)
+					g.EndpointsUpdated(t0, UpdateSnapshot, list[:int(float64(endpoints)/listLengthSlack)], r)
+					g.EndpointsUpdated(t0, UpdateDelta, list[int(float64(endpoints)/listLengthSlack):endpoints], r)
 					b.StartTimer()
 				}
 				number := g.endpoints.sizing.subsetsPerEndpoint
@@ -83,11 +83,11 @@
 
 // BenchmarkWholeList measures a whole list that comes again with nothing new, and how many times longer the first
 // one took.
-func BenchmarkWholeList(b *testing.B) {
-	for _, servers := range []int{200, 2000, 20_000, 200_000} {
-		list := manyServers(servers)
-		b.Run(fmt.Sprint(servers), func(b *testing.B) {
-			g, r := benchGate(b)
+func BenchmarkRepeatedSnapshot(b *testing.B) {
+	for _, endpoints := range []int{200, 2000, 20_000, 200_000} {
+		list := testEndpoints(endpoints)
+		b.Run(fmt.Sprint(endpoints), func(b *testing.B) {
+			g, r := newBenchmarkBalancer(b)
 			began := time.Now()
 			g.EndpointsUpdated(t0, UpdateSnapshot, list, r)
 			first := time.Since(began)
--- a/balancer/subset_harness_test.go
+++ b/balancer/subset_harness_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// subsetSettings are those of a large fleet whose servers report their load in answers.
+// subsetSettings are those of a large fleet whose endpoints report their load in answers.
 func subsetSettings(nodes int) Settings {
 	s := testSettings()
 	s.NodeCount, s.PeerMessagesPerSecond, s.LoadReports, s.HealthChecks = nodes, 40, LoadReportsInResponses, true
@@ -15,7 +15,7 @@
 }
 
 // manyServers returns a list whose weights differ tenfold and whose zones differ in size.
-func manyServers(n int) []Endpoint {
+func testEndpoints(n int) []Endpoint {
 	list := make([]Endpoint, n)
 	for i := range list {
 		zone := []string{"a", "a", "a", "a", "a", "b", "b", "c"}[i%8]
@@ -24,28 +24,28 @@
 	return list
 }
 
-// wholeFleet returns all gateways of a fleet, each with the list.
-func wholeFleet(t *testing.T, nodes int, list []Endpoint) []*Balancer {
+// wholeFleet returns all nodes of a fleet, each with the list.
+func newFleet(t *testing.T, nodes int, list []Endpoint) []*Balancer {
 	t.Helper()
-	gates := make([]*Balancer, nodes)
-	for me := range gates {
+	balancers := make([]*Balancer, nodes)
+	for me := range balancers {
 		s := subsetSettings(nodes)
 		s.NodeIndex = me
-		g, err := New(s, uint64(me+1))
+		b, err := New(s, uint64(me+1))
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.Start(t0, &recorder{})
-		g.EndpointsUpdated(t0, UpdateSnapshot, list, &recorder{})
-		gates[me] = g
+		b.Start(t0, &recorder{})
+		b.EndpointsUpdated(t0, UpdateSnapshot, list, &recorder{})
+		balancers[me] = b
 	}
-	return gates
+	return balancers
 }
 
-// subsetOf returns the listed servers in a gateway's subset.
-func subsetOf(g *Balancer) map[string]bool {
+// subsetOf returns the listed endpoints in a node's subset.
+func subsetIDs(b *Balancer) map[string]bool {
 	ids := map[string]bool{}
-	for _, s := range g.endpoints.tracked {
+	for _, s := range b.endpoints.tracked {
 		if s.inSubset && s.listed {
 			ids[s.ID] = true
 		}
@@ -53,16 +53,16 @@
 	return ids
 }
 
-func subsetsOf(gates []*Balancer) []map[string]bool {
-	all := make([]map[string]bool, len(gates))
-	for n, g := range gates {
-		all[n] = subsetOf(g)
+func subsetIDsOfAll(balancers []*Balancer) []map[string]bool {
+	all := make([]map[string]bool, len(balancers))
+	for n, b := range balancers {
+		all[n] = subsetIDs(b)
 	}
 	return all
 }
 
 // spread is the mean, least and most of counts.
-type spread struct{ mean, least, most float64 }
+type spread struct{ mean, min, max float64 }
 
 func spreadOf(counts []float64) spread {
 	sum := 0.0
@@ -73,14 +73,14 @@
 }
 
 func (s spread) String() string {
-	return fmt.Sprintf("mean %.1f, least %.0f, most %.0f", s.mean, s.least, s.most)
+	return fmt.Sprintf("mean %.1f, least %.0f, most %.0f", s.mean, s.min, s.max)
 }
 
-// holders returns the gateways in whose subsets a server is.
-func holders(gates []*Balancer, id string) (in []*Balancer) {
-	for _, g := range gates {
-		if s := g.endpoints.trackedByID[id]; s != nil && s.inSubset {
-			in = append(in, g)
+// holders returns the nodes in whose subsets an endpoint is.
+func nodesWithInSubset(balancers []*Balancer, id string) (in []*Balancer) {
+	for _, b := range balancers {
+		if s := b.endpoints.trackedByID[id]; s != nil && s.inSubset {
+			in = append(in, b)
 		}
 	}
 	return in
--- a/balancer/subset_index_test.go
+++ b/balancer/subset_index_test.go
@@ -7,27 +7,27 @@
 )
 
 // News takes room in each message: it names only what the receiver's subset holds.
-func TestNewsNamesTheReceiversServers(t *testing.T) {
+func TestLoadGossipNamesReceiversEndpoints(t *testing.T) {
 	const nodes = 100
-	gates := wholeFleet(t, nodes, manyServers(100))
-	from, named := gates[3], 0
+	balancers := newFleet(t, nodes, testEndpoints(100))
+	from, named := balancers[3], 0
 	for _, s := range from.endpoints.tracked {
 		s.recordLoad(1, t0)
 	}
-	for to, g := range gates {
+	for to, b := range balancers {
 		from.now = t0 + ms
 		news := from.freshestLoads(maxLoadEntries, to)
 		for _, s := range news {
-			if other := g.endpoints.trackedByID[s.ID]; other == nil || !other.inSubset {
-				t.Fatalf("gateway %d is told of %s, which its subset has not", to, s.ID)
+			if other := b.endpoints.trackedByID[s.ID]; other == nil || !other.inSubset {
+				t.Fatalf("node %d is told of %s, which its subset has not", to, s.ID)
 			}
 		}
 		both := 0
 		for _, s := range from.endpoints.tracked {
-			both += int(oneIf(g.endpoints.trackedByID[s.ID] != nil))
+			both += int(oneIf(b.endpoints.trackedByID[s.ID] != nil))
 		}
 		if to != 3 && len(news) != min(both, maxLoadEntries) {
-			t.Errorf("gateway %d is told of %d servers of %d in common", to, len(news), both)
+			t.Errorf("node %d is told of %d endpoints of %d in common", to, len(news), both)
 		}
 		named += len(news)
 	}
@@ -36,23 +36,23 @@
 	}
 }
 
-// Servers that share a short hash are left out of news, and counted; there are few in a subset.
-func TestSharedNamesAreCounted(t *testing.T) {
-	list := manyServers(20_000)
-	g, r := newGate(t, subsetSettings(410), list...)
-	st := g.Stats()
+// Endpoints that share a short hash are left out of news, and counted; there are few in a subset.
+func TestHashCollisionsAreCounted(t *testing.T) {
+	list := testEndpoints(20_000)
+	b, r := newGate(t, subsetSettings(410), list...)
+	st := b.Stats()
 	if pairs := float64(st.SubsetEndpoints*st.SubsetEndpoints) / 2 / (1 << 16); float64(st.HashCollisions) > 2*(pairs+3*math.Sqrt(pairs)+1) {
 		t.Errorf("%+v, about %.2f pairs expected", st, pairs)
 	}
-	member := g.endpoints.tracked[0]
+	member := b.endpoints.tracked[0]
 	for n := 0; ; n++ { // another member of the same short hash
 		e := Endpoint{ID: fmt.Sprintf("other-%d", n), MachineType: "k", Zone: "a"}
-		if shortEndpointHash(e.ID) == member.shortHash && g.endpoints.sizing.entersAt(e.ID) <= g.endpoints.sizing.subsetsPerEndpoint {
-			g.EndpointsUpdated(t0, UpdateDelta, []Endpoint{e}, r)
+		if shortEndpointHash(e.ID) == member.shortHash && b.endpoints.sizing.entersAt(e.ID) <= b.endpoints.sizing.subsetsPerEndpoint {
+			b.EndpointsUpdated(t0, UpdateDelta, []Endpoint{e}, r)
 			break
 		}
 	}
-	if now := g.Stats(); now.HashCollisions != st.HashCollisions+2 {
+	if now := b.Stats(); now.HashCollisions != st.HashCollisions+2 {
 		t.Errorf("%d shared names, then %d", st.HashCollisions, now.HashCollisions)
 	}
 }
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -7,134 +7,134 @@
 	"testing"
 )
 
-// evenness counts the subsets that hold each server and returns an error where one is in fewer than three (or
+// evenness counts the subsets that hold each endpoint and returns an error where one is in fewer than three (or
 // than all), or in two more than another.
-func evenness(servers, nodes int, holds func(server, node int) bool) (spread, error) {
-	counts := make([]float64, servers)
-	for server := range counts {
+func evenness(endpoints, nodes int, holds func(endpoint, node int) bool) (spread, error) {
+	counts := make([]float64, endpoints)
+	for endpoint := range counts {
 		for node := range nodes {
-			counts[server] += oneIf(holds(server, node))
+			counts[endpoint] += oneIf(holds(endpoint, node))
 		}
 	}
 	s := spreadOf(counts)
-	if s.least < math.Min(3, float64(nodes)) {
-		return s, fmt.Errorf("a server is in %v subsets of %d", s.least, nodes)
+	if s.min < math.Min(3, float64(nodes)) {
+		return s, fmt.Errorf("an endpoint is in %v subsets of %d", s.min, nodes)
 	}
-	if s.most > s.least+1 {
+	if s.max > s.min+1 {
 		return s, fmt.Errorf("uneven: %v", s)
 	}
 	return s, nil
 }
 
-// Each server must be in as many subsets as any other, and in three at least, at all sizes. Subsets drawn by each
-// gateway for itself, of the same size on average, fail this.
-func TestServersAreInSubsetsEvenly(t *testing.T) {
-	for _, c := range []struct{ nodes, servers, sample int }{
+// Each endpoint must be in as many subsets as any other, and in three at least, at all sizes. Subsets drawn by each
+// node for itself, of the same size on average, fail this.
+func TestSubsetsHoldEndpointsEvenly(t *testing.T) {
+	for _, c := range []struct{ nodes, endpoints, sample int }{
 		{1, 1, 1}, {2, 9, 9}, {25, 3, 3}, {300, 200, 200}, {1024, 1024, 256}, {4100, 200_000, 64},
 	} {
-		g, _ := newGate(t, subsetSettings(c.nodes))
-		per := g.endpoints.sizing.subsetsFor(float64(c.servers))
-		list := manyServers(c.servers)
-		s, err := evenness(c.sample, c.nodes, func(server, node int) bool {
-			key := endpointKey(list[server*(c.servers/c.sample)].ID)
+		b, _ := newGate(t, subsetSettings(c.nodes))
+		per := b.endpoints.sizing.subsetsFor(float64(c.endpoints))
+		list := testEndpoints(c.endpoints)
+		s, err := evenness(c.sample, c.nodes, func(endpoint, node int) bool {
+			key := endpointKey(list[endpoint*(c.endpoints/c.sample)].ID)
 			subsets := int(per + fraction(key))
 			return position(key, node, c.nodes, subsets) < subsets
 		})
 		if err != nil {
-			t.Errorf("%d nodes, %d servers: %v", c.nodes, c.servers, err)
+			t.Errorf("%d nodes, %d endpoints: %v", c.nodes, c.endpoints, err)
 		}
-		t.Logf("%d nodes, %d servers: %v subsets a server", c.nodes, c.servers, s)
+		t.Logf("%d nodes, %d endpoints: %v subsets an endpoint", c.nodes, c.endpoints, s)
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
-	const nodes, servers, each = 300, 200, 18
-	if _, err := evenness(servers, nodes, func(int, int) bool { return rng.IntN(nodes) < each }); err == nil {
+	const nodes, endpoints, each = 300, 200, 18
+	if _, err := evenness(endpoints, nodes, func(int, int) bool { return rng.IntN(nodes) < each }); err == nil {
 		t.Error("subsets drawn without evenness pass")
 	}
 }
 
-// The sizes of subsets and the load of a server may differ by chance, but not with zones or weights.
-func TestSubsetsHoldAsManyServers(t *testing.T) {
-	const nodes, servers = 300, 200
-	list := manyServers(servers)
-	gates := wholeFleet(t, nodes, list)
+// The sizes of subsets and the load of an endpoint may differ by chance, but not with zones or weights.
+func TestSubsetSizesAndLoadPerEndpoint(t *testing.T) {
+	const nodes, endpoints = 300, 200
+	list := testEndpoints(endpoints)
+	balancers := newFleet(t, nodes, list)
 	sizes := make([]float64, nodes)
 	held := map[string]float64{}
-	load := map[string]float64{} // share of a gateway's requests, drawn by weight, over all gateways
-	for n, g := range gates {
-		sizes[n] = float64(g.Stats().SubsetEndpoints)
+	load := map[string]float64{} // share of a node's requests, drawn by weight, over all nodes
+	for n, b := range balancers {
+		sizes[n] = float64(b.Stats().SubsetEndpoints)
 		total := 0.0
-		for _, s := range g.endpoints.tracked {
+		for _, s := range b.endpoints.tracked {
 			total += s.weight()
 		}
-		for _, s := range g.endpoints.tracked {
+		for _, s := range b.endpoints.tracked {
 			held[s.ID]++
 			load[s.ID] += s.weight() / total
 		}
 	}
-	perServer, perWeight := make([]float64, servers), map[float64][]float64{}
+	perServer, perWeight := make([]float64, endpoints), map[float64][]float64{}
 	for i, s := range list {
 		perServer[i] = held[s.ID]
 		perWeight[s.Weight] = append(perWeight[s.Weight], load[s.ID])
 	}
-	if got := spreadOf(perServer); got.least != 18 || got.most != 18 {
-		t.Errorf("subsets a server: %v, want 18", got)
+	if got := spreadOf(perServer); got.min != 18 || got.max != 18 {
+		t.Errorf("subsets an endpoint: %v, want 18", got)
 	}
-	if got := spreadOf(sizes); got.mean != 12 || got.least < 1 || got.most > 30 {
-		t.Errorf("servers a subset: %v, want 12 on average", got)
+	if got := spreadOf(sizes); got.mean != 12 || got.min < 1 || got.max > 30 {
+		t.Errorf("endpoints a subset: %v, want 12 on average", got)
 	}
 	small, large := spreadOf(perWeight[1]), spreadOf(perWeight[10])
 	if ratio := large.mean / small.mean; ratio < 8 || ratio > 12 {
-		t.Errorf("servers of ten times the weight get %.1f times the load", ratio)
+		t.Errorf("endpoints of ten times the weight get %.1f times the load", ratio)
 	}
-	t.Logf("servers a subset: %v; load a server of weight 1: %.2f (%.2f to %.2f), of 10: %.2f (%.2f to %.2f)", spreadOf(sizes),
-		small.mean, small.least, small.most, large.mean, large.least, large.most)
+	t.Logf("endpoints a subset: %v; load an endpoint of weight 1: %.2f (%.2f to %.2f), of 10: %.2f (%.2f to %.2f)", spreadOf(sizes),
+		small.mean, small.min, small.max, large.mean, large.min, large.max)
 }
 
-// At all sizes a gateway's subset holds a bounded number of servers, by chance more or fewer, and each zone in it
+// At all sizes a node's subset holds a bounded number of endpoints, by chance more or fewer, and each zone in it
 // its share.
-func TestSubsetsAreOfLikeSize(t *testing.T) {
-	for _, c := range []struct{ nodes, servers, sample int }{{300, 200, 100}, {1024, 1024, 64}, {4100, 200_000, 8}} {
-		list := manyServers(c.servers)
+func TestSubsetSizeInFleetsOfAllSizes(t *testing.T) {
+	for _, c := range []struct{ nodes, endpoints, sample int }{{300, 200, 100}, {1024, 1024, 64}, {4100, 200_000, 8}} {
+		list := testEndpoints(c.endpoints)
 		var sizes, inZoneA []float64
 		for n := range c.sample {
 			s := subsetSettings(c.nodes)
 			s.NodeIndex = n * (c.nodes / c.sample)
-			g, _ := newGate(t, s, list...)
+			b, _ := newGate(t, s, list...)
 			own, zone := 0.0, 0.0
-			for _, sv := range g.endpoints.tracked {
+			for _, sv := range b.endpoints.tracked {
 				own += oneIf(sv.inSubset)
 				zone += oneIf(sv.inSubset && sv.Zone == "a")
 			}
 			sizes, inZoneA = append(sizes, own), append(inZoneA, zone)
 		}
 		got, zone := spreadOf(sizes), spreadOf(inZoneA)
-		perNode := float64(c.servers) / float64(c.nodes)
+		perNode := float64(c.endpoints) / float64(c.nodes)
 		want := math.Max(12*math.Sqrt(perNode/(200.0/300)), 3*perNode)
 		chance := 5 * math.Sqrt(want)
-		if math.Abs(got.mean-want) > chance/math.Sqrt(float64(c.sample)) || got.least < want-chance || got.most > want+chance {
-			t.Errorf("%d nodes, %d servers: %v servers a subset, want %.1f", c.nodes, c.servers, got, want)
+		if math.Abs(got.mean-want) > chance/math.Sqrt(float64(c.sample)) || got.min < want-chance || got.max > want+chance {
+			t.Errorf("%d nodes, %d endpoints: %v endpoints a subset, want %.1f", c.nodes, c.endpoints, got, want)
 		}
 		if share := zone.mean / got.mean; share < 0.5 || share > 0.75 {
-			t.Errorf("%d nodes, %d servers: a zone of 0.625 of the list has %.2f of the subsets", c.nodes, c.servers, share)
+			t.Errorf("%d nodes, %d endpoints: a zone of 0.625 of the list has %.2f of the subsets", c.nodes, c.endpoints, share)
 		}
-		t.Logf("%d nodes, %d servers: %v servers a subset; of a zone of 0.625 of the list: %v", c.nodes, c.servers, got, zone)
+		t.Logf("%d nodes, %d endpoints: %v endpoints a subset; of a zone of 0.625 of the list: %v", c.nodes, c.endpoints, got, zone)
 	}
 }
 
-// In the fleet that is planned one server more must change no other server's subsets, and one node more only those
+// In the fleet that is planned one endpoint more must change no other endpoint's subsets, and one node more only those
 // that it enters, each of which another node leaves.
-func TestPlannedFleetChangesOnlyWhatMustChange(t *testing.T) {
-	const nodes, servers, sample = 4100, 200_000, 4000
-	g, _ := newGate(t, subsetSettings(nodes))
+func TestPlannedFleetChangesFewestSubsets(t *testing.T) {
+	const nodes, endpoints, sample = 4100, 200_000, 4000
+	b, _ := newGate(t, subsetSettings(nodes))
 	larger, _ := newGate(t, subsetSettings(nodes+1))
-	per := g.endpoints.sizing.subsetsFor(servers)
-	if per != minSubsetSize || g.endpoints.sizing.subsetsFor(servers+1) != per || larger.endpoints.sizing.subsetsFor(servers) != per {
-		t.Fatalf("%v subsets a server, %v with one server more, %v with one node more", per,
-			g.endpoints.sizing.subsetsFor(servers+1), larger.endpoints.sizing.subsetsFor(servers))
+	per := b.endpoints.sizing.subsetsFor(endpoints)
+	if per != minSubsetSize || b.endpoints.sizing.subsetsFor(endpoints+1) != per || larger.endpoints.sizing.subsetsFor(endpoints) != per {
+		t.Fatalf("%v subsets an endpoint, %v with one endpoint more, %v with one node more", per,
+			b.endpoints.sizing.subsetsFor(endpoints+1), larger.endpoints.sizing.subsetsFor(endpoints))
 	}
 	entered, left := 0, 0
 	for n := range sample {
-		key := endpointKey(fmt.Sprintf("server-%06d", n*(servers/sample)))
+		key := endpointKey(fmt.Sprintf("server-%06d", n*(endpoints/sample)))
 		first := int(per + fraction(key))
 		before, after := lastRank(key, nodes, first), lastRank(key, nodes+1, first)
 		for node := range nodes + 1 {
@@ -142,7 +142,7 @@
 			is := rank(key, node) <= after
 			if is && !was {
 				if entered++; node != nodes {
-					t.Fatalf("node %d enters the subsets of server %d", node, n)
+					t.Fatalf("node %d enters the subsets of endpoint %d", node, n)
 				}
 			}
 			left += int(oneIf(was && !is))
@@ -151,33 +151,33 @@
 	if entered == 0 || left != entered {
 		t.Errorf("%d subsets are left for %d that the new node enters", left, entered)
 	}
-	t.Logf("of %d servers the new node enters %d subsets, others leave %d", sample, entered, left)
+	t.Logf("of %d endpoints the new node enters %d subsets, others leave %d", sample, entered, left)
 }
 
 // A list that grows and shrinks by changes alone must give the subsets that its present length asks for.
-func TestSubsetFollowsChanges(t *testing.T) {
+func TestSubsetFollowsListLength(t *testing.T) {
 	const nodes, few, many = 1024, 200, 20_000
-	list := manyServers(many)
-	g, r := newGate(t, subsetSettings(nodes), list[:few]...)
+	list := testEndpoints(many)
+	b, r := newGate(t, subsetSettings(nodes), list[:few]...)
 	check := func(n int) {
 		t.Helper()
 		perServer := func(length float64) float64 { return math.Max(3, 12*math.Sqrt(1.5*nodes/length)) }
 		least := int(perServer(float64(n) * listLengthSlack))
 		most := int(math.Ceil(perServer(float64(n) / listLengthSlack)))
-		g.TimerFired(g.now, timerControlInterval, r) // forgets what has left the subset
-		own := subsetOf(g)
+		b.TimerFired(b.now, timerControlInterval, r) // forgets what has left the subset
+		own := subsetIDs(b)
 		for _, e := range list[:n] {
-			before := position(endpointKey(e.ID), g.settings.NodeIndex, nodes, most+1)
+			before := position(endpointKey(e.ID), b.settings.NodeIndex, nodes, most+1)
 			if before < least && !own[e.ID] || before > most && own[e.ID] {
-				t.Fatalf("%d servers: %s, with %d gateways before this one, is a member: %v", n, e.ID, before, own[e.ID])
+				t.Fatalf("%d endpoints: %s, with %d nodes before this one, is a member: %v", n, e.ID, before, own[e.ID])
 			}
 		}
-		if st := g.Stats(); st.ListedEndpoints != n || st.SubsetEndpoints != len(own) || st.TrackedEndpoints > len(own) {
-			t.Fatalf("%d servers: %+v, %d members", n, st, len(own))
+		if st := b.Stats(); st.ListedEndpoints != n || st.SubsetEndpoints != len(own) || st.TrackedEndpoints > len(own) {
+			t.Fatalf("%d endpoints: %+v, %d members", n, st, len(own))
 		}
 	}
 	for n := few; n < many; n++ {
-		g.EndpointsUpdated(t0, UpdateDelta, list[n:n+1], r)
+		b.EndpointsUpdated(t0, UpdateDelta, list[n:n+1], r)
 		if n%4000 == 0 {
 			check(n + 1)
 		}
@@ -185,69 +185,69 @@
 	for n := many - 1; n >= few; n-- {
 		e := list[n]
 		e.State = Removed
-		g.EndpointsUpdated(t0, UpdateDelta, []Endpoint{e}, r)
+		b.EndpointsUpdated(t0, UpdateDelta, []Endpoint{e}, r)
 		if n%4000 == 0 || n == few {
 			check(n)
 		}
 	}
 }
 
-// Where the number of subsets follows the length of the list, only servers that can enter the subset or leave it are
-// looked at: a small part of a long list, also after servers have come and gone, and none of them is missing.
-func TestSubsetFollowsWithoutAScan(t *testing.T) {
-	const nodes, servers, gone = 1024, 4000, 3000
-	list := manyServers(servers + 5*gone)
-	g, r := newGate(t, subsetSettings(nodes), list[:servers/2]...)
-	peak := minSubsetCandidates // of the servers that can enter the subset
+// Where the number of subsets follows the length of the list, only endpoints that can enter the subset or leave it are
+// looked at: a small part of a long list, also after endpoints have come and gone, and none of them is missing.
+func TestSubsetFollowsWithoutScan(t *testing.T) {
+	const nodes, endpoints, gone = 1024, 4000, 3000
+	list := testEndpoints(endpoints + 5*gone)
+	b, r := newGate(t, subsetSettings(nodes), list[:endpoints/2]...)
+	peak := minSubsetCandidates // of the endpoints that can enter the subset
 	check := func(when string) {
 		t.Helper()
 		near := map[slotIndex]bool{}
-		for _, at := range g.endpoints.list.subsetCandidates {
+		for _, at := range b.endpoints.list.subsetCandidates {
 			near[at] = true
 		}
 		live := 0
-		for at := range g.endpoints.list.entries {
-			if g.endpoints.list.isFree(slotIndex(at)) || g.endpoints.list.entries[at].entersAt == never {
+		for at := range b.endpoints.list.entries {
+			if b.endpoints.list.isFree(slotIndex(at)) || b.endpoints.list.entries[at].entersAt == never {
 				continue
 			}
 			if live++; !near[slotIndex(at)] {
-				t.Fatalf("%s: %s can enter the subset and is not looked at", when, g.endpoints.list.entries[at].id)
+				t.Fatalf("%s: %s can enter the subset and is not looked at", when, b.endpoints.list.entries[at].id)
 			}
 		}
 		peak = max(peak, live)
-		if len(g.endpoints.list.subsetCandidates) > 2*peak {
-			t.Errorf("%s: %d servers looked at, %d can enter the subset", when, len(g.endpoints.list.subsetCandidates), live)
+		if len(b.endpoints.list.subsetCandidates) > 2*peak {
+			t.Errorf("%s: %d endpoints looked at, %d can enter the subset", when, len(b.endpoints.list.subsetCandidates), live)
 		}
-		if st := g.Stats(); live < st.SubsetEndpoints || live*10 > st.ListedEndpoints {
-			t.Errorf("%s: %d of %d servers can enter the subset of %d", when, live, st.ListedEndpoints, st.SubsetEndpoints)
+		if st := b.Stats(); live < st.SubsetEndpoints || live*10 > st.ListedEndpoints {
+			t.Errorf("%s: %d of %d endpoints can enter the subset of %d", when, live, st.ListedEndpoints, st.SubsetEndpoints)
 		}
 	}
 	check("short")
-	for n := servers / 2; n < servers; n++ {
-		g.EndpointsUpdated(t0, UpdateDelta, list[n:n+1], r)
+	for n := endpoints / 2; n < endpoints; n++ {
+		b.EndpointsUpdated(t0, UpdateDelta, list[n:n+1], r)
 	}
 	check("grown")
-	for n := range 5 * gone { // a server is replaced by a new one, which takes its slot
+	for n := range 5 * gone { // an endpoint is replaced by a new one, which takes its slot
 		old := list[n]
 		old.State = Removed
-		g.EndpointsUpdated(t0, UpdateDelta, []Endpoint{old, list[servers+n]}, r)
+		b.EndpointsUpdated(t0, UpdateDelta, []Endpoint{old, list[endpoints+n]}, r)
 	}
 	check("replaced")
-	for at := range g.endpoints.list.entries[:100] { // one after another, each comes back under its name
+	for at := range b.endpoints.list.entries[:100] { // one after another, each comes back under its name
 		for range 100 {
-			e := g.endpoints.list.endpointAt(slotIndex(at))
+			e := b.endpoints.list.endpointAt(slotIndex(at))
 			for _, e.State = range []EndpointState{Removed, Up} {
-				g.EndpointsUpdated(t0, UpdateDelta, []Endpoint{e}, r)
+				b.EndpointsUpdated(t0, UpdateDelta, []Endpoint{e}, r)
 			}
 		}
 	}
 	check("returned")
-	for n := 5 * gone; n < 5*gone+servers*3/4; n++ {
+	for n := 5 * gone; n < 5*gone+endpoints*3/4; n++ {
 		old := list[n]
 		old.State = Removed
-		g.EndpointsUpdated(t0, UpdateDelta, []Endpoint{old}, r)
+		b.EndpointsUpdated(t0, UpdateDelta, []Endpoint{old}, r)
 	}
 	check("shrunk")
-	g.EndpointsUpdated(t0, UpdateSnapshot, list[:servers], r)
+	b.EndpointsUpdated(t0, UpdateSnapshot, list[:endpoints], r)
 	check("replaced by a whole list")
 }
