--- a/balancer/cold_fleet_test.go
+++ b/balancer/cold_fleet_test.go
@@ -15,7 +15,7 @@
 	settings   Settings
 	rng        *rand.Rand
 	now        time.Duration
-	queue      queue
+	queue      eventQueue
 	events     int
 	nodes      []*Balancer
 	inboxes    [][]time.Duration // when each node took in its latest messages
@@ -97,7 +97,7 @@
 
 func (f *coldStartFleet) after(d time.Duration, run func()) {
 	f.events++
-	heap.Push(&f.queue, event{f.now + max(d, 0), f.events, run})
+	heap.Push(&f.queue, scheduledEvent{f.now + max(d, 0), f.events, run})
 }
 
 // run lets so much time pass.
@@ -107,7 +107,7 @@
 			f.now = end
 			return
 		}
-		e := heap.Pop(&f.queue).(event)
+		e := heap.Pop(&f.queue).(scheduledEvent)
 		f.now = e.at
 		e.run()
 	}
--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -97,7 +97,7 @@
 	if !e.health.ejected(b.now) &&
 		(e.health.errorRate > ejectionErrorRate || result == ConnectFailed) {
 		e.health.eject(b.now)
-		b.log(slog.LevelInfo, "endpoint ejected", slog.String("endpoint", e.ID), slog.Any("result", result),
+		b.logInfo("endpoint ejected", slog.String("endpoint", e.ID), slog.Any("result", result),
 			slog.Int("consecutive_ejections", e.health.consecutiveEjections))
 	}
 }
@@ -127,7 +127,7 @@
 // recordResponse records a response of any kind.
 func (b *Balancer) recordResponse(e *endpoint) {
 	if e.health.recordResponse(b.now) {
-		b.log(slog.LevelInfo, "endpoint responds again", slog.String("endpoint", e.ID))
+		b.logInfo("endpoint responds again", slog.String("endpoint", e.ID))
 	}
 }
 
@@ -135,7 +135,7 @@
 // endpoint that is held unreachable could not show that it responds again.
 func (b *Balancer) recordNoResponse(e *endpoint, sentAt time.Duration) {
 	if b.health.enabled && e.health.recordNoResponse(sentAt) {
-		b.log(slog.LevelInfo, "endpoint unreachable until a health check succeeds",
+		b.logInfo("endpoint unreachable until a health check succeeds",
 			slog.String("endpoint", e.ID))
 	}
 }
