--- a/balancer/endpoint_list_test.go
+++ b/balancer/endpoint_list_test.go
@@ -52,6 +52,8 @@
 		"listed by a change":           {before: [][]Endpoint{{a}, {b, c}}, list: []Endpoint{a, b}, removed: []string{"c"}},
 		"changed to as it was":         {before: [][]Endpoint{{a, b}, {gone(b)}, {b, c}}, list: []Endpoint{a, b}, removed: []string{"c"}},
 		"removed by a change":          {before: [][]Endpoint{{a, b, c}, {gone(c)}}, list: []Endpoint{a}, removed: []string{"b", "c"}},
+		"another named twice":          {before: [][]Endpoint{{a}}, list: []Endpoint{b, b}, removed: []string{"a"}},
+		"another named, then removed":  {before: [][]Endpoint{{a}}, list: []Endpoint{b, b, gone(b)}, removed: []string{"a", "b"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g, r := newGate(t, subsetSettings(100), test.before[0]...)
--- a/balancer/subset_index_test.go
+++ b/balancer/subset_index_test.go
@@ -56,3 +56,21 @@
 		t.Errorf("%d shared names, then %d", st.HashCollisions, now.HashCollisions)
 	}
 }
+
+// An endpoint that is removed while an attempt is in flight there leaves the index of the subset with the control
+// interval after the attempt.
+func TestIndexFollowsDroppedEndpoints(t *testing.T) {
+	b, r := newGate(t, subsetSettings(30), Endpoint{ID: "s0", MachineType: "k", Zone: "a", StartedAt: t0})
+	e := b.endpoints.trackedByID["s0"]
+	e.slowStart.tokens = 1
+	b.RequestArrived(t0, newRequest(1, "safe", "rate", 1), r)
+	b.EndpointsUpdated(t0, UpdateSnapshot, nil, r)
+	if e.inFlight != 1 || len(b.endpoints.index.shared) != 1 {
+		t.Fatalf("%d attempts in flight, %d endpoints shared", e.inFlight, len(b.endpoints.index.shared))
+	}
+	b.AttemptFinished(t0, Outcome{ID: "r1", Result: OK, Answered: true, Elapsed: ms}, r)
+	b.TimerFired(t0, timerControlInterval, r)
+	if index := b.endpoints.index; len(index.shared) != 0 || len(index.byHash) != 0 {
+		t.Errorf("%d endpoints shared and %d named, though none is tracked", len(index.shared), len(index.byHash))
+	}
+}
