--- a/balancer/health_test.go
+++ b/balancer/health_test.go
@@ -113,3 +113,132 @@
 		}
 	}
 }
+
+// Each ejection in a row lasts twice as long as the one before, up to a limit.
+func TestEjectionDurations(t *testing.T) {
+	var health endpointHealth
+	want := baseEjection
+	for n := range 2 * maxEjectionDoublings {
+		health.errorRate = 1
+		health.eject(t0)
+		if got := health.ejectedUntil - t0; got != want {
+			t.Errorf("ejection %d lasts %v, want %v", n+1, got, want)
+		}
+		if health.ejected(t0+want) || !health.ejected(t0+want-1) {
+			t.Errorf("ejection %d does not end at its end", n+1)
+		}
+		if health.errorRate >= ejectionErrorRate {
+			t.Errorf("error rate %v after an ejection would eject again at once", health.errorRate)
+		}
+		want = min(2*want, maxEjection)
+	}
+	health.recordSuccess()
+	if health.eject(t0); health.ejectedUntil != t0+baseEjection {
+		t.Errorf("ejection after a success lasts %v", health.ejectedUntil-t0)
+	}
+}
+
+// An endpoint is unreachable only if nothing has come back since something came to nothing, and until it responds.
+func TestUnreachable(t *testing.T) {
+	health := endpointHealth{lastResponse: t0, consecutiveEjections: 3, ejectedUntil: t0 + time.Hour}
+	if health.recordNoResponse(t0) || health.unreachable {
+		t.Error("unreachable though it has responded since")
+	}
+	if !health.recordNoResponse(t0+ms) || !health.unreachable {
+		t.Error("reachable though nothing has come back")
+	}
+	if health.recordNoResponse(t0 + 2*ms) {
+		t.Error("unreachable anew")
+	}
+	if health.consecutiveEjections != 3 {
+		t.Errorf("%d ejections in a row after silence, want 3 as before", health.consecutiveEjections)
+	}
+	if !health.recordResponse(t0+3*ms) || health.unreachable || health.ejected(t0+4*ms) || health.consecutiveEjections != 0 {
+		t.Errorf("after a response: %+v", health)
+	}
+	if health.recordResponse(t0 + 5*ms) {
+		t.Error("reachable anew")
+	}
+}
+
+// A response or a reported load ends an ejection for silence, but no other.
+func TestUnresponsiveEjectionEndsWithNews(t *testing.T) {
+	for name, news := range map[string]func(e *endpoint){
+		"response": func(e *endpoint) { e.health.recordResponse(t0) },
+		"load":     func(e *endpoint) { e.recordLoad(1, t0) },
+	} {
+		silent, failing := newEndpoint(Endpoint{ID: "silent"}), newEndpoint(Endpoint{ID: "failing"})
+		silent.health.ejectAsUnresponsive(t0)
+		failing.health.eject(t0)
+		if got := silent.health.ejectedUntil - t0; got != unresponsiveEjection {
+			t.Errorf("%s: ejected for %v, want %v", name, got, unresponsiveEjection)
+		}
+		news(silent)
+		news(failing)
+		if silent.health.ejected(t0) || !failing.health.ejected(t0) {
+			t.Errorf("%s: silent endpoint ejected: %v, failing one: %v", name, silent.health.ejected(t0), failing.health.ejected(t0))
+		}
+	}
+}
+
+// What makes an endpoint unresponsive, and what deprioritizes it.
+func TestHealthCriteria(t *testing.T) {
+	large, small := healthCriteria{largeFleet: true, maxSilence: 0.1}, healthCriteria{}
+	busy := func(e *endpoint) { e.inFlight = 1 }
+	for _, test := range []struct {
+		name                        string
+		change                      func(e *endpoint)
+		criteria                    healthCriteria
+		unresponsive, deprioritized bool
+	}{
+		{"healthy", func(*endpoint) {}, large, false, false},
+		{"unreachable", func(e *endpoint) { e.health.unreachable = true }, small, true, true},
+		{"idle and silent", func(e *endpoint) { e.lastProgress = 0 }, large, false, false},
+		{"busy and silent", func(e *endpoint) { busy(e); e.lastProgress = t0 - 101*ms }, large, true, true},
+		{"busy and silent in a small fleet", func(e *endpoint) { busy(e); e.lastProgress = 0 }, small, false, false},
+		{"busy and not silent for long", func(e *endpoint) { busy(e); e.lastProgress = t0 - 100*ms }, large, false, false},
+		{"silent here, reported elsewhere", func(e *endpoint) { busy(e); e.lastProgress, e.load.reportedAt = 0, t0 }, large, false, false},
+		{"ejected as unresponsive", func(e *endpoint) { e.health.ejectAsUnresponsive(t0 - ms) }, large, true, true},
+		{"ejected as unresponsive long ago", func(e *endpoint) { e.health.ejectAsUnresponsive(t0 - time.Minute) }, large, false, false},
+		{"ejected", func(e *endpoint) { e.health.eject(t0) }, small, false, true},
+		{"high error rate", func(e *endpoint) { e.health.errorRate = ejectionErrorRate + 0.01 }, large, false, true},
+		{"high error rate in a small fleet", func(e *endpoint) { e.health.errorRate = 1 }, small, false, false},
+	} {
+		e := newEndpoint(Endpoint{ID: "s0"})
+		e.lastProgress = t0
+		test.change(e)
+		if got := e.unresponsive(t0, test.criteria); got != test.unresponsive {
+			t.Errorf("%s: unresponsive %v", test.name, got)
+		}
+		if got := e.deprioritized(t0, test.criteria); got != test.deprioritized {
+			t.Errorf("%s: deprioritized %v", test.name, got)
+		}
+	}
+}
+
+// A node sends one health check for two attempts, and saves none up.
+func TestHealthChecksArePaced(t *testing.T) {
+	e := newEndpoint(Endpoint{ID: "s0"})
+	for _, test := range []struct {
+		name     string
+		checker  healthChecker
+		tracked  []*endpoint
+		attempts []float64 // in each control interval
+		want     int
+	}{
+		{"one for two", healthChecker{enabled: true}, []*endpoint{e}, []float64{1, 1, 1, 1}, 2},
+		{"none saved up", healthChecker{enabled: true}, []*endpoint{e}, []float64{100, 0, 0}, 1},
+		{"disabled", healthChecker{}, []*endpoint{e}, []float64{100, 100}, 0},
+		{"no endpoints", healthChecker{enabled: true}, nil, []float64{100}, 0},
+	} {
+		checks := 0
+		for _, attempts := range test.attempts {
+			if test.checker.next(t0, test.tracked, attempts) != nil {
+				checks++
+			}
+		}
+		if checks != test.want {
+			t.Errorf("%s: %d health checks, want %d", test.name, checks, test.want)
+		}
+	}
+}
--- a/balancer/reserve_test.go
+++ b/balancer/reserve_test.go
@@ -188,3 +188,54 @@
 		}
 	}
 }
+
+// The reserve holds what is up, warm and not tracked, in the pools of its zone and cell.
+func TestReserveMembership(t *testing.T) {
+	const warmUp = 10 * time.Second
+	list := newEndpointList(0)
+	slots := map[string]slotIndex{}
+	for _, e := range []Endpoint{
+		{ID: "a1", Zone: "a", Cell: 1},
+		{ID: "a2", Zone: "a", Cell: 2},
+		{ID: "b1", Zone: "b", Cell: 1},
+		{ID: "draining", Zone: "a", Cell: 1, State: Draining},
+		{ID: "cold", Zone: "a", Cell: 1, StartedAt: t0 - time.Second},
+		{ID: "tracked", Zone: "a", Cell: 1},
+	} {
+		slots[e.ID] = list.add(e.ID)
+		list.update(slots[e.ID], e)
+	}
+	list.setTracked(slots["tracked"], true)
+	for _, slot := range slots {
+		list.updateReserve(slot, t0, warmUp)
+	}
+	check := func(when string, all, inA, inCell1 []string) {
+		t.Helper()
+		for _, part := range []struct {
+			name string
+			got  pool
+			want []string
+		}{{"all", list.reserve.all, all}, {"zone a", list.reserveInZone("a"), inA}, {"cell 1", list.reserveInCell(1), inCell1}} {
+			var ids []string
+			for _, slot := range part.got {
+				ids = append(ids, list.idOf(slot))
+			}
+			slices.Sort(ids)
+			if !slices.Equal(ids, part.want) {
+				t.Errorf("%s, %s: %v, want %v", when, part.name, ids, part.want)
+			}
+		}
+	}
+	check("at first", []string{"a1", "a2", "b1"}, []string{"a1", "a2"}, []string{"a1", "b1"})
+	list.moveWarmedUpToReserve(t0+warmUp-time.Second-1, warmUp)
+	check("before the end of the warm-up", []string{"a1", "a2", "b1"}, []string{"a1", "a2"}, []string{"a1", "b1"})
+	list.moveWarmedUpToReserve(t0+warmUp-time.Second, warmUp)
+	check("warmed up", []string{"a1", "a2", "b1", "cold"}, []string{"a1", "a2", "cold"}, []string{"a1", "b1", "cold"})
+	list.setTracked(slots["a1"], true)
+	list.updateReserve(slots["a1"], t0+warmUp, warmUp)
+	list.remove(slots["cold"])
+	check("tracked and removed", []string{"a2", "b1"}, []string{"a2"}, []string{"b1"})
+	if list.reserveInZone("none") != nil || list.reserveInCell(9) != nil {
+		t.Error("endpoints in a zone or cell that has none")
+	}
+}
--- a/balancer/restart_evidence_test.go
+++ b/balancer/restart_evidence_test.go
@@ -49,3 +49,59 @@
 		t.Error("cold after an answer on a connection older than all failures")
 	}
 }
+
+func TestRestartEvidence(t *testing.T) {
+	suspectedAt := func(times ...time.Duration) (r restartEvidence) {
+		for _, at := range times {
+			r.suspect(at)
+		}
+		return r
+	}
+	for _, test := range []struct {
+		name    string
+		before  restartEvidence
+		upSince time.Duration
+		want    time.Duration
+	}{
+		{"nothing suspected", restartEvidence{}, t0, 0},
+		{"up before the failure", suspectedAt(t0), t0 - ms, 0},
+		{"up since the failure", suspectedAt(t0), t0, 0},
+		{"up after the failure", suspectedAt(t0), t0 + ms, t0},
+		{"up between failures", suspectedAt(t0, t0+2*ms), t0 + ms, t0},
+	} {
+		test.before.confirmUpSince(test.upSince)
+		if test.before.latest != test.want {
+			t.Errorf("%s: suspected at %v, want %v", test.name, test.before.latest, test.want)
+		}
+	}
+	var many restartEvidence
+	for i := range 3 * maxSuspectedRestarts {
+		many.suspect(t0 + time.Duration(i)*ms)
+	}
+	last := t0 + (3*maxSuspectedRestarts-1)*ms
+	if len(many.suspected) != maxSuspectedRestarts || many.latest != last {
+		t.Errorf("%d remembered, latest %v, want %d and %v", len(many.suspected), many.latest, maxSuspectedRestarts, last)
+	}
+	many.confirmUpSince(last)
+	if want := t0 + (maxSuspectedRestarts-2)*ms; many.latest != want {
+		t.Errorf("latest %v, want the first ones kept, up to %v", many.latest, want)
+	}
+}
+
+// One health check at a time is sent to confirm, and only its response withdraws the suspicion.
+func TestConfirmingRestart(t *testing.T) {
+	var r restartEvidence
+	r.suspect(t0)
+	r.confirm()
+	if r.latest != t0 {
+		t.Error("confirmed by a health check that was not sent to confirm")
+	}
+	if !r.startConfirming(t0) || r.startConfirming(t0+ms) {
+		t.Error("want one health check at a time")
+	}
+	r.confirm()
+	r.stopConfirming()
+	if r.latest != 0 || !r.startConfirming(t0+ms) {
+		t.Errorf("after the response: %+v", r)
+	}
+}
--- a/balancer/selection_test.go
+++ b/balancer/selection_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"math"
 	"strings"
 	"testing"
 	"time"
@@ -98,3 +99,63 @@
 		t.Errorf("%d of 100 went past the idle endpoint of three", blind)
 	}
 }
+
+// An endpoint at which the request has failed costs a multiple, and one at which it was answered does not.
+func TestFailedEndpointCostsMore(t *testing.T) {
+	failed, answered, untried := newEndpoint(Endpoint{ID: "s0"}), newEndpoint(Endpoint{ID: "s1"}), newEndpoint(Endpoint{ID: "s2"})
+	r := &request{attempts: []attempt{{endpoint: failed, result: Reset}, {endpoint: answered, result: OK}}}
+	for _, test := range []struct {
+		name       string
+		cost       float64 // of the other endpoint
+		other      *endpoint
+		wantFailed bool
+	}{
+		{"a little dearer", triedEndpointFactor - 0.1, untried, false},
+		{"much dearer", triedEndpointFactor + 0.1, untried, true},
+		{"answered", triedEndpointFactor - 0.1, answered, false},
+	} {
+		s := selection{request: r, bestCost: math.Inf(1)}
+		s.offer(failed, 1, false)
+		s.offer(test.other, test.cost, false)
+		if got := s.best == failed; got != test.wantFailed {
+			t.Errorf("%s: the failed endpoint is the best: %v", test.name, got)
+		}
+	}
+}
+
+// Each tier of endpoints costs more than any of the tiers before: in the subset, not sampled, outside, deprioritized.
+func TestTiersOfCost(t *testing.T) {
+	b, r := newGate(t, subsetSettings(100), testEndpoints(400)...)
+	b.now, b.actions = t0, r
+	var outside *endpoint
+	for slot := range b.endpoints.list.entries {
+		if b.endpoints.trackedAt(slotIndex(slot)) == nil {
+			outside = b.endpoints.trackFromReserve(t0, slotIndex(slot))
+			break
+		}
+	}
+	ejected := newEndpoint(Endpoint{ID: "ejected"})
+	ejected.health.eject(t0)
+	s := selection{criteria: b.healthCriteria(), samples: 3}
+	if cost, deprioritized := b.tierCost(&s, outside); cost != outsideSubsetCost || deprioritized || s.outsideSubset != 1 {
+		t.Errorf("outside the subset: cost %v, deprioritized %v, %d counted", cost, deprioritized, s.outsideSubset)
+	}
+	if cost, deprioritized := b.tierCost(&s, ejected); cost != deprioritizedCost || !deprioritized {
+		t.Errorf("ejected: cost %v, deprioritized %v", cost, deprioritized)
+	}
+	if s.samples != 3 {
+		t.Errorf("%d samples left of 3, though none was of the subset", s.samples)
+	}
+	var largest *endpoint
+	for _, e := range b.endpoints.tracked {
+		if e.inSubset && (largest == nil || e.weight() > largest.weight()) {
+			largest = e
+		}
+	}
+	if cost, _ := b.tierCost(&s, largest); cost != 0 || s.samples != 2 {
+		t.Errorf("the largest of the subset: cost %v, %d samples left", cost, s.samples)
+	}
+	if notSampledCost >= outsideSubsetCost || outsideSubsetCost >= deprioritizedCost {
+		t.Error("the tiers are not in order")
+	}
+}
--- a/balancer/slow_start_test.go
+++ b/balancer/slow_start_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"math/rand/v2"
 	"slices"
 	"testing"
 	"time"
@@ -130,3 +131,80 @@
 		t.Error("no subset has come to hold the endpoint")
 	}
 }
+
+func TestWarmUpCurve(t *testing.T) {
+	curve := warmUpCurve{initialFraction: 0.2, duration: 10 * time.Second}
+	for _, test := range []struct {
+		name      string
+		curve     warmUpCurve
+		startedAt time.Duration
+		want      float64
+	}{
+		{"started long ago", curve, 0, 1},
+		{"just started", curve, t0, 0.2},
+		{"clock ahead", curve, t0 + time.Second, 0.2},
+		{"halfway", curve, t0 - 5*time.Second, 0.6},
+		{"at the end", curve, t0 - 10*time.Second, 1},
+		{"no warm-up", warmUpCurve{}, t0, 1},
+		{"nothing at the start", warmUpCurve{duration: time.Second}, t0, minWarmUpFraction},
+		{"all at the start", warmUpCurve{initialFraction: 1, duration: time.Second}, t0, 1},
+	} {
+		if got := test.curve.fraction(test.startedAt, t0); math.Abs(got-test.want) > 1e-12 {
+			t.Errorf("%s: %v, want %v", test.name, got, test.want)
+		}
+	}
+}
+
+// A budget begins at random below one request, grows at its rate up to its limit, and is spent by requests.
+func TestSlowStartBudget(t *testing.T) {
+	rng := rand.New(rand.NewPCG(1, 1))
+	budget := slowStartBudget{tokens: warmedUp}
+	if !budget.allows(false) || budget.bounded() {
+		t.Error("a warm endpoint is bounded")
+	}
+	budget.accrue(t0, 10, 2, rng)
+	begin := budget.tokens
+	if begin < 0 || begin >= 1 || budget.allows(true) {
+		t.Errorf("begins with %v tokens", begin)
+	}
+	budget.accrue(t0+100*ms, 10, 2, rng)
+	if got := budget.tokens; math.Abs(got-begin-1) > 1e-9 || !budget.allows(true) || budget.allows(false) {
+		t.Errorf("%v tokens after 100 ms at 10 a second, from %v", got, begin)
+	}
+	if budget.withdraw(); math.Abs(budget.tokens-begin) > 1e-9 {
+		t.Errorf("%v tokens after a request, want %v", budget.tokens, begin)
+	}
+	if budget.withdraw(); budget.tokens != 0 {
+		t.Errorf("%v tokens, want none: a request that needs no token takes none", budget.tokens)
+	}
+	budget.accrue(t0+time.Minute, 10, 2, rng)
+	if budget.tokens != 2 {
+		t.Errorf("%v tokens after a minute, want the limit of 2", budget.tokens)
+	}
+	budget.startEmpty(t0 + time.Minute)
+	budget.accrue(t0+time.Minute, 10, 2, rng)
+	if budget.tokens != 0 {
+		t.Errorf("%v tokens, want none at the start", budget.tokens)
+	}
+	if budget.reset(); budget.bounded() {
+		t.Error("bounded after a reset")
+	}
+}
+
+// The work of warm endpoints is averaged for a unit of weight; where there is none, the average stays.
+func TestWarmWorkRate(t *testing.T) {
+	var s slowStart
+	for range 400 {
+		s.recordWork(0.3)
+		s.closeInterval(2)
+	}
+	want := 0.3 / 2 / controlInterval.Seconds()
+	if math.Abs(s.warmWorkRate-want) > 1e-6 {
+		t.Errorf("%v a second, want %v", s.warmWorkRate, want)
+	}
+	before := s.warmWorkRate
+	s.recordWork(5)
+	if s.closeInterval(0); s.warmWorkRate != before || s.warmWorkDone != 0 {
+		t.Errorf("%v a second with no warm endpoint, want %v; %v kept", s.warmWorkRate, before, s.warmWorkDone)
+	}
+}
--- a/balancer/tracking_test.go
+++ b/balancer/tracking_test.go
@@ -1,6 +1,7 @@
 package balancer
 
 import (
+	"reflect"
 	"slices"
 	"testing"
 	"time"
@@ -50,3 +51,61 @@
 		}
 	}
 }
+
+func TestIsInUse(t *testing.T) {
+	set := newEndpointSet(&Settings{NodeCount: 1, SlowStartInitialFraction: 0.5, SlowStartDuration: 10 * time.Second})
+	for _, test := range []struct {
+		name   string
+		change func(e *endpoint)
+		want   bool
+	}{
+		{"used long ago", func(*endpoint) {}, false},
+		{"of the subset", func(e *endpoint) { e.inSubset = true }, true},
+		{"of the subset, no longer listed", func(e *endpoint) { e.inSubset, e.listed = true, false }, false},
+		{"attempt in flight", func(e *endpoint) { e.inFlight = 1 }, true},
+		{"attempt in flight, no longer listed", func(e *endpoint) { e.inFlight, e.listed = 1, false }, true},
+		{"used at the retention's start", func(e *endpoint) { e.lastProgress = t0 - reserveRetention }, true},
+		{"used before", func(e *endpoint) { e.lastProgress = t0 - reserveRetention - 1 }, false},
+		{"used just now, no longer listed", func(e *endpoint) { e.lastProgress, e.listed = t0, false }, false},
+		{"ejected", func(e *endpoint) { e.health.ejectedUntil = t0 + 1 }, true},
+		{"ejection at its end", func(e *endpoint) { e.health.ejectedUntil = t0 }, false},
+		{"cold", func(e *endpoint) { e.StartedAt = t0 - 10*time.Second + 1 }, true},
+		{"warm", func(e *endpoint) { e.StartedAt = t0 - 10*time.Second }, false},
+		{"cold by a failed connection", func(e *endpoint) { e.restarts.suspect(t0) }, true},
+	} {
+		e := newEndpoint(Endpoint{ID: "s0"})
+		e.lastProgress = t0 - time.Hour
+		test.change(e)
+		if got := set.isInUse(t0, e); got != test.want {
+			t.Errorf("%s: %v, want %v", test.name, got, test.want)
+		}
+	}
+}
+
+// A restarted endpoint is another process: what was learned of the one before does not hold. What the machine has
+// shown does.
+func TestRestartForgetsTheProcess(t *testing.T) {
+	e := newEndpoint(Endpoint{ID: "s0"})
+	learn := func() {
+		e.latencyRatio = 3
+		e.recordLoad(7, t0)
+		e.load.queued, e.load.refusesConnections, e.load.lastResponseFailed = 2, true, true
+		e.load.utilizationReportedAt = t0
+		e.health = endpointHealth{errorRate: 1, consecutiveEjections: 2, ejectedUntil: t0, unreachable: true, lastResponse: t0, lastCheck: t0}
+		e.slowStart.startEmpty(t0)
+	}
+	learn()
+	e.update(Endpoint{ID: "s0", State: Draining})
+	if e.latencyRatio != 3 || e.health.errorRate != 1 || e.load.requests != 7 || e.acceptsRequests() {
+		t.Errorf("forgotten without a restart, or not draining: %+v", e)
+	}
+	learn()
+	e.update(Endpoint{ID: "s0", StartedAt: t0})
+	fresh := newEndpoint(Endpoint{ID: "s0", StartedAt: t0})
+	fresh.health.lastResponse, fresh.health.lastCheck = t0, t0
+	fresh.load.otherNodes, fresh.load.utilizationReportedAt = 7, t0
+	fresh.slowStart.accruedAt = t0
+	if !reflect.DeepEqual(e, fresh) {
+		t.Errorf("after a restart %+v, want %+v", e, fresh)
+	}
+}
