--- a/balancer/cold_fleet_test.go
+++ b/balancer/cold_fleet_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// coldFleet is a tier of nodes before app endpoints that start cold under load, on a clock of its own.
+// coldStartFleet is a fleet of nodes before endpoints that start cold under load, on a clock of its own.
 type coldStartFleet struct {
 	settings   Settings
 	rng        *rand.Rand
@@ -27,7 +27,7 @@
 	detail     string
 }
 
-// coldServer is an app endpoint with a queue before its cores.
+// coldStartEndpoint is an endpoint with a queue before its cores.
 type coldStartEndpoint struct {
 	Endpoint
 	queue    []coldStartJob
@@ -45,6 +45,9 @@
 	answer func(res Result, load *LoadReport)
 }
 
+// coldStartListDelay is the time within which each node learns of a change of the list.
+const coldStartListDelay = 1500 * ms
+
 // Sizes of the app endpoints.
 const (
 	coldStartCores    = 4
@@ -52,14 +55,14 @@
 	coldStartMeanWork = 0.06 // seconds of a core for a mean request
 )
 
-// What an endpoint has at its start, and when it is warm. That is more than the settings tell: it answers well
-// beyond what rule 4 allows, so that nothing but the rule holds a node back.
+// Capacity of an endpoint at its start, and the time until it is warm. That is more than the settings say: it
+// serves well beyond the slow-start budget, so that nothing but the budget holds a node back.
 const (
 	coldStartInitialFraction = 0.45
 	coldStartDuration        = 6 * time.Second
 )
 
-// coldPort is a node's way to the fleet.
+// coldStartHost is a node's way to the fleet.
 type coldStartHost struct {
 	fleet *coldStartFleet
 	node  int
@@ -100,7 +103,7 @@
 	heap.Push(&f.queue, scheduledEvent{f.now + max(d, 0), f.events, run})
 }
 
-// run lets so much time pass.
+// run lets a time pass.
 func (f *coldStartFleet) run(d time.Duration) {
 	for end := f.now + d; ; {
 		if len(f.queue) == 0 || f.queue[0].at > end {
@@ -125,8 +128,8 @@
 	f.nodes[me].RequestArrived(f.now, q, coldStartHost{f, me})
 }
 
-// start is a start of endpoints, new or come back; each node hears of it within the time told.
-func (f *coldStartFleet) startEndpoints(told time.Duration, ids ...string) {
+// startEndpoints starts endpoints, new or come back; each node learns of it within a time.
+func (f *coldStartFleet) startEndpoints(ids ...string) {
 	var list []Endpoint
 	for _, id := range ids {
 		s := Endpoint{ID: id, MachineType: "k", Zone: "a", Weight: 4, StartedAt: f.now}
@@ -134,12 +137,12 @@
 		list = append(list, s)
 	}
 	for me, b := range f.nodes {
-		f.after(time.Duration(f.rng.Int64N(int64(told))), func() { b.EndpointsUpdated(f.now, UpdateDelta, list, coldStartHost{f, me}) })
+		f.after(time.Duration(f.rng.Int64N(int64(coldStartListDelay))), func() { b.EndpointsUpdated(f.now, UpdateDelta, list, coldStartHost{f, me}) })
 	}
 }
 
-// stop ends endpoints; each node hears of it within the time told.
-func (f *coldStartFleet) stopEndpoints(told time.Duration, ids ...string) {
+// stopEndpoints ends endpoints; each node learns of it within a time.
+func (f *coldStartFleet) stopEndpoints(within time.Duration, ids ...string) {
 	var list []Endpoint
 	for _, id := range ids {
 		s := f.endpoints[id].Endpoint
@@ -148,12 +151,12 @@
 		delete(f.endpoints, id)
 	}
 	for me, b := range f.nodes {
-		f.after(time.Duration(f.rng.Int64N(int64(told))), func() { b.EndpointsUpdated(f.now, UpdateDelta, list, coldStartHost{f, me}) })
+		f.after(time.Duration(f.rng.Int64N(int64(within))), func() { b.EndpointsUpdated(f.now, UpdateDelta, list, coldStartHost{f, me}) })
 	}
 }
 
-// warmth is the share of its capacity that an endpoint has by now, if it has so much at its start and is warm
-// within a time.
+// warmUpFraction is the fraction of its capacity that an endpoint has by now, if it has an initial one at
+// its start and is warm within a time.
 func (f *coldStartFleet) warmUpFraction(s *coldStartEndpoint, from float64, within time.Duration) float64 {
 	age := f.now - s.StartedAt
 	if s.StartedAt == 0 || age >= within {
@@ -162,8 +165,8 @@
 	return from + (1-from)*age.Seconds()/within.Seconds()
 }
 
-// count holds a send to a cold endpoint against what the settings allow: N requests of mean work in the time in
-// which it falls over, and 2 x root of N + 2 for chance.
+// recordAttempt holds an attempt at a cold endpoint against what the settings allow: N requests of mean
+// work in the overload window, and 2 x root of N + 2 for chance.
 func (f *coldStartFleet) recordAttempt(s *coldStartEndpoint, work float64) {
 	s.attempts = append(s.attempts, coldStartAttempt{f.now, work})
 	warmth := f.warmUpFraction(s, f.settings.SlowStartInitialFraction, f.settings.SlowStartDuration)
@@ -214,7 +217,7 @@
 	})
 }
 
-// take runs a job or queues it.
+// start runs a job or queues it.
 func (s *coldStartEndpoint) start(f *coldStartFleet, job coldStartJob) {
 	load := &LoadReport{InFlight: float64(s.busy + len(s.queue)), Queued: -1, Utilization: -1}
 	switch {
@@ -267,10 +270,10 @@
 func (coldStartHost) WatchEndpoints(bool)                  {}
 func (coldStartHost) Log(slog.Level, string, ...slog.Attr) {}
 
-// Rule 4 for a fleet of twenty to thirty nodes: what all of them send together leaves each cold endpoint
-// standing, also where new endpoints join and others come back cold under a burst.
+// In fleets of twenty to thirty nodes, what all of them send together leaves each cold endpoint standing,
+// also where new ones join and others come back cold under a burst.
 func TestColdEndpointsStandUnderSumOfNodes(t *testing.T) {
-	const warm, told = 12, 1500 * ms
+	const warm = 12
 	ids := func(from, to int) (ids []string) {
 		for i := from; i < to; i++ {
 			ids = append(ids, fmt.Sprintf("s%d", i))
@@ -282,8 +285,8 @@
 		"joined under a burst": func(f *coldStartFleet) {
 			f.offered = 0.5 * capacity
 			f.run(2 * time.Second)
-			f.startEndpoints(told, ids(warm, warm+4)...)
-			f.stopEndpoints(told, ids(0, 9)...)
+			f.startEndpoints(ids(warm, warm+4)...)
+			f.stopEndpoints(coldStartListDelay, ids(0, 9)...)
 			f.offered *= 1.3
 			f.run(8 * time.Second)
 		},
@@ -291,16 +294,16 @@
 			f.offered = 0.5 * capacity
 			f.run(2 * time.Second)
 			f.offered *= 1.5
-			f.stopEndpoints(told, ids(2, warm)...)
+			f.stopEndpoints(coldStartListDelay, ids(2, warm)...)
 			f.run(3 * time.Second)
-			f.startEndpoints(told, ids(2, 6)...)
+			f.startEndpoints(ids(2, 6)...)
 			f.run(8 * time.Second)
 		},
 		"rested before the burst": func(f *coldStartFleet) {
 			f.offered = 0.5 * capacity
 			f.run(2 * time.Second)
 			f.offered = 0
-			f.startEndpoints(told, ids(warm, warm+4)...)
+			f.startEndpoints(ids(warm, warm+4)...)
 			f.run(4 * time.Second)
 			f.stopEndpoints(ms, ids(0, 10)...) // so that few warm ones are left
 			f.offered = capacity
@@ -308,7 +311,7 @@
 		},
 		"none warm": func(f *coldStartFleet) {
 			f.stopEndpoints(ms, ids(0, warm)...)
-			f.startEndpoints(told, ids(warm, warm+4)...)
+			f.startEndpoints(ids(warm, warm+4)...)
 			f.offered = capacity
 			f.run(6 * time.Second)
 		},
--- a/balancer/endpoint_list_test.go
+++ b/balancer/endpoint_list_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A list that is replaced over and over, or was long once, must not leave what it held behind for ever.
+// A list that is replaced over and over, or was long once, leaves nothing behind for ever.
 func TestReplacedListsAreReleased(t *testing.T) {
 	g, r := newGate(t, subsetSettings(100), testEndpoints(20_000)...)
 	for n := range 2000 {
@@ -19,7 +19,7 @@
 	}
 	l := g.endpoints.list
 	for what, n := range map[string]int{
-		"servers": len(l.entries), "zones": len(l.zones.values), "kinds": len(l.machineTypes.values),
+		"slots": len(l.entries), "zones": len(l.zones.values), "machine types": len(l.machineTypes.values),
 		"cells": len(l.cells.values), "weights": len(l.weights.values), "pools": len(l.reserve.byZone),
 	} {
 		if n > 4*(10+staleSlack)+10 {
@@ -31,7 +31,8 @@
 	}
 }
 
-// A whole list removes what it does not name, whatever else it says, and however its endpoints were listed before.
+// A snapshot removes what it does not name, whatever else it says, and however its endpoints were listed
+// before.
 func TestSnapshotRemovesWhatItDoesNotName(t *testing.T) {
 	a, b, c := Endpoint{ID: "a"}, Endpoint{ID: "b"}, Endpoint{ID: "c"}
 	gone := func(e Endpoint) Endpoint {
@@ -39,7 +40,7 @@
 		return e
 	}
 	for name, test := range map[string]struct {
-		before  [][]Endpoint // the first is a whole list, the others are changes
+		before  [][]Endpoint // the first is a snapshot, the others are deltas
 		list    []Endpoint
 		removed []string
 	}{
@@ -47,11 +48,11 @@
 		"one missing":                  {before: [][]Endpoint{{a, b, c}}, list: []Endpoint{a, b}, removed: []string{"c"}},
 		"one named twice, one missing": {before: [][]Endpoint{{a, b, c}}, list: []Endpoint{a, a, b}, removed: []string{"c"}},
 		"a new one for a missing one":  {before: [][]Endpoint{{a, b}}, list: []Endpoint{a, c}, removed: []string{"b"}},
-		"named and taken back":         {before: [][]Endpoint{{a, b, c}}, list: []Endpoint{a, b, gone(b)}, removed: []string{"b", "c"}},
-		"taken back unnamed":           {before: [][]Endpoint{{a, b, c}}, list: []Endpoint{gone(a), b}, removed: []string{"a", "c"}},
-		"listed by a change":           {before: [][]Endpoint{{a}, {b, c}}, list: []Endpoint{a, b}, removed: []string{"c"}},
+		"named, then removed":          {before: [][]Endpoint{{a, b, c}}, list: []Endpoint{a, b, gone(b)}, removed: []string{"b", "c"}},
+		"removed unnamed":              {before: [][]Endpoint{{a, b, c}}, list: []Endpoint{gone(a), b}, removed: []string{"a", "c"}},
+		"listed by a delta":            {before: [][]Endpoint{{a}, {b, c}}, list: []Endpoint{a, b}, removed: []string{"c"}},
 		"changed to as it was":         {before: [][]Endpoint{{a, b}, {gone(b)}, {b, c}}, list: []Endpoint{a, b}, removed: []string{"c"}},
-		"removed by a change":          {before: [][]Endpoint{{a, b, c}, {gone(c)}}, list: []Endpoint{a}, removed: []string{"b", "c"}},
+		"removed by a delta":           {before: [][]Endpoint{{a, b, c}, {gone(c)}}, list: []Endpoint{a}, removed: []string{"b", "c"}},
 		"another named twice":          {before: [][]Endpoint{{a}}, list: []Endpoint{b, b}, removed: []string{"a"}},
 		"another named, then removed":  {before: [][]Endpoint{{a}}, list: []Endpoint{b, b, gone(b)}, removed: []string{"a", "b"}},
 	} {
@@ -60,12 +61,12 @@
 			for _, changes := range test.before[1:] {
 				g.EndpointsUpdated(t0, UpdateDelta, changes, r)
 			}
-			for round := range 2 { // a list that comes again finds things as it left them
+			for round := range 2 { // a snapshot that comes again changes nothing
 				g.EndpointsUpdated(t0, UpdateSnapshot, test.list, r)
 				for _, id := range []string{"a", "b", "c"} {
 					wanted := !slices.Contains(test.removed, id) && slices.ContainsFunc(test.list, func(e Endpoint) bool { return e.ID == id })
 					if _, listed := g.endpoints.list.slotByID[id]; listed != wanted {
-						t.Errorf("list %d: %s is listed: %v", round+1, id, listed)
+						t.Errorf("snapshot %d: %s is listed: %v", round+1, id, listed)
 					}
 				}
 			}
@@ -73,38 +74,38 @@
 	}
 }
 
-// A whole list that comes in the order of the one before must be taken in without a look-up of each entry, also
-// behind entries that are gone or new.
+// A snapshot in the order of the one before is taken in without a look-up of each entry, also behind
+// entries that are removed or new.
 func TestSnapshotInSameOrderNeedsNoLookups(t *testing.T) {
 	const endpoints = 20_000
 	list := testEndpoints(endpoints)
 	g, r := newGate(t, subsetSettings(1000), list...)
-	lookups := func(form UpdateKind, list []Endpoint) int {
+	lookups := func(kind UpdateKind, list []Endpoint) int {
 		before := g.endpoints.list.lookups
-		g.EndpointsUpdated(t0, form, list, r)
+		g.EndpointsUpdated(t0, kind, list, r)
 		return g.endpoints.list.lookups - before
 	}
 	if n := lookups(UpdateSnapshot, list); n != 0 {
-		t.Errorf("%d look-ups for the same list", n)
+		t.Errorf("%d lookups for the same list", n)
 	}
 	fewer := slices.Delete(slices.Clone(list), endpoints/2, endpoints/2+3)
 	if n := lookups(UpdateSnapshot, fewer); n != 1 {
-		t.Errorf("%d look-ups for a list with a gap", n)
+		t.Errorf("%d lookups for a list with a gap", n)
 	}
 	more := slices.Insert(slices.Clone(fewer), 7, Endpoint{ID: "new", MachineType: "k", Zone: "a", Weight: 1})
 	if n := lookups(UpdateSnapshot, more); n > 4 {
-		t.Errorf("%d look-ups for a list with an entry more", n)
+		t.Errorf("%d lookups for a list with an entry more", n)
 	}
 	if listed := g.Stats().ListedEndpoints; listed != len(more) {
 		t.Errorf("%d listed of %d", listed, len(more))
 	}
 	slices.Reverse(more)
 	if n := lookups(UpdateSnapshot, more); n < endpoints/2 || g.Stats().ListedEndpoints != len(more) {
-		t.Errorf("%d look-ups for a list in another order, %d listed", n, g.Stats().ListedEndpoints)
+		t.Errorf("%d lookups for a list in another order, %d listed", n, g.Stats().ListedEndpoints)
 	}
 }
 
-// Slots that endpoints have left must not be taken for those of an endpoint without an id.
+// A free slot is not taken for that of an endpoint without an id.
 func TestEndpointWithoutIDIsListed(t *testing.T) {
 	list := testEndpoints(4)
 	g, r := newGate(t, subsetSettings(100), list...)
--- a/balancer/health_test.go
+++ b/balancer/health_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// A refused connection ejects at once, for longer each time, and an answer ends it.
+// A refused connection ejects at once, for longer each time, and a success ends that.
 func TestEjectionsGrow(t *testing.T) {
 	b, r := newGate(t, testSettings(), fleet(2)...)
 	s := b.endpoints.trackedByID["s0"]
@@ -28,7 +28,7 @@
 	}
 	b.recordOutcome(q, s, Outcome{Result: OK, Elapsed: ms})
 	if s.health.consecutiveEjections != 0 {
-		t.Errorf("%d strikes after an answer", s.health.consecutiveEjections)
+		t.Errorf("%d ejections in a row after a success", s.health.consecutiveEjections)
 	}
 }
 
@@ -48,12 +48,12 @@
 	b.EndpointsUpdated(t0, UpdateSnapshot, nil, r)
 	r.acts = nil
 	if n := flood(b, r, t0, 5, q); n != 0 {
-		t.Errorf("%d sent to endpoints gone from the list", n)
+		t.Errorf("%d sent to endpoints that are no longer listed", n)
 	}
 }
 
-// An endpoint that is silent to a probe and to all else since gets no request until it answers
-// one; an answer that came meanwhile tells that it lives.
+// An endpoint that is silent to a health check and to all else since gets no request until it responds to
+// one; a response in between shows that it lives.
 func TestUnreachableEndpointGetsNoRequestUntilItResponds(t *testing.T) {
 	b, r := newGate(t, probing(), fleet(2)...)
 	s, now := b.endpoints.trackedByID["s0"], t0
@@ -70,30 +70,30 @@
 	s.health.lastCheck = now
 	b.HealthChecked(now+ms, "s0", TimedOut, nil, r)
 	if n := sentTo("s0"); n != 0 {
-		t.Errorf("%d requests sent to an endpoint that is silent to probes", n)
+		t.Errorf("%d requests sent to an endpoint that is silent to health checks", n)
 	}
 	b.HealthChecked(now, "s0", OK, nil, r)
 	if n := sentTo("s0"); n == 0 {
-		t.Error("no request sent to an endpoint that answers again")
+		t.Error("no request sent to an endpoint that responds again")
 	}
 	b.RequestArrived(now+ms, newRequest(1, "safe", "rate", 9), r)
 	s.health.lastCheck, s.health.lastResponse = now, now+ms
 	b.HealthChecked(now+2*ms, "s0", TimedOut, nil, r)
 	if s.health.unreachable {
-		t.Error("an endpoint that has answered since the probe counts as silent")
+		t.Error("an endpoint that has responded since the health check counts as unreachable")
 	}
-	// Nor does one that was restarted.
+	// Nor does one that was restarted count as unreachable.
 	s.health.unreachable = true
 	b.EndpointsUpdated(now, UpdateDelta, []Endpoint{{ID: "s0", MachineType: "k", Zone: "a", StartedAt: now}}, r)
 	if s.health.unreachable {
-		t.Error("a restarted endpoint counts as silent")
+		t.Error("a restarted endpoint counts as unreachable")
 	}
 }
 
-// Probes reach all endpoints in turn, though the choice of an endpoint shuffles them.
+// Health checks reach all endpoints in turn, though selections shuffle them.
 func TestHealthChecksReachAllInTurn(t *testing.T) {
 	b, r := newGate(t, probing(), fleet(10)...)
-	probes := map[string]int{}
+	checks := map[string]int{}
 	for i := range 200 {
 		now := t0 + time.Duration(i)*5*ms
 		b.RequestArrived(now, newRequest(i, "safe", "rate", uint64(i)), r)
@@ -102,14 +102,14 @@
 			b.overload.pooled[poolSent] = 2
 			b.TimerFired(now, timerControlInterval, r)
 			for id := range b.endpoints.trackedByID {
-				probes[id] += r.count("probe " + id)
+				checks[id] += r.count("probe " + id)
 			}
 			r.acts = nil
 		}
 	}
 	for id := range b.endpoints.trackedByID {
-		if probes[id] != 2 {
-			t.Errorf("%d probes of %s, want 2 of each in 20", probes[id], id)
+		if checks[id] != 2 {
+			t.Errorf("%d health checks of %s, want 2 of each in 20", checks[id], id)
 		}
 	}
 }
@@ -138,7 +138,8 @@
 	}
 }
 
-// An endpoint is unreachable only if nothing has come back since something came to nothing, and until it responds.
+// An endpoint is unreachable only if nothing has come back since something came to nothing, and until it
+// responds.
 func TestUnreachable(t *testing.T) {
 	health := endpointHealth{lastResponse: t0, consecutiveEjections: 3, ejectedUntil: t0 + time.Hour}
 	if health.recordNoResponse(t0) || health.unreachable {
--- a/balancer/latency_test.go
+++ b/balancer/latency_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// An endpoint that is known may come back as one of another kind: its latencies must count as that kind's, not as
-// those of whichever kind came first.
+// An endpoint that is tracked may come back as one of another machine type: its latencies count as that
+// type's, not as those of whichever came first.
 func TestEndpointChangesMachineType(t *testing.T) {
 	for _, nodes := range []int{1, 100} {
 		b, r := newGate(t, subsetSettings(nodes), fleet(2)...)
--- a/balancer/reserve_test.go
+++ b/balancer/reserve_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// lose has every endpoint of a node's subset be of no use in one of the ways in which that happens.
+// waysToLose makes an endpoint of the subset useless, in each of the ways in which that happens.
 var waysToLose = map[string]func(b *Balancer, s *endpoint, r *recorder){
 	"draining": func(b *Balancer, s *endpoint, r *recorder) {
 		e := s.Endpoint
@@ -23,14 +23,14 @@
 		e := s.Endpoint
 		e.StartedAt = b.now
 		b.EndpointsUpdated(b.now, UpdateDelta, []Endpoint{e}, r)
-		s.slowStart.tokens, s.slowStart.accruedAt = 0, b.now // nothing saved up yet
+		s.slowStart.tokens, s.slowStart.accruedAt = 0, b.now // no tokens yet
 	},
-	"silent": func(b *Balancer, s *endpoint, r *recorder) { b.recordNoResponse(s, b.now) },
-	"errors": func(b *Balancer, s *endpoint, r *recorder) { s.health.eject(b.now) },
+	"unreachable": func(b *Balancer, s *endpoint, r *recorder) { b.recordNoResponse(s, b.now) },
+	"errors":      func(b *Balancer, s *endpoint, r *recorder) { s.health.eject(b.now) },
 }
 
-// Where a whole subset is of no use, the same decision must find another endpoint, and the nodes that have
-// lost theirs must not crowd the same ones.
+// Where a whole subset is useless, the same selection finds another endpoint, and the nodes that have lost
+// theirs don't crowd the same ones.
 func TestReserveServesWhenSubsetIsLost(t *testing.T) {
 	const nodes, endpoints, each, more = 100, 400, 5, 60
 	list := testEndpoints(endpoints)
@@ -59,24 +59,25 @@
 				b.RequestArrived(t0, q, r)
 				b.AttemptFinished(t0, Outcome{ID: q.ID, Result: OK, Answered: true, Elapsed: ms}, r)
 			}
-			// As many as a subset holds stand in for it, and one may have been drawn beside them.
+			// As many as a subset holds stand in for it, and one may have been sampled besides.
 			if known := b.Stats().TrackedEndpoints; known > len(members)+b.endpoints.subsetSize()+1 {
-				t.Errorf("%s: %d endpoints known, %d of them in the subset", way, known, len(members))
+				t.Errorf("%s: %d endpoints tracked, %d of them in the subset", way, known, len(members))
 			}
 		}
 		most := 0
 		for _, n := range to {
 			most = max(most, n)
 		}
-		// Half of the 400 weigh ten times as much as the others and get nearly all, some of them several by chance.
+		// Half of the 400 weigh ten times as much as the others and get nearly all, some of them several by
+		// chance.
 		if len(to) < endpoints/3 || most > 15 || heavy < nodes*each*3/4 {
 			t.Errorf("%s: %d endpoints used, one by %d of %d requests, %d to large ones", way, len(to), most, nodes*each, heavy)
 		}
 	}
 }
 
-// Where a zone is lost, every node must go on in the same decision, and those that have lost most of their
-// subset must not crowd the endpoints that are left.
+// Where a zone is lost, every node goes on with the same selection, and those that have lost most of their
+// subset don't crowd the endpoints that are left.
 func TestLostZoneIsServedByOthers(t *testing.T) {
 	const nodes, endpoints, each = 100, 400, 10
 	list := testEndpoints(endpoints)
@@ -113,7 +114,7 @@
 	t.Logf("%d of %d endpoints used, one by %d of %d requests", len(to), left, most, nodes*each)
 }
 
-// What was used of the reserve is forgotten once the subset is back, and its endpoints wait in the reserve again.
+// What was used of the reserve is dropped once the subset is back, and returns to the reserve.
 func TestReserveEndpointsAreDroppedAfterUse(t *testing.T) {
 	b, r := newGate(t, subsetSettings(100), testEndpoints(400)...)
 	members, waiting := b.Stats().TrackedEndpoints, len(b.endpoints.list.reserve.all)
@@ -122,27 +123,27 @@
 	}
 	b.RequestArrived(t0, newRequest(1, "safe", "rate", 1), r)
 	if known := b.Stats().TrackedEndpoints; known != members+1 || len(b.endpoints.list.reserve.all) != waiting-1 {
-		t.Fatalf("%d known, %d in the reserve", known, len(b.endpoints.list.reserve.all))
+		t.Fatalf("%d tracked, %d in the reserve", known, len(b.endpoints.list.reserve.all))
 	}
 	b.TimerFired(t0+time.Minute, timerControlInterval, r)
 	if b.Stats().TrackedEndpoints != members+1 {
-		t.Error("an endpoint with an attempt out was forgotten")
+		t.Error("an endpoint with an attempt in flight was dropped")
 	}
 	b.AttemptFinished(t0+time.Minute, Outcome{ID: "r1", Result: OK, Answered: true, Elapsed: ms}, r)
 	b.TimerFired(t0+2*time.Minute, timerControlInterval, r)
 	if known := b.Stats().TrackedEndpoints; known != members || len(b.endpoints.list.reserve.all) != waiting {
-		t.Errorf("%d known, %d in the reserve, want %d and %d", known, len(b.endpoints.list.reserve.all), members, waiting)
+		t.Errorf("%d tracked, %d in the reserve, want %d and %d", known, len(b.endpoints.list.reserve.all), members, waiting)
 	}
 }
 
-// drawReads counts the entries of the list that are read out to find an endpoint outside the subset.
+// entryReadsOf counts the entries of the list that are read to find an endpoint outside the subset.
 func entryReadsOf(b *Balancer, draw func(*request) *endpoint) int {
 	before := b.endpoints.list.entryReads
 	draw(&request{Request: newRequest(1, "safe", "rate", 1)})
 	return b.endpoints.list.entryReads - before
 }
 
-// An endpoint of the reserve must be found without going through the list.
+// An endpoint of the reserve is found without a scan of the list.
 func TestReserveIsNotScanned(t *testing.T) {
 	b, _ := newGate(t, subsetSettings(100), testEndpoints(20_000)...)
 	if n := entryReadsOf(b, b.sampleReserve); n < 1 || n > maxReserveSamples {
@@ -162,7 +163,7 @@
 	}
 }
 
-// A request whose repeats are dropped in one zone or cell only must stay there, in the reserve too.
+// A request whose repeats are dropped in one zone or cell only stays there, in the reserve too.
 func TestRetryStaysInDedupScopeInReserve(t *testing.T) {
 	for _, group := range []DedupScope{DedupZone, DedupCell} {
 		s := subsetSettings(100)
@@ -183,7 +184,7 @@
 			}
 			again := req.attempts[1]
 			if again.endpoint.inSubset || group == DedupZone && again.zone != first.zone || group == DedupCell && again.cell != first.cell {
-				t.Errorf("group %d: first %s/%d, then %s/%d, member %v", group, first.zone, first.cell, again.zone, again.cell, again.endpoint.inSubset)
+				t.Errorf("scope %d: first %s/%d, then %s/%d, in the subset %v", group, first.zone, first.cell, again.zone, again.cell, again.endpoint.inSubset)
 			}
 		}
 	}
--- a/balancer/restart_evidence_test.go
+++ b/balancer/restart_evidence_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A connection that failed is no restart where an answer on an older one, or to a probe sent
-// at once, shows the process up. What failed before that is still in doubt.
+// A connection that failed is no restart where a response on an older one, or to a health check sent at
+// once, shows the process up. What failed before that stays suspected.
 func TestFailedConnectionIsConfirmed(t *testing.T) {
 	fail := func(b *Balancer, r *recorder, n int, at time.Duration) {
 		r.acts = nil
@@ -18,19 +18,19 @@
 	s := b.endpoints.tracked[0]
 	fail(b, r, 1, t0)
 	if r.count("probe s0") != 1 || b.warmUpFraction(s) == 1 {
-		t.Errorf("%d probes sent, warmth %v after a failed connection", r.count("probe s0"), b.warmUpFraction(s))
+		t.Errorf("%d health checks sent, warm-up fraction %v after a failed connection", r.count("probe s0"), b.warmUpFraction(s))
 	}
 	if b.HealthChecked(t0+5*ms, "s0", OK, nil, r); b.warmUpFraction(s) != 1 {
-		t.Error("cold though a probe sent at once was answered")
+		t.Error("cold though a health check sent at once was answered")
 	}
 	if fail(b, r, 2, t0+time.Second); r.count("probe s0") != 1 {
-		t.Errorf("%d probes sent", r.count("probe s0"))
+		t.Errorf("%d health checks sent", r.count("probe s0"))
 	}
 	if b.HealthChecked(t0+time.Second, "s0", ConnectFailed, nil, r); b.warmUpFraction(s) == 1 {
-		t.Error("warm though the probe failed as well")
+		t.Error("warm though the health check failed as well")
 	}
 	if b.HealthChecked(t0+2*time.Second, "s0", OK, nil, r); b.warmUpFraction(s) == 1 {
-		t.Error("warm after a later probe's answer: the process may have started since")
+		t.Error("warm after the response to a later health check: the process may have started since")
 	}
 
 	b, r = newGate(t, testSettings(), fleet(1)...)
@@ -39,14 +39,14 @@
 		s.restarts.suspect(t0 + time.Duration(i+1)*ms)
 	}
 	b.now, b.actions = t0+time.Second, r
-	b.recordLatency(0, s, ms) // its class is known
+	b.recordLatency(0, s, ms) // its class has a mean
 	q := &request{}
 	b.recordOutcome(q, s, Outcome{Result: OK, Elapsed: ms, ConnectedAt: t0 + 3*ms/2})
 	if s.restarts.latest != t0+ms {
-		t.Errorf("in doubt since %v, want the failure before the connection was made", s.restarts.latest-t0)
+		t.Errorf("suspected since %v, want the failure before the connection was made", s.restarts.latest-t0)
 	}
 	if b.recordOutcome(q, s, Outcome{Result: OK, Elapsed: ms, ConnectedAt: t0 + ms/2}); s.restarts.latest != 0 {
-		t.Error("cold after an answer on a connection older than all failures")
+		t.Error("cold after a response on a connection older than all failures")
 	}
 }
 
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -83,7 +83,7 @@
 // unreachable one would only cost the client time.
 func (b *Balancer) maySelect(r *request, e *endpoint) bool {
 	return e.acceptsRequests() && b.mayAttempt(r, e) && b.slowStartAllows(e) &&
-		!(e.health.unreachable && len(r.attempts) > 0)
+		(!e.health.unreachable || len(r.attempts) == 0)
 }
 
 // tierCost returns the additional cost of an endpoint's tier. Those of the subset that are drawn by their
--- a/balancer/selection_law_test.go
+++ b/balancer/selection_law_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// plainlyAdmissible tells by the rules alone whether a request may go to a listed endpoint: the way of a node
-// that keeps all endpoints and goes through them.
+// admissibleByScan tells by the rules alone whether a request may go to a listed endpoint, as a node could
+// that tracks all endpoints and goes through them.
 func admissibleByScan(b *Balancer, r *request, e Endpoint) bool {
 	s := b.endpoints.trackedByID[e.ID]
 	if s == nil {
@@ -20,11 +20,11 @@
 	warm := b.warmUpFraction(s) >= 1
 	holds := position(endpointKey(e.ID), b.settings.NodeIndex, b.settings.NodeCount, b.settings.NodeCount) < int(b.endpoints.sizing.subsetsPerEndpoint+fraction(endpointKey(e.ID)))
 	saved := warm || holds && s.slowStart.tokens >= 1
-	return takes && b.mayAttempt(r, s) && saved && !(s.health.unreachable && len(r.attempts) > 0)
+	return takes && b.mayAttempt(r, s) && saved && (!s.health.unreachable || len(r.attempts) == 0)
 }
 
-// Whatever has happened to the list and its endpoints, an endpoint is found exactly where a scan over all endpoints
-// finds one, and it is one of those that the scan allows.
+// Whatever has happened to the list and its endpoints, an endpoint is selected exactly where a scan over
+// all endpoints finds one, and it is one of those that the scan allows.
 func TestSelectionAgreesWithScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := subsetSettings(rapid.SampledFrom([]int{1, 2, 30, 100}).Draw(t, "nodes"))
@@ -37,12 +37,12 @@
 		m := &selectionMachine{balancer: b, now: t0, listed: map[string]Endpoint{}}
 		b.Start(t0, &m.recorder)
 		t.Repeat(map[string]func(*rapid.T){
-			"whole list": m.snapshot, "change": m.delta, "request": m.request, "outcome": m.outcome, "tick": m.tick, "": m.check,
+			"snapshot": m.snapshot, "delta": m.delta, "request": m.request, "outcome": m.outcome, "tick": m.tick, "": m.check,
 		})
 	})
 }
 
-// pickMachine drives a node and knows the list that it was told.
+// selectionMachine drives a node and keeps the list that it was sent.
 type selectionMachine struct {
 	balancer *Balancer
 	recorder recorder
@@ -53,11 +53,11 @@
 
 const selectionEndpoints = 60
 
-// drawServer draws an entry of one of few endpoints.
+// drawEndpoint draws an entry of one of few endpoints.
 func (m *selectionMachine) drawEndpoint(t *rapid.T) Endpoint {
 	n := rapid.IntRange(0, selectionEndpoints-1).Draw(t, "server")
 	e := Endpoint{ID: fmt.Sprintf("s%d", n), MachineType: "k", Zone: string(rune('a' + n%3)), Cell: n % 4, Weight: float64(1 + n%3)}
-	switch rapid.IntRange(0, 7).Draw(t, "moved") { // most endpoints stay what they are
+	switch rapid.IntRange(0, 7).Draw(t, "moved") { // most endpoints stay the same
 	case 0:
 		e.Zone = "d"
 	case 1:
@@ -104,7 +104,7 @@
 	m.balancer.TimerFired(m.now, timerControlInterval, &m.recorder)
 }
 
-// request makes a request, which may stay out, and holds the choice against the scan.
+// request makes a request, which may stay in flight, and holds the selection against the scan.
 func (m *selectionMachine) request(t *rapid.T) {
 	b := m.balancer
 	r := &request{Request: newRequest(0, "safe", "rate", 1), class: rapid.IntRange(0, 2).Draw(t, "class")}
@@ -116,30 +116,29 @@
 		})
 	}
 	b.now, b.actions = m.now, &m.recorder
-	fit := map[string]bool{}
+	allowed := map[string]bool{}
 	for id, e := range m.listed {
 		b.accrueIfTracked(id)
 		if admissibleByScan(b, r, e) {
-			fit[id] = true
+			allowed[id] = true
 		}
 	}
 	s := b.selectEndpoint(r)
-	if s == nil && len(fit) > 0 || s != nil && !fit[s.ID] {
-		t.Fatalf("picked %+v of %v", s, fit)
+	if s == nil && len(allowed) > 0 || s != nil && !allowed[s.ID] {
+		t.Fatalf("selected %+v of %v", s, allowed)
 	}
 	if s == nil {
 		return
 	}
-	if best, got := m.bestTier(fit), m.tier(s.ID); got != best {
-		t.Fatalf("picked %+v, of tier %d, where one of tier %d is there", s, got, best)
+	if best, got := m.bestTier(allowed), m.tier(s.ID); got != best {
+		t.Fatalf("selected %+v, of tier %d, where one of tier %d is there", s, got, best)
 	}
 	m.sent++
 	q := newRequest(m.sent, "safe", "rate", 1)
 	b.RequestArrived(m.now, q, &m.recorder)
 }
 
-// tier is 0 for an endpoint of the subset in service, 1 for another in service and 2 for one that is kept for when
-// no other is left.
+// tier is 0 for an endpoint of the subset in service, 1 for another in service and 2 for a deprioritized one.
 func (m *selectionMachine) tier(id string) int {
 	s := m.balancer.endpoints.trackedByID[id]
 	switch {
@@ -151,15 +150,15 @@
 	return 1
 }
 
-func (m *selectionMachine) bestTier(fit map[string]bool) int {
+func (m *selectionMachine) bestTier(allowed map[string]bool) int {
 	best := 2
-	for id := range fit {
+	for id := range allowed {
 		best = min(best, m.tier(id))
 	}
 	return best
 }
 
-// tryCredit brings what may be sent to a cold endpoint up to date, as a choice does.
+// accrueIfTracked brings the slow-start budget of an endpoint up to date, as a selection does.
 func (b *Balancer) accrueIfTracked(id string) {
 	if s := b.endpoints.trackedByID[id]; s != nil {
 		b.accrueSlowStart(s)
@@ -186,9 +185,9 @@
 	m.checkWeights(t)
 	b.now = m.now
 	b.endpoints.moveWarmedUpToReserve(m.now)
-	waiting := map[string]bool{}
+	reserve := map[string]bool{}
 	for _, at := range b.endpoints.list.reserve.all {
-		waiting[b.endpoints.list.entries[at].id] = true
+		reserve[b.endpoints.list.entries[at].id] = true
 	}
 	for id, e := range m.listed {
 		if got := b.endpoints.list.endpointAt(b.endpoints.list.slotByID[id]); got != e {
@@ -196,23 +195,23 @@
 		}
 		s := b.endpoints.trackedByID[id]
 		if s != nil && (s.Endpoint != e || !s.listed) || b.endpoints.trackedAt(b.endpoints.list.slotByID[id]) != s {
-			t.Fatalf("%+v is known as %+v, at its slot as %+v", e, s, b.endpoints.trackedAt(b.endpoints.list.slotByID[id]))
+			t.Fatalf("%+v is tracked as %+v, at its slot as %+v", e, s, b.endpoints.trackedAt(b.endpoints.list.slotByID[id]))
 		}
 		cold := e.StartedAt != 0 && m.now < e.StartedAt+b.settings.SlowStartDuration
-		if fit := s == nil && e.State == Up && !cold; waiting[id] != fit {
-			t.Fatalf("%+v waits in the reserve: %v", e, waiting[id])
+		if fit := s == nil && e.State == Up && !cold; reserve[id] != fit {
+			t.Fatalf("%+v is in the reserve: %v", e, reserve[id])
 		}
 		if s == nil && position(endpointKey(id), b.settings.NodeIndex, b.settings.NodeCount, b.settings.NodeCount) < int(b.endpoints.sizing.subsetsPerEndpoint+fraction(endpointKey(id))) {
-			t.Fatalf("%s is not known, and the subset is to hold it", id)
+			t.Fatalf("%s is not tracked, and the subset is to hold it", id)
 		}
 	}
-	if len(waiting) != len(b.endpoints.list.reserve.all) {
-		t.Fatal("an endpoint waits twice")
+	if len(reserve) != len(b.endpoints.list.reserve.all) {
+		t.Fatal("an endpoint is in the reserve twice")
 	}
 	m.checkIndex(t)
 }
 
-// checkNames holds the names of news against the endpoints that are known.
+// checkIndex holds the index of the subset against the endpoints that are tracked.
 func (m *selectionMachine) checkIndex(t *rapid.T) {
 	named := map[uint16][]*endpoint{}
 	members := 0
@@ -223,7 +222,7 @@
 		}
 	}
 	if len(m.balancer.endpoints.index.shared) != members || len(m.balancer.endpoints.index.byHash) != len(named) {
-		t.Fatalf("%d members, %d shared, %d named", members, len(m.balancer.endpoints.index.shared), len(m.balancer.endpoints.index.byHash))
+		t.Fatalf("%d in the subset, %d shared, %d named", members, len(m.balancer.endpoints.index.shared), len(m.balancer.endpoints.index.byHash))
 	}
 	for _, s := range m.balancer.endpoints.index.shared {
 		first := int(m.balancer.endpoints.sizing.subsetsPerEndpoint + fraction(s.rendezvousKey))
--- a/balancer/selection_test.go
+++ b/balancer/selection_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// An endpoint that fails fast must not draw traffic; the last one must not be ejected.
+// An endpoint that fails fast draws no requests; the last one is not ejected.
 func TestFastErrorsDrawNoRequests(t *testing.T) {
 	b, r := newGate(t, testSettings(), fleet(4)...)
 	bad := 0
@@ -34,7 +34,7 @@
 	}
 }
 
-// Silence with work out counts as latency.
+// Silence with attempts in flight counts as latency.
 func TestSilentEndpointIsAvoided(t *testing.T) {
 	b, r := newGate(t, testSettings(), fleet(2)...)
 	toSilent := 0
@@ -54,7 +54,7 @@
 	}
 }
 
-// Of two endpoints alike, the silent, the failing, the slow, the cold and the full one costs more.
+// Of two endpoints alike, the silent, the failing, the slow, the cold and the busy one costs more.
 func TestCostOfSymptoms(t *testing.T) {
 	for name, spoil := range map[string]func(*endpoint){
 		"silent":    func(s *endpoint) { s.lastProgress = t0 - time.Second },
@@ -62,8 +62,8 @@
 		"slow":      func(s *endpoint) { s.latencyRatio = 2 },
 		"cold":      func(s *endpoint) { s.StartedAt = t0 - ms },
 		"queueing":  func(s *endpoint) { s.load.queued = 3 },
-		"more out":  func(s *endpoint) { s.inFlight = 2 },
-		"was reset": func(s *endpoint) { s.restarts.latest = t0 },
+		"busy":      func(s *endpoint) { s.inFlight = 2 },
+		"restarted": func(s *endpoint) { s.restarts.latest = t0 },
 	} {
 		b, _ := newGate(t, testSettings(), fleet(2)...)
 		usual, spoilt := b.endpoints.tracked[0], b.endpoints.tracked[1]
@@ -78,7 +78,7 @@
 	}
 }
 
-// Endpoints that are out must not use up the looks: the choice among the others would be blind.
+// Deprioritized endpoints use no samples: the choice among the others would be blind.
 func TestDeprioritizedEndpointsUseNoSamples(t *testing.T) {
 	b, r := newGate(t, testSettings(), fleet(12)...)
 	b.settings.NodeCount = 6
@@ -123,7 +123,8 @@
 	}
 }
 
-// Each tier of endpoints costs more than any of the tiers before: in the subset, not sampled, outside, deprioritized.
+// Each tier of endpoints costs more than any of the tiers before: in the subset, not sampled, outside,
+// deprioritized.
 func TestTiersOfCost(t *testing.T) {
 	b, r := newGate(t, subsetSettings(100), testEndpoints(400)...)
 	b.now, b.actions = t0, r
--- a/balancer/slow_start_test.go
+++ b/balancer/slow_start_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Rule 4: all nodes together must keep a cold endpoint within the budget, also when there are hundreds that
-// each would send it one request, when nothing is known of its size, and when all endpoints are cold.
+// All nodes together keep a cold endpoint within its budget, also when there are hundreds that each would
+// send it one request, when nothing is known of its size, and when all endpoints are cold.
 func TestSlowStartBoundsSumOfNodes(t *testing.T) {
 	for _, n := range []int{1, 3, 300} {
 		s := testSettings()
@@ -23,13 +23,13 @@
 			}
 			r := &recorder{}
 			b.Start(t0, r)
-			b.EndpointsUpdated(t0, UpdateSnapshot, []Endpoint{{ID: "cold", MachineType: "k", Zone: "a", StartedAt: t0 - ms}}, r)
+			b.EndpointsUpdated(t0, UpdateSnapshot, []Endpoint{{ID: coldID, MachineType: "k", Zone: "a", StartedAt: t0 - ms}}, r)
 			for at := time.Duration(0); at < s.OverloadWindow; at += 50 * ms {
 				sent += flood(b, r, t0+at, 2, newRequest(int(at/ms), "safe", "rate", 1))
 			}
 			work = float64(sent) * b.latency.work(0)
 		}
-		// One core's work, the least that an endpoint can do when warm, is what the budget is taken of.
+		// The budget is a part of one core's work, the least that a warm endpoint can do.
 		share := s.SlowStartInitialFraction + (1-s.SlowStartInitialFraction)*s.OverloadWindow.Seconds()/s.SlowStartDuration.Seconds()
 		budget := s.OverloadFactor * share * s.OverloadWindow.Seconds()
 		if sent == 0 && n > 100 || work > math.Max(budget, 2*s.Classes[0].LatencyObjective.Seconds()) {
@@ -38,8 +38,8 @@
 	}
 }
 
-// A connection that does not come up may mean a restart that the list tells later. One that
-// broke does not: connections break one by one as well, and all endpoints would count as cold.
+// A connection that does not come up may mean a restart that the list reports later. One that broke does
+// not: connections break one by one as well, and all endpoints would count as cold.
 func TestFailedConnectionCountsAsRestart(t *testing.T) {
 	for res, cold := range map[Result]bool{ConnectFailed: true, Reset: false, ErrorResponse: false} {
 		b, r := newGate(t, testSettings(), fleet(1)...)
@@ -55,21 +55,21 @@
 	}
 }
 
-// What all nodes together send to a cold endpoint must stay within its budget while their subsets change: the
-// list shrinks to an eighth, and with it each endpoint comes into more subsets.
+// What all nodes together send to a cold endpoint stays within its budget while their subsets change: the
+// list shrinks to an eighth, and with that each endpoint enters more subsets.
 func TestSlowStartBudgetHoldsWhileSubsetsChange(t *testing.T) {
 	const nodes, endpoints, steps, goneEach = 60, 160, 10, 14
 	list := testEndpoints(endpoints)
 	for i := range list {
-		list[i].State = Draining // listed, but nothing else takes work
+		list[i].State = Draining // listed, but no other accepts requests
 	}
-	cold := Endpoint{ID: "cold", MachineType: "k", Zone: "a", StartedAt: t0 + time.Second}
+	cold := Endpoint{ID: coldID, MachineType: "k", Zone: "a", StartedAt: t0 + time.Second}
 	balancers := newFleet(t, nodes, list)
 	now, sends := t0+time.Second, 0
 	for _, b := range balancers {
 		b.EndpointsUpdated(now, UpdateDelta, []Endpoint{cold}, &recorder{})
 	}
-	before := len(nodesWithInSubset(balancers, "cold"))
+	before := len(nodesWithCold(balancers))
 	for step := range steps {
 		now += controlInterval
 		for _, b := range balancers {
@@ -80,17 +80,17 @@
 				e.State = Removed
 				b.EndpointsUpdated(now, UpdateDelta, []Endpoint{e}, r)
 			}
-			for n := range 40 { // all that is let through goes there
+			for n := range 40 { // all that is admitted goes there
 				q := newRequest(step*100+n, "safe", "rate", uint64(n))
 				b.RequestArrived(now, q, r)
-				if req := b.requests.byID[q.ID]; req != nil && req.attempts[0].endpoint.ID == "cold" {
+				if req := b.requests.byID[q.ID]; req != nil && req.attempts[0].endpoint.ID == coldID {
 					sends++
 				}
 				b.AttemptFinished(now, Outcome{ID: q.ID, Result: OK, Answered: true, Elapsed: 200 * ms}, r)
 			}
 		}
 	}
-	if after := len(nodesWithInSubset(balancers, "cold")); after < 2*before {
+	if after := len(nodesWithCold(balancers)); after < 2*before {
 		t.Fatalf("in %d subsets, then in %d: the list does not shrink enough", before, after)
 	}
 	s := balancers[0].settings
@@ -101,14 +101,14 @@
 	}
 }
 
-// A node whose subset comes to hold an endpoint that is cold already must not begin with something saved up: the
-// others have had the whole of its budget so far.
+// A node whose subset comes to hold an endpoint that is cold already begins without tokens: the others have
+// shared its whole budget so far.
 func TestColdEndpointEntersSubsetWithoutTokens(t *testing.T) {
 	const nodes, endpoints, left = 60, 90, 20
 	list := testEndpoints(endpoints)
-	cold := Endpoint{ID: "cold", MachineType: "k", Zone: "a", StartedAt: t0}
+	cold := Endpoint{ID: coldID, MachineType: "k", Zone: "a", StartedAt: t0}
 	balancers := newFleet(t, nodes, append(slices.Clone(list), cold))
-	first := nodesWithInSubset(balancers, "cold")
+	first := nodesWithCold(balancers)
 	for _, b := range balancers {
 		for _, e := range list[left:] {
 			e.State = Removed
@@ -117,8 +117,8 @@
 		b.TimerFired(t0, timerControlInterval, &recorder{})
 	}
 	entered := 0
-	for _, b := range nodesWithInSubset(balancers, "cold") {
-		credit := b.endpoints.trackedByID["cold"].slowStart.tokens
+	for _, b := range nodesWithCold(balancers) {
+		credit := b.endpoints.trackedByID[coldID].slowStart.tokens
 		if slices.Contains(first, b) {
 			continue
 		}
--- a/balancer/subset_bench_test.go
+++ b/balancer/subset_bench_test.go
@@ -9,7 +9,7 @@
 // planNodes is the number of nodes of the fleet that is planned, whose lists are benchmarked.
 const planNodes = 4100
 
-// benchGate returns a node of a large fleet without a list.
+// newBenchmarkBalancer returns a node of a large fleet without a list.
 func newBenchmarkBalancer(b *testing.B) (*Balancer, *recorder) {
 	b.Helper()
 	s := subsetSettings(planNodes)
@@ -23,8 +23,8 @@
 	return g, r
 }
 
-// BenchmarkListChange measures a change of one endpoint, which drains or comes back: one of the subset, and one that
-// waits in the reserve.
+// BenchmarkDelta measures a change of one endpoint, which drains or comes back: one of the subset, and one
+// of the reserve.
 func BenchmarkDelta(b *testing.B) {
 	const others = 4000
 	for _, endpoints := range []int{2000, 200_000} {
@@ -53,8 +53,8 @@
 	}
 }
 
-// BenchmarkListGrowth measures the change that brings one more endpoint to a list that has grown by so much that the
-// number of subsets for each endpoint follows it.
+// BenchmarkListGrowth measures the change that brings one more endpoint to a list that has grown by so much
+// that the number of subsets for each endpoint follows it.
 func BenchmarkListGrowth(b *testing.B) {
 	const growth = 500
 	for _, endpoints := range []int{2000, 20_000, 80_000} {
@@ -81,8 +81,8 @@
 	}
 }
 
-// BenchmarkWholeList measures a whole list that comes again with nothing new, and how many times longer the first
-// one took.
+// BenchmarkRepeatedSnapshot measures a snapshot that comes again with nothing new, and how many times
+// longer the first one took.
 func BenchmarkRepeatedSnapshot(b *testing.B) {
 	for _, endpoints := range []int{200, 2000, 20_000, 200_000} {
 		list := testEndpoints(endpoints)
--- a/balancer/subset_changes_test.go
+++ b/balancer/subset_changes_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// changedMembers counts the members that subsets have gained and lost.
+// changedEntries counts the endpoints that subsets have gained and lost.
 func changedEntries(before, after []map[string]bool) (n float64) {
 	for i := range before {
 		for id := range before[i] {
@@ -18,8 +18,8 @@
 	return n
 }
 
-// serverChanges counts, for endpoints that are added or removed one after another, the members that have to change
-// in each step and those that do.
+// endpointChanges counts, for endpoints that are added or removed one after another, the places in subsets
+// that have to change in each step and those that do.
 type endpointChanges struct {
 	needed, changed []float64
 	settled         int     // steps in which the number of subsets for each endpoint stays
@@ -42,7 +42,7 @@
 	all := changedEntries(before, after)
 	if balancers[0].endpoints.sizing.subsetsPerEndpoint == number {
 		if c.settled++; all != own {
-			t.Errorf("%s: %v members changed where %v must and the number of subsets stays", e.ID, all, own)
+			t.Errorf("%s: %v places changed where %v have to and the number of subsets stays", e.ID, all, own)
 		}
 	}
 	if all > 2*own {
@@ -52,9 +52,9 @@
 	c.needed, c.changed = append(c.needed, own), append(c.changed, all)
 }
 
-// One endpoint more or less must change few subsets: those that are to hold it and, where the length has moved so far
-// that the number of subsets follows it, half as many others. Chance may make it more than as many in one step of
-// fifty. Subsets of a constant size fail this.
+// One endpoint more or less changes few subsets: those that are to hold it and, where the length has
+// changed so far that the number of subsets follows it, half as many others. By chance more than as many
+// others change in one step of fifty. Subsets of a constant size fail this.
 func TestEndpointAddedOrRemovedChangesFewSubsets(t *testing.T) {
 	for _, c := range []struct{ nodes, endpoints, steps int }{{150, 100, 60}, {60, 300, 100}} {
 		list := testEndpoints(c.endpoints + c.steps)
@@ -68,11 +68,11 @@
 			changes.apply(t, balancers, e)
 		}
 		needed, changed, steps := spreadOf(changes.needed), spreadOf(changes.changed), len(changes.changed)
-		t.Logf("%d nodes, %d endpoints: members that must change: %v; that changed: %v; %d steps, in %d the number of subsets stays, in %d more than twice what must, worst %.2f times",
+		t.Logf("%d nodes, %d endpoints: places that have to change: %v; that changed: %v; %d steps, in %d the number of subsets stays, in %d more than twice what has to, worst %.2f times",
 			c.nodes, c.endpoints, needed, changed, steps, changes.settled, changes.overTwice, changes.worst)
 		if needed.min < 3 || changed.mean > 1.4*needed.mean || changed.max > 3*needed.max ||
 			changes.overTwice > steps/50 || changes.settled < steps/4 {
-			t.Errorf("%d nodes, %d endpoints: %v members changed where %v must; over twice in %d of %d steps; the number of subsets stays in %d",
+			t.Errorf("%d nodes, %d endpoints: %v places changed where %v have to; over twice in %d of %d steps; the number of subsets stays in %d",
 				c.nodes, c.endpoints, changed, needed, changes.overTwice, steps, changes.settled)
 		}
 	}
@@ -86,8 +86,8 @@
 		after := subsetIDsOfAll(newFleet(t, c.nodes+1, list))
 		must, did := 2*float64(len(after[c.nodes])), changedEntries(before, after)
 		if must == 0 || did > 2*must {
-			t.Errorf("%d nodes, %d endpoints: %v members changed where %v must", c.nodes, c.endpoints, did, must)
+			t.Errorf("%d nodes, %d endpoints: %v places changed where %v have to", c.nodes, c.endpoints, did, must)
 		}
-		t.Logf("%d nodes, %d endpoints: %v members changed where %v must", c.nodes, c.endpoints, did, must)
+		t.Logf("%d nodes, %d endpoints: %v places changed where %v have to", c.nodes, c.endpoints, did, must)
 	}
 }
--- a/balancer/subset_harness_test.go
+++ b/balancer/subset_harness_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// subsetSettings are those of a large fleet whose endpoints report their load in answers.
+// subsetSettings are those of a large fleet whose endpoints report their load in responses.
 func subsetSettings(nodes int) Settings {
 	s := testSettings()
 	s.NodeCount, s.PeerMessagesPerSecond, s.LoadReports, s.HealthChecks = nodes, 40, LoadReportsInResponses, true
@@ -14,7 +14,7 @@
 	return s
 }
 
-// manyServers returns a list whose weights differ tenfold and whose zones differ in size.
+// testEndpoints returns a list whose weights differ tenfold and whose zones differ in size.
 func testEndpoints(n int) []Endpoint {
 	list := make([]Endpoint, n)
 	for i := range list {
@@ -24,7 +24,7 @@
 	return list
 }
 
-// wholeFleet returns all nodes of a fleet, each with the list.
+// newFleet returns all nodes of a fleet, each with the list.
 func newFleet(t *testing.T, nodes int, list []Endpoint) []*Balancer {
 	t.Helper()
 	balancers := make([]*Balancer, nodes)
@@ -42,7 +42,7 @@
 	return balancers
 }
 
-// subsetOf returns the listed endpoints in a node's subset.
+// subsetIDs returns the listed endpoints of a node's subset.
 func subsetIDs(b *Balancer) map[string]bool {
 	ids := map[string]bool{}
 	for _, s := range b.endpoints.tracked {
@@ -53,6 +53,7 @@
 	return ids
 }
 
+// subsetIDsOfAll returns the listed endpoints of each node's subset.
 func subsetIDsOfAll(balancers []*Balancer) []map[string]bool {
 	all := make([]map[string]bool, len(balancers))
 	for n, b := range balancers {
@@ -61,7 +62,7 @@
 	return all
 }
 
-// spread is the mean, least and most of counts.
+// spread is the mean, minimum and maximum of counts.
 type spread struct{ mean, min, max float64 }
 
 func spreadOf(counts []float64) spread {
@@ -76,10 +77,13 @@
 	return fmt.Sprintf("mean %.1f, least %.0f, most %.0f", s.mean, s.min, s.max)
 }
 
-// holders returns the nodes in whose subsets an endpoint is.
-func nodesWithInSubset(balancers []*Balancer, id string) (in []*Balancer) {
+// coldID is the id of the cold endpoint of a fleet.
+const coldID = "cold"
+
+// nodesWithCold returns the nodes whose subsets hold the cold endpoint.
+func nodesWithCold(balancers []*Balancer) (in []*Balancer) {
 	for _, b := range balancers {
-		if s := b.endpoints.trackedByID[id]; s != nil && s.inSubset {
+		if s := b.endpoints.trackedByID[coldID]; s != nil && s.inSubset {
 			in = append(in, b)
 		}
 	}
--- a/balancer/subset_index_test.go
+++ b/balancer/subset_index_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// News takes room in each message: it names only what the receiver's subset holds.
+// Load gossip takes bytes in each message: it names only what the receiver's subset holds.
 func TestLoadGossipNamesReceiversEndpoints(t *testing.T) {
 	const nodes = 100
 	balancers := newFleet(t, nodes, testEndpoints(100))
@@ -16,49 +16,49 @@
 	}
 	for to, b := range balancers {
 		from.now = t0 + ms
-		news := from.freshestLoads(maxLoadEntries, to)
-		for _, s := range news {
+		loads := from.freshestLoads(maxLoadEntries, to)
+		for _, s := range loads {
 			if other := b.endpoints.trackedByID[s.ID]; other == nil || !other.inSubset {
-				t.Fatalf("node %d is told of %s, which its subset has not", to, s.ID)
+				t.Fatalf("node %d is sent the load of %s, which is not in its subset", to, s.ID)
 			}
 		}
-		both := 0
+		common := 0
 		for _, s := range from.endpoints.tracked {
-			both += int(oneIf(b.endpoints.trackedByID[s.ID] != nil))
+			common += int(oneIf(b.endpoints.trackedByID[s.ID] != nil))
 		}
-		if to != 3 && len(news) != min(both, maxLoadEntries) {
-			t.Errorf("node %d is told of %d endpoints of %d in common", to, len(news), both)
+		if to != 3 && len(loads) != min(common, maxLoadEntries) {
+			t.Errorf("node %d is sent the load of %d endpoints of %d in common", to, len(loads), common)
 		}
-		named += len(news)
+		named += len(loads)
 	}
 	if named == 0 {
-		t.Error("nothing told")
+		t.Error("no load is sent")
 	}
 }
 
-// Endpoints that share a short hash are left out of news, and counted; there are few in a subset.
+// Endpoints that share a short hash are left out of load gossip, and counted; there are few in a subset.
 func TestHashCollisionsAreCounted(t *testing.T) {
 	list := testEndpoints(20_000)
 	b, r := newGate(t, subsetSettings(410), list...)
 	st := b.Stats()
 	if pairs := float64(st.SubsetEndpoints*st.SubsetEndpoints) / 2 / (1 << 16); float64(st.HashCollisions) > 2*(pairs+3*math.Sqrt(pairs)+1) {
-		t.Errorf("%+v, about %.2f pairs expected", st, pairs)
+		t.Errorf("%+v, about %.2f collisions expected", st, pairs)
 	}
-	member := b.endpoints.tracked[0]
-	for n := 0; ; n++ { // another member of the same short hash
+	first := b.endpoints.tracked[0]
+	for n := 0; ; n++ { // another of the subset with the same short hash
 		e := Endpoint{ID: fmt.Sprintf("other-%d", n), MachineType: "k", Zone: "a"}
-		if shortEndpointHash(e.ID) == member.shortHash && b.endpoints.sizing.entersAt(e.ID) <= b.endpoints.sizing.subsetsPerEndpoint {
+		if shortEndpointHash(e.ID) == first.shortHash && b.endpoints.sizing.entersAt(e.ID) <= b.endpoints.sizing.subsetsPerEndpoint {
 			b.EndpointsUpdated(t0, UpdateDelta, []Endpoint{e}, r)
 			break
 		}
 	}
 	if now := b.Stats(); now.HashCollisions != st.HashCollisions+2 {
-		t.Errorf("%d shared names, then %d", st.HashCollisions, now.HashCollisions)
+		t.Errorf("%d collisions, then %d", st.HashCollisions, now.HashCollisions)
 	}
 }
 
-// An endpoint that is removed while an attempt is in flight there leaves the index of the subset with the control
-// interval after the attempt.
+// An endpoint that is removed while an attempt is in flight there leaves the index of the subset with the
+// control interval after the attempt.
 func TestIndexFollowsDroppedEndpoints(t *testing.T) {
 	b, r := newGate(t, subsetSettings(30), Endpoint{ID: "s0", MachineType: "k", Zone: "a", StartedAt: t0})
 	e := b.endpoints.trackedByID["s0"]
--- a/balancer/subset_sizing_test.go
+++ b/balancer/subset_sizing_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// An endpoint's order is worked out up to a horizon: beyond it an endpoint can't enter, unless the horizon is all
-// nodes.
+// An endpoint's order is worked out up to a horizon: beyond it an endpoint can't enter, unless the horizon
+// is all nodes.
 func TestEntersAtBeyondHorizon(t *testing.T) {
 	const nodes = 40
 	for _, ranked := range []int{1, 5, nodes - 1, nodes} {
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// evenness counts the subsets that hold each endpoint and returns an error where one is in fewer than three (or
-// than all), or in two more than another.
+// evenness counts the subsets that hold each endpoint. It returns an error where one is in fewer than three
+// (or than all), or in two more than another.
 func evenness(endpoints, nodes int, holds func(endpoint, node int) bool) (spread, error) {
 	counts := make([]float64, endpoints)
 	for endpoint := range counts {
@@ -26,8 +26,8 @@
 	return s, nil
 }
 
-// Each endpoint must be in as many subsets as any other, and in three at least, at all sizes. Subsets drawn by each
-// node for itself, of the same size on average, fail this.
+// Each endpoint is in as many subsets as any other, and in three at least, in fleets of all sizes. Subsets
+// that each node draws for itself, of the same size on average, fail this.
 func TestSubsetsHoldEndpointsEvenly(t *testing.T) {
 	for _, c := range []struct{ nodes, endpoints, sample int }{
 		{1, 1, 1}, {2, 9, 9}, {25, 3, 3}, {300, 200, 200}, {1024, 1024, 256}, {4100, 200_000, 64},
@@ -48,18 +48,18 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	const nodes, endpoints, each = 300, 200, 18
 	if _, err := evenness(endpoints, nodes, func(int, int) bool { return rng.IntN(nodes) < each }); err == nil {
-		t.Error("subsets drawn without evenness pass")
+		t.Error("subsets that are uneven pass")
 	}
 }
 
-// The sizes of subsets and the load of an endpoint may differ by chance, but not with zones or weights.
+// The sizes of subsets and the load of an endpoint differ by chance, but not with zones or weights.
 func TestSubsetSizesAndLoadPerEndpoint(t *testing.T) {
 	const nodes, endpoints = 300, 200
 	list := testEndpoints(endpoints)
 	balancers := newFleet(t, nodes, list)
 	sizes := make([]float64, nodes)
 	held := map[string]float64{}
-	load := map[string]float64{} // share of a node's requests, drawn by weight, over all nodes
+	load := map[string]float64{} // fraction of a node's requests, by weight, summed over all nodes
 	for n, b := range balancers {
 		sizes[n] = float64(b.Stats().SubsetEndpoints)
 		total := 0.0
@@ -90,8 +90,8 @@
 		small.mean, small.min, small.max, large.mean, large.min, large.max)
 }
 
-// At all sizes a node's subset holds a bounded number of endpoints, by chance more or fewer, and each zone in it
-// its share.
+// In fleets of all sizes a node's subset holds a bounded number of endpoints, by chance more or fewer, and
+// each zone its fraction of them.
 func TestSubsetSizeInFleetsOfAllSizes(t *testing.T) {
 	for _, c := range []struct{ nodes, endpoints, sample int }{{300, 200, 100}, {1024, 1024, 64}, {4100, 200_000, 8}} {
 		list := testEndpoints(c.endpoints)
@@ -121,8 +121,8 @@
 	}
 }
 
-// In the fleet that is planned one endpoint more must change no other endpoint's subsets, and one node more only those
-// that it enters, each of which another node leaves.
+// In the fleet that is planned one endpoint more changes no other endpoint's subsets, and one node more
+// only those that it enters, each of which another node leaves.
 func TestPlannedFleetChangesFewestSubsets(t *testing.T) {
 	const nodes, endpoints, sample = 4100, 200_000, 4000
 	b, _ := newGate(t, subsetSettings(nodes))
@@ -154,7 +154,7 @@
 	t.Logf("of %d endpoints the new node enters %d subsets, others leave %d", sample, entered, left)
 }
 
-// A list that grows and shrinks by changes alone must give the subsets that its present length asks for.
+// A list that grows and shrinks by deltas alone gives the subsets that its present length asks for.
 func TestSubsetFollowsListLength(t *testing.T) {
 	const nodes, few, many = 1024, 200, 20_000
 	list := testEndpoints(many)
@@ -164,16 +164,16 @@
 		perServer := func(length float64) float64 { return math.Max(3, 12*math.Sqrt(1.5*nodes/length)) }
 		least := int(perServer(float64(n) * listLengthSlack))
 		most := int(math.Ceil(perServer(float64(n) / listLengthSlack)))
-		b.TimerFired(b.now, timerControlInterval, r) // forgets what has left the subset
+		b.TimerFired(b.now, timerControlInterval, r) // drops what has left the subset
 		own := subsetIDs(b)
 		for _, e := range list[:n] {
 			before := position(endpointKey(e.ID), b.settings.NodeIndex, nodes, most+1)
 			if before < least && !own[e.ID] || before > most && own[e.ID] {
-				t.Fatalf("%d endpoints: %s, with %d nodes before this one, is a member: %v", n, e.ID, before, own[e.ID])
+				t.Fatalf("%d endpoints: %s, with %d nodes before this one, is in the subset: %v", n, e.ID, before, own[e.ID])
 			}
 		}
 		if st := b.Stats(); st.ListedEndpoints != n || st.SubsetEndpoints != len(own) || st.TrackedEndpoints > len(own) {
-			t.Fatalf("%d endpoints: %+v, %d members", n, st, len(own))
+			t.Fatalf("%d endpoints: %+v, %d in the subset", n, st, len(own))
 		}
 	}
 	for n := few; n < many; n++ {
@@ -192,8 +192,9 @@
 	}
 }
 
-// Where the number of subsets follows the length of the list, only endpoints that can enter the subset or leave it are
-// looked at: a small part of a long list, also after endpoints have come and gone, and none of them is missing.
+// Where the number of subsets follows the length of the list, only endpoints that can enter the subset or
+// leave it are considered: a small part of a long list, also after endpoints have come and gone, and none
+// of them is missing.
 func TestSubsetFollowsWithoutScan(t *testing.T) {
 	const nodes, endpoints, gone = 1024, 4000, 3000
 	list := testEndpoints(endpoints + 5*gone)
@@ -201,22 +202,22 @@
 	peak := minSubsetCandidates // of the endpoints that can enter the subset
 	check := func(when string) {
 		t.Helper()
-		near := map[slotIndex]bool{}
+		candidates := map[slotIndex]bool{}
 		for _, at := range b.endpoints.list.subsetCandidates {
-			near[at] = true
+			candidates[at] = true
 		}
 		live := 0
 		for at := range b.endpoints.list.entries {
 			if b.endpoints.list.isFree(slotIndex(at)) || b.endpoints.list.entries[at].entersAt == never {
 				continue
 			}
-			if live++; !near[slotIndex(at)] {
-				t.Fatalf("%s: %s can enter the subset and is not looked at", when, b.endpoints.list.entries[at].id)
+			if live++; !candidates[slotIndex(at)] {
+				t.Fatalf("%s: %s can enter the subset and is no candidate", when, b.endpoints.list.entries[at].id)
 			}
 		}
 		peak = max(peak, live)
 		if len(b.endpoints.list.subsetCandidates) > 2*peak {
-			t.Errorf("%s: %d endpoints looked at, %d can enter the subset", when, len(b.endpoints.list.subsetCandidates), live)
+			t.Errorf("%s: %d candidates, %d endpoints can enter the subset", when, len(b.endpoints.list.subsetCandidates), live)
 		}
 		if st := b.Stats(); live < st.SubsetEndpoints || live*10 > st.ListedEndpoints {
 			t.Errorf("%s: %d of %d endpoints can enter the subset of %d", when, live, st.ListedEndpoints, st.SubsetEndpoints)
@@ -227,7 +228,7 @@
 		b.EndpointsUpdated(t0, UpdateDelta, list[n:n+1], r)
 	}
 	check("grown")
-	for n := range 5 * gone { // an endpoint is replaced by a new one, which takes its slot
+	for n := range 5 * gone { // a new endpoint takes the slot of an old one
 		old := list[n]
 		old.State = Removed
 		b.EndpointsUpdated(t0, UpdateDelta, []Endpoint{old, list[endpoints+n]}, r)
@@ -249,5 +250,5 @@
 	}
 	check("shrunk")
 	b.EndpointsUpdated(t0, UpdateSnapshot, list[:endpoints], r)
-	check("replaced by a whole list")
+	check("replaced by a snapshot")
 }
--- a/balancer/tracking_test.go
+++ b/balancer/tracking_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// An endpoint that has been removed must be known until its attempts have ended, whatever the list does.
+// A removed endpoint is tracked until its attempts have ended, whatever the list does.
 func TestRemovedEndpointIsTrackedWhileAttemptsAreInFlight(t *testing.T) {
 	b, r := newGate(t, subsetSettings(100), testEndpoints(400)...)
 	b.RequestArrived(t0, newRequest(1, "safe", "rate", 1), r)
@@ -17,17 +17,17 @@
 	b.EndpointsUpdated(t0, UpdateDelta, []Endpoint{e}, r)
 	b.TimerFired(t0+time.Minute, timerControlInterval, r)
 	if b.endpoints.trackedByID[s.ID] != s || s.acceptsRequests() {
-		t.Fatal("forgotten with an attempt out, or still sent to")
+		t.Fatal("dropped with an attempt in flight, or still accepting requests")
 	}
 	b.AttemptFinished(t0+time.Minute, Outcome{ID: "r1", Result: OK, Answered: true, Elapsed: ms}, r)
 	b.TimerFired(t0+time.Minute+controlInterval, timerControlInterval, r)
 	if b.endpoints.trackedByID[s.ID] != nil {
-		t.Error("known after its attempts have ended")
+		t.Error("tracked after its attempts have ended")
 	}
 }
 
-// A removed endpoint that is kept for its attempts must be dropped by the first change of the list after they have
-// ended, also in a small fleet, which forgets nothing in between.
+// A removed endpoint that is tracked for its attempts is dropped by the first change of the list after they
+// have ended, also in a small fleet, which drops nothing in between.
 func TestRemovedEndpointIsDroppedOnceAttemptsEnd(t *testing.T) {
 	for _, nodes := range []int{1, 100} {
 		b, r := newGate(t, subsetSettings(nodes), fleet(3)...)
@@ -41,13 +41,13 @@
 		b.EndpointsUpdated(t0, UpdateDelta, []Endpoint{gone}, r)
 		b.EndpointsUpdated(t0, UpdateDelta, []Endpoint{other}, r)
 		if b.endpoints.trackedByID[s.ID] != s {
-			t.Fatalf("%d nodes: dropped with an attempt out", nodes)
+			t.Fatalf("%d nodes: dropped with an attempt in flight", nodes)
 		}
 		b.AttemptFinished(t0+ms, Outcome{ID: "r1", Result: OK, Answered: true, Elapsed: ms}, r)
 		other.State = Up
 		b.EndpointsUpdated(t0+ms, UpdateDelta, []Endpoint{other}, r)
 		if b.endpoints.trackedByID[s.ID] != nil || slices.Contains(b.endpoints.tracked, s) {
-			t.Errorf("%d nodes: known after its attempts have ended", nodes)
+			t.Errorf("%d nodes: tracked after its attempts have ended", nodes)
 		}
 	}
 }
@@ -82,8 +82,8 @@
 	}
 }
 
-// A restarted endpoint is another process: what was learned of the one before does not hold. What the machine has
-// shown does.
+// A restarted endpoint is another process: what was learned of the one before does not hold. What the
+// machine has shown does.
 func TestRestartForgetsTheProcess(t *testing.T) {
 	e := newEndpoint(Endpoint{ID: "s0"})
 	learn := func() {
