--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -85,17 +85,17 @@
 	}
 }
 
-// recordGossipedLoad records the load that another node has seen at a time, and whether its last response
+// recordPeerLoad records the load that another node has seen at a time, and whether its last response
 // was an error.
-func (e *endpoint) recordGossipedLoad(requests float64, lastResponseFailed bool, at time.Duration) {
+func (e *endpoint) recordPeerLoad(requests float64, lastResponseFailed bool, at time.Duration) {
 	e.recordLoad(requests, at)
 	e.load.lastResponseFailed = lastResponseFailed
 	e.health.recordError(oneIf(lastResponseFailed))
 }
 
-// recordGossipedRefusal records a connection that another node was refused at a time, which ejects the
+// recordPeerRefusal records a connection that another node was refused at a time, which ejects the
 // endpoint.
-func (e *endpoint) recordGossipedRefusal(now, at time.Duration) {
+func (e *endpoint) recordPeerRefusal(now, at time.Duration) {
 	e.load.recordRefusal(at)
 	if !e.health.ejected(now) {
 		e.health.eject(now)
--- a/balancer/load_gossip.go
+++ b/balancer/load_gossip.go
@@ -2,75 +2,87 @@
 
 import (
 	"cmp"
-	"encoding/binary"
 	"math"
-	"slices"
 	"time"
 )
 
 const (
-	// news older than that is not told; ages are told in a byte
+	// loadGossipMaxAge is the age from which a load is not passed on; it fits the byte of an age.
 	loadGossipMaxAge = 4 * time.Second
-	peerMessageDelay = 10 * time.Millisecond // that a message takes, at most as a rule
-	// time constant with which a load told loses its meaning
+	// peerMessageDelay is the time that a message takes between nodes, at most as a rule.
+	peerMessageDelay = 10 * time.Millisecond
+	// loadGossipDecay is the time constant with which a reported load loses its meaning.
 	loadGossipDecay = 3 * time.Second
-	// servers told of in a message: a few messages go round them all
-	maxLoadEntries      = 12
-	maxOverQuotaEntries = 5 // customers told of in a message
+	// maxLoadEntries bounds the loads in one message: a few messages cover all endpoints.
+	maxLoadEntries = 12
 )
 
-// receiveLoadGossip takes in what another gateway knows of servers, where it is newer.
-func (g *Balancer) receiveLoadGossip(b []byte) {
-	for ; len(b) >= loadEntryBytes; b = b[loadEntryBytes:] {
-		s := g.endpoints.index.byHash[binary.BigEndian.Uint16(b)]
-		at := g.now - time.Duration(b[3])*ageUnit - peerMessageDelay
-		if s == nil || at <= s.load.reportedAt+ageUnit+peerMessageDelay || g.now-at > loadGossipMaxAge {
-			continue // within the precision of ages it may be what is known already
+// receiveLoads takes in what another node knows of endpoints, where it is newer than what is known here.
+func (b *Balancer) receiveLoads(loads []peerLoad) {
+	for i := range loads {
+		load := &loads[i]
+		endpoint := b.endpoints.index.byHash[load.endpointHash]
+		at := b.now - load.age - peerMessageDelay
+		// Within the precision of ages a load may be what is known already.
+		if endpoint == nil || at <= endpoint.load.reportedAt+ageUnit+peerMessageDelay ||
+			b.now-at > loadGossipMaxAge {
+			continue
 		}
-		if b[2] != loadRefusesConnections {
-			s.recordGossipedLoad(float64(b[2]&^loadErrorBit), b[2]&loadErrorBit != 0, at)
+		if load.status == peerLoadRefusesConnections {
+			endpoint.recordPeerRefusal(b.now, at)
 		} else {
-			s.recordGossipedRefusal(g.now, at)
+			endpoint.recordPeerLoad(load.load, load.status == peerLoadFailed, at)
 		}
 	}
 }
 
-// receiveOverQuota takes in news of customers, where it is newer.
-func (g *Balancer) receiveOverQuota(b []byte) {
-	for ; len(b) >= loadEntryBytes; b = b[loadEntryBytes:] {
-		key, at := binary.BigEndian.Uint16(b), g.now-time.Duration(b[3])*ageUnit-peerMessageDelay
-		if was, known := g.quotas.overQuotaTenants[key]; !known || at > was.at+ageUnit+peerMessageDelay {
-			g.quotas.overQuotaTenants[key] = overQuotaTenant{float64(b[2]) / math.MaxUint8, at}
-		}
+// peerLoad is what this node tells others of the endpoint.
+func (s *endpoint) peerLoad(now time.Duration) peerLoad {
+	load := peerLoad{endpointHash: s.shortHash, load: s.load.requests, age: now - s.load.reportedAt}
+	switch {
+	case s.load.refusesConnections:
+		load.status = peerLoadRefusesConnections
+	case s.load.lastResponseFailed:
+		load.status = peerLoadFailed
 	}
+	return load
 }
 
-// freshestLoads returns the servers last told of that another gateway's subset holds too, at most n, newest
-// first.
-func (g *Balancer) freshestLoads(n, node int) []*endpoint {
-	var news []*endpoint
-	for i := range g.endpoints.index.shared {
-		s := &g.endpoints.index.shared[i]
-		if s.sharedWith(node) && s.acceptsRequests() && s.load.reportedAt > 0 &&
-			g.now-s.load.reportedAt < loadGossipMaxAge {
-			news = append(news, s.endpoint)
+// appendFreshestLoads appends the loads to tell another node.
+func (b *Balancer) appendFreshestLoads(loads []peerLoad, node int) []peerLoad {
+	var buffer [maxLoadEntries]*endpoint
+	for _, endpoint := range b.freshestLoads(&buffer, node) {
+		loads = append(loads, endpoint.peerLoad(b.now))
+	}
+	return loads
+}
+
+// freshestLoads returns the endpoints with the newest loads that are in the other node's subset too, as many
+// as fit into a message, the newest first.
+func (b *Balancer) freshestLoads(buffer *[maxLoadEntries]*endpoint, node int) []*endpoint {
+	freshest := buffer[:0]
+	for i := range b.endpoints.index.shared {
+		shared := &b.endpoints.index.shared[i]
+		if shared.sharedWith(node) && shared.acceptsRequests() &&
+			shared.load.reportedAt > 0 && b.now-shared.load.reportedAt < loadGossipMaxAge {
+			freshest = insertBounded(freshest, shared.endpoint, maxLoadEntries, compareReportTimes)
 		}
 	}
-	slices.SortFunc(news, func(a, b *endpoint) int {
-		return cmp.Or(cmp.Compare(b.load.reportedAt, a.load.reportedAt), cmp.Compare(a.ID, b.ID))
-	})
-	return news[:min(n, len(news))]
+	return freshest
+}
+
+func compareReportTimes(a, b *endpoint) int {
+	return cmp.Or(cmp.Compare(b.load.reportedAt, a.load.reportedAt), cmp.Compare(a.ID, b.ID))
 }
 
-// expectedOtherLoad is the number of requests that the server is expected to hold besides this gateway's own:
-// what
-// was told of it, the less the older that is.
+// expectedOtherLoad is the number of requests that the endpoint is expected to have in flight besides this
+// node's own: what was reported of it, the less the older that is.
 func (b *Balancer) expectedOtherLoad(s *endpoint) float64 {
 	switch {
 	case !b.ownsQuotas():
-		return 0 // its own attempts tell a gateway of a small fleet more, and sooner
+		return 0 // In a small fleet a node's own attempts tell it more, and sooner.
 	case s.load.requests < 0:
-		return 0 // nobody has had an answer from it: it has just come
+		return 0 // It is new: no node has had a response from it.
 	}
 	age := b.now - s.load.reportedAt
 	mean := b.endpoints.meanLoad
--- a/balancer/subset_index_test.go
+++ b/balancer/subset_index_test.go
@@ -16,7 +16,8 @@
 	}
 	for to, b := range balancers {
 		from.now = t0 + ms
-		loads := from.freshestLoads(maxLoadEntries, to)
+		var buffer [maxLoadEntries]*endpoint
+		loads := from.freshestLoads(&buffer, to)
 		for _, s := range loads {
 			if other := b.endpoints.trackedByID[s.ID]; other == nil || !other.inSubset {
 				t.Fatalf("node %d is sent the load of %s, which is not in its subset", to, s.ID)
--- /dev/null
+++ b/internal/registry/bench_fanout_test.go
@@ -0,0 +1,248 @@
+package registry
+
+import (
+	"fmt"
+	"net/http"
+	"os"
+	"os/exec"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/prometheus/procfs"
+)
+
+// processUsage returns the CPU time and the resident bytes of a process.
+func processUsage(b *testing.B, pid int) (cpu time.Duration, memory float64) {
+	b.Helper()
+	p, err := procfs.NewProc(pid)
+	if err != nil {
+		b.Fatal(err)
+	}
+	st, err := p.Stat()
+	if err != nil {
+		b.Fatal(err)
+	}
+	return time.Duration(st.CPUTime() * float64(time.Second)), float64(st.ResidentMemory())
+}
+
+func percentile(d []time.Duration, p float64) time.Duration {
+	slices.Sort(d)
+	return d[min(int(p*float64(len(d))), len(d)-1)]
+}
+
+// registerEntries fills the list over HTTP, at a replica that leads.
+func registerEntries(b *testing.B, addr string, n int) {
+	b.Helper()
+	for i := range n {
+		if status, text := call(b, "POST", "http://"+addr+"/registry/instances", registration(fmt.Sprint("s-", i), i+1, 1, 0)); status != http.StatusOK {
+			b.Fatalf("%d %s", status, text)
+		}
+	}
+}
+
+const fanoutEntries = 200
+
+// fanout is a list in a process of its own, with many watches.
+type fanout struct {
+	list        *testReplica
+	watchers    *watchers
+	watchBytes  float64 // resident memory for each watch
+	incarnation int     // the latest that was registered
+}
+
+// startNaiveList starts a [naiveList] in the place of the replica.
+func (m *testReplica) startNaiveList(b *testing.B) {
+	b.Helper()
+	m.cmd = exec.Command(os.Args[0])
+	m.cmd.Env = append(os.Environ(), fmt.Sprintf("%s=%s %d", encoderEnv, m.listen, fanoutEntries))
+	if _, err := m.cmd.StdinPipe(); err != nil { // open for as long as this process lives
+		b.Fatal(err)
+	}
+	if err := m.cmd.Start(); err != nil {
+		b.Fatal(err)
+	}
+}
+
+// startFanout opens the watches of a list that is being served.
+func startFanout(b *testing.B, list *testReplica) *fanout {
+	b.Helper()
+	waitFor(b, "the list", func() bool {
+		conn, _, err := openWatch(list.listen)
+		if err == nil {
+			_ = conn.Close()
+		}
+		return err == nil
+	})
+	pid := list.cmd.Process.Pid
+	_, before := processUsage(b, pid)
+	w := startWatchers(b, list.listen, watchCount)
+	_, after := processUsage(b, pid)
+	return &fanout{list: list, watchers: w, watchBytes: (after - before) / watchCount, incarnation: 1}
+}
+
+// register registers the start of an instance.
+func (f *fanout) register(b *testing.B, n, incarnation int) {
+	b.Helper()
+	body := registration(fmt.Sprint("s-", n), n+1, incarnation, 0)
+	if status, text := call(b, "POST", "http://"+f.list.listen+"/registry/instances", body); status != http.StatusOK {
+		b.Errorf("%d %s", status, text)
+	}
+}
+
+// cpu is the processor time that the list has used.
+func (f *fanout) cpu(b *testing.B) time.Duration {
+	b.Helper()
+	cpu, _ := processUsage(b, f.list.cmd.Process.Pid)
+	return cpu
+}
+
+// single measures changes that come alone, each until the last watch has it.
+func (f *fanout) single(b *testing.B) {
+	var cpu time.Duration
+	var latency, spread []time.Duration
+	for i := range b.N {
+		time.Sleep(2 * notifyInterval)
+		sent := time.Now().UnixNano()
+		before := f.cpu(b)
+		f.incarnation++
+		f.register(b, i%fanoutEntries, f.incarnation)
+		received := f.watchers.next(b)
+		first, last := received[1], received[2]
+		cpu += f.cpu(b) - before
+		latency = append(latency, time.Duration(last-sent))
+		spread = append(spread, time.Duration(last-first))
+	}
+	b.ReportMetric(float64(cpu.Microseconds())/float64(b.N), "cpu-µs/change")
+	b.ReportMetric(milliseconds(percentile(latency, 0.5)), "p50-ms")
+	b.ReportMetric(milliseconds(percentile(latency, 0.99)), "p99-ms")
+	b.ReportMetric(milliseconds(percentile(spread, 0.5)), "first-to-last-ms")
+	b.ReportMetric(f.watchBytes, "B/watch")
+}
+
+// hundred measures 100 changes that 20 clients send together.
+func (f *fanout) hundred(b *testing.B) {
+	const changes, clients = 100, 20
+	before := f.cpu(b)
+	for range b.N {
+		var sending sync.WaitGroup
+		var next atomic.Int64
+		base := f.incarnation + 1
+		f.incarnation += changes
+		for range clients {
+			sending.Go(func() {
+				for i := int(next.Add(1) - 1); i < changes; i = int(next.Add(1) - 1) {
+					f.register(b, i, base+i)
+				}
+			})
+		}
+		sending.Wait()
+		for range changes {
+			f.watchers.next(b)
+		}
+	}
+	b.ReportMetric(float64((f.cpu(b)-before).Microseconds())/float64(changes*b.N), "cpu-µs/change")
+}
+
+// whole measures watches that are all opened again with no generation.
+func (f *fanout) whole(b *testing.B) {
+	before := f.cpu(b)
+	for range b.N {
+		f.watchers.reconnect(b)
+		f.watchers.next(b)
+	}
+	b.ReportMetric(float64((f.cpu(b)-before).Microseconds())/float64(b.N)/watchCount, "cpu-µs/watch")
+}
+
+func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1e3 }
+
+// 200 entries and 10,000 watches of one replica. An operation is one change that has reached the last watch (one), 100
+// changes sent together (hundred), or all watches opened again (whole).
+func BenchmarkFanout(b *testing.B) {
+	for _, kind := range []string{"shared", "each"} {
+		b.Run(kind, func(b *testing.B) {
+			list := newTestReplica(b)
+			list.watchOpensPerSecond = 1e6
+			if kind == "shared" {
+				list.start("")
+				registerEntries(b, list.listen, fanoutEntries)
+			} else {
+				list.startNaiveList(b)
+			}
+			f := startFanout(b, list)
+			b.Run("one", f.single)
+			b.Run("hundred", f.hundred)
+			b.Run("whole", f.whole)
+		})
+	}
+}
+
+// Encoding alone: what one change costs 10,000 watches.
+func BenchmarkEncoding(b *testing.B) {
+	st := NewState(0)
+	for n := range fanoutEntries {
+		st.Apply(Command{Kind: Register, Entry: entry(fmt.Sprint("s-", n), n+1), Incarnation: 1})
+	}
+	change := st.changes[0]
+	b.Run("shared", func(b *testing.B) {
+		for b.Loop() {
+			encodeChange(change)
+		}
+	})
+	b.Run("each", func(b *testing.B) {
+		for b.Loop() {
+			for range watchCount {
+				encodeChange(change)
+			}
+		}
+	})
+}
+
+// Watches that all reconnect at once to a replica with one core, beside a watch that is open already: how late that
+// one receives changes, with the service's limit on watch opens and without one.
+func BenchmarkReconnect(b *testing.B) {
+	for _, n := range []int{1000, watchCount} {
+		for name, opensPerSecond := range map[string]float64{"paced": 0, "unpaced": 1e6} {
+			b.Run(fmt.Sprintf("watches=%d/%s", n, name), func(b *testing.B) { benchmarkReconnect(b, n, opensPerSecond) })
+		}
+	}
+}
+
+func benchmarkReconnect(b *testing.B, n int, opensPerSecond float64) {
+	m := newTestReplica(b)
+	m.watchOpensPerSecond, m.env = opensPerSecond, []string{"GOMAXPROCS=1"}
+	m.start("")
+	registerEntries(b, m.listen, fanoutEntries)
+	w := startWatchers(b, m.listen, n)
+	open := startWatch(b, m.listen, 0)
+	open.next(b)
+	incarnation, total := 1, time.Duration(0)
+	var latency []time.Duration
+	for range b.N {
+		began := time.Now()
+		w.reconnect(b)
+		reconnected := make(chan struct{})
+		go func() {
+			defer close(reconnected)
+			w.next(b)
+		}()
+		for done := false; !done; {
+			incarnation++
+			sent := time.Now()
+			call(b, "POST", "http://"+m.listen+"/registry/instances", registration("s-1", 2, incarnation, 0))
+			open.next(b)
+			latency = append(latency, time.Since(sent))
+			select {
+			case <-reconnected:
+				done = true
+			default:
+			}
+		}
+		total += time.Since(began)
+	}
+	b.ReportMetric(milliseconds(percentile(latency, 0.5)), "p50-ms")
+	b.ReportMetric(milliseconds(percentile(latency, 1)), "worst-ms")
+	b.ReportMetric(float64(total.Milliseconds())/float64(b.N), "all-back-ms")
+}
--- /dev/null
+++ b/internal/registry/state_invariants_test.go
@@ -0,0 +1,238 @@
+package registry
+
+import (
+	"encoding/json"
+	"maps"
+	"math"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// drawCommand draws from few instances, addresses and incarnations, so that they meet.
+func drawCommand(t *rapid.T) Command {
+	id := rapid.SampledFrom([]string{"s-a", "s-b", "s-c", "s-d"}).Draw(t, "id")
+	inc := rapid.Uint64Range(1, 4).Draw(t, "incarnation")
+	switch rapid.SampledFrom([]string{Register, Register, Drain, Remove, Expire}).Draw(t, "kind") {
+	case Register:
+		e := entry(id, rapid.IntRange(1, 5).Draw(t, "port"))
+		lease := rapid.SampledFrom([]time.Duration{0, time.Second, time.Minute}).Draw(t, "lease")
+		return Command{Kind: Register, Entry: e, Incarnation: inc, Lease: lease}
+	case Drain:
+		return Command{Kind: Drain, ID: id, Incarnation: inc - 1}
+	case Remove:
+		return Command{Kind: Remove, ID: id, Incarnation: inc - 1}
+	}
+	return Command{Kind: Expire, Expired: []InstanceRef{{id, inc}, {"s-a", 1}}}
+}
+
+// changeReader is a reader of the list: by changes alone, from wherever it last was.
+type changeReader struct {
+	at   uint64
+	list map[string]Entry
+}
+
+func (r *changeReader) catchUp(s *State) {
+	changes, ok := s.ChangesSince(r.at)
+	if !ok {
+		r.list = map[string]Entry{}
+		for _, e := range s.List() {
+			r.list[e.InstanceID] = e
+		}
+	}
+	for _, c := range changes {
+		for _, e := range c.Entries {
+			if r.list[e.InstanceID] = e; e.Lifecycle == Removed {
+				delete(r.list, e.InstanceID)
+			}
+		}
+	}
+	r.at = s.Generation()
+}
+
+// invariantChecker applies commands to a state machine and checks what must hold of any.
+type invariantChecker struct {
+	apply   func(*State, Command) Outcome
+	state   *State
+	replica *State            // applies the same commands, each twice, or begins with a snapshot
+	seen    map[uint64]string // the list at each generation
+	newest  map[string]uint64 // the largest incarnation of each instance so far
+	reader  *changeReader
+}
+
+// checkInvariants applies random commands with apply, and returns the first invariant that is violated, "" for none.
+func checkInvariants(t *rapid.T, apply func(*State, Command) Outcome) (violated string) {
+	checker := &invariantChecker{
+		apply:   apply,
+		state:   NewState(0),
+		replica: NewState(0),
+		seen:    map[uint64]string{},
+		newest:  map[string]uint64{},
+		reader:  &changeReader{list: map[string]Entry{}},
+	}
+	for range rapid.IntRange(1, 60).Draw(t, "commands") {
+		if violated := checker.step(t, drawCommand(t)); violated != "" {
+			return violated
+		}
+	}
+	return checker.checkReader()
+}
+
+// step applies one command.
+func (ch *invariantChecker) step(t *rapid.T, c Command) (violated string) {
+	before := ch.state.Generation()
+	o := ch.apply(ch.state, c)
+	if violated := ch.checkGeneration(t, before, o); violated != "" {
+		return violated
+	}
+	if violated := ch.checkIncarnations(c, o); violated != "" {
+		return violated
+	}
+	if again := ch.apply(ch.state, c); again.Code == Done && c.Incarnation > 0 {
+		return "a command sent again changes the list"
+	}
+	if violated := ch.checkAddresses(); violated != "" {
+		return violated
+	}
+	if rapid.Bool().Draw(t, "reconnects") { // by any chain of these the list is the same
+		ch.reader.catchUp(ch.state)
+	}
+	if rapid.Bool().Draw(t, "snapshot") { // log replayed equals snapshot and the rest of the log
+		ch.replica = copyState(t, ch.state)
+	} else {
+		ch.apply(ch.replica, c)
+		ch.apply(ch.replica, c)
+	}
+	if mustJSON(t, ch.state) != mustJSON(t, ch.replica) {
+		return "a snapshot and the rest of the log give another state"
+	}
+	return ""
+}
+
+func (ch *invariantChecker) checkGeneration(t *rapid.T, before uint64, o Outcome) (violated string) {
+	after := ch.state.Generation()
+	text, err := json.Marshal(ch.state.List())
+	if err != nil {
+		t.Fatal(err)
+	}
+	list := string(text)
+	switch {
+	case o.Generation != after || after < before:
+		return "a generation goes back"
+	case (o.Code == Done) != (after == before+1) || o.Code != Done && after != before:
+		return "a change is not one generation"
+	case ch.seen[after] != "" && ch.seen[after] != list:
+		return "a generation names two states"
+	}
+	ch.seen[after] = list
+	return ""
+}
+
+func (ch *invariantChecker) checkIncarnations(c Command, o Outcome) (violated string) {
+	const touched = "an older incarnation touches a newer"
+	if c.Kind == Register && o.Code == Done {
+		if c.Incarnation < ch.newest[c.Entry.InstanceID] {
+			return touched
+		}
+		ch.newest[c.Entry.InstanceID] = c.Incarnation
+	}
+	for id, r := range ch.state.records {
+		if r.Incarnation < ch.newest[id] {
+			return touched
+		}
+	}
+	return ""
+}
+
+func (ch *invariantChecker) checkAddresses() (violated string) {
+	used := map[string]bool{}
+	for _, e := range ch.state.List() {
+		if used[e.HostPort] {
+			return "two instances have one address"
+		}
+		used[e.HostPort] = true
+	}
+	return ""
+}
+
+// checkReader compares the list that changes gave with the full one.
+func (ch *invariantChecker) checkReader() (violated string) {
+	ch.reader.catchUp(ch.state)
+	full := &changeReader{at: math.MaxUint64}
+	full.catchUp(ch.state)
+	if !maps.Equal(ch.reader.list, full.list) {
+		return "changes give another list than the whole one"
+	}
+	return ""
+}
+
+// copyState returns the state that is read from a snapshot.
+func copyState(t *rapid.T, s *State) *State {
+	restored := &State{}
+	if err := json.Unmarshal([]byte(mustJSON(t, s)), restored); err != nil {
+		t.Fatal(err)
+	}
+	return restored
+}
+
+func mustJSON(t *rapid.T, s *State) string {
+	text, err := json.Marshal(s)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+func TestStateInvariants(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		if violated := checkInvariants(t, (*State).Apply); violated != "" {
+			t.Fatal(violated)
+		}
+	})
+}
+
+// A state machine that is wrong in one way is caught by the invariants.
+func TestInvariantsCatchBrokenStates(t *testing.T) {
+	for name, apply := range map[string]func(*State, Command) Outcome{
+		"older incarnation accepted": func(s *State, c Command) Outcome {
+			if r := s.records[c.Entry.InstanceID]; c.Kind == Register && r != nil && c.Incarnation < r.Incarnation {
+				r.Incarnation = c.Incarnation
+				r.Entry.Weight++
+				return s.commit(r.Entry)
+			}
+			return s.Apply(c)
+		},
+		"generation used twice": func(s *State, c Command) Outcome {
+			o := s.Apply(c)
+			if o.Code == Done && c.Kind == Drain {
+				s.changeCount--
+				s.changes = s.changes[:len(s.changes)-1]
+				o.Generation--
+			}
+			return o
+		},
+		"tombstones forgotten": func(s *State, c Command) Outcome {
+			o := s.Apply(c)
+			clear(s.tombstones)
+			s.tombstoneOrder = nil
+			return o
+		},
+		"change not told": func(s *State, c Command) Outcome {
+			o := s.Apply(c)
+			if o.Code == Done && c.Kind == Remove {
+				s.changes[len(s.changes)-1].Entries = nil
+			}
+			return o
+		},
+	} {
+		caught := ""
+		for seed := 0; seed < 300 && caught == ""; seed++ {
+			g := rapid.Custom(func(t *rapid.T) string { return checkInvariants(t, apply) })
+			caught = g.Example(seed)
+		}
+		if caught == "" {
+			t.Errorf("%s: not caught", name)
+		}
+	}
+}
--- a/internal/scale/list_expiry_test.go
+++ b/internal/scale/list_expiry_test.go
@@ -31,8 +31,10 @@
 			t.Errorf("%v messages for %d entries", messages, zoneEntries(n))
 		}
 		checkExpiryBytes(t, v["zone expired, most to a watch"], int(messages), removedZone(n))
-		for _, q := range []string{"zone expired, from the first lease's end to the last watch", "zone expired, from the last lease's end to the last watch",
-			"zone expired, from the first watch that has it all to the last"} {
+		for _, q := range []string{
+			"zone expired, from the first lease's end to the last watch", "zone expired, from the last lease's end to the last watch",
+			"zone expired, from the first watch that has it all to the last",
+		} {
 			if got, ok := v[q]; !ok || got < 0 {
 				t.Errorf("%s: %v", q, got)
 			}
@@ -111,13 +113,13 @@
 // Leases that run out before they are renewed are no expiry measured.
 func TestExpiryBeforeTheRenewalsFails(t *testing.T) {
 	t.Parallel()
-	run := startExpiry(t, 60, registry.LeastLease)
+	run := startExpiry(t, 60, registry.MinLease)
 	if err := awaitReplica(t.Context(), "the leases to run out", func() bool { return run.service.Generation() > run.before }); err != nil {
 		t.Fatal(err)
 	}
 	_, err := run.renew()
 	var early *earlyExpiryError
-	if !errors.As(err, &early) || early.before != run.before || early.now <= early.before || early.lease != registry.LeastLease {
+	if !errors.As(err, &early) || early.before != run.before || early.now <= early.before || early.lease != registry.MinLease {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/scale/list_renew.go
+++ b/internal/scale/list_renew.go
@@ -57,7 +57,7 @@
 	}
 	defer func() { err = errors.Join(err, closeReplicas(followers)) }()
 	rows.time("two replicas join, until they have the list", time.Since(began))
-	if err := awaitReplica(at.ctx, "the first replica to lead", leader.Leads); err != nil {
+	if err := awaitReplica(at.ctx, "the first replica to lead", leader.IsLeader); err != nil {
 		return err
 	}
 	return renewAll(at, rows, leader.Addr(), "three replicas")
@@ -257,7 +257,7 @@
 
 func (c *renewClient) hangUp() {
 	if c.fd >= 0 {
-		syscall.Close(c.fd)
+		_ = syscall.Close(c.fd)
 		c.fd = -1
 	}
 }
--- a/internal/testbed/broken.go
+++ b/internal/testbed/mutant.go
@@ -12,46 +12,47 @@
 	"strings"
 )
 
-// breakage is a fault put into the edge node's source on purpose, to see that a sweep finds it.
-type breakage struct {
+// mutant is a fault put into the edge node's source on purpose, to see that a sweep finds it.
+type mutant struct {
 	about   string
 	file    string // under the module's root
 	changes [][2]string
 }
 
-// Breakages by name.
-var breakages = map[string]breakage{
-	"drain-after-reset": {"drains are ignored once a call of discovery has ended by itself", "internal/edgenode/registry.go", [][2]string{
-		{"	apply  func(List)\n", "	apply  func(List)\n	broke  bool\n"},
-		{"	case eventEnd:\n		f.ended(", "	case eventEnd:\n		r.broke = r.broke || e.id == f.watch.id\n		f.ended("},
-		{"			r.apply(e.list)\n		}\n	case eventGarbage:", "			for i := range e.list.Servers {\n				if r.broke && e.list.Servers[i].State == 1 {\n" +
-			"					e.list.Servers[i].State = 0\n				}\n			}\n			r.apply(e.list)\n		}\n	case eventGarbage:"},
+// mutants by name.
+var mutants = map[string]mutant{
+	"drain-after-reset": {"drains are ignored once a call of discovery has ended by itself", "internal/edgenode/discovery_client.go", [][2]string{
+		{"	apply    func(List)\n", "	apply    func(List)\n	broke    bool\n"},
+		{"	case eventEnd:\n		f.Ended(", "	case eventEnd:\n		d.broke = d.broke || e.id == f.watch.id\n		f.Ended("},
+		{"	case eventRejected:\n		f.Rejected(", "	case eventRejected:\n		d.broke = d.broke || e.id == f.watch.id\n		f.Rejected("},
+		{"	if malformed { // one line", "	for i := range e.list.Servers {\n		if d.broke && e.list.Servers[i].State == 1 {\n" +
+			"			e.list.Servers[i].State = 0\n		}\n	}\n	if malformed { // one line"},
 	}},
-	"late-watch": {"a watch that broke is opened anew a minute later, and nothing else is asked", "internal/edgenode/follow.go", [][2]string{
-		{"	f.broke()\n	if !f.paced() {\n", "	f.down = true\n	f.watchAt = now + time.Minute\n	return\n	if !f.paced() {\n"},
-		{"	f.broke()\n	f.watchAt = now + max(", "	f.down = true\n	f.watchAt = now + time.Minute\n	return\n	f.watchAt = now + max("},
-		{"	if f.behind && f.fetch.id == 0 && ", "	if f.behind && f.version == 0 && f.fetch.id == 0 && "},
+	"late-watch": {"a watch that broke is opened anew a minute later, and nothing else is asked", "internal/edgenode/follower_schedule.go", [][2]string{
+		{"	f.markDown()\n	f.suspect(listSuspect)\n	if !f.rateLimited() {\n", "	f.markDown()\n	f.watchAt = now + time.Minute\n	return\n	if !f.rateLimited() {\n"},
+		{"	f.suspect(listSuspect)\n	f.watchAt = now + max(", "	f.watchAt = now + time.Minute\n	return\n	f.watchAt = now + max("},
+		{"	if f.freshness != listCurrent && f.fetch.id == 0 && ", "	if f.freshness != listCurrent && f.version == 0 && f.fetch.id == 0 && "},
 	}},
 	"cap-128": {"no more than 128 entries of a message are read", "internal/discovery/lenient.go", [][2]string{
 		{"	for i, text := range raw.Instances {\n", "	for i, text := range raw.Instances {\n		if i >= 128 {\n			break\n		}\n"},
 	}},
 }
 
-// Breakages lists the nodes that BreakNode can build, with what is wrong with each.
-func Breakages() map[string]string {
+// Mutants lists the nodes that BreakNode can build, with what is wrong with each.
+func Mutants() map[string]string {
 	all := map[string]string{}
-	for name, b := range breakages {
+	for name, b := range mutants {
 		all[name] = b.about
 	}
 	return all
 }
 
-// BreakNode builds an edge node that is broken on purpose into dir and returns its path. It
+// BuildMutant builds an edge node that is broken on purpose into dir and returns its path. It
 // needs the module that the working folder is in; the sources are left as they are.
-func BreakNode(ctx context.Context, name, dir string) (string, error) {
-	b, ok := breakages[name]
+func BuildMutant(ctx context.Context, name, dir string) (string, error) {
+	b, ok := mutants[name]
 	if !ok {
-		return "", fmt.Errorf("broken: %q is none of %s", name, names(breakages))
+		return "", fmt.Errorf("broken: %q is none of %s", name, names(mutants))
 	}
 	root, err := moduleRoot(ctx)
 	if err != nil {
