--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -41,6 +41,9 @@
 	l.responses = 0
 }
 
+// recordResponse counts an OK response.
+func (l *concurrencyLimit) recordResponse() { l.responses++ }
+
 // reachableLoad is what is in flight at the endpoints that respond, and how many these are.
 type reachableLoad struct {
 	inFlight  float64
@@ -95,39 +98,23 @@
 	return floor
 }
 
-// reachable is what is in flight at the endpoints that respond. The subset stands for all that are
-// listed, unless nothing in it responds.
+// reachable is what is in flight at the endpoints that respond.
 func (b *Balancer) reachable() reachableLoad {
-	load := reachableLoad{inFlight: float64(b.concurrency.inFlight)}
-	accepting := 0.0
-	for _, endpoint := range b.endpoints.tracked {
-		accepts := endpoint.inSubset && endpoint.acceptsRequests()
-		accepting += oneIf(accepts)
-		if b.unresponsive(endpoint) {
-			load.inFlight -= float64(endpoint.inFlight)
-		} else if accepts {
-			load.endpoints += b.warmUpFraction(endpoint)
-		}
-	}
-	listed := float64(b.endpoints.list.activeWeights.total)
-	if load.endpoints == 0 {
-		load.endpoints = listed - accepting
-		return load
-	}
-	load.endpoints *= listed / accepting
-	return load
+	unresponsive, endpoints := b.endpoints.reachable(b.now, b.healthCriteria())
+	return reachableLoad{inFlight: float64(b.concurrency.inFlight - unresponsive), endpoints: endpoints}
 }
 
 // recentAttempts counts the attempts in flight that began less than a fraction of their latency objective
 // ago, without those at endpoints known to be unresponsive: attempts at a few of these must not read as
 // overload.
 func (b *Balancer) recentAttempts(fraction float64) (recent float64) {
+	criteria := b.healthCriteria()
 	for _, r := range b.requests.byID {
 		objective := b.settings.Classes[r.class].LatencyObjective
 		for i := range r.attempts {
 			a := &r.attempts[i]
-			age := (b.now - a.sentAt).Seconds()
-			recent += oneIf(!a.done && !b.unresponsive(a.endpoint) && age < fraction*objective.Seconds())
+			isRecent := (b.now - a.sentAt).Seconds() < fraction*objective.Seconds()
+			recent += oneIf(!a.done && isRecent && !a.endpoint.unresponsive(b.now, criteria))
 		}
 	}
 	return recent
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -65,6 +65,20 @@
 	e.slowStart.reset()
 }
 
+// beginAttempt counts an attempt in flight. Silence counts from the first one.
+func (e *endpoint) beginAttempt(now time.Duration) {
+	if e.inFlight == 0 {
+		e.lastProgress = now
+	}
+	e.inFlight++
+}
+
+// endAttempt counts an attempt that is no longer in flight.
+func (e *endpoint) endAttempt() { e.inFlight-- }
+
+// recordProgress records that a response came or began.
+func (e *endpoint) recordProgress(now time.Duration) { e.lastProgress = now }
+
 // recordLoad records how many requests the endpoint held at a time. That it reported them shows that it
 // responds.
 func (e *endpoint) recordLoad(requests float64, at time.Duration) {
@@ -107,10 +121,10 @@
 	e.latencyRatio += latencySmoothing * (ratio - e.latencyRatio)
 }
 
-// decay moves what was learned toward what is usual; keep is the fraction that remains of the difference.
-func (e *endpoint) decay(keep float64) {
-	e.latencyRatio = 1 + (e.latencyRatio-1)*keep
-	e.health.decay(keep)
+// decay moves what was learned toward what is usual, of which the difference retains a fraction.
+func (e *endpoint) decay(retained float64) {
+	e.latencyRatio = 1 + (e.latencyRatio-1)*retained
+	e.health.decay(retained)
 }
 
 // unreported stands for a figure of the load that no report has given.
@@ -127,6 +141,17 @@
 	utilizationReportedAt time.Duration // 0: never
 }
 
+// expectedOtherNodes returns the requests of other nodes that are to be expected now, from those reported
+// and from the mean over the endpoints, toward which a report loses its meaning. It is 0 where no node has
+// had a response.
+func (l *endpointLoad) expectedOtherNodes(now time.Duration, mean float64) float64 {
+	if l.requests < 0 {
+		return 0
+	}
+	age := now - l.reportedAt
+	return mean + (l.otherNodes-mean)*math.Exp(-age.Seconds()/loadGossipDecay.Seconds())
+}
+
 // record takes a report of the requests held at a time, of which some are this node's.
 func (l *endpointLoad) record(requests, ownInFlight float64, at time.Duration) {
 	l.requests, l.otherNodes, l.reportedAt = requests, math.Max(requests-ownInFlight, 0), at
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -51,8 +51,8 @@
 }
 
 // ejectFor ejects the endpoint for a time at least.
-func (h *endpointHealth) ejectFor(now, atLeast time.Duration) {
-	h.ejectedUntil = max(h.ejectedUntil, now+atLeast)
+func (h *endpointHealth) ejectFor(now, duration time.Duration) {
+	h.ejectedUntil = max(h.ejectedUntil, now+duration)
 }
 
 // ejectAsUnresponsive ejects the endpoint until a time has passed or it is heard of.
@@ -86,7 +86,7 @@
 // an ejection would risk a request, or several at once, each time. It covers lost zones, single machines
 // and cut links; it harms where endpoints don't respond at all for as long as a health check waits and then
 // go on: until the next round of health checks the others carry their load.
-func (h *endpointHealth) recordNoResponse(sentAt time.Duration) (lost bool) {
+func (h *endpointHealth) recordNoResponse(sentAt time.Duration) (isNew bool) {
 	if h.lastResponse >= sentAt || h.unreachable {
 		return false
 	}
@@ -99,8 +99,8 @@
 	h.errorRate += errorSmoothing * (amount - h.errorRate)
 }
 
-// decay lets the error rate fade; keep is the fraction that remains.
-func (h *endpointHealth) decay(keep float64) { h.errorRate *= keep }
+// decay lets the error rate fade; a fraction is retained.
+func (h *endpointHealth) decay(retained float64) { h.errorRate *= retained }
 
 // recordSuccess records an OK, after which ejections are short again.
 func (h *endpointHealth) recordSuccess() { h.consecutiveEjections = 0 }
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -122,6 +122,9 @@
 	return index
 }
 
+// classMean returns the mean latency of a class in seconds, 0 as long as that is unknown.
+func (t *latencyTracker) classMean(class int) float64 { return t.classes[class].mean }
+
 // mean returns the mean latency over the classes that have one, in seconds.
 func (t *latencyTracker) mean() float64 {
 	var sum, classes float64
--- a/balancer/load_gossip.go
+++ b/balancer/load_gossip.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"math"
 	"time"
 )
 
@@ -21,7 +20,7 @@
 func (b *Balancer) receiveLoads(loads []peerLoad) {
 	for i := range loads {
 		load := &loads[i]
-		endpoint := b.endpoints.index.byHash[load.endpointHash]
+		endpoint := b.endpoints.index.find(load.endpointHash)
 		at := b.now - load.age - peerMessageDelay
 		// Within the precision of ages a load may be what is known already.
 		if endpoint == nil || at <= endpoint.load.reportedAt+ageUnit+peerMessageDelay ||
@@ -78,13 +77,8 @@
 // expectedOtherLoad is the number of requests that the endpoint is expected to have in flight besides this
 // node's own: what was reported of it, the less the older that is.
 func (b *Balancer) expectedOtherLoad(s *endpoint) float64 {
-	switch {
-	case !b.ownsQuotas():
+	if !b.ownsQuotas() {
 		return 0 // In a small fleet a node's own attempts tell it more, and sooner.
-	case s.load.requests < 0:
-		return 0 // It is new: no node has had a response from it.
 	}
-	age := b.now - s.load.reportedAt
-	mean := b.endpoints.meanLoad
-	return mean + (s.load.otherNodes-mean)*math.Exp(-age.Seconds()/loadGossipDecay.Seconds())
+	return s.load.expectedOtherNodes(b.now, b.endpoints.meanLoad)
 }
--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -21,7 +21,7 @@
 	case TimedOut:
 		b.recordTimeout(r.class, e, o.Elapsed)
 	case ErrorResponse:
-		e.lastProgress = b.now
+		e.recordProgress(b.now)
 		e.load.recordError(b.now)
 	case ConnectFailed:
 		b.recordConnectFailed(e)
@@ -50,9 +50,9 @@
 
 // recordSuccess records an OK.
 func (b *Balancer) recordSuccess(class int, e *endpoint, elapsed time.Duration) {
-	e.lastProgress = b.now
+	e.recordProgress(b.now)
 	e.health.recordSuccess()
-	b.concurrency.responses++
+	b.concurrency.recordResponse()
 	b.recordLatency(class, e, elapsed)
 	// Only endpoints that count in the mean and only work that is known: responses of draining endpoints,
 	// or a guess that proves too high, would inflate what cold ones may be sent.
@@ -64,7 +64,7 @@
 // recordOverloaded records a rejection by an endpoint that had no capacity left: it gets none for a short
 // time.
 func (b *Balancer) recordOverloaded(e *endpoint) {
-	e.lastProgress = b.now
+	e.recordProgress(b.now)
 	b.overload.sampleOccupancy(1)
 	e.health.ejectFor(b.now, controlInterval)
 }
@@ -72,7 +72,7 @@
 // recordTimeout records an attempt that was given up; its latency is at least the time that it had.
 func (b *Balancer) recordTimeout(class int, e *endpoint, elapsed time.Duration) {
 	b.overload.sampleOccupancy(1)
-	e.recordLatencyRatio(elapsed.Seconds() / math.Max(b.latency.classes[class].mean, minTimeoutMean))
+	e.recordLatencyRatio(elapsed.Seconds() / math.Max(b.latency.classMean(class), minTimeoutMean))
 }
 
 // recordConnectFailed records that no connection came up. The process may have restarted and be cold, long
@@ -194,8 +194,5 @@
 	return healthCriteria{largeFleet: true, maxSilence: math.Min(silence, longest)}
 }
 
-// unresponsive reports whether the endpoint is known not to respond.
-func (b *Balancer) unresponsive(e *endpoint) bool { return e.unresponsive(b.now, b.healthCriteria()) }
-
 // deprioritized reports whether the endpoint gets requests only where no other is left.
 func (b *Balancer) deprioritized(e *endpoint) bool { return e.deprioritized(b.now, b.healthCriteria()) }
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -81,7 +81,7 @@
 	a.done = true
 	a.result = o.Result
 	a.neverRan = o.Result.neverRan()
-	a.endpoint.inFlight--
+	a.endpoint.endAttempt()
 	b.concurrency.inFlight--
 	r.inFlight--
 	r.quota.attemptFinished()
@@ -107,7 +107,7 @@
 		return
 	}
 	r.responseStarted = true
-	r.attempts[attempt].endpoint.lastProgress = now
+	r.attempts[attempt].endpoint.recordProgress(now)
 }
 
 // ClientGone reports that the client no longer waits for the request.
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -109,10 +109,7 @@
 // startAttempt sends the request to the endpoint.
 func (b *Balancer) startAttempt(r *request, to *endpoint) {
 	timeout := b.attemptTimeout(r)
-	if to.inFlight == 0 {
-		to.lastProgress = b.now
-	}
-	to.inFlight++
+	to.beginAttempt(b.now)
 	b.concurrency.inFlight++
 	r.inFlight++
 	r.quota.attemptStarted()
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -3,11 +3,11 @@
 import "math"
 
 const (
-	errorCostFactor     = 8    // additional cost factor of an error rate of 1
-	crossZoneFactor     = 1.1  // cost factor of another zone where crossing has a price
-	triedEndpointFactor = 4    // cost factor of an endpoint at which this request has failed
-	minLatencyRatio     = 0.1  // in costs, so that load counts also where responses are fast
-	minCostMean         = 1e-3 // seconds; mean latency that silence is held against, at least
+	errorCostFactor      = 8    // additional cost factor of an error rate of 1
+	crossZoneFactor      = 1.1  // cost factor of another zone where crossing has a price
+	failedEndpointFactor = 4    // cost factor of an endpoint at which this request has failed
+	minLatencyRatio      = 0.1  // in costs, so that load counts also where responses are fast
+	minCostMean          = 1e-3 // seconds; mean latency that silence is held against, at least
 
 	// Costs of the tiers of endpoints, each above all costs of the tiers before.
 	notSampledCost    = 1e3 // of the subset, but not drawn by its size
@@ -36,7 +36,7 @@
 func (s *selection) offer(e *endpoint, cost float64, deprioritized bool) {
 	for i := range s.request.attempts {
 		if a := &s.request.attempts[i]; a.endpoint == e && a.result != OK {
-			cost *= triedEndpointFactor
+			cost *= failedEndpointFactor
 		}
 	}
 	if cost < s.bestCost {
--- a/balancer/selection_test.go
+++ b/balancer/selection_test.go
@@ -120,9 +120,9 @@
 		other      *endpoint
 		wantFailed bool
 	}{
-		{"a little dearer", triedEndpointFactor - 0.1, untried, false},
-		{"much dearer", triedEndpointFactor + 0.1, untried, true},
-		{"answered", triedEndpointFactor - 0.1, answered, false},
+		{"a little dearer", failedEndpointFactor - 0.1, untried, false},
+		{"much dearer", failedEndpointFactor + 0.1, untried, true},
+		{"answered", failedEndpointFactor - 0.1, answered, false},
 	} {
 		s := selection{request: r, bestCost: math.Inf(1)}
 		s.offer(failed, 1, false)
--- a/balancer/subset_index.go
+++ b/balancer/subset_index.go
@@ -26,6 +26,9 @@
 // isAmbiguous reports whether an endpoint of the subset shares its short hash with another.
 func (i *subsetIndex) isAmbiguous(e *endpoint) bool { return i.byHash[e.shortHash] == nil }
 
+// find returns the endpoint of the subset with a short hash, nil where none or several have it.
+func (i *subsetIndex) find(shortHash uint16) *endpoint { return i.byHash[shortHash] }
+
 // rebuild brings the index up to date with the endpoints that are tracked, if the subset has changed.
 func (i *subsetIndex) rebuild(tracked []*endpoint, sizing *subsetSizing) {
 	if !i.dirty {
--- a/balancer/tracking.go
+++ b/balancer/tracking.go
@@ -29,7 +29,7 @@
 // trackFromReserve tracks an endpoint of the reserve that is sent to.
 func (s *endpointSet) trackFromReserve(now time.Duration, slot slotIndex) *endpoint {
 	e := s.track(slot)
-	e.lastProgress = now
+	e.recordProgress(now)
 	s.updateReserve(now, slot)
 	return e
 }
@@ -91,10 +91,10 @@
 }
 
 // retain stops tracking all endpoints but some.
-func (s *endpointSet) retain(now time.Duration, keep func(*endpoint) bool) {
+func (s *endpointSet) retain(now time.Duration, inUse func(*endpoint) bool) {
 	retained := s.tracked[:0]
 	for _, e := range s.tracked {
-		if keep(e) {
+		if inUse(e) {
 			retained = append(retained, e)
 		} else {
 			s.stopTracking(now, e)
@@ -132,8 +132,8 @@
 
 // sample moves a random one of the endpoints from a position on to that position and returns it.
 func (s *endpointSet) sample(i int, rng *rand.Rand) *endpoint {
-	drawn := i + rng.IntN(len(s.tracked)-i)
-	s.tracked[i], s.tracked[drawn] = s.tracked[drawn], s.tracked[i]
+	sampled := i + rng.IntN(len(s.tracked)-i)
+	s.tracked[i], s.tracked[sampled] = s.tracked[sampled], s.tracked[i]
 	return s.tracked[i]
 }
 
@@ -147,16 +147,39 @@
 	return weight
 }
 
+// reachable returns the attempts in flight at endpoints that are unresponsive, and the number of endpoints
+// that respond; a cold one counts as the fraction of a warm one that it is. The subset stands for all that
+// are listed, unless nothing in it responds.
+func (s *endpointSet) reachable(now time.Duration, criteria healthCriteria) (
+	unresponsive int, responding float64,
+) {
+	accepting := 0.0
+	for _, e := range s.tracked {
+		accepts := e.inSubset && e.acceptsRequests()
+		accepting += oneIf(accepts)
+		if e.unresponsive(now, criteria) {
+			unresponsive += e.inFlight
+		} else if accepts {
+			responding += s.warmUp.fraction(e.lastStart(), now)
+		}
+	}
+	listed := float64(s.list.activeWeights.total)
+	if responding == 0 {
+		return unresponsive, listed - accepting
+	}
+	return unresponsive, responding * (listed / accepting)
+}
+
 // closeInterval takes the mean of the loads reported and lets what is known of idle endpoints fade.
 func (s *endpointSet) closeInterval() {
 	var load, reports float64
-	keep := math.Exp(-controlInterval.Seconds() / observationDecay.Seconds())
+	retained := math.Exp(-controlInterval.Seconds() / observationDecay.Seconds())
 	for _, e := range s.tracked {
 		if e.acceptsRequests() && e.load.known() {
 			load, reports = load+e.load.otherNodes, reports+1
 		}
 		if e.inFlight == 0 {
-			e.decay(keep)
+			e.decay(retained)
 		}
 	}
 	s.meanLoad = load / math.Max(reports, 1)
