--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -90,7 +90,7 @@
 	}
 	g.inbox.capacity = s.PeerMessagesPerSecond
 	g.quotas = newQuotaTable(&s, g.rng)
-	g.quotaOwner = newQuotaOwner(&s, g.latency.longestObjective())
+	g.quotaOwner = newQuotaOwner(&s, g.latency.longestObjective)
 	if g.ownsQuotas() {
 		g.endpoints.enableSubset()
 	}
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -21,12 +21,14 @@
 	classes          []classLatency // by class index
 	machineTypes     []machineTypeLatency
 	machineTypeIndex map[string]int // of those that have responded
+	longestObjective time.Duration  // longest latency objective of the classes
 }
 
 func newLatencyTracker(classes []Class) latencyTracker {
 	t := latencyTracker{classes: make([]classLatency, len(classes)), machineTypeIndex: map[string]int{}}
 	for i := range classes {
 		t.classes[i].objective = classes[i].LatencyObjective
+		t.longestObjective = max(t.longestObjective, classes[i].LatencyObjective)
 	}
 	return t
 }
@@ -166,15 +168,6 @@
 	return work
 }
 
-// longestObjective returns the longest latency objective of the classes.
-func (t *latencyTracker) longestObjective() time.Duration {
-	var longest time.Duration
-	for i := range t.classes {
-		longest = max(longest, t.classes[i].objective)
-	}
-	return longest
-}
-
 // relativeSpeed returns the speed of a machine type as a fraction of the usual one, at most 1.
 func (t *latencyTracker) relativeSpeed(machineType string) float64 {
 	index, known := t.machineTypeIndex[machineType]
--- a/balancer/latency_test.go
+++ b/balancer/latency_test.go
@@ -61,7 +61,7 @@
 		{LatencyObjective: time.Second},
 		{LatencyObjective: 2 * time.Second},
 	})
-	if got := tracker.longestObjective(); got != 2*time.Second {
+	if got := tracker.longestObjective; got != 2*time.Second {
 		t.Errorf("longest objective %v", got)
 	}
 	if got := tracker.work(1); got != 0.5 || tracker.longestWork() != 0.5 || tracker.learnedWork(1) != 0 {
--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -189,7 +189,7 @@
 	if !b.ownsQuotas() {
 		return healthCriteria{}
 	}
-	longest := recentAttemptFraction * b.latency.longestObjective().Seconds()
+	longest := recentAttemptFraction * b.latency.longestObjective.Seconds()
 	silence := math.Max(unresponsiveAfterMeans*b.latency.mean(), longest/minSilenceDivisor)
 	return healthCriteria{largeFleet: true, maxSilence: math.Min(silence, longest)}
 }
