--- a/internal/edgenode/ready_test.go
+++ b/internal/edgenode/ready_test.go
@@ -16,6 +16,9 @@
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"opalhook/internal/edgenode/endpointlist"
+	"opalhook/internal/edgenode/nodetest"
 )
 
 // Nine in ten restarted nodes have to be ready within this time.
@@ -26,12 +29,12 @@
 	return func(context.Context, string, string) (net.Conn, error) {
 		client, server := net.Pipe()
 		go func() {
-			defer server.Close()
+			defer func() { _ = server.Close() }()
 			if _, err := http.ReadRequest(bufio.NewReader(server)); err != nil {
 				return
 			}
 			time.Sleep(after)
-			io.WriteString(server, text)
+			_, _ = io.WriteString(server, text)
 		}()
 		return client, nil
 	}
@@ -41,7 +44,7 @@
 // the test's own.
 func TestRestartedNodesAreReadyInTime(t *testing.T) {
 	const nodes, hour = 20, time.Hour
-	whole := listJSON(8, true)
+	whole := nodetest.ListJSON(8, true)
 	body := func(text string) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 	}
@@ -89,8 +92,10 @@
 // timeToList is how long a new process waits before it opens its listener.
 func timeToList(t *testing.T, cfg *Config, seed uint64, dial func(ctx context.Context, network, addr string) (net.Conn, error), reloads bool) time.Duration {
 	ctx, stop := context.WithTimeout(t.Context(), 6*readyWithin) // a node that is not ready by then never is
-	client := newDiscoveryClient(cfg.Discovery, Follower{pushed: !cfg.Settings.PollEndpoints, fleetSize: cfg.Settings.NodeCount,
-		rng: rand.New(rand.NewPCG(seed, 1))}, func(List) {}, slog.New(slog.DiscardHandler))
+	client := newDiscoveryClient(cfg.Discovery, Follower{
+		pushed: !cfg.Settings.PollEndpoints, fleetSize: cfg.Settings.NodeCount,
+		rng: rand.New(rand.NewPCG(seed, 1)),
+	}, func(endpointlist.List) {}, slog.New(slog.DiscardHandler))
 	client.dial = dial
 	done := make(chan struct{})
 	go func() { client.run(ctx); close(done) }()
