--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -117,23 +117,6 @@
 	r.acts = nil
 }
 
-// wideGate is a gateway of a fleet of 300, whose sets are so wide that holders are asked.
-func wideGate(t *testing.T, me int) (*Balancer, *recorder) {
-	s := testSettings()
-	s.NodeIndex, s.NodeCount, s.Gossip, s.PeerMessagesPerSecond = me, 300, true, 40
-	return newGate(t, s, fleet(4)...)
-}
-
-// wideRequest is of a customer that comes in through the gateways 10 to 109.
-func wideRequest(n int, customer uint64) Request {
-	q := newRequest(n, "safe", "rate", customer)
-	q.EntryNodes, q.FirstEntryNode = 100, 10
-	return q
-}
-
-// plan returns the plan of a name.
-func (b *Balancer) plan(name string) *quotaPlan { return &b.quotas.plans[b.planIndex[name]] }
-
 func probing() Settings {
 	s := testSettings()
 	s.HealthChecks, s.LoadReports = true, LoadReportsInHealthChecks
--- /dev/null
+++ b/balancer/owned_quota_test.go
@@ -0,0 +1,389 @@
+package balancer
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+// ownedQuotaNode is a node of a fleet of 300, which is so large that quotas have owners.
+func ownedQuotaNode(t *testing.T, index int) (*Balancer, *recorder) {
+	settings := testSettings()
+	settings.NodeIndex, settings.NodeCount, settings.Gossip, settings.PeerMessagesPerSecond = index, 300, true, 40
+	return newGate(t, settings, fleet(4)...)
+}
+
+// ownedQuotaRequest is a request of a tenant whose entry nodes are 10 to 109.
+func ownedQuotaRequest(n int, tenant uint64) Request {
+	request := newRequest(n, "safe", "rate", tenant)
+	request.EntryNodes, request.FirstEntryNode = 100, 10
+	return request
+}
+
+// timeOutQuotaRequest lets the time of a node's latest quota request pass without a grant.
+func timeOutQuotaRequest(node *Balancer, host *recorder, sentAt time.Duration) {
+	token := node.requests.lastNumber<<timerBits | timerQuotaRequest
+	node.TimerFired(sentAt+quotaRequestRepeatAfter, token, host)
+	node.TimerFired(sentAt+quotaRequestTimeout, token, host)
+}
+
+// ownerIndexOf returns the owner that a node asks for units of tenant 77.
+func ownerIndexOf(node *Balancer) int { return node.ownerFor(node.quotas.buckets[77]) }
+
+// requesterAndOwner returns a node that has sent a quota request of tenant 77, and the owner with its bucket.
+func requesterAndOwner(t *testing.T) (
+	requester, owner *Balancer, host, ownerHost *recorder, bucket *quotaBucket, ownerIndex int,
+) {
+	requester, host = ownedQuotaNode(t, 10)
+	requester.RequestArrived(t0, ownedQuotaRequest(1, 77), host)
+	ownerIndex = ownerIndexOf(requester)
+	owner, ownerHost = ownedQuotaNode(t, ownerIndex)
+	return requester, owner, host, ownerHost, owner.quotaFor(77, owner.plan("rate"), entryNodes{10, 100}), ownerIndex
+}
+
+// Gossip to a hundred nodes would come seconds late: the owner of the tenant's quota is asked, and its grant
+// decides.
+func TestQuotaRequestGoesToTheOwner(t *testing.T) {
+	const tenant = 77
+	requester, host := ownedQuotaNode(t, 10)
+	request := ownedQuotaRequest(1, tenant)
+	requester.RequestArrived(t0, request, host)
+	ownerIndex := ownerIndexOf(requester)
+	nodes := requester.quotas.buckets[tenant].entryNodes
+	if !nodes.contains(ownerIndex, requester.settings.NodeCount) ||
+		host.count("send")+host.count("refuse") != 0 || host.tells[ownerIndex] == nil {
+		t.Fatalf("owner %d, actions %v", ownerIndex, host.acts)
+	}
+	owner, ownerHost := ownedQuotaNode(t, ownerIndex)
+	owner.PeerMessage(t0, 10, host.tells[ownerIndex][0], ownerHost)
+	requester.PeerMessage(t0+20*ms, ownerIndex, ownerHost.tells[10][0], host)
+	if host.count("send") != 1 {
+		t.Errorf("not sent after a grant: %v", host.acts)
+	}
+	// A grant that comes again, or from another node, changes nothing.
+	host.acts = nil
+	for _, from := range []int{ownerIndex, 11, -1, 300} {
+		requester.PeerMessage(t0+30*ms, from, ownerHost.tells[10][0], host)
+	}
+	if len(host.acts) != 0 {
+		t.Errorf("%v", host.acts)
+	}
+}
+
+// All requesters together must not be granted more than the bucket holds.
+func TestOwnerGrantsItsBucketOnce(t *testing.T) {
+	const tenant = 77
+	first, host := ownedQuotaNode(t, 10)
+	first.RequestArrived(t0, ownedQuotaRequest(1, tenant), host)
+	ownerIndex := ownerIndexOf(first)
+	owner, ownerHost := ownedQuotaNode(t, ownerIndex)
+	sent := 0.0
+	for index := 10; index < 110; index++ {
+		if index == ownerIndex {
+			continue
+		}
+		node, host := ownedQuotaNode(t, index)
+		if node.ownerFor(node.quotaFor(tenant, node.plan("rate"), entryNodes{10, 100})) != ownerIndex {
+			continue // it asks the owner of another part
+		}
+		for n := 0; n < 4; n++ {
+			host.tells, ownerHost.tells = nil, nil
+			node.RequestArrived(t0, ownedQuotaRequest(n, tenant), host)
+			if host.tells != nil { // else it rejects locally
+				owner.PeerMessage(t0, index, host.tells[ownerIndex][0], ownerHost)
+				node.PeerMessage(t0, ownerIndex, ownerHost.tells[index][0], host)
+			}
+		}
+		sent += float64(host.count("send"))
+	}
+	if burst := owner.settings.Plans[owner.planIndex["rate"]].Burst; sent == 0 || sent > burst {
+		t.Errorf("%v sent of a burst of %v", sent, burst)
+	}
+}
+
+// An owner that is down must cost a wait, not the request.
+func TestUnansweredRequestFollowsTheGrantedFraction(t *testing.T) {
+	for _, granted := range []float64{0, 1} {
+		node, host := ownedQuotaNode(t, 10)
+		node.overQuota[tenantHash(77)] = overQuotaTenant{granted, t0}
+		node.RequestArrived(t0, ownedQuotaRequest(1, 77), host)
+		timeOutQuotaRequest(node, host, t0)
+		if got := host.count("send"); got != int(granted) || host.count("refuse") != 1-got {
+			t.Errorf("granted fraction %v: %v", granted, host.acts)
+		}
+	}
+}
+
+// A quota request changes nothing if its sender or its receiver is no entry node, or if it is malformed.
+func TestInvalidQuotaRequestsChangeNothing(t *testing.T) {
+	requester, host := ownedQuotaNode(t, 10)
+	requester.RequestArrived(t0, ownedQuotaRequest(1, 77), host)
+	good := host.tells[ownerIndexOf(requester)][0]
+	for _, c := range []struct{ index, from int }{{5, 10}, {20, 5}, {20, 250}} {
+		node, host := ownedQuotaNode(t, c.index)
+		node.PeerMessage(t0, c.from, good, host)
+		if len(node.quotas.buckets) != 0 || len(host.tells) != 0 {
+			t.Errorf("%+v: %d buckets, %d grants", c, len(node.quotas.buckets), len(host.tells))
+		}
+	}
+	node, nodeHost := ownedQuotaNode(t, 20)
+	for size := range good {
+		node.PeerMessage(t0, 10, good[:size], nodeHost)
+	}
+	node.PeerMessage(t0, 10, append(append([]byte{}, good...), 0), nodeHost)
+	if len(node.quotas.buckets) != 0 {
+		t.Error("a malformed quota request made a bucket")
+	}
+}
+
+// Rule 5: the parts of a hard limit at all entry nodes must not sum to more than the whole.
+func TestHardLimitPartsSumToTheWhole(t *testing.T) {
+	burst, rate := 0.0, 0.0
+	for index := 10; index < 110; index++ {
+		node, _ := ownedQuotaNode(t, index)
+		bucket := node.quotaFor(77, node.plan("rate"), entryNodes{10, 100})
+		burst, rate = burst+bucket.hardLimit.part.burst, rate+bucket.hardLimit.part.rate
+	}
+	if math.Abs(burst-1) > 1e-9 || math.Abs(rate-1) > 1e-9 {
+		t.Errorf("parts sum to %v of the burst and %v of the rate", burst, rate)
+	}
+}
+
+// The lease of an attempt must end soon after the attempt, also where the grant was lost, and a rejection
+// must not keep the tenant out for longer than a quota request takes.
+func TestConcurrencyLeasesAreReleased(t *testing.T) {
+	requester, host := ownedQuotaNode(t, 10)
+	request := ownedQuotaRequest(1, 77)
+	request.Plan = "open"
+	requester.RequestArrived(t0, request, host)
+	ownerIndex := ownerIndexOf(requester)
+	owner, ownerHost := ownedQuotaNode(t, ownerIndex)
+	owner.PeerMessage(t0, 10, host.tells[ownerIndex][0], ownerHost)
+	if n := len(owner.quotas.buckets[77].owner.leases); n != 1 {
+		t.Fatalf("%d leases", n)
+	}
+	host.tells = nil
+	timeOutQuotaRequest(requester, host, t0)
+	answer(requester, host, t0+quotaRequestTimeout+50*ms, 50*ms, OK)
+	for _, m := range host.tells[ownerIndex] {
+		owner.PeerMessage(t0+200*ms, 10, m, ownerHost)
+	}
+	if n := len(owner.quotas.buckets[77].owner.leases); n != 0 {
+		t.Errorf("%d leases after the response", n)
+	}
+	owner.quotas.buckets[77].inFlight = owner.settings.Plans[owner.planIndex["open"]].MaxConcurrent
+	granted, retryAfter := owner.quotas.buckets[77].check(owner.now, 1, owner.gossip.interval)
+	if granted || retryAfter > quotaRequestTimeout {
+		t.Errorf("granted %v, retry after %v", granted, retryAfter)
+	}
+}
+
+// Rule 5: an owner that has just started must not grant what one before it may have used up.
+func TestNewOwnerGrantsNoHardLimit(t *testing.T) {
+	requester, host := ownedQuotaNode(t, 10)
+	request := ownedQuotaRequest(1, 77)
+	request.Plan = "hard"
+	requester.RequestArrived(t0, request, host)
+	ownerIndex := ownerIndexOf(requester)
+	owner, ownerHost := ownedQuotaNode(t, ownerIndex)
+	owner.PeerMessage(t0, 10, host.tells[ownerIndex][0], ownerHost)
+	requester.PeerMessage(t0+ms, ownerIndex, ownerHost.tells[10][0], host)
+	if host.count("send") != 0 {
+		t.Errorf("%v", host.acts)
+	}
+}
+
+// Rule 1: a request that would wait for its owner longer than its client waits must be answered in time.
+func TestRequestAwaitingAGrantIsAnswered(t *testing.T) {
+	node, host := ownedQuotaNode(t, 10)
+	request := ownedQuotaRequest(1, 77)
+	request.Timeout = 30 * ms
+	node.RequestArrived(t0, request, host)
+	for _, timer := range host.timers {
+		deadline := node.requests.lastNumber<<timerBits | timerDeadline
+		if timer.token == deadline && timer.after < request.Timeout {
+			node.TimerFired(t0+timer.after, timer.token, host)
+		}
+	}
+	if host.count("refuse") != 1 {
+		t.Errorf("%v", host.acts)
+	}
+}
+
+// A tenant's entry nodes are not loaded alike: where its quota is kept in parts, one is rejected while
+// another part has tokens. One owner keeps it whole where its inbox takes the quota requests that the rate
+// can grant.
+func TestQuotaHasAsFewOwnersAsInboxesAllow(t *testing.T) {
+	for _, c := range []struct {
+		rate, perSecond, maxUnits float64
+		owners                    int
+	}{{35, 40, 8, 1}, {35, 40, 0, 2}, {400, 40, 8, 7}, {200, 40, 8, 5}} {
+		settings := testSettings()
+		settings.NodeCount, settings.PeerMessagesPerSecond, settings.MaxUnits = 80, c.perSecond, c.maxUnits
+		settings.Plans[1].Rate = c.rate
+		node, _ := newGate(t, settings, fleet(4)...)
+		bucket := node.quotaFor(77, node.plan("rate"), entryNodes{0, 7})
+		if !bucket.owned || bucket.sharers != c.owners {
+			t.Errorf("%+v: owned %v, by %d", c, bucket.owned, bucket.sharers)
+		}
+	}
+}
+
+// A rejected requester may ask again as soon as the bucket has its units, unless the owner's inbox fills: a
+// longer pause would outlast a tenant's burst and reject what is within its quota again.
+func TestRejectedRequesterPausesOnlyUnderPressure(t *testing.T) {
+	for _, c := range []struct {
+		inbox float64
+		pause bool
+	}{{0.4, false}, {0.9, true}} {
+		requester, host := ownedQuotaNode(t, 10)
+		requester.RequestArrived(t0, ownedQuotaRequest(1, 77), host)
+		ownerIndex := ownerIndexOf(requester)
+		owner, ownerHost := ownedQuotaNode(t, ownerIndex)
+		owner.quotaFor(77, owner.plan("rate"), entryNodes{10, 100}).tokens = 0
+		owner.inbox.rate = c.inbox * owner.settings.PeerMessagesPerSecond
+		owner.PeerMessage(t0, 10, host.tells[ownerIndex][0], ownerHost)
+		requester.PeerMessage(t0+ms, ownerIndex, ownerHost.tells[10][0], host)
+		if host.count("refuse") != 1 {
+			t.Fatalf("%v", host.acts)
+		}
+		if got := requester.quotas.buckets[77].requester.rejectedUntil > t0+time.Second; got != c.pause {
+			t.Errorf("inbox %v: no quota request until %v", c.inbox, requester.quotas.buckets[77].requester.rejectedUntil-t0)
+		}
+	}
+}
+
+// The units that a request used less than estimated must come back to the bucket of the owner.
+func TestOwnerLearnsUsedUnits(t *testing.T) {
+	settings := testSettings()
+	settings.NodeCount, settings.PeerMessagesPerSecond, settings.PostPaid = 300, 40, true
+	settings.NodeIndex = 10
+	requester, host := newGate(t, settings, fleet(4)...)
+	request := ownedQuotaRequest(1, 77)
+	request.Units = 7
+	requester.RequestArrived(t0, request, host)
+	ownerIndex := ownerIndexOf(requester)
+	owner, ownerHost := ownedQuotaNode(t, ownerIndex)
+	bucket := owner.quotaFor(77, owner.plan("rate"), entryNodes{10, 100})
+	full := bucket.tokens
+	owner.PeerMessage(t0, 10, host.tells[ownerIndex][0], ownerHost)
+	requester.PeerMessage(t0, ownerIndex, ownerHost.tells[10][0], host)
+	requester.AttemptFinished(t0, Outcome{ID: request.ID, Result: OK, Answered: true, Units: 2}, host)
+	for n := range 2 { // reported once, not again
+		next := ownedQuotaRequest(2+n, 77)
+		next.Units = 0
+		requester.RequestArrived(t0, next, host)
+		owner.PeerMessage(t0, 10, host.tells[ownerIndex][1+n], ownerHost)
+		if bucket.tokens != full-2 {
+			t.Errorf("%v tokens of %v after quota request %d, want 2 less", bucket.tokens, full, n)
+		}
+	}
+}
+
+// A lost message must cost neither the tenant its request nor the quota its units: a quota request is
+// repeated, and counts once.
+func TestRepeatedQuotaRequestCountsOnce(t *testing.T) {
+	requester, owner, host, ownerHost, bucket, ownerIndex := requesterAndOwner(t)
+	full := bucket.tokens
+	owner.PeerMessage(t0, 10, host.tells[ownerIndex][0], ownerHost) // the grant is lost
+	token := requester.requests.lastNumber<<timerBits | timerQuotaRequest
+	requester.TimerFired(t0+quotaRequestRepeatAfter, token, host)
+	if len(host.tells[ownerIndex]) != 2 {
+		t.Fatalf("%d quota requests", len(host.tells[ownerIndex]))
+	}
+	owner.PeerMessage(t0+quotaRequestRepeatAfter, 10, host.tells[ownerIndex][1], ownerHost)
+	refilled := bucket.plan.Rate / bucket.ownerCount * quotaRequestRepeatAfter.Seconds()
+	if want := full - ownedQuotaRequest(1, 77).Units + refilled; math.Abs(bucket.tokens-want) > 1e-6 {
+		t.Errorf("%v tokens of %v, want %v: one request taken", bucket.tokens, full, want)
+	}
+	requester.PeerMessage(t0+quotaRequestRepeatAfter+5*ms, ownerIndex, ownerHost.tells[10][1], host)
+	if host.count("send") != 1 {
+		t.Errorf("%v", host.acts)
+	}
+}
+
+// The owner may have counted an unanswered request or not: the quota request was lost or the grant, the one
+// as likely as the other. It learns half of the units, once, and what is so when the grant comes late after
+// all.
+func TestOwnerLearnsUnansweredAdmissions(t *testing.T) {
+	for name, c := range map[string]struct {
+		received, late bool
+		taken          float64 // of the five units
+	}{"request lost": {false, false, 2.5}, "grant lost": {true, false, 7.5}, "grant late": {true, true, 5}} {
+		requester, owner, host, ownerHost, bucket, ownerIndex := requesterAndOwner(t)
+		owner.PeerMessage(t0, 10, host.tells[ownerIndex][0], ownerHost) // the owner knows the requester
+		requester.concurrency.responseRate = 100                        // as of a node in service
+		bucket.tokens, bucket.refilledAt = 10, owner.now
+		request := ownedQuotaRequest(50, 77)
+		request.Units = 5
+		requester.RequestArrived(t0+ms, request, host)
+		if c.received {
+			owner.PeerMessage(t0+ms, 10, host.tells[ownerIndex][1], ownerHost)
+		}
+		timeOutQuotaRequest(requester, host, t0+ms)
+		if host.count("send") == 0 {
+			t.Fatalf("%s: not sent: %v", name, host.acts)
+		}
+		if c.late {
+			grants := ownerHost.tells[10]
+			requester.PeerMessage(t0+quotaRequestTimeout+2*ms, ownerIndex, grants[len(grants)-1], host)
+		}
+		for n := range 2 { // it learns once
+			next := ownedQuotaRequest(60+n, 77)
+			next.Units, host.tells = 0, nil
+			requester.RequestArrived(t0+150*ms, next, host)
+			if len(host.tells[ownerIndex]) != 1 {
+				t.Fatalf("%s: %d quota requests, want the next one's", name, len(host.tells[ownerIndex]))
+			}
+			owner.PeerMessage(t0+150*ms, 10, host.tells[ownerIndex][0], ownerHost)
+			want := 10 - c.taken + bucket.plan.Rate/bucket.ownerCount*0.15
+			if math.Abs(bucket.tokens-want) > 0.6 { // reported in whole units
+				t.Errorf("%s: %v tokens after quota request %d, want %v", name, bucket.tokens, n, want)
+			}
+		}
+	}
+}
+
+// In a network partition no owner is waited for, and owners must not take their requesters' silence for
+// rest: their buckets would be full after it, and grant what was used meanwhile once more.
+func TestPartitionNeitherWaitsNorRefills(t *testing.T) {
+	requester, owner, host, ownerHost, bucket, ownerIndex := requesterAndOwner(t)
+	for range maxUnansweredQuotaRequests {
+		requester.quotaRequester.recordUnanswered(1)
+	}
+	host.acts = nil
+	requester.RequestArrived(t0+ms, ownedQuotaRequest(2, 77), host)
+	if host.count("send")+host.count("refuse") != 1 {
+		t.Errorf("an isolated node waits: %v", host.acts)
+	}
+	now := t0
+	for n := range 40 { // the tenant uses all that the owner has, for seconds
+		now += 100 * ms
+		request := ownedQuotaRequest(100+n, 77)
+		requester.quotaRequester.recordMessage()
+		requester.RequestArrived(now, request, host)
+		sent := host.tells[ownerIndex]
+		owner.PeerMessage(now, 10, sent[len(sent)-1], ownerHost)
+	}
+	before := bucket.tokens
+	owner.now = now + 5*time.Second
+	owner.refill(bucket)
+	if full := bucket.plan.Burst / bucket.ownerCount; bucket.tokens > before+full/4 {
+		t.Errorf("%v tokens after a partition, %v before, full at %v", bucket.tokens, before, full)
+	}
+}
+
+// An owner that restarts has a full bucket. Reports that the tenant is over its quota say that it was not.
+func TestRestartedOwnerGrantsNoSecondBurst(t *testing.T) {
+	for _, granted := range []float64{1, 0.5} {
+		requester, host := ownedQuotaNode(t, 10)
+		requester.overQuota[tenantHash(77)] = overQuotaTenant{granted, t0}
+		requester.RequestArrived(t0, ownedQuotaRequest(1, 77), host)
+		ownerIndex := ownerIndexOf(requester)
+		owner, ownerHost := ownedQuotaNode(t, ownerIndex)
+		owner.PeerMessage(t0, 10, host.tells[ownerIndex][0], ownerHost)
+		if bucket := owner.quotas.buckets[77]; bucket.tokens > 0 != (granted == 1) {
+			t.Errorf("granted fraction %v: %v tokens", granted, bucket.tokens)
+		}
+	}
+}
