--- a/balancer/datagrams_test.go
+++ b/balancer/datagrams_test.go
@@ -5,11 +5,10 @@
 	"encoding/hex"
 	"fmt"
 	"log/slog"
+	"opalhook/internal/golden"
 	"strings"
 	"testing"
 	"time"
-
-	"opalhook/internal/golden"
 )
 
 // network connects nodes and writes a transcript of what they do. Each message is compared with the next one
@@ -237,8 +236,10 @@
 		q, at := entryNodesRequest(n, "rate", 77+uint64(n%6), float64(1+6*(n%4))), 10+n%2
 		l.request(at, q)
 		if endpointID := l.endpoint(q.ID); endpointID != "" {
-			l.outcome(at, Outcome{ID: q.ID, Result: results[n%len(results)], Answered: true, EndpointID: endpointID, Elapsed: 20 * ms,
-				LoadReport: &LoadReport{InFlight: float64(3 + 10*n), Queued: 2, Utilization: 0.5}})
+			l.outcome(at, Outcome{
+				ID: q.ID, Result: results[n%len(results)], Answered: true, EndpointID: endpointID, Elapsed: 20 * ms,
+				LoadReport: &LoadReport{InFlight: float64(3 + 10*n), Queued: 2, Utilization: 0.5},
+			})
 		}
 		if n%5 == 4 {
 			for at := range 3 {
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -31,18 +31,18 @@
 // messageOf returns a message of a node to another, with what it has learned: a quota request.
 func messageOf(g *Balancer, r *recorder, now time.Duration) []byte {
 	r.tells = nil
-	g.RequestArrived(now, ownedQuotaRequest(int(g.requests.lastNumber)+1, 77), r)
-	return r.tells[g.ownerFor(g.quotas.buckets[77])][0]
+	g.RequestArrived(now, ownedQuotaRequest(int(g.requests.lastNumber)+1), r)
+	return r.tells[g.ownerFor(g.quotas.buckets[ownedTenant])][0]
 }
 
-// countSent counts the requests that a node sends to an endpoint first, of many.
-func countSent(g *Balancer, r *recorder, now time.Duration, endpointID string) (to, all int) {
+// countSent counts the requests that a node sends to the endpoint s0 first, of many.
+func countSent(g *Balancer, r *recorder, now time.Duration) (to, all int) {
 	r.acts = nil
 	for n := range 200 {
 		q := newRequest(10000+n, "safe", "rate", uint64(1000+n))
 		g.RequestArrived(now, q, r)
 		if req := g.requests.byID[q.ID]; req != nil {
-			to += int(oneIf(req.attempts[0].endpoint.ID == endpointID))
+			to += int(oneIf(req.attempts[0].endpoint.ID == "s0"))
 			all++
 			g.AttemptFinished(now, Outcome{ID: q.ID, Result: OK, Answered: true, Elapsed: ms}, r)
 		}
@@ -58,11 +58,11 @@
 	}
 	msg := messageOf(sender, senderHost, t0+10*ms)
 	g, r := fleetNode(t, 11)
-	if to, all := countSent(g, r, t0+20*ms, "s0"); all < 100 || to < all/8 {
+	if to, all := countSent(g, r, t0+20*ms); all < 100 || to < all/8 {
 		t.Fatalf("%d of %d went to an endpoint of which nothing is known", to, all)
 	}
 	g.PeerMessage(t0+20*ms, 10, msg, r)
-	if to, all := countSent(g, r, t0+30*ms, "s0"); all < 100 || to > all/8 {
+	if to, all := countSent(g, r, t0+30*ms); all < 100 || to > all/8 {
 		t.Errorf("%d of %d went to the endpoint reported to hold 40", to, all)
 	}
 }
@@ -74,7 +74,7 @@
 	g, r := fleetNode(t, 11)
 	msg := messageOf(sender, senderHost, t0+10*ms)
 	g.PeerMessage(t0+20*ms, 10, msg, r)
-	if to, all := countSent(g, r, t0+30*ms, "s0"); all < 100 || to > 0 {
+	if to, all := countSent(g, r, t0+30*ms); all < 100 || to > 0 {
 		t.Errorf("%d of %d went to an endpoint reported to refuse connections", to, all)
 	}
 	// A repeated report must not keep the endpoint ejected for longer.
@@ -158,7 +158,7 @@
 		}
 	}
 	applyGossip(ErrorResponse, 3)
-	if to, all := countSent(g, r, now+20*ms, "s0"); all < 100 || to > 0 {
+	if to, all := countSent(g, r, now+20*ms); all < 100 || to > 0 {
 		t.Errorf("%d of %d went to an endpoint reported to fail", to, all)
 	}
 	applyGossip(OK, 8)
@@ -233,7 +233,7 @@
 	if got, want := g.reachable(), (reachableLoad{0, 3}); got != want {
 		t.Errorf("%+v after a second of silence, want %+v", got, want)
 	}
-	if to, all := countSent(g, r, t0+time.Second, "s0"); all < 100 || to > 0 {
+	if to, all := countSent(g, r, t0+time.Second); all < 100 || to > 0 {
 		t.Errorf("%d of %d went to an endpoint that no node hears of", to, all)
 	}
 	g.receiveLoads(encodedLoad(g.endpoints.trackedByID["s0"].shortHash, 3, 1))
--- a/balancer/owned_quota_test.go
+++ b/balancer/owned_quota_test.go
@@ -13,9 +13,12 @@
 	return newGate(t, settings, fleet(4)...)
 }
 
-// ownedQuotaRequest is a request of a tenant whose entry nodes are 10 to 109.
-func ownedQuotaRequest(n int, tenant uint64) Request {
-	request := newRequest(n, "safe", "rate", tenant)
+// ownedTenant comes in through the nodes 10 to 109.
+const ownedTenant = 77
+
+// ownedQuotaRequest is a request of the tenant.
+func ownedQuotaRequest(n int) Request {
+	request := newRequest(n, "safe", "rate", ownedTenant)
 	request.EntryNodes, request.FirstEntryNode = 100, 10
 	return request
 }
@@ -27,29 +30,28 @@
 	node.TimerFired(sentAt+quotaRequestTimeout, token, host)
 }
 
-// ownerIndexOf returns the owner that a node asks for units of tenant 77.
-func ownerIndexOf(node *Balancer) int { return node.ownerFor(node.quotas.buckets[77]) }
+// ownerIndexOf returns the owner that a node asks for units of the tenant.
+func ownerIndexOf(node *Balancer) int { return node.ownerFor(node.quotas.buckets[ownedTenant]) }
 
-// requesterAndOwner returns a node that has sent a quota request of tenant 77, and the owner with its bucket.
+// requesterAndOwner returns a node that has sent a quota request of the tenant, and the owner with its bucket.
 func requesterAndOwner(t *testing.T) (
 	requester, owner *Balancer, host, ownerHost *recorder, bucket *quotaBucket, ownerIndex int,
 ) {
 	requester, host = ownedQuotaNode(t, 10)
-	requester.RequestArrived(t0, ownedQuotaRequest(1, 77), host)
+	requester.RequestArrived(t0, ownedQuotaRequest(1), host)
 	ownerIndex = ownerIndexOf(requester)
 	owner, ownerHost = ownedQuotaNode(t, ownerIndex)
-	return requester, owner, host, ownerHost, owner.quotaFor(77, owner.plan("rate"), entryNodes{10, 100}), ownerIndex
+	return requester, owner, host, ownerHost, owner.quotaFor(ownedTenant, owner.ratePlan(), entryNodes{10, 100}), ownerIndex
 }
 
 // Gossip to a hundred nodes would come seconds late: the owner of the tenant's quota is asked, and its grant
 // decides.
 func TestQuotaRequestGoesToTheOwner(t *testing.T) {
-	const tenant = 77
 	requester, host := ownedQuotaNode(t, 10)
-	request := ownedQuotaRequest(1, tenant)
+	request := ownedQuotaRequest(1)
 	requester.RequestArrived(t0, request, host)
 	ownerIndex := ownerIndexOf(requester)
-	nodes := requester.quotas.buckets[tenant].entryNodes
+	nodes := requester.quotas.buckets[ownedTenant].entryNodes
 	if !nodes.contains(ownerIndex, requester.settings.NodeCount) ||
 		host.count("send")+host.count("refuse") != 0 || host.tells[ownerIndex] == nil {
 		t.Fatalf("owner %d, actions %v", ownerIndex, host.acts)
@@ -72,9 +74,8 @@
 
 // All requesters together must not be granted more than the bucket holds.
 func TestOwnerGrantsItsBucketOnce(t *testing.T) {
-	const tenant = 77
 	first, host := ownedQuotaNode(t, 10)
-	first.RequestArrived(t0, ownedQuotaRequest(1, tenant), host)
+	first.RequestArrived(t0, ownedQuotaRequest(1), host)
 	ownerIndex := ownerIndexOf(first)
 	owner, ownerHost := ownedQuotaNode(t, ownerIndex)
 	sent := 0.0
@@ -83,12 +84,12 @@
 			continue
 		}
 		node, host := ownedQuotaNode(t, index)
-		if node.ownerFor(node.quotaFor(tenant, node.plan("rate"), entryNodes{10, 100})) != ownerIndex {
+		if node.ownerFor(node.quotaFor(ownedTenant, node.ratePlan(), entryNodes{10, 100})) != ownerIndex {
 			continue // it asks the owner of another part
 		}
 		for n := 0; n < 4; n++ {
 			host.tells, ownerHost.tells = nil, nil
-			node.RequestArrived(t0, ownedQuotaRequest(n, tenant), host)
+			node.RequestArrived(t0, ownedQuotaRequest(n), host)
 			if host.tells != nil { // else it rejects locally
 				owner.PeerMessage(t0, index, host.tells[ownerIndex][0], ownerHost)
 				node.PeerMessage(t0, ownerIndex, ownerHost.tells[index][0], host)
@@ -105,8 +106,8 @@
 func TestUnansweredRequestFollowsTheGrantedFraction(t *testing.T) {
 	for _, granted := range []float64{0, 1} {
 		node, host := ownedQuotaNode(t, 10)
-		node.overQuota[tenantHash(77)] = overQuotaTenant{granted, t0}
-		node.RequestArrived(t0, ownedQuotaRequest(1, 77), host)
+		node.overQuota[tenantHash(ownedTenant)] = overQuotaTenant{granted, t0}
+		node.RequestArrived(t0, ownedQuotaRequest(1), host)
 		timeOutQuotaRequest(node, host, t0)
 		if got := host.count("send"); got != int(granted) || host.count("refuse") != 1-got {
 			t.Errorf("granted fraction %v: %v", granted, host.acts)
@@ -117,7 +118,7 @@
 // A quota request changes nothing if its sender or its receiver is no entry node, or if it is malformed.
 func TestInvalidQuotaRequestsChangeNothing(t *testing.T) {
 	requester, host := ownedQuotaNode(t, 10)
-	requester.RequestArrived(t0, ownedQuotaRequest(1, 77), host)
+	requester.RequestArrived(t0, ownedQuotaRequest(1), host)
 	good := host.tells[ownerIndexOf(requester)][0]
 	for _, c := range []struct{ index, from int }{{5, 10}, {20, 5}, {20, 250}} {
 		node, host := ownedQuotaNode(t, c.index)
@@ -141,7 +142,7 @@
 	burst, rate := 0.0, 0.0
 	for index := 10; index < 110; index++ {
 		node, _ := ownedQuotaNode(t, index)
-		bucket := node.quotaFor(77, node.plan("rate"), entryNodes{10, 100})
+		bucket := node.quotaFor(ownedTenant, node.ratePlan(), entryNodes{10, 100})
 		burst, rate = burst+bucket.hardLimit.part.burst, rate+bucket.hardLimit.part.rate
 	}
 	if math.Abs(burst-1) > 1e-9 || math.Abs(rate-1) > 1e-9 {
@@ -153,13 +154,13 @@
 // must not keep the tenant out for longer than a quota request takes.
 func TestConcurrencyLeasesAreReleased(t *testing.T) {
 	requester, host := ownedQuotaNode(t, 10)
-	request := ownedQuotaRequest(1, 77)
+	request := ownedQuotaRequest(1)
 	request.Plan = "open"
 	requester.RequestArrived(t0, request, host)
 	ownerIndex := ownerIndexOf(requester)
 	owner, ownerHost := ownedQuotaNode(t, ownerIndex)
 	owner.PeerMessage(t0, 10, host.tells[ownerIndex][0], ownerHost)
-	if n := len(owner.quotas.buckets[77].owner.leases); n != 1 {
+	if n := len(owner.quotas.buckets[ownedTenant].owner.leases); n != 1 {
 		t.Fatalf("%d leases", n)
 	}
 	host.tells = nil
@@ -168,11 +169,11 @@
 	for _, m := range host.tells[ownerIndex] {
 		owner.PeerMessage(t0+200*ms, 10, m, ownerHost)
 	}
-	if n := len(owner.quotas.buckets[77].owner.leases); n != 0 {
+	if n := len(owner.quotas.buckets[ownedTenant].owner.leases); n != 0 {
 		t.Errorf("%d leases after the response", n)
 	}
-	owner.quotas.buckets[77].inFlight = owner.settings.Plans[owner.planIndex["open"]].MaxConcurrent
-	granted, retryAfter := owner.quotas.buckets[77].check(owner.now, 1, owner.gossip.interval)
+	owner.quotas.buckets[ownedTenant].inFlight = owner.settings.Plans[owner.planIndex["open"]].MaxConcurrent
+	granted, retryAfter := owner.quotas.buckets[ownedTenant].check(owner.now, 1, owner.gossip.interval)
 	if granted || retryAfter > quotaRequestTimeout {
 		t.Errorf("granted %v, retry after %v", granted, retryAfter)
 	}
@@ -181,7 +182,7 @@
 // Rule 5: an owner that has just started must not grant what one before it may have used up.
 func TestNewOwnerGrantsNoHardLimit(t *testing.T) {
 	requester, host := ownedQuotaNode(t, 10)
-	request := ownedQuotaRequest(1, 77)
+	request := ownedQuotaRequest(1)
 	request.Plan = "hard"
 	requester.RequestArrived(t0, request, host)
 	ownerIndex := ownerIndexOf(requester)
@@ -196,7 +197,7 @@
 // Rule 1: a request that would wait for its owner longer than its client waits must be answered in time.
 func TestRequestAwaitingAGrantIsAnswered(t *testing.T) {
 	node, host := ownedQuotaNode(t, 10)
-	request := ownedQuotaRequest(1, 77)
+	request := ownedQuotaRequest(1)
 	request.Timeout = 30 * ms
 	node.RequestArrived(t0, request, host)
 	for _, timer := range host.timers {
@@ -222,7 +223,7 @@
 		settings.NodeCount, settings.PeerMessagesPerSecond, settings.MaxUnits = 80, c.perSecond, c.maxUnits
 		settings.Plans[1].Rate = c.rate
 		node, _ := newGate(t, settings, fleet(4)...)
-		bucket := node.quotaFor(77, node.plan("rate"), entryNodes{0, 7})
+		bucket := node.quotaFor(ownedTenant, node.ratePlan(), entryNodes{0, 7})
 		if !bucket.owned || bucket.sharers != c.owners {
 			t.Errorf("%+v: owned %v, by %d", c, bucket.owned, bucket.sharers)
 		}
@@ -237,18 +238,18 @@
 		pause bool
 	}{{0.4, false}, {0.9, true}} {
 		requester, host := ownedQuotaNode(t, 10)
-		requester.RequestArrived(t0, ownedQuotaRequest(1, 77), host)
+		requester.RequestArrived(t0, ownedQuotaRequest(1), host)
 		ownerIndex := ownerIndexOf(requester)
 		owner, ownerHost := ownedQuotaNode(t, ownerIndex)
-		owner.quotaFor(77, owner.plan("rate"), entryNodes{10, 100}).tokens = 0
+		owner.quotaFor(ownedTenant, owner.ratePlan(), entryNodes{10, 100}).tokens = 0
 		owner.inbox.rate = c.inbox * owner.settings.PeerMessagesPerSecond
 		owner.PeerMessage(t0, 10, host.tells[ownerIndex][0], ownerHost)
 		requester.PeerMessage(t0+ms, ownerIndex, ownerHost.tells[10][0], host)
 		if host.count("refuse") != 1 {
 			t.Fatalf("%v", host.acts)
 		}
-		if got := requester.quotas.buckets[77].requester.rejectedUntil > t0+time.Second; got != c.pause {
-			t.Errorf("inbox %v: no quota request until %v", c.inbox, requester.quotas.buckets[77].requester.rejectedUntil-t0)
+		if got := requester.quotas.buckets[ownedTenant].requester.rejectedUntil > t0+time.Second; got != c.pause {
+			t.Errorf("inbox %v: no quota request until %v", c.inbox, requester.quotas.buckets[ownedTenant].requester.rejectedUntil-t0)
 		}
 	}
 }
@@ -259,18 +260,18 @@
 	settings.NodeCount, settings.PeerMessagesPerSecond, settings.PostPaid = 300, 40, true
 	settings.NodeIndex = 10
 	requester, host := newGate(t, settings, fleet(4)...)
-	request := ownedQuotaRequest(1, 77)
+	request := ownedQuotaRequest(1)
 	request.Units = 7
 	requester.RequestArrived(t0, request, host)
 	ownerIndex := ownerIndexOf(requester)
 	owner, ownerHost := ownedQuotaNode(t, ownerIndex)
-	bucket := owner.quotaFor(77, owner.plan("rate"), entryNodes{10, 100})
+	bucket := owner.quotaFor(ownedTenant, owner.ratePlan(), entryNodes{10, 100})
 	full := bucket.tokens
 	owner.PeerMessage(t0, 10, host.tells[ownerIndex][0], ownerHost)
 	requester.PeerMessage(t0, ownerIndex, ownerHost.tells[10][0], host)
 	requester.AttemptFinished(t0, Outcome{ID: request.ID, Result: OK, Answered: true, Units: 2}, host)
 	for n := range 2 { // reported once, not again
-		next := ownedQuotaRequest(2+n, 77)
+		next := ownedQuotaRequest(2 + n)
 		next.Units = 0
 		requester.RequestArrived(t0, next, host)
 		owner.PeerMessage(t0, 10, host.tells[ownerIndex][1+n], ownerHost)
@@ -293,7 +294,7 @@
 	}
 	owner.PeerMessage(t0+quotaRequestRepeatAfter, 10, host.tells[ownerIndex][1], ownerHost)
 	refilled := bucket.plan.Rate / bucket.ownerCount * quotaRequestRepeatAfter.Seconds()
-	if want := full - ownedQuotaRequest(1, 77).Units + refilled; math.Abs(bucket.tokens-want) > 1e-6 {
+	if want := full - ownedQuotaRequest(1).Units + refilled; math.Abs(bucket.tokens-want) > 1e-6 {
 		t.Errorf("%v tokens of %v, want %v: one request taken", bucket.tokens, full, want)
 	}
 	requester.PeerMessage(t0+quotaRequestRepeatAfter+5*ms, ownerIndex, ownerHost.tells[10][1], host)
@@ -314,7 +315,7 @@
 		owner.PeerMessage(t0, 10, host.tells[ownerIndex][0], ownerHost) // the owner knows the requester
 		requester.concurrency.responseRate = 100                        // as of a node in service
 		bucket.tokens, bucket.refilledAt = 10, owner.now
-		request := ownedQuotaRequest(50, 77)
+		request := ownedQuotaRequest(50)
 		request.Units = 5
 		requester.RequestArrived(t0+ms, request, host)
 		if c.received {
@@ -329,7 +330,7 @@
 			requester.PeerMessage(t0+quotaRequestTimeout+2*ms, ownerIndex, grants[len(grants)-1], host)
 		}
 		for n := range 2 { // it learns once
-			next := ownedQuotaRequest(60+n, 77)
+			next := ownedQuotaRequest(60 + n)
 			next.Units, host.tells = 0, nil
 			requester.RequestArrived(t0+150*ms, next, host)
 			if len(host.tells[ownerIndex]) != 1 {
@@ -352,14 +353,14 @@
 		requester.quotaRequester.recordUnanswered(1)
 	}
 	host.acts = nil
-	requester.RequestArrived(t0+ms, ownedQuotaRequest(2, 77), host)
+	requester.RequestArrived(t0+ms, ownedQuotaRequest(2), host)
 	if host.count("send")+host.count("refuse") != 1 {
 		t.Errorf("an isolated node waits: %v", host.acts)
 	}
 	now := t0
 	for n := range 40 { // the tenant uses all that the owner has, for seconds
 		now += 100 * ms
-		request := ownedQuotaRequest(100+n, 77)
+		request := ownedQuotaRequest(100 + n)
 		requester.quotaRequester.recordMessage()
 		requester.RequestArrived(now, request, host)
 		sent := host.tells[ownerIndex]
@@ -377,12 +378,12 @@
 func TestRestartedOwnerGrantsNoSecondBurst(t *testing.T) {
 	for _, granted := range []float64{1, 0.5} {
 		requester, host := ownedQuotaNode(t, 10)
-		requester.overQuota[tenantHash(77)] = overQuotaTenant{granted, t0}
-		requester.RequestArrived(t0, ownedQuotaRequest(1, 77), host)
+		requester.overQuota[tenantHash(ownedTenant)] = overQuotaTenant{granted, t0}
+		requester.RequestArrived(t0, ownedQuotaRequest(1), host)
 		ownerIndex := ownerIndexOf(requester)
 		owner, ownerHost := ownedQuotaNode(t, ownerIndex)
 		owner.PeerMessage(t0, 10, host.tells[ownerIndex][0], ownerHost)
-		if bucket := owner.quotas.buckets[77]; bucket.tokens > 0 != (granted == 1) {
+		if bucket := owner.quotas.buckets[ownedTenant]; bucket.tokens > 0 != (granted == 1) {
 			t.Errorf("granted fraction %v: %v tokens", granted, bucket.tokens)
 		}
 	}
--- a/balancer/quota_test.go
+++ b/balancer/quota_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// plan returns the plan of a name.
-func (b *Balancer) plan(name string) *quotaPlan { return &b.quotas.plans[b.planIndex[name]] }
+// ratePlan returns the plan with a rate.
+func (b *Balancer) ratePlan() *quotaPlan { return b.quotas.plan(b.planIndex["rate"]) }
 
 func TestSplitQuotaBetweenRounds(t *testing.T) {
 	settings := testSettings()
