--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -11,7 +11,7 @@
 	maxNewEntryBytes = 180
 )
 
-// gossiper tells peers of the use of quotas that are split between nodes, in rounds, and keeps their
+// gossiper reports the use of split quotas to peers, in rounds, and keeps their
 // messages in order.
 type gossiper struct {
 	enabled    bool
@@ -32,7 +32,7 @@
 	receivedSequence uint64 // the highest
 }
 
-// newGossiper returns a gossiper whose epoch tells this process from those of the node before a restart.
+// newGossiper returns a gossiper whose epoch distinguishes this process from those before a restart.
 func newGossiper(settings *Settings, epoch uint64) gossiper {
 	return gossiper{
 		enabled:  settings.Gossip && settings.NodeCount > 1,
@@ -52,14 +52,14 @@
 	return max(time.Duration(seconds*float64(time.Second)), settings.Tick, minGossipInterval)
 }
 
-// markUnreported has the next round tell of a bucket. Of owned ones nothing is told: their owners know.
+// markUnreported has the next round report a bucket. Owned ones are not reported: their owners know.
 func (g *gossiper) markUnreported(bucket *quotaBucket) {
 	if g.enabled && !bucket.owned && bucket.queueForGossip() {
 		g.unreported = append(g.unreported, bucket)
 	}
 }
 
-// sendRound tells each peer of the buckets of which it is an entry node. It returns the highest number of
+// sendRound reports to each peer the buckets of which it is an entry node. It returns the highest number of
 // messages that one peer was sent.
 func (g *gossiper) sendRound(codec *codec, actions Actions) (maxSent int) {
 	for peer := range g.peers {
@@ -160,6 +160,6 @@
 
 func (b *Balancer) markUnreported(bucket *quotaBucket) { b.gossip.markUnreported(bucket) }
 
-// ownsQuotas tells whether quotas have owners: the fleet is so large that gossip to all of it would come too
-// late to go by.
+// ownsQuotas reports whether quotas have owners: the fleet is so large that gossip to all of it would come
+// too late to go by.
 func (b *Balancer) ownsQuotas() bool { return b.quotas.haveOwners }
--- a/balancer/load_gossip.go
+++ b/balancer/load_gossip.go
@@ -16,7 +16,7 @@
 	maxLoadEntries = 12
 )
 
-// receiveLoads takes in what another node knows of endpoints, where it is newer than what is known here.
+// receiveLoads records what another node reports of endpoints, where it is newer than what is known here.
 func (b *Balancer) receiveLoads(loads []peerLoad) {
 	for i := range loads {
 		load := &loads[i]
@@ -35,7 +35,7 @@
 	}
 }
 
-// peerLoad is what this node tells others of the endpoint.
+// peerLoad is what this node reports of the endpoint.
 func (s *endpoint) peerLoad(now time.Duration) peerLoad {
 	load := peerLoad{endpointHash: s.shortHash, load: s.load.requests, age: now - s.load.reportedAt}
 	switch {
@@ -47,7 +47,7 @@
 	return load
 }
 
-// appendFreshestLoads appends the loads to tell another node.
+// appendFreshestLoads appends the loads to report to another node.
 func (b *Balancer) appendFreshestLoads(loads []peerLoad, node int) []peerLoad {
 	var buffer [maxLoadEntries]*endpoint
 	for _, endpoint := range b.freshestLoads(&buffer, node) {
@@ -78,7 +78,7 @@
 // node's own: what was reported of it, the less the older that is.
 func (b *Balancer) expectedOtherLoad(s *endpoint) float64 {
 	if !b.ownsQuotas() {
-		return 0 // In a small fleet a node's own attempts tell it more, and sooner.
+		return 0 // In a small fleet a node's own attempts show more, and sooner.
 	}
 	return s.load.expectedOtherNodes(b.now, b.endpoints.meanLoad)
 }
--- a/balancer/peer_messages.go
+++ b/balancer/peer_messages.go
@@ -25,7 +25,7 @@
 	i.received = 0
 }
 
-// underPressure tells whether so many messages come that they may soon be more than the node takes in.
+// underPressure reports whether so many messages come that they may soon be more than the node takes in.
 func (i *peerInbox) underPressure() bool { return i.rate > inboxPressureFraction*i.capacity }
 
 // PeerMessage is the arrival of a message of another node. A malformed one is ignored whole.
--- a/balancer/quota_bucket.go
+++ b/balancer/quota_bucket.go
@@ -16,13 +16,13 @@
 	maxMissedGossipIntervals = 10
 	// finalIdleReports is the reports of no attempts in flight after which a bucket is left out of gossip.
 	finalIdleReports = 3
-	// maxRefillTime bounds the time that a client is told to wait for units.
+	// maxRefillTime bounds the time after which a client may retry for want of units.
 	maxRefillTime = time.Minute
 )
 
 // quotaBucket is one tenant's quota as this node sees it: a token bucket for the rate, the attempts in
 // flight, and this node's part of the hard limit. A quota is either split between the entry nodes, which
-// tell each other of their use, or owned by a few of them, which grant the others' requests.
+// report their use to each other, or owned by a few of them, which grant the others' requests.
 type quotaBucket struct {
 	tenant     uint64
 	plan       *quotaPlan
@@ -59,14 +59,28 @@
 	reportedAt time.Duration
 }
 
-// refill adds the units since the last call. lastMessage is when any peer was heard last.
+// initialTokens are the tokens of a new bucket, so many seconds after the start of the node. A split one was
+// refilled since then: one that was dropped for being full comes back full. An owner's starts with its part
+// of the burst, or empty for a tenant known to be over its quota: an owner that has restarted would grant a
+// second burst.
+func (q *quotaBucket) initialTokens(sinceStart, grantedFraction float64) float64 {
+	switch {
+	case !q.owned:
+		return math.Min(q.plan.Burst, q.plan.Burst/float64(q.sharers)+q.plan.Rate*sinceStart)
+	case grantedFraction < overQuotaThreshold:
+		return 0
+	}
+	return q.plan.Burst / q.ownerCount
+}
+
+// refill adds the units since the last call. lastMessage is when the last message of any peer came.
 func (q *quotaBucket) refill(now, lastMessage time.Duration) {
 	plan := q.plan
 	seconds := (now - q.refilledAt).Seconds()
 	q.refilledAt = now
 	rate := plan.Rate / q.ownerCount
 	if q.owner.hasRequesters() && now-lastMessage > isolatedAfter {
-		// The requesters that the owner does not hear go on as before.
+		// The requesters are taken to acquire as before while their messages do not come.
 		floor := -math.Max(q.tokens, 0) / math.Max(seconds, 1e-9)
 		rate = math.Max(rate-q.owner.heldGrantRate(now), floor)
 	}
@@ -74,7 +88,7 @@
 	q.hardLimit.refill(plan, seconds)
 }
 
-// check tells whether units and one more attempt are within the quota and, if not, when to come back.
+// check reports whether units and one more attempt are within the quota and, if not, when to come back.
 func (q *quotaBucket) check(now time.Duration, units float64, gossipInterval time.Duration) (
 	granted bool, retryAfter time.Duration,
 ) {
@@ -93,7 +107,7 @@
 	return true, 0
 }
 
-// hasConcurrency tells whether this node may start one more attempt before the next round of gossip.
+// hasConcurrency reports whether this node may start one more attempt before the next round of gossip.
 func (q *quotaBucket) hasConcurrency(now, gossipInterval time.Duration) bool {
 	headroom := q.concurrencyHeadroom(now, gossipInterval)
 	required := 1
@@ -107,7 +121,7 @@
 	return q.use.requests == 0 || float64(q.use.requests+1) <= part
 }
 
-// hasTokens tells whether this node may acquire units before the next round of gossip.
+// hasTokens reports whether this node may acquire units before the next round of gossip.
 //
 // Exception: the first request after a round needs only its own units, or the parts of a small bucket would
 // be too small for any. A congested tenant has that request waiting at each of its nodes: there the bucket
@@ -171,7 +185,7 @@
 // requestersPerOwner is the whole number of entry nodes that ask each owner.
 func (q *quotaBucket) requestersPerOwner() float64 { return float64(q.entryNodes.count / q.sharers) }
 
-// congested tells whether the tenant was rejected of late.
+// congested reports whether the tenant was rejected of late.
 func (q *quotaBucket) congested(now time.Duration) bool { return now < q.congestedUntil }
 
 // requestStarted, attemptStarted and attemptFinished count this node's use of the concurrency.
@@ -193,8 +207,8 @@
 	return gossipEntry{q.tenant, q.plan.index, q.entryNodes, q.use.units, q.inFlight}
 }
 
-// closeGossipRound takes in that the use was reported, in whole units. It tells whether the next round must
-// report it too: attempts in flight are, until the last reports have said that there are none.
+// closeGossipRound ends a round in which the use was reported, in whole units. It reports whether the next
+// round must report it too: attempts in flight are, until the last reports have said that there are none.
 func (q *quotaBucket) closeGossipRound() bool {
 	q.use.units -= math.Round(q.use.units)
 	q.use.acquired, q.use.requests = 0, 0
@@ -205,7 +219,7 @@
 	return q.use.queued
 }
 
-// applyPeerUse takes in a peer's report.
+// applyPeerUse applies a peer's report of its use.
 func (q *quotaBucket) applyPeerUse(now time.Duration, peer, nodeCount int, entry *gossipEntry) {
 	if q.plan.Rate > 0 {
 		q.tokens = math.Max(q.tokens-entry.units, -q.plan.Burst)
@@ -218,7 +232,7 @@
 	}
 }
 
-// idle tells whether the bucket may be dropped: it was full for a burst's time, with nothing in flight and
+// idle reports whether the bucket may be dropped: it was full for a burst's time, with nothing in flight and
 // nothing to report.
 func (q *quotaBucket) idle(now time.Duration) bool {
 	plan := q.plan
@@ -259,7 +273,7 @@
 	h.tokens = math.Min(h.tokens+plan.HardLimitRate*h.part.rate*seconds, plan.HardLimitBurst*h.part.burst)
 }
 
-// covers tells whether units are within the limit.
+// covers reports whether units are within the limit.
 func (h *nodeHardLimit) covers(plan *quotaPlan, units float64) bool {
 	return plan.HardLimitRate <= 0 || h.tokens >= units
 }
--- a/balancer/quota_owner.go
+++ b/balancer/quota_owner.go
@@ -9,7 +9,7 @@
 const (
 	// demandDecay is the time constant of the averages of a tenant's demand and grants.
 	demandDecay = 3 * time.Second
-	// isolatedSpendPeriod is the time over which requesters that don't hear their owner spend its tokens.
+	// isolatedSpendPeriod is the time over which requesters without grants may spend the tokens.
 	isolatedSpendPeriod = 5 * time.Second
 	// maxAnsweredRequests is the number of answers that an owner keeps for requests that come again.
 	maxAnsweredRequests = 8
@@ -17,12 +17,12 @@
 
 // quotaOwner answers the quota requests of other nodes out of the buckets that this node owns.
 type quotaOwner struct {
-	capacity      float64 // quota requests for one tenant that the node takes in a second
+	capacity      float64 // see [ownerCapacity]
 	leaseDuration time.Duration
 }
 
 func newQuotaOwner(settings *Settings, leaseDuration time.Duration) quotaOwner {
-	return quotaOwner{quotaInboxFraction * settings.PeerMessagesPerSecond, leaseDuration}
+	return quotaOwner{ownerCapacity(settings), leaseDuration}
 }
 
 // ownerState is the owner's side of one owned quota.
@@ -31,7 +31,7 @@
 	grantRate       float64 // units granted per second, averaged
 	ratesAt         time.Duration
 	grantedFraction float64                // of the demand that can be granted
-	requesters      map[int]reconciliation // last heard of each, by node
+	requesters      map[int]reconciliation // the last of each, by node
 	answered        []answeredRequest      // oldest first
 	leases          []concurrencyLease     // of attempts in flight that were granted
 }
@@ -51,8 +51,8 @@
 	expiresAt time.Duration
 }
 
-// answer answers a quota request for which the owner has no answer yet. underPressure tells that the node's
-// inbox is.
+// answer answers a quota request for which the owner has no answer yet. underPressure
+// says that the node's inbox is.
 func (o *quotaOwner) answer(now time.Duration, bucket *quotaBucket, requester int, request *quotaRequest,
 	gossipInterval time.Duration, underPressure bool,
 ) quotaGrant {
@@ -81,8 +81,8 @@
 	}
 }
 
-// estimateGrantedFraction sets the fraction of the demand that requesters may admit which don't hear the
-// owner, given the units per second that they may spend.
+// estimateGrantedFraction sets the fraction of the demand that requesters may admit without
+// grants, given the units per second that they may spend.
 func (o *ownerState) estimateGrantedFraction(spendableRate float64) {
 	o.grantedFraction = math.Min(1, spendableRate/math.Max(o.demandRate, 1e-9))
 }
@@ -104,7 +104,7 @@
 	o.answered = append(o.answered, answered)
 }
 
-// reconcile takes in a requester's sum of corrections. It returns the units by which it has changed.
+// reconcile records a requester's sum of corrections. It returns the units by which it has changed.
 func (o *ownerState) reconcile(requester int, sum reconciliation) (units float64) {
 	previous, known := o.requesters[requester]
 	if o.requesters == nil {
@@ -207,7 +207,7 @@
 	b.actions.SendPeer(from, encodeQuotaGrant(&grant, b.piggybackFor(from)))
 }
 
-// receiveReconciliation takes in a requester's corrections that come without a quota request.
+// receiveReconciliation applies a requester's corrections that come without a quota request.
 func (b *Balancer) receiveReconciliation(from int, tenant uint64, sum reconciliation) {
 	bucket := b.quotas.find(tenant)
 	if bucket != nil && bucket.owned && bucket.entryNodes.contains(from, b.settings.NodeCount) {
--- a/balancer/quota_requester.go
+++ b/balancer/quota_requester.go
@@ -35,7 +35,7 @@
 	quotaUnanswered                               // decided without the owner, which gave no grant in time
 )
 
-// awaitsGrant tells whether the request waits for the owner.
+// awaitsGrant reports whether the request waits for the owner.
 func (s quotaRequestState) awaitsGrant() bool {
 	return s == quotaRequested || s == quotaRequestedOnce || s == quotaRequestRepeated
 }
@@ -60,7 +60,7 @@
 	quotaOwner    int
 	units         float64
 	sent          bool    // to an endpoint, not rejected
-	reportedUnits float64 // what the owner was told to add for it
+	reportedUnits float64 // what was reported to the owner for it
 	at            time.Duration
 }
 
@@ -75,13 +75,13 @@
 	return 0
 }
 
-// expectUnits reckons what the owner has to add. Either the quota request was lost or the grant, the one as
+// expectUnits estimates what the owner has to add. Either the quota request was lost or the grant, the one as
 // likely as the other: half of what each would change. grantedFraction is the probability of a grant.
 func (a *unansweredAdmission) expectUnits(grantedFraction float64) float64 {
 	return (a.unreconciledUnits(true)*grantedFraction + a.unreconciledUnits(false)*(2-grantedFraction)) / 2
 }
 
-// recordMessage takes in that some peer was heard.
+// recordMessage records a message of any peer.
 func (q *quotaRequester) recordMessage() { q.consecutiveUnanswered = 0 }
 
 func (q *quotaRequester) recordGrant(owner int) { q.unanswered[owner] = 0 }
@@ -91,17 +91,17 @@
 	q.consecutiveUnanswered++
 }
 
-// isolated tells whether quota requests come to nothing whomever they go to.
+// isolated reports whether quota requests get no grant, whichever node they go to.
 func (q *quotaRequester) isolated() bool {
 	return q.consecutiveUnanswered >= maxUnansweredQuotaRequests
 }
 
-// waitsFor tells whether a request should wait for a grant of the owner.
+// waitsFor reports whether a request should wait for a grant of the owner.
 func (q *quotaRequester) waitsFor(owner int) bool {
 	return !q.isolated() && q.unanswered[owner] < maxUnansweredQuotaRequests
 }
 
-// mayRepeat tells whether a quota request to the owner may be sent once more: its last one was granted, and
+// mayRepeat reports whether a quota request to the owner may be sent once more: its last one was granted, and
 // the inboxes aren't so full that repeats would make it worse.
 func (q *quotaRequester) mayRepeat(owner int, inboxPressure bool) bool {
 	return q.unanswered[owner] == 0 && !inboxPressure
@@ -133,14 +133,14 @@
 
 // requesterState is the requester's side of one owned quota.
 type requesterState struct {
-	incarnation   uint64  // of the bucket: tells its sum from that of one before it
-	reconciled    float64 // units: what true figures left over or lacked, less what was sent without a grant
-	reported      float64 // of these, what the owner was told last
+	incarnation   uint64  // of the bucket: distinguishes its sum from that of one before
+	reconciled    float64 // units that the owner must add, since the start of the incarnation
+	reported      float64 // the sum in the last report to the owner
 	rejectedUnits float64 // rejected without a quota request since the last one
 	rejectedUntil time.Duration
 }
 
-// rejects tells whether the owner has rejected the tenant's requests for now, and for how long.
+// rejects reports whether the owner has rejected the tenant's requests for now, and for how long.
 func (s *requesterState) rejects(now time.Duration) (remaining time.Duration, rejected bool) {
 	return s.rejectedUntil - now, now < s.rejectedUntil
 }
@@ -166,10 +166,10 @@
 	}
 }
 
-// unreported is the change of the sum since the owner was told.
+// unreported is the change of the sum since the last report.
 func (s *requesterState) unreported() float64 { return s.reconciled - s.reported }
 
-// report returns the sum in whole units and takes it for told.
+// report returns the sum in whole units and counts it as reported.
 func (s *requesterState) report() reconciliation {
 	s.reported = math.Round(s.reconciled)
 	return reconciliation{s.incarnation, s.reported}
@@ -220,9 +220,9 @@
 	}
 }
 
-// decideWithoutOwner admits a request with the probability of a grant, as far as the owner has told it. It
-// covers lost messages, owners that are down, stalled or flooded, and network partitions; it does harm while
-// that probability changes unheard. The owner counts what is sent later, or by itself (see
+// decideWithoutOwner admits a request with the probability of a grant, as far as the owner has reported it.
+// It covers lost messages, owners that are down, stalled or flooded, and network partitions; it does harm
+// while that probability changes unreported. The owner counts what is sent later, or by itself (see
 // [quotaBucket.refill]).
 func (b *Balancer) decideWithoutOwner(r *request) {
 	r.quotaState = quotaUnanswered
@@ -240,10 +240,10 @@
 	b.quotaRequester.recordAdmission(r.number, admission)
 }
 
-// isolated tells whether this node's quota requests come to nothing.
+// isolated reports whether this node's quota requests come to nothing.
 func (b *Balancer) isolated() bool { return b.quotaRequester.isolated() }
 
-// receiveQuotaGrant takes in an owner's answer.
+// receiveQuotaGrant goes on with the request that an owner has answered.
 func (b *Balancer) receiveQuotaGrant(from int, grant *quotaGrant) {
 	b.quotaRequester.recordGrant(from)
 	r := b.requests.byNumber[grant.number]
@@ -260,8 +260,8 @@
 	b.admit(r, grant.granted, grant.retryAfter)
 }
 
-// receiveLateGrant takes in an answer for which no request waits: it says what the owner has taken from its
-// tokens.
+// receiveLateGrant corrects for a request that did not wait for the grant: that says what the owner took
+// from its tokens.
 func (b *Balancer) receiveLateGrant(from int, grant *quotaGrant) {
 	if admission, ok := b.quotaRequester.takeAdmission(grant.number, from); ok {
 		units := admission.unreconciledUnits(grant.granted) - admission.reportedUnits
@@ -291,7 +291,7 @@
 	}
 }
 
-// reconcileUnits takes in by how many units a request used less than was estimated. An owner learns that
+// reconcileUnits returns the units that a request used less than was estimated. An owner learns that
 // with the tenant's next quota request, since a message for each response would fill the inboxes by half as
 // much again. It learns it sooner where the quota is nearly used up and the sum is large.
 func (b *Balancer) reconcileUnits(r *request, units float64) {
--- a/balancer/quota_table.go
+++ b/balancer/quota_table.go
@@ -12,7 +12,7 @@
 	quotaInboxFraction = 0.5
 	// meanUnitsFraction estimates the units of a mean request as a fraction of the largest: most are small.
 	meanUnitsFraction = 0.25
-	// maxIncarnation is the number of incarnations of a bucket that an owner tells apart.
+	// maxIncarnation is the number of incarnations of a bucket that an owner distinguishes.
 	maxIncarnation = 1 << 14
 	// quotaSweeps is the number of control intervals in which all buckets are checked for idleness.
 	quotaSweeps = 8
@@ -30,7 +30,7 @@
 	first, count int
 }
 
-// contains tells whether a node is one of them.
+// contains reports whether a node is one of them.
 func (e entryNodes) contains(node, nodeCount int) bool {
 	return (node-e.first+nodeCount)%nodeCount < e.count
 }
@@ -43,11 +43,10 @@
 	node, nodeCount int
 	plans           []quotaPlan
 	haveOwners      bool
-	// ownerCapacity is the quota requests per second that an owner takes for one tenant.
-	ownerCapacity float64
-	maxUnits      float64 // of one request; 0: unknown
-	startedAt     time.Duration
-	random        *rand.Rand
+	ownerCapacity   float64 // see [ownerCapacity]
+	maxUnits        float64 // of one request; 0: unknown
+	startedAt       time.Duration
+	random          *rand.Rand
 
 	buckets       map[uint64]*quotaBucket // by tenant
 	order         []*quotaBucket          // in which they are checked for idleness
@@ -60,7 +59,7 @@
 		nodeCount:     settings.NodeCount,
 		plans:         make([]quotaPlan, len(settings.Plans)),
 		haveOwners:    settings.Gossip && gossipInterval(settings) > assessmentIntervals*controlInterval,
-		ownerCapacity: quotaInboxFraction * settings.PeerMessagesPerSecond,
+		ownerCapacity: ownerCapacity(settings),
 		maxUnits:      settings.MaxUnits,
 		random:        random,
 		buckets:       map[uint64]*quotaBucket{},
@@ -71,6 +70,11 @@
 	return table
 }
 
+// ownerCapacity is the quota requests for one tenant that an owner takes in a second.
+func ownerCapacity(settings *Settings) float64 {
+	return quotaInboxFraction * settings.PeerMessagesPerSecond
+}
+
 // start begins the filling of buckets.
 func (t *quotaTable) start(now time.Duration) { t.startedAt = now }
 
@@ -88,18 +92,12 @@
 		requester: requesterState{incarnation: t.random.Uint64N(maxIncarnation)},
 		owner:     ownerState{grantedFraction: 1},
 	}
-	sinceStart := (now - t.startedAt).Seconds()
 	if t.haveOwners && nodes.count > 1 {
 		bucket.owned, bucket.sharers = true, t.ownersNeeded(plan, nodes.count)
 		bucket.ownerCount = float64(bucket.sharers)
-		bucket.tokens = plan.Burst / bucket.ownerCount
-		if grantedFraction < overQuotaThreshold {
-			bucket.tokens = 0 // An owner that has restarted would grant a second burst.
-		}
-	} else {
-		// Refilled since the start of the node: a bucket that was dropped for being full comes back full.
-		bucket.tokens = math.Min(plan.Burst, plan.Burst/float64(bucket.sharers)+plan.Rate*sinceStart)
 	}
+	sinceStart := (now - t.startedAt).Seconds()
+	bucket.tokens = bucket.initialTokens(sinceStart, grantedFraction)
 	bucket.hardLimit = newNodeHardLimit(plan, sinceStart, t.hardLimitPart(bucket))
 	t.buckets[tenant] = bucket
 	t.order = append(t.order, bucket)
