--- a/balancer/quota_requester.go
+++ b/balancer/quota_requester.go
@@ -175,19 +175,25 @@
 	return reconciliation{s.incarnation, s.reported}
 }
 
+// quotaRequest returns the message that asks an owner for units of the quota. It counts what it carries as
+// reported.
+func (q *quotaBucket) quotaRequest(number uint64, units float64) quotaRequest {
+	return quotaRequest{
+		number:               number,
+		tenant:               q.tenant,
+		plan:                 q.plan.index,
+		entryNodes:           q.entryNodes,
+		units:                units,
+		reconciliation:       q.requester.report(),
+		locallyRejectedUnits: q.requester.takeRejected(),
+	}
+}
+
 // requestQuota asks the owner for the units of a request, for the first or second time, and decides at once
 // where no grant is to be expected.
 func (b *Balancer) requestQuota(r *request) {
 	r.quota.requester.renew(b.rng)
-	message := quotaRequest{
-		number:               r.number,
-		tenant:               r.quota.tenant,
-		plan:                 r.quota.plan.index,
-		entryNodes:           r.quota.entryNodes,
-		units:                r.Units,
-		reconciliation:       r.quota.requester.report(),
-		locallyRejectedUnits: r.quota.requester.takeRejected(),
-	}
+	message := r.quota.quotaRequest(r.number, r.Units)
 	b.actions.SendPeer(r.quotaOwner, b.codec.encodeQuotaRequest(&message, b.piggybackFor(r.quotaOwner)))
 	switch {
 	case !b.quotaRequester.waitsFor(r.quotaOwner):
--- a/balancer/quota_test.go
+++ b/balancer/quota_test.go
@@ -158,18 +158,26 @@
 	f.Add([]byte{})
 	f.Add([]byte{1, 1, 1, 5, 0, 2, 0})
 	f.Add([]byte{1, 1, 255, 255, 255, 255, 15, 5, 0, 2, 0})
-	settings := testSettings()
-	settings.NodeCount = 3
-	f.Fuzz(func(t *testing.T, b []byte) {
-		node, err := New(settings, 1)
-		if err != nil {
-			t.Fatal(err)
-		}
-		host := &recorder{}
-		node.Start(t0, host)
-		node.PeerMessage(t0, 1, b, host)
-		if len(node.quotas.buckets) > len(b) {
-			t.Errorf("%d buckets from %d bytes", len(node.quotas.buckets), len(b))
+	split, owned := testSettings(), testSettings()
+	split.NodeCount = 3
+	owned.NodeCount, owned.PeerMessagesPerSecond = 300, 40
+	codec, attached := codec{owned.Plans, owned.NodeCount}, testPiggyback()
+	f.Add(codec.encodeQuotaRequest(&quotaRequest{entryNodes: entryNodes{0, 100}, units: 1}, &attached))
+	f.Add(encodeQuotaGrant(&quotaGrant{number: 1, retryAfter: time.Second}, &attached))
+	f.Add(encodeQuotaRelease(quotaRelease{units: 1}))
+	f.Add(encodeReconciliation(0, reconciliation{1, 7}))
+	f.Fuzz(func(t *testing.T, message []byte) {
+		for _, settings := range []Settings{split, owned} {
+			node, err := New(settings, 1)
+			if err != nil {
+				t.Fatal(err)
+			}
+			host := &recorder{}
+			node.Start(t0, host)
+			node.PeerMessage(t0, 1, message, host)
+			if len(node.quotas.buckets) > len(message) {
+				t.Errorf("%d buckets from %d bytes", len(node.quotas.buckets), len(message))
+			}
 		}
 	})
 }
