--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -109,16 +109,13 @@
 // startAttempt sends the request to the endpoint.
 func (b *Balancer) startAttempt(r *request, to *endpoint) {
 	timeout := b.attemptTimeout(r)
-	if to.inFlight == 0 {
-		to.lastProgress = b.now
-	}
-	to.inFlight++
+	to.beginAttempt(b.now)
 	b.concurrency.inFlight++
 	r.inFlight++
 	r.quota.attemptStarted()
 	b.markUnreported(r.quota)
 	if b.warmUpFraction(to) < 1 {
-		to.slowStartTokens = math.Max(to.slowStartTokens-1, 0)
+		to.slowStart.withdraw()
 	}
 	sendBy := b.retryDeadline(r)
 	r.attempts = append(r.attempts, attempt{endpoint: to, sentAt: b.now, zone: to.Zone, cell: to.Cell})
--- /dev/null
+++ b/balancer/tracking_test.go
@@ -0,0 +1,120 @@
+package balancer
+
+import (
+	"reflect"
+	"slices"
+	"testing"
+	"time"
+)
+
+// A removed endpoint is tracked until its attempts have ended, whatever the list does.
+func TestRemovedEndpointIsTrackedWhileAttemptsAreInFlight(t *testing.T) {
+	b, r := newGate(t, subsetSettings(100), testEndpoints(400)...)
+	b.RequestArrived(t0, newRequest(1, "safe", "rate", 1), r)
+	s := b.requests.byID["r1"].attempts[0].endpoint
+	e := s.Endpoint
+	e.State = Removed
+	b.EndpointsUpdated(t0, UpdateDelta, []Endpoint{e}, r)
+	b.TimerFired(t0+time.Minute, timerControlInterval, r)
+	if b.endpoints.trackedByID[s.ID] != s || s.acceptsRequests() {
+		t.Fatal("dropped with an attempt in flight, or still accepting requests")
+	}
+	b.AttemptFinished(t0+time.Minute, Outcome{ID: "r1", Result: OK, Answered: true, Elapsed: ms}, r)
+	b.TimerFired(t0+time.Minute+controlInterval, timerControlInterval, r)
+	if b.endpoints.trackedByID[s.ID] != nil {
+		t.Error("tracked after its attempts have ended")
+	}
+}
+
+// A removed endpoint that is tracked for its attempts is dropped by the first change of the list after they
+// have ended, also in a small fleet, which drops nothing in between.
+func TestRemovedEndpointIsDroppedOnceAttemptsEnd(t *testing.T) {
+	for _, nodes := range []int{1, 100} {
+		b, r := newGate(t, subsetSettings(nodes), fleet(3)...)
+		b.RequestArrived(t0, newRequest(1, "safe", "rate", 1), r)
+		s := b.requests.byID["r1"].attempts[0].endpoint
+		gone, other := s.Endpoint, fleet(3)[0]
+		if other.ID == gone.ID {
+			other = fleet(3)[1]
+		}
+		gone.State, other.State = Removed, Draining
+		b.EndpointsUpdated(t0, UpdateDelta, []Endpoint{gone}, r)
+		b.EndpointsUpdated(t0, UpdateDelta, []Endpoint{other}, r)
+		if b.endpoints.trackedByID[s.ID] != s {
+			t.Fatalf("%d nodes: dropped with an attempt in flight", nodes)
+		}
+		b.AttemptFinished(t0+ms, Outcome{ID: "r1", Result: OK, Answered: true, Elapsed: ms}, r)
+		other.State = Up
+		b.EndpointsUpdated(t0+ms, UpdateDelta, []Endpoint{other}, r)
+		if b.endpoints.trackedByID[s.ID] != nil || slices.Contains(b.endpoints.tracked, s) {
+			t.Errorf("%d nodes: tracked after its attempts have ended", nodes)
+		}
+	}
+}
+
+func TestIsInUse(t *testing.T) {
+	set := newEndpointSet(&Settings{
+		NodeCount: 1, SlowStartInitialFraction: 0.5,
+		SlowStartDuration: 10 * time.Second,
+	})
+	for _, test := range []struct {
+		name   string
+		change func(e *endpoint)
+		want   bool
+	}{
+		{"used long ago", func(*endpoint) {}, false},
+		{"of the subset", func(e *endpoint) { e.inSubset = true }, true},
+		{"of the subset, no longer listed", func(e *endpoint) { e.inSubset, e.listed = true, false }, false},
+		{"attempt in flight", func(e *endpoint) { e.inFlight = 1 }, true},
+		{"attempt in flight, no longer listed", func(e *endpoint) { e.inFlight, e.listed = 1, false }, true},
+		{"used at the retention's start", func(e *endpoint) { e.lastProgress = t0 - reserveRetention }, true},
+		{"used before", func(e *endpoint) { e.lastProgress = t0 - reserveRetention - 1 }, false},
+		{
+			"used just now, no longer listed", func(e *endpoint) { e.lastProgress, e.listed = t0, false },
+			false,
+		},
+		{"ejected", func(e *endpoint) { e.health.ejectedUntil = t0 + 1 }, true},
+		{"ejection at its end", func(e *endpoint) { e.health.ejectedUntil = t0 }, false},
+		{"cold", func(e *endpoint) { e.StartedAt = t0 - 10*time.Second + 1 }, true},
+		{"warm", func(e *endpoint) { e.StartedAt = t0 - 10*time.Second }, false},
+		{"cold by a failed connection", func(e *endpoint) { e.restarts.suspect(t0) }, true},
+	} {
+		e := newEndpoint(Endpoint{ID: "s0"})
+		e.lastProgress = t0 - time.Hour
+		test.change(e)
+		if got := set.isInUse(t0, e); got != test.want {
+			t.Errorf("%s: %v, want %v", test.name, got, test.want)
+		}
+	}
+}
+
+// A restarted endpoint is another process: what was learned of the one before does not hold. What the
+// machine has shown does.
+func TestRestartForgetsTheProcess(t *testing.T) {
+	e := newEndpoint(Endpoint{ID: "s0"})
+	learn := func() {
+		e.latencyRatio = 3
+		e.recordLoad(7, t0)
+		e.load.queued, e.load.refusesConnections, e.load.lastResponseFailed = 2, true, true
+		e.load.utilizationReportedAt = t0
+		e.health = endpointHealth{
+			errorRate: 1, consecutiveEjections: 2, ejectedUntil: t0,
+			unreachable: true, lastResponse: t0, lastCheck: t0,
+		}
+		e.slowStart.startEmpty(t0)
+	}
+	learn()
+	e.update(Endpoint{ID: "s0", State: Draining})
+	if e.latencyRatio != 3 || e.health.errorRate != 1 || e.load.requests != 7 || e.acceptsRequests() {
+		t.Errorf("forgotten without a restart, or not draining: %+v", e)
+	}
+	learn()
+	e.update(Endpoint{ID: "s0", StartedAt: t0})
+	fresh := newEndpoint(Endpoint{ID: "s0", StartedAt: t0})
+	fresh.health.lastResponse, fresh.health.lastCheck = t0, t0
+	fresh.load.otherNodes, fresh.load.utilizationReportedAt = 7, t0
+	fresh.slowStart.accruedAt = t0
+	if !reflect.DeepEqual(e, fresh) {
+		t.Errorf("after a restart %+v, want %+v", e, fresh)
+	}
+}
--- a/internal/testbed/fault.go
+++ b/internal/testbed/fault.go
@@ -7,20 +7,20 @@
 )
 
 // playFaults carries out the schedule's faults, each when it is due.
-func (w *world) playFaults() {
-	for _, e := range w.d.Faults {
-		if d := e.At - w.now(); d > 0 && !w.sleep(d) {
+func (env *environment) playFaults() {
+	for _, e := range env.schedule.Faults {
+		if d := e.At - env.now(); d > 0 && !env.sleep(d) {
 			return
 		}
-		ft := &w.s.Faults[e.Fault]
-		w.log.Info("fault", "at", e.At.Seconds(), "what", ft.describe(e))
+		ft := &env.scenario.Faults[e.Fault]
+		env.log.Info("fault injected", "at", e.At.Seconds(), "fault", ft.describe(e))
 		// A restart waits for a process to end: the time line goes on.
-		w.work.Go(func() {
-			if err := w.applyFault(ft, e); err != nil {
+		env.work.Go(func() {
+			if err := env.applyFault(ft, e); err != nil {
 				select {
-				case <-w.over: // what is under way as the run ends is ended, too
+				case <-env.over: // what is under way as the run ends is ended, too
 				default:
-					w.fail(fmt.Errorf("fault %s at %v: %w", ft.describe(e), e.At, err))
+					env.fail(fmt.Errorf("fault %s at %v: %w", ft.describe(e), e.At, err))
 				}
 			}
 		})
@@ -28,121 +28,146 @@
 }
 
 // applyFault begins or ends a fault at one target.
-func (w *world) applyFault(ft *Fault, e Event) error {
-	var n *nodeState
-	var s *appServer
-	switch faultKinds[ft.Kind].target {
-	case "nodes":
-		n = w.nodes[e.Target]
-	case "servers":
-		s = w.servers[e.Target]
-	}
-	share := func(set func(*serverFaults, float64)) {
-		size := ft.Size
-		if e.End {
-			size = 0
-		}
-		s.fault(func(f *serverFaults, _ *model) { set(f, size) })
+func (env *environment) applyFault(ft *Fault, e FaultEvent) error {
+	switch {
+	case strings.HasPrefix(ft.Kind, "list-"):
+		return env.applyListFault(ft, e.End)
+	case faultKinds[ft.Kind].relays, ft.Kind == "peer-loss":
+		return env.applyNetworkFault(ft, e)
+	case faultKinds[ft.Kind].target == faultsNodes:
+		return env.applyNodeFault(ft, env.nodes[e.Target], e.End)
+	case faultKinds[ft.Kind].target == faultsServers:
+		return applyServerFault(ft, env.servers[e.Target], e.End)
 	}
+	return env.loseZone(ft.Zone, e.End)
+}
+
+// applyNodeFault begins or ends a fault of an edge node's process.
+func (env *environment) applyNodeFault(ft *Fault, n *edgeNode, end bool) error {
+	switch {
+	case ft.Kind == "stall":
+		return env.stall(n, !end)
+	case ft.Kind == "kill" && end:
+		return env.startNode(n)
+	case ft.Kind == "kill":
+		return env.kill(n)
+	case ft.Kind == "restart" && !end:
+		return env.restart(n)
+	case ft.Kind == "hup" && !end:
+		return env.moveDiscovery(n)
+	}
+	return nil // a restart and a move end by themselves
+}
+
+// applyServerFault begins or ends a fault of an app server.
+func applyServerFault(ft *Fault, s *appServer, end bool) error {
 	switch ft.Kind {
-	case "kill":
-		if e.End {
-			return w.startNode(n)
-		}
-		return w.kill(n)
-	case "restart":
-		if e.End {
-			return nil
-		}
-		return w.restart(n)
-	case "stall":
-		return w.stall(n, !e.End)
-	case "hup":
-		if e.End {
-			return nil
-		}
-		return w.move(n)
-	case "slow":
-		s.fault(func(_ *serverFaults, m *model) {
-			if m.slow = ft.Size; e.End {
-				m.slow = 1
-			}
-		})
-	case "hang":
-		s.fault(func(f *serverFaults, _ *model) { f.hang = !e.End })
-	case "error":
-		share(func(f *serverFaults, x float64) { f.errors = x })
-	case "reset":
-		share(func(f *serverFaults, x float64) { f.resets = x })
-	case "spoil":
-		share(func(f *serverFaults, x float64) { f.bad = x })
 	case "dead":
-		if e.End {
-			return s.revive(false)
+		if end {
+			return s.restart(false)
 		}
-		s.die()
+		s.crash()
 	case "drain":
-		if e.End {
-			s.gone()
+		if end {
+			s.remove()
 		} else {
 			s.drain()
 		}
 	case "replace":
-		if !e.End {
-			s.gone()
-			return s.revive(true)
-		}
-	case "lose-zone":
-		for _, i := range w.s.Fleet.inZone(w.s.Fleet.Servers, ft.Zone) {
-			if !e.End {
-				w.servers[i].die()
-			} else if err := w.servers[i].revive(false); err != nil {
-				return err
-			}
+		if !end {
+			s.remove()
+			return s.restart(true)
+		}
+	default:
+		s.fault(func(f *serverFaults, m *model) { f.set(ft, m, end) })
+	}
+	return nil
+}
+
+// set begins or ends a fault of a server that goes on.
+func (f *serverFaults) set(ft *Fault, m *model, end bool) {
+	share := ft.Size
+	if end {
+		share = 0
+	}
+	switch ft.Kind {
+	case "slow":
+		if m.slow = ft.Size; end {
+			m.slow = 1
+		}
+	case "hang":
+		f.hang = !end
+	case "error":
+		f.errors = share
+	case "reset":
+		f.resets = share
+	case "spoil":
+		f.malformed = share
+	}
+}
+
+// loseZone ends the app servers of a zone, or starts them again.
+func (env *environment) loseZone(zone string, end bool) error {
+	for _, i := range env.scenario.Fleet.inZone(env.scenario.Fleet.Servers, zone) {
+		if !end {
+			env.servers[i].crash()
+			continue
+		}
+		if err := env.servers[i].restart(false); err != nil {
+			return err
 		}
+	}
+	return nil
+}
+
+// applyNetworkFault begins or ends a fault of what carries bytes between parties.
+func (env *environment) applyNetworkFault(ft *Fault, e FaultEvent) error {
+	switch ft.Kind {
 	case "cut-zone":
-		inside := func(i int) bool { return w.s.Fleet.zoneOf(i) == ft.Zone }
-		return w.cut(ft.Way, !e.End, inside, inside)
+		inside := func(i int) bool { return env.scenario.Fleet.zoneOf(i) == ft.Zone }
+		return env.cut(ft.Way, !e.End, inside, inside)
 	case "cut-node":
-		return w.cut(ft.Way, !e.End, func(i int) bool { return i == e.Target }, func(int) bool { return false })
+		return env.cut(ft.Way, !e.End, func(i int) bool { return i == e.Target }, func(int) bool { return false })
 	case "link":
-		return w.applyLinkFault(ft, e.End)
-	case "peer-loss":
-		loss := ft.Size
-		if e.End {
-			loss = w.s.Fleet.PeerLoss
-		}
-		w.udp.setLoss(loss)
+		return env.applyLinkFault(ft, e.End)
+	}
+	loss := ft.Size
+	if e.End {
+		loss = env.scenario.Fleet.PeerLoss
+	}
+	env.udp.setLoss(loss)
+	return nil
+}
+
+// applyListFault begins or ends a fault of discovery.
+func (env *environment) applyListFault(ft *Fault, end bool) error {
+	switch ft.Kind {
 	case "list-late":
-		w.list.mu.Lock()
-		if w.list.late = time.Duration(ft.Late); e.End {
-			w.list.late = 0
-		}
-		w.list.mu.Unlock()
+		env.list.setExtraDelay(time.Duration(ft.Delay), end)
 	case "list-down":
-		w.list.setDown(!e.End)
+		env.list.setDown(!end)
 	case "list-reset", "list-silent":
-		if !e.End {
-			w.list.disturb(ft.Kind == "list-silent")
+		if !end {
+			env.list.breakWatches(ft.Kind == "list-silent")
 		}
 	case "list-words":
-		if w.list.word(ft.Does); e.End {
-			w.list.word("")
+		if env.list.setEncoding(ft.Does); end {
+			env.list.setEncoding("")
 		}
 	case "list-kill":
-		if e.End {
-			return w.list.service.revive()
+		if end {
+			return env.list.service.restartKilled()
 		}
-		return w.list.service.kill(ft.Share == 1)
+		return env.list.service.kill(ft.Share == 1)
 	}
 	return nil
 }
 
 // cut changes the links between what is inside and what is outside: out is from inside to
 // outside, in the other way.
-func (w *world) cut(way string, cut bool, nodeInside, serverInside func(int) bool) error {
+func (env *environment) cut(way string, cut bool, nodeInside, serverInside func(int) bool) error {
 	out, in := way != "in", way != "out"
-	for k, r := range w.relays {
+	for k, r := range env.relays {
 		if k[0].kind != "node" || k[1].kind != "server" {
 			continue
 		}
@@ -162,11 +187,11 @@
 			return err
 		}
 	}
-	for i := range w.nodes {
-		for j := range w.nodes {
+	for i := range env.nodes {
+		for j := range env.nodes {
 			if nodeInside(i) && !nodeInside(j) {
-				w.udp.set(i, j, func(l *LinkState) { l.Cut = cut && out })
-				w.udp.set(j, i, func(l *LinkState) { l.Cut = cut && in })
+				env.udp.set(i, j, func(l *LinkState) { l.Cut = cut && out })
+				env.udp.set(j, i, func(l *LinkState) { l.Cut = cut && in })
 			}
 		}
 	}
@@ -175,12 +200,12 @@
 
 // applyLinkFault begins or ends a fault of links: what goes from one party to the other, and for
 // resets and refusals the connections between them.
-func (w *world) applyLinkFault(ft *Fault, end bool) error {
-	from, err := w.s.parties(ft.From)
+func (env *environment) applyLinkFault(ft *Fault, end bool) error {
+	from, err := env.scenario.parties(ft.From)
 	if err != nil {
 		return err
 	}
-	to, err := w.s.parties(ft.To)
+	to, err := env.scenario.parties(ft.To)
 	if err != nil {
 		return err
 	}
@@ -195,7 +220,7 @@
 		case "loss":
 			l.Loss = x * ft.Size
 		case "delay":
-			l.Delay = time.Duration(x * float64(ft.Late))
+			l.Delay = time.Duration(x * float64(ft.Delay))
 		case "rate":
 			l.Rate = x * ft.Size
 		}
@@ -206,9 +231,9 @@
 				b.number = a.number
 			}
 			if a.kind == "node" && b.kind == "node" && a != b {
-				w.udp.set(a.number, b.number, change)
+				env.udp.set(a.number, b.number, change)
 			}
-			there, back := w.relays[[2]party{a, b}], w.relays[[2]party{b, a}]
+			there, back := env.relays[[2]party{a, b}], env.relays[[2]party{b, a}]
 			var err error
 			switch {
 			case there != nil && (ft.Does == "reset" || ft.Does == "refuse"):
@@ -226,8 +251,8 @@
 	return nil
 }
 
-// describe names what a fault does, for logs and pictures.
-func (ft *Fault) describe(e Event) string {
+// describe names what a fault does, for logs and charts.
+func (ft *Fault) describe(e FaultEvent) string {
 	var b strings.Builder
 	b.WriteString(ft.Kind)
 	if e.Target >= 0 {
--- a/internal/testbed/sweep.go
+++ b/internal/testbed/sweep.go
@@ -1,6 +1,7 @@
 package testbed
 
 import (
+	"cmp"
 	"context"
 	"encoding/json"
 	"errors"
@@ -13,43 +14,41 @@
 	"strings"
 	"sync"
 	"time"
-
-	"github.com/pelletier/go-toml/v2"
 )
 
-// SweepOptions say which trials a sweep plays and how.
+// SweepOptions say which generated scenarios a sweep plays and how.
 type SweepOptions struct {
 	From, To uint64        // seeds, both played
-	Aim      string        // one of Aims; "": anything
-	Jobs     int           // trials played at once
-	Budget   time.Duration // no trial begins after it, and no reduction goes on; 0: none
-	Reduce   int           // plays that the reduction of a failing trial may take; 0: it is not reduced
+	Rule     string        // one of TargetRules; "": anything
+	Jobs     int           // generated scenarios played at once
+	Budget   time.Duration // no generated scenario begins after it, and no reduction goes on; 0: none
+	Reduce   int           // plays that the reduction of a failing generated scenario may take; 0: it is not reduced
 	Binary   string        // of the edge node
-	Dir      string        // takes a folder for each failing trial, and the report
+	Dir      string        // takes a folder for each failing generated scenario, and the report
 	Log      *slog.Logger
-	Live     func(done, of int, t Trial) // called as trials end; may be nil
+	Live     func(done, of int, t GeneratedRun) // called as generated scenarios end; may be nil
 }
 
-// Verdict is what came of a trial.
+// Verdict is what came of a generated scenario.
 type Verdict string
 
-// Verdicts. A trial in which no rule was broken counts as passed only where the machine gave the
+// Verdicts. A generated scenario in which no rule was broken counts as passed only where the machine gave the
 // lab and the nodes what they needed: one too slow for the draw judges nothing.
 const (
 	Passed    Verdict = "passed"
-	Broke     Verdict = "broke a rule"
+	BrokeRule Verdict = "broke a rule"
 	NotJudged Verdict = "not judged"
 	NotPlayed Verdict = "not played"
 )
 
-// Trial is one draw and what came of it.
-type Trial struct {
+// GeneratedRun is one draw and what came of it.
+type GeneratedRun struct {
 	Seed    uint64         `json:"seed"`
 	Verdict Verdict        `json:"verdict"`
 	Rules   map[string]int `json:"rules,omitempty"` // broken ones; "crash" for processes that ended
 	First   string         `json:"first,omitempty"` // of the violations
-	Why     string         `json:"why,omitempty"`   // it was not judged or played
-	Again   string         `json:"again,omitempty"` // the command that plays it again
+	Reason  string         `json:"why,omitempty"`   // it was not judged or played
+	Command string         `json:"again,omitempty"` // the command that plays it again
 	Reduced string         `json:"reduced,omitempty"`
 	Size    string         `json:"size"`
 	Faults  []string       `json:"faults"`
@@ -58,110 +57,144 @@
 
 // SweepReport is all that a sweep played, by seed.
 type SweepReport struct {
-	Aim    string          `json:"rule,omitempty"`
+	Rule   string          `json:"rule,omitempty"`
 	From   uint64          `json:"from"`
 	To     uint64          `json:"to"`
 	Played int             `json:"played"`
 	Counts map[Verdict]int `json:"verdicts"`
 	Ended  string          `json:"ended,omitempty"` // why before the last seed
-	Trials []Trial         `json:"trials"`
+	Runs   []GeneratedRun  `json:"trials"`
 }
 
-// OK tells whether every trial that was played was judged by its rules and kept them; what was
+// OK tells whether every generated scenario that was played was judged by its rules and kept them; what was
 // not judged is no failure, nor is it a pass.
-func (r *SweepReport) OK() bool { return r.Counts[Broke] == 0 && r.Counts[NotPlayed] == 0 }
+func (r *SweepReport) OK() bool { return r.Counts[BrokeRule] == 0 && r.Counts[NotPlayed] == 0 }
 
-// Sweep plays the trials of a range of seeds. A signal or the budget ends it early: the report
-// has what was played. The error is of the lab itself.
+// Sweep plays the generated scenarios of a range of seeds. A signal or the budget ends it early: the report
+// has what was played. The error is of the testbed itself.
 func Sweep(ctx context.Context, o SweepOptions) (*SweepReport, error) {
-	switch {
-	case o.From > o.To:
-		return nil, fmt.Errorf("seeds: %d-%d ends before it begins", o.From, o.To)
-	case o.To-o.From >= mostTrials:
-		return nil, fmt.Errorf("seeds: %d-%d are over %d", o.From, o.To, mostTrials)
-	case o.Jobs < 1:
-		return nil, fmt.Errorf("jobs: %d is below 1", o.Jobs)
-	}
-	if _, err := DrawTrial(o.From, o.Aim); err != nil {
+	if err := o.check(); err != nil {
 		return nil, err
 	}
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
 		return nil, fmt.Errorf("folder of the sweep: %w", err)
 	}
-	var end time.Time
+	s := sweeper{o: &o, next: o.From, report: &SweepReport{Rule: o.Rule, From: o.From, To: o.To, Counts: map[Verdict]int{}}}
 	if o.Budget > 0 {
-		end = time.Now().Add(o.Budget)
-	}
-	r := &SweepReport{Aim: o.Aim, From: o.From, To: o.To, Counts: map[Verdict]int{}}
-	var mu sync.Mutex
-	next := o.From
-	take := func() (seed uint64, ok bool) {
-		mu.Lock()
-		defer mu.Unlock()
-		if ctx.Err() != nil || next > o.To || !end.IsZero() && time.Now().After(end) {
-			return 0, false
-		}
-		next++
-		return next - 1, true
+		s.end = time.Now().Add(o.Budget)
 	}
 	var work sync.WaitGroup
 	for range o.Jobs {
-		work.Go(func() {
-			for {
-				seed, ok := take()
-				if !ok {
-					return
-				}
-				t := o.trial(ctx, seed, end)
-				if ctx.Err() != nil && t.Verdict == NotPlayed {
-					return // the signal ended it
-				}
-				mu.Lock()
-				r.Trials = append(r.Trials, t)
-				r.Played++
-				r.Counts[t.Verdict]++
-				done := r.Played
-				mu.Unlock()
-				if o.Live != nil {
-					o.Live(done, int(o.To-o.From+1), t)
-				}
-			}
-		})
+		work.Go(func() { s.work(ctx) })
 	}
 	work.Wait()
-	slices.SortFunc(r.Trials, func(a, b Trial) int { return int(int64(a.Seed) - int64(b.Seed)) })
+	slices.SortFunc(s.report.Runs, func(a, b GeneratedRun) int { return cmp.Compare(a.Seed, b.Seed) })
 	switch {
 	case ctx.Err() != nil:
-		r.Ended = "ended by a signal"
-	case next <= o.To:
-		r.Ended = fmt.Sprintf("the budget of %v is over", o.Budget)
+		s.report.Ended = "ended by a signal"
+	case s.next <= o.To:
+		s.report.Ended = fmt.Sprintf("the budget of %v is over", o.Budget)
+	}
+	if err := s.report.write(o.Dir); err != nil {
+		return nil, err
 	}
+	return s.report, nil
+}
+
+// check returns an error that names the first option that can't be.
+func (o *SweepOptions) check() error {
+	switch {
+	case o.From > o.To:
+		return fmt.Errorf("seeds: %d-%d ends before it begins", o.From, o.To)
+	case o.To-o.From >= maxSeeds:
+		return fmt.Errorf("seeds: %d-%d are over %d", o.From, o.To, maxSeeds)
+	case o.Jobs < 1:
+		return fmt.Errorf("jobs: %d is below 1", o.Jobs)
+	}
+	_, err := GenerateScenario(o.From, o.Rule)
+	return err
+}
+
+// sweeper is a sweep under way, shared by its jobs.
+type sweeper struct {
+	o   *SweepOptions
+	end time.Time // after which nothing begins; zero: never
+
+	mu     sync.Mutex
+	next   uint64 // seed
+	report *SweepReport
+}
+
+// work plays seeds until none is left or the sweep ends.
+func (s *sweeper) work(ctx context.Context) {
+	for {
+		seed, ok := s.take(ctx)
+		if !ok {
+			return
+		}
+		r := s.o.runSeed(ctx, seed, s.end)
+		if ctx.Err() != nil && r.Verdict == NotPlayed {
+			return // the signal ended it
+		}
+		done := s.book(r)
+		if s.o.Live != nil {
+			s.o.Live(done, int(s.o.To-s.o.From+1), r)
+		}
+	}
+}
+
+// take is the next seed to play; ok is false where the sweep ends.
+func (s *sweeper) take(ctx context.Context) (seed uint64, ok bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if ctx.Err() != nil || s.next > s.o.To || !s.end.IsZero() && time.Now().After(s.end) {
+		return 0, false
+	}
+	s.next++
+	return s.next - 1, true
+}
+
+// book adds a run to the report and returns how many there are.
+func (s *sweeper) book(r GeneratedRun) (done int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.report.Runs = append(s.report.Runs, r)
+	s.report.Played++
+	s.report.Counts[r.Verdict]++
+	return s.report.Played
+}
+
+// sweepFile is where a sweep's folder keeps its report.
+const sweepFile = "sweep.json"
+
+// write writes the report into the sweep's folder.
+func (r *SweepReport) write(dir string) error {
 	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
-		return nil, fmt.Errorf("report of the sweep: %w", err)
+		return fmt.Errorf("report of the sweep: %w", err)
 	}
-	if err := os.WriteFile(filepath.Join(o.Dir, "sweep.json"), append(text, '\n'), 0o644); err != nil {
-		return nil, fmt.Errorf("report of the sweep: %w", err)
+	if err := os.WriteFile(filepath.Join(dir, sweepFile), append(text, '\n'), 0o644); err != nil {
+		return fmt.Errorf("report of the sweep: %w", err)
 	}
-	return r, nil
+	return nil
 }
 
-// mostTrials bounds a range of seeds.
-const mostTrials = 100_000
+// maxSeeds bounds a range of seeds.
+const maxSeeds = 100_000
 
-// slackMost is what the machine may withhold in a trial that is to count as passed: less than
+// maxSlack is what the machine may withhold in a generated scenario that is to count as passed: less than
 // the grace of the shortest rule.
-const slackMost = 200 * time.Millisecond
+const maxSlack = 200 * time.Millisecond
 
-// trial draws, plays and judges one seed, and reduces it if it fails.
-func (o *SweepOptions) trial(ctx context.Context, seed uint64, end time.Time) Trial {
-	s, err := DrawTrial(seed, o.Aim)
+// runSeed draws, plays and judges one seed, and reduces it if it fails.
+func (o *SweepOptions) runSeed(ctx context.Context, seed uint64, end time.Time) GeneratedRun {
+	s, err := GenerateScenario(seed, o.Rule)
 	if err != nil {
-		return Trial{Seed: seed, Verdict: NotPlayed, Why: err.Error()}
+		return GeneratedRun{Seed: seed, Verdict: NotPlayed, Reason: err.Error()}
 	}
 	dir := filepath.Join(o.Dir, fmt.Sprintf("seed-%d", seed))
 	t := o.play(ctx, s, seed, dir)
-	if t.Verdict != Broke {
+	if t.Verdict != BrokeRule {
 		if t.Verdict != NotPlayed {
 			_ = os.RemoveAll(dir) // a folder that stays misleads nobody: the report names what failed
 		}
@@ -169,35 +202,35 @@
 	}
 	path := filepath.Join(dir, "scenario.toml")
 	if err := s.write(path); err != nil {
-		t.Why = err.Error()
+		t.Reason = err.Error()
 		return t
 	}
-	t.Again = o.again(path, seed)
+	t.Command = o.command(path, seed)
 	if small, n := o.reduce(ctx, s, seed, t, dir, end); n > 0 {
 		path := filepath.Join(dir, "reduced.toml")
 		if err := small.write(path); err != nil {
-			t.Why = err.Error()
+			t.Reason = err.Error()
 			return t
 		}
-		t.Reduced = fmt.Sprintf("%s, %d faults, %v: %s", small.size(), len(small.Faults), time.Duration(small.Duration), o.again(path, seed))
+		t.Reduced = fmt.Sprintf("%s, %d faults, %v: %s", small.size(), len(small.Faults), time.Duration(small.Duration), o.command(path, seed))
 	}
 	return t
 }
 
-// again is the command that plays a scenario again.
-func (o *SweepOptions) again(path string, seed uint64) string {
-	return fmt.Sprintf("opalhook lab run %s --seed %d --node-binary %s", path, seed, o.Binary)
+// command is the command that plays a scenario again.
+func (o *SweepOptions) command(path string, seed uint64) string {
+	return fmt.Sprintf("opalhook testbed run %s --seed %d --node-binary %s", path, seed, o.Binary)
 }
 
 // play plays a scenario once.
-func (o *SweepOptions) play(ctx context.Context, s *Scenario, seed uint64, dir string) Trial {
-	t := Trial{Seed: seed, Verdict: Passed, Size: s.size()}
+func (o *SweepOptions) play(ctx context.Context, s *Scenario, seed uint64, dir string) GeneratedRun {
+	t := GeneratedRun{Seed: seed, Verdict: Passed, Size: s.size()}
 	for _, ft := range s.Faults {
 		t.Faults = append(t.Faults, ft.brief())
 	}
 	r, err := Run(ctx, s, Options{Seed: seed, Binary: o.Binary, Dir: dir, Log: o.Log})
 	if err != nil {
-		t.Verdict, t.Why = NotPlayed, err.Error()
+		t.Verdict, t.Reason = NotPlayed, err.Error()
 		return t
 	}
 	t.Rules = maps.Clone(r.Broken)
@@ -207,14 +240,14 @@
 	t.slack = time.Duration(r.Figures["slack_ms"] * float64(time.Millisecond))
 	switch {
 	case len(t.Rules) > 0:
-		t.Verdict = Broke
+		t.Verdict = BrokeRule
 		if len(r.Violations) > 0 {
 			t.First = r.Violations[0].String()
 		}
 	case r.Behind:
-		t.Verdict, t.Why = NotJudged, fmt.Sprintf("the generator was %.0f ms late: the machine is too slow for this draw", r.Figures["lateness_ms"])
-	case t.slack > slackMost:
-		t.Verdict, t.Why = NotJudged, fmt.Sprintf("the machine withheld %v: it is too slow for this draw", t.slack.Round(time.Millisecond))
+		t.Verdict, t.Reason = NotJudged, fmt.Sprintf("the generator was %.0f ms late: the machine is too slow for this draw", r.Figures["lateness_ms"])
+	case t.slack > maxSlack:
+		t.Verdict, t.Reason = NotJudged, fmt.Sprintf("the machine withheld %v: it is too slow for this draw", t.slack.Round(time.Millisecond))
 	}
 	return t
 }
@@ -222,7 +255,7 @@
 // reduce takes away from a failing scenario what it can while the same rule is still broken: its
 // faults and bursts one by one, half of its processes, its last seconds. It returns how many
 // steps were taken.
-func (o *SweepOptions) reduce(ctx context.Context, s *Scenario, seed uint64, failed Trial, dir string, end time.Time) (small *Scenario, steps int) {
+func (o *SweepOptions) reduce(ctx context.Context, s *Scenario, seed uint64, failed GeneratedRun, dir string, end time.Time) (small *Scenario, steps int) {
 	plays := 0
 	try := func(change func(c *Scenario) bool) bool {
 		if plays >= o.Reduce || ctx.Err() != nil || !end.IsZero() && time.Now().After(end) {
@@ -257,7 +290,7 @@
 	for try(func(c *Scenario) bool { c.Fleet.Servers /= 2; return c.Fleet.Servers > 1 }) {
 	}
 	try(func(c *Scenario) bool {
-		c.Duration -= Duration(trialTail / 2)
+		c.Duration -= Duration(generatedTail / 2)
 		return c.Duration > Duration(time.Second)
 	})
 	_ = os.RemoveAll(filepath.Join(dir, "smaller")) // scratch
@@ -273,23 +306,11 @@
 	return &c
 }
 
-// write writes the scenario as a file that LoadScenario reads.
-func (s *Scenario) write(path string) error {
-	text, err := toml.Marshal(s)
-	if err != nil {
-		return fmt.Errorf("scenario: %w", err)
-	}
-	if err := os.WriteFile(path, text, 0o644); err != nil {
-		return fmt.Errorf("scenario: %w", err)
-	}
-	return nil
-}
-
 // size names what is played, in few words.
 func (s *Scenario) size() string {
 	f := &s.Fleet
 	list := "pushed"
-	if f.ListAsked {
+	if f.ListPolled {
 		list = "asked for"
 	}
 	return fmt.Sprintf("%d nodes, %d servers, %d zones, %.0f/s, deadline %v, lists %s", f.Nodes, f.Servers, len(f.Zones), s.Load.Rate,
