--- a/balancer/endpoint_list_test.go
+++ b/balancer/endpoint_list_test.go
@@ -8,7 +8,7 @@
 
 // A list that is replaced over and over, or was long once, leaves nothing behind for ever.
 func TestReplacedListsAreReleased(t *testing.T) {
-	g, r := newGate(t, subsetSettings(100), testEndpoints(20_000)...)
+	node, r := newGate(t, subsetSettings(100), testEndpoints(20_000)...)
 	for n := range 2000 {
 		var list []Endpoint
 		for i := range 10 {
@@ -17,9 +17,9 @@
 			e := Endpoint{ID: id, MachineType: id, Zone: id, Cell: number, Weight: float64(number + 1)}
 			list = append(list, e)
 		}
-		g.EndpointsUpdated(t0, UpdateSnapshot, list, r)
+		node.EndpointsUpdated(t0, UpdateSnapshot, list, r)
 	}
-	l := g.endpoints.list
+	l := node.endpoints.list
 	for what, n := range map[string]int{
 		"slots": len(l.entries), "zones": len(l.zones.values), "machine types": len(l.machineTypes.values),
 		"cells": len(l.cells.values), "weights": len(l.weights.values), "pools": len(l.reserve.byZone),
@@ -28,8 +28,8 @@
 			t.Errorf("%d %s for a list of ten endpoints", n, what)
 		}
 	}
-	if len(l.slotByID) != 10 || g.Stats().TrackedEndpoints > 10 {
-		t.Errorf("%d listed, %+v", len(l.slotByID), g.Stats())
+	if len(l.slotByID) != 10 || node.Stats().TrackedEndpoints > 10 {
+		t.Errorf("%d listed, %+v", len(l.slotByID), node.Stats())
 	}
 }
 
@@ -60,16 +60,16 @@
 		"another named, then removed":  {[]entries{{a}}, entries{b, b, gone(b)}, []string{"a", "b"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g, r := newGate(t, subsetSettings(100), test.before[0]...)
+			node, r := newGate(t, subsetSettings(100), test.before[0]...)
 			for _, changes := range test.before[1:] {
-				g.EndpointsUpdated(t0, UpdateDelta, changes, r)
+				node.EndpointsUpdated(t0, UpdateDelta, changes, r)
 			}
 			for round := range 2 { // a snapshot that comes again changes nothing
-				g.EndpointsUpdated(t0, UpdateSnapshot, test.list, r)
+				node.EndpointsUpdated(t0, UpdateSnapshot, test.list, r)
 				for _, id := range []string{"a", "b", "c"} {
 					wanted := !slices.Contains(test.removed, id) && slices.ContainsFunc(test.list,
 						func(e Endpoint) bool { return e.ID == id })
-					if _, listed := g.endpoints.list.slotByID[id]; listed != wanted {
+					if _, listed := node.endpoints.list.slotByID[id]; listed != wanted {
 						t.Errorf("snapshot %d: %s is listed: %v", round+1, id, listed)
 					}
 				}
@@ -83,11 +83,11 @@
 func TestSnapshotInSameOrderNeedsNoLookups(t *testing.T) {
 	const endpoints = 20_000
 	list := testEndpoints(endpoints)
-	g, r := newGate(t, subsetSettings(1000), list...)
+	node, r := newGate(t, subsetSettings(1000), list...)
 	lookups := func(kind UpdateKind, list []Endpoint) int {
-		before := g.endpoints.list.lookups
-		g.EndpointsUpdated(t0, kind, list, r)
-		return g.endpoints.list.lookups - before
+		before := node.endpoints.list.lookups
+		node.EndpointsUpdated(t0, kind, list, r)
+		return node.endpoints.list.lookups - before
 	}
 	if n := lookups(UpdateSnapshot, list); n != 0 {
 		t.Errorf("%d lookups for the same list", n)
@@ -100,28 +100,28 @@
 	if n := lookups(UpdateSnapshot, more); n > 4 {
 		t.Errorf("%d lookups for a list with an entry more", n)
 	}
-	if listed := g.Stats().ListedEndpoints; listed != len(more) {
+	if listed := node.Stats().ListedEndpoints; listed != len(more) {
 		t.Errorf("%d listed of %d", listed, len(more))
 	}
 	slices.Reverse(more)
-	if n := lookups(UpdateSnapshot, more); n < endpoints/2 || g.Stats().ListedEndpoints != len(more) {
-		t.Errorf("%d lookups for a list in another order, %d listed", n, g.Stats().ListedEndpoints)
+	if n := lookups(UpdateSnapshot, more); n < endpoints/2 || node.Stats().ListedEndpoints != len(more) {
+		t.Errorf("%d lookups for a list in another order, %d listed", n, node.Stats().ListedEndpoints)
 	}
 }
 
 // A free slot is not taken for that of an endpoint without an id.
 func TestEndpointWithoutIDIsListed(t *testing.T) {
 	list := testEndpoints(4)
-	g, r := newGate(t, subsetSettings(100), list...)
+	node, r := newGate(t, subsetSettings(100), list...)
 	gone := list[1]
 	gone.State = Removed
-	g.EndpointsUpdated(t0, UpdateDelta, []Endpoint{list[0], gone}, r)
-	g.EndpointsUpdated(t0, UpdateDelta, []Endpoint{list[0], {MachineType: "k", Zone: "a"}}, r)
-	if st := g.Stats(); st.ListedEndpoints != 4 || g.endpoints.list.activeWeights.total != 4 {
-		t.Errorf("%d listed, %d up, want 4", st.ListedEndpoints, g.endpoints.list.activeWeights.total)
+	node.EndpointsUpdated(t0, UpdateDelta, []Endpoint{list[0], gone}, r)
+	node.EndpointsUpdated(t0, UpdateDelta, []Endpoint{list[0], {MachineType: "k", Zone: "a"}}, r)
+	if st := node.Stats(); st.ListedEndpoints != 4 || node.endpoints.list.activeWeights.total != 4 {
+		t.Errorf("%d listed, %d up, want 4", st.ListedEndpoints, node.endpoints.list.activeWeights.total)
 	}
-	g.EndpointsUpdated(t0, UpdateSnapshot, list, r)
-	if st := g.Stats(); st.ListedEndpoints != 4 || g.endpoints.trackedByID[""] != nil {
-		t.Errorf("%d listed, want 4; without an id: %v", st.ListedEndpoints, g.endpoints.trackedByID[""])
+	node.EndpointsUpdated(t0, UpdateSnapshot, list, r)
+	if st := node.Stats(); st.ListedEndpoints != 4 || node.endpoints.trackedByID[""] != nil {
+		t.Errorf("%d listed, want 4; without an id: %v", st.ListedEndpoints, node.endpoints.trackedByID[""])
 	}
 }
--- a/balancer/endpoint_set.go
+++ b/balancer/endpoint_set.go
@@ -18,7 +18,7 @@
 
 func newEndpointSet(settings *Settings) endpointSet {
 	return endpointSet{
-		warmUp:      warmUpCurve{settings.SlowStartInitialFraction, settings.SlowStartDuration},
+		warmUp:      newWarmUpCurve(settings),
 		list:        newEndpointList(0),
 		sizing:      subsetSizing{nodeIndex: settings.NodeIndex, nodeCount: settings.NodeCount},
 		index:       newSubsetIndex(),
--- a/balancer/health_test.go
+++ b/balancer/health_test.go
@@ -10,25 +10,25 @@
 // A refused connection ejects at once, for longer each time, and a success ends that.
 func TestEjectionsGrow(t *testing.T) {
 	b, r := newGate(t, testSettings(), fleet(2)...)
-	s := b.endpoints.trackedByID["s0"]
+	e := b.endpoints.trackedByID["s0"]
 	q := &request{}
 	var last time.Duration
 	for i := 1; i <= 6; i++ {
-		b.now = s.health.ejectedUntil
+		b.now = e.health.ejectedUntil
 		if i == 1 {
 			b.now = t0
 		}
 		b.actions = r
-		b.recordOutcome(q, s, Outcome{Result: ConnectFailed})
-		span := s.health.ejectedUntil - b.now
+		b.recordOutcome(q, e, Outcome{Result: ConnectFailed})
+		span := e.health.ejectedUntil - b.now
 		if span <= last && span != maxEjection {
 			t.Errorf("ejection %d lasts %v after %v", i, span, last)
 		}
 		last = span
 	}
-	b.recordOutcome(q, s, Outcome{Result: OK, Elapsed: ms})
-	if s.health.consecutiveEjections != 0 {
-		t.Errorf("%d ejections in a row after a success", s.health.consecutiveEjections)
+	b.recordOutcome(q, e, Outcome{Result: OK, Elapsed: ms})
+	if e.health.consecutiveEjections != 0 {
+		t.Errorf("%d ejections in a row after a success", e.health.consecutiveEjections)
 	}
 }
 
--- a/balancer/reserve.go
+++ b/balancer/reserve.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// maxReserveSamples is the number of draws for an endpoint that is accepted by its weight.
+// maxReserveSamples is the number of samples until an endpoint is taken whatever its weight.
 const maxReserveSamples = 4
 
-// pool is a set of slots from which one can be drawn at random. Its order has no meaning.
+// pool is a set of slots from which one can be sampled. Its order has no meaning.
 type pool []slotIndex
 
 // poolsPerEndpoint is the number of pools that an endpoint of the reserve is in: of all, of its zone and of
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// sampleByWeight draws an endpoint from a part of the reserve that isn't empty, by weight as far as a few
+// sampleByWeight samples an endpoint from a part of the reserve that isn't empty, by weight as far as a few
 // draws can.
 func (l *endpointList) sampleByWeight(candidates pool, rng *rand.Rand) slotIndex {
 	slot := candidates[rng.IntN(len(candidates))]
--- a/balancer/reserve_test.go
+++ b/balancer/reserve_test.go
@@ -42,8 +42,8 @@
 			r := &recorder{}
 			b.now, b.actions = t0, r
 			members := slices.Clone(b.endpoints.tracked)
-			for _, s := range members {
-				loseOne(b, s, r)
+			for _, e := range members {
+				loseOne(b, e, r)
 			}
 			for n := range each {
 				q := newRequest(n, "safe", "rate", uint64(n))
@@ -51,9 +51,9 @@
 				if req := b.requests.byID[q.ID]; req == nil || req.attempts[0].endpoint.inSubset {
 					t.Fatalf("%s: not sent to the reserve: %v", way, r.acts)
 				}
-				s := b.requests.byID[q.ID].attempts[0].endpoint
-				to[s.ID]++
-				heavy += int(oneIf(s.Weight > 1))
+				e := b.requests.byID[q.ID].attempts[0].endpoint
+				to[e.ID]++
+				heavy += int(oneIf(e.Weight > 1))
 			}
 			for n := each; n < each+more; n++ {
 				q := newRequest(n, "safe", "rate", uint64(n))
@@ -121,8 +121,8 @@
 func TestReserveEndpointsAreDroppedAfterUse(t *testing.T) {
 	b, r := newGate(t, subsetSettings(100), testEndpoints(400)...)
 	members, waiting := b.Stats().TrackedEndpoints, len(b.endpoints.list.reserve.all)
-	for _, s := range b.endpoints.tracked {
-		s.health.eject(b.now)
+	for _, e := range b.endpoints.tracked {
+		e.health.eject(b.now)
 	}
 	b.RequestArrived(t0, newRequest(1, "safe", "rate", 1), r)
 	if known := b.Stats().TrackedEndpoints; known != members+1 ||
--- a/balancer/restart_evidence_test.go
+++ b/balancer/restart_evidence_test.go
@@ -15,41 +15,41 @@
 		b.AttemptFinished(at, Outcome{ID: fmt.Sprint("r", n), Result: ConnectFailed, EndpointID: "s0"}, r)
 	}
 	b, r := newGate(t, probing(), fleet(1)...)
-	s := b.endpoints.tracked[0]
+	e := b.endpoints.tracked[0]
 	fail(b, r, 1, t0)
-	if r.count("probe s0") != 1 || b.warmUpFraction(s) == 1 {
+	if r.count("probe s0") != 1 || b.warmUpFraction(e) == 1 {
 		t.Errorf("%d health checks sent, warm-up fraction %v after a failed connection",
-			r.count("probe s0"), b.warmUpFraction(s))
+			r.count("probe s0"), b.warmUpFraction(e))
 	}
-	if b.HealthChecked(t0+5*ms, "s0", OK, nil, r); b.warmUpFraction(s) != 1 {
+	if b.HealthChecked(t0+5*ms, "s0", OK, nil, r); b.warmUpFraction(e) != 1 {
 		t.Error("cold though a health check sent at once was answered")
 	}
 	if fail(b, r, 2, t0+time.Second); r.count("probe s0") != 1 {
 		t.Errorf("%d health checks sent", r.count("probe s0"))
 	}
-	if b.HealthChecked(t0+time.Second, "s0", ConnectFailed, nil, r); b.warmUpFraction(s) == 1 {
+	if b.HealthChecked(t0+time.Second, "s0", ConnectFailed, nil, r); b.warmUpFraction(e) == 1 {
 		t.Error("warm though the health check failed as well")
 	}
-	if b.HealthChecked(t0+2*time.Second, "s0", OK, nil, r); b.warmUpFraction(s) == 1 {
+	if b.HealthChecked(t0+2*time.Second, "s0", OK, nil, r); b.warmUpFraction(e) == 1 {
 		t.Error("warm after the response to a later health check: the process may have started since")
 	}
 
 	b, r = newGate(t, testSettings(), fleet(1)...)
-	s = b.endpoints.tracked[0]
+	e = b.endpoints.tracked[0]
 	for i := range 2 * maxSuspectedRestarts {
-		s.restarts.suspect(t0 + time.Duration(i+1)*ms)
+		e.restarts.suspect(t0 + time.Duration(i+1)*ms)
 	}
 	b.now, b.actions = t0+time.Second, r
-	b.recordLatency(0, s, ms) // its class has a mean
+	b.recordLatency(0, e, ms) // its class has a mean
 	q := &request{}
-	b.recordOutcome(q, s, Outcome{Result: OK, Elapsed: ms, ConnectedAt: t0 + 3*ms/2})
-	if s.restarts.latest != t0+ms {
-		t.Errorf("suspected since %v, want the failure before the connection was made", s.restarts.latest-t0)
+	b.recordOutcome(q, e, Outcome{Result: OK, Elapsed: ms, ConnectedAt: t0 + 3*ms/2})
+	if e.restarts.latest != t0+ms {
+		t.Errorf("suspected since %v, want the failure before the connection was made", e.restarts.latest-t0)
 	}
-	if b.recordOutcome(q, s, Outcome{
+	if b.recordOutcome(q, e, Outcome{
 		Result: OK, Elapsed: ms,
 		ConnectedAt: t0 + ms/2,
-	}); s.restarts.latest != 0 {
+	}); e.restarts.latest != 0 {
 		t.Error("cold after a response on a connection older than all failures")
 	}
 }
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -10,7 +10,7 @@
 	minCostMean          = 1e-3 // seconds; mean latency that silence is held against, at least
 
 	// Costs of the tiers of endpoints, each above all costs of the tiers before.
-	notSampledCost    = 1e3 // of the subset, but not drawn by its size
+	notSampledCost    = 1e3 // of the subset, but not sampled by its size
 	outsideSubsetCost = 1e5
 	deprioritizedCost = 1e6
 
@@ -18,7 +18,7 @@
 )
 
 // selection is the state of the choice of an endpoint for an attempt: the power of random choices. Nodes
-// that all took the best of all endpoints would crowd it, so each compares a few drawn at random.
+// that all took the best of all endpoints would crowd it, so each compares a few sampled at random.
 type selection struct {
 	request       *request
 	criteria      healthCriteria
@@ -86,7 +86,7 @@
 		(!e.health.unreachable || len(r.attempts) == 0)
 }
 
-// tierCost returns the additional cost of an endpoint's tier. Those of the subset that are drawn by their
+// tierCost returns the additional cost of an endpoint's tier. Those of the subset that are sampled by their
 // size use up the samples; ones out of service don't, or those in service would be chosen blindly.
 func (b *Balancer) tierCost(s *selection, e *endpoint) (cost float64, deprioritized bool) {
 	switch {
--- a/balancer/selection_law_test.go
+++ b/balancer/selection_law_test.go
@@ -146,11 +146,11 @@
 
 // tier is 0 for an endpoint of the subset in service, 1 for another in service and 2 for a deprioritized one.
 func (m *selectionMachine) tier(id string) int {
-	s := m.balancer.endpoints.trackedByID[id]
+	e := m.balancer.endpoints.trackedByID[id]
 	switch {
-	case s != nil && m.balancer.deprioritized(s):
+	case e != nil && m.balancer.deprioritized(e):
 		return 2
-	case s != nil && s.inSubset:
+	case e != nil && e.inSubset:
 		return 0
 	}
 	return 1
@@ -166,8 +166,8 @@
 
 // accrueIfTracked brings the slow-start budget of an endpoint up to date, as a selection does.
 func (b *Balancer) accrueIfTracked(id string) {
-	if s := b.endpoints.trackedByID[id]; s != nil {
-		b.accrueSlowStart(s)
+	if e := b.endpoints.trackedByID[id]; e != nil {
+		b.accrueSlowStart(e)
 	}
 }
 
@@ -227,10 +227,10 @@
 func (m *selectionMachine) checkIndex(t *rapid.T) {
 	named := map[uint16][]*endpoint{}
 	members := 0
-	for _, s := range m.balancer.endpoints.tracked {
-		if s.inSubset {
+	for _, e := range m.balancer.endpoints.tracked {
+		if e.inSubset {
 			members++
-			named[s.shortHash] = append(named[s.shortHash], s)
+			named[e.shortHash] = append(named[e.shortHash], e)
 		}
 	}
 	if len(m.balancer.endpoints.index.shared) != members ||
@@ -238,11 +238,11 @@
 		t.Fatalf("%d in the subset, %d shared, %d named", members, len(m.balancer.endpoints.index.shared),
 			len(m.balancer.endpoints.index.byHash))
 	}
-	for _, s := range m.balancer.endpoints.index.shared {
-		first := int(m.balancer.endpoints.sizing.subsetsPerEndpoint + fraction(s.rendezvousKey))
-		if m.balancer.ownsQuotas() && s.lastSubsetRank != lastRank(s.rendezvousKey,
+	for _, e := range m.balancer.endpoints.index.shared {
+		first := int(m.balancer.endpoints.sizing.subsetsPerEndpoint + fraction(e.rendezvousKey))
+		if m.balancer.ownsQuotas() && e.lastSubsetRank != lastRank(e.rendezvousKey,
 			m.balancer.settings.NodeCount, first) {
-			t.Fatalf("%s is shared with others than the first %d nodes", s.ID, first)
+			t.Fatalf("%s is shared with others than the first %d nodes", e.ID, first)
 		}
 	}
 	for hash, endpoints := range named {
--- a/balancer/selection_test.go
+++ b/balancer/selection_test.go
@@ -66,18 +66,18 @@
 // Of two endpoints alike, the silent, the failing, the slow, the cold and the busy one costs more.
 func TestCostOfSymptoms(t *testing.T) {
 	for name, spoil := range map[string]func(*endpoint){
-		"silent":    func(s *endpoint) { s.lastProgress = t0 - time.Second },
-		"failing":   func(s *endpoint) { s.health.errorRate = 0.3 },
-		"slow":      func(s *endpoint) { s.latencyRatio = 2 },
-		"cold":      func(s *endpoint) { s.StartedAt = t0 - ms },
-		"queueing":  func(s *endpoint) { s.load.queued = 3 },
-		"busy":      func(s *endpoint) { s.inFlight = 2 },
-		"restarted": func(s *endpoint) { s.restarts.latest = t0 },
+		"silent":    func(e *endpoint) { e.lastProgress = t0 - time.Second },
+		"failing":   func(e *endpoint) { e.health.errorRate = 0.3 },
+		"slow":      func(e *endpoint) { e.latencyRatio = 2 },
+		"cold":      func(e *endpoint) { e.StartedAt = t0 - ms },
+		"queueing":  func(e *endpoint) { e.load.queued = 3 },
+		"busy":      func(e *endpoint) { e.inFlight = 2 },
+		"restarted": func(e *endpoint) { e.restarts.latest = t0 },
 	} {
 		b, _ := newGate(t, testSettings(), fleet(2)...)
 		usual, spoilt := b.endpoints.tracked[0], b.endpoints.tracked[1]
-		for _, s := range b.endpoints.tracked {
-			s.inFlight, s.lastProgress = 1, t0
+		for _, e := range b.endpoints.tracked {
+			e.inFlight, e.lastProgress = 1, t0
 		}
 		b.latency.classes[0].mean = 0.1
 		spoil(spoilt)
@@ -100,7 +100,7 @@
 	blind := 0
 	for i := range 100 {
 		b.actions, b.now = r, t0
-		if s := b.selectEndpoint(&request{number: uint64(i)}); s.ID != "s11" {
+		if e := b.selectEndpoint(&request{number: uint64(i)}); e.ID != "s11" {
 			blind++
 		}
 	}
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -21,6 +21,10 @@
 	duration        time.Duration
 }
 
+func newWarmUpCurve(settings *Settings) warmUpCurve {
+	return warmUpCurve{settings.SlowStartInitialFraction, settings.SlowStartDuration}
+}
+
 // fraction returns the lowest fraction of its capacity that an endpoint can have by now. A start of 0 is long
 // ago.
 func (c warmUpCurve) fraction(startedAt, now time.Duration) float64 {
@@ -46,7 +50,7 @@
 
 func newSlowStart(settings *Settings) slowStart {
 	return slowStart{
-		curve:          warmUpCurve{settings.SlowStartInitialFraction, settings.SlowStartDuration},
+		curve:          newWarmUpCurve(settings),
 		overloadFactor: settings.OverloadFactor,
 		overloadWindow: settings.OverloadWindow,
 	}
--- a/balancer/subset_bench_test.go
+++ b/balancer/subset_bench_test.go
@@ -14,13 +14,13 @@
 	b.Helper()
 	s := subsetSettings(planNodes)
 	s.NodeIndex = 7
-	g, err := New(s, 1)
+	node, err := New(s, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
 	r := &recorder{}
-	g.Start(t0, r)
-	return g, r
+	node.Start(t0, r)
+	return node, r
 }
 
 // BenchmarkDelta measures a change of one endpoint, which drains or comes back: one of the subset, and one
@@ -29,12 +29,12 @@
 	const others = 4000
 	for _, endpoints := range []int{2000, 200_000} {
 		list := testEndpoints(endpoints)
-		g, r := newBenchmarkBalancer(b)
-		g.EndpointsUpdated(t0, UpdateSnapshot, list, r)
+		node, r := newBenchmarkBalancer(b)
+		node.EndpointsUpdated(t0, UpdateSnapshot, list, r)
 		changed := map[string][]Endpoint{}
 		for _, e := range list {
 			name := "reserve"
-			if g.endpoints.trackedByID[e.ID] != nil {
+			if node.endpoints.trackedByID[e.ID] != nil {
 				name = "subset"
 			}
 			if len(changed[name]) < others {
@@ -46,7 +46,7 @@
 				for n := 0; b.Loop(); n++ {
 					e := of[n%len(of)]
 					e.State = []EndpointState{Draining, Up}[n/len(of)%2]
-					g.EndpointsUpdated(t0, UpdateDelta, []Endpoint{e}, r)
+					node.EndpointsUpdated(t0, UpdateDelta, []Endpoint{e}, r)
 				}
 			})
 		}
@@ -60,21 +60,21 @@
 	for _, endpoints := range []int{2000, 20_000, 80_000} {
 		list := testEndpoints(endpoints + growth)
 		b.Run(fmt.Sprint(endpoints), func(b *testing.B) {
-			var g *Balancer
+			var node *Balancer
 			var r *recorder
 			for n := 0; b.Loop(); n++ {
 				at := endpoints + n%growth
 				if at == endpoints {
 					b.StopTimer()
-					g, r = newBenchmarkBalancer(b)
-					g.EndpointsUpdated(t0, UpdateSnapshot, list[:int(float64(endpoints)/listLengthSlack)], r)
-					g.EndpointsUpdated(t0, UpdateDelta,
+					node, r = newBenchmarkBalancer(b)
+					node.EndpointsUpdated(t0, UpdateSnapshot, list[:int(float64(endpoints)/listLengthSlack)], r)
+					node.EndpointsUpdated(t0, UpdateDelta,
 						list[int(float64(endpoints)/listLengthSlack):endpoints], r)
 					b.StartTimer()
 				}
-				number := g.endpoints.sizing.subsetsPerEndpoint
-				g.EndpointsUpdated(t0, UpdateDelta, list[at:at+1], r)
-				if g.endpoints.sizing.subsetsPerEndpoint == number {
+				number := node.endpoints.sizing.subsetsPerEndpoint
+				node.EndpointsUpdated(t0, UpdateDelta, list[at:at+1], r)
+				if node.endpoints.sizing.subsetsPerEndpoint == number {
 					b.Fatalf("the number of subsets stays at %v", number)
 				}
 			}
@@ -88,12 +88,12 @@
 	for _, endpoints := range []int{200, 2000, 20_000, 200_000} {
 		list := testEndpoints(endpoints)
 		b.Run(fmt.Sprint(endpoints), func(b *testing.B) {
-			g, r := newBenchmarkBalancer(b)
+			node, r := newBenchmarkBalancer(b)
 			began := time.Now()
-			g.EndpointsUpdated(t0, UpdateSnapshot, list, r)
+			node.EndpointsUpdated(t0, UpdateSnapshot, list, r)
 			first := time.Since(began)
 			for b.Loop() {
-				g.EndpointsUpdated(t0, UpdateSnapshot, list, r)
+				node.EndpointsUpdated(t0, UpdateSnapshot, list, r)
 			}
 			again := b.Elapsed() / time.Duration(b.N)
 			b.ReportMetric(float64(first)/float64(again), "first/again")
--- a/balancer/subset_harness_test.go
+++ b/balancer/subset_harness_test.go
@@ -49,9 +49,9 @@
 // subsetIDs returns the listed endpoints of a node's subset.
 func subsetIDs(b *Balancer) map[string]bool {
 	ids := map[string]bool{}
-	for _, s := range b.endpoints.tracked {
-		if s.inSubset && s.listed {
-			ids[s.ID] = true
+	for _, e := range b.endpoints.tracked {
+		if e.inSubset && e.listed {
+			ids[e.ID] = true
 		}
 	}
 	return ids
@@ -87,7 +87,7 @@
 // nodesWithCold returns the nodes whose subsets hold the cold endpoint.
 func nodesWithCold(balancers []*Balancer) (in []*Balancer) {
 	for _, b := range balancers {
-		if s := b.endpoints.trackedByID[coldID]; s != nil && s.inSubset {
+		if e := b.endpoints.trackedByID[coldID]; e != nil && e.inSubset {
 			in = append(in, b)
 		}
 	}
--- a/balancer/subset_index_test.go
+++ b/balancer/subset_index_test.go
@@ -11,21 +11,21 @@
 	const nodes = 100
 	balancers := newFleet(t, nodes, testEndpoints(100))
 	from, named := balancers[3], 0
-	for _, s := range from.endpoints.tracked {
-		s.recordLoad(1, t0)
+	for _, e := range from.endpoints.tracked {
+		e.recordLoad(1, t0)
 	}
 	for to, b := range balancers {
 		from.now = t0 + ms
 		var buffer [maxLoadEntries]*endpoint
 		loads := from.freshestLoads(&buffer, to)
-		for _, s := range loads {
-			if other := b.endpoints.trackedByID[s.ID]; other == nil || !other.inSubset {
-				t.Fatalf("node %d is sent the load of %s, which is not in its subset", to, s.ID)
+		for _, e := range loads {
+			if other := b.endpoints.trackedByID[e.ID]; other == nil || !other.inSubset {
+				t.Fatalf("node %d is sent the load of %s, which is not in its subset", to, e.ID)
 			}
 		}
 		common := 0
-		for _, s := range from.endpoints.tracked {
-			common += int(oneIf(b.endpoints.trackedByID[s.ID] != nil))
+		for _, e := range from.endpoints.tracked {
+			common += int(oneIf(b.endpoints.trackedByID[e.ID] != nil))
 		}
 		if to != 3 && len(loads) != min(common, maxLoadEntries) {
 			t.Errorf("node %d is sent the load of %d endpoints of %d in common", to, len(loads), common)
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -67,18 +67,18 @@
 	for n, b := range balancers {
 		sizes[n] = float64(b.Stats().SubsetEndpoints)
 		total := 0.0
-		for _, s := range b.endpoints.tracked {
-			total += s.weight()
+		for _, e := range b.endpoints.tracked {
+			total += e.weight()
 		}
-		for _, s := range b.endpoints.tracked {
-			held[s.ID]++
-			load[s.ID] += s.weight() / total
+		for _, e := range b.endpoints.tracked {
+			held[e.ID]++
+			load[e.ID] += e.weight() / total
 		}
 	}
 	perServer, perWeight := make([]float64, endpoints), map[float64][]float64{}
-	for i, s := range list {
-		perServer[i] = held[s.ID]
-		perWeight[s.Weight] = append(perWeight[s.Weight], load[s.ID])
+	for i, e := range list {
+		perServer[i] = held[e.ID]
+		perWeight[e.Weight] = append(perWeight[e.Weight], load[e.ID])
 	}
 	if got := spreadOf(perServer); got.min != 18 || got.max != 18 {
 		t.Errorf("subsets an endpoint: %v, want 18", got)
--- a/balancer/tracking_test.go
+++ b/balancer/tracking_test.go
@@ -32,21 +32,21 @@
 	for _, nodes := range []int{1, 100} {
 		b, r := newGate(t, subsetSettings(nodes), fleet(3)...)
 		b.RequestArrived(t0, newRequest(1, "safe", "rate", 1), r)
-		s := b.requests.byID["r1"].attempts[0].endpoint
-		gone, other := s.Endpoint, fleet(3)[0]
+		e := b.requests.byID["r1"].attempts[0].endpoint
+		gone, other := e.Endpoint, fleet(3)[0]
 		if other.ID == gone.ID {
 			other = fleet(3)[1]
 		}
 		gone.State, other.State = Removed, Draining
 		b.EndpointsUpdated(t0, UpdateDelta, []Endpoint{gone}, r)
 		b.EndpointsUpdated(t0, UpdateDelta, []Endpoint{other}, r)
-		if b.endpoints.trackedByID[s.ID] != s {
+		if b.endpoints.trackedByID[e.ID] != e {
 			t.Fatalf("%d nodes: dropped with an attempt in flight", nodes)
 		}
 		b.AttemptFinished(t0+ms, Outcome{ID: "r1", Result: OK, Answered: true, Elapsed: ms}, r)
 		other.State = Up
 		b.EndpointsUpdated(t0+ms, UpdateDelta, []Endpoint{other}, r)
-		if b.endpoints.trackedByID[s.ID] != nil || slices.Contains(b.endpoints.tracked, s) {
+		if b.endpoints.trackedByID[e.ID] != nil || slices.Contains(b.endpoints.tracked, e) {
 			t.Errorf("%d nodes: tracked after its attempts have ended", nodes)
 		}
 	}
