--- a/balancer/reserve.go
+++ b/balancer/reserve.go
@@ -113,7 +113,7 @@
 }
 
 // sampleByWeight samples an endpoint from a part of the reserve that isn't empty, by weight as far as a few
-// draws can.
+// samples can.
 func (l *endpointList) sampleByWeight(candidates pool, rng *rand.Rand) slotIndex {
 	slot := candidates[rng.IntN(len(candidates))]
 	for n := 1; n < maxReserveSamples && rng.Float64()*l.activeWeights.largest > l.weight(slot); n++ {
