--- a/balancer/selection_bench_test.go
+++ b/balancer/selection_bench_test.go
@@ -38,8 +38,10 @@
 			node.Start(now, host)
 			var list []Endpoint
 			for i := range bench.endpoints {
-				list = append(list, Endpoint{ID: fmt.Sprintf("endpoint-%06d", i), MachineType: "k",
-					Zone: "a"})
+				list = append(list, Endpoint{
+					ID: fmt.Sprintf("endpoint-%06d", i), MachineType: "k",
+					Zone: "a",
+				})
 			}
 			node.EndpointsUpdated(now, UpdateSnapshot, list, host)
 			if bench.lost {
