--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -61,7 +61,7 @@
 	}
 	key := endpointKey(id)
 	before := position(key, s.nodeIndex, s.nodeCount, s.rankedNodes)
-	if before >= s.rankedNodes && s.rankedNodes < s.nodeCount {
+	if before >= s.rankedNodes {
 		return never
 	}
 	return float64(before+1) - fraction(key)
