--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -136,7 +136,7 @@
 	otherNodes            float64       // of these, the ones that were not this node's
 	queued                float64       // requests that waited; below 0: unreported
 	reportedAt            time.Duration // when the requests were reported, or an error or refusal met
-	refusesConnections    bool          // the latest news is that it refuses connections
+	refusesConnections    bool          // the latest report is that it refuses connections
 	lastResponseFailed    bool          // or that its last response was an error
 	utilizationReportedAt time.Duration // 0: never
 }
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -8,22 +8,11 @@
 const (
 	errorSmoothing    = 0.2  // weight of a new outcome in an endpoint's error rate
 	ejectionErrorRate = 0.35 // error rate that ejects: about three failures in a row
-	timeoutError      = 0.5  // a timeout as a part of an error: the endpoint may be slow only
 
 	baseEjection         = 500 * time.Millisecond // the first ejection; each in a row lasts twice as long
 	maxEjection          = 8 * time.Second
 	maxEjectionDoublings = 10
 	unresponsiveEjection = 4 * time.Second // of an endpoint that let an attempt come to nothing
-
-	observationDecay = 5 * time.Second        // time constant for forgetting what was learned of an endpoint
-	slowConnect      = 100 * time.Millisecond // connections that fail sooner were refused: no silence
-	minTimeoutMean   = 1e-3                   // seconds; least mean latency that timeouts are held against
-
-	// unresponsiveAfterMeans is the silence of an endpoint with attempts in flight after which it counts as
-	// unresponsive, in mean latencies.
-	unresponsiveAfterMeans = 3.0
-	// minSilenceDivisor bounds that silence below: its most, divided by this.
-	minSilenceDivisor = 4
 )
 
 // endpointHealth is whether an endpoint responds, and how well. The zero value is a healthy endpoint.
@@ -31,7 +20,7 @@
 	errorRate            float64       // fraction of failed attempts, averaged
 	ejectedUntil         time.Duration // it gets requests before that only where no other endpoint is left
 	consecutiveEjections int
-	// ejectedAsUnresponsive says that an attempt came to nothing, and that nothing was heard of the
+	// ejectedAsUnresponsive says that an attempt came to nothing, and that no node has reported the
 	// endpoint since.
 	ejectedAsUnresponsive bool
 	// unreachable says that all that was sent lately came to nothing: no request until it responds.
@@ -55,7 +44,7 @@
 	h.ejectedUntil = max(h.ejectedUntil, now+duration)
 }
 
-// ejectAsUnresponsive ejects the endpoint until a time has passed or it is heard of.
+// ejectAsUnresponsive ejects the endpoint until a time has passed or a node reports it.
 func (h *endpointHealth) ejectAsUnresponsive(now time.Duration) {
 	h.ejectedAsUnresponsive = true
 	h.ejectFor(now, unresponsiveEjection)
@@ -115,8 +104,8 @@
 
 // healthCriteria is what endpoints are judged by at one moment.
 type healthCriteria struct {
-	largeFleet bool    // load gossip tells of endpoints what other nodes see
-	maxSilence float64 // seconds without news of an endpoint with attempts in flight
+	largeFleet bool    // load gossip brings what other nodes see
+	maxSilence float64 // seconds without a response or report, with attempts in flight
 }
 
 // unresponsive reports whether the endpoint is known not to respond: it was silent to health checks or, in
--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -6,6 +6,18 @@
 	"time"
 )
 
+const (
+	timeoutError   = 0.5                    // a timeout as a part of an error: the endpoint may only be slow
+	slowConnect    = 100 * time.Millisecond // connections that fail sooner were refused: no silence
+	minTimeoutMean = 1e-3                   // seconds; least mean latency that timeouts are held against
+
+	// unresponsiveAfterMeans is the silence of an endpoint with attempts in flight after which it counts as
+	// unresponsive, in mean latencies. It is at most the time for which an attempt counts as recent, and at
+	// least that divided by minSilenceDivisor.
+	unresponsiveAfterMeans = 3.0
+	minSilenceDivisor      = 4
+)
+
 // recordOutcome learns from the end of an attempt at an endpoint.
 func (b *Balancer) recordOutcome(r *request, e *endpoint, o Outcome) {
 	if b.settings.LoadReports == LoadReportsInResponses { // elsewhere a response has none to give
--- a/balancer/tracking.go
+++ b/balancer/tracking.go
@@ -6,6 +6,9 @@
 	"time"
 )
 
+// observationDecay is the time constant with which what was learned of an idle endpoint fades.
+const observationDecay = 5 * time.Second
+
 // reserveRetention is how long an endpoint of the reserve stays tracked after its last use.
 const reserveRetention = 5 * time.Second
 
