--- a/cmd/opalhook/up.go
+++ b/cmd/opalhook/up.go
@@ -12,8 +12,9 @@
 	"opalhook/internal/testbed"
 )
 
-// upRejects says why the demonstration rejects requests; [testbed.Demo] draws its tenants.
-const upRejects = "Rejections are part of it: some tenants ask for three times their quota, and what is beyond it is rejected."
+// upRejects says why the demonstration rejects requests; docs/lab.md has the figures.
+const upRejects = "Rejections are by design: some of the tenants drawn ask for three times their quota, and most of what is beyond\n" +
+	"a quota is rejected, in all from a tenth to a third of the requests."
 
 // upFlags are the flags of `up`.
 type upFlags struct {
--- a/internal/testbed/checker.go
+++ b/internal/testbed/checker.go
@@ -194,7 +194,7 @@
 		if r.scenario.Classes[rec.Class].NonIdempotent {
 			for _, a := range t.upstream {
 				if !a.neverRan {
-					r.violate(at, RuleTwice, t.node, t.id, "refused as harmless to try again, and may have run at %s", a.server)
+					r.violate(at, RuleTwice, t.node, t.id, "rejected as harmless to try again, and may have run at %s", a.server)
 					break
 				}
 			}
--- a/internal/testbed/control.go
+++ b/internal/testbed/control.go
@@ -32,13 +32,13 @@
 	name := func(n string) string { return "opalhook_lab_" + n }
 	return &metrics{
 		env:        env,
-		attempts:   prometheus.NewDesc(name("tries_total"), "Tries of clients by how they ended.", []string{"outcome"}, nil),
-		violations: prometheus.NewDesc(name("violations_total"), "Broken rules of the platform.", []string{"rule"}, nil),
-		open:       prometheus.NewDesc(name("tries_open"), "Tries taken by a node and not answered yet.", nil, nil),
+		attempts:   prometheus.NewDesc(name("tries_total"), "Attempts of clients by outcome.", []string{"outcome"}, nil),
+		violations: prometheus.NewDesc(name("violations_total"), "Violations of the platform's rules.", []string{"rule"}, nil),
+		open:       prometheus.NewDesc(name("tries_open"), "Attempts of clients that a node accepted and has not answered.", nil, nil),
 		memory:     prometheus.NewDesc(name("node_resident_bytes"), "Resident memory of an edge node.", []string{"node"}, nil),
 		cpu:        prometheus.NewDesc(name("node_cpu_seconds_total"), "CPU time of an edge node's process.", []string{"node"}, nil),
-		servers:    prometheus.NewDesc(name("server_held"), "Requests that an app server holds.", []string{"server"}, nil),
-		latency:    prometheus.NewDesc(name("latency_seconds"), "Latency of what was served, from when it was due.", nil, nil),
+		servers:    prometheus.NewDesc(name("server_held"), "Requests at an app server, running and queued.", []string{"server"}, nil),
+		latency:    prometheus.NewDesc(name("latency_seconds"), "Latency of served requests, from when they were due.", nil, nil),
 	}
 }
 
--- a/internal/testbed/report.go
+++ b/internal/testbed/report.go
@@ -49,13 +49,13 @@
 		{"latency.svg", "Latency of what was served, from when it was due", "ms", []line{
 			{"p50", func(s *Series) float64 { return s.P50 }}, {"p99", func(s *Series) float64 { return s.P99 }},
 		}},
-		{"goodput.svg", "Goodput: worth in time, of what quotas allow", "share", []line{
+		{"goodput.svg", "Goodput: value in time, of what quotas allow", "share", []line{
 			{"goodput", func(s *Series) float64 { return share(s.Value, s.OfferedValue) }},
 			{"served", func(s *Series) float64 { return share(float64(s.Served), float64(s.Requests)) }},
 		}},
-		{"refusals.svg", "Tries refused and failed a second", "tries", []line{
-			{"refused", func(s *Series) float64 { return float64(s.Rejected) }},
-			{"refused with room", func(s *Series) float64 { return float64(s.RejectedInQuota) }},
+		{"refusals.svg", "Attempts rejected and failed a second", "attempts", []line{
+			{"rejected", func(s *Series) float64 { return float64(s.Rejected) }},
+			{"rejected inside the quota", func(s *Series) float64 { return float64(s.RejectedInQuota) }},
 			{"failed", func(s *Series) float64 { return float64(s.Failed - s.Unreached) }},
 			{"came to no node", func(s *Series) float64 { return float64(s.Unreached) }},
 		}},
@@ -76,7 +76,7 @@
 	for _, z := range sortedKeys(zones) {
 		by = append(by, line{z, func(s *Series) float64 { return share(float64(s.ZoneServed[z]), float64(s.ZoneRequests[z])) }})
 	}
-	return append(ps, chart{"zones.svg", "Share of first tries served, by the zone of the node", "share", by})
+	return append(ps, chart{"zones.svg", "Share of requests served, by the zone of the node", "share", by})
 }
 
 func sortedKeys[V any](m map[string]V) []string {
--- a/internal/testbed/scenario_validate.go
+++ b/internal/testbed/scenario_validate.go
@@ -246,7 +246,7 @@
 	case ft.Kind == "list-kill" && s.Fleet.ListReplicas == 0:
 		return fieldErrorf(field+"kind", "list-kill wants fleet.list_replicas, 3 or 5")
 	case strings.HasPrefix(ft.Kind, "list-") && ft.Kind != "list-kill" && ft.Kind != "list-down" && ft.Kind != "list-late" && s.Fleet.ListReplicas > 0:
-		return fieldErrorf(field+"kind", "%s is of the lab's own list: leave out fleet.list_replicas", ft.Kind)
+		return fieldErrorf(field+"kind", "%s is of the testbed's own list: leave out fleet.list_replicas", ft.Kind)
 	case ft.Kind == "list-words" && !slices.Contains(listEncodings, ft.Does):
 		return fieldErrorf(field+"does", "%q is none of %s", ft.Does, strings.Join(listEncodings, ", "))
 	case ft.Kind == "stall" && ft.For <= 0:
