--- a/internal/testbed/edge_node.go
+++ b/internal/testbed/edge_node.go
@@ -146,7 +146,7 @@
 // answerable tells whether the node could answer all the time since then: it lived, nobody had
 // stopped it, and its link to the clients was sound.
 func (env *environment) answerable(node int, since time.Duration) bool {
-	if r := env.relays[[2]party{{"clients", 0}, {"node", node}}]; r != nil && !r.healthySince(since) {
+	if r := env.relays[route{allClients, nodeParty(node)}]; r != nil && !r.healthySince(since) {
 		return false
 	}
 	n := env.nodes[node]
--- a/internal/testbed/environment.go
+++ b/internal/testbed/environment.go
@@ -45,7 +45,7 @@
 	addresses *addressBlock
 	servers   []*appServer
 	nodes     []*edgeNode
-	relays    map[[2]party]*tcpRelay // from one party to another; empty where links are direct
+	relays    map[route]*tcpRelay // from one party to another; empty where links are direct
 	generator *loadGenerator
 
 	ids *lockedRand
@@ -81,7 +81,7 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	w := &environment{
 		scenario: s, schedule: Draw(s, o.Seed), seed: o.Seed, dir: o.Dir, nodeBinary: o.Binary, serviceBinary: o.Service, nodeEnv: o.Env, log: o.Log, origin: time.Now(), over: make(chan struct{}),
-		ctx: ctx, cancel: cancel, relays: map[[2]party]*tcpRelay{},
+		ctx: ctx, cancel: cancel, relays: map[route]*tcpRelay{},
 		ids: &lockedRand{rng: random(o.Seed, streamServers)},
 	}
 	w.list = newList(w)
@@ -190,12 +190,12 @@
 	f := &env.scenario.Fleet
 	for n := range f.Nodes {
 		for i, s := range env.servers {
-			node, server := party{"node", n}, party{"server", i}
+			node, server := nodeParty(n), serverParty(i)
 			if err := env.startRelay(node, server, env.addresses.addr(5+n/250, n%250), s.addr); err != nil {
 				return err
 			}
 			if f.CrossDelay > 0 && f.zoneOf(n) != f.zoneOf(i) {
-				r := env.relays[[2]party{node, server}]
+				r := env.relays[route{node, server}]
 				r.out.Delay, r.back.Delay = time.Duration(f.CrossDelay), time.Duration(f.CrossDelay)
 			}
 		}
@@ -216,14 +216,14 @@
 	if !env.scenario.relayed() {
 		return n, nil
 	}
-	clients, node, agent := party{"clients", 0}, party{"node", number}, party{"agent", number}
+	clients, node, agent := allClients, nodeParty(number), party{partyAgent, number}
 	if err := errors.Join(
 		env.startRelay(clients, node, env.addresses.addr(8, number), n.listen),
 		env.startRelay(node, agent, env.addresses.addr(9, number), n.agent.addr),
 	); err != nil {
 		return nil, err
 	}
-	n.clients, n.discovery = env.relays[[2]party{clients, node}].addr, env.relays[[2]party{node, agent}].addr
+	n.clients, n.discovery = env.relays[route{clients, node}].addr, env.relays[route{node, agent}].addr
 	return n, nil
 }
 
@@ -233,7 +233,7 @@
 	if err != nil {
 		return err
 	}
-	env.relays[[2]party{from, to}] = r
+	env.relays[route{from, to}] = r
 	return nil
 }
 
@@ -270,7 +270,7 @@
 	}
 	list := append([]Entry(nil), m.Instances...)
 	for i := range list {
-		list[i].HostPort = env.relays[[2]party{{"node", node}, {"server", list[i].number}}].addr
+		list[i].HostPort = env.relays[route{nodeParty(node), serverParty(list[i].number)}].addr
 	}
 	m.Instances = list
 	return m
--- a/internal/testbed/fault.go
+++ b/internal/testbed/fault.go
@@ -168,10 +168,10 @@
 func (env *environment) cut(way string, cut bool, nodeInside, serverInside func(int) bool) error {
 	out, in := way != "in", way != "out"
 	for k, r := range env.relays {
-		if k[0].kind != "node" || k[1].kind != "server" {
+		if k.from.kind != partyNode || k.to.kind != partyServer {
 			continue
 		}
-		n, s := nodeInside(k[0].number), serverInside(k[1].number)
+		n, s := nodeInside(k.from.number), serverInside(k.to.number)
 		if n == s {
 			continue
 		}
@@ -227,13 +227,13 @@
 	}
 	for _, a := range from {
 		for _, b := range to {
-			if b.kind == "agent" {
+			if b.kind == partyAgent {
 				b.number = a.number
 			}
-			if a.kind == "node" && b.kind == "node" && a != b {
+			if a.kind == partyNode && b.kind == partyNode && a != b {
 				env.udp.set(a.number, b.number, change)
 			}
-			there, back := env.relays[[2]party{a, b}], env.relays[[2]party{b, a}]
+			there, back := env.relays[route{a, b}], env.relays[route{b, a}]
 			var err error
 			switch {
 			case there != nil && (ft.Does == "reset" || ft.Does == "refuse"):
--- a/internal/testbed/fault_kinds.go
+++ b/internal/testbed/fault_kinds.go
@@ -51,37 +51,69 @@
 	"list-kill":   {faultsAll, false, "SIGKILL of the list service's leader, or of all replicas where `share` is 1; started again after `for`"},
 }
 
+// partyKind is what may be at an end of a link, as scenarios name it.
+type partyKind string
+
+// Kinds of parties.
+const (
+	partyClients partyKind = "clients" // all of them as one
+	partyNode    partyKind = "node"
+	partyServer  partyKind = "server"
+	partyAgent   partyKind = "agent"
+)
+
 // party is an end of a link.
 type party struct {
-	kind   string // clients, node, server, agent
+	kind   partyKind
 	number int
 }
 
+// allClients is the party that all clients are together.
+var allClients = party{partyClients, 0}
+
+func nodeParty(number int) party   { return party{partyNode, number} }
+func serverParty(number int) party { return party{partyServer, number} }
+
+// route is the way from one party to another, which opens the connections.
+type route struct{ from, to party }
+
 // parties lists who a name in a scenario stands for. A zone is its nodes and its servers.
 func (s *Scenario) parties(name string) ([]party, error) {
-	kind, arg, _ := strings.Cut(name, ":")
-	all := func(kind string, n int, zone string) (ps []party) {
-		for _, i := range s.Fleet.inZone(n, zone) {
-			ps = append(ps, party{kind, i})
-		}
-		return ps
-	}
-	switch kind {
-	case "clients", "agent":
-		return []party{{kind, 0}}, nil
+	what, arg, _ := strings.Cut(name, ":")
+	switch what {
+	case "clients":
+		return []party{allClients}, nil
+	case "agent":
+		return []party{{partyAgent, 0}}, nil
 	case "nodes":
-		return all("node", s.Fleet.Nodes, ""), nil
+		return s.partiesIn("", partyNode, s.Fleet.Nodes), nil
 	case "servers":
-		return all("server", s.Fleet.Servers, ""), nil
+		return s.partiesIn("", partyServer, s.Fleet.Servers), nil
 	case "zone":
 		if slices.Contains(s.Fleet.Zones, arg) {
-			return append(all("node", s.Fleet.Nodes, arg), all("server", s.Fleet.Servers, arg)...), nil
-		}
-	case "node", "server":
-		most := map[string]int{"node": s.Fleet.Nodes, "server": s.Fleet.Servers}[kind]
-		if n, err := strconv.Atoi(arg); err == nil && n >= 0 && n < most {
-			return []party{{kind, n}}, nil
+			return append(s.partiesIn(arg, partyNode, s.Fleet.Nodes), s.partiesIn(arg, partyServer, s.Fleet.Servers)...), nil
 		}
+	case "node":
+		return oneParty(name, partyNode, arg, s.Fleet.Nodes)
+	case "server":
+		return oneParty(name, partyServer, arg, s.Fleet.Servers)
 	}
 	return nil, fmt.Errorf("%q names no party", name)
 }
+
+// partiesIn lists the parties of a kind in a zone, of all zones where it is "".
+func (s *Scenario) partiesIn(zone string, kind partyKind, count int) (all []party) {
+	for _, number := range s.Fleet.inZone(count, zone) {
+		all = append(all, party{kind, number})
+	}
+	return all
+}
+
+// oneParty is the party of a kind with a number below count.
+func oneParty(name string, kind partyKind, number string, count int) ([]party, error) {
+	n, err := strconv.Atoi(number)
+	if err != nil || n < 0 || n >= count {
+		return nil, fmt.Errorf("%q names no party", name)
+	}
+	return []party{{kind, n}}, nil
+}
--- a/internal/testbed/scenario_validate.go
+++ b/internal/testbed/scenario_validate.go
@@ -263,14 +263,14 @@
 // validateLink checks the parties of a link and what happens to it.
 func (s *Scenario) validateLink(field string, ft *Fault) error {
 	from, err := s.parties(ft.From)
-	if err != nil || len(from) == 0 || from[0].kind == "server" || from[0].kind == "agent" {
+	if err != nil || len(from) == 0 || from[0].kind == partyServer || from[0].kind == partyAgent {
 		return fieldErrorf(field+"from", "%q is none of clients, nodes, node:N, zone:Z", ft.From)
 	}
 	to, err := s.parties(ft.To)
-	if err != nil || len(to) == 0 || to[0].kind == "clients" {
+	if err != nil || len(to) == 0 || to[0].kind == partyClients {
 		return fieldErrorf(field+"to", "%q is none of nodes, node:N, servers, server:N, zone:Z, agent", ft.To)
 	}
-	if from[0].kind == "clients" && to[0].kind != "node" {
+	if from[0].kind == partyClients && to[0].kind != partyNode {
 		return fieldErrorf(field+"to", "clients have links to nodes alone, not to %q", ft.To)
 	}
 	switch ft.Does {
