--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -19,7 +19,6 @@
 import (
 	"fmt"
 	"log/slog"
-	"math"
 	"math/rand/v2"
 	"time"
 )
@@ -73,8 +72,10 @@
 		planIndex: map[string]int{},
 		requests:  newRequestTable(),
 		overload:  newOverloadController(),
-		latency:   newLatencyTracker(len(s.Classes)),
-		endpoints: newEndpointSet(),
+		latency:   newLatencyTracker(s.Classes),
+		endpoints: newEndpointSet(&s),
+		slowStart: newSlowStart(&s),
+		health:    newHealthChecker(&s),
 		overQuota: overQuotaTable{},
 
 		quotaRequester: newQuotaRequester(s.NodeCount),
@@ -89,7 +90,10 @@
 	}
 	g.inbox.capacity = s.PeerMessagesPerSecond
 	g.quotas = newQuotaTable(&s, g.rng)
-	g.quotaOwner = newQuotaOwner(&s, g.longestLatencyObjective())
+	g.quotaOwner = newQuotaOwner(&s, g.latency.longestObjective)
+	if g.ownsQuotas() {
+		g.endpoints.enableSubset()
+	}
 	g.codec = codec{g.settings.Plans, s.NodeCount}
 	g.gossip = newGossiper(&s, uint64(g.rng.Uint32()>>16))
 	// so that answers to a balancer before its restart match nothing
@@ -157,9 +161,9 @@
 	b.controlOverload()
 	b.dropIdleQuotas()
 	if b.ownsQuotas() {
-		b.dropUnused()
+		b.endpoints.dropUnused(b.now)
 	}
-	b.updateEndpoints()
+	b.closeEndpointInterval()
 	b.concurrency.closeInterval(b.now - b.started)
 	b.inbox.closeInterval()
 	b.sendHealthCheck()
@@ -176,30 +180,6 @@
 	}
 }
 
-// updateEndpoints ages what was learned of endpoints without attempts in flight, and takes the means over
-// endpoints.
-func (b *Balancer) updateEndpoints() {
-	var warmWeight, load, reported float64
-	retained := math.Exp(-controlInterval.Seconds() / observationDecay.Seconds())
-	for _, endpoint := range b.endpoints.tracked {
-		b.accrueSlowStartTokens(endpoint) // also before the endpoint is first considered for a request
-		warm := endpoint.slowStartTokens < 0
-		if warm && endpoint.acceptsRequests() && endpoint.inSubset {
-			warmWeight += b.weight(endpoint)
-		}
-		if endpoint.acceptsRequests() && endpoint.reportedLoad >= 0 && !endpoint.refusesConnections {
-			load += endpoint.otherNodesLoad
-			reported++
-		}
-		if endpoint.inFlight == 0 {
-			endpoint.latencyRatio = 1 + (endpoint.latencyRatio-1)*retained
-			endpoint.errorRate *= retained
-		}
-	}
-	b.endpoints.meanLoad = load / math.Max(reported, 1)
-	b.slowStart.closeInterval(warmWeight)
-}
-
 // logInfo passes a line on unless another was logged less than logInterval ago.
 func (b *Balancer) logInfo(message string, attributes ...slog.Attr) {
 	if b.now-b.lastLogged < logInterval {
@@ -227,15 +207,7 @@
 
 // Stats returns how much the balancer holds now.
 func (b *Balancer) Stats() Stats {
-	stats := Stats{
-		ListedEndpoints:  len(b.endpoints.list.slotByID),
-		TrackedEndpoints: len(b.endpoints.tracked),
-	}
-	for _, endpoint := range b.endpoints.tracked {
-		if endpoint.inSubset && endpoint.listed {
-			stats.SubsetEndpoints++
-			stats.HashCollisions += int(oneIf(b.endpoints.subsetByHash[endpoint.shortHash] == nil))
-		}
-	}
+	var stats Stats
+	b.endpoints.addStats(&stats)
 	return stats
 }
--- /dev/null
+++ b/balancer/restart_evidence_test.go
@@ -0,0 +1,112 @@
+package balancer
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// A connection that failed is no restart where a response on an older one, or to a health check sent at
+// once, shows the process up. What failed before that stays suspected.
+func TestFailedConnectionIsConfirmed(t *testing.T) {
+	fail := func(b *Balancer, r *recorder, n int, at time.Duration) {
+		r.acts = nil
+		b.RequestArrived(at, newRequest(n, "unsafe", "rate", uint64(n)), r)
+		b.AttemptFinished(at, Outcome{ID: fmt.Sprint("r", n), Result: ConnectFailed, EndpointID: "s0"}, r)
+	}
+	b, r := newGate(t, probing(), fleet(1)...)
+	s := b.endpoints.tracked[0]
+	fail(b, r, 1, t0)
+	if r.count("probe s0") != 1 || b.warmUpFraction(s) == 1 {
+		t.Errorf("%d health checks sent, warm-up fraction %v after a failed connection",
+			r.count("probe s0"), b.warmUpFraction(s))
+	}
+	if b.HealthChecked(t0+5*ms, "s0", OK, nil, r); b.warmUpFraction(s) != 1 {
+		t.Error("cold though a health check sent at once was answered")
+	}
+	if fail(b, r, 2, t0+time.Second); r.count("probe s0") != 1 {
+		t.Errorf("%d health checks sent", r.count("probe s0"))
+	}
+	if b.HealthChecked(t0+time.Second, "s0", ConnectFailed, nil, r); b.warmUpFraction(s) == 1 {
+		t.Error("warm though the health check failed as well")
+	}
+	if b.HealthChecked(t0+2*time.Second, "s0", OK, nil, r); b.warmUpFraction(s) == 1 {
+		t.Error("warm after the response to a later health check: the process may have started since")
+	}
+
+	b, r = newGate(t, testSettings(), fleet(1)...)
+	s = b.endpoints.tracked[0]
+	for i := range 2 * maxSuspectedRestarts {
+		s.restarts.suspect(t0 + time.Duration(i+1)*ms)
+	}
+	b.now, b.actions = t0+time.Second, r
+	b.recordLatency(0, s, ms) // its class has a mean
+	q := &request{}
+	b.recordOutcome(q, s, Outcome{Result: OK, Elapsed: ms, ConnectedAt: t0 + 3*ms/2})
+	if s.restarts.latest != t0+ms {
+		t.Errorf("suspected since %v, want the failure before the connection was made", s.restarts.latest-t0)
+	}
+	if b.recordOutcome(q, s, Outcome{
+		Result: OK, Elapsed: ms,
+		ConnectedAt: t0 + ms/2,
+	}); s.restarts.latest != 0 {
+		t.Error("cold after a response on a connection older than all failures")
+	}
+}
+
+func TestRestartEvidence(t *testing.T) {
+	suspectedAt := func(times ...time.Duration) (r restartEvidence) {
+		for _, at := range times {
+			r.suspect(at)
+		}
+		return r
+	}
+	for _, test := range []struct {
+		name    string
+		before  restartEvidence
+		upSince time.Duration
+		want    time.Duration
+	}{
+		{"nothing suspected", restartEvidence{}, t0, 0},
+		{"up before the failure", suspectedAt(t0), t0 - ms, 0},
+		{"up since the failure", suspectedAt(t0), t0, 0},
+		{"up after the failure", suspectedAt(t0), t0 + ms, t0},
+		{"up between failures", suspectedAt(t0, t0+2*ms), t0 + ms, t0},
+	} {
+		test.before.confirmUpSince(test.upSince)
+		if test.before.latest != test.want {
+			t.Errorf("%s: suspected at %v, want %v", test.name, test.before.latest, test.want)
+		}
+	}
+	var many restartEvidence
+	for i := range 3 * maxSuspectedRestarts {
+		many.suspect(t0 + time.Duration(i)*ms)
+	}
+	last := t0 + (3*maxSuspectedRestarts-1)*ms
+	if len(many.suspected) != maxSuspectedRestarts || many.latest != last {
+		t.Errorf("%d remembered, latest %v, want %d and %v", len(many.suspected), many.latest,
+			maxSuspectedRestarts, last)
+	}
+	many.confirmUpSince(last)
+	if want := t0 + (maxSuspectedRestarts-2)*ms; many.latest != want {
+		t.Errorf("latest %v, want the first ones kept, up to %v", many.latest, want)
+	}
+}
+
+// One health check at a time is sent to confirm, and only its response withdraws the suspicion.
+func TestConfirmingRestart(t *testing.T) {
+	var r restartEvidence
+	r.suspect(t0)
+	r.confirm()
+	if r.latest != t0 {
+		t.Error("confirmed by a health check that was not sent to confirm")
+	}
+	if !r.startConfirming(t0) || r.startConfirming(t0+ms) {
+		t.Error("want one health check at a time")
+	}
+	r.confirm()
+	r.stopConfirming()
+	if r.latest != 0 || !r.startConfirming(t0+ms) {
+		t.Errorf("after the response: %+v", r)
+	}
+}
--- /dev/null
+++ b/balancer/selection_test.go
@@ -0,0 +1,174 @@
+package balancer
+
+import (
+	"fmt"
+	"math"
+	"strings"
+	"testing"
+	"time"
+)
+
+// An endpoint that fails fast draws no requests; the last one is not ejected.
+func TestFastErrorsDrawNoRequests(t *testing.T) {
+	b, r := newGate(t, testSettings(), fleet(4)...)
+	bad := 0
+	for i := 0; i < 400; i++ {
+		now := t0 + time.Duration(i)*20*ms
+		q := newRequest(i, "unsafe", "rate", uint64(i))
+		b.RequestArrived(now, q, r)
+		a := strings.Fields(r.last())
+		if a[0] == "send" && a[2] == "s0" {
+			bad++
+			b.AttemptFinished(now+ms, Outcome{
+				ID: q.ID, Result: ErrorResponse, EndpointID: "s0",
+				Elapsed: ms,
+			}, r)
+		} else {
+			b.AttemptFinished(now+10*ms, Outcome{
+				ID: q.ID, Result: OK, Answered: true, EndpointID: a[2],
+				Elapsed: 50 * ms,
+			}, r)
+		}
+	}
+	if bad > 20 {
+		t.Errorf("%d of 400 requests went to the failing endpoint", bad)
+	}
+	b.EndpointsUpdated(t0+9*time.Second, UpdateSnapshot, fleet(1), r)
+	b.RequestArrived(t0+9*time.Second, newRequest(1000, "safe", "rate", 5000), r)
+	if r.last() != "send r1000 s0" {
+		t.Errorf("the last endpoint is not used: %q", r.last())
+	}
+}
+
+// Silence with attempts in flight counts as latency.
+func TestSilentEndpointIsAvoided(t *testing.T) {
+	b, r := newGate(t, testSettings(), fleet(2)...)
+	toSilent := 0
+	for i := 0; i < 200; i++ {
+		now := t0 + time.Duration(i)*20*ms
+		q := newRequest(i, "unsafe", "rate", uint64(i))
+		b.RequestArrived(now, q, r)
+		a := strings.Fields(r.last())
+		if a[0] == "send" && a[2] == "s0" {
+			toSilent++
+		} else {
+			b.AttemptFinished(now+10*ms, Outcome{
+				ID: q.ID, Result: OK, Answered: true, EndpointID: a[2],
+				Elapsed: 50 * ms,
+			}, r)
+		}
+	}
+	if toSilent > 10 {
+		t.Errorf("%d of 200 requests went to the silent endpoint", toSilent)
+	}
+}
+
+// Of two endpoints alike, the silent, the failing, the slow, the cold and the busy one costs more.
+func TestCostOfSymptoms(t *testing.T) {
+	for name, spoil := range map[string]func(*endpoint){
+		"silent":    func(s *endpoint) { s.lastProgress = t0 - time.Second },
+		"failing":   func(s *endpoint) { s.health.errorRate = 0.3 },
+		"slow":      func(s *endpoint) { s.latencyRatio = 2 },
+		"cold":      func(s *endpoint) { s.StartedAt = t0 - ms },
+		"queueing":  func(s *endpoint) { s.load.queued = 3 },
+		"busy":      func(s *endpoint) { s.inFlight = 2 },
+		"restarted": func(s *endpoint) { s.restarts.latest = t0 },
+	} {
+		b, _ := newGate(t, testSettings(), fleet(2)...)
+		usual, spoilt := b.endpoints.tracked[0], b.endpoints.tracked[1]
+		for _, s := range b.endpoints.tracked {
+			s.inFlight, s.lastProgress = 1, t0
+		}
+		b.latency.classes[0].mean = 0.1
+		spoil(spoilt)
+		if b.cost(spoilt) < 1.3*b.cost(usual) {
+			t.Errorf("%s: cost %v against %v", name, b.cost(spoilt), b.cost(usual))
+		}
+	}
+}
+
+// Deprioritized endpoints use no samples: the choice among the others would be blind.
+func TestDeprioritizedEndpointsUseNoSamples(t *testing.T) {
+	b, r := newGate(t, testSettings(), fleet(12)...)
+	b.settings.NodeCount = 6
+	for i := range 9 {
+		b.endpoints.trackedByID[fmt.Sprintf("s%d", i)].health.ejectedUntil = t0 + time.Hour
+	}
+	for _, id := range []string{"s9", "s10"} {
+		b.endpoints.trackedByID[id].inFlight, b.endpoints.trackedByID[id].lastProgress = 9, t0
+	}
+	blind := 0
+	for i := range 100 {
+		b.actions, b.now = r, t0
+		if s := b.selectEndpoint(&request{number: uint64(i)}); s.ID != "s11" {
+			blind++
+		}
+	}
+	if blind > 5 {
+		t.Errorf("%d of 100 went past the idle endpoint of three", blind)
+	}
+}
+
+// An endpoint at which the request has failed costs a multiple, and one at which it was answered does not.
+func TestFailedEndpointCostsMore(t *testing.T) {
+	failed, answered := newEndpoint(Endpoint{ID: "s0"}), newEndpoint(Endpoint{ID: "s1"})
+	untried := newEndpoint(Endpoint{ID: "s2"})
+	r := &request{attempts: []attempt{{endpoint: failed, result: Reset}, {endpoint: answered, result: OK}}}
+	for _, test := range []struct {
+		name       string
+		cost       float64 // of the other endpoint
+		other      *endpoint
+		wantFailed bool
+	}{
+		{"a little dearer", failedEndpointFactor - 0.1, untried, false},
+		{"much dearer", failedEndpointFactor + 0.1, untried, true},
+		{"answered", failedEndpointFactor - 0.1, answered, false},
+	} {
+		s := selection{request: r, bestCost: math.Inf(1)}
+		s.offer(failed, 1, false)
+		s.offer(test.other, test.cost, false)
+		if got := s.best == failed; got != test.wantFailed {
+			t.Errorf("%s: the failed endpoint is the best: %v", test.name, got)
+		}
+	}
+}
+
+// Each tier of endpoints costs more than any of the tiers before: in the subset, not sampled, outside,
+// deprioritized.
+func TestTiersOfCost(t *testing.T) {
+	b, r := newGate(t, subsetSettings(100), testEndpoints(400)...)
+	b.now, b.actions = t0, r
+	var outside *endpoint
+	for slot := range b.endpoints.list.entries {
+		if b.endpoints.trackedAt(slotIndex(slot)) == nil {
+			outside = b.endpoints.trackFromReserve(t0, slotIndex(slot))
+			break
+		}
+	}
+	ejected := newEndpoint(Endpoint{ID: "ejected"})
+	ejected.health.eject(t0)
+	s := selection{criteria: b.healthCriteria(), samples: 3}
+	if cost, deprioritized := b.tierCost(&s, outside); cost != outsideSubsetCost || deprioritized ||
+		s.outsideSubset != 1 {
+		t.Errorf("outside the subset: cost %v, deprioritized %v, %d counted", cost, deprioritized,
+			s.outsideSubset)
+	}
+	if cost, deprioritized := b.tierCost(&s, ejected); cost != deprioritizedCost || !deprioritized {
+		t.Errorf("ejected: cost %v, deprioritized %v", cost, deprioritized)
+	}
+	if s.samples != 3 {
+		t.Errorf("%d samples left of 3, though none was of the subset", s.samples)
+	}
+	var largest *endpoint
+	for _, e := range b.endpoints.tracked {
+		if e.inSubset && (largest == nil || e.weight() > largest.weight()) {
+			largest = e
+		}
+	}
+	if cost, _ := b.tierCost(&s, largest); cost != 0 || s.samples != 2 {
+		t.Errorf("the largest of the subset: cost %v, %d samples left", cost, s.samples)
+	}
+	if notSampledCost >= outsideSubsetCost || outsideSubsetCost >= deprioritizedCost {
+		t.Error("the tiers are not in order")
+	}
+}
