--- a/internal/testnet/testnet.go
+++ b/internal/testnet/testnet.go
@@ -13,8 +13,8 @@
 	"testing"
 )
 
-// mostTries bounds the search for an address that was not returned before.
-const mostTries = 1000
+// maxAttempts bounds the search for an address that was not returned before.
+const maxAttempts = 1000
 
 // given holds the addresses that [FreeAddr] has returned.
 var given sync.Map
@@ -35,7 +35,7 @@
 // before. A failure to listen ends the test, as does a range of ports that is used up.
 func FreeAddr(t testing.TB) string {
 	t.Helper()
-	for range mostTries {
+	for range maxAttempts {
 		listener, err := net.Listen("tcp", AnyPort())
 		if err != nil {
 			t.Fatal(err)
