--- a/cmd/opalhook/sweep.go
+++ b/cmd/opalhook/sweep.go
@@ -115,7 +115,7 @@
 	return testbed.BuildMutant(ctx, mutant, dir)
 }
 
-// sweepProgress writes a line as each trial ends. Progress that nobody can read is no reason to stop the sweep.
+// sweepProgress writes a line as each generated scenario ends. Progress that nobody can read is no reason to stop the sweep.
 func sweepProgress(out io.Writer) func(done, of int, t testbed.GeneratedRun) {
 	began := time.Now()
 	return func(done, of int, t testbed.GeneratedRun) {
@@ -123,7 +123,7 @@
 	}
 }
 
-// because tells why a trial was no pass: the rules that it broke, or that it was not judged.
+// because tells why a generated scenario did not pass: the rules that it broke, or that it was not judged.
 func because(t testbed.GeneratedRun) string {
 	var words []string
 	for _, rule := range slices.Sorted(maps.Keys(t.Rules)) {
--- a/internal/scale/quota.go
+++ b/internal/scale/quota.go
@@ -138,7 +138,7 @@
 }
 
 // heapATenant measures what one tenant takes on one node that has heard of it. Each node of one set gets
-// one request of every tenant, with inboxes that take all messages, so that holders and members know them.
+// one request of every tenant, with inboxes that take all messages, so that owners and requesters know them.
 func heapATenant(ctx context.Context, seed uint64, spread int) (float64, error) {
 	f := newFleet(seed, quotaNodes, spread)
 	f.inboxRate = heapTenants * float64(spread) * 4
--- a/internal/testbed/checker.go
+++ b/internal/testbed/checker.go
@@ -25,7 +25,7 @@
 	drainGrace   = 500 * time.Millisecond
 	socketSlack  = 50 * time.Millisecond // by which each time limit is extended on sockets
 	ceilingLag   = 150 * time.Millisecond
-	knowingShare = 2.0 / 3 // of the work that overloaded a server to failure, from nodes told of its start
+	knowingShare = 2.0 / 3 // of the work that overloaded a server to failure, from nodes that knew of its start
 )
 
 // Violation is one broken rule.
--- a/internal/testbed/model.go
+++ b/internal/testbed/model.go
@@ -31,7 +31,7 @@
 // job is a request at an app server.
 type job struct {
 	work  float64 // core seconds
-	end   float64 // reading of model.done at which it ends
+	end   float64 // reading of model.progress at which it ends
 	ended func()  // called when it has run
 }
 
@@ -116,7 +116,7 @@
 	heap.Push(&m.running, j)
 }
 
-// arrive takes in a request. It is false for one that is turned away unseen, and for all
+// arrive takes in a request. It is false for one that is rejected unseen, and for all
 // at a server that has fallen over.
 func (m *model) arrive(now time.Duration, j *job) bool {
 	m.advance(now)
@@ -135,7 +135,7 @@
 	return true
 }
 
-// trackOverload counts all work that comes to a cold server, also what it turns away. It fails of overload and stays
+// trackOverload counts all work that comes to a server in slow start, also what it rejects. It fails and stays
 // down when that is more than N + 3 sqrt(N) + 3 requests of mean work within the window, N being the stated
 // multiple of what it can do in it: the platform's slack for chance.
 func (m *model) trackOverload(work float64) {
--- a/internal/testbed/model_test.go
+++ b/internal/testbed/model_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// A cold server fails of overload when sent more than the multiple of what it can do, for the window;
+// A server in slow start is overloaded to failure when sent more than the multiple of what it can do, for the window;
 // a warm one, or one sent less, does not.
 func TestModelOverloadedDuringSlowStart(t *testing.T) {
 	for _, c := range []struct {
