--- a/cmd/opalhook/agent.go
+++ b/cmd/opalhook/agent.go
@@ -21,7 +21,7 @@
 const defaultAgent = "127.0.0.1:8510"
 
 // agentCommand runs the agent on a machine.
-func agentCommand(s *settings) *cobra.Command {
+func agentCommand(s *sharedFlags) *cobra.Command {
 	cfg := agent.Config{Rules: agent.DefaultRules()}
 	var metrics string
 	c := &cobra.Command{
@@ -73,7 +73,7 @@
 	return nil
 }
 
-func agentStatus(s *settings) *cobra.Command {
+func agentStatus(s *sharedFlags) *cobra.Command {
 	var at string
 	c := &cobra.Command{
 		Use:     "status",
--- a/cmd/opalhook/main.go
+++ b/cmd/opalhook/main.go
@@ -49,15 +49,15 @@
 	}
 }
 
-// settings are the flags that all subcommands share.
-type settings struct {
+// sharedFlags are the flags that all subcommands share.
+type sharedFlags struct {
 	output  string
 	verbose bool
 }
 
-func (s *settings) json() bool { return s.output == "json" }
+func (s *sharedFlags) json() bool { return s.output == "json" }
 
-func (s *settings) logger() *slog.Logger {
+func (s *sharedFlags) logger() *slog.Logger {
 	level := slog.LevelWarn
 	if s.verbose {
 		level = slog.LevelInfo
@@ -66,7 +66,7 @@
 }
 
 func root() *cobra.Command {
-	var s settings
+	var s sharedFlags
 	c := &cobra.Command{
 		Use:           "opalhook",
 		Short:         "Run, watch and test a fleet of opalhook edge nodes",
--- a/cmd/opalhook/registry.go
+++ b/cmd/opalhook/registry.go
@@ -22,7 +22,7 @@
 
 // registryFlags are the flags that the subcommands of `registry` share.
 type registryFlags struct {
-	*settings
+	*sharedFlags
 	at     []string // HTTP addresses of replicas
 	within time.Duration
 }
@@ -36,8 +36,8 @@
 }
 
 // registryCommand is the group of the list service.
-func registryCommand(s *settings) *cobra.Command {
-	f := registryFlags{settings: s}
+func registryCommand(s *sharedFlags) *cobra.Command {
+	f := registryFlags{sharedFlags: s}
 	c := &cobra.Command{
 		Use:     "registry",
 		Short:   "Run the list service, read its list of app servers and change it",
@@ -55,7 +55,7 @@
 	return c
 }
 
-func registryServe(s *settings) *cobra.Command {
+func registryServe(s *sharedFlags) *cobra.Command {
 	var cfg registry.Config
 	c := &cobra.Command{
 		Use:   "serve",
@@ -176,7 +176,7 @@
 }
 
 // writeOutcome tells how a write came out.
-func writeOutcome(s *settings, c *cobra.Command, o registry.Outcome) error {
+func writeOutcome(s *sharedFlags, c *cobra.Command, o registry.Outcome) error {
 	if s.json() {
 		return writeJSON(c.OutOrStdout(), o)
 	}
@@ -207,7 +207,7 @@
 			if err != nil {
 				return err
 			}
-			return writeOutcome(f.settings, c, o)
+			return writeOutcome(f.sharedFlags, c, o)
 		},
 	}
 	c.Flags().StringVar(&r.Zone, "zone", "", "where it stands")
@@ -237,7 +237,7 @@
 			if err != nil {
 				return err
 			}
-			return writeOutcome(f.settings, c, out)
+			return writeOutcome(f.sharedFlags, c, out)
 		},
 	}
 	c.Flags().Uint64Var(&o.Incarnation, "incarnation", 0, "only this start of it; 0: whichever is there")
@@ -297,7 +297,7 @@
 	}
 }
 
-func registryRestore(s *settings) *cobra.Command {
+func registryRestore(s *sharedFlags) *cobra.Command {
 	var dir string
 	var epoch uint64
 	c := &cobra.Command{
@@ -345,7 +345,7 @@
 			if err != nil {
 				return err
 			}
-			return writeOutcome(f.settings, c, o)
+			return writeOutcome(f.sharedFlags, c, o)
 		},
 	}
 }
--- a/cmd/opalhook/scale.go
+++ b/cmd/opalhook/scale.go
@@ -15,7 +15,7 @@
 )
 
 // testbedScale measures how the program's parts grow with the fleet.
-func testbedScale(s *settings) *cobra.Command {
+func testbedScale(s *sharedFlags) *cobra.Command {
 	var names []string
 	var sizes, dir string
 	var seed uint64
@@ -96,7 +96,7 @@
 }
 
 // writeScale writes the report and the plots.
-func (s *settings) writeScale(out io.Writer, report *scale.Report, dir string) error {
+func (s *sharedFlags) writeScale(out io.Writer, report *scale.Report, dir string) error {
 	if s.json() {
 		if err := writeJSON(out, report); err != nil {
 			return err
--- a/cmd/opalhook/sweep.go
+++ b/cmd/opalhook/sweep.go
@@ -23,7 +23,7 @@
 }
 
 // testbedSweep plays deployments and faults drawn by seed.
-func testbedSweep(s *settings) *cobra.Command {
+func testbedSweep(s *sharedFlags) *cobra.Command {
 	var f sweepFlags
 	c := &cobra.Command{
 		Use:   "sweep",
@@ -49,7 +49,7 @@
 }
 
 // sweep plays the seeds and tells what came of them.
-func (f *sweepFlags) sweep(c *cobra.Command, s *settings) error {
+func (f *sweepFlags) sweep(c *cobra.Command, s *sharedFlags) error {
 	if err := f.check(); err != nil {
 		return badInput{err}
 	}
--- a/cmd/opalhook/testbed.go
+++ b/cmd/opalhook/testbed.go
@@ -16,7 +16,7 @@
 )
 
 // testbedCommand is the group of experiments with real edge nodes.
-func testbedCommand(s *settings) *cobra.Command {
+func testbedCommand(s *sharedFlags) *cobra.Command {
 	c := &cobra.Command{
 		Use:     "testbed",
 		Aliases: []string{"lab"}, // the name in earlier versions
@@ -36,7 +36,7 @@
 	control, binary, dir string
 }
 
-func testbedRun(s *settings) *cobra.Command {
+func testbedRun(s *sharedFlags) *cobra.Command {
 	var f runFlags
 	c := &cobra.Command{
 		Use:   "run FILE",
@@ -57,7 +57,7 @@
 }
 
 // play plays a scenario as often as asked for and tells how each run came out.
-func (f *runFlags) play(c *cobra.Command, s *settings, file string) error {
+func (f *runFlags) play(c *cobra.Command, s *sharedFlags, file string) error {
 	scenario, err := testbed.LoadScenario(file)
 	if err != nil {
 		return badInput{err}
@@ -106,7 +106,7 @@
 	return nil
 }
 
-func testbedFault(s *settings) *cobra.Command {
+func testbedFault(s *sharedFlags) *cobra.Command {
 	var at string
 	var f testbed.CommandedFault
 	var last, late time.Duration
@@ -156,7 +156,7 @@
 	Error string `json:"error,omitempty"`
 }
 
-func testbedList(s *settings) *cobra.Command {
+func testbedList(s *sharedFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:     "list [FOLDER]",
 		Short:   "List the scenarios in a folder",
@@ -201,7 +201,7 @@
 	return rows, bad
 }
 
-func testbedReport(s *settings) *cobra.Command {
+func testbedReport(s *sharedFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:     "report DIR",
 		Short:   "Write a run's report: Markdown with charts",
@@ -225,7 +225,7 @@
 	}
 }
 
-func testbedCompare(s *settings) *cobra.Command {
+func testbedCompare(s *sharedFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:     "compare DIR DIR",
 		Short:   "Compare two runs, or two folders of runs",
--- a/cmd/opalhook/up.go
+++ b/cmd/opalhook/up.go
@@ -23,7 +23,7 @@
 }
 
 // upCommand is the first thing that a newcomer runs.
-func upCommand(s *settings) *cobra.Command {
+func upCommand(s *sharedFlags) *cobra.Command {
 	var f upFlags
 	c := &cobra.Command{
 		Use:   "up",
@@ -41,7 +41,7 @@
 }
 
 // run builds an edge node if none is named, runs the demonstration and removes its files.
-func (f *upFlags) run(c *cobra.Command, s *settings) error {
+func (f *upFlags) run(c *cobra.Command, s *sharedFlags) error {
 	scenario, err := testbed.Demo(f.duration)
 	if err != nil {
 		return err
