--- a/cmd/opalhook/up.go
+++ b/cmd/opalhook/up.go
@@ -12,8 +12,9 @@
 	"opalhook/internal/testbed"
 )
 
-// upRejects says why the demonstration rejects requests; [testbed.Demo] draws its tenants.
-const upRejects = "Rejections are part of it: some tenants ask for three times their quota, and what is beyond it is rejected."
+// upRejects says why the demonstration rejects requests; docs/lab.md has the figures.
+const upRejects = "Rejections are by design: some of the tenants drawn ask for three times their quota, and most of what is beyond\n" +
+	"a quota is rejected, in all from a tenth to a third of the requests."
 
 // upFlags are the flags of `up`.
 type upFlags struct {
@@ -22,7 +23,7 @@
 }
 
 // upCommand is the first thing that a newcomer runs.
-func upCommand(s *settings) *cobra.Command {
+func upCommand(s *sharedFlags) *cobra.Command {
 	var f upFlags
 	c := &cobra.Command{
 		Use:   "up",
@@ -40,7 +41,7 @@
 }
 
 // run builds an edge node if none is named, runs the demonstration and removes its files.
-func (f *upFlags) run(c *cobra.Command, s *settings) error {
+func (f *upFlags) run(c *cobra.Command, s *sharedFlags) error {
 	scenario, err := testbed.Demo(f.duration)
 	if err != nil {
 		return err
--- a/internal/testbed/checker.go
+++ b/internal/testbed/checker.go
@@ -25,7 +25,7 @@
 	drainGrace   = 500 * time.Millisecond
 	socketSlack  = 50 * time.Millisecond // by which each time limit is extended on sockets
 	ceilingLag   = 150 * time.Millisecond
-	knowingShare = 2.0 / 3 // of the work that overloaded a server to failure, from nodes told of its start
+	knowingShare = 2.0 / 3 // of the work that overloaded a server to failure, from nodes that knew of its start
 )
 
 // Violation is one broken rule.
@@ -194,7 +194,7 @@
 		if r.scenario.Classes[rec.Class].NonIdempotent {
 			for _, a := range t.upstream {
 				if !a.neverRan {
-					r.violate(at, RuleTwice, t.node, t.id, "refused as harmless to try again, and may have run at %s", a.server)
+					r.violate(at, RuleTwice, t.node, t.id, "rejected as harmless to try again, and may have run at %s", a.server)
 					break
 				}
 			}
