--- a/internal/discovery/lenient.go
+++ b/internal/discovery/lenient.go
@@ -127,7 +127,7 @@
 	r.read("zone", raw.Zone, &e.Zone)
 	r.read("machineType", raw.MachineType, &e.MachineType)
 	r.read("cell", raw.Cell, &e.Cell)
-	e.Weight = r.weight(raw.Weight)
+	r.weight(raw.Weight, &e.Weight)
 	e.Lifecycle = r.lifecycle(raw.Lifecycle)
 	startedAt, startOK := r.startedAt(raw.StartedAtMs)
 	addr, addrOK := r.address(raw.HostPort, e.Lifecycle)
@@ -139,13 +139,12 @@
 }
 
 // weight reads a weight, 0 where it is malformed.
-func (r *fieldReader) weight(text json.RawMessage) (weight float64) {
-	r.read("weight", text, &weight)
-	if !(weight >= 0 && weight <= MaxWeight) {
-		r.fault("weight", fmt.Errorf("%v is not from 0 to %v", weight, MaxWeight))
-		return 0
+func (r *fieldReader) weight(text json.RawMessage, weight *float64) {
+	r.read("weight", text, weight)
+	if !(*weight >= 0 && *weight <= MaxWeight) {
+		r.fault("weight", fmt.Errorf("%v is not from 0 to %v", *weight, MaxWeight))
+		*weight = 0
 	}
-	return weight
 }
 
 // lifecycle reads a lifecycle, [Draining] where it is malformed.
