--- a/cmd/opalhook/agent.go
+++ b/cmd/opalhook/agent.go
@@ -123,11 +123,11 @@
 	if !status.Watching {
 		state = "watches no replica"
 	}
-	if status.Doubting {
+	if status.Suspecting {
 		state += ", keeps its list against a much shorter one (self-preservation)"
 	}
 	_, err := fmt.Fprintf(out, "%s; generation %d, %d app servers, last message %.1f s ago; %d watches by edge nodes, %d calls of replicas so far\n",
-		state, status.Generation, status.Servers, status.Age, status.Watches, status.Calls)
+		state, status.Generation, status.Endpoints, status.AgeSeconds, status.NodeWatches, status.ReplicaCalls)
 	return err
 }
 
@@ -137,12 +137,12 @@
 	value      func(agent.Status) float64
 }{
 	{"generation", "Generation of the endpoint list that edge nodes are told.", func(s agent.Status) float64 { return float64(s.Generation) }},
-	{"servers", "App servers in the endpoint list.", func(s agent.Status) float64 { return float64(s.Servers) }},
-	{"list_age_seconds", "Time since the last message of a replica.", func(s agent.Status) float64 { return s.Age }},
+	{"servers", "App servers in the endpoint list.", func(s agent.Status) float64 { return float64(s.Endpoints) }},
+	{"list_age_seconds", "Time since the last message of a replica.", func(s agent.Status) float64 { return s.AgeSeconds }},
 	{"watching", "1 while a watch of a replica is open.", func(s agent.Status) float64 { return zeroOrOne(s.Watching) }},
-	{"doubting", "1 while a shrunken list is held back by self-preservation.", func(s agent.Status) float64 { return zeroOrOne(s.Doubting) }},
-	{"service_calls_total", "Calls of replicas of the list service.", func(s agent.Status) float64 { return float64(s.Calls) }},
-	{"node_watches", "Watches that edge nodes have open.", func(s agent.Status) float64 { return float64(s.Watches) }},
+	{"doubting", "1 while a shrunken list is held back by self-preservation.", func(s agent.Status) float64 { return zeroOrOne(s.Suspecting) }},
+	{"service_calls_total", "Calls of replicas of the list service.", func(s agent.Status) float64 { return float64(s.ReplicaCalls) }},
+	{"node_watches", "Watches that edge nodes have open.", func(s agent.Status) float64 { return float64(s.NodeWatches) }},
 }
 
 // agentMetrics are an agent's metrics for Prometheus.
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -28,51 +28,51 @@
 }
 
 const (
-	mostLine    = 8 << 20 // bytes of a message; 5,000 entries are about 1 MB
-	beatEvery   = 2 * time.Second
-	writeWithin = 5 * time.Second // a node that takes nothing for so long is dropped
-	headWithin  = 3 * time.Second
-	logKept     = 512 // messages that a node may have missed
+	maxLine           = 8 << 20 // bytes of a message; 5,000 entries are about 1 MB
+	heartbeatInterval = 2 * time.Second
+	nodeWriteTimeout  = 5 * time.Second // a node that takes nothing for so long is dropped
+	nodeHeaderTimeout = 3 * time.Second
+	maxHistory        = 512 // messages that a node may have missed
 )
 
 // Status is what an agent says of itself.
 type Status struct {
-	Generation uint64  `json:"generation"`
-	Servers    int     `json:"servers"`
-	Watching   bool    `json:"watching"`       // a replica's watch is open
-	Age        float64 `json:"secondsOld"`     // since a replica was last heard
-	Doubting   bool    `json:"doubting"`       // a list is not taken at face value yet
-	Calls      uint64  `json:"calls"`          // of replicas, so far
-	Watches    int64   `json:"watches"`        // of nodes
-	Published  uint64  `json:"listsPublished"` // to them
+	Generation     uint64  `json:"generation"`
+	Endpoints      int     `json:"servers"`
+	Watching       bool    `json:"watching"`       // a replica's watch is open
+	AgeSeconds     float64 `json:"secondsOld"`     // since a replica was last heard
+	Suspecting     bool    `json:"doubting"`       // a list is not taken at face value yet
+	ReplicaCalls   uint64  `json:"calls"`          // of replicas, so far
+	NodeWatches    int64   `json:"watches"`        // of nodes
+	ListsPublished uint64  `json:"listsPublished"` // to them
 }
 
 // Agent follows the list service and serves what it holds to the edge nodes beside it.
 type Agent struct {
-	cfg    Config
-	log    *slog.Logger
-	origin time.Time
-	events chan func(now time.Duration)
-	http   *http.Client
-	ln     net.Listener
-	srv    *http.Server
-	ctx    context.Context
-	stop   context.CancelFunc
-	work   sync.WaitGroup
+	cfg        Config
+	log        *slog.Logger
+	origin     time.Time
+	events     chan func(now time.Duration)
+	client     *http.Client
+	listener   net.Listener
+	server     *http.Server
+	ctx        context.Context
+	stop       context.CancelFunc
+	goroutines sync.WaitGroup
 
-	f    *Follower // of the goroutine that runs
-	hang context.CancelFunc
+	follower   *Follower // of the goroutine that runs
+	closeWatch context.CancelFunc
 
-	mu        sync.Mutex
-	whole     []byte // the whole list as a line; nil: nothing is held yet
-	at        uint64 // its generation
-	changes   []published
-	more      chan struct{} // closed at the next message
-	speaks    bool          // the service is heard: beats go to the nodes
-	status    Status
-	calls     atomic.Uint64
-	watches   atomic.Int64
-	publishes atomic.Uint64
+	mu             sync.Mutex
+	snapshot       []byte // the whole list as a line; nil: nothing is held yet
+	generation     uint64 // its generation
+	history        []published
+	updated        chan struct{} // closed at the next message
+	heartbeats     bool          // the service is heard: beats go to the nodes
+	status         Status
+	replicaCalls   atomic.Uint64
+	nodeWatches    atomic.Int64
+	listsPublished atomic.Uint64
 }
 
 // published is one message as a node gets it that holds the version before.
@@ -95,16 +95,16 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	a := &Agent{cfg: cfg, log: cfg.Log, origin: time.Now(), events: make(chan func(time.Duration)), ln: ln, more: make(chan struct{}),
-		http: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: cfg.Rules.Dial}).DialContext,
-			ResponseHeaderTimeout: cfg.Rules.Dial}}}
+	a := &Agent{cfg: cfg, log: cfg.Log, origin: time.Now(), events: make(chan func(time.Duration)), listener: ln, updated: make(chan struct{}),
+		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: cfg.Rules.DialTimeout}).DialContext,
+			ResponseHeaderTimeout: cfg.Rules.DialTimeout}}}
 	a.ctx, a.stop = context.WithCancel(ctx)
-	a.f = NewFollower(0, cfg.Name, cfg.Replicas, cfg.Rules, cfg.Seed)
-	a.srv = &http.Server{Handler: a.routes(), ReadHeaderTimeout: headWithin, IdleTimeout: time.Minute, MaxHeaderBytes: 8 << 10,
+	a.follower = NewFollower(0, cfg.Name, cfg.Replicas, cfg.Rules, cfg.Seed)
+	a.server = &http.Server{Handler: a.routes(), ReadHeaderTimeout: nodeHeaderTimeout, IdleTimeout: time.Minute, MaxHeaderBytes: 8 << 10,
 		ErrorLog: slog.NewLogLogger(a.log.Handler(), slog.LevelDebug)}
-	a.work.Go(a.run)
-	a.work.Go(func() {
-		if err := a.srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
+	a.goroutines.Go(a.run)
+	a.goroutines.Go(func() {
+		if err := a.server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
 			a.log.Error("the agent's listener ended", "err", err)
 		}
 	})
@@ -113,13 +113,13 @@
 }
 
 // Addr is the address for nodes.
-func (a *Agent) Addr() string { return a.ln.Addr().String() }
+func (a *Agent) Addr() string { return a.listener.Addr().String() }
 
 // Close ends the agent and its watches.
 func (a *Agent) Close() error {
 	a.stop()
-	err := a.srv.Close()
-	a.work.Wait()
+	err := a.server.Close()
+	a.goroutines.Wait()
 	return err
 }
 
@@ -128,7 +128,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	s := a.status
-	s.Calls, s.Watches, s.Published = a.calls.Load(), a.watches.Load(), a.publishes.Load()
+	s.ReplicaCalls, s.NodeWatches, s.ListsPublished = a.replicaCalls.Load(), a.nodeWatches.Load(), a.listsPublished.Load()
 	return s
 }
 
@@ -139,8 +139,8 @@
 	for {
 		select {
 		case <-a.ctx.Done():
-			if a.hang != nil {
-				a.hang()
+			if a.closeWatch != nil {
+				a.closeWatch()
 			}
 			return
 		case event := <-a.events:
@@ -148,57 +148,57 @@
 		case <-timer.C:
 		}
 		now := time.Since(a.origin)
-		a.f.Tick(now)
-		for _, act := range a.f.Take() {
-			a.carryOut(act)
+		a.follower.Tick(now)
+		for _, act := range a.follower.DrainActions() {
+			a.perform(act)
 		}
-		a.show(now)
-		timer.Reset(max(min(a.f.Next()-now, time.Second), time.Millisecond)) // the age is shown each second
+		a.updateStatus(now)
+		timer.Reset(max(min(a.follower.NextTick()-now, time.Second), time.Millisecond)) // the age is shown each second
 	}
 }
 
 // show takes down how the follower is.
-func (a *Agent) show(now time.Duration) {
-	generation, servers, age := a.f.Standing(now)
+func (a *Agent) updateStatus(now time.Duration) {
+	generation, servers, age := a.follower.Status(now)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.status = Status{Generation: generation, Servers: servers, Watching: a.f.Watching(), Age: age.Seconds(), Doubting: a.f.Doubts()}
-	a.speaks = a.f.Watching() || age < a.cfg.Rules.Silence
+	a.status = Status{Generation: generation, Endpoints: servers, Watching: a.follower.Watching(), AgeSeconds: age.Seconds(), Suspecting: a.follower.Suspecting()}
+	a.heartbeats = a.follower.Watching() || age < a.cfg.Rules.SilenceTimeout
 }
 
 // tell hands an event to the goroutine that runs.
-func (a *Agent) tell(event func(now time.Duration)) {
+func (a *Agent) post(event func(now time.Duration)) {
 	select {
 	case a.events <- event:
 	case <-a.ctx.Done():
 	}
 }
 
-func (a *Agent) carryOut(act Action) {
+func (a *Agent) perform(act Action) {
 	switch act.Kind {
-	case Hang:
-		if a.hang != nil {
-			a.hang()
-			a.hang = nil
+	case CloseWatch:
+		if a.closeWatch != nil {
+			a.closeWatch()
+			a.closeWatch = nil
 		}
-	case Open:
+	case OpenWatch:
 		ctx, cancel := context.WithCancel(a.ctx)
-		a.hang = cancel
-		a.calls.Add(1)
-		a.work.Go(func() {
+		a.closeWatch = cancel
+		a.replicaCalls.Add(1)
+		a.goroutines.Go(func() {
 			defer cancel()
-			retryAfter, err := a.follow(ctx, act)
-			a.tell(func(now time.Duration) { a.f.Failed(now, act.Call, retryAfter, err.Error()) })
+			retryAfter, err := a.followWatch(ctx, act)
+			a.post(func(now time.Duration) { a.follower.CallFailed(now, act.Call, retryAfter, err.Error()) })
 		})
-	case Ask:
-		a.calls.Add(1)
-		a.work.Go(func() {
-			m, err := a.ask(act.Replica)
-			a.tell(func(now time.Duration) { a.f.Answered(now, act.Replica, m, err) })
+	case FetchSnapshot:
+		a.replicaCalls.Add(1)
+		a.goroutines.Go(func() {
+			m, err := a.fetchSnapshot(act.Replica)
+			a.post(func(now time.Duration) { a.follower.SnapshotReceived(now, act.Replica, m, err) })
 		})
-	case Publish:
+	case PublishList:
 		a.publish(act.List)
-	case Note:
+	case LogEvent:
 		a.log.Warn("list service", "note", act.Text)
 	}
 }
@@ -209,7 +209,7 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	resp, err = a.http.Do(req)
+	resp, err = a.client.Do(req)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -224,25 +224,25 @@
 }
 
 // follow follows a watch to its end, which always has a reason.
-func (a *Agent) follow(ctx context.Context, act Action) (retryAfter time.Duration, err error) {
+func (a *Agent) followWatch(ctx context.Context, act Action) (retryAfter time.Duration, err error) {
 	resp, retryAfter, err := a.get(ctx, fmt.Sprintf("http://%s/registry/instances?watch=1&from=%d", act.Replica, act.From))
 	if err != nil {
 		return retryAfter, err
 	}
 	defer resp.Body.Close()
-	a.tell(func(now time.Duration) { a.f.Opened(now, act.Call) })
+	a.post(func(now time.Duration) { a.follower.WatchOpened(now, act.Call) })
 	lines := bufio.NewScanner(resp.Body)
-	lines.Buffer(nil, mostLine)
+	lines.Buffer(nil, maxLine)
 	for lines.Scan() {
 		if len(lines.Bytes()) == 0 {
-			a.tell(func(now time.Duration) { a.f.Beat(now, act.Call) })
+			a.post(func(now time.Duration) { a.follower.HeartbeatReceived(now, act.Call) })
 			continue
 		}
 		var m Message
 		if err := json.Unmarshal(lines.Bytes(), &m); err != nil {
 			return 0, fmt.Errorf("malformed line: %w", err)
 		}
-		a.tell(func(now time.Duration) { a.f.Heard(now, act.Call, m) })
+		a.post(func(now time.Duration) { a.follower.MessageReceived(now, act.Call, m) })
 	}
 	if err := lines.Err(); err != nil {
 		return 0, err
@@ -251,15 +251,15 @@
 }
 
 // ask gets a replica's whole list.
-func (a *Agent) ask(replica string) (m Message, err error) {
-	ctx, cancel := context.WithTimeout(a.ctx, a.cfg.Rules.Silence)
+func (a *Agent) fetchSnapshot(replica string) (m Message, err error) {
+	ctx, cancel := context.WithTimeout(a.ctx, a.cfg.Rules.SilenceTimeout)
 	defer cancel()
 	resp, _, err := a.get(ctx, "http://"+replica+"/registry/instances")
 	if err != nil {
 		return m, err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, mostLine))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxLine))
 	if err != nil {
 		return m, err
 	}
@@ -273,53 +273,53 @@
 		a.log.Error("a list can't be written", "err", err) // not with what check lets through
 		return
 	}
-	whole, err := json.Marshal(a.f.Held())
+	whole, err := json.Marshal(a.follower.Published())
 	if err != nil {
 		a.log.Error("a list can't be written", "err", err)
 		return
 	}
-	a.publishes.Add(1)
+	a.listsPublished.Add(1)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if m.Reset {
-		a.changes = nil
+		a.history = nil
 	} else {
-		if len(a.changes) == logKept {
-			a.changes = append(a.changes[:0], a.changes[1:]...)
+		if len(a.history) == maxHistory {
+			a.history = append(a.history[:0], a.history[1:]...)
 		}
-		a.changes = append(a.changes, published{a.at, m.Generation, append(text, '\n')})
+		a.history = append(a.history, published{a.generation, m.Generation, append(text, '\n')})
 	}
-	a.whole, a.at = append(whole, '\n'), m.Generation
-	close(a.more)
-	a.more = make(chan struct{})
+	a.snapshot, a.generation = append(whole, '\n'), m.Generation
+	close(a.updated)
+	a.updated = make(chan struct{})
 }
 
 // since is what a node gets that holds a version: lines and the version after them. One that
 // holds more than this agent, or where nothing is held, gets nothing: it is never shown the past.
-func (a *Agent) since(from uint64) (lines [][]byte, at uint64, more chan struct{}, speaks bool) {
+func (a *Agent) updatesSince(from uint64) (lines [][]byte, at uint64, more chan struct{}, speaks bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	at, more, speaks = a.at, a.more, a.speaks && a.at > 0
+	at, more, speaks = a.generation, a.updated, a.heartbeats && a.generation > 0
 	switch {
-	case a.at == 0, from > a.at:
-		return nil, from, more, speaks && a.at > 0 && from <= a.at
-	case from == a.at:
+	case a.generation == 0, from > a.generation:
+		return nil, from, more, speaks && a.generation > 0 && from <= a.generation
+	case from == a.generation:
 		return nil, at, more, speaks
 	}
-	for i, p := range a.changes {
+	for i, p := range a.history {
 		if p.before == from {
-			for _, q := range a.changes[i:] {
+			for _, q := range a.history[i:] {
 				lines = append(lines, q.text)
 			}
 			return lines, at, more, speaks
 		}
 	}
-	return [][]byte{a.whole}, at, more, speaks
+	return [][]byte{a.snapshot}, at, more, speaks
 }
 
 func (a *Agent) routes() http.Handler {
 	m := http.NewServeMux()
-	m.HandleFunc("GET /registry/instances", a.serve)
+	m.HandleFunc("GET /registry/instances", a.serveInstances)
 	m.HandleFunc("GET /agent/status", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		json.NewEncoder(w).Encode(a.Status())
@@ -328,10 +328,10 @@
 }
 
 // serve answers the platform's discovery protocol. While nothing is held it is silent.
-func (a *Agent) serve(w http.ResponseWriter, r *http.Request) {
+func (a *Agent) serveInstances(w http.ResponseWriter, r *http.Request) {
 	rc := http.NewResponseController(w)
 	send := func(lines ...[]byte) bool {
-		if rc.SetWriteDeadline(time.Now().Add(writeWithin)) != nil {
+		if rc.SetWriteDeadline(time.Now().Add(nodeWriteTimeout)) != nil {
 			return false
 		}
 		for _, l := range lines {
@@ -352,13 +352,13 @@
 	}
 	watch := q.Get("watch") != ""
 	if watch {
-		a.watches.Add(1)
-		defer a.watches.Add(-1)
+		a.nodeWatches.Add(1)
+		defer a.nodeWatches.Add(-1)
 	}
-	beat := time.NewTimer(beatEvery/2 + time.Duration(rand.Int64N(int64(beatEvery/2)))) // not in step with others
+	beat := time.NewTimer(heartbeatInterval/2 + time.Duration(rand.Int64N(int64(heartbeatInterval/2)))) // not in step with others
 	defer beat.Stop()
 	for {
-		lines, at, more, speaks := a.since(from)
+		lines, at, more, speaks := a.updatesSince(from)
 		if len(lines) > 0 && !send(lines...) || len(lines) > 0 && !watch {
 			return
 		}
@@ -369,7 +369,7 @@
 		case <-a.ctx.Done():
 			return
 		case <-beat.C:
-			beat.Reset(beatEvery)
+			beat.Reset(heartbeatInterval)
 			if watch && speaks && !send([]byte{'\n'}) {
 				return
 			}
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -22,8 +22,8 @@
 // quick are rules for tests: the same order of steps in less time.
 func quick() Rules {
 	r := DefaultRules()
-	r.Silence, r.Dial, r.PauseFirst, r.PauseMost, r.FirstSpan = 2*time.Second, 2*time.Second, 10*time.Millisecond, 50*time.Millisecond, 0
-	r.CallsRate, r.Settle = 200, 10*time.Millisecond
+	r.SilenceTimeout, r.DialTimeout, r.InitialBackoff, r.MaxBackoff, r.StartWindow = 2*time.Second, 2*time.Second, 10*time.Millisecond, 50*time.Millisecond, 0
+	r.CallsPerSecond, r.RemovalDelay = 200, 10*time.Millisecond
 	return r
 }
 
@@ -221,7 +221,7 @@
 	next(t, node(t, a, 0))
 	s.CloseClientConnections()
 	s.Close()
-	for end := time.Now().Add(patience); a.Status().Watching || a.Status().Age < quick().Silence.Seconds(); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(patience); a.Status().Watching || a.Status().AgeSeconds < quick().SilenceTimeout.Seconds(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("the agent does not notice: %+v", a.Status())
 		}
@@ -229,7 +229,7 @@
 	if m := next(t, node(t, a, 0)); len(m.Instances) != 3 {
 		t.Errorf("while the service is away a node is told %+v", m)
 	}
-	if st := a.Status(); st.Servers != 3 || st.Generation != 10 {
+	if st := a.Status(); st.Endpoints != 3 || st.Generation != 10 {
 		t.Errorf("status %+v", st)
 	}
 }
@@ -241,15 +241,15 @@
 		b.Run(fmt.Sprint("entries=", n), func(b *testing.B) {
 			f := NewFollower(0, "m", []string{"a"}, DefaultRules(), 1)
 			f.Tick(time.Second)
-			f.Opened(time.Second, f.call)
+			f.WatchOpened(time.Second, f.callID)
 			for g := uint64(10); b.Loop(); g++ {
 				var m Message
 				if err := json.Unmarshal(text, &m); err != nil {
 					b.Fatal(err)
 				}
 				m.Generation = g
-				f.Heard(time.Second, f.call, m)
-				f.Take()
+				f.MessageReceived(time.Second, f.callID, m)
+				f.DrainActions()
 			}
 		})
 	}
--- a/internal/agent/core.go
+++ b/internal/agent/core.go
@@ -82,26 +82,26 @@
 
 // Rules are the figures by which a Follower goes. Its zero value is not useful; see DefaultRules.
 type Rules struct {
-	Silence    time.Duration // a watch on which no line comes for so long is left
-	Dial       time.Duration // within which a call must be answered
-	PauseFirst time.Duration // span of the first pause after a failure
-	PauseMost  time.Duration // and of the longest
-	FirstSpan  time.Duration // span from which the first call is drawn: machines start together
-	CallsRate  float64       // further calls a second, of one process
-	CallsBurst float64
-	Share      float64       // of the servers whose loss within Window is doubted
-	Window     time.Duration // of that
-	DoubtFor   time.Duration // after which a doubted list is taken that no other replica contradicts
-	PastFor    time.Duration // after which a list is taken whose versions went back at every replica
-	Settle     time.Duration // that the removal of a server is kept which was not draining
-	HomeAfter  time.Duration // from which a follower goes back to the replica that ranks first
+	SilenceTimeout    time.Duration // a watch on which no line comes for so long is left
+	DialTimeout       time.Duration // within which a call must be answered
+	InitialBackoff    time.Duration // span of the first pause after a failure
+	MaxBackoff        time.Duration // and of the longest
+	StartWindow       time.Duration // span from which the first call is drawn: machines start together
+	CallsPerSecond    float64       // further calls a second, of one process
+	CallBurst         float64
+	MaxLossFraction   float64       // of the servers whose loss within Window is doubted
+	LossWindow        time.Duration // of that
+	SuspectTimeout    time.Duration // after which a doubted list is taken that no other replica contradicts
+	RollbackTolerance time.Duration // after which a list is taken whose versions went back at every replica
+	RemovalDelay      time.Duration // that the removal of a server is kept which was not draining
+	PreferredReturn   time.Duration // from which a follower goes back to the replica that ranks first
 }
 
 // DefaultRules are the service's own.
 func DefaultRules() Rules {
-	return Rules{Silence: 5 * time.Second, Dial: 2 * time.Second, PauseFirst: 200 * time.Millisecond, PauseMost: 8 * time.Second,
-		FirstSpan: 200 * time.Millisecond, CallsRate: 0.5, CallsBurst: 6, Share: 0.3, Window: 10 * time.Second, DoubtFor: 30 * time.Second,
-		PastFor: 10 * time.Minute, Settle: time.Second, HomeAfter: time.Minute}
+	return Rules{SilenceTimeout: 5 * time.Second, DialTimeout: 2 * time.Second, InitialBackoff: 200 * time.Millisecond, MaxBackoff: 8 * time.Second,
+		StartWindow: 200 * time.Millisecond, CallsPerSecond: 0.5, CallBurst: 6, MaxLossFraction: 0.3, LossWindow: 10 * time.Second, SuspectTimeout: 30 * time.Second,
+		RollbackTolerance: 10 * time.Minute, RemovalDelay: time.Second, PreferredReturn: time.Minute}
 }
 
 // ActionKind says what the host has to do.
@@ -109,11 +109,11 @@
 
 // Kinds of actions.
 const (
-	Open    ActionKind = iota // open a watch at Replica from From, as call Call
-	Hang                      // end call Call
-	Ask                       // ask Replica for its whole list
-	Publish                   // hand List on to the nodes
-	Note                      // tell the log Text
+	OpenWatch     ActionKind = iota // open a watch at Replica from From, as call Call
+	CloseWatch                      // end call Call
+	FetchSnapshot                   // ask Replica for its whole list
+	PublishList                     // hand List on to the nodes
+	LogEvent                        // tell the log Text
 )
 
 // Action is one thing to do.
@@ -132,7 +132,7 @@
 	entries    map[string]Entry
 }
 
-func (v view) up() (n int) {
+func (v view) upCount() (n int) {
 	for _, e := range v.entries {
 		if e.Lifecycle == Up {
 			n++
@@ -142,7 +142,7 @@
 }
 
 // after is the view with a message applied.
-func (v view) after(m Message) view {
+func (v view) apply(m Message) view {
 	n := view{generation: m.Generation, entries: map[string]Entry{}}
 	if !m.Reset {
 		maps.Copy(n.entries, v.entries)
@@ -158,7 +158,7 @@
 }
 
 // list is the whole view as a message, sorted by instance.
-func (v view) list() Message {
+func (v view) snapshot() Message {
 	m := Message{Generation: v.generation, Reset: true, Instances: slices.Collect(maps.Values(v.entries))}
 	sortEntries(m.Instances)
 	return m
@@ -169,7 +169,7 @@
 }
 
 // since is what makes v of an older view of the same epoch.
-func (v view) since(old view) Message {
+func (v view) deltaFrom(old view) Message {
 	m := Message{Generation: v.generation, Instances: []Entry{}}
 	for id, e := range v.entries {
 		if was, ok := old.entries[id]; !ok || was != e {
@@ -192,44 +192,44 @@
 	rules    Rules
 	replicas []string // as they rank for this follower
 	rng      *rand.Rand
-	out      []Action
-
-	call     uint64 // the latest; what comes of earlier ones is late
-	at       int    // rank of the replica of that
-	open     bool   // it was answered
-	waiting  bool   // no call is under way: the next one is due at until
-	until    time.Duration
-	span     time.Duration // of the next pause
-	failed   int           // calls that came to nothing since anything was heard
-	home     time.Duration // when to go back to the first
-	calls    float64       // tokens for further calls
-	callsAt  time.Duration
-	lastLine time.Duration // or when the call began: silence counts from there
-	heardAt  time.Duration // when a replica was last heard
-
-	held      view
-	published view
-	gone      map[string]time.Duration // servers that were up when published: since when they are not held
-	anchor    int                      // most servers up within the window
-	anchorAt  time.Duration
-	doubt     *doubt
-	past      time.Duration // since when every replica has said less than is held
-	inPast    bool
+	actions  []Action
+
+	callID        uint64 // the latest; what comes of earlier ones is late
+	rank          int    // rank of the replica of that
+	watching      bool   // it was answered
+	inBackoff     bool   // no call is under way: the next one is due at until
+	backoffUntil  time.Duration
+	backoffWindow time.Duration // of the next pause
+	failures      int           // calls that came to nothing since anything was heard
+	returnAt      time.Duration // when to go back to the first
+	callTokens    float64       // tokens for further calls
+	refilledAt    time.Duration
+	lastReceived  time.Duration // or when the call began: silence counts from there
+	lastHealthy   time.Duration // when a replica was last heard
+
+	held          view
+	published     view
+	removedAt     map[string]time.Duration // servers that were up when published: since when they are not held
+	baseline      int                      // most servers up within the window
+	baselineAt    time.Duration
+	suspect       *suspectList
+	rollbackSince time.Duration // since when every replica has said less than is held
+	rollingBack   bool
 }
 
 // doubt is a list that waits for a second opinion.
-type doubt struct {
+type suspectList struct {
 	view
-	since time.Duration
-	from  string
-	asked int // replicas asked, by rank
+	since     time.Duration
+	replica   string
+	consulted int // replicas asked, by rank
 }
 
 // NewFollower returns a follower of some name, which is to differ from machine to machine.
 func NewFollower(now time.Duration, name string, replicas []string, rules Rules, seed uint64) *Follower {
-	f := &Follower{rules: rules, replicas: Rank(name, replicas), rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)), waiting: true,
-		calls: rules.CallsBurst, callsAt: now, span: rules.PauseFirst, gone: map[string]time.Duration{}, lastLine: now, heardAt: now}
-	f.until = now + f.draw(rules.FirstSpan)
+	f := &Follower{rules: rules, replicas: Rank(name, replicas), rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)), inBackoff: true,
+		callTokens: rules.CallBurst, refilledAt: now, backoffWindow: rules.InitialBackoff, removedAt: map[string]time.Duration{}, lastReceived: now, lastHealthy: now}
+	f.backoffUntil = now + f.randomDuration(rules.StartWindow)
 	return f
 }
 
@@ -250,7 +250,7 @@
 	return slices.Compact(out)
 }
 
-func (f *Follower) draw(span time.Duration) time.Duration {
+func (f *Follower) randomDuration(span time.Duration) time.Duration {
 	if span <= 0 {
 		return 0
 	}
@@ -258,47 +258,47 @@
 }
 
 // Take returns what is to be done, in order, and forgets it.
-func (f *Follower) Take() []Action {
-	out := f.out
-	f.out = nil
+func (f *Follower) DrainActions() []Action {
+	out := f.actions
+	f.actions = nil
 	return out
 }
 
-func (f *Follower) do(a Action) { f.out = append(f.out, a) }
+func (f *Follower) emit(a Action) { f.actions = append(f.actions, a) }
 
-func (f *Follower) note(format string, args ...any) {
-	f.do(Action{Kind: Note, Text: fmt.Sprintf(format, args...)})
+func (f *Follower) log(format string, args ...any) {
+	f.emit(Action{Kind: LogEvent, Text: fmt.Sprintf(format, args...)})
 }
 
 // Held is the list as it was last published, as a whole.
-func (f *Follower) Held() Message { return f.published.list() }
+func (f *Follower) Published() Message { return f.published.snapshot() }
 
 // Standing is the version and the size of that list, and how long ago a replica was heard.
-func (f *Follower) Standing(now time.Duration) (generation uint64, servers int, age time.Duration) {
-	return f.published.generation, len(f.published.entries), now - f.heardAt
+func (f *Follower) Status(now time.Duration) (generation uint64, servers int, age time.Duration) {
+	return f.published.generation, len(f.published.entries), now - f.lastHealthy
 }
 
 // Doubts tells whether a list is not taken at face value.
-func (f *Follower) Doubts() bool { return f.doubt != nil }
+func (f *Follower) Suspecting() bool { return f.suspect != nil }
 
 // Watching tells whether a watch is open.
-func (f *Follower) Watching() bool { return f.open }
+func (f *Follower) Watching() bool { return f.watching }
 
 // Next is when Tick wants to be called at the latest.
-func (f *Follower) Next() time.Duration {
+func (f *Follower) NextTick() time.Duration {
 	next := time.Duration(math.MaxInt64)
-	if f.waiting {
-		next = f.until
+	if f.inBackoff {
+		next = f.backoffUntil
 	} else {
-		next = f.lastLine + f.rules.Silence
+		next = f.lastReceived + f.rules.SilenceTimeout
 	}
-	if f.doubt != nil {
-		next = min(next, f.doubt.since+f.rules.DoubtFor)
+	if f.suspect != nil {
+		next = min(next, f.suspect.since+f.rules.SuspectTimeout)
 	}
-	if f.open && f.at > 0 {
-		next = min(next, f.home)
+	if f.watching && f.rank > 0 {
+		next = min(next, f.returnAt)
 	}
-	if at, ok := f.settles(); ok {
+	if at, ok := f.removalsDue(); ok {
 		next = min(next, at)
 	}
 	return next
@@ -306,226 +306,226 @@
 
 // Tick does what is due.
 func (f *Follower) Tick(now time.Duration) {
-	if d := f.doubt; d != nil && now >= d.since+f.rules.DoubtFor {
-		f.note("a list of %d servers in place of %d is taken: no replica contradicts it", len(d.entries), len(f.held.entries))
-		f.take(now, d.view)
+	if d := f.suspect; d != nil && now >= d.since+f.rules.SuspectTimeout {
+		f.log("a list of %d servers in place of %d is taken: no replica contradicts it", len(d.entries), len(f.held.entries))
+		f.accept(now, d.view)
 	}
 	switch {
-	case f.waiting && now >= f.until:
+	case f.inBackoff && now >= f.backoffUntil:
 		f.dial(now)
-	case !f.waiting && now >= f.lastLine+f.rules.Silence:
-		f.fail(now, 0, "silent for too long")
-	case f.open && f.at > 0 && now >= f.home && f.spend(now):
-		f.at = 0 // what is held bridges the moment in between
-		f.do(Action{Kind: Hang, Call: f.call})
-		f.start(now)
+	case !f.inBackoff && now >= f.lastReceived+f.rules.SilenceTimeout:
+		f.abandonCall(now, 0, "silent for too long")
+	case f.watching && f.rank > 0 && now >= f.returnAt && f.takeCallToken(now):
+		f.rank = 0 // what is held bridges the moment in between
+		f.emit(Action{Kind: CloseWatch, Call: f.callID})
+		f.openWatch(now)
 	}
 	f.publish(now)
 }
 
 // spend takes a token for a further call, if there is one.
-func (f *Follower) spend(now time.Duration) bool {
-	f.calls = min(f.calls+f.rules.CallsRate*(now-f.callsAt).Seconds(), f.rules.CallsBurst)
-	f.callsAt = now
-	if f.calls < 1 {
+func (f *Follower) takeCallToken(now time.Duration) bool {
+	f.callTokens = min(f.callTokens+f.rules.CallsPerSecond*(now-f.refilledAt).Seconds(), f.rules.CallBurst)
+	f.refilledAt = now
+	if f.callTokens < 1 {
 		return false
 	}
-	f.calls--
+	f.callTokens--
 	return true
 }
 
 // dial opens a watch when the budget has a call left, or waits for it.
 func (f *Follower) dial(now time.Duration) {
-	if f.call > 0 && !f.spend(now) {
-		f.until = now + time.Duration((1-f.calls)/f.rules.CallsRate*float64(time.Second)) + time.Millisecond
+	if f.callID > 0 && !f.takeCallToken(now) {
+		f.backoffUntil = now + time.Duration((1-f.callTokens)/f.rules.CallsPerSecond*float64(time.Second)) + time.Millisecond
 		return
 	}
-	f.start(now)
+	f.openWatch(now)
 }
 
-func (f *Follower) start(now time.Duration) {
-	f.call++
-	f.waiting, f.open, f.lastLine = false, false, now
-	f.do(Action{Kind: Open, Replica: f.replicas[f.at], Call: f.call, From: f.current().generation})
+func (f *Follower) openWatch(now time.Duration) {
+	f.callID++
+	f.inBackoff, f.watching, f.lastReceived = false, false, now
+	f.emit(Action{Kind: OpenWatch, Replica: f.replicas[f.rank], Call: f.callID, From: f.latest().generation})
 }
 
 // current is what is known, taken or not.
-func (f *Follower) current() view {
-	if f.doubt != nil {
-		return f.doubt.view
+func (f *Follower) latest() view {
+	if f.suspect != nil {
+		return f.suspect.view
 	}
 	return f.held
 }
 
 // fail leaves a call and waits before the next one, at another replica.
-func (f *Follower) fail(now, retryAfter time.Duration, why string) {
-	f.do(Action{Kind: Hang, Call: f.call})
-	f.failed++
-	if f.failed == 1 { // one line for an outage
-		f.note("%s: %s", f.replicas[f.at], why)
-	}
-	f.at = (f.at + 1) % len(f.replicas)
-	pause := f.span/4 + f.draw(f.span)
+func (f *Follower) abandonCall(now, retryAfter time.Duration, why string) {
+	f.emit(Action{Kind: CloseWatch, Call: f.callID})
+	f.failures++
+	if f.failures == 1 { // one line for an outage
+		f.log("%s: %s", f.replicas[f.rank], why)
+	}
+	f.rank = (f.rank + 1) % len(f.replicas)
+	pause := f.backoffWindow/4 + f.randomDuration(f.backoffWindow)
 	if retryAfter > 0 {
-		pause = retryAfter + f.draw(retryAfter)
+		pause = retryAfter + f.randomDuration(retryAfter)
 	}
-	if f.failed%len(f.replicas) == 0 { // all of them
-		f.span = min(2*f.span, f.rules.PauseMost)
+	if f.failures%len(f.replicas) == 0 { // all of them
+		f.backoffWindow = min(2*f.backoffWindow, f.rules.MaxBackoff)
 	}
-	f.open, f.waiting, f.until = false, true, now+pause
+	f.watching, f.inBackoff, f.backoffUntil = false, true, now+pause
 }
 
 // Opened takes in that a call was answered with a watch.
-func (f *Follower) Opened(now time.Duration, call uint64) {
-	if call != f.call || f.waiting {
+func (f *Follower) WatchOpened(now time.Duration, call uint64) {
+	if call != f.callID || f.inBackoff {
 		return
 	}
-	f.open, f.lastLine, f.home = true, now, now+f.rules.HomeAfter/2+f.draw(f.rules.HomeAfter)
+	f.watching, f.lastReceived, f.returnAt = true, now, now+f.rules.PreferredReturn/2+f.randomDuration(f.rules.PreferredReturn)
 }
 
 // Failed takes in that a call came to nothing or that its watch ended; retryAfter is what the
 // replica advises, 0 for nothing.
-func (f *Follower) Failed(now time.Duration, call uint64, retryAfter time.Duration, why string) {
-	if call == f.call && !f.waiting {
-		f.fail(now, retryAfter, why)
+func (f *Follower) CallFailed(now time.Duration, call uint64, retryAfter time.Duration, why string) {
+	if call == f.callID && !f.inBackoff {
+		f.abandonCall(now, retryAfter, why)
 	}
 }
 
 // Beat takes in an empty line.
-func (f *Follower) Beat(now time.Duration, call uint64) {
-	if call == f.call && f.open {
-		f.wellHeard(now)
+func (f *Follower) HeartbeatReceived(now time.Duration, call uint64) {
+	if call == f.callID && f.watching {
+		f.markHealthy(now)
 	}
 }
 
-func (f *Follower) wellHeard(now time.Duration) {
-	if f.failed > 0 {
-		f.note("%s: followed again", f.replicas[f.at])
+func (f *Follower) markHealthy(now time.Duration) {
+	if f.failures > 0 {
+		f.log("%s: followed again", f.replicas[f.rank])
 	}
-	f.lastLine, f.heardAt, f.failed, f.span = now, now, 0, f.rules.PauseFirst
-	f.inPast = false // here is one that took the version that is held
+	f.lastReceived, f.lastHealthy, f.failures, f.backoffWindow = now, now, 0, f.rules.InitialBackoff
+	f.rollingBack = false // here is one that took the version that is held
 }
 
 // Heard takes in a message of a watch.
-func (f *Follower) Heard(now time.Duration, call uint64, m Message) {
-	if call != f.call || !f.open {
+func (f *Follower) MessageReceived(now time.Duration, call uint64, m Message) {
+	if call != f.callID || !f.watching {
 		return
 	}
-	cur := f.current()
+	cur := f.latest()
 	was, is := discovery.Epoch(cur.generation), discovery.Epoch(m.Generation)
 	back := is < was || is == was && m.Generation < cur.generation
 	if err := check(m); err != nil {
-		f.fail(now, 0, err.Error())
+		f.abandonCall(now, 0, err.Error())
 		return
 	}
 	switch {
 	case m.Reset && back:
-		if f.inPast && now-f.past >= f.rules.PastFor {
-			f.note("versions went back to %d at every replica for %v: another list is taken", m.Generation, f.rules.PastFor)
+		if f.rollingBack && now-f.rollbackSince >= f.rules.RollbackTolerance {
+			f.log("versions went back to %d at every replica for %v: another list is taken", m.Generation, f.rules.RollbackTolerance)
 			break
 		}
-		if !f.inPast {
-			f.inPast, f.past = true, now
+		if !f.rollingBack {
+			f.rollingBack, f.rollbackSince = true, now
 		}
-		f.fail(now, 0, fmt.Sprintf("says version %d, %d is held", m.Generation, cur.generation))
+		f.abandonCall(now, 0, fmt.Sprintf("says version %d, %d is held", m.Generation, cur.generation))
 		return
 	case !m.Reset && (cur.generation == 0 || is != was || m.Generation <= cur.generation):
-		f.fail(now, 0, fmt.Sprintf("tells a change to version %d, %d is held", m.Generation, cur.generation))
+		f.abandonCall(now, 0, fmt.Sprintf("tells a change to version %d, %d is held", m.Generation, cur.generation))
 		return
 	}
-	f.wellHeard(now)
-	f.consider(now, cur.after(m))
+	f.markHealthy(now)
+	f.consider(now, cur.apply(m))
 	f.publish(now)
 }
 
 // tooSmall tells whether a list has lost more servers than die at once: all of them, or more
 // than the share and one, so that a single server of a few is not doubted.
-func (f *Follower) tooSmall(v view) bool {
-	n := v.up()
-	return f.anchor > 0 && n == 0 || float64(n) < (1-f.rules.Share)*float64(f.anchor)-1
+func (f *Follower) lostTooMany(v view) bool {
+	n := v.upCount()
+	return f.baseline > 0 && n == 0 || float64(n) < (1-f.rules.MaxLossFraction)*float64(f.baseline)-1
 }
 
 // consider takes a list, or doubts it.
 func (f *Follower) consider(now time.Duration, v view) {
-	if now-f.anchorAt >= f.rules.Window {
-		f.anchor, f.anchorAt = f.held.up(), now
+	if now-f.baselineAt >= f.rules.LossWindow {
+		f.baseline, f.baselineAt = f.held.upCount(), now
 	}
-	if !f.tooSmall(v) {
-		f.take(now, v)
+	if !f.lostTooMany(v) {
+		f.accept(now, v)
 		return
 	}
-	if f.doubt == nil {
-		f.note("%s lists %d servers up where %d were: another replica is asked", f.replicas[f.at], v.up(), f.anchor)
-		f.doubt = &doubt{since: now, from: f.replicas[f.at], asked: f.at}
-		f.doubt.view = v
-		f.askAnother(now)
+	if f.suspect == nil {
+		f.log("%s lists %d servers up where %d were: another replica is asked", f.replicas[f.rank], v.upCount(), f.baseline)
+		f.suspect = &suspectList{since: now, replica: f.replicas[f.rank], consulted: f.rank}
+		f.suspect.view = v
+		f.consultNextReplica(now)
 		return
 	}
-	f.doubt.view = v
+	f.suspect.view = v
 }
 
 // askAnother asks the next replica what it holds, if the budget and the number allow.
-func (f *Follower) askAnother(now time.Duration) {
-	d := f.doubt
-	d.asked = (d.asked + 1) % len(f.replicas)
-	if r := f.replicas[d.asked]; r != d.from && f.spend(now) {
-		f.do(Action{Kind: Ask, Replica: r})
+func (f *Follower) consultNextReplica(now time.Duration) {
+	d := f.suspect
+	d.consulted = (d.consulted + 1) % len(f.replicas)
+	if r := f.replicas[d.consulted]; r != d.replica && f.takeCallToken(now) {
+		f.emit(Action{Kind: FetchSnapshot, Replica: r})
 	}
 }
 
 // Answered takes in what a replica answered that was asked for its whole list; err where it did
 // not.
-func (f *Follower) Answered(now time.Duration, replica string, m Message, err error) {
-	d := f.doubt
-	if d == nil || replica == d.from {
+func (f *Follower) SnapshotReceived(now time.Duration, replica string, m Message, err error) {
+	d := f.suspect
+	if d == nil || replica == d.replica {
 		return
 	}
-	v := view{}.after(m)
+	v := view{}.apply(m)
 	switch {
 	case err != nil || check(m) != nil || !m.Reset || discovery.Epoch(m.Generation) < discovery.Epoch(d.generation):
-		f.askAnother(now)
-	case f.tooSmall(v):
-		f.note("%s agrees: %d servers are taken in place of %d", replica, d.up(), f.held.up())
-		f.take(now, d.view)
+		f.consultNextReplica(now)
+	case f.lostTooMany(v):
+		f.log("%s agrees: %d servers are taken in place of %d", replica, d.upCount(), f.held.upCount())
+		f.accept(now, d.view)
 		f.publish(now)
 	case m.Generation >= d.generation:
-		f.note("%s contradicts it: %s is left", replica, d.from)
-		f.doubt = nil
-		f.at = slices.Index(f.replicas, replica)
-		f.do(Action{Kind: Hang, Call: f.call})
-		f.open, f.waiting, f.until = false, true, now+f.draw(f.rules.PauseFirst)
+		f.log("%s contradicts it: %s is left", replica, d.replica)
+		f.suspect = nil
+		f.rank = slices.Index(f.replicas, replica)
+		f.emit(Action{Kind: CloseWatch, Call: f.callID})
+		f.watching, f.inBackoff, f.backoffUntil = false, true, now+f.randomDuration(f.rules.InitialBackoff)
 	}
 }
 
 // take makes a view the one that is held.
-func (f *Follower) take(now time.Duration, v view) {
-	f.held, f.doubt = v, nil
-	f.anchor = max(f.anchor, v.up())
-	if v.up() < f.anchor && f.tooSmall(v) {
-		f.anchor, f.anchorAt = v.up(), now // agreed on
+func (f *Follower) accept(now time.Duration, v view) {
+	f.held, f.suspect = v, nil
+	f.baseline = max(f.baseline, v.upCount())
+	if v.upCount() < f.baseline && f.lostTooMany(v) {
+		f.baseline, f.baselineAt = v.upCount(), now // agreed on
 	}
 	for id, e := range f.published.entries {
 		_, here := v.entries[id]
-		if _, known := f.gone[id]; here || e.Lifecycle != Up {
-			delete(f.gone, id)
+		if _, known := f.removedAt[id]; here || e.Lifecycle != Up {
+			delete(f.removedAt, id)
 		} else if !known {
-			f.gone[id] = now
+			f.removedAt[id] = now
 		}
 	}
 }
 
 // settles is when what is kept back may be published: when no removal is new, or the oldest has
 // waited for twice the time.
-func (f *Follower) settles() (at time.Duration, ok bool) {
+func (f *Follower) removalsDue() (at time.Duration, ok bool) {
 	var first, last time.Duration
-	for _, t := range f.gone {
+	for _, t := range f.removedAt {
 		if !ok || t < first {
 			first = t
 		}
 		last = max(last, t)
 		ok = true
 	}
-	return min(last+f.rules.Settle, first+2*f.rules.Settle), ok
+	return min(last+f.rules.RemovalDelay, first+2*f.rules.RemovalDelay), ok
 }
 
 // publish hands on what is held, once it has settled.
@@ -534,17 +534,17 @@
 		return
 	}
 	whole := f.published.generation == 0 || discovery.Epoch(f.held.generation) != discovery.Epoch(f.published.generation) || f.held.generation < f.published.generation
-	if at, ok := f.settles(); ok && now < at && !whole {
+	if at, ok := f.removalsDue(); ok && now < at && !whole {
 		return
 	}
-	m := f.held.since(f.published)
+	m := f.held.deltaFrom(f.published)
 	if whole {
-		m = f.held.list()
+		m = f.held.snapshot()
 	}
-	clear(f.gone)
+	clear(f.removedAt)
 	if len(m.Instances) == 0 && !whole { // a flap that came to nothing
 		return
 	}
 	f.published = f.held
-	f.do(Action{Kind: Publish, List: m})
+	f.emit(Action{Kind: PublishList, List: m})
 }
--- a/internal/agent/core_test.go
+++ b/internal/agent/core_test.go
@@ -50,15 +50,15 @@
 }
 
 func (r *rig) take() {
-	for _, a := range r.f.Take() {
+	for _, a := range r.f.DrainActions() {
 		switch a.Kind {
-		case Open:
+		case OpenWatch:
 			r.opened = append(r.opened, a)
-		case Ask:
+		case FetchSnapshot:
 			r.asked = append(r.asked, a)
-		case Publish:
+		case PublishList:
 			r.published = append(r.published, a.List)
-		case Note:
+		case LogEvent:
 			r.notes = append(r.notes, a.Text)
 		}
 	}
@@ -67,7 +67,7 @@
 // wait lets time pass in small steps.
 func (r *rig) wait(d time.Duration) {
 	for end := r.now + d; r.now < end; {
-		r.now = max(min(end, r.f.Next()), r.now+time.Millisecond)
+		r.now = max(min(end, r.f.NextTick()), r.now+time.Millisecond)
 		r.f.Tick(r.now)
 		r.take()
 	}
@@ -82,18 +82,18 @@
 		}
 	}
 	a := r.opened[len(r.opened)-1]
-	r.f.Opened(r.now, a.Call)
+	r.f.WatchOpened(r.now, a.Call)
 	return a
 }
 
 func (r *rig) hear(m Message) {
-	r.f.Heard(r.now, r.f.call, m)
+	r.f.MessageReceived(r.now, r.f.callID, m)
 	r.take()
 }
 
 func (r *rig) wants(servers int, generation uint64) {
 	r.t.Helper()
-	m := r.f.Held()
+	m := r.f.Published()
 	if len(m.Instances) != servers || m.Generation != generation {
 		r.t.Errorf("%d servers at %d are published, not %d at %d; notes %q", len(m.Instances), m.Generation, servers, generation, r.notes)
 	}
@@ -114,15 +114,15 @@
 				m := whole(uint64(rng.IntN(2))<<discovery.EpochBits|uint64(rng.IntN(40)), rng.IntN(10))
 				r.hear(m)
 			case 3, 4:
-				r.hear(Message{Generation: r.f.current().generation + uint64(rng.IntN(3)), Instances: []Entry{server(rng.IntN(10), []string{Up, Draining, Removed}[rng.IntN(3)])}})
+				r.hear(Message{Generation: r.f.latest().generation + uint64(rng.IntN(3)), Instances: []Entry{server(rng.IntN(10), []string{Up, Draining, Removed}[rng.IntN(3)])}})
 			case 5:
-				r.f.Failed(r.now, r.f.call, time.Duration(rng.IntN(3))*time.Second, "ended")
+				r.f.CallFailed(r.now, r.f.callID, time.Duration(rng.IntN(3))*time.Second, "ended")
 				r.take()
 			case 6:
 				r.wait(time.Duration(rng.IntN(5000)) * time.Millisecond)
 			}
 			for _, a := range r.asked {
-				r.f.Answered(r.now, a.Replica, whole(uint64(rng.IntN(40)), rng.IntN(10)), nil)
+				r.f.SnapshotReceived(r.now, a.Replica, whole(uint64(rng.IntN(40)), rng.IntN(10)), nil)
 			}
 			r.asked = nil
 			r.take()
@@ -156,7 +156,7 @@
 	r := newRig(t, "a", "b", "c")
 	first := r.connect()
 	r.hear(whole(20, 10))
-	r.f.Failed(r.now, r.f.call, 0, "gone")
+	r.f.CallFailed(r.now, r.f.callID, 0, "gone")
 	second := r.connect()
 	if second.Replica == first.Replica || second.From != 20 {
 		t.Errorf("after a failure %+v is called", second)
@@ -176,7 +176,7 @@
 		t.Error("a new epoch is not told as a whole list")
 	}
 	for range 3 { // the old epoch is over, at whichever replica
-		r.f.Failed(r.now, r.f.call, 0, "gone")
+		r.f.CallFailed(r.now, r.f.callID, 0, "gone")
 		r.connect()
 		r.hear(whole(25, 10))
 	}
@@ -191,19 +191,19 @@
 	r.hear(whole(20, 10))
 	past := func(d time.Duration) {
 		for end := r.now + d; r.now < end; {
-			r.f.Failed(r.now, r.f.call, 0, "gone")
+			r.f.CallFailed(r.now, r.f.callID, 0, "gone")
 			r.connect()
 			r.hear(whole(5, 10))
 		}
 	}
 	past(time.Second)
 	r.connect() // this one took version 20, and tells no change
-	for end := r.now + 2*DefaultRules().PastFor; r.now < end; r.wait(time.Second) {
-		r.f.Beat(r.now, r.f.call)
+	for end := r.now + 2*DefaultRules().RollbackTolerance; r.now < end; r.wait(time.Second) {
+		r.f.HeartbeatReceived(r.now, r.f.callID)
 	}
-	past(DefaultRules().PastFor / 2)
+	past(DefaultRules().RollbackTolerance / 2)
 	r.wants(10, 20)
-	past(DefaultRules().PastFor)
+	past(DefaultRules().RollbackTolerance)
 	r.wants(10, 5)
 }
 
@@ -214,9 +214,9 @@
 		servers  int
 		doubtFor time.Duration
 	}{
-		"agreed":       {func(r *rig, ask Action) { r.f.Answered(r.now, ask.Replica, whole(11, 0), nil) }, 0, 0},
-		"contradicted": {func(r *rig, ask Action) { r.f.Answered(r.now, ask.Replica, whole(12, 10), nil) }, 10, time.Hour},
-		"no answer":    {func(r *rig, ask Action) { r.f.Answered(r.now, ask.Replica, Message{}, fmt.Errorf("down")) }, 0, DefaultRules().DoubtFor},
+		"agreed":       {func(r *rig, ask Action) { r.f.SnapshotReceived(r.now, ask.Replica, whole(11, 0), nil) }, 0, 0},
+		"contradicted": {func(r *rig, ask Action) { r.f.SnapshotReceived(r.now, ask.Replica, whole(12, 10), nil) }, 10, time.Hour},
+		"no answer":    {func(r *rig, ask Action) { r.f.SnapshotReceived(r.now, ask.Replica, Message{}, fmt.Errorf("down")) }, 0, DefaultRules().SuspectTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, "a", "b", "c")
@@ -238,10 +238,10 @@
 			}
 			for end := r.now + c.doubtFor; r.now < end; {
 				r.wants(10, 10)
-				r.f.Beat(r.now, r.f.call)
+				r.f.HeartbeatReceived(r.now, r.f.callID)
 				r.wait(time.Second)
 			}
-			r.wait(DefaultRules().Settle + time.Millisecond)
+			r.wait(DefaultRules().RemovalDelay + time.Millisecond)
 			r.wants(c.servers, 11)
 		})
 	}
@@ -251,7 +251,7 @@
 	for n := range 10 { // one by one, faster than servers die
 		r.hear(Message{Generation: uint64(11 + n), Instances: []Entry{server(n, Draining)}})
 	}
-	if m := r.f.Held(); !r.f.Doubts() || (view{entries: map[string]Entry{}}).after(m).up() < 6 {
+	if m := r.f.Published(); !r.f.Suspecting() || (view{entries: map[string]Entry{}}).apply(m).upCount() < 6 {
 		t.Error("a list that shrinks change by change is not doubted")
 	}
 }
@@ -267,13 +267,13 @@
 		r.wait(300 * time.Millisecond)
 		r.hear(Message{Generation: g + 1, Instances: []Entry{server(3, Up)}})
 		r.wait(time.Second)
-		r.f.Beat(r.now, r.f.call)
+		r.f.HeartbeatReceived(r.now, r.f.callID)
 	}
 	if len(r.published) != n {
 		t.Errorf("a flapping server is told %d times", len(r.published)-n)
 	}
 	r.hear(Message{Generation: 40, Instances: []Entry{server(3, Removed)}})
-	r.wait(DefaultRules().Settle + time.Millisecond)
+	r.wait(DefaultRules().RemovalDelay + time.Millisecond)
 	r.wants(9, 40)
 	r.hear(Message{Generation: 41, Instances: []Entry{server(4, Draining)}})
 	r.hear(Message{Generation: 42, Instances: []Entry{server(4, Removed)}}) // it drained first: gone at once
@@ -295,11 +295,11 @@
 		r := &rig{t: t, f: f}
 		r.connect()
 		r.hear(whole(10, 10))
-		f.Failed(r.now, f.call, 0, "gone")
+		f.CallFailed(r.now, f.callID, 0, "gone")
 		for start := r.now; r.now < start+time.Hour; r.wait(50 * time.Millisecond) {
-			if n := len(r.opened); n > 0 && !f.waiting {
+			if n := len(r.opened); n > 0 && !f.inBackoff {
 				at = append(at, r.now-start)
-				f.Failed(r.now, f.call, 2*time.Second, "refused")
+				f.CallFailed(r.now, f.callID, 2*time.Second, "refused")
 				r.take()
 			}
 		}
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -125,7 +125,7 @@
 func TestGoldenAgent(t *testing.T) {
 	r := startScripted(t)
 	rules := quick()
-	rules.Silence, rules.Dial = patience, patience // the one watch is not left, however busy the machine is
+	rules.SilenceTimeout, rules.DialTimeout = patience, patience // the one watch is not left, however busy the machine is
 	a, err := Start(t.Context(), Config{Replicas: []string{r.addr}, Listen: "127.0.0.1:0", Name: "m", Rules: rules, Seed: 1, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
@@ -159,7 +159,7 @@
 	golden.Check(t, "golden/list.txt", list)
 	r.lines <- ""
 	requests += nextOf(t, "request after the watch's end", r.requests)
-	if m, err := a.ask(r.addr); err != nil || m.Generation != 20 || !m.Reset || len(m.Instances) != 2 || m.Instances[1] != server(1, Up) {
+	if m, err := a.fetchSnapshot(r.addr); err != nil || m.Generation != 20 || !m.Reset || len(m.Instances) != 2 || m.Instances[1] != server(1, Up) {
 		t.Errorf("asked for the list: %+v, error %v", m, err)
 	}
 	golden.Check(t, "golden/requests.txt", []byte(requests+nextOf(t, "request of the list", r.requests)))
@@ -167,7 +167,7 @@
 
 // What an agent says of itself is written as recorded.
 func TestGoldenStatus(t *testing.T) {
-	status := Status{Generation: 7<<discovery.EpochBits | 10, Servers: 3, Watching: true, Age: 0.25, Doubting: true, Calls: 4, Watches: 5, Published: 6}
+	status := Status{Generation: 7<<discovery.EpochBits | 10, Endpoints: 3, Watching: true, AgeSeconds: 0.25, Suspecting: true, ReplicaCalls: 4, NodeWatches: 5, ListsPublished: 6}
 	text, err := json.Marshal(status)
 	if err != nil {
 		t.Fatal(err)
