--- a/internal/discovery/lenient.go
+++ b/internal/discovery/lenient.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"math"
 	"net/netip"
@@ -33,23 +32,6 @@
 	StartedAt   time.Duration // Unix time; 0: long ago
 }
 
-// FieldError is a field of a message that is not what the protocol says.
-type FieldError struct {
-	Field string // as in "generation" or "instances[3].weight"
-	Err   error
-}
-
-// Error implements error.
-func (e *FieldError) Error() string { return e.Field + ": " + e.Err.Error() }
-
-// Unwrap returns the cause.
-func (e *FieldError) Unwrap() error { return e.Err }
-
-var (
-	errMissing = errors.New("is missing")
-	errEmpty   = errors.New("is empty")
-)
-
 // ParseLenient parses one message and keeps as much of a malformed one as is safe to act on:
 //
 //   - an entry whose id can't be read is left out;
@@ -94,7 +76,7 @@
 // fault records that a field is malformed.
 func (r *fieldReader) fault(name string, err error) {
 	if r.entryIndex != noEntry {
-		name = fmt.Sprintf("instances[%d].%s", r.entryIndex, name)
+		name = entryField(r.entryIndex, name)
 	}
 	r.faults = append(r.faults, &FieldError{name, err})
 }
--- a/internal/registry/client_watch.go
+++ b/internal/registry/client_watch.go
@@ -1,13 +1,13 @@
 package registry
 
 import (
-	"bufio"
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
 	"net/http"
+
+	"opalhook/internal/discovery"
 )
 
 // ErrWatchEnded is the error of a watch that its replica ended.
@@ -18,8 +18,7 @@
 func (c *Client) Watch(ctx context.Context, from uint64, handle func(generation uint64, reset bool, entries []Entry)) error {
 	var lastErr error
 	for _, replica := range c.Replicas {
-		url := fmt.Sprintf("http://%s/registry/instances?watch=1&from=%d", replica, from)
-		req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+		req, err := http.NewRequestWithContext(ctx, http.MethodGet, discovery.WatchURL(replica, from), nil)
 		if err != nil {
 			return fmt.Errorf("replica %q: %w", replica, err)
 		}
@@ -42,17 +41,19 @@
 
 // readWatch calls handle for each message until the watch ends. It always returns an error.
 func readWatch(body io.Reader, handle func(generation uint64, reset bool, entries []Entry)) error {
-	lines := bufio.NewScanner(body)
-	lines.Buffer(nil, maxResponseBytes)
-	for lines.Scan() {
-		if len(lines.Bytes()) == 0 {
-			continue // a heartbeat
-		}
-		var m message
-		if err := json.Unmarshal(lines.Bytes(), &m); err != nil {
-			return fmt.Errorf("malformed line: %w", err)
+	lines := discovery.NewLineReader(body, maxResponseBytes)
+	for {
+		m, heartbeat, err := lines.Next()
+		var malformed *discovery.MalformedLineError
+		switch {
+		case errors.As(err, &malformed):
+			return err
+		case errors.Is(err, io.EOF):
+			return ErrWatchEnded
+		case err != nil:
+			return errors.Join(err, ErrWatchEnded)
+		case !heartbeat:
+			handle(m.Generation, m.Reset, m.Instances)
 		}
-		handle(m.Generation, m.Reset, m.Instances)
 	}
-	return errors.Join(lines.Err(), ErrWatchEnded)
 }
--- a/internal/testbed/list_service.go
+++ b/internal/testbed/list_service.go
@@ -1,7 +1,6 @@
 package testbed
 
 import (
-	"bufio"
 	"bytes"
 	"context"
 	"encoding/json"
@@ -19,6 +18,8 @@
 	"sync/atomic"
 	"syscall"
 	"time"
+
+	"opalhook/internal/discovery"
 )
 
 // listService is the project's own list service, in place of the testbed's list: replicas as processes,
@@ -50,7 +51,8 @@
 	servicePause = 100 * time.Millisecond
 	watchSilent  = 3 * time.Second // the service writes a line every 2 s
 	writers      = 16
-	writesQueued = 1 << 12 // of each
+	writesQueued = 1 << 12  // of each
+	maxWatchLine = 16 << 20 // bytes
 )
 
 // startListService starts the replicas, one after another.
@@ -277,7 +279,7 @@
 	defer cancel()
 	silence := time.AfterFunc(watchSilent, cancel)
 	defer silence.Stop()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s/registry/instances?watch=1&from=%d", addr, *from), nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, discovery.WatchURL(addr, *from), nil)
 	if err != nil {
 		return true
 	}
@@ -289,27 +291,42 @@
 	if resp.StatusCode != http.StatusOK {
 		return true
 	}
-	lines := bufio.NewScanner(resp.Body)
-	lines.Buffer(nil, 16<<20)
-	for lines.Scan() {
+	lines := discovery.NewLineReader(resp.Body, maxWatchLine)
+	for {
+		m, heartbeat, err := lines.Next()
+		var malformed *discovery.MalformedLineError
+		if errors.As(err, &malformed) {
+			s.env.fail(fmt.Errorf("list service: %w in %q", malformed.Err, clip(malformed.Line)))
+			return false
+		}
+		if err != nil {
+			return true
+		}
 		silence.Reset(watchSilent)
-		if len(lines.Bytes()) == 0 {
+		if heartbeat {
 			if !heard(nil) {
 				return false
 			}
 			continue
 		}
-		var m listMessage
-		if err := json.Unmarshal(lines.Bytes(), &m); err != nil {
-			s.env.fail(fmt.Errorf("list service: %w in %q", err, clip(lines.Text())))
-			return false
-		}
 		*from = m.Generation
-		if !heard(&m) {
+		if !heard(messageOf(m)) {
 			return false
 		}
 	}
-	return true
+}
+
+// messageOf is a message of the list service as the testbed books it.
+func messageOf(m discovery.Message) *listMessage {
+	var entries []Entry
+	if m.Instances != nil {
+		entries = make([]Entry, 0, len(m.Instances)) // an empty list is written as such, not as null
+	}
+	for _, e := range m.Instances {
+		entries = append(entries, Entry{InstanceID: e.InstanceID, HostPort: e.HostPort, Zone: e.Zone, MachineType: e.MachineType, Cell: e.Cell,
+			Lifecycle: e.Lifecycle, Weight: e.Weight, StartedAtMs: e.StartedAtMs})
+	}
+	return &listMessage{Generation: m.Generation, Reset: m.Reset, Instances: entries}
 }
 
 // stop ends the replicas.
