--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,17 +1,12 @@
 package agent
 
 import (
-	"bufio"
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"log/slog"
-	"math/rand/v2"
 	"net"
 	"net/http"
-	"strconv"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -19,103 +14,106 @@
 
 // Config is what an agent is started with.
 type Config struct {
-	Replicas []string // HTTP addresses of the list service
-	Listen   string   // for the edge node beside it
-	Name     string   // of this machine
+	Replicas []string // addresses of the list service, host:port
+	Listen   string   // address for the nodes, host:port
+	Name     string   // of this machine; it must differ from machine to machine
 	Rules    Rules
-	Seed     uint64
+	Seed     uint64 // of the random backoffs
 	Log      *slog.Logger
 }
 
-const (
-	maxLine           = 8 << 20 // bytes of a message; 5,000 entries are about 1 MB
-	heartbeatInterval = 2 * time.Second
-	nodeWriteTimeout  = 5 * time.Second // a node that takes nothing for so long is dropped
-	nodeHeaderTimeout = 3 * time.Second
-	maxHistory        = 512 // messages that a node may have missed
-)
-
-// Status is what an agent says of itself.
+// Status is what an agent reports of itself at /agent/status.
 type Status struct {
-	Generation     uint64  `json:"generation"`
-	Endpoints      int     `json:"servers"`
+	Generation     uint64  `json:"generation"`     // that nodes are sent
+	Endpoints      int     `json:"servers"`        // in the list that nodes are sent
 	Watching       bool    `json:"watching"`       // a replica's watch is open
-	AgeSeconds     float64 `json:"secondsOld"`     // since a replica was last heard
-	Suspecting     bool    `json:"doubting"`       // a list is not taken at face value yet
-	ReplicaCalls   uint64  `json:"calls"`          // of replicas, so far
-	NodeWatches    int64   `json:"watches"`        // of nodes
-	ListsPublished uint64  `json:"listsPublished"` // to them
+	AgeSeconds     float64 `json:"secondsOld"`     // since a replica last confirmed the list
+	Suspecting     bool    `json:"doubting"`       // a newer list is suspect and not accepted yet
+	ReplicaCalls   uint64  `json:"calls"`          // of replicas, since the start
+	NodeWatches    int64   `json:"watches"`        // that are open
+	ListsPublished uint64  `json:"listsPublished"` // messages to the nodes, since the start
 }
 
-// Agent follows the list service and serves what it holds to the edge nodes beside it.
+// statusInterval is how often the status is renewed when nothing happens.
+const statusInterval = time.Second
+
+// minTimer keeps the follower's timer from firing in a loop.
+const minTimer = time.Millisecond
+
+// Agent follows the list service and serves the list to the nodes on its machine. [Start] starts one.
 type Agent struct {
-	cfg        Config
-	log        *slog.Logger
-	origin     time.Time
-	events     chan func(now time.Duration)
-	client     *http.Client
+	log    *slog.Logger
+	origin time.Time // of the follower's clock
+
 	listener   net.Listener
 	server     *http.Server
-	ctx        context.Context
+	replicas   *replicaClient
+	feed       *feed
+	ctx        context.Context // of all that the agent has started
 	stop       context.CancelFunc
 	goroutines sync.WaitGroup
 
-	follower   *Follower // of the goroutine that runs
-	closeWatch context.CancelFunc
+	// Of the goroutine of run.
+	follower       *Follower
+	silenceTimeout time.Duration
+	closeWatch     context.CancelFunc
+	events         chan func(now time.Duration)
 
-	mu             sync.Mutex
-	snapshot       []byte // the whole list as a line; nil: nothing is held yet
-	generation     uint64 // its generation
-	history        []published
-	updated        chan struct{} // closed at the next message
-	heartbeats     bool          // the service is heard: beats go to the nodes
-	status         Status
-	replicaCalls   atomic.Uint64
-	nodeWatches    atomic.Int64
-	listsPublished atomic.Uint64
+	mu           sync.Mutex
+	status       FollowerStatus
+	replicaCalls atomic.Uint64
+	nodeWatches  atomic.Int64
 }
 
-// published is one message as a node gets it that holds the version before.
-type published struct {
-	before, generation uint64
-	text               []byte
-}
-
-// Start starts an agent; Close ends it.
+// Start starts an agent. It runs until [Agent.Close]; when ctx ends it follows no replica any more and ends the watches
+// of nodes.
 func Start(ctx context.Context, cfg Config) (*Agent, error) {
-	if len(cfg.Replicas) == 0 {
-		return nil, errors.New("replicas: none is named; addresses of the list service are wanted")
+	if err := cfg.validate(); err != nil {
+		return nil, err
 	}
-	for _, r := range cfg.Replicas {
-		if _, port, err := net.SplitHostPort(r); err != nil || port == "" {
-			return nil, fmt.Errorf("replicas: %q is no address such as 127.0.0.1:8500", r)
-		}
-	}
-	ln, err := net.Listen("tcp", cfg.Listen)
+	listener, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	a := &Agent{cfg: cfg, log: cfg.Log, origin: time.Now(), events: make(chan func(time.Duration)), listener: ln, updated: make(chan struct{}),
-		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: cfg.Rules.DialTimeout}).DialContext,
-			ResponseHeaderTimeout: cfg.Rules.DialTimeout}}}
+	a := &Agent{
+		log:            cfg.Log,
+		origin:         time.Now(),
+		listener:       listener,
+		replicas:       newReplicaClient(cfg.Rules),
+		feed:           newFeed(),
+		follower:       NewFollower(0, cfg.Name, cfg.Replicas, cfg.Rules, cfg.Seed),
+		silenceTimeout: cfg.Rules.SilenceTimeout,
+		events:         make(chan func(time.Duration)),
+	}
 	a.ctx, a.stop = context.WithCancel(ctx)
-	a.follower = NewFollower(0, cfg.Name, cfg.Replicas, cfg.Rules, cfg.Seed)
-	a.server = &http.Server{Handler: a.routes(), ReadHeaderTimeout: nodeHeaderTimeout, IdleTimeout: time.Minute, MaxHeaderBytes: 8 << 10,
-		ErrorLog: slog.NewLogLogger(a.log.Handler(), slog.LevelDebug)}
+	a.server = a.newServer()
 	a.goroutines.Go(a.run)
 	a.goroutines.Go(func() {
-		if err := a.server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
-			a.log.Error("the agent's listener ended", "err", err)
+		if err := a.server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+			a.log.Error("listener failed", "err", err)
 		}
 	})
-	a.log.Info("agent", "listen", a.Addr(), "replicas", cfg.Replicas)
+	a.log.Info("agent started", "listen", a.Addr(), "replicas", cfg.Replicas)
 	return a, nil
 }
 
-// Addr is the address for nodes.
+// validate returns an error that names the first field that an agent can't work with.
+func (c Config) validate() error {
+	if len(c.Replicas) == 0 {
+		return errors.New("replicas: none is named; addresses of the list service are wanted")
+	}
+	for _, replica := range c.Replicas {
+		if _, port, err := net.SplitHostPort(replica); err != nil || port == "" {
+			return fmt.Errorf("replicas: %q is no address such as 127.0.0.1:8500", replica)
+		}
+	}
+	return nil
+}
+
+// Addr returns the address for nodes.
 func (a *Agent) Addr() string { return a.listener.Addr().String() }
 
-// Close ends the agent and its watches.
+// Close ends the agent and its watches. It returns the error of closing the listener.
 func (a *Agent) Close() error {
 	a.stop()
 	err := a.server.Close()
@@ -123,50 +121,59 @@
 	return err
 }
 
-// Status says how the agent is.
+// Status returns what the agent reports of itself.
 func (a *Agent) Status() Status {
 	a.mu.Lock()
-	defer a.mu.Unlock()
-	s := a.status
-	s.ReplicaCalls, s.NodeWatches, s.ListsPublished = a.replicaCalls.Load(), a.nodeWatches.Load(), a.listsPublished.Load()
-	return s
+	follower := a.status
+	a.mu.Unlock()
+	return Status{
+		Generation:     follower.Generation,
+		Endpoints:      follower.Endpoints,
+		Watching:       follower.Watching,
+		AgeSeconds:     follower.Age.Seconds(),
+		Suspecting:     follower.Suspecting,
+		ReplicaCalls:   a.replicaCalls.Load(),
+		NodeWatches:    a.nodeWatches.Load(),
+		ListsPublished: a.feed.published.Load(),
+	}
 }
 
-// run owns the follower: it takes in what the calls meet and does what the follower wants.
+// run owns the follower: it takes in what calls bring and carries out the follower's actions, until the agent ends.
 func (a *Agent) run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case <-a.ctx.Done():
-			if a.closeWatch != nil {
-				a.closeWatch()
-			}
+			a.endWatch()
 			return
 		case event := <-a.events:
-			event(time.Since(a.origin))
+			event(a.now())
 		case <-timer.C:
 		}
-		now := time.Since(a.origin)
+		now := a.now()
 		a.follower.Tick(now)
-		for _, act := range a.follower.DrainActions() {
-			a.perform(act)
+		for _, action := range a.follower.DrainActions() {
+			a.perform(action)
 		}
 		a.updateStatus(now)
-		timer.Reset(max(min(a.follower.NextTick()-now, time.Second), time.Millisecond)) // the age is shown each second
+		timer.Reset(max(min(a.follower.NextTick()-now, statusInterval), minTimer))
 	}
 }
 
-// show takes down how the follower is.
+// now returns the time on the follower's clock.
+func (a *Agent) now() time.Duration { return time.Since(a.origin) }
+
+// updateStatus publishes the state of the follower.
 func (a *Agent) updateStatus(now time.Duration) {
-	generation, servers, age := a.follower.Status(now)
+	status := a.follower.Status(now)
+	a.feed.setLive(status.Watching || status.Age < a.silenceTimeout)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.status = Status{Generation: generation, Endpoints: servers, Watching: a.follower.Watching(), AgeSeconds: age.Seconds(), Suspecting: a.follower.Suspecting()}
-	a.heartbeats = a.follower.Watching() || age < a.cfg.Rules.SilenceTimeout
+	a.status = status
 }
 
-// tell hands an event to the goroutine that runs.
+// post hands an event to the goroutine of run.
 func (a *Agent) post(event func(now time.Duration)) {
 	select {
 	case a.events <- event:
@@ -174,206 +181,77 @@
 	}
 }
 
-func (a *Agent) perform(act Action) {
-	switch act.Kind {
-	case CloseWatch:
-		if a.closeWatch != nil {
-			a.closeWatch()
-			a.closeWatch = nil
-		}
+// perform carries out an action of the follower.
+func (a *Agent) perform(action Action) {
+	switch action.Kind {
 	case OpenWatch:
-		ctx, cancel := context.WithCancel(a.ctx)
-		a.closeWatch = cancel
-		a.replicaCalls.Add(1)
-		a.goroutines.Go(func() {
-			defer cancel()
-			retryAfter, err := a.followWatch(ctx, act)
-			a.post(func(now time.Duration) { a.follower.CallFailed(now, act.Call, retryAfter, err.Error()) })
-		})
+		a.openWatch(action)
+	case CloseWatch:
+		a.endWatch()
 	case FetchSnapshot:
-		a.replicaCalls.Add(1)
-		a.goroutines.Go(func() {
-			m, err := a.fetchSnapshot(act.Replica)
-			a.post(func(now time.Duration) { a.follower.SnapshotReceived(now, act.Replica, m, err) })
-		})
+		a.openFetch(action.Replica)
 	case PublishList:
-		a.publish(act.List)
+		a.publish(action)
 	case LogEvent:
-		a.log.Warn("list service", "note", act.Text)
-	}
-}
-
-// get calls a replica; the answer is one of 200.
-func (a *Agent) get(ctx context.Context, url string) (resp *http.Response, retryAfter time.Duration, err error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
-	if err != nil {
-		return nil, 0, err
+		a.log.LogAttrs(a.ctx, action.Event.Level, action.Event.Message, action.Event.Attrs...)
 	}
-	resp, err = a.client.Do(req)
-	if err != nil {
-		return nil, 0, err
-	}
-	if resp.StatusCode != http.StatusOK {
-		resp.Body.Close()
-		if s, err := strconv.Atoi(resp.Header.Get("Retry-After")); err == nil && s > 0 && s <= 60 {
-			retryAfter = time.Duration(s) * time.Second
-		}
-		return nil, retryAfter, fmt.Errorf("answers %s", resp.Status)
-	}
-	return resp, 0, nil
 }
 
-// follow follows a watch to its end, which always has a reason.
-func (a *Agent) followWatch(ctx context.Context, act Action) (retryAfter time.Duration, err error) {
-	resp, retryAfter, err := a.get(ctx, fmt.Sprintf("http://%s/registry/instances?watch=1&from=%d", act.Replica, act.From))
-	if err != nil {
-		return retryAfter, err
-	}
-	defer resp.Body.Close()
-	a.post(func(now time.Duration) { a.follower.WatchOpened(now, act.Call) })
-	lines := bufio.NewScanner(resp.Body)
-	lines.Buffer(nil, maxLine)
-	for lines.Scan() {
-		if len(lines.Bytes()) == 0 {
-			a.post(func(now time.Duration) { a.follower.HeartbeatReceived(now, act.Call) })
-			continue
-		}
-		var m Message
-		if err := json.Unmarshal(lines.Bytes(), &m); err != nil {
-			return 0, fmt.Errorf("malformed line: %w", err)
-		}
-		a.post(func(now time.Duration) { a.follower.MessageReceived(now, act.Call, m) })
-	}
-	if err := lines.Err(); err != nil {
-		return 0, err
-	}
-	return 0, errors.New("ended the watch")
+// openWatch starts a goroutine that follows a watch to its end.
+func (a *Agent) openWatch(action Action) {
+	ctx, cancel := context.WithCancel(a.ctx)
+	a.closeWatch = cancel
+	a.replicaCalls.Add(1)
+	a.goroutines.Go(func() {
+		defer cancel()
+		err := a.followWatch(ctx, action)
+		a.post(func(now time.Duration) { a.follower.CallFailed(now, action.CallID, retryAfterOf(err), err) })
+	})
 }
 
-// ask gets a replica's whole list.
-func (a *Agent) fetchSnapshot(replica string) (m Message, err error) {
-	ctx, cancel := context.WithTimeout(a.ctx, a.cfg.Rules.SilenceTimeout)
-	defer cancel()
-	resp, _, err := a.get(ctx, "http://"+replica+"/registry/instances")
-	if err != nil {
-		return m, err
-	}
-	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxLine))
-	if err != nil {
-		return m, err
+// endWatch closes the current watch, if there is one.
+func (a *Agent) endWatch() {
+	if a.closeWatch != nil {
+		a.closeWatch()
+		a.closeWatch = nil
 	}
-	return m, json.Unmarshal(text, &m)
 }
 
-// publish hands a message on to the nodes, encoded once for all.
-func (a *Agent) publish(m Message) {
-	text, err := json.Marshal(m)
-	if err != nil {
-		a.log.Error("a list can't be written", "err", err) // not with what check lets through
-		return
-	}
-	whole, err := json.Marshal(a.follower.Published())
+// followWatch hands what a watch brings to the follower until the watch ends. It always returns an error.
+func (a *Agent) followWatch(ctx context.Context, action Action) error {
+	watch, err := a.replicas.watch(ctx, action.Replica, action.From)
 	if err != nil {
-		a.log.Error("a list can't be written", "err", err)
-		return
+		return err
 	}
-	a.listsPublished.Add(1)
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if m.Reset {
-		a.history = nil
-	} else {
-		if len(a.history) == maxHistory {
-			a.history = append(a.history[:0], a.history[1:]...)
+	defer watch.close()
+	a.post(func(now time.Duration) { a.follower.WatchOpened(now, action.CallID) })
+	for {
+		m, heartbeat, err := watch.next()
+		if err != nil {
+			return err
 		}
-		a.history = append(a.history, published{a.generation, m.Generation, append(text, '\n')})
-	}
-	a.snapshot, a.generation = append(whole, '\n'), m.Generation
-	close(a.updated)
-	a.updated = make(chan struct{})
-}
-
-// since is what a node gets that holds a version: lines and the version after them. One that
-// holds more than this agent, or where nothing is held, gets nothing: it is never shown the past.
-func (a *Agent) updatesSince(from uint64) (lines [][]byte, at uint64, more chan struct{}, speaks bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	at, more, speaks = a.generation, a.updated, a.heartbeats && a.generation > 0
-	switch {
-	case a.generation == 0, from > a.generation:
-		return nil, from, more, speaks && a.generation > 0 && from <= a.generation
-	case from == a.generation:
-		return nil, at, more, speaks
-	}
-	for i, p := range a.history {
-		if p.before == from {
-			for _, q := range a.history[i:] {
-				lines = append(lines, q.text)
+		a.post(func(now time.Duration) {
+			if heartbeat {
+				a.follower.HeartbeatReceived(now, action.CallID)
+			} else {
+				a.follower.MessageReceived(now, action.CallID, m)
 			}
-			return lines, at, more, speaks
-		}
+		})
 	}
-	return [][]byte{a.snapshot}, at, more, speaks
 }
 
-func (a *Agent) routes() http.Handler {
-	m := http.NewServeMux()
-	m.HandleFunc("GET /registry/instances", a.serveInstances)
-	m.HandleFunc("GET /agent/status", func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set("Content-Type", "application/json")
-		json.NewEncoder(w).Encode(a.Status())
+// openFetch starts a goroutine that fetches a replica's complete list.
+func (a *Agent) openFetch(replica string) {
+	a.replicaCalls.Add(1)
+	a.goroutines.Go(func() {
+		m, err := a.replicas.fetch(a.ctx, replica)
+		a.post(func(now time.Duration) { a.follower.SnapshotReceived(now, replica, m, err) })
 	})
-	return m
 }
 
-// serve answers the platform's discovery protocol. While nothing is held it is silent.
-func (a *Agent) serveInstances(w http.ResponseWriter, r *http.Request) {
-	rc := http.NewResponseController(w)
-	send := func(lines ...[]byte) bool {
-		if rc.SetWriteDeadline(time.Now().Add(nodeWriteTimeout)) != nil {
-			return false
-		}
-		for _, l := range lines {
-			if _, err := w.Write(l); err != nil {
-				return false
-			}
-		}
-		return rc.Flush() == nil
-	}
-	q := r.URL.Query()
-	var from uint64
-	if text := q.Get("from"); text != "" {
-		var err error
-		if from, err = strconv.ParseUint(text, 10, 64); err != nil {
-			http.Error(w, "from: a generation is wanted", http.StatusBadRequest)
-			return
-		}
-	}
-	watch := q.Get("watch") != ""
-	if watch {
-		a.nodeWatches.Add(1)
-		defer a.nodeWatches.Add(-1)
-	}
-	beat := time.NewTimer(heartbeatInterval/2 + time.Duration(rand.Int64N(int64(heartbeatInterval/2)))) // not in step with others
-	defer beat.Stop()
-	for {
-		lines, at, more, speaks := a.updatesSince(from)
-		if len(lines) > 0 && !send(lines...) || len(lines) > 0 && !watch {
-			return
-		}
-		from = at
-		select {
-		case <-r.Context().Done():
-			return
-		case <-a.ctx.Done():
-			return
-		case <-beat.C:
-			beat.Reset(heartbeatInterval)
-			if watch && speaks && !send([]byte{'\n'}) {
-				return
-			}
-		case <-more:
-		}
+// publish makes a message of the follower what nodes are sent.
+func (a *Agent) publish(action Action) {
+	if err := a.feed.publish(action.List, a.follower.Published()); err != nil {
+		a.log.Error("list not encoded", "generation", action.List.Generation, "err", err)
 	}
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -50,7 +50,7 @@
 }
 
 // line is a message as a replica writes it.
-func line(m Message) string {
+func line(m discovery.Message) string {
 	text, err := json.Marshal(m)
 	if err != nil {
 		panic(err)
@@ -59,7 +59,7 @@
 }
 
 // good tells a list and then empty lines.
-func good(m Message) func(http.ResponseWriter, *http.Request) {
+func good(m discovery.Message) func(http.ResponseWriter, *http.Request) {
 	return func(w http.ResponseWriter, r *http.Request) {
 		io.WriteString(w, line(m))
 		for r.URL.Query().Get("watch") != "" {
@@ -77,13 +77,13 @@
 }
 
 // node is an edge node's watch, from a version that it holds; a silent agent sends it no head.
-func node(t *testing.T, a *Agent, from uint64) <-chan Message {
+func node(t *testing.T, a *Agent, from uint64) <-chan discovery.Message {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, fmt.Sprintf("http://%s/registry/instances?watch=1&from=%d", a.Addr(), from), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	heard := make(chan Message, 16)
+	heard := make(chan discovery.Message, 16)
 	go func() {
 		defer close(heard)
 		resp, err := http.DefaultClient.Do(req)
@@ -92,7 +92,7 @@
 		}
 		defer resp.Body.Close()
 		for lines := bufio.NewScanner(resp.Body); lines.Scan(); {
-			var m Message
+			var m discovery.Message
 			if len(lines.Bytes()) > 0 && json.Unmarshal(lines.Bytes(), &m) == nil {
 				heard <- m
 			}
@@ -101,7 +101,7 @@
 	return heard
 }
 
-func next(t *testing.T, heard <-chan Message) Message {
+func next(t *testing.T, heard <-chan discovery.Message) discovery.Message {
 	t.Helper()
 	select {
 	case m, ok := <-heard:
@@ -112,7 +112,7 @@
 	case <-time.After(patience):
 		t.Fatal("nothing is told")
 	}
-	return Message{}
+	return discovery.Message{}
 }
 
 // Whatever is wrong with some replicas, one that is right is found, and costs few calls of each.
@@ -146,8 +146,11 @@
 			flush(w, `{"generation":9,"reset":true,"instances":[{}]}`+"\n")
 			hold(r)
 		},
-		"no version":  func(w http.ResponseWriter, r *http.Request) { flush(w, `{"reset":true,"instances":[]}`+"\n"); hold(r) },
-		"only change": func(w http.ResponseWriter, r *http.Request) { flush(w, line(Message{Generation: 9})); hold(r) },
+		"no version": func(w http.ResponseWriter, r *http.Request) { flush(w, `{"reset":true,"instances":[]}`+"\n"); hold(r) },
+		"only change": func(w http.ResponseWriter, r *http.Request) {
+			flush(w, line(discovery.Message{Generation: 9}))
+			hold(r)
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -178,7 +181,7 @@
 // one whose list was restored tells the whole of it.
 func TestRestartedAgentNeverShowsThePast(t *testing.T) {
 	var calls atomic.Int64
-	more := make(chan Message, 1)
+	more := make(chan discovery.Message, 1)
 	at := fake(t, &calls, func(w http.ResponseWriter, r *http.Request) {
 		io.WriteString(w, line(whole(10, 3)))
 		for {
@@ -198,7 +201,7 @@
 	a := startAgent(t, at)
 	next(t, node(t, a, 0))
 	ahead := node(t, a, 11)
-	more <- Message{Generation: 12, Instances: []Entry{server(1, Draining)}}
+	more <- discovery.Message{Generation: 12, Instances: []discovery.Entry{server(1, discovery.Draining)}}
 	if m := next(t, ahead); m.Generation != 12 || !m.Reset || len(m.Instances) != 3 {
 		t.Errorf("a node at 11 is told %+v first", m)
 	}
@@ -243,7 +246,7 @@
 			f.Tick(time.Second)
 			f.WatchOpened(time.Second, f.callID)
 			for g := uint64(10); b.Loop(); g++ {
-				var m Message
+				var m discovery.Message
 				if err := json.Unmarshal(text, &m); err != nil {
 					b.Fatal(err)
 				}
--- a/internal/agent/core_test.go
+++ b/internal/agent/core_test.go
@@ -1,6 +1,7 @@
 package agent
 
 import (
+	"errors"
 	"fmt"
 	"maps"
 	"math/rand/v2"
@@ -13,14 +14,14 @@
 	"opalhook/internal/discovery"
 )
 
-func server(n int, state string) Entry {
-	return Entry{InstanceID: fmt.Sprint("s-", n), HostPort: fmt.Sprintf("127.0.0.1:%d", 1000+n), Lifecycle: state, Weight: 1}
+func server(n int, state string) discovery.Entry {
+	return discovery.Entry{InstanceID: fmt.Sprint("s-", n), HostPort: fmt.Sprintf("127.0.0.1:%d", 1000+n), Lifecycle: state, Weight: 1}
 }
 
-func whole(generation uint64, n int) Message {
-	m := Message{Generation: generation, Reset: true}
+func whole(generation uint64, n int) discovery.Message {
+	m := discovery.Message{Generation: generation, Reset: true}
 	for i := range n {
-		m.Instances = append(m.Instances, server(i, Up))
+		m.Instances = append(m.Instances, server(i, discovery.Up))
 	}
 	return m
 }
@@ -39,8 +40,8 @@
 	now       time.Duration
 	opened    []Action
 	asked     []Action
-	published []Message
-	notes     []string
+	published []discovery.Message
+	events    []Event
 }
 
 func newRig(t fataler, replicas ...string) *rig {
@@ -59,7 +60,7 @@
 		case PublishList:
 			r.published = append(r.published, a.List)
 		case LogEvent:
-			r.notes = append(r.notes, a.Text)
+			r.events = append(r.events, a.Event)
 		}
 	}
 }
@@ -82,11 +83,11 @@
 		}
 	}
 	a := r.opened[len(r.opened)-1]
-	r.f.WatchOpened(r.now, a.Call)
+	r.f.WatchOpened(r.now, a.CallID)
 	return a
 }
 
-func (r *rig) hear(m Message) {
+func (r *rig) hear(m discovery.Message) {
 	r.f.MessageReceived(r.now, r.f.callID, m)
 	r.take()
 }
@@ -95,7 +96,7 @@
 	r.t.Helper()
 	m := r.f.Published()
 	if len(m.Instances) != servers || m.Generation != generation {
-		r.t.Errorf("%d servers at %d are published, not %d at %d; notes %q", len(m.Instances), m.Generation, servers, generation, r.notes)
+		r.t.Errorf("%d servers at %d are published, not %d at %d; events %v", len(m.Instances), m.Generation, servers, generation, r.events)
 	}
 }
 
@@ -105,7 +106,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRig(t, "a", "b", "c")
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		nodes, at := map[string]Entry{}, uint64(0)
+		nodes, at := map[string]discovery.Entry{}, uint64(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rng.IntN(7) {
 			case 0:
@@ -114,9 +115,9 @@
 				m := whole(uint64(rng.IntN(2))<<discovery.EpochBits|uint64(rng.IntN(40)), rng.IntN(10))
 				r.hear(m)
 			case 3, 4:
-				r.hear(Message{Generation: r.f.latest().generation + uint64(rng.IntN(3)), Instances: []Entry{server(rng.IntN(10), []string{Up, Draining, Removed}[rng.IntN(3)])}})
+				r.hear(discovery.Message{Generation: r.f.latest().generation + uint64(rng.IntN(3)), Instances: []discovery.Entry{server(rng.IntN(10), []string{discovery.Up, discovery.Draining, discovery.Removed}[rng.IntN(3)])}})
 			case 5:
-				r.f.CallFailed(r.now, r.f.callID, time.Duration(rng.IntN(3))*time.Second, "ended")
+				r.f.CallFailed(r.now, r.f.callID, time.Duration(rng.IntN(3))*time.Second, errors.New("ended"))
 				r.take()
 			case 6:
 				r.wait(time.Duration(rng.IntN(5000)) * time.Millisecond)
@@ -137,15 +138,15 @@
 					clear(nodes)
 				}
 				for _, e := range m.Instances {
-					if nodes[e.InstanceID] = e; e.Lifecycle == Removed {
+					if nodes[e.InstanceID] = e; e.Lifecycle == discovery.Removed {
 						delete(nodes, e.InstanceID)
 					}
 				}
 				at = m.Generation
 			}
 			r.published = nil
-			if !maps.Equal(nodes, r.f.published.entries) {
-				t.Fatalf("nodes hold %v, published is %v", nodes, r.f.published.entries)
+			if !maps.Equal(nodes, r.f.publisher.published.entries) {
+				t.Fatalf("nodes hold %v, published is %v", nodes, r.f.publisher.published.entries)
 			}
 		}
 	})
@@ -156,7 +157,7 @@
 	r := newRig(t, "a", "b", "c")
 	first := r.connect()
 	r.hear(whole(20, 10))
-	r.f.CallFailed(r.now, r.f.callID, 0, "gone")
+	r.f.CallFailed(r.now, r.f.callID, 0, errors.New("gone"))
 	second := r.connect()
 	if second.Replica == first.Replica || second.From != 20 {
 		t.Errorf("after a failure %+v is called", second)
@@ -166,9 +167,9 @@
 	if third.Replica == second.Replica {
 		t.Errorf("a replica that says the past is called again")
 	}
-	r.hear(Message{Generation: 21, Instances: []Entry{server(3, Draining)}})
+	r.hear(discovery.Message{Generation: 21, Instances: []discovery.Entry{server(3, discovery.Draining)}})
 	r.wants(10, 21)
-	r.hear(Message{Generation: 1<<discovery.EpochBits | 5, Instances: []Entry{server(4, Draining)}}) // a change to a list that is not held
+	r.hear(discovery.Message{Generation: 1<<discovery.EpochBits | 5, Instances: []discovery.Entry{server(4, discovery.Draining)}}) // a change to a list that is not held
 	r.connect()
 	r.hear(whole(1<<discovery.EpochBits|2, 9)) // restored
 	r.wants(9, 1<<discovery.EpochBits|2)
@@ -176,7 +177,7 @@
 		t.Error("a new epoch is not told as a whole list")
 	}
 	for range 3 { // the old epoch is over, at whichever replica
-		r.f.CallFailed(r.now, r.f.callID, 0, "gone")
+		r.f.CallFailed(r.now, r.f.callID, 0, errors.New("gone"))
 		r.connect()
 		r.hear(whole(25, 10))
 	}
@@ -191,7 +192,7 @@
 	r.hear(whole(20, 10))
 	past := func(d time.Duration) {
 		for end := r.now + d; r.now < end; {
-			r.f.CallFailed(r.now, r.f.callID, 0, "gone")
+			r.f.CallFailed(r.now, r.f.callID, 0, errors.New("gone"))
 			r.connect()
 			r.hear(whole(5, 10))
 		}
@@ -216,7 +217,9 @@
 	}{
 		"agreed":       {func(r *rig, ask Action) { r.f.SnapshotReceived(r.now, ask.Replica, whole(11, 0), nil) }, 0, 0},
 		"contradicted": {func(r *rig, ask Action) { r.f.SnapshotReceived(r.now, ask.Replica, whole(12, 10), nil) }, 10, time.Hour},
-		"no answer":    {func(r *rig, ask Action) { r.f.SnapshotReceived(r.now, ask.Replica, Message{}, fmt.Errorf("down")) }, 0, DefaultRules().SuspectTimeout},
+		"no answer": {func(r *rig, ask Action) {
+			r.f.SnapshotReceived(r.now, ask.Replica, discovery.Message{}, fmt.Errorf("down"))
+		}, 0, DefaultRules().SuspectTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, "a", "b", "c")
@@ -232,7 +235,7 @@
 			r.take()
 			if name == "contradicted" {
 				r.connect()
-				r.hear(Message{Generation: 12, Instances: []Entry{server(1, Draining)}})
+				r.hear(discovery.Message{Generation: 12, Instances: []discovery.Entry{server(1, discovery.Draining)}})
 				r.wants(10, 12)
 				return
 			}
@@ -249,9 +252,9 @@
 	r.connect()
 	r.hear(whole(10, 10))
 	for n := range 10 { // one by one, faster than servers die
-		r.hear(Message{Generation: uint64(11 + n), Instances: []Entry{server(n, Draining)}})
+		r.hear(discovery.Message{Generation: uint64(11 + n), Instances: []discovery.Entry{server(n, discovery.Draining)}})
 	}
-	if m := r.f.Published(); !r.f.Suspecting() || (view{entries: map[string]Entry{}}).apply(m).upCount() < 6 {
+	if m := r.f.Published(); !r.f.Status(r.now).Suspecting || (view{entries: map[string]discovery.Entry{}}).apply(m).upCount() < 6 {
 		t.Error("a list that shrinks change by change is not doubted")
 	}
 }
@@ -263,24 +266,24 @@
 	r.hear(whole(10, 10))
 	n := len(r.published)
 	for g := uint64(11); g < 31; g += 2 {
-		r.hear(Message{Generation: g, Instances: []Entry{server(3, Removed)}})
+		r.hear(discovery.Message{Generation: g, Instances: []discovery.Entry{server(3, discovery.Removed)}})
 		r.wait(300 * time.Millisecond)
-		r.hear(Message{Generation: g + 1, Instances: []Entry{server(3, Up)}})
+		r.hear(discovery.Message{Generation: g + 1, Instances: []discovery.Entry{server(3, discovery.Up)}})
 		r.wait(time.Second)
 		r.f.HeartbeatReceived(r.now, r.f.callID)
 	}
 	if len(r.published) != n {
 		t.Errorf("a flapping server is told %d times", len(r.published)-n)
 	}
-	r.hear(Message{Generation: 40, Instances: []Entry{server(3, Removed)}})
+	r.hear(discovery.Message{Generation: 40, Instances: []discovery.Entry{server(3, discovery.Removed)}})
 	r.wait(DefaultRules().RemovalDelay + time.Millisecond)
 	r.wants(9, 40)
-	r.hear(Message{Generation: 41, Instances: []Entry{server(4, Draining)}})
-	r.hear(Message{Generation: 42, Instances: []Entry{server(4, Removed)}}) // it drained first: gone at once
+	r.hear(discovery.Message{Generation: 41, Instances: []discovery.Entry{server(4, discovery.Draining)}})
+	r.hear(discovery.Message{Generation: 42, Instances: []discovery.Entry{server(4, discovery.Removed)}}) // it drained first: gone at once
 	r.wants(8, 42)
-	moved := server(5, Up)
+	moved := server(5, discovery.Up)
 	moved.HostPort = "127.0.0.2:7"
-	r.hear(Message{Generation: 43, Instances: []Entry{moved}})
+	r.hear(discovery.Message{Generation: 43, Instances: []discovery.Entry{moved}})
 	if m := r.published[len(r.published)-1]; len(m.Instances) != 1 || m.Instances[0] != moved {
 		t.Errorf("a server that moved is told as %+v", m)
 	}
@@ -295,11 +298,11 @@
 		r := &rig{t: t, f: f}
 		r.connect()
 		r.hear(whole(10, 10))
-		f.CallFailed(r.now, f.callID, 0, "gone")
+		f.CallFailed(r.now, f.callID, 0, errors.New("gone"))
 		for start := r.now; r.now < start+time.Hour; r.wait(50 * time.Millisecond) {
-			if n := len(r.opened); n > 0 && !f.inBackoff {
+			if n := len(r.opened); n > 0 && f.state != backingOff {
 				at = append(at, r.now-start)
-				f.CallFailed(r.now, f.callID, 2*time.Second, "refused")
+				f.CallFailed(r.now, f.callID, 2*time.Second, errors.New("refused"))
 				r.take()
 			}
 		}
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -132,14 +132,14 @@
 	}
 	defer a.Close()
 	requests := nextOf(t, "first request", r.requests)
-	first := server(1, Up)
+	first := server(1, discovery.Up)
 	first.Zone, first.MachineType, first.Cell, first.Weight, first.StartedAtMs = "a", "std-4c", 3, 0.25, 1700000000123
-	r.lines <- line(Message{Generation: 7<<discovery.EpochBits | 10, Reset: true, Instances: []Entry{server(3, Draining), first, server(2, Up)}})
+	r.lines <- line(discovery.Message{Generation: 7<<discovery.EpochBits | 10, Reset: true, Instances: []discovery.Entry{server(3, discovery.Draining), first, server(2, discovery.Up)}})
 	node := rawNode(t, a, 0)
 	told := nextOf(t, "whole list", node)
-	first.Lifecycle = Draining
-	for i, entries := range [][]Entry{{first, server(0, Up)}, {server(3, Removed)}, {}, {server(9, Up), server(2, Removed)}} {
-		r.lines <- line(Message{Generation: 7<<discovery.EpochBits | uint64(11+i), Instances: entries})
+	first.Lifecycle = discovery.Draining
+	for i, entries := range [][]discovery.Entry{{first, server(0, discovery.Up)}, {server(3, discovery.Removed)}, {}, {server(9, discovery.Up), server(2, discovery.Removed)}} {
+		r.lines <- line(discovery.Message{Generation: 7<<discovery.EpochBits | uint64(11+i), Instances: entries})
 		if len(entries) > 0 {
 			told += nextOf(t, "change", node)
 		}
@@ -159,7 +159,7 @@
 	golden.Check(t, "golden/list.txt", list)
 	r.lines <- ""
 	requests += nextOf(t, "request after the watch's end", r.requests)
-	if m, err := a.fetchSnapshot(r.addr); err != nil || m.Generation != 20 || !m.Reset || len(m.Instances) != 2 || m.Instances[1] != server(1, Up) {
+	if m, err := a.replicas.fetch(t.Context(), r.addr); err != nil || m.Generation != 20 || !m.Reset || len(m.Instances) != 2 || m.Instances[1] != server(1, discovery.Up) {
 		t.Errorf("asked for the list: %+v, error %v", m, err)
 	}
 	golden.Check(t, "golden/requests.txt", []byte(requests+nextOf(t, "request of the list", r.requests)))
--- /dev/null
+++ b/internal/agent/view.go
@@ -0,0 +1,70 @@
+package agent
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+
+	"opalhook/internal/discovery"
+)
+
+// view is a list at a generation. The zero value is that of a follower that has heard nothing.
+type view struct {
+	generation uint64
+	entries    map[string]discovery.Entry // by instance id; none is removed
+}
+
+// upCount returns the number of endpoints that accept requests.
+func (v view) upCount() (n int) {
+	for _, e := range v.entries {
+		if e.Lifecycle == discovery.Up {
+			n++
+		}
+	}
+	return n
+}
+
+// apply returns the view after a message.
+func (v view) apply(m discovery.Message) view {
+	next := view{generation: m.Generation, entries: map[string]discovery.Entry{}}
+	if !m.Reset {
+		maps.Copy(next.entries, v.entries)
+	}
+	for _, e := range m.Instances {
+		if e.Lifecycle == discovery.Removed {
+			delete(next.entries, e.InstanceID)
+		} else {
+			next.entries[e.InstanceID] = e
+		}
+	}
+	return next
+}
+
+// snapshot returns the view as a message of the complete list, sorted by instance id.
+func (v view) snapshot() discovery.Message {
+	m := discovery.Message{Generation: v.generation, Reset: true, Instances: slices.Collect(maps.Values(v.entries))}
+	sortEntries(m.Instances)
+	return m
+}
+
+// deltaFrom returns the message that turns an older view of the same epoch into v, sorted by instance id.
+func (v view) deltaFrom(old view) discovery.Message {
+	m := discovery.Message{Generation: v.generation, Instances: []discovery.Entry{}}
+	for id, e := range v.entries {
+		if was, ok := old.entries[id]; !ok || was != e {
+			m.Instances = append(m.Instances, e)
+		}
+	}
+	for id, e := range old.entries {
+		if _, ok := v.entries[id]; !ok {
+			e.Lifecycle = discovery.Removed
+			m.Instances = append(m.Instances, e)
+		}
+	}
+	sortEntries(m.Instances)
+	return m
+}
+
+func sortEntries(entries []discovery.Entry) {
+	slices.SortFunc(entries, func(a, b discovery.Entry) int { return cmp.Compare(a.InstanceID, b.InstanceID) })
+}
