--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,17 +1,12 @@
 package agent
 
 import (
-	"bufio"
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"log/slog"
-	"math/rand/v2"
 	"net"
 	"net/http"
-	"strconv"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -19,361 +14,244 @@
 
 // Config is what an agent is started with.
 type Config struct {
-	Replicas []string // HTTP addresses of the list service
-	Listen   string   // for the edge node beside it
-	Name     string   // of this machine
+	Replicas []string // addresses of the list service, host:port
+	Listen   string   // address for the nodes, host:port
+	Name     string   // of this machine; it must differ from machine to machine
 	Rules    Rules
-	Seed     uint64
+	Seed     uint64 // of the random backoffs
 	Log      *slog.Logger
 }
 
-const (
-	mostLine    = 8 << 20 // bytes of a message; 5,000 entries are about 1 MB
-	beatEvery   = 2 * time.Second
-	writeWithin = 5 * time.Second // a node that takes nothing for so long is dropped
-	headWithin  = 3 * time.Second
-	logKept     = 512 // messages that a node may have missed
-)
-
-// Status is what an agent says of itself.
+// Status is what an agent reports of itself at /agent/status.
 type Status struct {
-	Generation uint64  `json:"generation"`
-	Servers    int     `json:"servers"`
-	Watching   bool    `json:"watching"`       // a replica's watch is open
-	Age        float64 `json:"secondsOld"`     // since a replica was last heard
-	Doubting   bool    `json:"doubting"`       // a list is not taken at face value yet
-	Calls      uint64  `json:"calls"`          // of replicas, so far
-	Watches    int64   `json:"watches"`        // of nodes
-	Published  uint64  `json:"listsPublished"` // to them
+	Generation     uint64  `json:"generation"`     // that nodes are sent
+	Endpoints      int     `json:"servers"`        // in the list that nodes are sent
+	Watching       bool    `json:"watching"`       // a replica's watch is open
+	AgeSeconds     float64 `json:"secondsOld"`     // since a replica last confirmed the list
+	Suspecting     bool    `json:"doubting"`       // a newer list is suspect and not accepted yet
+	ReplicaCalls   uint64  `json:"calls"`          // of replicas, since the start
+	NodeWatches    int64   `json:"watches"`        // that are open
+	ListsPublished uint64  `json:"listsPublished"` // messages to the nodes, since the start
 }
 
-// Agent follows the list service and serves what it holds to the edge nodes beside it.
+// statusInterval is how often the status is renewed when nothing happens.
+const statusInterval = time.Second
+
+// minTimer keeps the follower's timer from firing in a loop.
+const minTimer = time.Millisecond
+
+// Agent follows the list service and serves the list to the nodes on its machine. [Start] starts one.
 type Agent struct {
-	cfg    Config
 	log    *slog.Logger
-	origin time.Time
-	events chan func(now time.Duration)
-	http   *http.Client
-	ln     net.Listener
-	srv    *http.Server
-	ctx    context.Context
-	stop   context.CancelFunc
-	work   sync.WaitGroup
+	origin time.Time // of the follower's clock
 
-	f    *Follower // of the goroutine that runs
-	hang context.CancelFunc
+	listener   net.Listener
+	server     *http.Server
+	replicas   *replicaClient
+	feed       *feed
+	ctx        context.Context // of all that the agent has started
+	stop       context.CancelFunc
+	goroutines sync.WaitGroup
 
-	mu        sync.Mutex
-	whole     []byte // the whole list as a line; nil: nothing is held yet
-	at        uint64 // its generation
-	changes   []published
-	more      chan struct{} // closed at the next message
-	speaks    bool          // the service is heard: beats go to the nodes
-	status    Status
-	calls     atomic.Uint64
-	watches   atomic.Int64
-	publishes atomic.Uint64
-}
+	// Of the goroutine of run.
+	follower       *Follower
+	silenceTimeout time.Duration
+	closeWatch     context.CancelFunc
+	events         chan func(now time.Duration)
 
-// published is one message as a node gets it that holds the version before.
-type published struct {
-	before, generation uint64
-	text               []byte
+	mu           sync.Mutex
+	status       FollowerStatus
+	replicaCalls atomic.Uint64
+	nodeWatches  atomic.Int64
 }
 
-// Start starts an agent; Close ends it.
+// Start starts an agent. It runs until [Agent.Close]; when ctx ends it follows no replica any more and ends the watches
+// of nodes.
 func Start(ctx context.Context, cfg Config) (*Agent, error) {
-	if len(cfg.Replicas) == 0 {
-		return nil, errors.New("replicas: none is named; addresses of the list service are wanted")
+	if err := cfg.validate(); err != nil {
+		return nil, err
 	}
-	for _, r := range cfg.Replicas {
-		if _, port, err := net.SplitHostPort(r); err != nil || port == "" {
-			return nil, fmt.Errorf("replicas: %q is no address such as 127.0.0.1:8500", r)
-		}
-	}
-	ln, err := net.Listen("tcp", cfg.Listen)
+	listener, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	a := &Agent{cfg: cfg, log: cfg.Log, origin: time.Now(), events: make(chan func(time.Duration)), ln: ln, more: make(chan struct{}),
-		http: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: cfg.Rules.Dial}).DialContext,
-			ResponseHeaderTimeout: cfg.Rules.Dial}}}
+	a := &Agent{
+		log:            cfg.Log,
+		origin:         time.Now(),
+		listener:       listener,
+		replicas:       newReplicaClient(cfg.Rules),
+		feed:           newFeed(),
+		follower:       NewFollower(0, cfg.Name, cfg.Replicas, cfg.Rules, cfg.Seed),
+		silenceTimeout: cfg.Rules.SilenceTimeout,
+		events:         make(chan func(time.Duration)),
+	}
 	a.ctx, a.stop = context.WithCancel(ctx)
-	a.f = NewFollower(0, cfg.Name, cfg.Replicas, cfg.Rules, cfg.Seed)
-	a.srv = &http.Server{Handler: a.routes(), ReadHeaderTimeout: headWithin, IdleTimeout: time.Minute, MaxHeaderBytes: 8 << 10,
-		ErrorLog: slog.NewLogLogger(a.log.Handler(), slog.LevelDebug)}
-	a.work.Go(a.run)
-	a.work.Go(func() {
-		if err := a.srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
-			a.log.Error("the agent's listener ended", "err", err)
+	a.server = a.newServer()
+	a.goroutines.Go(a.run)
+	a.goroutines.Go(func() {
+		if err := a.server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+			a.log.Error("listener failed", "err", err)
 		}
 	})
-	a.log.Info("agent", "listen", a.Addr(), "replicas", cfg.Replicas)
+	a.log.Info("agent started", "listen", a.Addr(), "replicas", cfg.Replicas)
 	return a, nil
 }
 
-// Addr is the address for nodes.
-func (a *Agent) Addr() string { return a.ln.Addr().String() }
+// validate returns an error that names the first field that an agent can't work with.
+func (c Config) validate() error {
+	if len(c.Replicas) == 0 {
+		return errors.New("replicas: none is named; addresses of the list service are wanted")
+	}
+	for _, replica := range c.Replicas {
+		if _, port, err := net.SplitHostPort(replica); err != nil || port == "" {
+			return fmt.Errorf("replicas: %q is no address such as 127.0.0.1:8500", replica)
+		}
+	}
+	return nil
+}
+
+// Addr returns the address for nodes.
+func (a *Agent) Addr() string { return a.listener.Addr().String() }
 
-// Close ends the agent and its watches.
+// Close ends the agent and its watches. It returns the error of closing the listener.
 func (a *Agent) Close() error {
 	a.stop()
-	err := a.srv.Close()
-	a.work.Wait()
+	err := a.server.Close()
+	a.goroutines.Wait()
 	return err
 }
 
-// Status says how the agent is.
+// Status returns what the agent reports of itself.
 func (a *Agent) Status() Status {
 	a.mu.Lock()
-	defer a.mu.Unlock()
-	s := a.status
-	s.Calls, s.Watches, s.Published = a.calls.Load(), a.watches.Load(), a.publishes.Load()
-	return s
+	follower := a.status
+	a.mu.Unlock()
+	return Status{
+		Generation:     follower.Generation,
+		Endpoints:      follower.Endpoints,
+		Watching:       follower.Watching,
+		AgeSeconds:     follower.Age.Seconds(),
+		Suspecting:     follower.Suspecting,
+		ReplicaCalls:   a.replicaCalls.Load(),
+		NodeWatches:    a.nodeWatches.Load(),
+		ListsPublished: a.feed.published.Load(),
+	}
 }
 
-// run owns the follower: it takes in what the calls meet and does what the follower wants.
+// run owns the follower: it takes in what calls bring and carries out the follower's actions, until the agent ends.
 func (a *Agent) run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case <-a.ctx.Done():
-			if a.hang != nil {
-				a.hang()
-			}
+			a.endWatch()
 			return
 		case event := <-a.events:
-			event(time.Since(a.origin))
+			event(a.now())
 		case <-timer.C:
 		}
-		now := time.Since(a.origin)
-		a.f.Tick(now)
-		for _, act := range a.f.Take() {
-			a.carryOut(act)
+		now := a.now()
+		a.follower.Tick(now)
+		for _, action := range a.follower.DrainActions() {
+			a.perform(action)
 		}
-		a.show(now)
-		timer.Reset(max(min(a.f.Next()-now, time.Second), time.Millisecond)) // the age is shown each second
+		a.updateStatus(now)
+		timer.Reset(max(min(a.follower.NextTick()-now, statusInterval), minTimer))
 	}
 }
 
-// show takes down how the follower is.
-func (a *Agent) show(now time.Duration) {
-	generation, servers, age := a.f.Standing(now)
+// now returns the time on the follower's clock.
+func (a *Agent) now() time.Duration { return time.Since(a.origin) }
+
+// updateStatus publishes the state of the follower.
+func (a *Agent) updateStatus(now time.Duration) {
+	status := a.follower.Status(now)
+	a.feed.setLive(status.Watching || status.Age < a.silenceTimeout)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.status = Status{Generation: generation, Servers: servers, Watching: a.f.Watching(), Age: age.Seconds(), Doubting: a.f.Doubts()}
-	a.speaks = a.f.Watching() || age < a.cfg.Rules.Silence
+	a.status = status
 }
 
-// tell hands an event to the goroutine that runs.
-func (a *Agent) tell(event func(now time.Duration)) {
+// post hands an event to the goroutine of run.
+func (a *Agent) post(event func(now time.Duration)) {
 	select {
 	case a.events <- event:
 	case <-a.ctx.Done():
 	}
 }
 
-func (a *Agent) carryOut(act Action) {
-	switch act.Kind {
-	case Hang:
-		if a.hang != nil {
-			a.hang()
-			a.hang = nil
-		}
-	case Open:
-		ctx, cancel := context.WithCancel(a.ctx)
-		a.hang = cancel
-		a.calls.Add(1)
-		a.work.Go(func() {
-			defer cancel()
-			retryAfter, err := a.follow(ctx, act)
-			a.tell(func(now time.Duration) { a.f.Failed(now, act.Call, retryAfter, err.Error()) })
-		})
-	case Ask:
-		a.calls.Add(1)
-		a.work.Go(func() {
-			m, err := a.ask(act.Replica)
-			a.tell(func(now time.Duration) { a.f.Answered(now, act.Replica, m, err) })
-		})
-	case Publish:
-		a.publish(act.List)
-	case Note:
-		a.log.Warn("list service", "note", act.Text)
+// perform carries out an action of the follower.
+func (a *Agent) perform(action Action) {
+	switch action.Kind {
+	case OpenWatch:
+		a.openWatch(action)
+	case CloseWatch:
+		a.endWatch()
+	case FetchSnapshot:
+		a.openFetch(action.Replica)
+	case PublishList:
+		a.publish(action)
+	case LogEvent:
+		a.log.LogAttrs(a.ctx, action.Event.Level, action.Event.Message, action.Event.Attrs...)
 	}
 }
 
-// get calls a replica; the answer is one of 200.
-func (a *Agent) get(ctx context.Context, url string) (resp *http.Response, retryAfter time.Duration, err error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
-	if err != nil {
-		return nil, 0, err
-	}
-	resp, err = a.http.Do(req)
-	if err != nil {
-		return nil, 0, err
-	}
-	if resp.StatusCode != http.StatusOK {
-		resp.Body.Close()
-		if s, err := strconv.Atoi(resp.Header.Get("Retry-After")); err == nil && s > 0 && s <= 60 {
-			retryAfter = time.Duration(s) * time.Second
-		}
-		return nil, retryAfter, fmt.Errorf("answers %s", resp.Status)
-	}
-	return resp, 0, nil
-}
-
-// follow follows a watch to its end, which always has a reason.
-func (a *Agent) follow(ctx context.Context, act Action) (retryAfter time.Duration, err error) {
-	resp, retryAfter, err := a.get(ctx, fmt.Sprintf("http://%s/registry/instances?watch=1&from=%d", act.Replica, act.From))
-	if err != nil {
-		return retryAfter, err
-	}
-	defer resp.Body.Close()
-	a.tell(func(now time.Duration) { a.f.Opened(now, act.Call) })
-	lines := bufio.NewScanner(resp.Body)
-	lines.Buffer(nil, mostLine)
-	for lines.Scan() {
-		if len(lines.Bytes()) == 0 {
-			a.tell(func(now time.Duration) { a.f.Beat(now, act.Call) })
-			continue
-		}
-		var m Message
-		if err := json.Unmarshal(lines.Bytes(), &m); err != nil {
-			return 0, fmt.Errorf("malformed line: %w", err)
-		}
-		a.tell(func(now time.Duration) { a.f.Heard(now, act.Call, m) })
-	}
-	if err := lines.Err(); err != nil {
-		return 0, err
-	}
-	return 0, errors.New("ended the watch")
+// openWatch starts a goroutine that follows a watch to its end.
+func (a *Agent) openWatch(action Action) {
+	ctx, cancel := context.WithCancel(a.ctx)
+	a.closeWatch = cancel
+	a.replicaCalls.Add(1)
+	a.goroutines.Go(func() {
+		defer cancel()
+		err := a.followWatch(ctx, action)
+		a.post(func(now time.Duration) { a.follower.CallFailed(now, action.CallID, retryAfterOf(err), err) })
+	})
 }
 
-// ask gets a replica's whole list.
-func (a *Agent) ask(replica string) (m Message, err error) {
-	ctx, cancel := context.WithTimeout(a.ctx, a.cfg.Rules.Silence)
-	defer cancel()
-	resp, _, err := a.get(ctx, "http://"+replica+"/registry/instances")
-	if err != nil {
-		return m, err
+// endWatch closes the current watch, if there is one.
+func (a *Agent) endWatch() {
+	if a.closeWatch != nil {
+		a.closeWatch()
+		a.closeWatch = nil
 	}
-	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, mostLine))
-	if err != nil {
-		return m, err
-	}
-	return m, json.Unmarshal(text, &m)
 }
 
-// publish hands a message on to the nodes, encoded once for all.
-func (a *Agent) publish(m Message) {
-	text, err := json.Marshal(m)
+// followWatch hands what a watch brings to the follower until the watch ends. It always returns an error.
+func (a *Agent) followWatch(ctx context.Context, action Action) error {
+	watch, err := a.replicas.watch(ctx, action.Replica, action.From)
 	if err != nil {
-		a.log.Error("a list can't be written", "err", err) // not with what check lets through
-		return
+		return err
 	}
-	whole, err := json.Marshal(a.f.Held())
-	if err != nil {
-		a.log.Error("a list can't be written", "err", err)
-		return
-	}
-	a.publishes.Add(1)
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if m.Reset {
-		a.changes = nil
-	} else {
-		if len(a.changes) == logKept {
-			a.changes = append(a.changes[:0], a.changes[1:]...)
+	defer watch.close()
+	a.post(func(now time.Duration) { a.follower.WatchOpened(now, action.CallID) })
+	for {
+		m, heartbeat, err := watch.next()
+		if err != nil {
+			return err
 		}
-		a.changes = append(a.changes, published{a.at, m.Generation, append(text, '\n')})
-	}
-	a.whole, a.at = append(whole, '\n'), m.Generation
-	close(a.more)
-	a.more = make(chan struct{})
-}
-
-// since is what a node gets that holds a version: lines and the version after them. One that
-// holds more than this agent, or where nothing is held, gets nothing: it is never shown the past.
-func (a *Agent) since(from uint64) (lines [][]byte, at uint64, more chan struct{}, speaks bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	at, more, speaks = a.at, a.more, a.speaks && a.at > 0
-	switch {
-	case a.at == 0, from > a.at:
-		return nil, from, more, speaks && a.at > 0 && from <= a.at
-	case from == a.at:
-		return nil, at, more, speaks
-	}
-	for i, p := range a.changes {
-		if p.before == from {
-			for _, q := range a.changes[i:] {
-				lines = append(lines, q.text)
+		a.post(func(now time.Duration) {
+			if heartbeat {
+				a.follower.HeartbeatReceived(now, action.CallID)
+			} else {
+				a.follower.MessageReceived(now, action.CallID, m)
 			}
-			return lines, at, more, speaks
-		}
+		})
 	}
-	return [][]byte{a.whole}, at, more, speaks
 }
 
-func (a *Agent) routes() http.Handler {
-	m := http.NewServeMux()
-	m.HandleFunc("GET /registry/instances", a.serve)
-	m.HandleFunc("GET /agent/status", func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set("Content-Type", "application/json")
-		json.NewEncoder(w).Encode(a.Status())
+// openFetch starts a goroutine that fetches a replica's complete list.
+func (a *Agent) openFetch(replica string) {
+	a.replicaCalls.Add(1)
+	a.goroutines.Go(func() {
+		m, err := a.replicas.fetch(a.ctx, replica)
+		a.post(func(now time.Duration) { a.follower.SnapshotReceived(now, replica, m, err) })
 	})
-	return m
 }
 
-// serve answers the platform's discovery protocol. While nothing is held it is silent.
-func (a *Agent) serve(w http.ResponseWriter, r *http.Request) {
-	rc := http.NewResponseController(w)
-	send := func(lines ...[]byte) bool {
-		if rc.SetWriteDeadline(time.Now().Add(writeWithin)) != nil {
-			return false
-		}
-		for _, l := range lines {
-			if _, err := w.Write(l); err != nil {
-				return false
-			}
-		}
-		return rc.Flush() == nil
-	}
-	q := r.URL.Query()
-	var from uint64
-	if text := q.Get("from"); text != "" {
-		var err error
-		if from, err = strconv.ParseUint(text, 10, 64); err != nil {
-			http.Error(w, "from: a generation is wanted", http.StatusBadRequest)
-			return
-		}
-	}
-	watch := q.Get("watch") != ""
-	if watch {
-		a.watches.Add(1)
-		defer a.watches.Add(-1)
-	}
-	beat := time.NewTimer(beatEvery/2 + time.Duration(rand.Int64N(int64(beatEvery/2)))) // not in step with others
-	defer beat.Stop()
-	for {
-		lines, at, more, speaks := a.since(from)
-		if len(lines) > 0 && !send(lines...) || len(lines) > 0 && !watch {
-			return
-		}
-		from = at
-		select {
-		case <-r.Context().Done():
-			return
-		case <-a.ctx.Done():
-			return
-		case <-beat.C:
-			beat.Reset(beatEvery)
-			if watch && speaks && !send([]byte{'\n'}) {
-				return
-			}
-		case <-more:
-		}
+// publish makes a message of the follower what nodes are sent.
+func (a *Agent) publish(action Action) {
+	if err := a.feed.publish(action.List, a.follower.Published()); err != nil {
+		a.log.Error("list not encoded", "generation", action.List.Generation, "err", err)
 	}
 }
