--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -141,6 +141,9 @@
 	utilizationReportedAt time.Duration // 0: never
 }
 
+// loadGossipDecay is the time constant with which a reported load loses its meaning.
+const loadGossipDecay = 3 * time.Second
+
 // expectedOtherNodes returns the requests of other nodes that are to be expected now, from those reported
 // and from the mean over the endpoints, toward which a report loses its meaning. It is 0 where no node has
 // had a response.
--- a/balancer/load_gossip.go
+++ b/balancer/load_gossip.go
@@ -10,8 +10,6 @@
 	loadGossipMaxAge = 4 * time.Second
 	// peerMessageDelay is the time that a message takes between nodes, at most as a rule.
 	peerMessageDelay = 10 * time.Millisecond
-	// loadGossipDecay is the time constant with which a reported load loses its meaning.
-	loadGossipDecay = 3 * time.Second
 	// maxLoadEntries bounds the loads in one message: a few messages cover all endpoints.
 	maxLoadEntries = 12
 )
@@ -22,9 +20,7 @@
 		load := &loads[i]
 		endpoint := b.endpoints.index.find(load.endpointHash)
 		at := b.now - load.age - peerMessageDelay
-		// Within the precision of ages a load may be what is known already.
-		if endpoint == nil || at <= endpoint.load.reportedAt+ageUnit+peerMessageDelay ||
-			b.now-at > loadGossipMaxAge {
+		if endpoint == nil || !endpoint.load.olderThan(at) || b.now-at > loadGossipMaxAge {
 			continue
 		}
 		if load.status == peerLoadRefusesConnections {
@@ -35,6 +31,17 @@
 	}
 }
 
+// olderThan reports whether a load of that time is newer than what is known. Within the precision of ages it
+// may be the same.
+func (l *endpointLoad) olderThan(at time.Duration) bool {
+	return at > l.reportedAt+ageUnit+peerMessageDelay
+}
+
+// isFresh reports whether the load is passed on to other nodes.
+func (l *endpointLoad) isFresh(now time.Duration) bool {
+	return l.reportedAt > 0 && now-l.reportedAt < loadGossipMaxAge
+}
+
 // peerLoad is what this node reports of the endpoint.
 func (s *endpoint) peerLoad(now time.Duration) peerLoad {
 	load := peerLoad{endpointHash: s.shortHash, load: s.load.requests, age: now - s.load.reportedAt}
@@ -50,20 +57,21 @@
 // appendFreshestLoads appends the loads to report to another node.
 func (b *Balancer) appendFreshestLoads(loads []peerLoad, node int) []peerLoad {
 	var buffer [maxLoadEntries]*endpoint
-	for _, endpoint := range b.freshestLoads(&buffer, node) {
+	for _, endpoint := range b.endpoints.index.freshest(&buffer, node, b.now) {
 		loads = append(loads, endpoint.peerLoad(b.now))
 	}
 	return loads
 }
 
-// freshestLoads returns the endpoints with the newest loads that are in the other node's subset too, as many
+// freshest returns the endpoints with the newest loads that are in the other node's subset too, as many
 // as fit into a message, the newest first.
-func (b *Balancer) freshestLoads(buffer *[maxLoadEntries]*endpoint, node int) []*endpoint {
+func (i *subsetIndex) freshest(
+	buffer *[maxLoadEntries]*endpoint, node int, now time.Duration,
+) []*endpoint {
 	freshest := buffer[:0]
-	for i := range b.endpoints.index.shared {
-		shared := &b.endpoints.index.shared[i]
-		if shared.sharedWith(node) && shared.acceptsRequests() &&
-			shared.load.reportedAt > 0 && b.now-shared.load.reportedAt < loadGossipMaxAge {
+	for position := range i.shared {
+		shared := &i.shared[position]
+		if shared.sharedWith(node) && shared.acceptsRequests() && shared.load.isFresh(now) {
 			freshest = insertBounded(freshest, shared.endpoint, maxLoadEntries, compareReportTimes)
 		}
 	}
--- a/balancer/subset_index_test.go
+++ b/balancer/subset_index_test.go
@@ -17,7 +17,7 @@
 	for to, b := range balancers {
 		from.now = t0 + ms
 		var buffer [maxLoadEntries]*endpoint
-		loads := from.freshestLoads(&buffer, to)
+		loads := from.endpoints.index.freshest(&buffer, to, from.now)
 		for _, e := range loads {
 			if other := b.endpoints.trackedByID[e.ID]; other == nil || !other.inSubset {
 				t.Fatalf("node %d is sent the load of %s, which is not in its subset", to, e.ID)
