--- a/balancer/datagrams_test.go
+++ b/balancer/datagrams_test.go
@@ -5,10 +5,11 @@
 	"encoding/hex"
 	"fmt"
 	"log/slog"
-	"opalhook/internal/golden"
 	"strings"
 	"testing"
 	"time"
+
+	"opalhook/internal/golden"
 )
 
 // network connects nodes and writes a transcript of what they do. Each message is compared with the next one
@@ -72,35 +73,35 @@
 }
 
 // deliver delivers all messages in transit, and those that follow from them.
-func (l *network) deliver() {
-	for len(l.inTransit) > 0 {
-		d := l.inTransit[0]
-		l.inTransit = l.inTransit[1:]
-		l.now += 5 * ms
-		if g := l.nodes[d.to]; g != nil {
-			g.PeerMessage(l.now, d.from, d.message, networkHost{l, d.to})
+func (net *network) deliver() {
+	for len(net.inTransit) > 0 {
+		d := net.inTransit[0]
+		net.inTransit = net.inTransit[1:]
+		net.now += 5 * ms
+		if g := net.nodes[d.to]; g != nil {
+			g.PeerMessage(net.now, d.from, d.message, networkHost{net, d.to})
 		}
 	}
 }
 
-func (l *network) request(at int, q Request) {
-	l.nodes[at].RequestArrived(l.now, q, networkHost{l, at})
-	l.deliver()
+func (net *network) request(at int, request Request) {
+	net.nodes[at].RequestArrived(net.now, request, networkHost{net, at})
+	net.deliver()
 }
 
-func (l *network) outcome(at int, o Outcome) {
-	l.nodes[at].AttemptFinished(l.now, o, networkHost{l, at})
-	l.deliver()
+func (net *network) outcome(at int, o Outcome) {
+	net.nodes[at].AttemptFinished(net.now, o, networkHost{net, at})
+	net.deliver()
 }
 
-func (l *network) timer(at int, token uint64) {
-	l.nodes[at].TimerFired(l.now, token, networkHost{l, at})
-	l.deliver()
+func (net *network) timer(at int, token uint64) {
+	net.nodes[at].TimerFired(net.now, token, networkHost{net, at})
+	net.deliver()
 }
 
 // endpoint returns the endpoint that a request was sent to last.
-func (l *network) endpoint(id string) (endpointID string) {
-	for line := range strings.Lines(l.transcript.String()) {
+func (net *network) endpoint(id string) (endpointID string) {
+	for line := range strings.Lines(net.transcript.String()) {
 		if _, to, sent := strings.Cut(line, ": send "+id+" "); sent {
 			endpointID = strings.TrimSpace(to)
 		}
@@ -109,16 +110,16 @@
 }
 
 // join adds a node, or starts one anew.
-func (l *network) join(at int, s Settings, endpoints []Endpoint) {
-	l.t.Helper()
+func (net *network) join(at int, s Settings, endpoints []Endpoint) {
+	net.t.Helper()
 	s.NodeIndex = at
-	g, err := New(s, uint64(at+1)+uint64(l.now-t0))
+	g, err := New(s, uint64(at+1)+uint64(net.now-t0))
 	if err != nil {
-		l.t.Fatal(err)
+		net.t.Fatal(err)
 	}
-	l.nodes[at] = g
-	g.Start(l.now, networkHost{l, at})
-	g.EndpointsUpdated(l.now, UpdateCached, endpoints, networkHost{l, at})
+	net.nodes[at] = g
+	g.Start(net.now, networkHost{net, at})
+	g.EndpointsUpdated(net.now, UpdateCached, endpoints, networkHost{net, at})
 }
 
 // transcriptMessages returns the messages of a transcript.
@@ -154,9 +155,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			name := "datagrams/" + c.name + ".txt"
 			play := func(recorded [][]byte) *network {
-				l := &network{t: t, now: t0, nodes: map[int]*Balancer{}, recorded: recorded, sentKinds: map[byte]int{}}
-				c.play(l)
-				return l
+				net := &network{t: t, now: t0, nodes: map[int]*Balancer{}, recorded: recorded, sentKinds: map[byte]int{}}
+				c.play(net)
+				return net
 			}
 			free := play(nil)
 			transcript := golden.Check(t, name, free.transcript.Bytes())
@@ -172,37 +173,37 @@
 
 // playGossip has two nodes split quotas with a rate, a limit on attempts in flight and a hard limit, and
 // gossip, of which the second message is lost. What the other one then sends shows what it took in.
-func playGossip(l *network) {
+func playGossip(net *network) {
 	s := testSettings()
 	s.NodeCount = 2
-	l.join(0, s, fleet(60))
-	l.join(1, s, fleet(60))
+	net.join(0, s, fleet(60))
+	net.join(1, s, fleet(60))
 	for round, tenant := range []uint64{1, 1 << 40, 1, 3} {
 		for n, plan := range []string{"rate", "open", "hard"} {
-			q := newRequest(10*round+n, "safe", plan, tenant+uint64(n)*100)
-			q.EntryNodes, q.FirstEntryNode, q.Units = 2, round%2, float64(7-2*n)
-			l.request(0, q)
+			request := newRequest(10*round+n, "safe", plan, tenant+uint64(n)*100)
+			request.EntryNodes, request.FirstEntryNode, request.Units = 2, round%2, float64(7-2*n)
+			net.request(0, request)
 		}
 		if round == 2 {
-			l.outcome(0, Outcome{ID: "r1", Result: OK, Answered: true, EndpointID: l.endpoint("r1"), Elapsed: 3 * ms})
+			net.outcome(0, Outcome{ID: "r1", Result: OK, Answered: true, EndpointID: net.endpoint("r1"), Elapsed: 3 * ms})
 		}
 		if round == 1 { // this message is lost
-			l.nodes[0].TimerFired(l.now, timerGossip, networkHost{l, 0})
-			l.inTransit = nil
+			net.nodes[0].TimerFired(net.now, timerGossip, networkHost{net, 0})
+			net.inTransit = nil
 		} else {
-			l.timer(0, timerGossip)
+			net.timer(0, timerGossip)
 		}
-		l.now += 50 * ms
+		net.now += 50 * ms
 	}
 	for round := range 7 {
 		for n, tenant := range []uint64{1, 1 << 40, 3} {
 			for i, plan := range []string{"rate", "open"} {
-				q := newRequest(1000+100*round+10*n+i, "safe", plan, tenant+uint64(i)*100)
-				q.EntryNodes, q.FirstEntryNode, q.Units = 2, n%2, 4
-				l.request(1, q)
+				request := newRequest(1000+100*round+10*n+i, "safe", plan, tenant+uint64(i)*100)
+				request.EntryNodes, request.FirstEntryNode, request.Units = 2, n%2, 4
+				net.request(1, request)
 			}
 		}
-		l.timer(1, timerGossip)
+		net.timer(1, timerGossip)
 	}
 }
 
@@ -215,88 +216,88 @@
 
 // entryNodesRequest is a request of a tenant whose entry nodes are 10 to 19.
 func entryNodesRequest(n int, plan string, tenant uint64, units float64) Request {
-	q := newRequest(n, "safe", plan, tenant)
-	q.EntryNodes, q.FirstEntryNode, q.Units = 10, 10, units
-	return q
+	request := newRequest(n, "safe", plan, tenant)
+	request.EntryNodes, request.FirstEntryNode, request.Units = 10, 10, units
+	return request
 }
 
 // joinEntryNodes adds the nodes 10 to 19.
-func (l *network) joinEntryNodes(s Settings, endpoints int) {
+func (net *network) joinEntryNodes(s Settings, endpoints int) {
 	for at := 10; at < 20; at++ {
-		l.join(at, s, fleet(endpoints))
+		net.join(at, s, fleet(endpoints))
 	}
 }
 
 // playQuotaRequests has requesters ask owners, with reports of loads, errors, endpoints that refuse
 // connections and tenants over their quota.
-func playQuotaRequests(l *network) {
-	l.joinEntryNodes(ownedQuotaSettings(), 120)
+func playQuotaRequests(net *network) {
+	net.joinEntryNodes(ownedQuotaSettings(), 120)
 	results := []Result{OK, ErrorResponse, OK, ConnectFailed, OK, TimedOut}
 	for n := range 24 {
-		q, at := entryNodesRequest(n, "rate", 77+uint64(n%6), float64(1+6*(n%4))), 10+n%2
-		l.request(at, q)
-		if endpointID := l.endpoint(q.ID); endpointID != "" {
-			l.outcome(at, Outcome{
-				ID: q.ID, Result: results[n%len(results)], Answered: true, EndpointID: endpointID, Elapsed: 20 * ms,
+		request, at := entryNodesRequest(n, "rate", 77+uint64(n%6), float64(1+6*(n%4))), 10+n%2
+		net.request(at, request)
+		if endpointID := net.endpoint(request.ID); endpointID != "" {
+			net.outcome(at, Outcome{
+				ID: request.ID, Result: results[n%len(results)], Answered: true, EndpointID: endpointID, Elapsed: 20 * ms,
 				LoadReport: &LoadReport{InFlight: float64(3 + 10*n), Queued: 2, Utilization: 0.5},
 			})
 		}
 		if n%5 == 4 {
 			for at := range 3 {
-				l.timer(10+at, timerControlInterval)
+				net.timer(10+at, timerControlInterval)
 			}
 		}
-		l.now += 15 * ms
+		net.now += 15 * ms
 	}
 	for n := range 6 { // at others: what was reported is passed on
-		l.request(12+n, entryNodesRequest(100+n, "rate", uint64(77+n), 1))
+		net.request(12+n, entryNodesRequest(100+n, "rate", uint64(77+n), 1))
 	}
 }
 
 // playLeases has requesters take leases of attempts in flight and release them.
-func playLeases(l *network) {
-	l.joinEntryNodes(ownedQuotaSettings(), 600)
+func playLeases(net *network) {
+	net.joinEntryNodes(ownedQuotaSettings(), 600)
 	for n := range 12 {
-		q, at := entryNodesRequest(n, "open", 5, 1), 10+n%2
-		l.request(at, q)
-		l.now += 50 * ms
+		request, at := entryNodesRequest(n, "open", 5, 1), 10+n%2
+		net.request(at, request)
+		net.now += 50 * ms
 		if n%3 == 2 {
-			l.outcome(at, Outcome{ID: q.ID, Result: OK, Answered: true, EndpointID: l.endpoint(q.ID), Elapsed: 20 * ms})
+			net.outcome(at, Outcome{ID: request.ID, Result: OK, Answered: true, EndpointID: net.endpoint(request.ID), Elapsed: 20 * ms})
 		}
 	}
 }
 
 // playReconciliation has requesters release units that were not used, and report by how much the units used
 // differ from the estimates. Each owner can grant what is requested of it then for that reason alone.
-func playReconciliation(l *network) {
+func playReconciliation(net *network) {
 	s := ownedQuotaSettings()
 	s.PostPaid = true
-	l.joinEntryNodes(s, 600)
+	net.joinEntryNodes(s, 600)
 	settle := func(at int, id string, units float64) {
-		l.outcome(at, Outcome{ID: id, Result: OK, Answered: true, EndpointID: l.endpoint(id), Elapsed: 20 * ms, Units: units})
+		net.outcome(at, Outcome{ID: id, Result: OK, Answered: true, EndpointID: net.endpoint(id), Elapsed: 20 * ms, Units: units})
 	}
 	for n := range 24 { // beyond the quota, so that the owner reports a granted fraction
-		l.request(10+n%8, entryNodesRequest(n, "rate", 9, 15))
-		l.now += 10 * ms
+		net.request(10+n%8, entryNodesRequest(n, "rate", 9, 15))
+		net.now += 10 * ms
 	}
-	l.request(10, entryNodesRequest(25, "rate", 80, 1)) // of a tenant whose owner has not heard of that fraction
+	net.request(10, entryNodesRequest(25, "rate", 80, 1)) // of a tenant whose owner has not heard of that fraction
 	settle(10, "r0", 8)
-	l.request(18, entryNodesRequest(30, "rate", 9, 15))
+	net.request(18, entryNodesRequest(30, "rate", 9, 15))
 	settle(11, "r1", 9)
-	l.request(19, entryNodesRequest(31, "rate", 9, 9))
+	net.request(19, entryNodesRequest(31, "rate", 9, 9))
 	// A quota request carries what was not reported before.
-	l.request(13, entryNodesRequest(40, "rate", 31, 30))
+	net.request(13, entryNodesRequest(40, "rate", 31, 30))
 	settle(13, "r40", 1)
-	l.request(13, entryNodesRequest(41, "rate", 31, 35))
+	net.request(13, entryNodesRequest(41, "rate", 31, 35))
 	// A node that has restarted has reconciled nothing in its new incarnation.
-	l.join(13, s, fleet(600))
-	l.request(13, entryNodesRequest(42, "rate", 31, 3))
+	net.join(13, s, fleet(600))
+	net.request(13, entryNodesRequest(42, "rate", 31, 3))
 	// No endpoint is left when the grant comes.
-	l.nodes[11].RequestArrived(l.now, entryNodesRequest(50, "rate", 77, 3), networkHost{l, 11})
-	l.nodes[11].EndpointsUpdated(l.now, UpdateSnapshot, nil, networkHost{l, 11})
-	l.deliver()
-	l.request(13, entryNodesRequest(51, "rate", 77, 39))
+	net.nodes[11].RequestArrived(net.now, entryNodesRequest(50, "rate", 77, 3), networkHost{net, 11})
+	net.nodes[11].EndpointsUpdated(net.now, UpdateSnapshot, nil, networkHost{net, 11})
+	net.deliver()
+	net.request(13, entryNodesRequest(51, "rate", 77, 39))
 	// The next quota request carries what was rejected locally.
-	l.now += 100 * ms
-	l.request(16, entryNodesRequest(60, "rate", 9, 1))
+	net.now += 100 * ms
+	net.request(16, entryNodesRequest(60, "rate", 9, 1))
 }
