--- a/internal/agent/doc.go
+++ b/internal/agent/doc.go
@@ -25,7 +25,7 @@
 //
 // # How it differs from the edge node's follower
 //
-// The edge node's own follower (internal/edgenode) follows one discovery by the same protocol, but shares no code with
+// The edge node's own follower (internal/edgenode/follower) follows one discovery by the same protocol, but shares no code with
 // this one, as the two compute different things:
 //
 //   - Backoff: here a quarter of the window plus a random part of it; the window starts at a fixed time, doubles when
--- a/internal/discovery/splitter_test.go
+++ b/internal/discovery/splitter_test.go
@@ -24,8 +24,10 @@
 			t.Fatalf("pieces of %d: %q and %d line ends", size, got, beats)
 		}
 	}
-	for text, want := range map[string]error{"x": ErrNoMessage, "{\"a\n": ErrTruncated, "{\"a\":1,\n\n": ErrTruncated,
-		"{" + strings.Repeat(" ", MaxStreamMessage): ErrTooLong} {
+	for text, want := range map[string]error{
+		"x": ErrNoMessage, "{\"a\n": ErrTruncated, "{\"a\":1,\n\n": ErrTruncated,
+		"{" + strings.Repeat(" ", MaxStreamMessage): ErrTooLong,
+	} {
 		var s Splitter
 		if err := s.Feed([]byte(text), func([]byte) {}, func() {}); !errors.Is(err, want) {
 			t.Errorf("%.20q: %v, want %v", text, err, want)
