--- a/internal/discovery/splitter.go
+++ b/internal/discovery/splitter.go
@@ -18,14 +18,23 @@
 	ErrTruncated = errors.New("message is truncated")
 )
 
+// splitState is what the bytes of a stream belong to.
+type splitState int
+
+const (
+	betweenMessages splitState = iota
+	inMessage                  // and in none of its strings
+	inString
+	afterBackslash // in a string
+)
+
 // Splitter cuts the body of a watch into messages. A message is one JSON object, on one line or indented over many;
 // messages are separated by line ends, and an empty line is a heartbeat. The zero value is ready for a new stream.
 type Splitter struct {
-	part   []byte // of the message that has begun
-	depth  int    // of brackets open in it
-	quoted bool   // inside a string
-	escape bool   // after a backslash
-	blank  bool   // nothing but white space on this line so far
+	state     splitState
+	part      []byte // of the message that has begun
+	depth     int    // of the brackets that are open in it
+	blankLine bool   // only white space on this line of it so far
 }
 
 // Feed takes the next piece of the stream. It calls message for each complete message, whose bytes are valid during the
@@ -33,55 +42,38 @@
 // returns what was being read.
 func (s *Splitter) Feed(text []byte, message func([]byte), heartbeat func()) error {
 	from := 0 // of the message in text
-	for i, c := range text {
-		switch {
-		case s.depth == 0 && c == '{':
-			from, s.depth, s.blank = i, 1, false
-		case s.depth == 0 && c == '\n':
-			heartbeat()
-		case s.depth == 0:
-			if c != ' ' && c != '\t' && c != '\r' {
-				s.part = append(s.part[:0], text[i:]...)
-				return ErrNoMessage
+	for i := 0; i < len(text); i++ {
+		if s.state == inString {
+			if i += plainPrefix(text[i:]); i == len(text) {
+				break
 			}
-		case s.quoted:
+		}
+		c := text[i]
+		if s.state == betweenMessages {
 			switch {
-			case c < ' ':
-				s.part = append(s.part, text[from:]...)
-				return ErrTruncated
-			case s.escape:
-				s.escape = false
-			case c == '\\':
-				s.escape = true
-			case c == '"':
-				s.quoted = false
-			}
-		case c == '\n':
-			if s.blank { // the empty line that says that nothing changes: the message was not ended
-				s.part = append(s.part, text[from:]...)
-				return ErrTruncated
-			}
-			s.blank = true
-		case c == ' ' || c == '\t' || c == '\r':
-		default:
-			s.blank = false
-			switch c {
-			case '"':
-				s.quoted = true
-			case '{', '[':
-				s.depth++
-			case '}', ']':
-				s.depth--
-			}
-			if s.depth == 0 {
-				s.part = append(s.part, text[from:i+1]...)
-				message(s.part)
-				s.part, s.blank = s.part[:0], false
+			case c == '{':
+				from = i
+				s.state, s.depth, s.blankLine = inMessage, 1, false
+			case c == '\n':
+				heartbeat()
+			case !isBlank(c):
+				s.part = append(s.part[:0], text[i:]...)
+				return ErrNoMessage
 			}
+			continue
+		}
+		if !s.step(c) {
+			s.part = append(s.part, text[from:]...)
+			return ErrTruncated
+		}
+		if s.depth == 0 {
+			s.part = append(s.part, text[from:i+1]...)
+			message(s.part)
+			s.state, s.part = betweenMessages, s.part[:0]
 		}
 	}
-	if s.depth == 0 {
-		s.part = nil // no buffer as large as the largest list is kept for a day of small changes
+	if s.state == betweenMessages {
+		s.part = nil // a buffer for the largest list would otherwise stay for as long as the watch
 		return nil
 	}
 	s.part = append(s.part, text[from:]...)
@@ -91,8 +83,64 @@
 	return nil
 }
 
+// step takes one byte of a message. It reports whether the message can go on with it.
+func (s *Splitter) step(c byte) bool {
+	switch s.state {
+	case inString, afterBackslash:
+		return s.stepString(c)
+	}
+	switch {
+	case c == '\n':
+		if s.blankLine { // a heartbeat: the message before it was never completed
+			return false
+		}
+		s.blankLine = true
+		return true
+	case isBlank(c):
+		return true
+	}
+	s.blankLine = false
+	switch c {
+	case '"':
+		s.state = inString
+	case '{', '[':
+		s.depth++
+	case '}', ']':
+		s.depth--
+	}
+	return true
+}
+
+// stepString takes one byte of a string. It reports whether a string may contain it.
+func (s *Splitter) stepString(c byte) bool {
+	switch {
+	case c < ' ':
+		return false
+	case s.state == afterBackslash:
+		s.state = inString
+	case c == '\\':
+		s.state = afterBackslash
+	case c == '"':
+		s.state = inMessage
+	}
+	return true
+}
+
+// plainPrefix returns the number of bytes at the start of text that only go on with a string.
+func plainPrefix(text []byte) int {
+	for i, c := range text {
+		if c < ' ' || c == '\\' || c == '"' {
+			return i
+		}
+	}
+	return len(text)
+}
+
+// isBlank reports whether c is white space within a line.
+func isBlank(c byte) bool { return c == ' ' || c == '\t' || c == '\r' }
+
 // Incomplete reports whether a message has begun that is not complete yet.
-func (s *Splitter) Incomplete() bool { return s.depth > 0 }
+func (s *Splitter) Incomplete() bool { return s.state != betweenMessages }
 
 // Partial returns the bytes of the message that has begun, or what stood in its place when [Splitter.Feed] failed.
 func (s *Splitter) Partial() []byte { return s.part }
--- /dev/null
+++ b/internal/discovery/splitter_bench_test.go
@@ -0,0 +1,42 @@
+package discovery
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"testing"
+)
+
+// BenchmarkSplitter cuts a complete list of 1,024 entries out of a stream, at once and in small pieces.
+func BenchmarkSplitter(b *testing.B) {
+	m := Message{Generation: 9, Reset: true}
+	for i := range 1024 {
+		m.Instances = append(m.Instances, Entry{InstanceID: fmt.Sprintf("s-%08x", i), HostPort: "127.0.0.1:8080", Zone: "a", Lifecycle: Up, Weight: 1})
+	}
+	text, err := json.Marshal(m)
+	if err != nil {
+		b.Fatal(err)
+	}
+	for _, piece := range []int{len(text), 48} {
+		b.Run(fmt.Sprint("piece=", piece), func(b *testing.B) {
+			b.SetBytes(int64(len(text)))
+			b.ReportAllocs()
+			for b.Loop() {
+				var s Splitter
+				messages := 0
+				for rest := text; len(rest) > 0; rest = rest[min(piece, len(rest)):] {
+					if err := s.Feed(rest[:min(piece, len(rest))], func(got []byte) {
+						if messages++; !bytes.Equal(got, text) {
+							b.Fatal("another message")
+						}
+					}, func() {}); err != nil {
+						b.Fatal(err)
+					}
+				}
+				if messages != 1 {
+					b.Fatalf("%d messages", messages)
+				}
+			}
+		})
+	}
+}
