--- a/internal/edgenode/actions.go
+++ b/internal/edgenode/actions.go
@@ -28,9 +28,9 @@
 	}
 	ctx, cancel := context.WithDeadline(n.ctx, deadline)
 	at := &attempt{number: len(request.attempts), endpointID: endpointID, sentAt: n.now(), cancel: cancel}
-	at.limits.backend = n.upstream.lookup(endpointID)
+	at.limits.Backend = n.upstream.Lookup(endpointID)
 	if by != 0 {
-		at.limits.completeBefore = n.startedAt.Add(by - time.Duration(n.startedAt.UnixNano()))
+		at.limits.CompleteBefore = n.startedAt.Add(by - time.Duration(n.startedAt.UnixNano()))
 	}
 	request.attempts = append(request.attempts, at)
 	request.attemptsOut++
@@ -54,7 +54,7 @@
 // CancelAttempt gives up one attempt of a request.
 func (a *actions) CancelAttempt(id string, number int) {
 	if request := a.inflight[id]; request != nil && number >= 0 && number < len(request.attempts) {
-		a.upstream.cancelAttempt(request.attempts[number].cancel)
+		a.upstream.Cancel(request.attempts[number].cancel)
 	}
 }
 
--- a/internal/edgenode/client_request.go
+++ b/internal/edgenode/client_request.go
@@ -12,6 +12,7 @@
 
 	"opalhook/balancer"
 	"opalhook/internal/edgenode/decimal"
+	"opalhook/internal/edgenode/upstream"
 )
 
 // Bounds of a request.
@@ -54,7 +55,7 @@
 }
 
 // parseRequest parses the head of a request: what the balancer is to know of it, and what is passed on.
-func (f *frontend) parseRequest(r *http.Request) (q balancer.Request, m message, err error) {
+func (f *frontend) parseRequest(r *http.Request) (q balancer.Request, m upstream.Message, err error) {
 	var expiresIn, metering string
 	for _, h := range []struct {
 		name  string
@@ -125,24 +126,24 @@
 }
 
 // newMessage returns what is passed on of a request, without its body.
-func newMessage(r *http.Request, id string, class balancer.Class) (message, error) {
-	m := message{target: r.RequestURI, host: r.Host, id: id, contentType: r.Header.Get("Content-Type")}
-	m.method = http.MethodPost
+func newMessage(r *http.Request, id string, class balancer.Class) (upstream.Message, error) {
+	m := upstream.Message{Target: r.RequestURI, Host: r.Host, ID: id, ContentType: r.Header.Get("Content-Type")}
+	m.Method = http.MethodPost
 	if class.Idempotency == balancer.Idempotent {
-		m.method = http.MethodGet
+		m.Method = http.MethodGet
 	}
-	if r.Method != m.method {
-		return m, &badRequest{http.StatusMethodNotAllowed, "method: the class wants " + m.method, m.method}
+	if r.Method != m.Method {
+		return m, &badRequest{http.StatusMethodNotAllowed, "method: the class wants " + m.Method, m.Method}
 	}
 	if class.Idempotency == balancer.Idempotent && r.ContentLength != 0 {
 		return m, badRequestf("body: the class has none")
 	}
 	if class.Idempotency != balancer.IdempotentWithKey {
-		m.key = r.Header.Get("Idempotency-Key")
+		m.Key = r.Header.Get("Idempotency-Key")
 		return m, nil
 	}
 	var err error
-	m.key, err = requiredHeader(r, "Idempotency-Key")
+	m.Key, err = requiredHeader(r, "Idempotency-Key")
 	return m, err
 }
 
--- a/internal/edgenode/client_response.go
+++ b/internal/edgenode/client_response.go
@@ -17,14 +17,14 @@
 	}
 	switch response.kind {
 	case responseServed:
-		if response.server.contentType != "" {
-			h["Content-Type"] = []string{response.server.contentType}
+		if response.server.ContentType != "" {
+			h["Content-Type"] = []string{response.server.ContentType}
 		} else {
 			h["Content-Type"] = nil // or the library guesses one
 		}
-		h["Content-Length"] = []string{strconv.Itoa(len(response.server.body))}
+		h["Content-Length"] = []string{strconv.Itoa(len(response.server.Body))}
 		w.WriteHeader(http.StatusOK)
-		_, _ = w.Write(response.server.body)
+		_, _ = w.Write(response.server.Body)
 	case responseRejected:
 		if response.retryAfter > 0 {
 			h["Retry-After"] = []string{strconv.FormatFloat(response.retryAfter.Seconds(), 'f', 3, 64)}
--- a/internal/edgenode/cross_test.go
+++ b/internal/edgenode/cross_test.go
@@ -22,37 +22,6 @@
 
 // Events that cross: each test holds one side until the other has acted.
 
-// between runs a function in the middle of a socket's read or write.
-type between struct {
-	syscall.RawConn
-	read, write, looked, readDone func()
-}
-
-func (b between) Read(f func(uintptr) bool) error {
-	return b.RawConn.Read(func(fd uintptr) bool {
-		if b.read != nil {
-			b.read()
-		}
-		done := f(fd)
-		if b.looked != nil {
-			b.looked()
-		}
-		if done && b.readDone != nil {
-			b.readDone()
-		}
-		return done
-	})
-}
-
-func (b between) Write(f func(uintptr) bool) error {
-	return b.RawConn.Write(func(fd uintptr) bool {
-		if b.write != nil {
-			b.write()
-		}
-		return f(fd)
-	})
-}
-
 // writing runs a function before the first write on a client's connection, or once the HTTP library has
 // ended its look at the client behind it.
 type writing struct {
@@ -143,9 +112,9 @@
 					f.conns.closeIdle()
 				}
 			}
-			hook := between{RawConn: c.raw, readDone: look}
+			hook := nodetest.HookedRawConn{RawConn: c.raw, AfterRead: look}
 			if before {
-				hook = between{RawConn: c.raw, read: look}
+				hook = nodetest.HookedRawConn{RawConn: c.raw, BeforeRead: look}
 			}
 			c.raw = hook
 		})
@@ -165,7 +134,7 @@
 	unread := make(chan bool, 1)
 	var asks atomic.Bool
 	_, addr := serveHooked(t, testConfig(s.Endpoint("a")), func(f *frontend, c *clientConn) {
-		c.raw = between{RawConn: c.raw, read: func() {
+		c.raw = nodetest.HookedRawConn{RawConn: c.raw, BeforeRead: func() {
 			if !asks.Load() {
 				return
 			}
@@ -176,7 +145,7 @@
 				f.conns.changeState(c, connClosed)
 				delete(f.conns.conns, c)
 			}
-		}, readDone: func() {
+		}, AfterRead: func() {
 			if asks.Load() {
 				unread <- c.hasUnread()
 			}
@@ -202,7 +171,7 @@
 func TestRequestOnAConnectionGivenUpIsNotAnswered(t *testing.T) {
 	var last atomic.Bool
 	f, addr := serveHooked(t, testConfig(), func(f *frontend, c *clientConn) {
-		c.raw = between{RawConn: c.raw, readDone: func() {
+		c.raw = nodetest.HookedRawConn{RawConn: c.raw, AfterRead: func() {
 			if !last.Load() {
 				return
 			}
@@ -250,7 +219,7 @@
 	t.Cleanup(c.closeNow)
 	s.add(c)
 	looks := make(chan struct{}, 10)
-	c.raw = between{RawConn: c.raw, looked: func() { looks <- struct{}{} }}
+	c.raw = nodetest.HookedRawConn{RawConn: c.raw, AfterTry: func() { looks <- struct{}{} }}
 	c.transition(connActive)
 	c.transition(connResponding)
 	ended := make(chan error, 1)
@@ -410,37 +379,10 @@
 	})
 }
 
-// blocked is the address of a server whose machine gives no sign: connections to it don't come up.
-func blocked(t *testing.T) netip.AddrPort {
-	t.Helper()
-	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = syscall.Close(fd) })
-	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
-		t.Fatal(err)
-	}
-	if err := syscall.Listen(fd, 0); err != nil {
-		t.Fatal(err)
-	}
-	at, err := syscall.Getsockname(fd)
-	if err != nil {
-		t.Fatal(err)
-	}
-	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(at.(*syscall.SockaddrInet4).Port))
-	for range 3 { // fill its queue: what comes then is dropped
-		if c, err := net.DialTimeout("tcp", addr.String(), 100*time.Millisecond); err == nil {
-			t.Cleanup(func() { _ = c.Close() })
-		}
-	}
-	return addr
-}
-
 // A client that leaves while its request waits for the first attempt takes it along, however it leaves and
 // whatever it has sent behind it.
 func TestClientLeavesBeforeTheFirstAttempt(t *testing.T) {
-	at := blocked(t)
+	at := nodetest.Blocked(t)
 	var servers []endpointlist.Endpoint
 	for i := range 300 { // so many that no request is refused for those that are out
 		servers = append(servers, endpointlist.Endpoint{Endpoint: balancer.Endpoint{ID: fmt.Sprint("s", i), Weight: 1, MachineType: "k", Zone: "z"}, Addr: at})
--- a/internal/edgenode/front_test.go
+++ b/internal/edgenode/front_test.go
@@ -216,7 +216,7 @@
 	if a.Status != 502 {
 		t.Errorf("status %d, want 502", a.Status)
 	}
-	wantClosed(t, nodetest.Await(t, "a connection", s.Conns))
+	nodetest.WantClosed(t, nodetest.Await(t, "a connection", s.Conns))
 }
 
 // A request that the module sits on gets its answer from the host all the same.
@@ -258,7 +258,7 @@
 	c.Send(request("check", "t1"))
 	nodetest.Eventually(t, "request out", func() bool { return len(s.Requests()) == 1 })
 	_ = c.Close()
-	wantClosed(t, nodetest.Await(t, "a connection", s.Conns))
+	nodetest.WantClosed(t, nodetest.Await(t, "a connection", s.Conns))
 	// The id is free once nothing is held any more.
 	nodetest.Eventually(t, "second request taken", func() bool {
 		again := nodetest.Dial(t, n.addr)
--- a/internal/edgenode/frontend.go
+++ b/internal/edgenode/frontend.go
@@ -163,7 +163,7 @@
 	began := time.Now()
 	q, m, err := f.parseRequest(r)
 	if err == nil {
-		m.body, err = readBody(w, r)
+		m.Body, err = readBody(w, r)
 	}
 	if err != nil {
 		f.rejectMalformed(w, r, err)
--- a/internal/edgenode/gone_test.go
+++ b/internal/edgenode/gone_test.go
@@ -12,6 +12,7 @@
 	"opalhook/balancer"
 	"opalhook/internal/edgenode/endpointlist"
 	"opalhook/internal/edgenode/nodetest"
+	"opalhook/internal/edgenode/upstream"
 )
 
 // wantServed waits until a test's app server is through with a connection: what came on it has been taken down.
@@ -23,18 +24,17 @@
 	})
 }
 
-// leaveAtTheWrite has a node make a connection to a server, on which the next attempt there will go, and runs
-// leave in the moment in which that attempt's first byte would go out.
-func leaveAtTheWrite(t *testing.T, n *Node, server string, leave func()) {
-	t.Helper()
-	c, err := n.upstream.acquire(t.Context(), server, nil)
-	if err != nil {
-		t.Error(err)
-		return
+// leaveAtTheWrite has a node run leave in the moment in which the first byte of an attempt on the next connection that
+// it makes would go out.
+func leaveAtTheWrite(n *Node, leave func()) {
+	dial := n.upstream.DialContext
+	n.upstream.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		c, err := dial(ctx, network, addr)
+		if err != nil {
+			return nil, err
+		}
+		return nodetest.HookedConn{TCPConn: c.(*net.TCPConn), Hook: nodetest.HookedRawConn{BeforeWrite: leave}}, nil
 	}
-	c.raw = between{RawConn: c.raw, write: leave}
-	n.upstream.release(c)
-	n.upstream.rest(server)
 }
 
 // No attempt begins once its client has closed: not the first one, and not a further one either, which is decided
@@ -65,10 +65,10 @@
 					<-noticed
 				}
 				secondOnly := func() {
+					leaveAtTheWrite(n, leave)
 					old := first.Endpoint("a")
 					old.State = balancer.Draining
 					n.updateEndpoints(endpointlist.List{Endpoints: []endpointlist.Endpoint{old, second.Endpoint("b")}}, balancer.UpdateDelta)
-					leaveAtTheWrite(t, n, "b", leave)
 				}
 				if further {
 					fails.Store(&secondOnly)
@@ -131,3 +131,33 @@
 	}
 	nodetest.Await(t, "the end of the handler whose request came after", handled)
 }
+
+// A request that has its final answer is not sent any more, also where its attempt has its connection and nobody has
+// told it.
+func TestNothingIsSentBehindTheFinalAnswer(t *testing.T) {
+	srv := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	n, err := newNode(t.Context(), testConfig(srv.Endpoint("a")), slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	n.startBalancer()
+	for _, kept := range []bool{false, true} { // of the connection
+		request := &inflightRequest{
+			id: "t1", message: upstream.Message{Method: "GET", Target: "/late"},
+			response: make(chan clientResponse, 1),
+		}
+		n.mu.Lock()
+		n.finishRequest(request, clientResponse{kind: responseFailed})
+		n.mu.Unlock()
+		if _, result := n.upstream.Exchange(t.Context(), "a", &request.message, upstream.WriteLimits{}); result != balancer.NotSent {
+			t.Errorf("kept %v: result %v", kept, result)
+		}
+		if _, result := n.upstream.Exchange(t.Context(), "a", &upstream.Message{Method: "GET", Target: "/other"}, upstream.WriteLimits{}); result != balancer.OK {
+			t.Errorf("kept %v: another request: result %v", kept, result)
+		}
+	}
+	if got := srv.Requests(); len(got) != 2 || got[0] != "GET /other " || got[1] != "GET /other " {
+		t.Errorf("sent %q", got)
+	}
+	n.close()
+}
--- a/internal/edgenode/harness_test.go
+++ b/internal/edgenode/harness_test.go
@@ -117,10 +117,3 @@
 	}
 	return text + "\r\n" + body
 }
-
-// quiet tells whether an idle connection is as it was left: open, with nothing to read.
-func (c *conn) quiet() bool {
-	quiet := false
-	err := c.raw.Control(func(fd uintptr) { quiet = socketQuiet(fd) })
-	return err == nil && quiet
-}
--- a/internal/edgenode/inflight.go
+++ b/internal/edgenode/inflight.go
@@ -6,13 +6,14 @@
 	"time"
 
 	"opalhook/balancer"
+	"opalhook/internal/edgenode/upstream"
 )
 
 // inflightRequest is a request of a client until it is answered and its attempts have ended. Its fields are
 // guarded by the node's mutex.
 type inflightRequest struct {
 	id          string
-	message     message
+	message     upstream.Message
 	deadline    time.Time
 	response    chan clientResponse // takes the one final response
 	answered    bool
@@ -25,15 +26,15 @@
 	number     int
 	endpointID string
 	sentAt     time.Duration // by the node's clock
-	limits     writeLimits
+	limits     upstream.WriteLimits
 	cancel     context.CancelFunc
 }
 
 // clientResponse is a final response.
 type clientResponse struct {
 	kind       responseKind
-	retryAfter time.Duration  // of a rejection
-	server     serverResponse // of a served request
+	retryAfter time.Duration     // of a rejection
+	server     upstream.Response // of a served request
 }
 
 type responseKind int
@@ -50,7 +51,7 @@
 // handleRequest has the balancer decide on a request of a client and returns its final response. A request whose client
 // goes, or that is not answered by the deadline, is aborted. A client that has closed its sending side only still
 // has its response.
-func (n *Node) handleRequest(ctx context.Context, q balancer.Request, m message, deadline time.Time) (clientResponse, error) {
+func (n *Node) handleRequest(ctx context.Context, q balancer.Request, m upstream.Message, deadline time.Time) (clientResponse, error) {
 	request := n.startRequest(q, m, deadline)
 	if request == nil {
 		return clientResponse{}, errIDInUse
@@ -69,7 +70,7 @@
 
 // startRequest starts a request of a client. It returns nil if its id is in use. The final response comes on the
 // returned request's channel, also where the balancer gives none in time.
-func (n *Node) startRequest(q balancer.Request, m message, deadline time.Time) *inflightRequest {
+func (n *Node) startRequest(q balancer.Request, m upstream.Message, deadline time.Time) *inflightRequest {
 	request := &inflightRequest{id: q.ID, message: m, deadline: deadline, response: make(chan clientResponse, 1)}
 	inUse := false
 	ok := n.handleEvent(func(now time.Duration, out balancer.Actions) {
@@ -108,7 +109,7 @@
 		return
 	}
 	request.answered = true
-	n.upstream.withdraw(&request.message) // first: an attempt whose connection comes up late must not be sent after it
+	n.upstream.Withdraw(&request.message) // first: an attempt whose connection comes up late must not be sent after it
 	request.response <- response
 	n.releaseRequest(request)
 }
@@ -122,9 +123,9 @@
 
 // runAttempt carries out one attempt and reports its outcome to the balancer.
 func (n *Node) runAttempt(ctx context.Context, request *inflightRequest, a *attempt) {
-	response, result := n.upstream.exchange(ctx, a.endpointID, &request.message, a.limits)
+	response, result := n.upstream.Exchange(ctx, a.endpointID, &request.message, a.limits)
 	a.cancel()
-	units := response.settledUnits(n.cfg.Settings.MaxUnits)
+	units := response.SettledUnits(n.cfg.Settings.MaxUnits)
 	n.handleEvent(func(now time.Duration, out balancer.Actions) {
 		if result == balancer.OK {
 			n.finishRequest(request, clientResponse{kind: responseServed, server: response})
@@ -138,7 +139,7 @@
 			EndpointID:  a.endpointID,
 			Elapsed:     now - a.sentAt,
 			Units:       units,
-			LoadReport:  response.loadReport,
+			LoadReport:  response.LoadReport,
 			ConnectedAt: n.connectedAt(response),
 		}, out)
 		n.releaseRequest(request)
@@ -146,22 +147,16 @@
 }
 
 // connectedAt is when the connection that a response came on was made, by the node's clock; 0 without a response.
-func (n *Node) connectedAt(response serverResponse) time.Duration {
-	if response.connectedAt.IsZero() {
+func (n *Node) connectedAt(response upstream.Response) time.Duration {
+	if response.ConnectedAt.IsZero() {
 		return 0
 	}
-	return time.Duration(n.startedAt.UnixNano()) + response.connectedAt.Sub(n.startedAt)
+	return time.Duration(n.startedAt.UnixNano()) + response.ConnectedAt.Sub(n.startedAt)
 }
 
-// runHealthCheck asks an endpoint for its load.
+// runHealthCheck asks an endpoint for its load and reports it to the balancer.
 func (n *Node) runHealthCheck(endpointID string) {
-	ctx, cancel := context.WithTimeout(n.ctx, healthCheckTimeout)
-	defer cancel()
-	response, result := n.upstream.exchange(ctx, endpointID, &message{method: "GET", target: loadPath}, writeLimits{})
-	report := response.loadReport
-	if report == nil {
-		report = parseLoadReport(string(response.body))
-	}
+	report, result := n.upstream.CheckHealth(n.ctx, endpointID)
 	n.handleEvent(func(now time.Duration, out balancer.Actions) {
 		n.balancer.HealthChecked(now, endpointID, result, report, out)
 	})
--- a/internal/edgenode/list_bench_test.go
+++ b/internal/edgenode/list_bench_test.go
@@ -25,6 +25,7 @@
 				Addr:     netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 2, byte(i / 250), byte(i % 250)}), 8080),
 			})
 		}
+		last := all[size-1].ID
 		line := []byte(nodetest.ListJSON(9, true, all...))
 		var indented bytes.Buffer
 		if err := json.Indent(&indented, line, "", "  "); err != nil {
@@ -57,8 +58,8 @@
 							b.Fatal(err)
 						}
 					}
-					if len(n.upstream.backends) != size {
-						b.Fatalf("%d of %d servers", len(n.upstream.backends), size)
+					if n.upstream.Lookup(last) == nil {
+						b.Fatalf("%s of %d servers is missing", last, size)
 					}
 				}
 			})
--- a/internal/edgenode/node.go
+++ b/internal/edgenode/node.go
@@ -18,6 +18,7 @@
 
 	"opalhook/balancer"
 	"opalhook/internal/edgenode/endpointlist"
+	"opalhook/internal/edgenode/upstream"
 	"opalhook/internal/settings"
 )
 
@@ -29,7 +30,7 @@
 	log       *slog.Logger
 	startedAt time.Time // the clock reads Unix time at the start plus the monotonic time since
 	ctx       context.Context
-	upstream  *upstream
+	upstream  *upstream.Pool
 	peers     *peerSocket // nil where edge nodes don't message each other
 
 	mu         sync.Mutex
@@ -53,7 +54,7 @@
 		ctx:       ctx,
 		balancer:  b,
 		inflight:  map[string]*inflightRequest{},
-		upstream:  newUpstream(cfg.Transport, maxServerConns(cfg.Sockets)),
+		upstream:  upstream.New(cfg.Transport, maxServerConns(cfg.Sockets)),
 	}, nil
 }
 
@@ -98,7 +99,7 @@
 	n.closed = true
 	n.mu.Unlock()
 	n.background.Wait()
-	n.upstream.close()
+	n.upstream.Close()
 }
 
 // startBalancer starts the balancer with the cached list.
@@ -114,8 +115,7 @@
 		endpoints[i] = s.Endpoint
 	}
 	n.handleEvent(func(now time.Duration, out balancer.Actions) {
-		unused := n.upstream.update(l.Endpoints, kind != balancer.UpdateDelta)
-		n.deferred = append(n.deferred, func() { closeAll(unused) })
+		n.deferred = append(n.deferred, n.upstream.Update(l.Endpoints, kind != balancer.UpdateDelta))
 		n.balancer.EndpointsUpdated(now, kind, endpoints, out)
 	})
 }
--- /dev/null
+++ b/internal/edgenode/repeat_test.go
@@ -0,0 +1,48 @@
+package edgenode
+
+import (
+	"fmt"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"opalhook/balancer"
+	"opalhook/internal/edgenode/nodetest"
+	"opalhook/internal/edgenode/upstream"
+)
+
+// The bound of a repeat comes from the request's first attempt that may have run, and reaches the write.
+func TestRepeatCarriesItsWindow(t *testing.T) {
+	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+		if r.Method == "POST" {
+			return nodetest.Say("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n")(c, r, body)
+		}
+		return nodetest.Say(nodetest.OKResponse)(c, r, body)
+	})
+	n := idleFront(t, testConfig(s.Endpoint("a"), s.Endpoint("b"))).node
+	ask := func(id, class, method string) *inflightRequest {
+		q := balancer.Request{ID: id, Class: class, Plan: "wide", Timeout: 10 * time.Second, Units: 1, EntryNodes: 1}
+		fl := n.startRequest(q, upstream.Message{Method: method, Target: "/" + class, ID: id}, time.Now().Add(nodetest.Patience))
+		nodetest.Await(t, "an answer", fl.response)
+		return fl
+	}
+	for i := range 10 { // by which repeats are earned
+		ask(fmt.Sprint("c", i), "check", "GET")
+	}
+	fl := ask("t1", "book", "POST")
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if len(fl.attempts) < 2 {
+		t.Fatalf("%d attempts, want a repeat", len(fl.attempts))
+	}
+	if at := fl.attempts[0]; !at.limits.CompleteBefore.IsZero() {
+		t.Errorf("the first attempt is bound to %v", at.limits.CompleteBefore)
+	}
+	window := n.cfg.Settings.Classes[1].DedupWindow - 2*n.cfg.Settings.Tick
+	for _, at := range fl.attempts[1:] {
+		if got := at.limits.CompleteBefore.Sub(n.startedAt) + time.Duration(n.startedAt.UnixNano()) - fl.attempts[0].sentAt; got > window || got < window-time.Millisecond {
+			t.Errorf("a repeat is bound to %v behind the first send, want %v", got, window)
+		}
+	}
+}
--- a/internal/edgenode/run.go
+++ b/internal/edgenode/run.go
@@ -74,7 +74,7 @@
 	}
 	p.discovery = follower.NewClient(p.cfg.Discovery, p.newFollower(), p.node.receiveList, p.log)
 	p.background.Go(func() { p.discovery.Run(life) })
-	p.background.Go(func() { p.node.upstream.reapIdle(life) })
+	p.background.Go(func() { p.node.upstream.ReapIdle(life) })
 }
 
 // newFollower returns the follower of the configured discovery, from the cached list on.
--- a/internal/edgenode/attempt_test.go
+++ b/internal/edgenode/upstream/attempt_test.go
@@ -1,12 +1,10 @@
-package edgenode
+package upstream
 
 import (
 	"context"
 	"errors"
-	"fmt"
 	"io"
 	"net"
-	"net/http"
 	"net/netip"
 	"strings"
 	"syscall"
@@ -18,15 +16,24 @@
 	"opalhook/internal/edgenode/nodetest"
 )
 
-// rest makes the idle connections to a server old enough to be used again.
-func (u *upstream) rest(server string) {
+// rest makes the idle connections old enough to be used again.
+func (u *Pool) rest() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for _, c := range u.backends[server].idle {
-		c.idleSince = c.idleSince.Add(-minRest)
+	for _, b := range u.backends {
+		for _, c := range b.idle {
+			c.idleSince = c.idleSince.Add(-minRest)
+		}
 	}
 }
 
+// quiet tells whether an idle connection is as it was left: open, with nothing to read.
+func (c *conn) quiet() bool {
+	quiet := false
+	err := c.raw.Control(func(fd uintptr) { quiet = socketQuiet(fd) })
+	return err == nil && quiet
+}
+
 // A request whose server says something, or ends the connection, between the look at it and the write goes
 // out once, on another connection: nothing that came before it is its answer.
 func TestIdleConnectionChangesBeforeTheWrite(t *testing.T) {
@@ -40,16 +47,16 @@
 		s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 		u := testUpstream(s.Endpoint("a"))
 		exchange(t, u, "a")
-		u.rest("a")
+		u.rest()
 		c := u.backends["a"].idle[0]
 		server := nodetest.Await(t, "a connection", s.Conns)
-		c.raw = between{RawConn: c.raw, write: func() {
+		c.raw = nodetest.HookedRawConn{RawConn: c.raw, BeforeWrite: func() {
 			change(server)
 			nodetest.Eventually(t, "it has come", func() bool { return !c.quiet() })
 		}}
 		rep, res := exchange(t, u, "a")
-		if res != balancer.OK || string(rep.body) != "body" {
-			t.Errorf("%s: result %v, body %q", name, res, rep.body)
+		if res != balancer.OK || string(rep.Body) != "body" {
+			t.Errorf("%s: result %v, body %q", name, res, rep.Body)
 		}
 		if n := len(s.Requests()); n != 2 || u.open != 1 {
 			t.Errorf("%s: %d copies of 2 requests, %d connections counted", name, n, u.open)
@@ -79,21 +86,21 @@
 // become another one.
 func TestBoundsHoldAtTheWrite(t *testing.T) {
 	past, later := time.Now(), time.Now().Add(time.Hour)
-	as := func(change func(*endpointlist.Endpoint)) func(*upstream, endpointlist.Endpoint) {
-		return func(u *upstream, in endpointlist.Endpoint) {
+	as := func(change func(*endpointlist.Endpoint)) func(*Pool, endpointlist.Endpoint) {
+		return func(u *Pool, in endpointlist.Endpoint) {
 			change(&in)
 			closeAll(u.update([]endpointlist.Endpoint{in}, false))
 		}
 	}
 	for name, c := range map[string]struct {
-		to      writeLimits
-		happens func(*upstream, endpointlist.Endpoint)
+		to      WriteLimits
+		happens func(*Pool, endpointlist.Endpoint)
 		want    error
 	}{
-		"in time":                   {to: writeLimits{startBefore: later, completeBefore: later}},
+		"in time":                   {to: WriteLimits{startBefore: later, CompleteBefore: later}},
 		"no bounds":                 {},
-		"its time is over":          {to: writeLimits{startBefore: past}, want: errTooLate},
-		"its repeat is too late":    {to: writeLimits{startBefore: later, completeBefore: past}, want: errTooLate},
+		"its time is over":          {to: WriteLimits{startBefore: past}, want: errTooLate},
+		"its repeat is too late":    {to: WriteLimits{startBefore: later, CompleteBefore: past}, want: errTooLate},
 		"the server restarted":      {happens: as(func(in *endpointlist.Endpoint) { in.StartedAt = time.Hour }), want: errNotUp},
 		"it is in another zone":     {happens: as(func(in *endpointlist.Endpoint) { in.Zone = "other" }), want: errNotUp},
 		"it is in another cell":     {happens: as(func(in *endpointlist.Endpoint) { in.Cell++ }), want: errNotUp},
@@ -109,7 +116,7 @@
 		if c.happens != nil {
 			c.happens(u, s.Endpoint("a"))
 		}
-		if err := u.writeRequest(t.Context(), conn, &message{}, c.to, []byte("GET /x HTTP/1.1\r\nHost: a\r\n\r\n")); !errors.Is(err, c.want) {
+		if err := u.writeRequest(t.Context(), conn, &Message{}, c.to, []byte("GET /x HTTP/1.1\r\nHost: a\r\n\r\n")); !errors.Is(err, c.want) {
 			t.Errorf("%s: error %v, want %v", name, err, c.want)
 		}
 		_ = conn.Conn.(*net.TCPConn).CloseWrite()
@@ -126,54 +133,19 @@
 func TestRepeatGoesToTheServerThatWasChosen(t *testing.T) {
 	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 	u := testUpstream(s.Endpoint("a"))
-	to := writeLimits{backend: u.lookup("a")}
+	to := WriteLimits{Backend: u.Lookup("a")}
 	restarted := s.Endpoint("a")
 	restarted.StartedAt = time.Hour
 	closeAll(u.update([]endpointlist.Endpoint{restarted}, false))
-	_, res := u.exchange(t.Context(), "a", &get, to)
+	_, res := u.Exchange(t.Context(), "a", &get, to)
 	wantResult(t, res, balancer.ConnectFailed)
-	_, res = u.exchange(t.Context(), "a", &get, writeLimits{backend: u.lookup("a")})
+	_, res = u.Exchange(t.Context(), "a", &get, WriteLimits{Backend: u.Lookup("a")})
 	wantResult(t, res, balancer.OK)
 	if n := len(s.Requests()); n != 1 {
 		t.Errorf("%d requests arrived", n)
 	}
 }
 
-// The bound of a repeat comes from the request's first attempt that may have run, and reaches the write.
-func TestRepeatCarriesItsWindow(t *testing.T) {
-	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
-		if r.Method == "POST" {
-			return nodetest.Say("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n")(c, r, body)
-		}
-		return nodetest.Say(nodetest.OKResponse)(c, r, body)
-	})
-	n := idleFront(t, testConfig(s.Endpoint("a"), s.Endpoint("b"))).node
-	ask := func(id, class, method string) *inflightRequest {
-		q := balancer.Request{ID: id, Class: class, Plan: "wide", Timeout: 10 * time.Second, Units: 1, EntryNodes: 1}
-		fl := n.startRequest(q, message{method: method, target: "/" + class, id: id}, time.Now().Add(nodetest.Patience))
-		nodetest.Await(t, "an answer", fl.response)
-		return fl
-	}
-	for i := range 10 { // by which repeats are earned
-		ask(fmt.Sprint("c", i), "check", "GET")
-	}
-	fl := ask("t1", "book", "POST")
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if len(fl.attempts) < 2 {
-		t.Fatalf("%d attempts, want a repeat", len(fl.attempts))
-	}
-	if at := fl.attempts[0]; !at.limits.completeBefore.IsZero() {
-		t.Errorf("the first attempt is bound to %v", at.limits.completeBefore)
-	}
-	window := n.cfg.Settings.Classes[1].DedupWindow - 2*n.cfg.Settings.Tick
-	for _, at := range fl.attempts[1:] {
-		if got := at.limits.completeBefore.Sub(n.startedAt) + time.Duration(n.startedAt.UnixNano()) - fl.attempts[0].sentAt; got > window || got < window-time.Millisecond {
-			t.Errorf("a repeat is bound to %v behind the first send, want %v", got, window)
-		}
-	}
-}
-
 // slowReader is an app server that takes little of a request in at once.
 func slowReader(t *testing.T) (in endpointlist.Endpoint, conns chan net.Conn) {
 	t.Helper()
@@ -200,7 +172,7 @@
 }
 
 // long is a request that no socket takes at once.
-var long = message{method: "POST", target: "/check", id: "long", body: make([]byte, 8<<20)}
+var long = Message{Method: "POST", Target: "/check", ID: "long", Body: make([]byte, 8<<20)}
 
 // A repeat whose last byte would be written too late is given up before it: it never runs.
 func TestLongRepeatEndsBeforeItsLastByte(t *testing.T) {
@@ -212,17 +184,17 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), nodetest.Patience)
 	defer cancel()
-	if err := conn.writeRemainder(ctx, writeLimits{completeBefore: time.Now().Add(50 * time.Millisecond)}, long.body); !errors.Is(err, errTooLate) || ctx.Err() != nil {
+	if err := conn.writeRemainder(ctx, WriteLimits{CompleteBefore: time.Now().Add(50 * time.Millisecond)}, long.Body); !errors.Is(err, errTooLate) || ctx.Err() != nil {
 		t.Errorf("error %v, want %v; the attempt's own time: %v", err, errTooLate, ctx.Err())
 	}
 	u.discard(conn)
 	c := nodetest.Await(t, "a connection", conns)
 	nodetest.SetDeadline(t, c)
-	if n, _ := io.Copy(io.Discard, c); n >= int64(len(long.body)) {
+	if n, _ := io.Copy(io.Discard, c); n >= int64(len(long.Body)) {
 		t.Errorf("%d bytes arrived: all of it", n)
 	}
 	// What the first byte is too late for does not begin.
-	_, res := u.exchange(ctx, "a", &get, writeLimits{completeBefore: time.Now()})
+	_, res := u.Exchange(ctx, "a", &get, WriteLimits{CompleteBefore: time.Now()})
 	wantResult(t, res, balancer.NotSent)
 }
 
@@ -233,7 +205,7 @@
 		u := testUpstream(in)
 		result := make(chan balancer.Result, 1)
 		go func() {
-			_, res := u.exchange(context.Background(), "a", &long, writeLimits{})
+			_, res := u.Exchange(context.Background(), "a", &long, WriteLimits{})
 			result <- res
 		}()
 		c := nodetest.Await(t, "a connection", conns)
@@ -249,15 +221,15 @@
 	u := testUpstream(in)
 	result := make(chan balancer.Result, 1)
 	go func() {
-		_, res := u.exchange(context.Background(), "a", &long, writeLimits{completeBefore: time.Now().Add(time.Hour)})
+		_, res := u.Exchange(context.Background(), "a", &long, WriteLimits{CompleteBefore: time.Now().Add(time.Hour)})
 		result <- res
 	}()
 	c := nodetest.Await(t, "a connection", conns)
 	s := nodetest.ServeConn(c, nodetest.Say(nodetest.OKResponse))
 	wantResult(t, nodetest.Await(t, "a result", result), balancer.OK)
-	u.rest("a")
+	u.rest()
 	go func() {
-		_, res := u.exchange(context.Background(), "a", &get, writeLimits{})
+		_, res := u.Exchange(context.Background(), "a", &get, WriteLimits{})
 		result <- res
 	}()
 	wantResult(t, nodetest.Await(t, "a result on the same connection", result), balancer.OK)
@@ -283,12 +255,12 @@
 		ln := nodetest.Listen(t)
 		u := testUpstream(endpointlist.Endpoint{Endpoint: balancer.Endpoint{ID: "a"}, Addr: nodetest.AddrOf(ln)})
 		type outcome struct {
-			serverResponse
+			Response
 			balancer.Result
 		}
 		done := make(chan outcome, 1)
 		go func() {
-			rep, res := u.exchange(context.Background(), "a", &get, writeLimits{})
+			rep, res := u.Exchange(context.Background(), "a", &get, WriteLimits{})
 			done <- outcome{rep, res}
 		}()
 		server, err := ln.Accept()
@@ -302,8 +274,8 @@
 		}
 		_ = server.Close()
 		o := nodetest.Await(t, "a result", done)
-		if o.Result != c.want || c.want == balancer.OK && string(o.body) != "body" {
-			t.Errorf("%s: result %v, body %q", name, o.Result, o.body)
+		if o.Result != c.want || c.want == balancer.OK && string(o.Body) != "body" {
+			t.Errorf("%s: result %v, body %q", name, o.Result, o.Body)
 		}
 		if len(u.backends["a"].idle) != 0 || u.open != 0 {
 			t.Errorf("%s: its connection is kept", name)
--- a/internal/edgenode/golden_test.go
+++ b/internal/edgenode/upstream/golden_test.go
@@ -1,4 +1,4 @@
-package edgenode
+package upstream
 
 import (
 	"bytes"
@@ -19,22 +19,22 @@
 // A node sends a server the recorded bytes: a probe for its load and requests of clients.
 func TestGoldenServerRequests(t *testing.T) {
 	addr, heard := nodetest.RecordRequests(t, nodetest.OKResponse)
-	u := newUpstream(settings.Transport{ConnectTimeout: nodetest.Patience}, 10)
+	u := New(settings.Transport{ConnectTimeout: nodetest.Patience}, 10)
 	u.update([]endpointlist.Endpoint{{Endpoint: balancer.Endpoint{ID: "s"}, Addr: addr}}, true)
 	ctx, cancel := context.WithTimeout(t.Context(), nodetest.Patience)
 	defer cancel()
 	left := regexp.MustCompile(`X-Expires-In: \d+\.\d{3}\r\n`)
 	var transcript strings.Builder
-	for _, m := range []message{
-		{method: "GET", target: loadPath},
-		{method: "POST", target: "/a%2fb?c=%20d", host: "app.example", id: "rq-1", key: "key-1", contentType: "text/plain", body: []byte("body")},
-		{method: "GET", target: "/a?"},
+	for _, m := range []Message{
+		{Method: "GET", Target: loadPath},
+		{Method: "POST", Target: "/a%2fb?c=%20d", Host: "app.example", ID: "rq-1", Key: "key-1", ContentType: "text/plain", Body: []byte("body")},
+		{Method: "GET", Target: "/a?"},
 	} {
-		rep, result := u.exchange(ctx, "s", &m, writeLimits{})
-		if result != balancer.OK || string(rep.body) != "body" {
-			t.Errorf("%s: result %d, body %q", m.target, result, rep.body)
+		rep, result := u.Exchange(ctx, "s", &m, WriteLimits{})
+		if result != balancer.OK || string(rep.Body) != "body" {
+			t.Errorf("%s: result %d, body %q", m.Target, result, rep.Body)
 		}
-		transcript.WriteString(left.ReplaceAllString(nodetest.Await(t, "request of "+m.target, heard), "X-Expires-In: SECONDS\r\n") + "\n")
+		transcript.WriteString(left.ReplaceAllString(nodetest.Await(t, "request of "+m.Target, heard), "X-Expires-In: SECONDS\r\n") + "\n")
 	}
 	golden.Check(t, "golden/server-requests.txt", []byte(transcript.String()))
 }
@@ -53,10 +53,10 @@
 	}
 	golden.Check(t, "golden/load-reports-read.txt", described.Bytes())
 	s := nodetest.NewAppServer(t, nodetest.Say("HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT inflight=7, queue=2, util=0.61\r\nX-Settled: 2.5\r\nContent-Length: 0\r\n\r\n"))
-	u := newUpstream(settings.Transport{ConnectTimeout: time.Minute}, 10)
+	u := New(settings.Transport{ConnectTimeout: time.Minute}, 10)
 	u.update([]endpointlist.Endpoint{s.Endpoint("s")}, true)
-	rep, result := u.exchange(t.Context(), "s", &message{method: "GET", target: loadPath}, writeLimits{})
-	if result != balancer.OK || rep.units != 2.5 || rep.loadReport == nil || *rep.loadReport != (balancer.LoadReport{InFlight: 7, Queued: 2, Utilization: 0.61}) {
-		t.Errorf("result %d, units %v, load %v", result, rep.units, rep.loadReport)
+	rep, result := u.Exchange(t.Context(), "s", &Message{Method: "GET", Target: loadPath}, WriteLimits{})
+	if result != balancer.OK || rep.Units != 2.5 || rep.LoadReport == nil || *rep.LoadReport != (balancer.LoadReport{InFlight: 7, Queued: 2, Utilization: 0.61}) {
+		t.Errorf("result %d, units %v, load %v", result, rep.Units, rep.LoadReport)
 	}
 }
--- a/internal/edgenode/load_report.go
+++ b/internal/edgenode/upstream/load_report.go
@@ -1,6 +1,8 @@
-package edgenode
+package upstream
 
 import (
+	"context"
+	"net/http"
 	"strings"
 	"time"
 
@@ -21,6 +23,18 @@
 	maxCount       = 1e5
 )
 
+// CheckHealth asks a server for its load, which it reports in its response's header or body. It returns nil where there
+// is no report.
+func (u *Pool) CheckHealth(ctx context.Context, endpointID string) (*balancer.LoadReport, balancer.Result) {
+	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
+	defer cancel()
+	response, result := u.Exchange(ctx, endpointID, &Message{Method: http.MethodGet, Target: loadPath}, WriteLimits{})
+	if response.LoadReport != nil {
+		return response.LoadReport, result
+	}
+	return parseLoadReport(string(response.Body)), result
+}
+
 // parseLoadReport parses a load report such as "TEXT inflight=7, queue=2, util=0.61". Unknown names and implausible
 // figures are skipped; nil means that the text holds no report.
 func parseLoadReport(text string) *balancer.LoadReport {
--- a/internal/edgenode/pool.go
+++ b/internal/edgenode/upstream/pool.go
@@ -1,4 +1,4 @@
-package edgenode
+package upstream
 
 import (
 	"bufio"
@@ -37,7 +37,7 @@
 	raw         syscall.RawConn
 	reader      *responseReader
 	buffered    *bufio.Reader // over reader
-	backend     *backend      // to which it returns, unless the server has moved or restarted
+	backend     *Backend      // to which it returns, unless the server has moved or restarted
 	idleSince   time.Time
 	connectedAt time.Time
 
@@ -47,7 +47,7 @@
 // acquire returns a connection to the server: of the idle ones that have rested, or will have in a moment, the one used
 // last, or else a new one. Whether it still lives, writeRequest tells. A server that is no longer what it was when it
 // was selected gets none.
-func (u *upstream) acquire(ctx context.Context, endpointID string, selected *backend) (*conn, error) {
+func (u *Pool) acquire(ctx context.Context, endpointID string, selected *Backend) (*conn, error) {
 	for waited := false; ; {
 		u.mu.Lock()
 		b := u.backends[endpointID]
@@ -87,7 +87,7 @@
 }
 
 // awaitRested waits until an idle connection of the backend has rested, and tells whether there is one.
-func (u *upstream) awaitRested(ctx context.Context, b *backend) bool {
+func (u *Pool) awaitRested(ctx context.Context, b *Backend) bool {
 	u.mu.Lock()
 	if len(b.idle) == 0 {
 		u.mu.Unlock()
@@ -108,14 +108,14 @@
 
 // restedCount counts the idle connections that were not used a moment ago. They are the first ones. Called under the
 // mutex.
-func (b *backend) restedCount(now time.Time) (n int) {
+func (b *Backend) restedCount(now time.Time) (n int) {
 	for n = len(b.idle); n > 0 && now.Sub(b.idle[n-1].idleSince) < minRest; n-- {
 	}
 	return n
 }
 
 // takeRested takes the rested idle connection that was used last, nil if there is none. Called under the mutex.
-func (b *backend) takeRested(now time.Time) *conn {
+func (b *Backend) takeRested(now time.Time) *conn {
 	n := b.restedCount(now)
 	if n == 0 {
 		return nil
@@ -127,7 +127,7 @@
 
 // reserve counts a connection that is to be made. Where no more may be open it returns the idle one that is to be
 // closed for it. Called under the mutex.
-func (u *upstream) reserve() (evicted *conn, err error) {
+func (u *Pool) reserve() (evicted *conn, err error) {
 	if u.open >= u.maxOpen {
 		if evicted = u.takeLongestIdle(); evicted == nil {
 			return nil, errNoDescriptor
@@ -140,8 +140,8 @@
 
 // takeLongestIdle takes the connection that has been idle for longest out of its pool, nil if there is none. Called
 // under the mutex.
-func (u *upstream) takeLongestIdle() *conn {
-	var owner *backend
+func (u *Pool) takeLongestIdle() *conn {
+	var owner *Backend
 	for _, b := range u.backends {
 		if len(b.idle) > 0 && (owner == nil || b.idle[0].idleSince.Before(owner.idle[0].idleSince)) {
 			owner = b
@@ -156,15 +156,15 @@
 }
 
 // dial makes a connection, which is already counted.
-func (u *upstream) dial(ctx context.Context, b *backend) (*conn, error) {
-	nc, err := u.dialer.DialContext(ctx, "tcp", b.addr.String())
+func (u *Pool) dial(ctx context.Context, b *Backend) (*conn, error) {
+	nc, err := u.DialContext(ctx, "tcp", b.addr.String())
 	if err != nil {
 		u.uncount()
 		return nil, err
 	}
 	reader := &responseReader{conn: nc}
 	c := &conn{Conn: nc, reader: reader, buffered: bufio.NewReader(reader), backend: b, connectedAt: time.Now()}
-	if c.raw, err = nc.(*net.TCPConn).SyscallConn(); err != nil {
+	if c.raw, err = nc.(syscall.Conn).SyscallConn(); err != nil {
 		u.discard(c)
 		return nil, err
 	}
@@ -180,20 +180,20 @@
 }
 
 // uncount takes a connection that was not made, or is closed, out of the count of the open ones.
-func (u *upstream) uncount() {
+func (u *Pool) uncount() {
 	u.mu.Lock()
 	u.open--
 	u.mu.Unlock()
 }
 
 // discard closes a connection that is in no pool.
-func (u *upstream) discard(c *conn) {
+func (u *Pool) discard(c *conn) {
 	_ = c.Close() // it is not used again, whatever the close meets
 	u.uncount()
 }
 
 // release returns a connection whose exchange is over to its pool.
-func (u *upstream) release(c *conn) {
+func (u *Pool) release(c *conn) {
 	u.mu.Lock()
 	if c.backend.up {
 		c.idleSince = time.Now()
@@ -205,8 +205,8 @@
 	u.discard(c)
 }
 
-// reapIdle closes what has been idle for too long, at intervals until ctx ends.
-func (u *upstream) reapIdle(ctx context.Context) {
+// ReapIdle closes what has been idle for too long, at intervals until ctx ends.
+func (u *Pool) ReapIdle(ctx context.Context) {
 	tick := time.NewTicker(max(u.maxIdle/reapsPerMaxIdle, minReapInterval))
 	defer tick.Stop()
 	for {
@@ -220,7 +220,7 @@
 }
 
 // takeExpired takes the connections out of their pools that have been idle for too long.
-func (u *upstream) takeExpired() (expired []*conn) {
+func (u *Pool) takeExpired() (expired []*conn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, b := range u.backends {
@@ -238,7 +238,7 @@
 // shortenKeepIdle learns from a kept connection that was reset as soon as it was written to: the server, or something
 // on the way, gives idle connections up sooner than the settings say. A request that meets one may have run. From then
 // on the server's connections are kept for half as long as this one was idle, which doubles again in time.
-func (u *upstream) shortenKeepIdle(c *conn) {
+func (u *Pool) shortenKeepIdle(c *conn) {
 	u.mu.Lock()
 	b := c.backend
 	b.keepIdle, b.keepIdleSetAt = max(c.rested/2, minKeepIdle), time.Now()
@@ -247,7 +247,7 @@
 }
 
 // keepIdleFor is how long an idle connection of the backend may be used again. Called under the mutex.
-func (u *upstream) keepIdleFor(b *backend) time.Duration {
+func (u *Pool) keepIdleFor(b *Backend) time.Duration {
 	if b.keepIdle == 0 {
 		return u.maxIdle
 	}
@@ -262,7 +262,7 @@
 // closeIdle closes a backend's idle connections after silence on one. A machine that vanished or is cut off leaves all
 // of them open and silent; a request written to one more would time out as well and might have run, while a new
 // connection that does not come up proves that it has not.
-func (u *upstream) closeIdle(b *backend) {
+func (u *Pool) closeIdle(b *Backend) {
 	u.mu.Lock()
 	idle := b.idle
 	b.idle = nil
--- a/internal/edgenode/request.go
+++ b/internal/edgenode/upstream/request.go
@@ -1,4 +1,4 @@
-package edgenode
+package upstream
 
 import (
 	"bytes"
@@ -28,47 +28,47 @@
 // longAgo is a deadline that ends all reading or writing at once.
 var longAgo = time.Unix(1, 0)
 
-// message is what is passed on to an app server.
-type message struct {
-	method      string
-	target      string // path and query, byte for byte as the client sent them
-	host        string
-	id          string // X-Trace-Id
-	key         string // Idempotency-Key
-	contentType string
-	body        []byte
-	withdrawn   bool // nothing of it may be sent any more; guarded by the upstream's mutex
+// Message is what is passed on to an app server.
+type Message struct {
+	Method      string
+	Target      string // path and query, byte for byte as the client sent them
+	Host        string
+	ID          string // X-Trace-Id
+	Key         string // Idempotency-Key
+	ContentType string
+	Body        []byte
+	withdrawn   bool // nothing of it may be sent any more; guarded by the pool's mutex
 }
 
 // httpRequest returns the message as a request. The target is passed on as it came: as the opaque part of a URL it is
 // not encoded anew.
-func (m *message) httpRequest(ctx context.Context) *http.Request {
-	path, query, force := strings.Cut(m.target, "?")
+func (m *Message) httpRequest(ctx context.Context) *http.Request {
+	path, query, force := strings.Cut(m.Target, "?")
 	req := &http.Request{
-		Method: m.method,
-		Host:   m.host,
+		Method: m.Method,
+		Host:   m.Host,
 		Header: m.header(ctx),
 		URL:    &url.URL{Opaque: path, RawQuery: query, ForceQuery: force},
 	}
 	if req.Host == "" {
 		req.Host = "app.svc"
 	}
-	if len(m.body) > 0 {
-		req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(m.body)), int64(len(m.body))
+	if len(m.Body) > 0 {
+		req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(m.Body)), int64(len(m.Body))
 	}
 	return req
 }
 
-func (m *message) header(ctx context.Context) http.Header {
+func (m *Message) header(ctx context.Context) http.Header {
 	h := http.Header{"User-Agent": {""}} // none, rather than the library's own
-	if m.id != "" {
-		h["X-Trace-Id"] = []string{m.id}
+	if m.ID != "" {
+		h["X-Trace-Id"] = []string{m.ID}
 	}
-	if m.key != "" {
-		h["Idempotency-Key"] = []string{m.key}
+	if m.Key != "" {
+		h["Idempotency-Key"] = []string{m.Key}
 	}
-	if m.contentType != "" {
-		h["Content-Type"] = []string{m.contentType}
+	if m.ContentType != "" {
+		h["Content-Type"] = []string{m.ContentType}
 	}
 	if deadline, ok := ctx.Deadline(); ok {
 		left := math.Max(time.Until(deadline).Seconds(), minExpiresIn)
@@ -77,20 +77,20 @@
 	return h
 }
 
-// writeLimits is what an attempt is held to as it is written, however long ago it was decided on.
-type writeLimits struct {
-	backend        *backend  // the server as it was when it was selected; nil: as it is
-	startBefore    time.Time // an attempt that has not begun by then must not begin
-	completeBefore time.Time // by when its last byte has to be written; zero: no limit
+// WriteLimits is what an attempt is held to as it is written, however long ago it was decided on.
+type WriteLimits struct {
+	Backend        *Backend  // the server as it was when it was selected; nil: as it is
+	startBefore    time.Time // an attempt that has not begun by then must not begin: the end of its context
+	CompleteBefore time.Time // by when its last byte has to be written; zero: no limit
 }
 
 // writeRequest writes a request, unless by the time its first byte would go out it must not begin any more: see
 // mayWrite.
-func (u *upstream) writeRequest(ctx context.Context, c *conn, m *message, limits writeLimits, text []byte) error {
+func (u *Pool) writeRequest(ctx context.Context, c *conn, m *Message, limits WriteLimits, text []byte) error {
 	var n int
 	var err error
 	failed := c.raw.Write(func(fd uintptr) bool {
-		// For two system calls that do not wait: what update, withdraw and cancelAttempt have done holds from here on.
+		// For two system calls that do not wait: what Update, Withdraw and Cancel have done holds from here on.
 		u.mu.Lock()
 		defer u.mu.Unlock()
 		if err = mayWrite(ctx, c, m, limits, fd); err != nil {
@@ -113,7 +113,7 @@
 
 // mayWrite returns why a request must not begin any more: it has its final response, its server has left the list,
 // its attempt was given up, its time is over, or something has come on the connection. Called under the mutex.
-func mayWrite(ctx context.Context, c *conn, m *message, limits writeLimits, fd uintptr) error {
+func mayWrite(ctx context.Context, c *conn, m *Message, limits WriteLimits, fd uintptr) error {
 	cancelled := ctx.Err()
 	now := time.Now()
 	switch {
@@ -123,7 +123,7 @@
 		return errNotUp
 	case cancelled != nil:
 		return cancelled
-	case isPast(limits.startBefore, now), isPast(limits.completeBefore, now):
+	case isPast(limits.startBefore, now), isPast(limits.CompleteBefore, now):
 		return errTooLate
 	case !socketQuiet(fd):
 		return errConnStale
@@ -143,9 +143,9 @@
 // writeRemainder writes what the socket did not take at once. It ends early if the server responds, which can't be to
 // a request that it does not have, or if the last byte would come too late. Deadlines that can't be set mean that the
 // connection is closed, which the write reports.
-func (c *conn) writeRemainder(ctx context.Context, limits writeLimits, text []byte) error {
-	if !limits.completeBefore.IsZero() {
-		_ = c.SetWriteDeadline(limits.completeBefore)
+func (c *conn) writeRemainder(ctx context.Context, limits WriteLimits, text []byte) error {
+	if !limits.CompleteBefore.IsZero() {
+		_ = c.SetWriteDeadline(limits.CompleteBefore)
 	}
 	early := false
 	watched := make(chan struct{})
@@ -172,7 +172,7 @@
 		return nil
 	case early:
 		return errEarlyResponse
-	case isPast(limits.completeBefore, time.Now()):
+	case isPast(limits.CompleteBefore, time.Now()):
 		return errTooLate
 	}
 	return err
@@ -192,15 +192,15 @@
 	return err == syscall.EAGAIN
 }
 
-// withdraw has nothing of a message sent from now on; what has begun goes on.
-func (u *upstream) withdraw(m *message) {
+// Withdraw has nothing of a message sent from now on; what has begun goes on.
+func (u *Pool) Withdraw(m *Message) {
 	u.mu.Lock()
 	m.withdrawn = true
 	u.mu.Unlock()
 }
 
-// cancelAttempt gives an attempt up. Under the mutex, so that none is written once it has returned.
-func (u *upstream) cancelAttempt(attempt context.CancelFunc) {
+// Cancel gives an attempt up. Under the mutex, so that none is written once it has returned.
+func (u *Pool) Cancel(attempt context.CancelFunc) {
 	u.mu.Lock()
 	attempt()
 	u.mu.Unlock()
--- a/internal/edgenode/answer.go
+++ b/internal/edgenode/upstream/response.go
@@ -1,4 +1,4 @@
-package edgenode
+package upstream
 
 import (
 	"context"
@@ -22,21 +22,21 @@
 
 var errResponseTooLong = errors.New("response is too long")
 
-// serverResponse is the whole response of an app server.
-type serverResponse struct {
-	body        []byte
-	contentType string
-	loadReport  *balancer.LoadReport // nil: it carried none
-	units       float64              // that the request counted in the end; 0: not given
-	connectedAt time.Time            // when the connection that it came on was made; zero: there was no response
+// Response is the whole response of an app server.
+type Response struct {
+	Body        []byte
+	ContentType string
+	LoadReport  *balancer.LoadReport // nil: it carried none
+	Units       float64              // that the request counted in the end; 0: not given
+	ConnectedAt time.Time            // when the connection that it came on was made; zero: there was no response
 }
 
-// settledUnits is the true units of a request, 0 where they are not given or exceed what any request counts.
-func (r *serverResponse) settledUnits(maxUnits float64) float64 {
-	if maxUnits > 0 && r.units > maxUnits {
+// SettledUnits is the true units of a request, 0 where they are not given or exceed what any request counts.
+func (r *Response) SettledUnits(maxUnits float64) float64 {
+	if maxUnits > 0 && r.Units > maxUnits {
 		return 0
 	}
-	return r.units
+	return r.Units
 }
 
 // responseReader reads what comes in on a connection, bounded for each response: in bytes, against heads and bodies
@@ -101,25 +101,25 @@
 
 // readResponse reads a whole response and tells whether the connection can be used again. A malformed response is not
 // read to its end: its connection is closed instead.
-func (c *conn) readResponse(req *http.Request) (r serverResponse, result balancer.Result, reuse bool) {
+func (c *conn) readResponse(req *http.Request) (r Response, result balancer.Result, reuse bool) {
 	resp, err := c.readHead(req)
 	if err != nil {
-		return serverResponse{}, c.reader.failed(), false
+		return Response{}, c.reader.failed(), false
 	}
 	if resp.ContentLength > maxResponseBody {
-		return serverResponse{}, balancer.ErrorResponse, false
+		return Response{}, balancer.ErrorResponse, false
 	}
 	body, err := readResponseBody(resp)
 	if err != nil {
-		return serverResponse{}, c.reader.failed(), false
+		return Response{}, c.reader.failed(), false
 	}
 	if len(body) > maxResponseBody {
-		return serverResponse{}, balancer.ErrorResponse, false
+		return Response{}, balancer.ErrorResponse, false
 	}
 	c.reader.clearDeadline()
 	// What follows the response belongs to no request: the next one would take it for its own.
 	reuse = !resp.Close && c.buffered.Buffered() == 0
-	return newServerResponse(resp, body), resultOf(resp), reuse
+	return newResponse(resp, body), resultOf(resp), reuse
 }
 
 // readHead reads the head of the final response.
@@ -143,13 +143,13 @@
 	return body, err
 }
 
-func newServerResponse(resp *http.Response, body []byte) serverResponse {
-	r := serverResponse{body: body, contentType: resp.Header.Get("Content-Type")}
+func newResponse(resp *http.Response, body []byte) Response {
+	r := Response{Body: body, ContentType: resp.Header.Get("Content-Type")}
 	if text := resp.Header.Get("Endpoint-Load-Metrics"); text != "" {
-		r.loadReport = parseLoadReport(text)
+		r.LoadReport = parseLoadReport(text)
 	}
 	if units, ok := decimal.Parse(resp.Header.Get("X-Settled")); ok {
-		r.units = units
+		r.Units = units
 	}
 	return r
 }
--- a/internal/edgenode/upstream.go
+++ b/internal/edgenode/upstream/upstream.go
@@ -1,4 +1,6 @@
-package edgenode
+// Package upstream is an edge node's side towards the app servers: a [Pool] of connections, and on them exchanges of one
+// request and its response each. It says of each attempt what came of it, and above all whether it may have run.
+package upstream
 
 import (
 	"bytes"
@@ -20,22 +22,24 @@
 // before.
 const staleResetWindow = 20 * time.Millisecond
 
-// upstream holds the connections to app servers. The client of net/http is not used: it silently sends a request again
-// when a kept connection turns out dead, which would be a second copy. Here one call of exchange writes a request once
-// at most.
-type upstream struct {
-	dialer  net.Dialer
+// Pool holds the connections to app servers. The client of net/http is not used: it silently sends a request again when
+// a kept connection turns out dead, which would be a second copy. Here one call of Exchange writes a request once at
+// most. Its methods may be called from many goroutines.
+type Pool struct {
+	// DialContext makes the connections, which have to be [syscall.Conn]; it is not to be changed once they are made.
+	DialContext func(ctx context.Context, network, addr string) (net.Conn, error)
+
 	maxIdle time.Duration
 	maxOpen int // connections, idle or not, as descriptors are limited
 
 	mu       sync.Mutex
-	backends map[string]*backend // by endpoint id
+	backends map[string]*Backend // by endpoint id
 	open     int
 }
 
-// backend is an app server, as the list describes it, and its idle connections, the latest used last. What makes it
-// another server to a request that was decided on makes it another backend.
-type backend struct {
+// Backend is an app server, as the list describes it, and its idle connections, the latest used last. What makes it
+// another server to a request that was decided on makes it another Backend. Its fields are guarded by the pool's mutex.
+type Backend struct {
 	addr      netip.AddrPort
 	startedAt time.Duration
 	zone      string
@@ -47,19 +51,27 @@
 	keepIdleSetAt time.Time
 }
 
-// newUpstream returns an upstream without servers that opens at most maxOpen connections.
-func newUpstream(t settings.Transport, maxOpen int) *upstream {
-	return &upstream{
-		dialer:   net.Dialer{Timeout: t.ConnectTimeout, KeepAlive: -1},
-		maxIdle:  time.Duration(idleFraction * float64(t.ConnIdle)),
-		maxOpen:  maxOpen,
-		backends: map[string]*backend{},
+// New returns a pool without servers that opens at most maxOpen connections. Connections to an app server are kept for a
+// part of the idle time of the settings.
+func New(t settings.Transport, maxOpen int) *Pool {
+	return &Pool{
+		DialContext: (&net.Dialer{Timeout: t.ConnectTimeout, KeepAlive: -1}).DialContext,
+		maxIdle:     time.Duration(idleFraction * float64(t.ConnIdle)),
+		maxOpen:     maxOpen,
+		backends:    map[string]*Backend{},
 	}
 }
 
+// Update applies entries of the list, all there are if it is complete. A server that drains, moved, restarted or left the
+// list gets nothing new from then on. The returned function closes its idle connections.
+func (u *Pool) Update(entries []endpointlist.Endpoint, complete bool) (closeUnused func()) {
+	unused := u.update(entries, complete)
+	return func() { closeAll(unused) }
+}
+
 // update applies entries of the list, all there are if it is complete, and returns the idle connections that are of no
 // more use, for the caller to close. A server that drains, moved, restarted or left the list keeps none.
-func (u *upstream) update(entries []endpointlist.Endpoint, complete bool) (unused []*conn) {
+func (u *Pool) update(entries []endpointlist.Endpoint, complete bool) (unused []*conn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	listed := map[string]bool{}
@@ -81,7 +93,7 @@
 }
 
 // updateBackend applies one entry and returns the idle connections that are of no more use. Called under the mutex.
-func (u *upstream) updateBackend(e endpointlist.Endpoint) (unused []*conn) {
+func (u *Pool) updateBackend(e endpointlist.Endpoint) (unused []*conn) {
 	if e.State == balancer.Removed {
 		return u.remove(e.ID)
 	}
@@ -91,7 +103,7 @@
 		b = nil
 	}
 	if b == nil {
-		b = &backend{addr: e.Addr, startedAt: e.StartedAt, zone: e.Zone, cell: e.Cell}
+		b = &Backend{addr: e.Addr, startedAt: e.StartedAt, zone: e.Zone, cell: e.Cell}
 		u.backends[e.ID] = b
 	}
 	if b.up = e.State == balancer.Up; !b.up {
@@ -101,12 +113,12 @@
 }
 
 // describes tells whether an entry means the same server.
-func (b *backend) describes(e endpointlist.Endpoint) bool {
+func (b *Backend) describes(e endpointlist.Endpoint) bool {
 	return b.addr == e.Addr && b.startedAt == e.StartedAt && b.zone == e.Zone && b.cell == e.Cell
 }
 
 // remove removes a backend, if it is there, and returns its idle connections. Called under the mutex.
-func (u *upstream) remove(id string) []*conn {
+func (u *Pool) remove(id string) []*conn {
 	b := u.backends[id]
 	if b == nil {
 		return nil
@@ -117,22 +129,22 @@
 	return idle
 }
 
-// lookup returns the server as it is now, nil if it is not listed.
-func (u *upstream) lookup(endpointID string) *backend {
+// Lookup returns the server as it is now, nil if it is not listed.
+func (u *Pool) Lookup(endpointID string) *Backend {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.backends[endpointID]
 }
 
-// exchange writes the message to the server, once at most, and reads the whole response. It gives up when ctx ends, by
+// Exchange writes the message to the server, once at most, and reads the whole response. It gives up when ctx ends, by
 // closing the connection before it returns.
-func (u *upstream) exchange(ctx context.Context, endpointID string, m *message, limits writeLimits) (serverResponse, balancer.Result) {
+func (u *Pool) Exchange(ctx context.Context, endpointID string, m *Message, limits WriteLimits) (Response, balancer.Result) {
 	if deadline, ok := ctx.Deadline(); ok {
 		limits.startBefore = deadline
 	}
 	sent, err := u.send(ctx, endpointID, m, limits)
 	if err != nil {
-		return serverResponse{}, unsentResult(ctx, err)
+		return Response{}, unsentResult(ctx, err)
 	}
 	return u.receive(ctx, sent)
 }
@@ -146,9 +158,9 @@
 }
 
 // send writes a request on a connection, or on another one where an idle connection was closed before the first byte.
-func (u *upstream) send(ctx context.Context, endpointID string, m *message, limits writeLimits) (sentRequest, error) {
+func (u *Pool) send(ctx context.Context, endpointID string, m *Message, limits WriteLimits) (sentRequest, error) {
 	for {
-		c, err := u.acquire(ctx, endpointID, limits.backend)
+		c, err := u.acquire(ctx, endpointID, limits.Backend)
 		if err != nil {
 			return sentRequest{}, err
 		}
@@ -172,7 +184,7 @@
 }
 
 // receive reads the response to a request and gives its connection back or closes it.
-func (u *upstream) receive(ctx context.Context, sent sentRequest) (serverResponse, balancer.Result) {
+func (u *Pool) receive(ctx context.Context, sent sentRequest) (Response, balancer.Result) {
 	c := sent.conn
 	response, result, reuse := c.readResponse(sent.request)
 	if result == balancer.Reset && !c.reader.started && c.rested >= minKeepIdle && time.Since(sent.writtenAt) < staleResetWindow {
@@ -190,7 +202,7 @@
 	case balancer.TimedOut:
 		u.closeIdle(c.backend)
 	case balancer.OK, balancer.Overloaded, balancer.ErrorResponse:
-		response.connectedAt = c.connectedAt
+		response.ConnectedAt = c.connectedAt
 	}
 	return response, result
 }
@@ -222,5 +234,5 @@
 	return balancer.ConnectFailed
 }
 
-// close closes all idle connections.
-func (u *upstream) close() { closeAll(u.update(nil, true)) }
+// Close closes all idle connections.
+func (u *Pool) Close() { closeAll(u.update(nil, true)) }
--- a/internal/edgenode/upstream_test.go
+++ b/internal/edgenode/upstream/upstream_test.go
@@ -1,17 +1,13 @@
-package edgenode
+package upstream
 
 import (
 	"context"
 	"errors"
-	"fmt"
 	"io"
-	"log/slog"
 	"net"
 	"net/http"
 	"net/netip"
 	"strings"
-	"sync/atomic"
-	"syscall"
 	"testing"
 	"time"
 
@@ -21,19 +17,19 @@
 	"opalhook/internal/settings"
 )
 
-func testUpstream(servers ...endpointlist.Endpoint) *upstream {
-	u := newUpstream(settings.Transport{ConnIdle: time.Minute, ConnectTimeout: 5 * time.Second}, 100)
+func testUpstream(servers ...endpointlist.Endpoint) *Pool {
+	u := New(settings.Transport{ConnIdle: time.Minute, ConnectTimeout: 5 * time.Second}, 100)
 	u.update(servers, true)
 	return u
 }
 
-var get = message{method: "GET", target: "/check?customer=1", id: "t1"}
+var get = Message{Method: "GET", Target: "/check?customer=1", ID: "t1"}
 
-func exchange(t *testing.T, u *upstream, server string) (serverResponse, balancer.Result) {
+func exchange(t *testing.T, u *Pool, server string) (Response, balancer.Result) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), nodetest.Patience)
 	defer cancel()
-	return u.exchange(ctx, server, &get, writeLimits{})
+	return u.Exchange(ctx, server, &get, WriteLimits{})
 }
 
 func wantResult(t *testing.T, got, want balancer.Result) {
@@ -43,24 +39,6 @@
 	}
 }
 
-// wantClosed waits until the peer has closed its end.
-func wantClosed(t *testing.T, c net.Conn) {
-	t.Helper()
-	nodetest.Eventually(t, "connection closed by the node", func() bool {
-		raw, err := c.(*net.TCPConn).SyscallConn()
-		if err != nil {
-			return true
-		}
-		closed := false
-		err = raw.Control(func(fd uintptr) {
-			var b [1]byte
-			n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-			closed = err == nil && n == 0 || err == syscall.ECONNRESET
-		})
-		return err != nil || closed
-	})
-}
-
 func TestResultsOfAnswers(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
@@ -87,8 +65,8 @@
 			u := testUpstream(s.Endpoint("a"))
 			rep, res := exchange(t, u, "a")
 			wantResult(t, res, c.want)
-			if res == balancer.OK && string(rep.body) != "body" {
-				t.Errorf("body %q", rep.body)
+			if res == balancer.OK && string(rep.Body) != "body" {
+				t.Errorf("body %q", rep.Body)
 			}
 			if got := len(u.backends["a"].idle) == 1; got != c.reused {
 				t.Errorf("kept: %v, want %v", got, c.reused)
@@ -106,7 +84,7 @@
 		s := nodetest.NewAppServer(t, nodetest.Say("HTTP/1.1 200 OK\r\n"+text+"Content-Length: 4\r\n\r\nbody"))
 		rep, res := exchange(t, testUpstream(s.Endpoint("a")), "a")
 		wantResult(t, res, balancer.OK)
-		if got := rep.settledUnits(8); got != want {
+		if got := rep.SettledUnits(8); got != want {
 			t.Errorf("%q: %v units, want %v", text, got, want)
 		}
 	}
@@ -184,7 +162,7 @@
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), nodetest.Patience)
 			defer cancel()
-			if _, res := u.exchange(ctx, "a", &message{method: "GET", target: "/check", id: "fine"}, writeLimits{}); res != balancer.OK {
+			if _, res := u.Exchange(ctx, "a", &Message{Method: "GET", Target: "/check", ID: "fine"}, WriteLimits{}); res != balancer.OK {
 				t.Errorf("the next request: result %d", res)
 			}
 		})
@@ -210,10 +188,10 @@
 	}
 	u.open++
 	u.release(other)
-	u.rest("a")
+	u.rest()
 	ctx, result := nodetest.NewEndingContext(), make(chan balancer.Result, 1)
 	go func() {
-		_, res := u.exchange(ctx, "a", &get, writeLimits{})
+		_, res := u.Exchange(ctx, "a", &get, WriteLimits{})
 		result <- res
 	}()
 	nodetest.Await(t, "half an answer", written)
@@ -249,11 +227,11 @@
 			})
 			u := testUpstream(s.Endpoint("a"))
 			b := u.backends["a"]
-			fine := &message{method: "GET", target: "/check", id: "fine"}
+			fine := &Message{Method: "GET", Target: "/check", ID: "fine"}
 			ctx, cancel := context.WithTimeout(context.Background(), nodetest.Patience)
 			defer cancel()
 			rest := func(d time.Duration) {
-				u.exchange(ctx, "a", fine, writeLimits{})
+				u.Exchange(ctx, "a", fine, WriteLimits{})
 				b.idle[0].idleSince = time.Now().Add(-d)
 			}
 			rest(c.rested)
@@ -264,7 +242,7 @@
 			}
 			rest(c.rested)
 			old := b.idle[0]
-			u.exchange(ctx, "a", fine, writeLimits{})
+			u.Exchange(ctx, "a", fine, WriteLimits{})
 			if again := b.idle[0] == old; again == c.learns {
 				t.Errorf("used again: %v", again)
 			}
@@ -294,7 +272,7 @@
 	u := testUpstream(s.Endpoint("a"))
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(-time.Second))
 	defer cancel()
-	_, res := u.exchange(ctx, "a", &get, writeLimits{})
+	_, res := u.Exchange(ctx, "a", &get, WriteLimits{})
 	wantResult(t, res, balancer.NotSent)
 }
 
@@ -313,7 +291,7 @@
 	u := testUpstream(s.Endpoint("a"))
 	_, res := exchange(t, u, "a")
 	wantResult(t, res, balancer.OK)
-	u.rest("a")
+	u.rest()
 	_, res = exchange(t, u, "a")
 	wantResult(t, res, balancer.Reset)
 	if n := len(s.Requests()); n != 2 {
@@ -332,7 +310,7 @@
 	done := make(chan balancer.Result, 2)
 	for range 2 {
 		go func() {
-			_, res := u.exchange(context.Background(), "a", &get, writeLimits{})
+			_, res := u.Exchange(context.Background(), "a", &get, WriteLimits{})
 			done <- res
 		}()
 	}
@@ -345,7 +323,7 @@
 		t.Fatalf("%d idle connections for two requests at once", len(idle))
 	}
 	older, last := idle[0], idle[1]
-	u.rest("a")
+	u.rest()
 	exchange(t, u, "a")
 	if idle = u.backends["a"].idle; len(idle) != 2 || idle[0] != older || idle[1] != last {
 		t.Error("another connection was used than the last")
@@ -361,7 +339,7 @@
 	_ = (<-s.Conns).Close()
 	c := u.backends["a"].idle[0]
 	nodetest.Eventually(t, "close arrived", func() bool { return !c.quiet() })
-	u.rest("a")
+	u.rest()
 	_, res := exchange(t, u, "a")
 	wantResult(t, res, balancer.OK)
 	if u.open != 1 {
@@ -376,13 +354,13 @@
 	exchange(t, u, "a")
 	u.backends["a"].idle[0].idleSince = time.Now().Add(-u.maxIdle)
 	exchange(t, u, "a")
-	wantClosed(t, nodetest.Await(t, "a connection", s.Conns))
+	nodetest.WantClosed(t, nodetest.Await(t, "a connection", s.Conns))
 	u.backends["a"].idle[0].idleSince = time.Now().Add(-u.maxIdle)
 	u.maxIdle = 50 * time.Millisecond // sets the reaper's pace
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go u.reapIdle(ctx)
-	wantClosed(t, nodetest.Await(t, "a connection", s.Conns))
+	go u.ReapIdle(ctx)
+	nodetest.WantClosed(t, nodetest.Await(t, "a connection", s.Conns))
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.open != 0 {
@@ -393,11 +371,11 @@
 // A server whose machine is gone says nothing: the dial has a bound of its own, and
 // what it ends has never run.
 func TestDialIsBounded(t *testing.T) {
-	u := newUpstream(settings.Transport{ConnIdle: time.Minute, ConnectTimeout: 50 * time.Millisecond}, 100)
-	u.update([]endpointlist.Endpoint{{Endpoint: balancer.Endpoint{ID: "a"}, Addr: blocked(t)}}, true)
+	u := New(settings.Transport{ConnIdle: time.Minute, ConnectTimeout: 50 * time.Millisecond}, 100)
+	u.update([]endpointlist.Endpoint{{Endpoint: balancer.Endpoint{ID: "a"}, Addr: nodetest.Blocked(t)}}, true)
 	ctx, cancel := context.WithTimeout(context.Background(), nodetest.Patience)
 	defer cancel()
-	_, res := u.exchange(ctx, "a", &get, writeLimits{})
+	_, res := u.Exchange(ctx, "a", &get, WriteLimits{})
 	wantResult(t, res, balancer.ConnectFailed)
 	if ctx.Err() != nil || u.open != 0 {
 		t.Errorf("context %v, %d connections counted", ctx.Err(), u.open)
@@ -414,13 +392,13 @@
 		u := testUpstream(s.Endpoint("a"))
 		ctx, result := nodetest.NewEndingContext(), make(chan balancer.Result, 1)
 		go func() {
-			_, res := u.exchange(ctx, "a", &get, writeLimits{})
+			_, res := u.Exchange(ctx, "a", &get, WriteLimits{})
 			result <- res
 		}()
 		nodetest.Eventually(t, "request out", func() bool { return len(s.Requests()) == 1 })
 		ctx.End(reason)
 		wantResult(t, nodetest.Await(t, "a result", result), want)
-		wantClosed(t, nodetest.Await(t, "a connection", s.Conns))
+		nodetest.WantClosed(t, nodetest.Await(t, "a connection", s.Conns))
 		if u.open != 0 {
 			t.Errorf("%d connections counted, none open", u.open)
 		}
@@ -445,14 +423,14 @@
 	u.release(c)
 	ctx, result := nodetest.NewEndingContext(), make(chan balancer.Result, 1)
 	go func() {
-		_, res := u.exchange(ctx, "a", &message{method: "GET", target: "/check", id: "silent"}, writeLimits{})
+		_, res := u.Exchange(ctx, "a", &Message{Method: "GET", Target: "/check", ID: "silent"}, WriteLimits{})
 		result <- res
 	}()
 	nodetest.Eventually(t, "request out", func() bool { return len(s.Requests()) == 2 })
 	ctx.End(context.DeadlineExceeded)
 	wantResult(t, nodetest.Await(t, "a result", result), balancer.TimedOut)
-	wantClosed(t, nodetest.Await(t, "a connection", s.Conns))
-	wantClosed(t, nodetest.Await(t, "a second connection", s.Conns))
+	nodetest.WantClosed(t, nodetest.Await(t, "a connection", s.Conns))
+	nodetest.WantClosed(t, nodetest.Await(t, "a second connection", s.Conns))
 	if u.open != 0 {
 		t.Errorf("%d connections counted, none open", u.open)
 	}
@@ -494,14 +472,14 @@
 			exchange(t, u, "a") // leaves one idle
 			done := make(chan balancer.Result)
 			go func() {
-				_, res := u.exchange(context.Background(), "a", &get, writeLimits{})
+				_, res := u.Exchange(context.Background(), "a", &get, WriteLimits{})
 				done <- res
 			}()
 			nodetest.Eventually(t, "second request out", func() bool { return len(s.Requests()) == 2 })
 			closeAll(u.update(change(s.Endpoint("a"))))
 			close(hold)
 			wantResult(t, nodetest.Await(t, "a result", done), balancer.OK)
-			wantClosed(t, nodetest.Await(t, "a connection", s.Conns))
+			nodetest.WantClosed(t, nodetest.Await(t, "a connection", s.Conns))
 			if u.open != 0 {
 				t.Errorf("%d connections counted, none open", u.open)
 			}
@@ -528,44 +506,38 @@
 	}
 }
 
-// A request that has its final answer is not sent any more, also where its attempt has its connection
-// and nobody has told it.
-func TestNothingIsSentBehindTheFinalAnswer(t *testing.T) {
+// A message that was withdrawn is not sent any more, also where it has its connection, nor is an attempt that was given
+// up, and nobody has told either.
+func TestNothingIsSentOfWhatWasWithdrawn(t *testing.T) {
 	srv := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
-	n, err := newNode(t.Context(), testConfig(srv.Endpoint("a")), slog.New(slog.DiscardHandler))
+	u := testUpstream(srv.Endpoint("a"))
+	c, err := u.acquire(t.Context(), "a", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.startBalancer()
-	c, err := n.upstream.acquire(t.Context(), "a", nil)
-	if err != nil {
-		t.Fatal(err)
-	}
-	fl := &inflightRequest{id: "t1", message: get, response: make(chan clientResponse, 1)}
-	n.mu.Lock()
-	n.finishRequest(fl, clientResponse{kind: responseFailed})
-	n.mu.Unlock()
-	n.upstream.release(c)
-	if _, result := n.upstream.exchange(t.Context(), "a", &fl.message, writeLimits{}); result != balancer.NotSent {
+	withdrawn := get
+	u.Withdraw(&withdrawn)
+	u.release(c)
+	if _, result := u.Exchange(t.Context(), "a", &withdrawn, WriteLimits{}); result != balancer.NotSent {
 		t.Errorf("result %v", result)
 	}
-	c, err = n.upstream.acquire(t.Context(), "a", nil)
+	c, err = u.acquire(t.Context(), "a", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, giveUp := context.WithCancel(t.Context())
-	n.upstream.cancelAttempt(giveUp)
-	if err := n.upstream.writeRequest(ctx, c, &message{}, writeLimits{}, []byte("GET /givenup HTTP/1.1\r\nHost: a\r\n\r\n")); !errors.Is(err, context.Canceled) {
+	u.Cancel(giveUp)
+	if err := u.writeRequest(ctx, c, &Message{}, WriteLimits{}, []byte("GET /givenup HTTP/1.1\r\nHost: a\r\n\r\n")); !errors.Is(err, context.Canceled) {
 		t.Errorf("an attempt that was given up is written: %v", err)
 	}
-	n.upstream.release(c)
-	if _, result := n.upstream.exchange(t.Context(), "a", &message{method: "GET", target: "/other"}, writeLimits{}); result != balancer.OK {
+	u.release(c)
+	if _, result := u.Exchange(t.Context(), "a", &Message{Method: "GET", Target: "/other"}, WriteLimits{}); result != balancer.OK {
 		t.Errorf("another request: result %v", result)
 	}
 	if got := srv.Requests(); len(got) != 1 || got[0] != "GET /other " {
 		t.Errorf("sent %q", got)
 	}
-	n.close()
+	u.Close()
 }
 
 // A request that was decided on and has its connection, but whose first byte has not gone out
@@ -574,13 +546,13 @@
 	srv := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 	for _, kept := range []bool{false, true} {
 		in := srv.Endpoint("a")
-		u := newUpstream(settings.Transport{ConnIdle: time.Minute, ConnectTimeout: nodetest.Patience}, 10)
+		u := New(settings.Transport{ConnIdle: time.Minute, ConnectTimeout: nodetest.Patience}, 10)
 		u.update([]endpointlist.Endpoint{in}, true)
 		if kept {
-			if _, result := u.exchange(t.Context(), "a", &message{method: "GET", target: "/first"}, writeLimits{}); result != balancer.OK {
+			if _, result := u.Exchange(t.Context(), "a", &Message{Method: "GET", Target: "/first"}, WriteLimits{}); result != balancer.OK {
 				t.Fatalf("first request: %v", result)
 			}
-			u.rest("a")
+			u.rest()
 		}
 		c, err := u.acquire(t.Context(), "a", nil)
 		if err != nil {
@@ -589,7 +561,7 @@
 		before := len(srv.Requests())
 		in.State = balancer.Draining
 		closeAll(u.update([]endpointlist.Endpoint{in}, false))
-		if err := u.writeRequest(t.Context(), c, &message{}, writeLimits{}, []byte("GET /late HTTP/1.1\r\nHost: a\r\n\r\n")); !errors.Is(err, errNotUp) {
+		if err := u.writeRequest(t.Context(), c, &Message{}, WriteLimits{}, []byte("GET /late HTTP/1.1\r\nHost: a\r\n\r\n")); !errors.Is(err, errNotUp) {
 			t.Errorf("kept %v: written with error %v", kept, err)
 		}
 		nodetest.SetDeadline(t, c)
@@ -601,7 +573,7 @@
 		if n := len(srv.Requests()) - before; n != 0 {
 			t.Errorf("kept %v: %d requests came in after the news", kept, n)
 		}
-		u.close()
+		u.Close()
 	}
 }
 
@@ -614,7 +586,7 @@
 	exchange(t, u, "a")
 	_, res := exchange(t, u, "b")
 	wantResult(t, res, balancer.OK)
-	wantClosed(t, nodetest.Await(t, "a connection", a.Conns))
+	nodetest.WantClosed(t, nodetest.Await(t, "a connection", a.Conns))
 	busy, err := u.acquire(context.Background(), "b", nil)
 	if err != nil {
 		t.Fatal(err)
@@ -644,96 +616,3 @@
 		}
 	}
 }
-
-// A machine that has vanished leaves its connections open and silent, and the list says so
-// late. The probe that finds it must keep clients' requests away until it answers again.
-func TestSilentServerGetsNoRequest(t *testing.T) {
-	const warmUp, leastMet, whileSilent = 300, 100, 30 // requests
-	var gone atomic.Bool
-	var met atomic.Int32 // requests of clients that the preferred server has read
-	preferred := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, _ []byte) bool {
-		if r.RequestURI != loadPath {
-			met.Add(1)
-		}
-		return gone.Load() || answerWithQueue(c, r, 0)
-	})
-	// A queue this long outweighs any difference in latency, whatever the machine is busy with.
-	other := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, _ []byte) bool { return answerWithQueue(c, r, 10000) })
-	cfg := testConfig(preferred.Endpoint("preferred"), other.Endpoint("other"))
-	cfg.Settings.HealthChecks, cfg.Settings.LoadReports = true, balancer.LoadReportsInHealthChecks
-	r := run(t, cfg)
-	c, n := nodetest.Dial(t, r.addr), 0
-	ask := func() (byPreferred bool) {
-		n++
-		before := met.Load()
-		if a := c.Ask(request("check", fmt.Sprint("q", n))); a.Status != http.StatusOK {
-			t.Fatalf("request %d: %d", n, a.Status)
-		}
-		return met.Load() > before
-	}
-	// The last one has its answer from the preferred server, which is known to live by that.
-	for byPreferred := false; n < warmUp || met.Load() < leastMet || !byPreferred; {
-		byPreferred = ask()
-	}
-	before, logged := met.Load(), len(r.logs.String())
-	gone.Store(true)
-	nodetest.Eventually(t, "a probe finds the silent server", func() bool {
-		return strings.Contains(r.logs.String()[logged:], `msg="endpoint unreachable until a health check succeeds" node=n0 endpoint=preferred`)
-	})
-	for range whileSilent {
-		ask()
-	}
-	if got := met.Load() - before; got != 0 {
-		t.Errorf("%d requests went to a silent server", got)
-	}
-	gone.Store(false)
-	for end := time.Now().Add(nodetest.Patience); met.Load() == before; ask() {
-		if time.Now().After(end) {
-			t.Fatal("the server answers again and gets no request")
-		}
-	}
-}
-
-// answerWithQueue answers a request or, where that is a probe, reports a queue of this length.
-func answerWithQueue(c net.Conn, r *http.Request, queue int) bool {
-	body := "body"
-	if r.RequestURI == loadPath {
-		body = fmt.Sprintf("TEXT util=0.1, queue=%d", queue)
-	}
-	_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	return err == nil
-}
-
-// A server that refuses a new connection and goes on answering on an old one has not
-// restarted: it must not count as cold, which would keep most requests from it.
-func TestRefusedConnectionAtALiveServer(t *testing.T) {
-	held, release := make(chan struct{}), make(chan struct{})
-	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, _ []byte) bool {
-		if r.Header.Get("X-Trace-Id") == "held" {
-			close(held)
-			<-release
-		}
-		_, err := io.WriteString(c, nodetest.OKResponse)
-		return err == nil
-	})
-	cfg := testConfig(s.Endpoint("a"))
-	cfg.Settings.SlowStartDuration, cfg.Settings.SlowStartInitialFraction = time.Hour, 0.01
-	cfg.Settings.OverloadFactor, cfg.Settings.OverloadWindow = 2, time.Second
-	r := run(t, cfg)
-	c, other := nodetest.Dial(t, r.addr), nodetest.Dial(t, r.addr)
-	c.Send(request("check", "held")) // on the server's one connection
-	nodetest.Await(t, "the held request is out", held)
-	_ = s.Listener.Close()
-	if a := other.Ask(request("check", "refused")); a.Status != http.StatusTooManyRequests {
-		t.Fatalf("with no connection to be had: %d", a.Status)
-	}
-	close(release)
-	if a := c.Receive(); a.Status != http.StatusOK {
-		t.Fatalf("the request held: %d", a.Status)
-	}
-	for i := range 20 {
-		if a := c.Ask(request("check", fmt.Sprint("next", i))); a.Status != http.StatusOK {
-			t.Fatalf("request %d after the old connection's answer: %d", i, a.Status)
-		}
-	}
-}
