--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -125,21 +125,21 @@
 func TestGoldenAgent(t *testing.T) {
 	r := startScripted(t)
 	rules := quick()
-	rules.Silence, rules.Dial = patience, patience // the one watch is not left, however busy the machine is
+	rules.SilenceTimeout, rules.DialTimeout = patience, patience // the one watch is not left, however busy the machine is
 	a, err := Start(t.Context(), Config{Replicas: []string{r.addr}, Listen: "127.0.0.1:0", Name: "m", Rules: rules, Seed: 1, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer a.Close()
 	requests := nextOf(t, "first request", r.requests)
-	first := server(1, Up)
+	first := server(1, discovery.Up)
 	first.Zone, first.MachineType, first.Cell, first.Weight, first.StartedAtMs = "a", "std-4c", 3, 0.25, 1700000000123
-	r.lines <- line(Message{Generation: 7<<discovery.EpochBits | 10, Reset: true, Instances: []Entry{server(3, Draining), first, server(2, Up)}})
+	r.lines <- line(discovery.Message{Generation: 7<<discovery.EpochBits | 10, Reset: true, Instances: []discovery.Entry{server(3, discovery.Draining), first, server(2, discovery.Up)}})
 	node := rawNode(t, a, 0)
 	told := nextOf(t, "whole list", node)
-	first.Lifecycle = Draining
-	for i, entries := range [][]Entry{{first, server(0, Up)}, {server(3, Removed)}, {}, {server(9, Up), server(2, Removed)}} {
-		r.lines <- line(Message{Generation: 7<<discovery.EpochBits | uint64(11+i), Instances: entries})
+	first.Lifecycle = discovery.Draining
+	for i, entries := range [][]discovery.Entry{{first, server(0, discovery.Up)}, {server(3, discovery.Removed)}, {}, {server(9, discovery.Up), server(2, discovery.Removed)}} {
+		r.lines <- line(discovery.Message{Generation: 7<<discovery.EpochBits | uint64(11+i), Instances: entries})
 		if len(entries) > 0 {
 			told += nextOf(t, "change", node)
 		}
@@ -159,7 +159,7 @@
 	golden.Check(t, "golden/list.txt", list)
 	r.lines <- ""
 	requests += nextOf(t, "request after the watch's end", r.requests)
-	if m, err := a.ask(r.addr); err != nil || m.Generation != 20 || !m.Reset || len(m.Instances) != 2 || m.Instances[1] != server(1, Up) {
+	if m, err := a.replicas.fetch(t.Context(), r.addr); err != nil || m.Generation != 20 || !m.Reset || len(m.Instances) != 2 || m.Instances[1] != server(1, discovery.Up) {
 		t.Errorf("asked for the list: %+v, error %v", m, err)
 	}
 	golden.Check(t, "golden/requests.txt", []byte(requests+nextOf(t, "request of the list", r.requests)))
@@ -167,7 +167,7 @@
 
 // What an agent says of itself is written as recorded.
 func TestGoldenStatus(t *testing.T) {
-	status := Status{Generation: 7<<discovery.EpochBits | 10, Servers: 3, Watching: true, Age: 0.25, Doubting: true, Calls: 4, Watches: 5, Published: 6}
+	status := Status{Generation: 7<<discovery.EpochBits | 10, Endpoints: 3, Watching: true, AgeSeconds: 0.25, Suspecting: true, ReplicaCalls: 4, NodeWatches: 5, ListsPublished: 6}
 	text, err := json.Marshal(status)
 	if err != nil {
 		t.Fatal(err)
