--- a/internal/edgenode/cross_test.go
+++ b/internal/edgenode/conn_cross_test.go
@@ -1,17 +1,13 @@
 package edgenode
 
 import (
-	"context"
 	"errors"
 	"fmt"
 	"io"
-	"log/slog"
 	"net"
 	"net/http"
-	"net/netip"
 	"strings"
 	"sync/atomic"
-	"syscall"
 	"testing"
 	"time"
 
@@ -259,126 +255,6 @@
 	nodetest.Eventually(t, "its slot is free", func() bool { return len(f.conns.all()) == 0 })
 }
 
-// Connections that stand in the listener's queue when it is to close are taken and answered.
-func TestQueueIsEmptiedBeforeTheListenerCloses(t *testing.T) {
-	f := idleFront(t, testConfig())
-	f.ready.Store(true)
-	ln := newClientListener(nodetest.Listen(t), f.conns)
-	var clients []*nodetest.Client
-	for range 20 {
-		c := nodetest.Dial(t, ln.Addr().String())
-		c.Send(readyRequest)
-		clients = append(clients, c)
-	}
-	closed := make(chan struct{})
-	go func() { ln.closeWhenQueueEmpty(); close(closed) }()
-	nodetest.Eventually(t, "the listener is told", func() bool { return ln.closingSince.Load() != nil })
-	serveClients(t, f, ln) // nobody accepted until now
-	for i, c := range clients {
-		if a := c.Receive(); a.Status != http.StatusOK {
-			t.Errorf("client %d: %+v", i, a)
-		}
-	}
-	nodetest.Await(t, "the listener's close", closed)
-	if c, err := net.Dial("tcp", ln.Addr().String()); err == nil {
-		_ = c.Close()
-		t.Error("the listener is still open")
-	}
-}
-
-// The drain may have closed all before the library sees that its listener is closed: that is no failure.
-func TestDrainOvertakesTheListener(t *testing.T) {
-	f := idleFront(t, testConfig())
-	ln := newClientListener(nodetest.Listen(t), f.conns)
-	f.draining.Store(true)
-	_ = f.server.Close()
-	if err := f.serve(ln); err != nil {
-		t.Errorf("error %v", err)
-	}
-}
-
-// An order to end that comes before the node is ready ends it, with no listener opened.
-func TestEndBeforeReady(t *testing.T) {
-	cfg := testConfig()
-	cfg.listWait = nodetest.Patience
-	var asked chan struct{}
-	cfg.Discovery, asked = silentAgent(t)
-	ctx, stop := context.WithCancel(context.Background())
-	done := make(chan error, 1)
-	go func() {
-		done <- runWithListener(ctx, cfg, nil, slog.New(slog.DiscardHandler), func() (*net.TCPListener, error) {
-			return nil, errors.New("the listener was opened")
-		})
-	}()
-	nodetest.Await(t, "the agent is asked", asked)
-	stop()
-	if err := nodetest.Await(t, "the node's end", done); err != nil {
-		t.Error(err)
-	}
-}
-
-// silentAgent takes calls and answers none. called tells of each.
-func silentAgent(t *testing.T) (addr netip.AddrPort, called chan struct{}) {
-	called = make(chan struct{}, 1000)
-	ln := nodetest.Listen(t)
-	go func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			called <- struct{}{}
-			defer func() { _ = c.Close() }()
-		}
-	}()
-	return nodetest.AddrOf(ln), called
-}
-
-// A new configuration holds whenever its signal comes: before the node is ready, and while it drains.
-func TestReloadAtAnyMoment(t *testing.T) {
-	t.Run("before it is ready", func(t *testing.T) {
-		s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
-		cfg := testConfig()
-		cfg.listWait = nodetest.Patience
-		var called chan struct{}
-		cfg.Discovery, called = silentAgent(t)
-		moved := *cfg
-		moved.Discovery = serveDiscovery(t, func() string { return nodetest.ListJSON(8, true, s.Endpoint("a")) },
-			func(_ int, _ string, w io.Writer, ctx context.Context) { beat(ctx, w) })
-		cfg.reload = func() (*Config, error) { return &moved, nil }
-		n := run(t, cfg)
-		nodetest.Await(t, "the first agent is asked", called)
-		n.hup <- syscall.SIGHUP
-		if a := nodetest.Dial(t, n.addr).Ask(request("check", "t1")); a.Status != http.StatusOK {
-			t.Errorf("answer %+v", a)
-		}
-	})
-	t.Run("while it drains", func(t *testing.T) {
-		hold := make(chan struct{})
-		s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
-			<-hold
-			return nodetest.Say(nodetest.OKResponse)(c, r, body)
-		})
-		cfg := testConfig(s.Endpoint("a"))
-		moved := *cfg
-		var called chan struct{}
-		moved.Discovery, called = silentAgent(t)
-		cfg.reload = func() (*Config, error) { return &moved, nil }
-		n := run(t, cfg)
-		c := nodetest.Dial(t, n.addr)
-		c.Send(request("check", "t1"))
-		nodetest.Eventually(t, "request out", func() bool { return len(s.Requests()) == 1 })
-		n.stop()
-		nodetest.Eventually(t, "draining", func() bool { return strings.Contains(n.logs.String(), "draining") })
-		n.hup <- syscall.SIGHUP
-		nodetest.Await(t, "the new agent is asked", called)
-		close(hold)
-		if a := c.Receive(); a.Status != http.StatusOK {
-			t.Errorf("answer %+v", a)
-		}
-	})
-}
-
 // A client that leaves while its request waits for the first attempt takes it along, however it leaves and
 // whatever it has sent behind it.
 func TestClientLeavesBeforeTheFirstAttempt(t *testing.T) {
@@ -463,16 +339,6 @@
 	}
 }
 
-// Requests that come as the drain ends are due before the process may be killed, whatever wait they ask for.
-func TestLateRequestOfADrainIsDue(t *testing.T) {
-	f, addr := serveHooked(t, testConfig(nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse)).Endpoint("a")), func(*frontend, *clientConn) {})
-	past := time.Now()
-	f.answerBy.Store(&past)
-	if a := nodetest.Dial(t, addr).Ask(request("check", "t1")); a.Status != http.StatusTooManyRequests {
-		t.Errorf("answer %+v, want a refusal at once", a)
-	}
-}
-
 // A request that comes a byte at a time is one, wherever it is cut; a body that ends early and one whose
 // client goes in its middle are none.
 func TestByteAtATime(t *testing.T) {
@@ -500,15 +366,3 @@
 		t.Errorf("%d requests went on, want 3", got)
 	}
 }
-
-// A discovery that takes calls and answers none does not keep a node from serving with its saved list.
-func TestSilentDiscoveryKeepsNobodyWaiting(t *testing.T) {
-	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
-	cfg := testConfig(s.Endpoint("a"))
-	cfg.Discovery, _ = silentAgent(t)
-	cfg.listWait = polledListWait
-	n := run(t, cfg)
-	if a := nodetest.Dial(t, n.addr).Ask(request("check", "t1")); a.Status != http.StatusOK {
-		t.Errorf("answer %+v", a)
-	}
-}
--- a/internal/edgenode/front_test.go
+++ b/internal/edgenode/frontend_test.go
@@ -1,10 +1,8 @@
 package edgenode
 
 import (
-	"errors"
 	"fmt"
 	"io"
-	"io/fs"
 	"log/slog"
 	"net"
 	"net/http"
@@ -219,23 +217,6 @@
 	nodetest.WantClosed(t, nodetest.Await(t, "a connection", s.Conns))
 }
 
-// A request that the module sits on gets its answer from the host all the same.
-func TestHeldRequestIsAnswered(t *testing.T) {
-	cfg := testConfig()
-	front, fl := idleFront(t, cfg), &inflightRequest{id: "t1", response: make(chan clientResponse, 1)}
-	front.node.inflight["t1"] = fl
-	front.node.abortRequest(fl)
-	if a := nodetest.Await(t, "an answer", fl.response); a.kind != responseFailed {
-		t.Errorf("answer %+v", a)
-	}
-	if len(front.node.inflight) != 0 {
-		t.Error("the flight is still held")
-	}
-	if front.node.abortRequest(fl); len(fl.response) != 0 {
-		t.Error("a second final answer")
-	}
-}
-
 // A class may have its clients wait for longer than an answer takes to be written: the connection is not
 // closed under a request that can still be served.
 func TestWritingIsBoundedBehindTheLongestWait(t *testing.T) {
@@ -267,26 +248,6 @@
 	})
 }
 
-// Two open requests with one id could not be told apart by the module.
-func TestIDInUse(t *testing.T) {
-	hold := make(chan struct{})
-	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
-		<-hold
-		return nodetest.Say(nodetest.OKResponse)(c, r, body)
-	})
-	n := run(t, testConfig(s.Endpoint("a")))
-	c := nodetest.Dial(t, n.addr)
-	c.Send(request("check", "t1"))
-	nodetest.Eventually(t, "request out", func() bool { return len(s.Requests()) == 1 })
-	if a := nodetest.Dial(t, n.addr).Ask(request("check", "t1")); a.Status != 409 {
-		t.Errorf("status %d, want 409", a.Status)
-	}
-	close(hold)
-	if a := c.Receive(); a.Status != 200 {
-		t.Errorf("the first: status %d", a.Status)
-	}
-}
-
 // A reset is the module's to act on: a safe request is tried at the other server.
 func TestBreakIsTriedElsewhere(t *testing.T) {
 	var broken atomic.Bool
@@ -337,57 +298,6 @@
 	}
 }
 
-// A planned restart: not ready, but whatever still comes is answered, on connections
-// that then close; what is out is finished; then the process ends.
-func TestDrain(t *testing.T) {
-	hold := make(chan struct{})
-	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
-		if strings.HasPrefix(r.RequestURI, "/book") {
-			<-hold
-		}
-		return nodetest.Say(nodetest.OKResponse)(c, r, body)
-	})
-	cfg := testConfig(s.Endpoint("a"))
-	cfg.drainPeriod = 4 * time.Second
-	n := run(t, cfg)
-	idle, held := nodetest.Dial(t, n.addr), nodetest.Dial(t, n.addr)
-	if a := idle.Ask("GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n"); a.Status != 200 || a.Close {
-		t.Errorf("before: %+v", a)
-	}
-	held.Send(request("book", "t1"))
-	nodetest.Eventually(t, "request out", func() bool { return len(s.Requests()) == 1 })
-	n.stop()
-	nodetest.Eventually(t, "draining", func() bool { return strings.Contains(n.logs.String(), "draining") })
-	if a := idle.Ask(request("check", "t2")); a.Status != 200 || !a.Close {
-		t.Errorf("on a kept connection: %+v", a)
-	}
-	if a := nodetest.Dial(t, n.addr).Ask(request("check", "t3")); a.Status != 200 || !a.Close {
-		t.Errorf("on a new connection: %+v", a)
-	}
-	if a := nodetest.Dial(t, n.addr).Ask("GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n"); a.Status != 503 {
-		t.Errorf("readiness: %+v", a)
-	}
-	nodetest.Eventually(t, "listener closed", func() bool {
-		c, err := net.Dial("tcp", n.addr)
-		if err == nil {
-			_ = c.Close()
-		}
-		return err != nil
-	})
-	close(hold)
-	if a := held.Receive(); a.Status != 200 || !a.Close {
-		t.Errorf("taken before: %+v", a)
-	}
-	select {
-	case err := <-n.done:
-		if n.done <- nil; err != nil { // for the clean-up
-			t.Error(err)
-		}
-	case <-time.After(nodetest.Patience):
-		t.Error("the node does not end")
-	}
-}
-
 // idleFront is the client side of a node that has no goroutines of its own.
 func idleFront(t *testing.T, cfg *Config) *frontend {
 	t.Helper()
@@ -398,97 +308,3 @@
 	n.startBalancer()
 	return newFrontend(n)
 }
-
-// The descriptors of both sides and the rest stay inside the limit together.
-// A request whose head is on its way as the listener closes is taken and answered; a connection on which
-// nothing comes is closed.
-func TestRequestThatComesAsTheDrainEndsIsAnswered(t *testing.T) {
-	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
-	n := run(t, testConfig(s.Endpoint("a")))
-	kept, quiet := nodetest.Dial(t, n.addr), nodetest.Dial(t, n.addr)
-	kept.Ask(request("check", "t1"))
-	quiet.Ask(request("check", "t2"))
-	text := request("check", "t3")
-	kept.Send(text[:20])
-	n.stop()
-	if _, err := quiet.Reader.ReadByte(); err != io.EOF {
-		t.Errorf("an idle connection at the drain's end: %v", err)
-	}
-	kept.Send(text[20:])
-	if a := kept.Receive(); a.Status != http.StatusOK || !a.Close {
-		t.Errorf("answer %+v", a)
-	}
-}
-
-func TestDescriptorShares(t *testing.T) {
-	for _, all := range []int{minSockets, 1024} {
-		if c, s := maxClientConns(all), maxServerConns(all); c < 1 || s < c || c+s+reservedDescriptors > all {
-			t.Errorf("of %d: %d for clients, %d for servers", all, c, s)
-		}
-	}
-}
-
-func TestConfigErrorsNameTheField(t *testing.T) {
-	const settings = `{"instances":2,"me":1,"lanes":[{"name":"c","idempotency":"retryable"}],"policyLimits":{"peers":true}}`
-	good := map[string]string{
-		"name": `"n1"`, "listen": `"127.0.0.1:1"`, "discovery": `"127.0.0.1:2"`, "seed": `"8c1f30d27a5be964"`,
-		"limits": `{"memory_mb":192,"sockets":1024}`, "peer_listen": `"127.0.0.1:3"`, "peers": `["127.0.0.1:4","127.0.0.1:5"]`,
-		"peers_all": `"127.0.0.1:6"`, "known": `{"generation":41,"reset":true,"instances":[]}`, "settings": settings,
-	}
-	text := func(field, val string) []byte {
-		var parts []string
-		for f, v := range good {
-			if f == field {
-				v = val
-			}
-			if v != "" {
-				parts = append(parts, fmt.Sprintf("%q:%s", f, v))
-			}
-		}
-		return []byte("{" + strings.Join(parts, ",") + "}")
-	}
-	none := func(string) string { return "" }
-	c, err := parseConfig(text("", ""), none)
-	if err != nil || c.Seed != 0x8c1f30d27a5be964 || c.CachedList.Generation != 41 || c.Settings.NodeIndex != 1 || len(c.Peers) != 2 || c.MemoryMB != 192 {
-		t.Fatalf("%+v, error %v", c, err)
-	}
-	for _, b := range [][3]string{
-		{"name", `""`, "name"},
-		{"listen", `"nowhere"`, "listen"},
-		{"discovery", "", "discovery"},
-		{"seed", `"x"`, "seed"},
-		{"limits", `{"sockets":9}`, "limits.sockets"},
-		{"limits", `{"memory_mb":-1}`, "limits.memory_mb"},
-		{"settings", "", "settings"},
-		{"settings", `{"lanes":[{"idempotency":"odd"}]}`, "settings: lanes"},
-		{"peer_listen", "", "peer_listen"},
-		{"peers", `["127.0.0.1:4"]`, "peers"},
-		{"peers", `["127.0.0.1:4","x"]`, "peers[1]"},
-		{"peers_all", "", "peers_all"},
-		{"known", `{"instances":1}`, "known: "},
-	} {
-		if _, err := parseConfig(text(b[0], b[1]), none); err == nil || !strings.HasPrefix(err.Error(), b[2]) {
-			t.Errorf("%s %s: error %v, want one that names %s", b[0], b[1], err, b[2])
-		}
-	}
-	if _, err := LoadConfig(none); err == nil || !strings.Contains(err.Error(), "PROXY_CONFIG") {
-		t.Errorf("error %v", err)
-	}
-	if _, err := LoadConfig(func(string) string { return "/nonexistent" }); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("error %v", err)
-	}
-	c, err = parseConfig(text("", ""), func(name string) string { return map[string]string{"PROXY_LISTEN": "127.0.0.1:9"}[name] })
-	if err != nil || c.Listen.Port() != 9 {
-		t.Errorf("PROXY_LISTEN: %v, error %v", c.Listen, err)
-	}
-}
-
-// The saved list serves while discovery is down.
-func TestKnownServes(t *testing.T) {
-	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
-	n := run(t, testConfig(s.Endpoint("a"))) // its discovery refuses connections
-	nodetest.Eventually(t, "discovery found down", func() bool { return strings.Contains(n.logs.String(), `msg="discovery watch lost"`) })
-	if a := nodetest.Dial(t, n.addr).Ask(request("check", "t1")); a.Status != 200 {
-		t.Errorf("status %d", a.Status)
-	}
-}
--- /dev/null
+++ b/internal/edgenode/process_test.go
@@ -0,0 +1,120 @@
+package edgenode
+
+import (
+	"context"
+	"errors"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"net/netip"
+	"strings"
+	"syscall"
+	"testing"
+
+	"opalhook/internal/edgenode/nodetest"
+)
+
+// An order to end that comes before the node is ready ends it, with no listener opened.
+func TestEndBeforeReady(t *testing.T) {
+	cfg := testConfig()
+	cfg.listWait = nodetest.Patience
+	var asked chan struct{}
+	cfg.Discovery, asked = silentAgent(t)
+	ctx, stop := context.WithCancel(context.Background())
+	done := make(chan error, 1)
+	go func() {
+		done <- runWithListener(ctx, cfg, nil, slog.New(slog.DiscardHandler), func() (*net.TCPListener, error) {
+			return nil, errors.New("the listener was opened")
+		})
+	}()
+	nodetest.Await(t, "the agent is asked", asked)
+	stop()
+	if err := nodetest.Await(t, "the node's end", done); err != nil {
+		t.Error(err)
+	}
+}
+
+// silentAgent takes calls and answers none. called tells of each.
+func silentAgent(t *testing.T) (addr netip.AddrPort, called chan struct{}) {
+	called = make(chan struct{}, 1000)
+	ln := nodetest.Listen(t)
+	go func() {
+		for {
+			c, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			called <- struct{}{}
+			defer func() { _ = c.Close() }()
+		}
+	}()
+	return nodetest.AddrOf(ln), called
+}
+
+// A new configuration holds whenever its signal comes: before the node is ready, and while it drains.
+func TestReloadAtAnyMoment(t *testing.T) {
+	t.Run("before it is ready", func(t *testing.T) {
+		s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+		cfg := testConfig()
+		cfg.listWait = nodetest.Patience
+		var called chan struct{}
+		cfg.Discovery, called = silentAgent(t)
+		moved := *cfg
+		moved.Discovery = serveDiscovery(t, func() string { return nodetest.ListJSON(8, true, s.Endpoint("a")) },
+			func(_ int, _ string, w io.Writer, ctx context.Context) { beat(ctx, w) })
+		cfg.reload = func() (*Config, error) { return &moved, nil }
+		n := run(t, cfg)
+		nodetest.Await(t, "the first agent is asked", called)
+		n.hup <- syscall.SIGHUP
+		if a := nodetest.Dial(t, n.addr).Ask(request("check", "t1")); a.Status != http.StatusOK {
+			t.Errorf("answer %+v", a)
+		}
+	})
+	t.Run("while it drains", func(t *testing.T) {
+		hold := make(chan struct{})
+		s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
+			<-hold
+			return nodetest.Say(nodetest.OKResponse)(c, r, body)
+		})
+		cfg := testConfig(s.Endpoint("a"))
+		moved := *cfg
+		var called chan struct{}
+		moved.Discovery, called = silentAgent(t)
+		cfg.reload = func() (*Config, error) { return &moved, nil }
+		n := run(t, cfg)
+		c := nodetest.Dial(t, n.addr)
+		c.Send(request("check", "t1"))
+		nodetest.Eventually(t, "request out", func() bool { return len(s.Requests()) == 1 })
+		n.stop()
+		nodetest.Eventually(t, "draining", func() bool { return strings.Contains(n.logs.String(), "draining") })
+		n.hup <- syscall.SIGHUP
+		nodetest.Await(t, "the new agent is asked", called)
+		close(hold)
+		if a := c.Receive(); a.Status != http.StatusOK {
+			t.Errorf("answer %+v", a)
+		}
+	})
+}
+
+// A discovery that takes calls and answers none does not keep a node from serving with its saved list.
+func TestSilentDiscoveryKeepsNobodyWaiting(t *testing.T) {
+	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	cfg := testConfig(s.Endpoint("a"))
+	cfg.Discovery, _ = silentAgent(t)
+	cfg.listWait = polledListWait
+	n := run(t, cfg)
+	if a := nodetest.Dial(t, n.addr).Ask(request("check", "t1")); a.Status != http.StatusOK {
+		t.Errorf("answer %+v", a)
+	}
+}
+
+// The saved list serves while discovery is down.
+func TestKnownServes(t *testing.T) {
+	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	n := run(t, testConfig(s.Endpoint("a"))) // its discovery refuses connections
+	nodetest.Eventually(t, "discovery found down", func() bool { return strings.Contains(n.logs.String(), `msg="discovery watch lost"`) })
+	if a := nodetest.Dial(t, n.addr).Ask(request("check", "t1")); a.Status != 200 {
+		t.Errorf("status %d", a.Status)
+	}
+}
