--- a/balancer/load_gossip.go
+++ b/balancer/load_gossip.go
@@ -10,8 +10,6 @@
 	loadGossipMaxAge = 4 * time.Second
 	// peerMessageDelay is the time that a message takes between nodes, at most as a rule.
 	peerMessageDelay = 10 * time.Millisecond
-	// loadGossipDecay is the time constant with which a reported load loses its meaning.
-	loadGossipDecay = 3 * time.Second
 	// maxLoadEntries bounds the loads in one message: a few messages cover all endpoints.
 	maxLoadEntries = 12
 )
