--- a/balancer/health.go
+++ b/balancer/health.go
@@ -1,9 +1,6 @@
 package balancer
 
-import (
-	"math"
-	"time"
-)
+import "time"
 
 const (
 	errorSmoothing    = 0.2  // weight of a new outcome in an endpoint's error rate
@@ -139,7 +136,7 @@
 // sends none.
 type healthChecker struct {
 	enabled bool
-	tokens  float64 // health checks earned by attempts, at most one
+	tokens  float64 // health checks earned by attempts since the last one; what is over one is forfeited
 }
 
 func newHealthChecker(settings *Settings) healthChecker {
@@ -149,7 +146,7 @@
 // next returns the endpoint to check now, the one checked least lately, or nil. Attempts is their number in a
 // control interval.
 func (c *healthChecker) next(now time.Duration, tracked []*endpoint, attempts float64) *endpoint {
-	c.tokens = math.Min(c.tokens+attempts/2, 1)
+	c.tokens += attempts / 2
 	if !c.enabled || len(tracked) == 0 || c.tokens < 1 {
 		return nil
 	}
--- a/balancer/health_test.go
+++ b/balancer/health_test.go
@@ -119,8 +119,13 @@
 // Each ejection in a row lasts twice as long as the one before, up to a limit.
 func TestEjectionDurations(t *testing.T) {
 	var health endpointHealth
-	want := baseEjection
-	for n := range 2 * maxEjectionDoublings {
+	durations := []time.Duration{
+		500 * ms, time.Second, 2 * time.Second, 4 * time.Second, 8 * time.Second, 8 * time.Second,
+	}
+	for range 20 { // long after the doublings have ended
+		durations = append(durations, 8*time.Second)
+	}
+	for n, want := range durations {
 		health.errorRate = 1
 		health.eject(t0)
 		if got := health.ejectedUntil - t0; got != want {
@@ -132,10 +137,9 @@
 		if health.errorRate >= ejectionErrorRate {
 			t.Errorf("error rate %v after an ejection would eject again at once", health.errorRate)
 		}
-		want = min(2*want, maxEjection)
 	}
 	health.recordSuccess()
-	if health.eject(t0); health.ejectedUntil != t0+baseEjection {
+	if health.eject(t0); health.ejectedUntil != t0+500*ms {
 		t.Errorf("ejection after a success lasts %v", health.ejectedUntil-t0)
 	}
 }
--- a/balancer/restart_evidence_test.go
+++ b/balancer/restart_evidence_test.go
@@ -79,16 +79,15 @@
 		}
 	}
 	var many restartEvidence
-	for i := range 3 * maxSuspectedRestarts {
+	for i := range 24 {
 		many.suspect(t0 + time.Duration(i)*ms)
 	}
-	last := t0 + (3*maxSuspectedRestarts-1)*ms
-	if len(many.suspected) != maxSuspectedRestarts || many.latest != last {
-		t.Errorf("%d remembered, latest %v, want %d and %v", len(many.suspected), many.latest,
-			maxSuspectedRestarts, last)
+	last := t0 + 23*ms
+	if len(many.suspected) != 8 || many.latest != last {
+		t.Errorf("%d remembered, latest %v, want %d and %v", len(many.suspected), many.latest, 8, last)
 	}
 	many.confirmUpSince(last)
-	if want := t0 + (maxSuspectedRestarts-2)*ms; many.latest != want {
+	if want := t0 + 6*ms; many.latest != want {
 		t.Errorf("latest %v, want the first ones kept, up to %v", many.latest, want)
 	}
 }
