--- a/internal/testbed/app_server.go
+++ b/internal/testbed/app_server.go
@@ -29,7 +29,7 @@
 	mu        sync.Mutex
 	rng       *rand.Rand
 	id        string
-	state     string // up, draining, removed
+	state     lifecycle
 	startedAt time.Duration
 	model     *model
 	faults    serverFaults
@@ -49,7 +49,7 @@
 // startServer opens an app server's address. A boot below 0 is a warm one.
 func startServer(env *environment, number int, addr string) (*appServer, error) {
 	s := &appServer{
-		env: env, number: number, addr: addr, id: fmt.Sprintf("s-%08x", env.ids.Uint32()), state: "up", startedAt: -1,
+		env: env, number: number, addr: addr, id: fmt.Sprintf("s-%08x", env.ids.Uint32()), state: lifecycleUp, startedAt: -1,
 		rng: random(env.seed, streamServers<<16|number), conns: map[net.Conn]bool{},
 	}
 	s.model = newModel(&env.scenario.Fleet, env.scenario.Load.WorkMS/1000, env.now(), -1)
@@ -91,7 +91,7 @@
 func (s *appServer) serve(c net.Conn) {
 	defer func() { _ = c.Close() }()
 	s.mu.Lock()
-	if s.closed || s.state == "removed" {
+	if s.closed || s.state == lifecycleRemoved {
 		s.mu.Unlock()
 		return
 	}
@@ -154,7 +154,7 @@
 	hangs, drawn := s.faults.hang, s.drawChances()
 	var ran <-chan struct{}
 	failed := false
-	if !hangs && !drawn.fails && s.state == "up" && !crowded {
+	if !hangs && !drawn.fails && s.state == lifecycleUp && !crowded {
 		ran, failed = s.accept(s.env.schedule.Arrivals[t.arrival].Work, now)
 	}
 	s.mu.Unlock()
@@ -321,7 +321,7 @@
 // drain makes the server finish what it holds and turn away what comes.
 func (s *appServer) drain() {
 	s.mu.Lock()
-	s.state = "draining"
+	s.state = lifecycleDraining
 	s.mu.Unlock()
 	s.env.list.publishLater(s.entry())
 }
@@ -342,7 +342,7 @@
 func (s *appServer) remove() {
 	s.crash()
 	s.mu.Lock()
-	s.state = "removed"
+	s.state = lifecycleRemoved
 	s.mu.Unlock()
 	s.env.list.publishLater(s.entry())
 }
@@ -354,7 +354,7 @@
 	if anew {
 		s.id = fmt.Sprintf("s-%08x", s.env.ids.Uint32())
 	}
-	s.state, s.startedAt, s.faults, s.loads = "up", now, serverFaults{}, nil
+	s.state, s.startedAt, s.faults, s.loads = lifecycleUp, now, serverFaults{}, nil
 	s.model = newModel(&s.env.scenario.Fleet, s.env.scenario.Load.WorkMS/1000, now, now)
 	s.conns = map[net.Conn]bool{}
 	s.mu.Unlock()
--- a/internal/testbed/checker.go
+++ b/internal/testbed/checker.go
@@ -70,7 +70,7 @@
 
 // delivery is what a node was told of a server.
 type delivery struct {
-	state      string
+	state      lifecycle
 	at         time.Duration
 	knowsStart bool // it knows of the cold start
 }
@@ -207,9 +207,16 @@
 	}
 }
 
-// attemptUnanswered books that an attempt ended with no answer though the node could give one, or could not. closed
-// tells that it was the first on its connection, and the node closed that.
-func (r *checker) attemptUnanswered(t *clientAttempt, at time.Duration, answerable, closed bool, why string) {
+// noResponse says why an attempt ended with no response. The zero value is one whose node could not be reached or could
+// not answer.
+type noResponse struct {
+	answerable    bool // the node could answer all the time
+	closedNewConn bool // it was the first attempt on its connection, and the node closed that
+	why           string
+}
+
+// attemptUnanswered books that an attempt ended with no response, which is a violation where the node could give one.
+func (r *checker) attemptUnanswered(t *clientAttempt, at time.Duration, end noResponse) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if t.closed {
@@ -222,14 +229,15 @@
 		rec.Unreached++
 		return
 	}
-	if answerable && closed && len(t.upstream) == 0 {
+	if !end.answerable {
+		return
+	}
+	if end.closedNewConn && len(t.upstream) == 0 {
 		if r.closed++; r.closed*closedPerRequests <= len(r.schedule.Arrivals) {
 			return
 		}
 	}
-	if answerable {
-		r.violate(at, RuleLost, t.node, t.id, "no answer: %s", why)
-	}
+	r.violate(at, RuleLost, t.node, t.id, "no answer: %s", end.why)
 }
 
 // upstreamArrived books an attempt whose last byte has come to a server. It returns the attempt and the
@@ -255,7 +263,7 @@
 			}
 		}
 	}
-	if k := r.delivered[t.node][server]; k.state == "draining" || k.state == "removed" {
+	if k := r.delivered[t.node][server]; k.state == lifecycleDraining || k.state == lifecycleRemoved {
 		if limit := k.at + drainGrace + socketSlack + r.slack(t.node); at > limit {
 			r.violate(at, RuleDrain, t.node, id, "%s was told to be %s %v before", server, k.state, (at - k.at).Round(time.Millisecond))
 		}
@@ -284,7 +292,7 @@
 }
 
 // entryDelivered books that a node's agent has written an entry of the list.
-func (r *checker) entryDelivered(node int, server, state string, at time.Duration, started bool) {
+func (r *checker) entryDelivered(node int, server string, state lifecycle, at time.Duration, started bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if k, ok := r.delivered[node][server]; ok && k.state == state && k.knowsStart == started && k.at <= at {
@@ -298,8 +306,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for server, k := range r.delivered[node] {
-		if !listed[server] && k.state != "removed" {
-			r.delivered[node][server] = delivery{"removed", at, k.knowsStart}
+		if !listed[server] && k.state != lifecycleRemoved {
+			r.delivered[node][server] = delivery{lifecycleRemoved, at, k.knowsStart}
 		}
 	}
 }
--- a/internal/testbed/checker_test.go
+++ b/internal/testbed/checker_test.go
@@ -100,7 +100,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, e := range m.Instances {
-		if e.Lifecycle != "up" && p.how != "ignores drains" {
+		if e.Lifecycle != lifecycleUp && p.how != "ignores drains" {
 			delete(p.list, e.InstanceID)
 			continue
 		}
@@ -117,7 +117,7 @@
 		if p.how == "crowds cold servers" && p.list[id].StartedAtMs > 0 {
 			return p.list[id].HostPort
 		}
-		if p.how == "ignores drains" && p.list[id].Lifecycle == "draining" {
+		if p.how == "ignores drains" && p.list[id].Lifecycle == lifecycleDraining {
 			return p.list[id].HostPort
 		}
 	}
--- a/internal/testbed/list.go
+++ b/internal/testbed/list.go
@@ -12,18 +12,28 @@
 
 // Entry is an app server in the list, in the form of the platform's protocol.
 type Entry struct {
-	InstanceID  string  `json:"instanceId"`
-	HostPort    string  `json:"hostPort"`
-	Zone        string  `json:"zone"`
-	MachineType string  `json:"machineType"`
-	Cell        int     `json:"cell"`
-	Lifecycle   string  `json:"lifecycle"`
-	Weight      float64 `json:"weight"`
-	StartedAtMs int64   `json:"startedAtMs"`
+	InstanceID  string    `json:"instanceId"`
+	HostPort    string    `json:"hostPort"`
+	Zone        string    `json:"zone"`
+	MachineType string    `json:"machineType"`
+	Cell        int       `json:"cell"`
+	Lifecycle   lifecycle `json:"lifecycle"`
+	Weight      float64   `json:"weight"`
+	StartedAtMs int64     `json:"startedAtMs"`
 
 	number int // of the server
 }
 
+// lifecycle is what discovery says of an app server.
+type lifecycle string
+
+// Lifecycles, as discovery's protocol writes them.
+const (
+	lifecycleUp       lifecycle = "up"
+	lifecycleDraining lifecycle = "draining" // finishes what it has
+	lifecycleRemoved  lifecycle = "removed"
+)
+
 // listMessage is one message of discovery.
 type listMessage struct {
 	Generation uint64  `json:"generation"`
@@ -68,8 +78,9 @@
 
 // listEvent is one change of one start of an app server.
 type listEvent struct {
-	id, lifecycle string
-	started       int64
+	id        string
+	lifecycle lifecycle
+	started   int64
 }
 
 func newList(env *environment) *list {
@@ -101,7 +112,7 @@
 	if l.service != nil {
 		l.service.enqueue(e)
 	}
-	if e.Lifecycle == "removed" {
+	if e.Lifecycle == lifecycleRemoved {
 		delete(l.entries, e.InstanceID)
 	} else {
 		l.entries[e.InstanceID] = e
@@ -183,7 +194,7 @@
 		same := true
 		for id, k := range told {
 			e, listed := l.entries[id]
-			same = same && (listed && e.Lifecycle == k.state || !listed && k.state == "removed")
+			same = same && (listed && e.Lifecycle == k.state || !listed && k.state == lifecycleRemoved)
 		}
 		for id := range l.entries {
 			_, known := told[id]
--- a/internal/testbed/list_service.go
+++ b/internal/testbed/list_service.go
@@ -168,7 +168,7 @@
 // carryOut carries out one write, at one replica after another.
 func (s *listService) carryOut(e Entry) error {
 	s.mu.Lock()
-	if e.Lifecycle == "up" {
+	if e.Lifecycle == lifecycleUp {
 		s.incarnations[e.InstanceID]++
 	}
 	inc := s.incarnations[e.InstanceID]
@@ -177,7 +177,7 @@
 	own := "/" + url.PathEscape(e.InstanceID)
 	mark := "?incarnation=" + strconv.FormatUint(inc, 10)
 	switch e.Lifecycle {
-	case "up":
+	case lifecycleUp:
 		var err error
 		if body, err = json.Marshal(struct {
 			Entry
@@ -185,7 +185,7 @@
 		}{e, inc}); err != nil {
 			return err
 		}
-	case "draining":
+	case lifecycleDraining:
 		path += own + "/drain" + mark
 	default:
 		method, path = http.MethodDelete, path+own+mark
@@ -323,8 +323,10 @@
 		entries = make([]Entry, 0, len(m.Instances)) // an empty list is written as such, not as null
 	}
 	for _, e := range m.Instances {
-		entries = append(entries, Entry{InstanceID: e.InstanceID, HostPort: e.HostPort, Zone: e.Zone, MachineType: e.MachineType, Cell: e.Cell,
-			Lifecycle: e.Lifecycle, Weight: e.Weight, StartedAtMs: e.StartedAtMs})
+		entries = append(entries, Entry{
+			InstanceID: e.InstanceID, HostPort: e.HostPort, Zone: e.Zone, MachineType: e.MachineType, Cell: e.Cell,
+			Lifecycle: lifecycle(e.Lifecycle), Weight: e.Weight, StartedAtMs: e.StartedAtMs,
+		})
 	}
 	return &listMessage{Generation: m.Generation, Reset: m.Reset, Instances: entries}
 }
--- a/internal/testbed/load_generator.go
+++ b/internal/testbed/load_generator.go
@@ -152,14 +152,13 @@
 			return
 		}
 		t.deadline = now + wait
-		verdict, advice := g.attempt(t, a, c)
-		repeats := verdict == attemptRejected || verdict == attemptUnreached || verdict == attemptFailed && !g.env.scenario.Classes[a.Class].NonIdempotent
-		if number >= g.env.scenario.Load.Retries || !repeats {
+		result := g.attempt(t, a, c)
+		if number >= g.env.scenario.Load.Retries || !result.mayRetry(&g.env.scenario.Classes[a.Class]) {
 			return
 		}
 		pause := defaultRetryPause
-		if advice > 0 && rng.Float64() < g.env.scenario.Load.RetryAfterShare {
-			pause = min(advice, maxRetryAfter)
+		if result.retryAfter > 0 && rng.Float64() < g.env.scenario.Load.RetryAfterShare {
+			pause = min(result.retryAfter, maxRetryAfter)
 		}
 		if !g.env.sleep(pause) {
 			return
@@ -182,7 +181,7 @@
 	return node
 }
 
-// How an attempt ended, for its client.
+// attemptOutcome is how an attempt ended, for its client.
 type attemptOutcome int
 
 const (
@@ -192,8 +191,25 @@
 	attemptUnreached // it came to no node
 )
 
+// attemptResult is what a client knows of an attempt that has ended.
+type attemptResult struct {
+	outcome    attemptOutcome
+	retryAfter time.Duration // that a rejection told; 0: none
+}
+
+// mayRetry tells whether a client may repeat a request of a class after this.
+func (r attemptResult) mayRetry(class *Class) bool {
+	switch r.outcome {
+	case attemptRejected, attemptUnreached:
+		return true
+	case attemptFailed:
+		return !class.NonIdempotent
+	}
+	return false
+}
+
 // attempt sends one request and reads its answer.
-func (g *loadGenerator) attempt(t *clientAttempt, a *Arrival, c *Tenant) (verdict attemptOutcome, advice time.Duration) {
+func (g *loadGenerator) attempt(t *clientAttempt, a *Arrival, c *Tenant) attemptResult {
 	class := g.env.scenario.Classes[a.Class]
 	t.method, t.target = class.method(), fmt.Sprintf("/%s?customer=%016x", class.Name, c.ID)
 	if class.NonIdempotent {
@@ -206,24 +222,21 @@
 		cc, kept, err := n.getConn(limit, again)
 		if err != nil {
 			n.recordUnreachable(g.env.now(), time.Duration(g.env.scenario.Load.FailureDetection))
-			g.env.checker.attemptUnanswered(t, g.env.now(), false, false, "")
-			return attemptUnreached, 0
+			return g.unreached(t)
 		}
 		_ = cc.SetDeadline(limit)
 		// The wait counts from when the request is sent, and a connection may have come up late.
 		left := t.deadline - g.env.now()
 		if left <= 0 {
 			n.putConn(cc)
-			g.env.checker.attemptUnanswered(t, g.env.now(), false, false, "")
-			return attemptUnreached, 0
+			return g.unreached(t)
 		}
 		if _, err = io.WriteString(cc, g.encodeRequest(t, a, c, left)); err != nil {
 			_ = cc.Close()
 			if kept && !again {
 				continue
 			}
-			g.env.checker.attemptUnanswered(t, g.env.now(), false, false, "")
-			return attemptUnreached, 0
+			return g.unreached(t)
 		}
 		g.env.checker.attemptSent(t, g.env.now())
 		if err = g.awaitResponse(t, cc); err != nil && kept && !again && !timedOut(err) {
@@ -234,6 +247,12 @@
 	}
 }
 
+// unreached books an attempt that came to no node.
+func (g *loadGenerator) unreached(t *clientAttempt) attemptResult {
+	g.env.checker.attemptUnanswered(t, g.env.now(), noResponse{})
+	return attemptResult{outcome: attemptUnreached}
+}
+
 // awaitResponse waits for an answer's first byte, for as long as the client and then the machine
 // give: what a node was starved of meanwhile is not held against it.
 func (g *loadGenerator) awaitResponse(t *clientAttempt, cc *clientConn) error {
@@ -270,7 +289,7 @@
 }
 
 // readResponse takes the final answer.
-func (g *loadGenerator) readResponse(t *clientAttempt, n *targetNode, cc *clientConn, fresh bool) (verdict attemptOutcome, advice time.Duration) {
+func (g *loadGenerator) readResponse(t *clientAttempt, n *targetNode, cc *clientConn, fresh bool) attemptResult {
 	resp, err := http.ReadResponse(cc.br, nil)
 	var body []byte
 	if err == nil {
@@ -279,8 +298,10 @@
 	now := g.env.now()
 	if err != nil {
 		_ = cc.Close()
-		g.env.checker.attemptUnanswered(t, now, g.env.answerable(t.node, t.sent), fresh && !timedOut(err), err.Error())
-		return attemptFailed, 0
+		g.env.checker.attemptUnanswered(t, now, noResponse{
+			answerable: g.env.answerable(t.node, t.sent), closedNewConn: fresh && !timedOut(err), why: err.Error(),
+		})
+		return attemptResult{outcome: attemptFailed}
 	}
 	g.env.checker.attemptAnswered(t, now, resp.StatusCode, string(body), g.env.answerable(t.node, t.sent))
 	if resp.Close {
@@ -289,15 +310,21 @@
 		n.putConn(cc)
 	}
 	switch resp.StatusCode {
-	case 200:
-		return attemptServed, 0
-	case 429, 503:
-		if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && s > 0 && !math.IsInf(s, 0) {
-			advice = time.Duration(s * float64(time.Second))
-		}
-		return attemptRejected, advice
+	case http.StatusOK:
+		return attemptResult{outcome: attemptServed}
+	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
+		return attemptResult{attemptRejected, retryAfter(resp.Header)}
+	}
+	return attemptResult{outcome: attemptFailed}
+}
+
+// retryAfter is the pause that a rejection tells, 0 where it tells none that can be kept to.
+func retryAfter(header http.Header) time.Duration {
+	seconds, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
+	if err != nil || !(seconds > 0) || math.IsInf(seconds, 0) {
+		return 0
 	}
-	return attemptFailed, 0
+	return time.Duration(seconds * float64(time.Second))
 }
 
 // getConn is a connection to the node, kept or new; fresh wants a new one.
