--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -10,111 +10,111 @@
 	"time"
 )
 
-// What may follow each outcome, by the effect of the class: rule 2.
-func TestAfterEachOutcome(t *testing.T) {
+// What may follow each result, by the idempotency of the class: rule 2.
+func TestResultDecidesWhatFollows(t *testing.T) {
 	mayRun := map[Result]bool{OK: true, ErrorResponse: true, TimedOut: true, Reset: true, Cancelled: true}
 	for res := OK; res <= NotSent; res++ {
 		for _, class := range []string{"safe", "keyed", "unsafe"} {
-			for _, inGroup := range []bool{true, false} {
+			for _, inScope := range []bool{true, false} {
 				first := Endpoint{ID: "s0", MachineType: "k", Zone: "a"}
 				other := Endpoint{ID: "s1", MachineType: "k", Zone: "b"}
-				if inGroup {
+				if inScope {
 					other.Zone = "a"
 				}
-				g, r := newGate(t, testSettings(), first)
-				g.retries.tokens = 5
-				g.RequestArrived(t0, newRequest(1, class, "rate", 1), r)
-				g.EndpointsUpdated(t0, UpdateSnapshot, []Endpoint{{ID: "s0", State: Draining, MachineType: "k", Zone: "a"}, other}, r)
-				r.acts = nil
-				g.AttemptFinished(t0+ms, Outcome{ID: "r1", Result: res, EndpointID: "s0", Answered: res == OK}, r)
-				again := res != OK && res != NotSent && (!mayRun[res] || class == "safe" || class == "keyed" && inGroup)
+				b, r := newTestBalancer(t, testSettings(), first)
+				b.retries.tokens = 5
+				b.RequestArrived(testStart, newRequest(1, class, "rate", 1), r)
+				b.EndpointsUpdated(testStart, UpdateSnapshot, []Endpoint{{ID: "s0", State: Draining, MachineType: "k", Zone: "a"}, other}, r)
+				r.actions = nil
+				b.AttemptFinished(testStart+ms, Outcome{ID: "r1", Result: res, EndpointID: "s0", Answered: res == OK}, r)
+				retries := res != OK && res != NotSent && (!mayRun[res] || class == "safe" || class == "keyed" && inScope)
 				want := "send r1 s1"
 				switch {
 				case res == OK:
 					want = ""
-				case !again && (class == "safe" || !mayRun[res]):
-					want = "refuse r1"
-				case !again:
+				case !retries && (class == "safe" || !mayRun[res]):
+					want = "reject r1"
+				case !retries:
 					want = "fail r1"
 				}
 				if got := r.last(); got != want {
-					t.Errorf("%s after result %d, same group %v: %q, want %q", class, res, inGroup, got, want)
+					t.Errorf("%s after result %d, same scope %v: %q, want %q", class, res, inScope, got, want)
 				}
 			}
 		}
 	}
 }
 
-func TestKeyedNotSentAfterItsWindow(t *testing.T) {
-	g, r := newGate(t, testSettings(), fleet(3)...)
-	g.retries.tokens = 5
-	g.RequestArrived(t0, newRequest(1, "keyed", "rate", 1), r)
-	g.AttemptFinished(t0+300*ms, Outcome{ID: "r1", Result: Reset}, r)
+func TestKeyedRequestIsNotRetriedAfterItsWindow(t *testing.T) {
+	b, r := newTestBalancer(t, testSettings(), equalEndpoints(3)...)
+	b.retries.tokens = 5
+	b.RequestArrived(testStart, newRequest(1, "keyed", "rate", 1), r)
+	b.AttemptFinished(testStart+300*ms, Outcome{ID: "r1", Result: Reset}, r)
 	if r.last() != "fail r1" {
 		t.Errorf("got %q", r.last())
 	}
 }
 
-func TestRefusals(t *testing.T) {
+func TestRejections(t *testing.T) {
 	tests := []struct {
 		name string
 		q    Request
 	}{
 		{"unknown class", newRequest(1, "none", "rate", 1)},
 		{"unknown plan", newRequest(1, "safe", "none", 1)},
-		{"no grace", Request{ID: "r1", Class: "safe", Plan: "rate"}},
+		{"no timeout", Request{ID: "r1", Class: "safe", Plan: "rate"}},
 		{"more than the burst", Request{ID: "r1", Class: "safe", Plan: "rate", Units: 41, Timeout: time.Second}},
-		{"no servers", newRequest(1, "safe", "rate", 1)},
+		{"no endpoints", newRequest(1, "safe", "rate", 1)},
 	}
 	for _, tt := range tests {
-		list := fleet(2)
-		if tt.name == "no servers" {
+		list := equalEndpoints(2)
+		if tt.name == "no endpoints" {
 			list = nil
 		}
-		g, r := newGate(t, testSettings(), list...)
-		g.RequestArrived(t0, tt.q, r)
-		if len(r.acts) != 1 || r.acts[0] != "refuse r1" {
-			t.Errorf("%s: %q", tt.name, r.acts)
+		b, r := newTestBalancer(t, testSettings(), list...)
+		b.RequestArrived(testStart, tt.q, r)
+		if len(r.actions) != 1 || r.actions[0] != "reject r1" {
+			t.Errorf("%s: %q", tt.name, r.actions)
 		}
 	}
 }
 
-// A second copy counts as out: it must not take a capped customer's last places.
-func TestNoSecondCopyNearTheCap(t *testing.T) {
+// A hedged attempt counts as in flight: it must not take the last places of a tenant with a concurrency limit.
+func TestNoHedgeNearTheConcurrencyLimit(t *testing.T) {
 	for plan, want := range map[string]int{"rate": 1, "open": 0} {
 		s := testSettings()
 		s.Hedging = true
 		s.Plans[2].MaxConcurrent = 2
-		g, r := newGate(t, s, fleet(4)...)
-		g.retries.tokens = 5
-		g.RequestArrived(t0, newRequest(1, "safe", plan, 1), r)
-		r.acts = nil
-		g.TimerFired(t0+ms, g.requests.lastNumber<<timerBits|timerHedge, r)
+		b, r := newTestBalancer(t, s, equalEndpoints(4)...)
+		b.retries.tokens = 5
+		b.RequestArrived(testStart, newRequest(1, "safe", plan, 1), r)
+		r.actions = nil
+		b.TimerFired(testStart+ms, b.requests.lastNumber<<timerBits|timerHedge, r)
 		if n := r.count("send"); n != want {
-			t.Errorf("%s: %d second copies, want %d", plan, n, want)
+			t.Errorf("%s: %d hedged attempts, want %d", plan, n, want)
 		}
 	}
 }
 
-// One attempt at a time where the site has it so.
-func TestNoSecondCopyWhereForbidden(t *testing.T) {
-	for _, parallel := range []bool{false, true} {
+// One attempt at a time where the settings say so.
+func TestHedgingCanBeForbidden(t *testing.T) {
+	for _, hedging := range []bool{false, true} {
 		s := testSettings()
-		s.Hedging = parallel
-		g, r := newGate(t, s, fleet(2)...)
-		g.RequestArrived(t0, newRequest(1, "safe", "rate", 1), r)
-		if got := g.mayAttempt(g.requests.byID["r1"], g.endpoints.tracked[0]); got != parallel {
-			t.Errorf("parallel %v: second copy %v", parallel, got)
+		s.Hedging = hedging
+		b, r := newTestBalancer(t, s, equalEndpoints(2)...)
+		b.RequestArrived(testStart, newRequest(1, "safe", "rate", 1), r)
+		if got := b.mayAttempt(b.requests.byID["r1"], b.endpoints.tracked[0]); got != hedging {
+			t.Errorf("hedging %v: second attempt allowed %v", hedging, got)
 		}
 	}
 }
 
-// Deadlines: a request without an answer ends in time by its own timer.
-func TestOwnTimerAnswersInTime(t *testing.T) {
-	for class, want := range map[string]string{"safe": "refuse r1", "keyed": "fail r1", "unsafe": "fail r1"} {
-		g, r := newGate(t, testSettings(), fleet(2)...)
-		g.RequestArrived(t0, newRequest(1, class, "rate", 1), r)
-		var due timerSet
+// A request without a response is answered in time by its own timer.
+func TestDeadlineTimerAnswers(t *testing.T) {
+	for class, want := range map[string]string{"safe": "reject r1", "keyed": "fail r1", "unsafe": "fail r1"} {
+		b, r := newTestBalancer(t, testSettings(), equalEndpoints(2)...)
+		b.RequestArrived(testStart, newRequest(1, class, "rate", 1), r)
+		var due timerRequest
 		for _, ts := range r.timers {
 			if ts.token&7 == timerDeadline {
 				due = ts
@@ -123,70 +123,70 @@
 		if due.after <= 0 || due.after >= 2*time.Second {
 			t.Fatalf("timer after %v", due.after)
 		}
-		r.acts = nil
-		g.TimerFired(t0+due.after, due.token, r)
+		r.actions = nil
+		b.TimerFired(testStart+due.after, due.token, r)
 		if r.count(want) != 1 || r.count("cancel r1 0") != 1 {
-			t.Errorf("%s: %q", class, r.acts)
+			t.Errorf("%s: %q", class, r.actions)
 		}
-		g.TimerFired(t0+due.after, due.token, r)
-		g.AttemptFinished(t0+due.after, Outcome{ID: "r1", Result: Cancelled}, r)
-		if len(r.acts) != 2 || len(g.requests.byID) != 0 {
-			t.Errorf("%s: %q, %d requests kept", class, r.acts, len(g.requests.byID))
+		b.TimerFired(testStart+due.after, due.token, r)
+		b.AttemptFinished(testStart+due.after, Outcome{ID: "r1", Result: Cancelled}, r)
+		if len(r.actions) != 2 || len(b.requests.byID) != 0 {
+			t.Errorf("%s: %q, %d requests left", class, r.actions, len(b.requests.byID))
 		}
 	}
 }
 
-func TestStrayEventsAreIgnored(t *testing.T) {
-	g, r := newGate(t, testSettings(), fleet(2)...)
-	g.RequestArrived(t0, newRequest(1, "safe", "rate", 1), r)
-	r.acts = nil
-	g.AttemptFinished(t0, Outcome{ID: "r1", Attempt: 1, Result: ErrorResponse}, r)
-	g.AttemptFinished(t0, Outcome{ID: "r1", Attempt: -1, Result: ErrorResponse}, r)
-	if g.requests.byID["r1"] == nil || g.requests.byID["r1"].inFlight != 1 {
+func TestUnknownEventsAreIgnored(t *testing.T) {
+	b, r := newTestBalancer(t, testSettings(), equalEndpoints(2)...)
+	b.RequestArrived(testStart, newRequest(1, "safe", "rate", 1), r)
+	r.actions = nil
+	b.AttemptFinished(testStart, Outcome{ID: "r1", Attempt: 1, Result: ErrorResponse}, r)
+	b.AttemptFinished(testStart, Outcome{ID: "r1", Attempt: -1, Result: ErrorResponse}, r)
+	if b.requests.byID["r1"] == nil || b.requests.byID["r1"].inFlight != 1 {
 		t.Error("an attempt never made ended the request")
 	}
-	g.AttemptFinished(t0, Outcome{ID: "r1", Result: OK, Answered: true, EndpointID: "s0"}, r)
-	r.acts = nil
-	g.AttemptFinished(t0, Outcome{ID: "r1", Result: OK, Answered: true}, r)
-	g.AttemptFinished(t0, Outcome{ID: "none", Attempt: 9}, r)
-	g.AttemptFinished(t0, Outcome{ID: "r1", Attempt: -1}, r)
-	g.ClientGone(t0, "r1", r)
-	g.ResponseStarted(t0, "r1", 0, r)
-	g.TimerFired(t0, 1<<40|timerDeadline, r)
-	g.TimerFired(t0, 7, r)
-	g.HealthChecked(t0, "none", OK, &LoadReport{Utilization: 1}, r)
-	g.EndpointsUpdated(t0, UpdateFailed, nil, r)
-	if len(r.acts) != 0 {
-		t.Errorf("%q", r.acts)
+	b.AttemptFinished(testStart, Outcome{ID: "r1", Result: OK, Answered: true, EndpointID: "s0"}, r)
+	r.actions = nil
+	b.AttemptFinished(testStart, Outcome{ID: "r1", Result: OK, Answered: true}, r)
+	b.AttemptFinished(testStart, Outcome{ID: "none", Attempt: 9}, r)
+	b.AttemptFinished(testStart, Outcome{ID: "r1", Attempt: -1}, r)
+	b.ClientGone(testStart, "r1", r)
+	b.ResponseStarted(testStart, "r1", 0, r)
+	b.TimerFired(testStart, 1<<40|timerDeadline, r)
+	b.TimerFired(testStart, 7, r)
+	b.HealthChecked(testStart, "none", OK, &LoadReport{Utilization: 1}, r)
+	b.EndpointsUpdated(testStart, UpdateFailed, nil, r)
+	if len(r.actions) != 0 {
+		t.Errorf("%q", r.actions)
 	}
 }
 
-// A stream that has begun belongs to the client: no deadline, no cancel.
-func TestStreamIsLeftAlone(t *testing.T) {
+// A streamed response that has begun is the client's: there is no deadline and no cancellation.
+func TestStartedStreamIsNotCancelled(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].Stream = true
-	g, r := newGate(t, s, fleet(2)...)
-	g.RequestArrived(t0, newRequest(1, "safe", "rate", 1), r)
-	g.ResponseStarted(t0+ms, "r1", 0, r)
-	r.acts = nil
-	g.TimerFired(t0+2*time.Second, 1<<timerBits|timerDeadline, r)
-	if len(r.acts) != 0 {
-		t.Errorf("%q", r.acts)
+	b, r := newTestBalancer(t, s, equalEndpoints(2)...)
+	b.RequestArrived(testStart, newRequest(1, "safe", "rate", 1), r)
+	b.ResponseStarted(testStart+ms, "r1", 0, r)
+	r.actions = nil
+	b.TimerFired(testStart+2*time.Second, 1<<timerBits|timerDeadline, r)
+	if len(r.actions) != 0 {
+		t.Errorf("%q", r.actions)
 	}
 }
 
-func TestSubscribesWhereAsked(t *testing.T) {
+func TestWatchIsRepeatedAfterAFailure(t *testing.T) {
 	s := testSettings()
 	s.PollEndpoints = true
-	g, r := newGate(t, s)
+	b, r := newTestBalancer(t, s)
 	if r.count("watch true") != 1 {
-		t.Fatalf("%q", r.acts)
+		t.Fatalf("%q", r.actions)
 	}
-	g.EndpointsUpdated(t0, UpdateFailed, nil, r)
+	b.EndpointsUpdated(testStart, UpdateFailed, nil, r)
 	last := r.timers[len(r.timers)-1]
-	g.TimerFired(t0+last.after, last.token, r)
+	b.TimerFired(testStart+last.after, last.token, r)
 	if r.count("watch true") != 2 {
-		t.Errorf("no new subscription after an error: %q", r.acts)
+		t.Errorf("no new watch after a failure: %q", r.actions)
 	}
 }
 
@@ -259,19 +259,27 @@
 	}
 }
 
-// policyFiles returns the files that the deploy file names as the policy.
+// policyFiles returns the files that the deploy file names as the policy. The file states each of its keys once, a
+// key a line.
 func policyFiles(t *testing.T) (names []string) {
 	t.Helper()
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
+	var keys []string
 	for line := range strings.Lines(string(deploy)) {
-		if list, ok := strings.CutPrefix(line, "policy = "); ok {
-			if err := json.Unmarshal([]byte(list), &names); err != nil {
-				t.Fatalf("policy: %v", err)
-			}
+		key, value, _ := strings.Cut(strings.TrimSpace(line), " = ")
+		keys = append(keys, key)
+		if key != "policy" {
+			continue
 		}
+		if err := json.Unmarshal([]byte(value), &names); err != nil {
+			t.Fatalf("policy: %v", err)
+		}
+	}
+	if want := []string{"build", "run", "sim", "policy", "node", "packages"}; !slices.Equal(keys, want) {
+		t.Fatalf("keys %q, want %q", keys, want)
 	}
 	return names
 }
--- a/balancer/cold_fleet_test.go
+++ b/balancer/cold_fleet_test.go
@@ -70,7 +70,7 @@
 
 func newColdStartFleet(t *testing.T, nodes, endpoints int, seed uint64) *coldStartFleet {
 	f := &coldStartFleet{
-		now:       t0,
+		now:       testStart,
 		rng:       rand.New(rand.NewPCG(seed, 2)),
 		endpoints: map[string]*coldStartEndpoint{},
 		attempts:  map[string]int{},
@@ -96,8 +96,8 @@
 			t.Fatal(err)
 		}
 		f.nodes = append(f.nodes, b)
-		b.Start(t0, coldStartHost{f, me})
-		b.EndpointsUpdated(t0, UpdateSnapshot, list, coldStartHost{f, me})
+		b.Start(testStart, coldStartHost{f, me})
+		b.EndpointsUpdated(testStart, UpdateSnapshot, list, coldStartHost{f, me})
 	}
 	f.after(0, f.arrive)
 	return f
--- a/balancer/datagrams_test.go
+++ b/balancer/datagrams_test.go
@@ -113,7 +113,7 @@
 func (net *network) join(at int, s Settings, endpoints []Endpoint) {
 	net.t.Helper()
 	s.NodeIndex = at
-	g, err := New(s, uint64(at+1)+uint64(net.now-t0))
+	g, err := New(s, uint64(at+1)+uint64(net.now-testStart))
 	if err != nil {
 		net.t.Fatal(err)
 	}
@@ -155,7 +155,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			name := "datagrams/" + c.name + ".txt"
 			play := func(recorded [][]byte) *network {
-				net := &network{t: t, now: t0, nodes: map[int]*Balancer{}, recorded: recorded, sentKinds: map[byte]int{}}
+				net := &network{t: t, now: testStart, nodes: map[int]*Balancer{}, recorded: recorded, sentKinds: map[byte]int{}}
 				c.play(net)
 				return net
 			}
@@ -176,8 +176,8 @@
 func playGossip(net *network) {
 	s := testSettings()
 	s.NodeCount = 2
-	net.join(0, s, fleet(60))
-	net.join(1, s, fleet(60))
+	net.join(0, s, equalEndpoints(60))
+	net.join(1, s, equalEndpoints(60))
 	for round, tenant := range []uint64{1, 1 << 40, 1, 3} {
 		for n, plan := range []string{"rate", "open", "hard"} {
 			request := newRequest(10*round+n, "safe", plan, tenant+uint64(n)*100)
@@ -224,7 +224,7 @@
 // joinEntryNodes adds the nodes 10 to 19.
 func (net *network) joinEntryNodes(s Settings, endpoints int) {
 	for at := 10; at < 20; at++ {
-		net.join(at, s, fleet(endpoints))
+		net.join(at, s, equalEndpoints(endpoints))
 	}
 }
 
@@ -290,7 +290,7 @@
 	settle(13, "r40", 1)
 	net.request(13, entryNodesRequest(41, "rate", 31, 35))
 	// A node that has restarted has reconciled nothing in its new incarnation.
-	net.join(13, s, fleet(600))
+	net.join(13, s, equalEndpoints(600))
 	net.request(13, entryNodesRequest(42, "rate", 31, 3))
 	// No endpoint is left when the grant comes.
 	net.nodes[11].RequestArrived(net.now, entryNodesRequest(50, "rate", 77, 3), networkHost{net, 11})
--- a/balancer/decisions_clients_test.go
+++ b/balancer/decisions_clients_test.go
@@ -4,8 +4,9 @@
 	"fmt"
 	"math"
 	"math/rand/v2"
-	"opalhook/balancer"
 	"time"
+
+	"opalhook/balancer"
 )
 
 // The clients of the world, their requests and the attempts that nodes send for these.
--- a/balancer/decisions_endpoints_test.go
+++ b/balancer/decisions_endpoints_test.go
@@ -4,8 +4,9 @@
 	"fmt"
 	"math"
 	"math/rand/v2"
-	"opalhook/balancer"
 	"time"
+
+	"opalhook/balancer"
 )
 
 // The endpoints of the world, the weather that they have, and the list of them.
--- a/balancer/decisions_faults_test.go
+++ b/balancer/decisions_faults_test.go
@@ -1,8 +1,9 @@
 package balancer_test
 
 import (
-	"opalhook/balancer"
 	"time"
+
+	"opalhook/balancer"
 )
 
 // What a balancer must take without harm: events of nothing that it knows, bad requests, messages that are malformed,
--- a/balancer/decisions_test.go
+++ b/balancer/decisions_test.go
@@ -6,14 +6,15 @@
 	"flag"
 	"fmt"
 	"io"
-	"opalhook/balancer"
-	"opalhook/internal/golden"
 	"os"
 	"path/filepath"
 	"runtime"
 	"slices"
 	"testing"
 	"time"
+
+	"opalhook/balancer"
+	"opalhook/internal/golden"
 )
 
 // The regression check of decisions. Each scenario plays a script of events, drawn from a seed, to a few
--- a/balancer/decisions_world_test.go
+++ b/balancer/decisions_world_test.go
@@ -9,8 +9,9 @@
 	"io"
 	"log/slog"
 	"math/rand/v2"
-	"opalhook/balancer"
 	"time"
+
+	"opalhook/balancer"
 )
 
 // The world in which decisions are checked: a virtual clock, the nodes that run a balancer, and what these ask
--- a/balancer/endpoint_list_test.go
+++ b/balancer/endpoint_list_test.go
@@ -8,7 +8,7 @@
 
 // A list that is replaced over and over, or was long once, leaves nothing behind for ever.
 func TestReplacedListsAreReleased(t *testing.T) {
-	node, r := newGate(t, subsetSettings(100), testEndpoints(20_000)...)
+	node, r := newTestBalancer(t, subsetSettings(100), testEndpoints(20_000)...)
 	for n := range 2000 {
 		var list []Endpoint
 		for i := range 10 {
@@ -17,7 +17,7 @@
 			e := Endpoint{ID: id, MachineType: id, Zone: id, Cell: number, Weight: float64(number + 1)}
 			list = append(list, e)
 		}
-		node.EndpointsUpdated(t0, UpdateSnapshot, list, r)
+		node.EndpointsUpdated(testStart, UpdateSnapshot, list, r)
 	}
 	l := node.endpoints.list
 	for what, n := range map[string]int{
@@ -60,12 +60,12 @@
 		"another named, then removed":  {[]entries{{a}}, entries{b, b, gone(b)}, []string{"a", "b"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			node, r := newGate(t, subsetSettings(100), test.before[0]...)
+			node, r := newTestBalancer(t, subsetSettings(100), test.before[0]...)
 			for _, changes := range test.before[1:] {
-				node.EndpointsUpdated(t0, UpdateDelta, changes, r)
+				node.EndpointsUpdated(testStart, UpdateDelta, changes, r)
 			}
 			for round := range 2 { // a snapshot that comes again changes nothing
-				node.EndpointsUpdated(t0, UpdateSnapshot, test.list, r)
+				node.EndpointsUpdated(testStart, UpdateSnapshot, test.list, r)
 				for _, id := range []string{"a", "b", "c"} {
 					wanted := !slices.Contains(test.removed, id) && slices.ContainsFunc(test.list,
 						func(e Endpoint) bool { return e.ID == id })
@@ -83,10 +83,10 @@
 func TestSnapshotInSameOrderNeedsNoLookups(t *testing.T) {
 	const endpoints = 20_000
 	list := testEndpoints(endpoints)
-	node, r := newGate(t, subsetSettings(1000), list...)
+	node, r := newTestBalancer(t, subsetSettings(1000), list...)
 	lookups := func(kind UpdateKind, list []Endpoint) int {
 		before := node.endpoints.list.lookups
-		node.EndpointsUpdated(t0, kind, list, r)
+		node.EndpointsUpdated(testStart, kind, list, r)
 		return node.endpoints.list.lookups - before
 	}
 	if n := lookups(UpdateSnapshot, list); n != 0 {
@@ -112,15 +112,15 @@
 // A free slot is not taken for that of an endpoint without an id.
 func TestEndpointWithoutIDIsListed(t *testing.T) {
 	list := testEndpoints(4)
-	node, r := newGate(t, subsetSettings(100), list...)
+	node, r := newTestBalancer(t, subsetSettings(100), list...)
 	gone := list[1]
 	gone.State = Removed
-	node.EndpointsUpdated(t0, UpdateDelta, []Endpoint{list[0], gone}, r)
-	node.EndpointsUpdated(t0, UpdateDelta, []Endpoint{list[0], {MachineType: "k", Zone: "a"}}, r)
+	node.EndpointsUpdated(testStart, UpdateDelta, []Endpoint{list[0], gone}, r)
+	node.EndpointsUpdated(testStart, UpdateDelta, []Endpoint{list[0], {MachineType: "k", Zone: "a"}}, r)
 	if st := node.Stats(); st.ListedEndpoints != 4 || node.endpoints.list.activeWeights.total != 4 {
 		t.Errorf("%d listed, %d up, want 4", st.ListedEndpoints, node.endpoints.list.activeWeights.total)
 	}
-	node.EndpointsUpdated(t0, UpdateSnapshot, list, r)
+	node.EndpointsUpdated(testStart, UpdateSnapshot, list, r)
 	if st := node.Stats(); st.ListedEndpoints != 4 || node.endpoints.trackedByID[""] != nil {
 		t.Errorf("%d listed, want 4; without an id: %v", st.ListedEndpoints, node.endpoints.trackedByID[""])
 	}
--- a/balancer/endpoint_load_test.go
+++ b/balancer/endpoint_load_test.go
@@ -9,7 +9,7 @@
 // A report loses its meaning with its age, toward the mean over the endpoints.
 func TestExpectedLoadOfOtherNodes(t *testing.T) {
 	reported := endpointLoad{}
-	reported.record(9, 2, t0)
+	reported.record(9, 2, testStart)
 	for _, test := range []struct {
 		name string
 		load endpointLoad
@@ -21,7 +21,7 @@
 		{"a time constant ago", reported, loadGossipDecay, 4 + 3/math.E},
 		{"long ago", reported, time.Hour, 4},
 	} {
-		if got := test.load.expectedOtherNodes(t0+test.age, 4); math.Abs(got-test.want) > 1e-9 {
+		if got := test.load.expectedOtherNodes(testStart+test.age, 4); math.Abs(got-test.want) > 1e-9 {
 			t.Errorf("%s: %v, want %v", test.name, got, test.want)
 		}
 	}
@@ -29,19 +29,19 @@
 
 func TestEndpointLoad(t *testing.T) {
 	var load endpointLoad
-	load.record(3, 5, t0)
-	if load.requests != 3 || load.otherNodes != 0 || load.reportedAt != t0 || !load.known() {
+	load.record(3, 5, testStart)
+	if load.requests != 3 || load.otherNodes != 0 || load.reportedAt != testStart || !load.known() {
 		t.Errorf("fewer requests than this node's own: %+v", load)
 	}
-	load.recordError(t0 + ms)
-	if !load.lastResponseFailed || load.reportedAt != t0+ms || load.requests != 3 || !load.known() {
+	load.recordError(testStart + ms)
+	if !load.lastResponseFailed || load.reportedAt != testStart+ms || load.requests != 3 || !load.known() {
 		t.Errorf("after an error: %+v", load)
 	}
-	load.recordRefusal(t0 + 2*ms)
-	if !load.refusesConnections || load.reportedAt != t0+2*ms || load.known() {
+	load.recordRefusal(testStart + 2*ms)
+	if !load.refusesConnections || load.reportedAt != testStart+2*ms || load.known() {
 		t.Errorf("after a refused connection: %+v", load)
 	}
-	load.record(1, 0, t0+3*ms)
+	load.record(1, 0, testStart+3*ms)
 	if load.refusesConnections || load.lastResponseFailed || !load.known() {
 		t.Errorf("after another report: %+v", load)
 	}
@@ -53,12 +53,12 @@
 // A load report has only some of its figures.
 func TestLoadReportFigures(t *testing.T) {
 	e := newEndpoint(Endpoint{ID: "s0"})
-	e.recordLoadReport(&LoadReport{InFlight: -1, Queued: 2, Utilization: -1}, t0)
+	e.recordLoadReport(&LoadReport{InFlight: -1, Queued: 2, Utilization: -1}, testStart)
 	if e.load.queued != 2 || e.load.known() || e.load.utilizationReportedAt != 0 {
 		t.Errorf("queued only: %+v", e.load)
 	}
-	e.recordLoadReport(&LoadReport{InFlight: 4, Queued: -1, Utilization: 0}, t0+ms)
-	if e.load.queued != 2 || e.load.requests != 4 || e.load.utilizationReportedAt != t0+ms {
+	e.recordLoadReport(&LoadReport{InFlight: 4, Queued: -1, Utilization: 0}, testStart+ms)
+	if e.load.queued != 2 || e.load.requests != 4 || e.load.utilizationReportedAt != testStart+ms {
 		t.Errorf("all but queued: %+v", e.load)
 	}
 }
@@ -66,15 +66,15 @@
 // What a peer reports counts like a response of its own, and a refusal ejects once.
 func TestPeerLoad(t *testing.T) {
 	e := newEndpoint(Endpoint{ID: "s0"})
-	e.recordPeerLoad(4, true, t0)
+	e.recordPeerLoad(4, true, testStart)
 	if e.load.requests != 4 || !e.load.lastResponseFailed || e.health.errorRate != errorSmoothing {
 		t.Errorf("after a peer's error: %+v, error rate %v", e.load, e.health.errorRate)
 	}
-	e.recordPeerRefusal(t0+ms, t0)
-	if !e.health.ejected(t0+ms) || e.health.consecutiveEjections != 1 || e.load.reportedAt != t0 {
+	e.recordPeerRefusal(testStart+ms, testStart)
+	if !e.health.ejected(testStart+ms) || e.health.consecutiveEjections != 1 || e.load.reportedAt != testStart {
 		t.Errorf("after a peer's refused connection: %+v", e.health)
 	}
-	if e.recordPeerRefusal(t0+2*ms, t0+ms); e.health.consecutiveEjections != 1 {
+	if e.recordPeerRefusal(testStart+2*ms, testStart+ms); e.health.consecutiveEjections != 1 {
 		t.Errorf("%d ejections, want one while it lasts", e.health.consecutiveEjections)
 	}
 }
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -3,21 +3,22 @@
 import (
 	"fmt"
 	"log/slog"
-	"opalhook/balancer"
 	"time"
+
+	"opalhook/balancer"
 )
 
 // printer is a host that only prints what it is asked to do.
 type printer struct{}
 
-func (printer) SendAttempt(id, server string, timeout, by time.Duration) {
-	fmt.Println("send", id, "to", server)
+func (printer) SendAttempt(id, endpoint string, timeout, by time.Duration) {
+	fmt.Println("send", id, "to", endpoint)
 }
-func (printer) Reject(id string, retryAfter time.Duration)       { fmt.Println("refuse", id) }
+func (printer) Reject(id string, retryAfter time.Duration)       { fmt.Println("reject", id) }
 func (printer) Fail(id string)                                   { fmt.Println("fail", id) }
 func (printer) CancelAttempt(id string, attempt int)             { fmt.Println("cancel", id, attempt) }
 func (printer) SetTimer(token uint64, after time.Duration)       {}
-func (printer) HealthCheck(server string)                        {}
+func (printer) HealthCheck(endpoint string)                      {}
 func (printer) SendPeer(peer int, message []byte)                {}
 func (printer) WatchEndpoints(on bool)                           {}
 func (printer) Log(_ slog.Level, message string, _ ...slog.Attr) { fmt.Println(message) }
@@ -47,5 +48,5 @@
 	// Output:
 	// send r1 to alpha
 	// send r2 to alpha
-	// refuse r3
+	// reject r3
 }
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -7,16 +7,16 @@
 )
 
 // fleetNode is a node of a large fleet whose endpoints report their load in responses.
-func fleetNode(t *testing.T, index int) (*Balancer, *recorder) {
+func fleetNode(t *testing.T, index int) (*Balancer, *hostRecorder) {
 	settings := testSettings()
 	settings.NodeIndex, settings.NodeCount, settings.PeerMessagesPerSecond = index, 300, 40
 	settings.LoadReports = LoadReportsInResponses
-	return newGate(t, settings, fleet(4)...)
+	return newTestBalancer(t, settings, equalEndpoints(4)...)
 }
 
 // learn lets a node have a result of a request that it sent to an endpoint, with a report of its load.
 func learn(
-	t *testing.T, node *Balancer, host *recorder, now time.Duration, endpointID string, result Result,
+	t *testing.T, node *Balancer, host *hostRecorder, now time.Duration, endpointID string, result Result,
 	report *LoadReport,
 ) {
 	t.Helper()
@@ -36,15 +36,15 @@
 }
 
 // messageOf returns a message of a node to another, with what it has learned: a quota request.
-func messageOf(node *Balancer, host *recorder, now time.Duration) []byte {
-	host.tells = nil
+func messageOf(node *Balancer, host *hostRecorder, now time.Duration) []byte {
+	host.messages = nil
 	node.RequestArrived(now, ownedQuotaRequest(int(node.requests.lastNumber)+1), host)
-	return host.tells[node.ownerFor(node.quotas.buckets[ownedTenant])][0]
+	return host.messages[node.ownerFor(node.quotas.buckets[ownedTenant])][0]
 }
 
 // countSent counts the requests that a node sends to the endpoint s0 first, of many.
-func countSent(node *Balancer, host *recorder, now time.Duration) (to, all int) {
-	host.acts = nil
+func countSent(node *Balancer, host *hostRecorder, now time.Duration) (to, all int) {
+	host.actions = nil
 	for n := range 200 {
 		request := newRequest(10000+n, "safe", "rate", uint64(1000+n))
 		node.RequestArrived(now, request, host)
@@ -62,15 +62,15 @@
 	sender, senderHost := fleetNode(t, 10)
 	for n, endpointID := range []string{"s0", "s1", "s2", "s3"} {
 		report := &LoadReport{InFlight: float64(40 * oneIf(endpointID == "s0")), Queued: -1, Utilization: -1}
-		learn(t, sender, senderHost, t0+time.Duration(n)*ms, endpointID, OK, report)
+		learn(t, sender, senderHost, testStart+time.Duration(n)*ms, endpointID, OK, report)
 	}
-	message := messageOf(sender, senderHost, t0+10*ms)
+	message := messageOf(sender, senderHost, testStart+10*ms)
 	node, host := fleetNode(t, 11)
-	if to, all := countSent(node, host, t0+20*ms); all < 100 || to < all/8 {
+	if to, all := countSent(node, host, testStart+20*ms); all < 100 || to < all/8 {
 		t.Fatalf("%d of %d went to an endpoint of which nothing is known", to, all)
 	}
-	node.PeerMessage(t0+20*ms, 10, message, host)
-	if to, all := countSent(node, host, t0+30*ms); all < 100 || to > all/8 {
+	node.PeerMessage(testStart+20*ms, 10, message, host)
+	if to, all := countSent(node, host, testStart+30*ms); all < 100 || to > all/8 {
 		t.Errorf("%d of %d went to the endpoint reported to hold 40", to, all)
 	}
 }
@@ -78,11 +78,11 @@
 // The first node whose connection is refused must spare the others the same.
 func TestGossipedRefusalEjects(t *testing.T) {
 	sender, senderHost := fleetNode(t, 10)
-	learn(t, sender, senderHost, t0, "s0", ConnectFailed, nil)
+	learn(t, sender, senderHost, testStart, "s0", ConnectFailed, nil)
 	node, host := fleetNode(t, 11)
-	message := messageOf(sender, senderHost, t0+10*ms)
-	node.PeerMessage(t0+20*ms, 10, message, host)
-	if to, all := countSent(node, host, t0+30*ms); all < 100 || to > 0 {
+	message := messageOf(sender, senderHost, testStart+10*ms)
+	node.PeerMessage(testStart+20*ms, 10, message, host)
+	if to, all := countSent(node, host, testStart+30*ms); all < 100 || to > 0 {
 		t.Errorf("%d of %d went to an endpoint reported to refuse connections", to, all)
 	}
 	// A repeated report must not keep the endpoint ejected for longer.
@@ -102,9 +102,9 @@
 // two share a hash, change nothing.
 func TestOldLoadsChangeNothing(t *testing.T) {
 	node, host := fleetNode(t, 11)
-	learn(t, node, host, t0+time.Second, "s0", OK, &LoadReport{InFlight: 3, Queued: -1, Utilization: -1})
+	learn(t, node, host, testStart+time.Second, "s0", OK, &LoadReport{InFlight: 3, Queued: -1, Utilization: -1})
 	endpoint := node.endpoints.trackedByID["s0"]
-	node.now = t0 + 2*time.Second
+	node.now = testStart + 2*time.Second
 	node.receiveLoads(encodedLoad(endpoint.shortHash, 50, byte(1500*ms/ageUnit)))
 	node.receiveLoads(encodedLoad(endpoint.shortHash^1, 50, 0))
 	if endpoint.load.requests != 3 {
@@ -135,14 +135,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		host := &recorder{}
-		node.Start(t0, host)
-		cold := Endpoint{ID: "cold", MachineType: "k", Zone: "a", StartedAt: t0}
-		node.EndpointsUpdated(t0, UpdateSnapshot, []Endpoint{cold}, host)
+		host := &hostRecorder{}
+		node.Start(testStart, host)
+		cold := Endpoint{ID: "cold", MachineType: "k", Zone: "a", StartedAt: testStart}
+		node.EndpointsUpdated(testStart, UpdateSnapshot, []Endpoint{cold}, host)
 		for at := controlInterval; at <= known; at += controlInterval {
-			node.TimerFired(t0+at, timerControlInterval, host)
+			node.TimerFired(testStart+at, timerControlInterval, host)
 		}
-		node.RequestArrived(t0+known, newRequest(1, "safe", "rate", uint64(index)), host)
+		node.RequestArrived(testStart+known, newRequest(1, "safe", "rate", uint64(index)), host)
 		sent += host.count("send")
 		warmUpFraction = node.warmUpFraction(node.endpoints.tracked[0])
 	}
@@ -159,7 +159,7 @@
 func TestGossipedErrorsCount(t *testing.T) {
 	sender, senderHost := fleetNode(t, 10)
 	node, host := fleetNode(t, 11)
-	now := t0
+	now := testStart
 	applyGossip := func(result Result, times int) {
 		for range times {
 			now += 100 * ms
@@ -188,19 +188,19 @@
 		subsets := map[string]int{}
 		for index := range nodeCount {
 			settings.NodeIndex = index
-			node, host := newGate(t, settings, fleet(60)...)
+			node, host := newTestBalancer(t, settings, equalEndpoints(60)...)
 			own := node.Stats().SubsetEndpoints
 			for _, endpoint := range node.endpoints.tracked {
 				subsets[endpoint.ID] += int(oneIf(endpoint.inSubset))
 			}
 			for n := 0; n < 20; n++ {
 				request := newRequest(n, "safe", "rate", uint64(n))
-				node.RequestArrived(t0, request, host)
+				node.RequestArrived(testStart, request, host)
 				sent := node.requests.byID[request.ID]
 				if sent == nil || own > 0 && !sent.attempts[0].endpoint.inSubset {
-					t.Fatalf("%d nodes: %v", nodeCount, host.acts)
+					t.Fatalf("%d nodes: %v", nodeCount, host.actions)
 				}
-				node.AttemptFinished(t0+ms, Outcome{ID: request.ID, Result: OK, Answered: true, Elapsed: ms}, host)
+				node.AttemptFinished(testStart+ms, Outcome{ID: request.ID, Result: OK, Answered: true, Elapsed: ms}, host)
 			}
 			var drained []Endpoint
 			for _, endpoint := range node.endpoints.tracked {
@@ -210,10 +210,10 @@
 					})
 				}
 			}
-			node.EndpointsUpdated(t0, UpdateDelta, drained, host)
-			host.acts = nil
-			if node.RequestArrived(t0, newRequest(100, "safe", "rate", 100), host); own < 60 && host.count("send") != 1 {
-				t.Fatalf("%d nodes: none left but those of others: %v", nodeCount, host.acts)
+			node.EndpointsUpdated(testStart, UpdateDelta, drained, host)
+			host.actions = nil
+			if node.RequestArrived(testStart, newRequest(100, "safe", "rate", 100), host); own < 60 && host.count("send") != 1 {
+				t.Fatalf("%d nodes: none left but those of others: %v", nodeCount, host.actions)
 			}
 		}
 		for id, n := range subsets {
@@ -236,7 +236,7 @@
 		endpoint.listed = endpoint.ID == "s0"
 	}
 	for n := range 3 {
-		node.RequestArrived(t0, newRequest(n, "unsafe", "rate", uint64(n)), host)
+		node.RequestArrived(testStart, newRequest(n, "unsafe", "rate", uint64(n)), host)
 	}
 	for _, endpoint := range node.endpoints.tracked {
 		endpoint.listed = true
@@ -244,11 +244,11 @@
 	if got, want := node.reachable(), (reachableLoad{3, 4}); got != want {
 		t.Fatalf("%+v, want %+v", got, want)
 	}
-	node.now = t0 + time.Second
+	node.now = testStart + time.Second
 	if got, want := node.reachable(), (reachableLoad{0, 3}); got != want {
 		t.Errorf("%+v after a second of silence, want %+v", got, want)
 	}
-	if to, all := countSent(node, host, t0+time.Second); all < 100 || to > 0 {
+	if to, all := countSent(node, host, testStart+time.Second); all < 100 || to > 0 {
 		t.Errorf("%d of %d went to an endpoint that no node hears of", to, all)
 	}
 	node.receiveLoads(encodedLoad(node.endpoints.trackedByID["s0"].shortHash, 3, 1))
--- a/balancer/gossip_test.go
+++ b/balancer/gossip_test.go
@@ -70,7 +70,7 @@
 	if len(gossip.unreported) != 2 {
 		t.Fatalf("%d buckets to report, want 2", len(gossip.unreported))
 	}
-	host := &recorder{}
+	host := &hostRecorder{}
 	round := func(want int) {
 		t.Helper()
 		if gossip.sendRound(&codec, host); len(gossip.unreported) != want {
@@ -85,11 +85,11 @@
 		round(1)
 	}
 	round(0)
-	sent := len(host.tells[1])
-	if round(0); len(host.tells[1]) != sent+1 {
+	sent := len(host.messages[1])
+	if round(0); len(host.messages[1]) != sent+1 {
 		t.Error("the last report was not repeated")
 	}
-	if round(0); len(host.tells[1]) != sent+1 {
+	if round(0); len(host.messages[1]) != sent+1 {
 		t.Error("a message without entries was sent")
 	}
 }
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -8,50 +8,51 @@
 	"time"
 )
 
-// recorder keeps actions as text.
-type recorder struct {
-	acts   []string
-	timers []timerSet
-	tells  map[int][][]byte
+// hostRecorder is a host that records the actions as text.
+type hostRecorder struct {
+	actions  []string
+	timers   []timerRequest
+	messages map[int][][]byte
 }
 
-type timerSet struct {
+// timerRequest is one call of SetTimer.
+type timerRequest struct {
 	token uint64
 	after time.Duration
 }
 
-func (r *recorder) SendAttempt(id, server string, d, by time.Duration) {
-	r.add("send %s %s", id, server)
+func (r *hostRecorder) SendAttempt(id, endpoint string, d, by time.Duration) {
+	r.add("send %s %s", id, endpoint)
 }
 
-func (r *recorder) Reject(id string, d time.Duration) { r.add("refuse %s", id) }
+func (r *hostRecorder) Reject(id string, d time.Duration) { r.add("reject %s", id) }
 
-func (r *recorder) Fail(id string) { r.add("fail %s", id) }
+func (r *hostRecorder) Fail(id string) { r.add("fail %s", id) }
 
-func (r *recorder) CancelAttempt(id string, n int) { r.add("cancel %s %d", id, n) }
+func (r *hostRecorder) CancelAttempt(id string, n int) { r.add("cancel %s %d", id, n) }
 
-func (r *recorder) SetTimer(token uint64, d time.Duration) {
-	r.timers = append(r.timers, timerSet{token, d})
+func (r *hostRecorder) SetTimer(token uint64, d time.Duration) {
+	r.timers = append(r.timers, timerRequest{token, d})
 }
 
-func (r *recorder) HealthCheck(server string) { r.add("probe %s", server) }
+func (r *hostRecorder) HealthCheck(endpoint string) { r.add("check %s", endpoint) }
 
-func (r *recorder) WatchEndpoints(on bool) { r.add("watch %v", on) }
+func (r *hostRecorder) WatchEndpoints(on bool) { r.add("watch %v", on) }
 
-func (r *recorder) Log(slog.Level, string, ...slog.Attr) {}
+func (r *hostRecorder) Log(slog.Level, string, ...slog.Attr) {}
 
-func (r *recorder) SendPeer(p int, m []byte) {
-	if r.tells == nil {
-		r.tells = map[int][][]byte{}
+func (r *hostRecorder) SendPeer(p int, m []byte) {
+	if r.messages == nil {
+		r.messages = map[int][][]byte{}
 	}
-	r.tells[p] = append(r.tells[p], append([]byte(nil), m...))
+	r.messages[p] = append(r.messages[p], append([]byte(nil), m...))
 }
 
-func (r *recorder) add(f string, a ...any) { r.acts = append(r.acts, fmt.Sprintf(f, a...)) }
+func (r *hostRecorder) add(f string, a ...any) { r.actions = append(r.actions, fmt.Sprintf(f, a...)) }
 
-func (r *recorder) count(prefix string) int {
+func (r *hostRecorder) count(prefix string) int {
 	n := 0
-	for _, a := range r.acts {
+	for _, a := range r.actions {
 		if strings.HasPrefix(a, prefix) {
 			n++
 		}
@@ -59,65 +60,70 @@
 	return n
 }
 
-func (r *recorder) last() string {
-	if len(r.acts) == 0 {
+func (r *hostRecorder) last() string {
+	if len(r.actions) == 0 {
 		return ""
 	}
-	return r.acts[len(r.acts)-1]
+	return r.actions[len(r.actions)-1]
 }
 
-const t0 = 1000 * time.Second
+// testStart is the clock reading at which tests start their balancers.
+const testStart = 1000 * time.Second
 
-func newGate(t *testing.T, s Settings, servers ...Endpoint) (*Balancer, *recorder) {
+// newTestBalancer returns a balancer that has started with the endpoints, and its host.
+func newTestBalancer(t *testing.T, s Settings, endpoints ...Endpoint) (*Balancer, *hostRecorder) {
 	t.Helper()
-	g, err := New(s, 1)
+	b, err := New(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &recorder{}
-	g.Start(t0, r)
-	g.EndpointsUpdated(t0, UpdateCached, servers, r)
-	return g, r
+	r := &hostRecorder{}
+	b.Start(testStart, r)
+	b.EndpointsUpdated(testStart, UpdateCached, endpoints, r)
+	return b, r
 }
 
-func newRequest(n int, class, plan string, customer uint64) Request {
+// newRequest returns a request of one unit that enters through one node.
+func newRequest(n int, class, plan string, tenant uint64) Request {
 	return Request{
-		ID: fmt.Sprintf("r%d", n), Class: class, Plan: plan, Tenant: customer,
+		ID: fmt.Sprintf("r%d", n), Class: class, Plan: plan, Tenant: tenant,
 		Timeout: 2 * time.Second, Units: 1, EntryNodes: 1,
 	}
 }
 
-func fleet(n int) (list []Endpoint) {
+// equalEndpoints returns endpoints that differ in their IDs only.
+func equalEndpoints(n int) (list []Endpoint) {
 	for i := 0; i < n; i++ {
 		list = append(list, Endpoint{ID: fmt.Sprintf("s%d", i), MachineType: "k", Zone: "a", Cell: 1})
 	}
 	return list
 }
 
-// flood offers n requests of one customer at once and returns how many were sent.
-func flood(g *Balancer, r *recorder, now time.Duration, n int, q Request) int {
+// sendBurst brings n requests of one tenant at once and returns how many were sent.
+func sendBurst(b *Balancer, r *hostRecorder, now time.Duration, n int, q Request) int {
 	before := r.count("send")
 	for i := 0; i < n; i++ {
 		q.ID = fmt.Sprintf("%s-%d-%v-%d", q.Class, q.Tenant, now, i)
 		q.Units = max(q.Units, 1)
-		g.concurrency.inFlight = 0 // the quota alone is looked at
-		g.RequestArrived(now, q, r)
+		b.concurrency.inFlight = 0 // the quota alone decides
+		b.RequestArrived(now, q, r)
 	}
 	return r.count("send") - before
 }
 
-// answer gives an OK to each request that is out.
-func answer(g *Balancer, r *recorder, now, took time.Duration, res Result) {
-	for _, a := range r.acts {
-		var id, server string
-		if n, _ := fmt.Sscanf(a, "send %s %s", &id, &server); n == 2 {
-			g.AttemptFinished(now, Outcome{ID: id, Result: res, EndpointID: server, Answered: res == OK, Elapsed: took}, r)
+// respondToAll ends each recorded attempt with an OK.
+func respondToAll(b *Balancer, r *hostRecorder, now, elapsed time.Duration) {
+	for _, a := range r.actions {
+		var id, endpoint string
+		if n, _ := fmt.Sscanf(a, "send %s %s", &id, &endpoint); n == 2 {
+			b.AttemptFinished(now, Outcome{ID: id, Result: OK, EndpointID: endpoint, Answered: true, Elapsed: elapsed}, r)
 		}
 	}
-	r.acts = nil
+	r.actions = nil
 }
 
-func probing() Settings {
+// healthCheckSettings are settings with health checks that report loads.
+func healthCheckSettings() Settings {
 	s := testSettings()
 	s.HealthChecks, s.LoadReports = true, LoadReportsInHealthChecks
 	return s
--- a/balancer/health_test.go
+++ b/balancer/health_test.go
@@ -9,14 +9,14 @@
 
 // A refused connection ejects at once, for longer each time, and a success ends that.
 func TestEjectionsGrow(t *testing.T) {
-	b, r := newGate(t, testSettings(), fleet(2)...)
+	b, r := newTestBalancer(t, testSettings(), equalEndpoints(2)...)
 	e := b.endpoints.trackedByID["s0"]
 	q := &request{}
 	var last time.Duration
 	for i := 1; i <= 6; i++ {
 		b.now = e.health.ejectedUntil
 		if i == 1 {
-			b.now = t0
+			b.now = testStart
 		}
 		b.actions = r
 		b.recordOutcome(q, e, Outcome{Result: ConnectFailed})
@@ -33,21 +33,21 @@
 }
 
 func TestDrainingEndpointGetsNoRequests(t *testing.T) {
-	b, r := newGate(t, testSettings(), fleet(2)...)
-	b.EndpointsUpdated(t0, UpdateDelta, []Endpoint{{ID: "s0", State: Draining}}, r)
+	b, r := newTestBalancer(t, testSettings(), equalEndpoints(2)...)
+	b.EndpointsUpdated(testStart, UpdateDelta, []Endpoint{{ID: "s0", State: Draining}}, r)
 	q := newRequest(0, "safe", "rate", 1)
-	flood(b, r, t0, 20, q)
+	sendBurst(b, r, testStart, 20, q)
 	if r.count("send") == 0 {
 		t.Fatal("nothing sent")
 	}
-	for _, a := range r.acts {
+	for _, a := range r.actions {
 		if strings.HasSuffix(a, " s0") {
 			t.Fatalf("%q", a)
 		}
 	}
-	b.EndpointsUpdated(t0, UpdateSnapshot, nil, r)
-	r.acts = nil
-	if n := flood(b, r, t0, 5, q); n != 0 {
+	b.EndpointsUpdated(testStart, UpdateSnapshot, nil, r)
+	r.actions = nil
+	if n := sendBurst(b, r, testStart, 5, q); n != 0 {
 		t.Errorf("%d sent to endpoints that are no longer listed", n)
 	}
 }
@@ -55,15 +55,15 @@
 // An endpoint that is silent to a health check and to all else since gets no request until it responds to
 // one; a response in between shows that it lives.
 func TestUnreachableEndpointGetsNoRequestUntilItResponds(t *testing.T) {
-	b, r := newGate(t, probing(), fleet(2)...)
-	s, now := b.endpoints.trackedByID["s0"], t0
+	b, r := newTestBalancer(t, healthCheckSettings(), equalEndpoints(2)...)
+	s, now := b.endpoints.trackedByID["s0"], testStart
 	sentTo := func(id string) (n int) {
 		for i := range 30 {
 			now += 50 * ms
-			r.acts = nil
+			r.actions = nil
 			b.RequestArrived(now, newRequest(int(now/ms), "safe", "rate", uint64(i)), r)
 			n += r.count(fmt.Sprintf("send r%d %s", now/ms, id))
-			answer(b, r, now, ms, OK)
+			respondToAll(b, r, now, ms)
 		}
 		return n
 	}
@@ -94,19 +94,19 @@
 
 // Health checks reach all endpoints in turn, though selections shuffle them.
 func TestHealthChecksReachAllInTurn(t *testing.T) {
-	b, r := newGate(t, probing(), fleet(10)...)
+	b, r := newTestBalancer(t, healthCheckSettings(), equalEndpoints(10)...)
 	checks := map[string]int{}
 	for i := range 200 {
-		now := t0 + time.Duration(i)*5*ms
+		now := testStart + time.Duration(i)*5*ms
 		b.RequestArrived(now, newRequest(i, "safe", "rate", uint64(i)), r)
-		answer(b, r, now, ms, OK)
+		respondToAll(b, r, now, ms)
 		if i%10 == 9 {
 			b.overload.pooled[poolSent] = 2
 			b.TimerFired(now, timerControlInterval, r)
 			for id := range b.endpoints.trackedByID {
-				checks[id] += r.count("probe " + id)
+				checks[id] += r.count("check " + id)
 			}
-			r.acts = nil
+			r.actions = nil
 		}
 	}
 	for id := range b.endpoints.trackedByID {
@@ -127,11 +127,11 @@
 	}
 	for n, want := range durations {
 		health.errorRate = 1
-		health.eject(t0)
-		if got := health.ejectedUntil - t0; got != want {
+		health.eject(testStart)
+		if got := health.ejectedUntil - testStart; got != want {
 			t.Errorf("ejection %d lasts %v, want %v", n+1, got, want)
 		}
-		if health.ejected(t0+want) || !health.ejected(t0+want-1) {
+		if health.ejected(testStart+want) || !health.ejected(testStart+want-1) {
 			t.Errorf("ejection %d does not end at its end", n+1)
 		}
 		if health.errorRate >= ejectionErrorRate {
@@ -139,32 +139,32 @@
 		}
 	}
 	health.recordSuccess()
-	if health.eject(t0); health.ejectedUntil != t0+500*ms {
-		t.Errorf("ejection after a success lasts %v", health.ejectedUntil-t0)
+	if health.eject(testStart); health.ejectedUntil != testStart+500*ms {
+		t.Errorf("ejection after a success lasts %v", health.ejectedUntil-testStart)
 	}
 }
 
 // An endpoint is unreachable only if nothing has come back since something came to nothing, and until it
 // responds.
 func TestUnreachable(t *testing.T) {
-	health := endpointHealth{lastResponse: t0, consecutiveEjections: 3, ejectedUntil: t0 + time.Hour}
-	if health.recordNoResponse(t0) || health.unreachable {
+	health := endpointHealth{lastResponse: testStart, consecutiveEjections: 3, ejectedUntil: testStart + time.Hour}
+	if health.recordNoResponse(testStart) || health.unreachable {
 		t.Error("unreachable though it has responded since")
 	}
-	if !health.recordNoResponse(t0+ms) || !health.unreachable {
+	if !health.recordNoResponse(testStart+ms) || !health.unreachable {
 		t.Error("reachable though nothing has come back")
 	}
-	if health.recordNoResponse(t0 + 2*ms) {
+	if health.recordNoResponse(testStart + 2*ms) {
 		t.Error("unreachable anew")
 	}
 	if health.consecutiveEjections != 3 {
 		t.Errorf("%d ejections in a row after silence, want 3 as before", health.consecutiveEjections)
 	}
-	if !health.recordResponse(t0+3*ms) || health.unreachable || health.ejected(t0+4*ms) ||
+	if !health.recordResponse(testStart+3*ms) || health.unreachable || health.ejected(testStart+4*ms) ||
 		health.consecutiveEjections != 0 {
 		t.Errorf("after a response: %+v", health)
 	}
-	if health.recordResponse(t0 + 5*ms) {
+	if health.recordResponse(testStart + 5*ms) {
 		t.Error("reachable anew")
 	}
 }
@@ -172,20 +172,20 @@
 // A response or a reported load ends an ejection for silence, but no other.
 func TestUnresponsiveEjectionEndsWithNews(t *testing.T) {
 	for name, news := range map[string]func(e *endpoint){
-		"response": func(e *endpoint) { e.health.recordResponse(t0) },
-		"load":     func(e *endpoint) { e.recordLoad(1, t0) },
+		"response": func(e *endpoint) { e.health.recordResponse(testStart) },
+		"load":     func(e *endpoint) { e.recordLoad(1, testStart) },
 	} {
 		silent, failing := newEndpoint(Endpoint{ID: "silent"}), newEndpoint(Endpoint{ID: "failing"})
-		silent.health.ejectAsUnresponsive(t0)
-		failing.health.eject(t0)
-		if got := silent.health.ejectedUntil - t0; got != unresponsiveEjection {
+		silent.health.ejectAsUnresponsive(testStart)
+		failing.health.eject(testStart)
+		if got := silent.health.ejectedUntil - testStart; got != unresponsiveEjection {
 			t.Errorf("%s: ejected for %v, want %v", name, got, unresponsiveEjection)
 		}
 		news(silent)
 		news(failing)
-		if silent.health.ejected(t0) || !failing.health.ejected(t0) {
-			t.Errorf("%s: silent endpoint ejected: %v, failing one: %v", name, silent.health.ejected(t0),
-				failing.health.ejected(t0))
+		if silent.health.ejected(testStart) || !failing.health.ejected(testStart) {
+			t.Errorf("%s: silent endpoint ejected: %v, failing one: %v", name, silent.health.ejected(testStart),
+				failing.health.ejected(testStart))
 		}
 	}
 }
@@ -196,7 +196,7 @@
 	busySince := func(lastProgress time.Duration) func(*endpoint) {
 		return func(e *endpoint) { e.inFlight, e.lastProgress = 1, lastProgress }
 	}
-	reportedElsewhere := func(e *endpoint) { e.inFlight, e.lastProgress, e.load.reportedAt = 1, 0, t0 }
+	reportedElsewhere := func(e *endpoint) { e.inFlight, e.lastProgress, e.load.reportedAt = 1, 0, testStart }
 	errorRate := func(rate float64) func(*endpoint) {
 		return func(e *endpoint) { e.health.errorRate = rate }
 	}
@@ -212,23 +212,23 @@
 		{"healthy", func(*endpoint) {}, large, false, false},
 		{"unreachable", func(e *endpoint) { e.health.unreachable = true }, small, true, true},
 		{"idle and silent", func(e *endpoint) { e.lastProgress = 0 }, large, false, false},
-		{"busy and silent", busySince(t0 - 101*ms), large, true, true},
+		{"busy and silent", busySince(testStart - 101*ms), large, true, true},
 		{"busy and silent in a small fleet", busySince(0), small, false, false},
-		{"busy and not silent for long", busySince(t0 - 100*ms), large, false, false},
+		{"busy and not silent for long", busySince(testStart - 100*ms), large, false, false},
 		{"silent here, reported elsewhere", reportedElsewhere, large, false, false},
-		{"ejected as unresponsive", unresponsiveSince(t0 - ms), large, true, true},
-		{"ejected as unresponsive long ago", unresponsiveSince(t0 - time.Minute), large, false, false},
-		{"ejected", func(e *endpoint) { e.health.eject(t0) }, small, false, true},
+		{"ejected as unresponsive", unresponsiveSince(testStart - ms), large, true, true},
+		{"ejected as unresponsive long ago", unresponsiveSince(testStart - time.Minute), large, false, false},
+		{"ejected", func(e *endpoint) { e.health.eject(testStart) }, small, false, true},
 		{"high error rate", errorRate(ejectionErrorRate + 0.01), large, false, true},
 		{"high error rate in a small fleet", errorRate(1), small, false, false},
 	} {
 		e := newEndpoint(Endpoint{ID: "s0"})
-		e.lastProgress = t0
+		e.lastProgress = testStart
 		test.change(e)
-		if got := e.unresponsive(t0, test.criteria); got != test.unresponsive {
+		if got := e.unresponsive(testStart, test.criteria); got != test.unresponsive {
 			t.Errorf("%s: unresponsive %v", test.name, got)
 		}
-		if got := e.deprioritized(t0, test.criteria); got != test.deprioritized {
+		if got := e.deprioritized(testStart, test.criteria); got != test.deprioritized {
 			t.Errorf("%s: deprioritized %v", test.name, got)
 		}
 	}
@@ -251,7 +251,7 @@
 	} {
 		checks := 0
 		for _, attempts := range test.attempts {
-			if test.checker.next(t0, test.tracked, attempts) != nil {
+			if test.checker.next(testStart, test.tracked, attempts) != nil {
 				checks++
 			}
 		}
--- a/balancer/latency_test.go
+++ b/balancer/latency_test.go
@@ -10,10 +10,10 @@
 // type's, not as those of whichever came first.
 func TestEndpointChangesMachineType(t *testing.T) {
 	for _, nodes := range []int{1, 100} {
-		b, r := newGate(t, subsetSettings(nodes), fleet(2)...)
-		moved := fleet(2)[1]
+		b, r := newTestBalancer(t, subsetSettings(nodes), equalEndpoints(2)...)
+		moved := equalEndpoints(2)[1]
 		moved.MachineType = "other"
-		b.EndpointsUpdated(t0, UpdateDelta, []Endpoint{moved}, r)
+		b.EndpointsUpdated(testStart, UpdateDelta, []Endpoint{moved}, r)
 		b.recordLatency(0, b.endpoints.trackedByID["s0"], 40*ms)
 		for range 2 {
 			b.recordLatency(0, b.endpoints.trackedByID[moved.ID], 50*ms)
--- a/balancer/over_quota_test.go
+++ b/balancer/over_quota_test.go
@@ -15,7 +15,7 @@
 		{0.5, 0.5, 1},              // over it
 		{0.99, 0.99, 1},            // within it again: kept, to correct what was recorded before
 	} {
-		table.record(t0, 1, step.recorded)
+		table.record(testStart, 1, step.recorded)
 		if got := table.grantedFraction(1); got != step.want || len(table) != step.entries {
 			t.Errorf("%v after %v was recorded, want %v; %d entries", got, step.recorded, step.want, len(table))
 		}
@@ -27,11 +27,11 @@
 
 func TestOverQuotaReportsExpire(t *testing.T) {
 	table := overQuotaTable{}
-	table.record(t0, 1, 0.5)
-	if table.expire(t0 + overQuotaRetention); len(table) != 1 {
+	table.record(testStart, 1, 0.5)
+	if table.expire(testStart + overQuotaRetention); len(table) != 1 {
 		t.Error("dropped before its time")
 	}
-	if table.expire(t0 + overQuotaRetention + 1); len(table) != 0 {
+	if table.expire(testStart + overQuotaRetention + 1); len(table) != 0 {
 		t.Error("retained past its time")
 	}
 }
@@ -39,12 +39,12 @@
 // Within the precision of ages a report may be what is known already.
 func TestOverQuotaTakesOnlyNewerReports(t *testing.T) {
 	const precision = ageUnit + peerMessageDelay
-	for at, want := range map[time.Duration]float64{t0 + precision: 0.5, t0 + precision + 1: 0.2} {
+	for at, want := range map[time.Duration]float64{testStart + precision: 0.5, testStart + precision + 1: 0.2} {
 		table := overQuotaTable{}
-		table.record(t0, 1, 0.5)
+		table.record(testStart, 1, 0.5)
 		table.receive(at+peerMessageDelay, []overQuotaReport{{tenantHash(1), 0.2, 0}})
 		if got := table.grantedFraction(1); got != want {
-			t.Errorf("granted fraction %v after a report %v later, want %v", got, at-t0, want)
+			t.Errorf("granted fraction %v after a report %v later, want %v", got, at-testStart, want)
 		}
 	}
 }
@@ -52,10 +52,10 @@
 func TestNewestOverQuotaReportsAreSent(t *testing.T) {
 	table := overQuotaTable{}
 	for hash := range uint16(20) {
-		table[hash] = overQuotaTenant{0.5, t0 - time.Duration(hash/2)*ms}
+		table[hash] = overQuotaTenant{0.5, testStart - time.Duration(hash/2)*ms}
 	}
-	table[100] = overQuotaTenant{0.5, t0 - loadGossipMaxAge}
-	got := table.appendNewest(nil, t0)
+	table[100] = overQuotaTenant{0.5, testStart - loadGossipMaxAge}
+	got := table.appendNewest(nil, testStart)
 	if len(got) != maxOverQuotaEntries {
 		t.Fatalf("%d reports, want %d", len(got), maxOverQuotaEntries)
 	}
@@ -65,8 +65,8 @@
 		}
 	}
 	clear(table)
-	table[100] = overQuotaTenant{0.5, t0 - loadGossipMaxAge}
-	if got := table.appendNewest(nil, t0); len(got) != 0 {
+	table[100] = overQuotaTenant{0.5, testStart - loadGossipMaxAge}
+	if got := table.appendNewest(nil, testStart); len(got) != 0 {
 		t.Errorf("%+v are too old to send", got)
 	}
 }
--- a/balancer/owned_quota_test.go
+++ b/balancer/owned_quota_test.go
@@ -7,10 +7,10 @@
 )
 
 // ownedQuotaNode is a node of a fleet of 300, which is so large that quotas have owners.
-func ownedQuotaNode(t *testing.T, index int) (*Balancer, *recorder) {
+func ownedQuotaNode(t *testing.T, index int) (*Balancer, *hostRecorder) {
 	settings := testSettings()
 	settings.NodeIndex, settings.NodeCount, settings.Gossip, settings.PeerMessagesPerSecond = index, 300, true, 40
-	return newGate(t, settings, fleet(4)...)
+	return newTestBalancer(t, settings, equalEndpoints(4)...)
 }
 
 // ownedTenant comes in through the nodes 10 to 109.
@@ -24,7 +24,7 @@
 }
 
 // timeOutQuotaRequest lets the time of a node's latest quota request pass without a grant.
-func timeOutQuotaRequest(node *Balancer, host *recorder, sentAt time.Duration) {
+func timeOutQuotaRequest(node *Balancer, host *hostRecorder, sentAt time.Duration) {
 	token := node.requests.lastNumber<<timerBits | timerQuotaRequest
 	node.TimerFired(sentAt+quotaRequestRepeatAfter, token, host)
 	node.TimerFired(sentAt+quotaRequestTimeout, token, host)
@@ -35,10 +35,10 @@
 
 // requesterAndOwner returns a node that has sent a quota request of the tenant, and the owner with its bucket.
 func requesterAndOwner(t *testing.T) (
-	requester, owner *Balancer, host, ownerHost *recorder, bucket *quotaBucket, ownerIndex int,
+	requester, owner *Balancer, host, ownerHost *hostRecorder, bucket *quotaBucket, ownerIndex int,
 ) {
 	requester, host = ownedQuotaNode(t, 10)
-	requester.RequestArrived(t0, ownedQuotaRequest(1), host)
+	requester.RequestArrived(testStart, ownedQuotaRequest(1), host)
 	ownerIndex = ownerIndexOf(requester)
 	owner, ownerHost = ownedQuotaNode(t, ownerIndex)
 	return requester, owner, host, ownerHost, owner.quotaFor(ownedTenant, owner.ratePlan(), entryNodes{10, 100}), ownerIndex
@@ -49,33 +49,33 @@
 func TestQuotaRequestGoesToTheOwner(t *testing.T) {
 	requester, host := ownedQuotaNode(t, 10)
 	request := ownedQuotaRequest(1)
-	requester.RequestArrived(t0, request, host)
+	requester.RequestArrived(testStart, request, host)
 	ownerIndex := ownerIndexOf(requester)
 	nodes := requester.quotas.buckets[ownedTenant].entryNodes
 	if !nodes.contains(ownerIndex, requester.settings.NodeCount) ||
-		host.count("send")+host.count("refuse") != 0 || host.tells[ownerIndex] == nil {
-		t.Fatalf("owner %d, actions %v", ownerIndex, host.acts)
+		host.count("send")+host.count("reject") != 0 || host.messages[ownerIndex] == nil {
+		t.Fatalf("owner %d, actions %v", ownerIndex, host.actions)
 	}
 	owner, ownerHost := ownedQuotaNode(t, ownerIndex)
-	owner.PeerMessage(t0, 10, host.tells[ownerIndex][0], ownerHost)
-	requester.PeerMessage(t0+20*ms, ownerIndex, ownerHost.tells[10][0], host)
+	owner.PeerMessage(testStart, 10, host.messages[ownerIndex][0], ownerHost)
+	requester.PeerMessage(testStart+20*ms, ownerIndex, ownerHost.messages[10][0], host)
 	if host.count("send") != 1 {
-		t.Errorf("not sent after a grant: %v", host.acts)
+		t.Errorf("not sent after a grant: %v", host.actions)
 	}
 	// A grant that comes again, or from another node, changes nothing.
-	host.acts = nil
+	host.actions = nil
 	for _, from := range []int{ownerIndex, 11, -1, 300} {
-		requester.PeerMessage(t0+30*ms, from, ownerHost.tells[10][0], host)
+		requester.PeerMessage(testStart+30*ms, from, ownerHost.messages[10][0], host)
 	}
-	if len(host.acts) != 0 {
-		t.Errorf("%v", host.acts)
+	if len(host.actions) != 0 {
+		t.Errorf("%v", host.actions)
 	}
 }
 
 // All requesters together must not be granted more than the bucket holds.
 func TestOwnerGrantsItsBucketOnce(t *testing.T) {
 	first, host := ownedQuotaNode(t, 10)
-	first.RequestArrived(t0, ownedQuotaRequest(1), host)
+	first.RequestArrived(testStart, ownedQuotaRequest(1), host)
 	ownerIndex := ownerIndexOf(first)
 	owner, ownerHost := ownedQuotaNode(t, ownerIndex)
 	sent := 0.0
@@ -88,11 +88,11 @@
 			continue // it asks the owner of another part
 		}
 		for n := 0; n < 4; n++ {
-			host.tells, ownerHost.tells = nil, nil
-			node.RequestArrived(t0, ownedQuotaRequest(n), host)
-			if host.tells != nil { // else it rejects locally
-				owner.PeerMessage(t0, index, host.tells[ownerIndex][0], ownerHost)
-				node.PeerMessage(t0, ownerIndex, ownerHost.tells[index][0], host)
+			host.messages, ownerHost.messages = nil, nil
+			node.RequestArrived(testStart, ownedQuotaRequest(n), host)
+			if host.messages != nil { // else it rejects locally
+				owner.PeerMessage(testStart, index, host.messages[ownerIndex][0], ownerHost)
+				node.PeerMessage(testStart, ownerIndex, ownerHost.messages[index][0], host)
 			}
 		}
 		sent += float64(host.count("send"))
@@ -106,11 +106,11 @@
 func TestUnansweredRequestFollowsTheGrantedFraction(t *testing.T) {
 	for _, granted := range []float64{0, 1} {
 		node, host := ownedQuotaNode(t, 10)
-		node.overQuota[tenantHash(ownedTenant)] = overQuotaTenant{granted, t0}
-		node.RequestArrived(t0, ownedQuotaRequest(1), host)
-		timeOutQuotaRequest(node, host, t0)
-		if got := host.count("send"); got != int(granted) || host.count("refuse") != 1-got {
-			t.Errorf("granted fraction %v: %v", granted, host.acts)
+		node.overQuota[tenantHash(ownedTenant)] = overQuotaTenant{granted, testStart}
+		node.RequestArrived(testStart, ownedQuotaRequest(1), host)
+		timeOutQuotaRequest(node, host, testStart)
+		if got := host.count("send"); got != int(granted) || host.count("reject") != 1-got {
+			t.Errorf("granted fraction %v: %v", granted, host.actions)
 		}
 	}
 }
@@ -118,20 +118,20 @@
 // A quota request changes nothing if its sender or its receiver is no entry node, or if it is malformed.
 func TestInvalidQuotaRequestsChangeNothing(t *testing.T) {
 	requester, host := ownedQuotaNode(t, 10)
-	requester.RequestArrived(t0, ownedQuotaRequest(1), host)
-	good := host.tells[ownerIndexOf(requester)][0]
+	requester.RequestArrived(testStart, ownedQuotaRequest(1), host)
+	good := host.messages[ownerIndexOf(requester)][0]
 	for _, c := range []struct{ index, from int }{{5, 10}, {20, 5}, {20, 250}} {
 		node, host := ownedQuotaNode(t, c.index)
-		node.PeerMessage(t0, c.from, good, host)
-		if len(node.quotas.buckets) != 0 || len(host.tells) != 0 {
-			t.Errorf("%+v: %d buckets, %d grants", c, len(node.quotas.buckets), len(host.tells))
+		node.PeerMessage(testStart, c.from, good, host)
+		if len(node.quotas.buckets) != 0 || len(host.messages) != 0 {
+			t.Errorf("%+v: %d buckets, %d grants", c, len(node.quotas.buckets), len(host.messages))
 		}
 	}
 	node, nodeHost := ownedQuotaNode(t, 20)
 	for size := range good {
-		node.PeerMessage(t0, 10, good[:size], nodeHost)
+		node.PeerMessage(testStart, 10, good[:size], nodeHost)
 	}
-	node.PeerMessage(t0, 10, append(append([]byte{}, good...), 0), nodeHost)
+	node.PeerMessage(testStart, 10, append(append([]byte{}, good...), 0), nodeHost)
 	if len(node.quotas.buckets) != 0 {
 		t.Error("a malformed quota request made a bucket")
 	}
@@ -156,18 +156,18 @@
 	requester, host := ownedQuotaNode(t, 10)
 	request := ownedQuotaRequest(1)
 	request.Plan = "open"
-	requester.RequestArrived(t0, request, host)
+	requester.RequestArrived(testStart, request, host)
 	ownerIndex := ownerIndexOf(requester)
 	owner, ownerHost := ownedQuotaNode(t, ownerIndex)
-	owner.PeerMessage(t0, 10, host.tells[ownerIndex][0], ownerHost)
+	owner.PeerMessage(testStart, 10, host.messages[ownerIndex][0], ownerHost)
 	if n := len(owner.quotas.buckets[ownedTenant].owner.leases); n != 1 {
 		t.Fatalf("%d leases", n)
 	}
-	host.tells = nil
-	timeOutQuotaRequest(requester, host, t0)
-	answer(requester, host, t0+quotaRequestTimeout+50*ms, 50*ms, OK)
-	for _, m := range host.tells[ownerIndex] {
-		owner.PeerMessage(t0+200*ms, 10, m, ownerHost)
+	host.messages = nil
+	timeOutQuotaRequest(requester, host, testStart)
+	respondToAll(requester, host, testStart+quotaRequestTimeout+50*ms, 50*ms)
+	for _, m := range host.messages[ownerIndex] {
+		owner.PeerMessage(testStart+200*ms, 10, m, ownerHost)
 	}
 	if n := len(owner.quotas.buckets[ownedTenant].owner.leases); n != 0 {
 		t.Errorf("%d leases after the response", n)
@@ -184,13 +184,13 @@
 	requester, host := ownedQuotaNode(t, 10)
 	request := ownedQuotaRequest(1)
 	request.Plan = "hard"
-	requester.RequestArrived(t0, request, host)
+	requester.RequestArrived(testStart, request, host)
 	ownerIndex := ownerIndexOf(requester)
 	owner, ownerHost := ownedQuotaNode(t, ownerIndex)
-	owner.PeerMessage(t0, 10, host.tells[ownerIndex][0], ownerHost)
-	requester.PeerMessage(t0+ms, ownerIndex, ownerHost.tells[10][0], host)
+	owner.PeerMessage(testStart, 10, host.messages[ownerIndex][0], ownerHost)
+	requester.PeerMessage(testStart+ms, ownerIndex, ownerHost.messages[10][0], host)
 	if host.count("send") != 0 {
-		t.Errorf("%v", host.acts)
+		t.Errorf("%v", host.actions)
 	}
 }
 
@@ -199,15 +199,15 @@
 	node, host := ownedQuotaNode(t, 10)
 	request := ownedQuotaRequest(1)
 	request.Timeout = 30 * ms
-	node.RequestArrived(t0, request, host)
+	node.RequestArrived(testStart, request, host)
 	for _, timer := range host.timers {
 		deadline := node.requests.lastNumber<<timerBits | timerDeadline
 		if timer.token == deadline && timer.after < request.Timeout {
-			node.TimerFired(t0+timer.after, timer.token, host)
+			node.TimerFired(testStart+timer.after, timer.token, host)
 		}
 	}
-	if host.count("refuse") != 1 {
-		t.Errorf("%v", host.acts)
+	if host.count("reject") != 1 {
+		t.Errorf("%v", host.actions)
 	}
 }
 
@@ -222,7 +222,7 @@
 		settings := testSettings()
 		settings.NodeCount, settings.PeerMessagesPerSecond, settings.MaxUnits = 80, c.perSecond, c.maxUnits
 		settings.Plans[1].Rate = c.rate
-		node, _ := newGate(t, settings, fleet(4)...)
+		node, _ := newTestBalancer(t, settings, equalEndpoints(4)...)
 		bucket := node.quotaFor(ownedTenant, node.ratePlan(), entryNodes{0, 7})
 		if !bucket.owned || bucket.sharers != c.owners {
 			t.Errorf("%+v: owned %v, by %d", c, bucket.owned, bucket.sharers)
@@ -238,18 +238,18 @@
 		pause bool
 	}{{0.4, false}, {0.9, true}} {
 		requester, host := ownedQuotaNode(t, 10)
-		requester.RequestArrived(t0, ownedQuotaRequest(1), host)
+		requester.RequestArrived(testStart, ownedQuotaRequest(1), host)
 		ownerIndex := ownerIndexOf(requester)
 		owner, ownerHost := ownedQuotaNode(t, ownerIndex)
 		owner.quotaFor(ownedTenant, owner.ratePlan(), entryNodes{10, 100}).tokens = 0
 		owner.inbox.rate = c.inbox * owner.settings.PeerMessagesPerSecond
-		owner.PeerMessage(t0, 10, host.tells[ownerIndex][0], ownerHost)
-		requester.PeerMessage(t0+ms, ownerIndex, ownerHost.tells[10][0], host)
-		if host.count("refuse") != 1 {
-			t.Fatalf("%v", host.acts)
+		owner.PeerMessage(testStart, 10, host.messages[ownerIndex][0], ownerHost)
+		requester.PeerMessage(testStart+ms, ownerIndex, ownerHost.messages[10][0], host)
+		if host.count("reject") != 1 {
+			t.Fatalf("%v", host.actions)
 		}
-		if got := requester.quotas.buckets[ownedTenant].requester.rejectedUntil > t0+time.Second; got != c.pause {
-			t.Errorf("inbox %v: no quota request until %v", c.inbox, requester.quotas.buckets[ownedTenant].requester.rejectedUntil-t0)
+		if got := requester.quotas.buckets[ownedTenant].requester.rejectedUntil > testStart+time.Second; got != c.pause {
+			t.Errorf("inbox %v: no quota request until %v", c.inbox, requester.quotas.buckets[ownedTenant].requester.rejectedUntil-testStart)
 		}
 	}
 }
@@ -259,22 +259,22 @@
 	settings := testSettings()
 	settings.NodeCount, settings.PeerMessagesPerSecond, settings.PostPaid = 300, 40, true
 	settings.NodeIndex = 10
-	requester, host := newGate(t, settings, fleet(4)...)
+	requester, host := newTestBalancer(t, settings, equalEndpoints(4)...)
 	request := ownedQuotaRequest(1)
 	request.Units = 7
-	requester.RequestArrived(t0, request, host)
+	requester.RequestArrived(testStart, request, host)
 	ownerIndex := ownerIndexOf(requester)
 	owner, ownerHost := ownedQuotaNode(t, ownerIndex)
 	bucket := owner.quotaFor(ownedTenant, owner.ratePlan(), entryNodes{10, 100})
 	full := bucket.tokens
-	owner.PeerMessage(t0, 10, host.tells[ownerIndex][0], ownerHost)
-	requester.PeerMessage(t0, ownerIndex, ownerHost.tells[10][0], host)
-	requester.AttemptFinished(t0, Outcome{ID: request.ID, Result: OK, Answered: true, Units: 2}, host)
+	owner.PeerMessage(testStart, 10, host.messages[ownerIndex][0], ownerHost)
+	requester.PeerMessage(testStart, ownerIndex, ownerHost.messages[10][0], host)
+	requester.AttemptFinished(testStart, Outcome{ID: request.ID, Result: OK, Answered: true, Units: 2}, host)
 	for n := range 2 { // reported once, not again
 		next := ownedQuotaRequest(2 + n)
 		next.Units = 0
-		requester.RequestArrived(t0, next, host)
-		owner.PeerMessage(t0, 10, host.tells[ownerIndex][1+n], ownerHost)
+		requester.RequestArrived(testStart, next, host)
+		owner.PeerMessage(testStart, 10, host.messages[ownerIndex][1+n], ownerHost)
 		if bucket.tokens != full-2 {
 			t.Errorf("%v tokens of %v after quota request %d, want 2 less", bucket.tokens, full, n)
 		}
@@ -286,20 +286,20 @@
 func TestRepeatedQuotaRequestCountsOnce(t *testing.T) {
 	requester, owner, host, ownerHost, bucket, ownerIndex := requesterAndOwner(t)
 	full := bucket.tokens
-	owner.PeerMessage(t0, 10, host.tells[ownerIndex][0], ownerHost) // the grant is lost
+	owner.PeerMessage(testStart, 10, host.messages[ownerIndex][0], ownerHost) // the grant is lost
 	token := requester.requests.lastNumber<<timerBits | timerQuotaRequest
-	requester.TimerFired(t0+quotaRequestRepeatAfter, token, host)
-	if len(host.tells[ownerIndex]) != 2 {
-		t.Fatalf("%d quota requests", len(host.tells[ownerIndex]))
+	requester.TimerFired(testStart+quotaRequestRepeatAfter, token, host)
+	if len(host.messages[ownerIndex]) != 2 {
+		t.Fatalf("%d quota requests", len(host.messages[ownerIndex]))
 	}
-	owner.PeerMessage(t0+quotaRequestRepeatAfter, 10, host.tells[ownerIndex][1], ownerHost)
+	owner.PeerMessage(testStart+quotaRequestRepeatAfter, 10, host.messages[ownerIndex][1], ownerHost)
 	refilled := bucket.plan.Rate / bucket.ownerCount * quotaRequestRepeatAfter.Seconds()
 	if want := full - ownedQuotaRequest(1).Units + refilled; math.Abs(bucket.tokens-want) > 1e-6 {
 		t.Errorf("%v tokens of %v, want %v: one request taken", bucket.tokens, full, want)
 	}
-	requester.PeerMessage(t0+quotaRequestRepeatAfter+5*ms, ownerIndex, ownerHost.tells[10][1], host)
+	requester.PeerMessage(testStart+quotaRequestRepeatAfter+5*ms, ownerIndex, ownerHost.messages[10][1], host)
 	if host.count("send") != 1 {
-		t.Errorf("%v", host.acts)
+		t.Errorf("%v", host.actions)
 	}
 }
 
@@ -312,31 +312,31 @@
 		taken          float64 // of the five units
 	}{"request lost": {false, false, 2.5}, "grant lost": {true, false, 7.5}, "grant late": {true, true, 5}} {
 		requester, owner, host, ownerHost, bucket, ownerIndex := requesterAndOwner(t)
-		owner.PeerMessage(t0, 10, host.tells[ownerIndex][0], ownerHost) // the owner knows the requester
-		requester.concurrency.responseRate = 100                        // as of a node in service
+		owner.PeerMessage(testStart, 10, host.messages[ownerIndex][0], ownerHost) // the owner knows the requester
+		requester.concurrency.responseRate = 100                                  // as of a node in service
 		bucket.tokens, bucket.refilledAt = 10, owner.now
 		request := ownedQuotaRequest(50)
 		request.Units = 5
-		requester.RequestArrived(t0+ms, request, host)
+		requester.RequestArrived(testStart+ms, request, host)
 		if c.received {
-			owner.PeerMessage(t0+ms, 10, host.tells[ownerIndex][1], ownerHost)
+			owner.PeerMessage(testStart+ms, 10, host.messages[ownerIndex][1], ownerHost)
 		}
-		timeOutQuotaRequest(requester, host, t0+ms)
+		timeOutQuotaRequest(requester, host, testStart+ms)
 		if host.count("send") == 0 {
-			t.Fatalf("%s: not sent: %v", name, host.acts)
+			t.Fatalf("%s: not sent: %v", name, host.actions)
 		}
 		if c.late {
-			grants := ownerHost.tells[10]
-			requester.PeerMessage(t0+quotaRequestTimeout+2*ms, ownerIndex, grants[len(grants)-1], host)
+			grants := ownerHost.messages[10]
+			requester.PeerMessage(testStart+quotaRequestTimeout+2*ms, ownerIndex, grants[len(grants)-1], host)
 		}
 		for n := range 2 { // it learns once
 			next := ownedQuotaRequest(60 + n)
-			next.Units, host.tells = 0, nil
-			requester.RequestArrived(t0+150*ms, next, host)
-			if len(host.tells[ownerIndex]) != 1 {
-				t.Fatalf("%s: %d quota requests, want the next one's", name, len(host.tells[ownerIndex]))
+			next.Units, host.messages = 0, nil
+			requester.RequestArrived(testStart+150*ms, next, host)
+			if len(host.messages[ownerIndex]) != 1 {
+				t.Fatalf("%s: %d quota requests, want the next one's", name, len(host.messages[ownerIndex]))
 			}
-			owner.PeerMessage(t0+150*ms, 10, host.tells[ownerIndex][0], ownerHost)
+			owner.PeerMessage(testStart+150*ms, 10, host.messages[ownerIndex][0], ownerHost)
 			want := 10 - c.taken + bucket.plan.Rate/bucket.ownerCount*0.15
 			if math.Abs(bucket.tokens-want) > 0.6 { // reported in whole units
 				t.Errorf("%s: %v tokens after quota request %d, want %v", name, bucket.tokens, n, want)
@@ -352,18 +352,18 @@
 	for range maxUnansweredQuotaRequests {
 		requester.quotaRequester.recordUnanswered(1)
 	}
-	host.acts = nil
-	requester.RequestArrived(t0+ms, ownedQuotaRequest(2), host)
-	if host.count("send")+host.count("refuse") != 1 {
-		t.Errorf("an isolated node waits: %v", host.acts)
+	host.actions = nil
+	requester.RequestArrived(testStart+ms, ownedQuotaRequest(2), host)
+	if host.count("send")+host.count("reject") != 1 {
+		t.Errorf("an isolated node waits: %v", host.actions)
 	}
-	now := t0
+	now := testStart
 	for n := range 40 { // the tenant uses all that the owner has, for seconds
 		now += 100 * ms
 		request := ownedQuotaRequest(100 + n)
 		requester.quotaRequester.recordMessage()
 		requester.RequestArrived(now, request, host)
-		sent := host.tells[ownerIndex]
+		sent := host.messages[ownerIndex]
 		owner.PeerMessage(now, 10, sent[len(sent)-1], ownerHost)
 	}
 	before := bucket.tokens
@@ -378,11 +378,11 @@
 func TestRestartedOwnerGrantsNoSecondBurst(t *testing.T) {
 	for _, granted := range []float64{1, 0.5} {
 		requester, host := ownedQuotaNode(t, 10)
-		requester.overQuota[tenantHash(ownedTenant)] = overQuotaTenant{granted, t0}
-		requester.RequestArrived(t0, ownedQuotaRequest(1), host)
+		requester.overQuota[tenantHash(ownedTenant)] = overQuotaTenant{granted, testStart}
+		requester.RequestArrived(testStart, ownedQuotaRequest(1), host)
 		ownerIndex := ownerIndexOf(requester)
 		owner, ownerHost := ownedQuotaNode(t, ownerIndex)
-		owner.PeerMessage(t0, 10, host.tells[ownerIndex][0], ownerHost)
+		owner.PeerMessage(testStart, 10, host.messages[ownerIndex][0], ownerHost)
 		if bucket := owner.quotas.buckets[ownedTenant]; bucket.tokens > 0 != (granted == 1) {
 			t.Errorf("granted fraction %v: %v tokens", granted, bucket.tokens)
 		}
--- a/balancer/quota_bench_test.go
+++ b/balancer/quota_bench_test.go
@@ -39,7 +39,7 @@
 			b.Fatal(err)
 		}
 		nodes[node].Start(0, &hosts[node])
-		nodes[node].EndpointsUpdated(0, UpdateCached, fleet(400), &hosts[node])
+		nodes[node].EndpointsUpdated(0, UpdateCached, equalEndpoints(400), &hosts[node])
 	}
 	request := newRequest(0, "safe", "rate", 1)
 	request.EntryNodes, request.FirstEntryNode = 100, 10
@@ -82,7 +82,7 @@
 			b.Fatal(err)
 		}
 		nodes[node].Start(0, &hosts[node])
-		nodes[node].EndpointsUpdated(0, UpdateCached, fleet(60), &hosts[node])
+		nodes[node].EndpointsUpdated(0, UpdateCached, equalEndpoints(60), &hosts[node])
 	}
 	request := newRequest(0, "safe", "rate", 1)
 	request.EntryNodes = settings.NodeCount
--- a/balancer/quota_bucket_test.go
+++ b/balancer/quota_bucket_test.go
@@ -12,7 +12,7 @@
 func splitBucket(plan Plan, nodes int) *quotaBucket {
 	return &quotaBucket{
 		plan: &quotaPlan{Plan: plan}, entryNodes: entryNodes{0, nodes}, sharers: nodes, ownerCount: 1,
-		tokens: plan.Burst, refilledAt: t0,
+		tokens: plan.Burst, refilledAt: testStart,
 	}
 }
 
@@ -20,7 +20,7 @@
 func ownedBucket(plan Plan, owners int) *quotaBucket {
 	return &quotaBucket{
 		plan: &quotaPlan{Plan: plan}, entryNodes: entryNodes{0, 10 * owners}, owned: true, sharers: owners,
-		ownerCount: float64(owners), tokens: plan.Burst / float64(owners), refilledAt: t0,
+		ownerCount: float64(owners), tokens: plan.Burst / float64(owners), refilledAt: testStart,
 	}
 }
 
@@ -51,7 +51,7 @@
 		{"no quota", splitBucket(Plan{}, 2), 1, []int{1000}},
 	} {
 		for round, want := range c.want {
-			if got := admitAll(c.bucket, t0, c.units); got != want {
+			if got := admitAll(c.bucket, testStart, c.units); got != want {
 				t.Errorf("%s: %d admitted in round %d, want %d", c.name, got, round, want)
 			}
 			c.bucket.closeGossipRound()
@@ -72,11 +72,11 @@
 	} {
 		bucket := splitBucket(Plan{Rate: 1, Burst: 40}, 3)
 		bucket.tokens = 0
-		if granted, _ := bucket.check(t0, 1, gossipEvery); granted {
+		if granted, _ := bucket.check(testStart, 1, gossipEvery); granted {
 			t.Fatal("granted by an empty bucket")
 		}
 		bucket.tokens = c.tokens
-		if granted, _ := bucket.check(t0+c.after, 1, gossipEvery); granted != c.want {
+		if granted, _ := bucket.check(testStart+c.after, 1, gossipEvery); granted != c.want {
 			t.Errorf("%+v: %v", c, granted)
 		}
 	}
@@ -96,7 +96,7 @@
 		{"attempts", splitBucket(Plan{MaxConcurrent: 0, Rate: 1000, Burst: 1}, 2), 0, gossipEvery},
 	} {
 		c.bucket.tokens = c.tokens
-		if granted, retryAfter := c.bucket.check(t0, 1, gossipEvery); granted || retryAfter != c.want {
+		if granted, retryAfter := c.bucket.check(testStart, 1, gossipEvery); granted || retryAfter != c.want {
 			t.Errorf("%s: %v, retry after %v, want %v", c.name, granted, retryAfter, c.want)
 		}
 	}
@@ -112,7 +112,7 @@
 		bucket.owner.grantRate = rate
 		return heard(bucket)
 	}
-	const silent, heardNow = t0 - isolatedAfter, t0 + time.Second
+	const silent, heardNow = testStart - isolatedAfter, testStart + time.Second
 	for _, c := range []struct {
 		name           string
 		bucket         *quotaBucket
@@ -127,13 +127,13 @@
 		{"owed", splitBucket(plan, 2), -15, silent, time.Second, -5, 0},
 		{"owner's part", ownedBucket(plan, 2), 0, silent, time.Second, 5, 0},
 		{"owner that hears", granting(ownedBucket(plan, 2), 4), 0, heardNow, time.Second, 5, 0},
-		{"isolated owner", granting(ownedBucket(plan, 2), 4), 0, silent, time.Second, 1, t0 + time.Second},
-		{"isolated to the floor", granting(ownedBucket(plan, 2), 25), 10, silent, time.Second, 0, t0 + time.Second},
-		{"isolated and in debt", granting(ownedBucket(plan, 2), 25), -3, silent, time.Second, -3, t0 + time.Second},
-		{"isolated, no time", granting(ownedBucket(plan, 2), 25), 10, silent - 1, 0, 10, t0},
+		{"isolated owner", granting(ownedBucket(plan, 2), 4), 0, silent, time.Second, 1, testStart + time.Second},
+		{"isolated to the floor", granting(ownedBucket(plan, 2), 25), 10, silent, time.Second, 0, testStart + time.Second},
+		{"isolated and in debt", granting(ownedBucket(plan, 2), 25), -3, silent, time.Second, -3, testStart + time.Second},
+		{"isolated, no time", granting(ownedBucket(plan, 2), 25), 10, silent - 1, 0, 10, testStart},
 	} {
 		c.bucket.tokens = c.tokens
-		c.bucket.refill(t0+c.after, c.lastMessage)
+		c.bucket.refill(testStart+c.after, c.lastMessage)
 		if got := c.bucket.tokens; math.Abs(got-c.want) > 1e-9 || c.bucket.owner.ratesAt != c.wantRatesSince {
 			t.Errorf("%s: %v tokens, want %v; rates of %v", c.name, got, c.want, c.bucket.owner.ratesAt)
 		}
@@ -158,7 +158,7 @@
 
 func TestPeerUseIsBounded(t *testing.T) {
 	bucket := splitBucket(Plan{Rate: 10, Burst: 40}, 2)
-	if bucket.applyPeerUse(t0, 1, 2, &gossipEntry{units: 1e6}); bucket.tokens != -40 {
+	if bucket.applyPeerUse(testStart, 1, 2, &gossipEntry{units: 1e6}); bucket.tokens != -40 {
 		t.Errorf("%v tokens, want a burst owed", bucket.tokens)
 	}
 }
@@ -168,10 +168,10 @@
 	const forgotten = maxMissedGossipIntervals * gossipEvery
 	bucket := splitBucket(Plan{MaxConcurrent: 10}, 3)
 	bucket.attemptStarted()
-	bucket.applyPeerUse(t0, 1, 3, &gossipEntry{inFlight: 2})
-	bucket.applyPeerUse(t0+1, 2, 3, &gossipEntry{inFlight: 3})
+	bucket.applyPeerUse(testStart, 1, 3, &gossipEntry{inFlight: 2})
+	bucket.applyPeerUse(testStart+1, 2, 3, &gossipEntry{inFlight: 3})
 	for after, want := range map[time.Duration]int{0: 4, forgotten - 1: 4, forgotten: 6, forgotten + 1: 9} {
-		if got := bucket.concurrencyHeadroom(t0+after, gossipEvery); got != want {
+		if got := bucket.concurrencyHeadroom(testStart+after, gossipEvery); got != want {
 			t.Errorf("headroom %d after %v, want %d", got, after, want)
 		}
 	}
@@ -196,10 +196,10 @@
 	} {
 		bucket := splitBucket(c.plan, 1)
 		c.prepare(bucket)
-		if bucket.idle(t0 + c.after - 1) {
+		if bucket.idle(testStart + c.after - 1) {
 			t.Errorf("%s: idle before %v", c.name, c.after)
 		}
-		if bucket.idle(t0+c.after) != (c.after != never) {
+		if bucket.idle(testStart+c.after) != (c.after != never) {
 			t.Errorf("%s: idle after %v: %v", c.name, c.after, c.after == never)
 		}
 	}
--- a/balancer/quota_owner_test.go
+++ b/balancer/quota_owner_test.go
@@ -30,7 +30,7 @@
 		owner, bucket := ownerOf(c.plan)
 		bucket.hardLimit.tokens = c.hardLimit
 		request := quotaRequest{number: 7, units: c.units}
-		got := owner.answer(t0, bucket, 3, &request, gossipEvery, c.underPressure)
+		got := owner.answer(testStart, bucket, 3, &request, gossipEvery, c.underPressure)
 		c.want.number, c.want.grantedFraction = 7, got.grantedFraction
 		if got != c.want || bucket.tokens != c.wantTokens {
 			t.Errorf("%s: %+v with %v tokens left, want %+v with %v", c.name, got, bucket.tokens, c.want, c.wantTokens)
@@ -45,14 +45,14 @@
 func TestGrantedFraction(t *testing.T) {
 	owner, bucket := ownerOf(Plan{Rate: 4, Burst: 10})
 	request := quotaRequest{units: 0, locallyRejectedUnits: 30}
-	grant := owner.answer(t0, bucket, 3, &request, gossipEvery, false)
+	grant := owner.answer(testStart, bucket, 3, &request, gossipEvery, false)
 	want := (10/isolatedSpendPeriod.Seconds() + 4) / (30 / demandDecay.Seconds())
 	if math.Abs(grant.grantedFraction-want) > 1e-9 {
 		t.Errorf("%v, want %v", grant.grantedFraction, want)
 	}
 	bucket.tokens = -5
 	request = quotaRequest{number: 1}
-	grant = owner.answer(t0, bucket, 3, &request, gossipEvery, false)
+	grant = owner.answer(testStart, bucket, 3, &request, gossipEvery, false)
 	if want := 4 / (30 / demandDecay.Seconds()); math.Abs(grant.grantedFraction-want) > 1e-9 {
 		t.Errorf("%v with tokens owed, want %v", grant.grantedFraction, want)
 	}
@@ -64,18 +64,18 @@
 		request := quotaRequest{number: number, units: 1}
 		return owner.answer(now, bucket, requester, &request, gossipEvery, false).granted
 	}
-	if !answer(t0, 3, 1) || !answer(t0+500*ms, 4, 1) || answer(t0+600*ms, 3, 2) {
+	if !answer(testStart, 3, 1) || !answer(testStart+500*ms, 4, 1) || answer(testStart+600*ms, 3, 2) {
 		t.Error("want two leases and no third")
 	}
 	bucket.owner.releaseLease(3, 2) // of none
-	if got := bucket.owner.activeLeases(t0 + 900*ms); got != 2 {
+	if got := bucket.owner.activeLeases(testStart + 900*ms); got != 2 {
 		t.Errorf("%d leases, want 2", got)
 	}
 	bucket.owner.releaseLease(4, 1)
-	if got := bucket.owner.activeLeases(t0 + 900*ms); got != 1 {
+	if got := bucket.owner.activeLeases(testStart + 900*ms); got != 1 {
 		t.Errorf("%d leases after one was released, want 1", got)
 	}
-	if got := bucket.owner.activeLeases(t0 + owner.leaseDuration); got != 0 || bucket.owner.hasLeases() {
+	if got := bucket.owner.activeLeases(testStart + owner.leaseDuration); got != 0 || bucket.owner.hasLeases() {
 		t.Errorf("%d leases after their time", got)
 	}
 }
@@ -119,14 +119,14 @@
 
 func TestRatesDecay(t *testing.T) {
 	var owner ownerState
-	owner.recordDemand(t0, 30)
-	owner.recordGrant(t0, 15)
-	owner.recordDemand(t0+demandDecay, 0)
+	owner.recordDemand(testStart, 30)
+	owner.recordGrant(testStart, 15)
+	owner.recordDemand(testStart+demandDecay, 0)
 	if want := 10 / math.E; math.Abs(owner.demandRate-want) > 1e-9 || math.Abs(owner.grantRate-want/2) > 1e-9 {
 		t.Errorf("%v wanted and %v granted a second, want %v and %v", owner.demandRate, owner.grantRate, want, want/2)
 	}
-	held := owner.heldGrantRate(t0 + time.Hour)
-	owner.recordGrant(t0+time.Hour, 0)
+	held := owner.heldGrantRate(testStart + time.Hour)
+	owner.recordGrant(testStart+time.Hour, 0)
 	if owner.grantRate != held {
 		t.Errorf("%v granted a second after it was held at %v", owner.grantRate, held)
 	}
--- a/balancer/quota_requester_test.go
+++ b/balancer/quota_requester_test.go
@@ -63,7 +63,7 @@
 func TestAdmissionsAreTakenOnceAndExpire(t *testing.T) {
 	requester := newQuotaRequester(5)
 	for number := range uint64(2) {
-		requester.recordAdmission(number, unansweredAdmission{quotaOwner: 3, at: t0})
+		requester.recordAdmission(number, unansweredAdmission{quotaOwner: 3, at: testStart})
 	}
 	if _, ok := requester.takeAdmission(0, 4); ok {
 		t.Error("taken for a grant of another node")
@@ -74,11 +74,11 @@
 	if _, ok := requester.takeAdmission(0, 3); ok {
 		t.Error("taken twice")
 	}
-	requester.expire(t0 + unansweredAdmissionRetention)
+	requester.expire(testStart + unansweredAdmissionRetention)
 	if len(requester.admissions) != 1 {
 		t.Error("expired before its time")
 	}
-	if requester.expire(t0 + unansweredAdmissionRetention + 1); len(requester.admissions) != 0 {
+	if requester.expire(testStart + unansweredAdmissionRetention + 1); len(requester.admissions) != 0 {
 		t.Error("kept past its time")
 	}
 }
@@ -115,14 +115,14 @@
 
 func TestLocalRejections(t *testing.T) {
 	var state requesterState
-	if _, rejected := state.rejects(t0); rejected {
+	if _, rejected := state.rejects(testStart); rejected {
 		t.Error("rejects without a rejection")
 	}
-	state.rejectUntil(t0 + time.Second)
-	if remaining, rejected := state.rejects(t0); !rejected || remaining != time.Second {
+	state.rejectUntil(testStart + time.Second)
+	if remaining, rejected := state.rejects(testStart); !rejected || remaining != time.Second {
 		t.Errorf("%v for %v", rejected, remaining)
 	}
-	if _, rejected := state.rejects(t0 + time.Second); rejected {
+	if _, rejected := state.rejects(testStart + time.Second); rejected {
 		t.Error("rejects at the end of the time")
 	}
 	state.recordRejected(2)
--- a/balancer/quota_test.go
+++ b/balancer/quota_test.go
@@ -11,15 +11,15 @@
 func TestSplitQuotaBetweenRounds(t *testing.T) {
 	settings := testSettings()
 	settings.NodeCount = 2
-	node, host := newGate(t, settings, fleet(4)...)
+	node, host := newTestBalancer(t, settings, equalEndpoints(4)...)
 	request := newRequest(0, "safe", "rate", 1)
 	request.EntryNodes = 2
 	// A new bucket holds 40/2; half of it may be acquired before the next round.
-	if n := flood(node, host, t0, 50, request); n != 10 {
+	if n := sendBurst(node, host, testStart, 50, request); n != 10 {
 		t.Errorf("%d sent before the first round, want 10", n)
 	}
-	node.TimerFired(t0, timerGossip, host)
-	if n := flood(node, host, t0, 50, request); n != 5 {
+	node.TimerFired(testStart, timerGossip, host)
+	if n := sendBurst(node, host, testStart, 50, request); n != 5 {
 		t.Errorf("%d sent before the second round, want 5", n)
 	}
 }
@@ -28,11 +28,11 @@
 func TestSmallSplitQuotaAdmitsOneRequest(t *testing.T) {
 	settings := testSettings()
 	settings.NodeCount, settings.Plans[1].Rate, settings.Plans[1].Burst = 3, 0.5, 2
-	node, host := newGate(t, settings, fleet(4)...)
+	node, host := newTestBalancer(t, settings, equalEndpoints(4)...)
 	request := newRequest(0, "safe", "rate", 1)
 	request.EntryNodes = 3
-	now := t0 + 4*time.Second
-	if n := flood(node, host, now, 5, request); n != 1 {
+	now := testStart + 4*time.Second
+	if n := sendBurst(node, host, now, 5, request); n != 1 {
 		t.Errorf("%d sent, want 1", n)
 	}
 }
@@ -44,18 +44,18 @@
 	} {
 		settings := testSettings()
 		settings.NodeCount = 2
-		a, hostA := newGate(t, settings, fleet(4)...)
+		a, hostA := newTestBalancer(t, settings, equalEndpoints(4)...)
 		settings.NodeIndex = 1
-		b, hostB := newGate(t, settings, fleet(4)...)
+		b, hostB := newTestBalancer(t, settings, equalEndpoints(4)...)
 		request := newRequest(0, "safe", "rate", 1)
 		request.EntryNodes = 2
 		for i := 0; i < 3; i++ {
-			now := t0 + time.Duration(i)*ms
-			flood(a, hostA, now, 3, request)
+			now := testStart + time.Duration(i)*ms
+			sendBurst(a, hostA, now, 3, request)
 			a.TimerFired(now, timerGossip, hostA)
 		}
 		for _, i := range order {
-			b.PeerMessage(t0, 0, hostA.tells[1][i], hostB)
+			b.PeerMessage(testStart, 0, hostA.messages[1][i], hostB)
 		}
 		if got := 20 - b.quotas.buckets[1].tokens; got != 9 {
 			t.Errorf("%s: %v units taken, want 9", name, got)
@@ -67,21 +67,21 @@
 func TestEveryEntryIsSent(t *testing.T) {
 	settings := testSettings()
 	settings.NodeCount = 2
-	a, hostA := newGate(t, settings, fleet(40)...)
+	a, hostA := newTestBalancer(t, settings, equalEndpoints(40)...)
 	settings.NodeIndex = 1
-	b, hostB := newGate(t, settings, fleet(4)...)
+	b, hostB := newTestBalancer(t, settings, equalEndpoints(4)...)
 	for tenant := range uint64(100) {
 		request := newRequest(0, "safe", "rate", tenant<<25)
 		request.EntryNodes = 2
-		flood(a, hostA, t0, 1, request)
+		sendBurst(a, hostA, testStart, 1, request)
 		a.concurrency.inFlight = 0
 	}
-	a.TimerFired(t0, timerGossip, hostA)
-	for _, m := range hostA.tells[1] {
+	a.TimerFired(testStart, timerGossip, hostA)
+	for _, m := range hostA.messages[1] {
 		if len(m) > maxMessageBytes {
 			t.Errorf("message of %d bytes", len(m))
 		}
-		b.PeerMessage(t0, 0, m, hostB)
+		b.PeerMessage(testStart, 0, m, hostB)
 	}
 	if len(b.quotas.buckets) != 100 {
 		t.Errorf("%d of 100 tenants reported", len(b.quotas.buckets))
@@ -92,22 +92,22 @@
 func TestOverspentQuotaIsPaidBack(t *testing.T) {
 	settings := testSettings()
 	settings.NodeCount = 2
-	a, hostA := newGate(t, settings, fleet(4)...)
+	a, hostA := newTestBalancer(t, settings, equalEndpoints(4)...)
 	settings.NodeIndex = 1
-	b, hostB := newGate(t, settings, fleet(4)...)
+	b, hostB := newTestBalancer(t, settings, equalEndpoints(4)...)
 	request := newRequest(0, "safe", "rate", 1)
 	request.EntryNodes = 2
 	for i := 0; i < 6; i++ {
-		flood(a, hostA, t0, 9, request)
-		a.TimerFired(t0, timerGossip, hostA)
+		sendBurst(a, hostA, testStart, 9, request)
+		a.TimerFired(testStart, timerGossip, hostA)
 		request.Tenant = 1
 		request.ID = ""
 		request.Units = 1
-		flood(b, hostB, t0+time.Duration(i)*ms, 9, request)
-		b.TimerFired(t0+time.Duration(i)*ms, timerGossip, hostB)
+		sendBurst(b, hostB, testStart+time.Duration(i)*ms, 9, request)
+		b.TimerFired(testStart+time.Duration(i)*ms, timerGossip, hostB)
 	}
-	for _, m := range hostA.tells[1] {
-		b.PeerMessage(t0+6*ms, 0, m, hostB)
+	for _, m := range hostA.messages[1] {
+		b.PeerMessage(testStart+6*ms, 0, m, hostB)
 	}
 	if b.quotas.buckets[1].tokens >= 0 {
 		t.Errorf("%v tokens after both acquired most of them", b.quotas.buckets[1].tokens)
@@ -118,16 +118,16 @@
 func TestCongestedTenantWaitsForAllNodes(t *testing.T) {
 	settings := testSettings()
 	settings.NodeCount = 3
-	node, host := newGate(t, settings, fleet(4)...)
+	node, host := newTestBalancer(t, settings, equalEndpoints(4)...)
 	request := newRequest(0, "safe", "rate", 1)
 	request.EntryNodes = 3
-	flood(node, host, t0, 30, request)
+	sendBurst(node, host, testStart, 30, request)
 	node.quotas.buckets[1].tokens = 1.5
-	node.TimerFired(t0, timerGossip, host)
-	if n := flood(node, host, t0+ms, 5, request); n != 0 {
+	node.TimerFired(testStart, timerGossip, host)
+	if n := sendBurst(node, host, testStart+ms, 5, request); n != 0 {
 		t.Errorf("%d sent with units for one node of three", n)
 	}
-	if n := flood(node, host, t0+60*ms, 5, request); n != 1 {
+	if n := sendBurst(node, host, testStart+60*ms, 5, request); n != 1 {
 		t.Errorf("%d sent with units for all, want 1", n)
 	}
 }
@@ -135,20 +135,20 @@
 func TestMalformedGossipChangesNothing(t *testing.T) {
 	settings := testSettings()
 	settings.NodeCount = 2
-	a, hostA := newGate(t, settings, fleet(4)...)
+	a, hostA := newTestBalancer(t, settings, equalEndpoints(4)...)
 	request := newRequest(0, "safe", "rate", 1)
 	request.EntryNodes = 2
-	flood(a, hostA, t0, 3, request)
-	a.TimerFired(t0, timerGossip, hostA)
-	good := hostA.tells[1][0]
+	sendBurst(a, hostA, testStart, 3, request)
+	a.TimerFired(testStart, timerGossip, hostA)
+	good := hostA.messages[1][0]
 	settings.NodeIndex = 1
 	for n := 0; n < len(good); n++ {
-		b, hostB := newGate(t, settings, fleet(4)...)
-		b.PeerMessage(t0, 0, good[:n], hostB)
-		b.PeerMessage(t0, 7, good, hostB)
-		b.PeerMessage(t0, 1, good, hostB)
-		b.PeerMessage(t0, 0, append([]byte{0xff, 0xff}, good[:n]...), hostB)
-		if len(b.quotas.buckets) != 0 || len(hostB.acts) != 0 {
+		b, hostB := newTestBalancer(t, settings, equalEndpoints(4)...)
+		b.PeerMessage(testStart, 0, good[:n], hostB)
+		b.PeerMessage(testStart, 7, good, hostB)
+		b.PeerMessage(testStart, 1, good, hostB)
+		b.PeerMessage(testStart, 0, append([]byte{0xff, 0xff}, good[:n]...), hostB)
+		if len(b.quotas.buckets) != 0 || len(hostB.actions) != 0 {
 			t.Fatalf("%d bytes of %d were taken in", n, len(good))
 		}
 	}
@@ -172,9 +172,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			host := &recorder{}
-			node.Start(t0, host)
-			node.PeerMessage(t0, 1, message, host)
+			host := &hostRecorder{}
+			node.Start(testStart, host)
+			node.PeerMessage(testStart, 1, message, host)
 			if len(node.quotas.buckets) > len(message) {
 				t.Errorf("%d buckets from %d bytes", len(node.quotas.buckets), len(message))
 			}
@@ -186,17 +186,17 @@
 func TestConcurrencyQuotaCountsPeers(t *testing.T) {
 	settings := testSettings()
 	settings.NodeCount = 2
-	a, hostA := newGate(t, settings, fleet(4)...)
+	a, hostA := newTestBalancer(t, settings, equalEndpoints(4)...)
 	request := newRequest(0, "safe", "open", 1)
 	request.EntryNodes = 2
-	sentA := flood(a, hostA, t0, 9, request)
-	a.TimerFired(t0, timerGossip, hostA)
+	sentA := sendBurst(a, hostA, testStart, 9, request)
+	a.TimerFired(testStart, timerGossip, hostA)
 	settings.NodeIndex = 1
-	b, hostB := newGate(t, settings, fleet(4)...)
-	b.PeerMessage(t0, 0, hostA.tells[1][0], hostB)
+	b, hostB := newTestBalancer(t, settings, equalEndpoints(4)...)
+	b.PeerMessage(testStart, 0, hostA.messages[1][0], hostB)
 	for i := 0; i < 9; i++ {
-		flood(b, hostB, t0, 9, request)
-		b.TimerFired(t0, timerGossip, hostB)
+		sendBurst(b, hostB, testStart, 9, request)
+		b.TimerFired(testStart, timerGossip, hostB)
 	}
 	if got := sentA + hostB.count("send"); sentA == 0 || got < 5 || got > 6 {
 		t.Errorf("%d in flight, %d of them at the peer; want 5 or 6", got, sentA)
@@ -206,12 +206,12 @@
 // Rule 5: a node that just started may succeed one that has used up its part.
 func TestNewNodeAdmitsNoHardLimit(t *testing.T) {
 	settings := testSettings()
-	node, host := newGate(t, settings, fleet(4)...)
+	node, host := newTestBalancer(t, settings, equalEndpoints(4)...)
 	request := newRequest(0, "safe", "hard", 1)
-	if n := flood(node, host, t0, 30, request); n != 0 {
+	if n := sendBurst(node, host, testStart, 30, request); n != 0 {
 		t.Errorf("%d sent at the start", n)
 	}
-	if n := flood(node, host, t0+200*ms, 30, request); n != 5 {
+	if n := sendBurst(node, host, testStart+200*ms, 30, request); n != 5 {
 		t.Errorf("%d sent after 200 ms at 25 a second, want 5", n)
 	}
 }
@@ -220,9 +220,9 @@
 func TestUsedUnitsAreReconciled(t *testing.T) {
 	settings := testSettings()
 	settings.PostPaid = true
-	node, host := newGate(t, settings, fleet(2)...)
-	node.RequestArrived(t0, newRequest(1, "safe", "rate", 1), host)
-	node.AttemptFinished(t0, Outcome{ID: "r1", Result: OK, Answered: true, Units: 4}, host)
+	node, host := newTestBalancer(t, settings, equalEndpoints(2)...)
+	node.RequestArrived(testStart, newRequest(1, "safe", "rate", 1), host)
+	node.AttemptFinished(testStart, Outcome{ID: "r1", Result: OK, Answered: true, Units: 4}, host)
 	if got := node.quotas.buckets[1].tokens; got != 36 {
 		t.Errorf("%v tokens, want 36", got)
 	}
@@ -230,11 +230,11 @@
 
 // Tenants that come once must not fill the memory.
 func TestIdleTenantsAreDropped(t *testing.T) {
-	node, host := newGate(t, testSettings(), fleet(4)...)
+	node, host := newTestBalancer(t, testSettings(), equalEndpoints(4)...)
 	for i := 0; i < 20000; i++ {
-		now := t0 + time.Duration(i)*ms
+		now := testStart + time.Duration(i)*ms
 		node.RequestArrived(now, newRequest(i, "safe", "rate", uint64(i)), host)
-		answer(node, host, now, ms, OK)
+		respondToAll(node, host, now, ms)
 		if i%100 == 0 {
 			node.TimerFired(now, timerControlInterval, host)
 		}
--- a/balancer/reserve_test.go
+++ b/balancer/reserve_test.go
@@ -9,25 +9,25 @@
 )
 
 // waysToLose makes an endpoint of the subset useless, in each of the ways in which that happens.
-var waysToLose = map[string]func(b *Balancer, s *endpoint, r *recorder){
-	"draining": func(b *Balancer, s *endpoint, r *recorder) {
+var waysToLose = map[string]func(b *Balancer, s *endpoint, r *hostRecorder){
+	"draining": func(b *Balancer, s *endpoint, r *hostRecorder) {
 		e := s.Endpoint
 		e.State = Draining
 		b.EndpointsUpdated(b.now, UpdateDelta, []Endpoint{e}, r)
 	},
-	"gone": func(b *Balancer, s *endpoint, r *recorder) {
+	"gone": func(b *Balancer, s *endpoint, r *hostRecorder) {
 		e := s.Endpoint
 		e.State = Removed
 		b.EndpointsUpdated(b.now, UpdateDelta, []Endpoint{e}, r)
 	},
-	"cold": func(b *Balancer, s *endpoint, r *recorder) {
+	"cold": func(b *Balancer, s *endpoint, r *hostRecorder) {
 		e := s.Endpoint
 		e.StartedAt = b.now
 		b.EndpointsUpdated(b.now, UpdateDelta, []Endpoint{e}, r)
 		s.slowStart.tokens, s.slowStart.accruedAt = 0, b.now // no tokens yet
 	},
-	"unreachable": func(b *Balancer, s *endpoint, r *recorder) { b.recordNoResponse(s, b.now) },
-	"errors":      func(b *Balancer, s *endpoint, r *recorder) { s.health.eject(b.now) },
+	"unreachable": func(b *Balancer, s *endpoint, r *hostRecorder) { b.recordNoResponse(s, b.now) },
+	"errors":      func(b *Balancer, s *endpoint, r *hostRecorder) { s.health.eject(b.now) },
 }
 
 // Where a whole subset is useless, the same selection finds another endpoint, and the nodes that have lost
@@ -39,17 +39,17 @@
 		balancers := newFleet(t, nodes, list)
 		to, heavy := map[string]int{}, 0
 		for _, b := range balancers {
-			r := &recorder{}
-			b.now, b.actions = t0, r
+			r := &hostRecorder{}
+			b.now, b.actions = testStart, r
 			members := slices.Clone(b.endpoints.tracked)
 			for _, e := range members {
 				loseOne(b, e, r)
 			}
 			for n := range each {
 				q := newRequest(n, "safe", "rate", uint64(n))
-				b.RequestArrived(t0, q, r)
+				b.RequestArrived(testStart, q, r)
 				if req := b.requests.byID[q.ID]; req == nil || req.attempts[0].endpoint.inSubset {
-					t.Fatalf("%s: not sent to the reserve: %v", way, r.acts)
+					t.Fatalf("%s: not sent to the reserve: %v", way, r.actions)
 				}
 				e := b.requests.byID[q.ID].attempts[0].endpoint
 				to[e.ID]++
@@ -57,8 +57,8 @@
 			}
 			for n := each; n < each+more; n++ {
 				q := newRequest(n, "safe", "rate", uint64(n))
-				b.RequestArrived(t0, q, r)
-				b.AttemptFinished(t0, Outcome{ID: q.ID, Result: OK, Answered: true, Elapsed: ms}, r)
+				b.RequestArrived(testStart, q, r)
+				b.AttemptFinished(testStart, Outcome{ID: q.ID, Result: OK, Answered: true, Elapsed: ms}, r)
 			}
 			// As many as a subset holds stand in for it, and one may have been sampled besides.
 			if known := b.Stats().TrackedEndpoints; known > len(members)+b.endpoints.subsetSize()+1 {
@@ -94,16 +94,16 @@
 		}
 	}
 	for _, b := range newFleet(t, nodes, list) {
-		r := &recorder{}
-		b.EndpointsUpdated(t0, UpdateDelta, lost, r)
+		r := &hostRecorder{}
+		b.EndpointsUpdated(testStart, UpdateDelta, lost, r)
 		for n := range each {
 			q := newRequest(n, "safe", "rate", uint64(n))
-			b.RequestArrived(t0, q, r)
+			b.RequestArrived(testStart, q, r)
 			if req := b.requests.byID[q.ID]; req == nil || req.attempts[0].endpoint.Zone == "a" {
-				t.Fatalf("node %d: %v", b.settings.NodeIndex, r.acts)
+				t.Fatalf("node %d: %v", b.settings.NodeIndex, r.actions)
 			}
 			to[b.requests.byID[q.ID].attempts[0].endpoint.ID]++
-			b.AttemptFinished(t0, Outcome{ID: q.ID, Result: OK, Answered: true, Elapsed: ms}, r)
+			b.AttemptFinished(testStart, Outcome{ID: q.ID, Result: OK, Answered: true, Elapsed: ms}, r)
 		}
 	}
 	most := 0
@@ -119,22 +119,22 @@
 
 // What was used of the reserve is dropped once the subset is back, and returns to the reserve.
 func TestReserveEndpointsAreDroppedAfterUse(t *testing.T) {
-	b, r := newGate(t, subsetSettings(100), testEndpoints(400)...)
+	b, r := newTestBalancer(t, subsetSettings(100), testEndpoints(400)...)
 	members, waiting := b.Stats().TrackedEndpoints, len(b.endpoints.list.reserve.all)
 	for _, e := range b.endpoints.tracked {
 		e.health.eject(b.now)
 	}
-	b.RequestArrived(t0, newRequest(1, "safe", "rate", 1), r)
+	b.RequestArrived(testStart, newRequest(1, "safe", "rate", 1), r)
 	if known := b.Stats().TrackedEndpoints; known != members+1 ||
 		len(b.endpoints.list.reserve.all) != waiting-1 {
 		t.Fatalf("%d tracked, %d in the reserve", known, len(b.endpoints.list.reserve.all))
 	}
-	b.TimerFired(t0+time.Minute, timerControlInterval, r)
+	b.TimerFired(testStart+time.Minute, timerControlInterval, r)
 	if b.Stats().TrackedEndpoints != members+1 {
 		t.Error("an endpoint with an attempt in flight was dropped")
 	}
-	b.AttemptFinished(t0+time.Minute, Outcome{ID: "r1", Result: OK, Answered: true, Elapsed: ms}, r)
-	b.TimerFired(t0+2*time.Minute, timerControlInterval, r)
+	b.AttemptFinished(testStart+time.Minute, Outcome{ID: "r1", Result: OK, Answered: true, Elapsed: ms}, r)
+	b.TimerFired(testStart+2*time.Minute, timerControlInterval, r)
 	if known := b.Stats().TrackedEndpoints; known != members || len(b.endpoints.list.reserve.all) != waiting {
 		t.Errorf("%d tracked, %d in the reserve, want %d and %d", known, len(b.endpoints.list.reserve.all),
 			members, waiting)
@@ -150,7 +150,7 @@
 
 // An endpoint of the reserve is found without a scan of the list.
 func TestReserveIsNotScanned(t *testing.T) {
-	b, _ := newGate(t, subsetSettings(100), testEndpoints(20_000)...)
+	b, _ := newTestBalancer(t, subsetSettings(100), testEndpoints(20_000)...)
 	if n := entryReadsOf(b, b.sampleReserve); n < 1 || n > maxReserveSamples {
 		t.Errorf("%d entries read", n)
 	}
@@ -175,18 +175,18 @@
 		s := subsetSettings(100)
 		s.Classes[1].DedupScope = group
 		for seed := range 20 {
-			b, r := newGate(t, s, testEndpoints(400)...)
+			b, r := newTestBalancer(t, s, testEndpoints(400)...)
 			b.rng = rand.New(rand.NewPCG(uint64(seed), 1))
 			b.retries.tokens = 5
-			b.RequestArrived(t0, newRequest(1, "keyed", "rate", 1), r)
+			b.RequestArrived(testStart, newRequest(1, "keyed", "rate", 1), r)
 			first := b.requests.byID["r1"].attempts[0]
 			for _, sv := range b.endpoints.tracked {
 				sv.health.eject(b.now)
 			}
-			b.AttemptFinished(t0+ms, Outcome{ID: "r1", Result: Reset, Elapsed: ms}, r)
+			b.AttemptFinished(testStart+ms, Outcome{ID: "r1", Result: Reset, Elapsed: ms}, r)
 			req := b.requests.byID["r1"]
 			if req == nil || len(req.attempts) != 2 {
-				t.Fatalf("no repeat: %v", r.acts)
+				t.Fatalf("no repeat: %v", r.actions)
 			}
 			again := req.attempts[1]
 			if again.endpoint.inSubset || group == DedupZone && again.zone != first.zone ||
@@ -208,7 +208,7 @@
 		{ID: "a2", Zone: "a", Cell: 2},
 		{ID: "b1", Zone: "b", Cell: 1},
 		{ID: "draining", Zone: "a", Cell: 1, State: Draining},
-		{ID: "cold", Zone: "a", Cell: 1, StartedAt: t0 - time.Second},
+		{ID: "cold", Zone: "a", Cell: 1, StartedAt: testStart - time.Second},
 		{ID: "tracked", Zone: "a", Cell: 1},
 	} {
 		slots[e.ID] = list.add(e.ID)
@@ -216,7 +216,7 @@
 	}
 	list.setTracked(slots["tracked"], true)
 	for _, slot := range slots {
-		list.updateReserve(slot, t0, warmUp)
+		list.updateReserve(slot, testStart, warmUp)
 	}
 	check := func(when, all, inZoneA, inCell1 string) {
 		t.Helper()
@@ -240,12 +240,12 @@
 		}
 	}
 	check("at first", "a1 a2 b1", "a1 a2", "a1 b1")
-	list.moveWarmedUpToReserve(t0+warmUp-time.Second-1, warmUp)
+	list.moveWarmedUpToReserve(testStart+warmUp-time.Second-1, warmUp)
 	check("before the end of the warm-up", "a1 a2 b1", "a1 a2", "a1 b1")
-	list.moveWarmedUpToReserve(t0+warmUp-time.Second, warmUp)
+	list.moveWarmedUpToReserve(testStart+warmUp-time.Second, warmUp)
 	check("warmed up", "a1 a2 b1 cold", "a1 a2 cold", "a1 b1 cold")
 	list.setTracked(slots["a1"], true)
-	list.updateReserve(slots["a1"], t0+warmUp, warmUp)
+	list.updateReserve(slots["a1"], testStart+warmUp, warmUp)
 	list.remove(slots["cold"])
 	check("tracked and removed", "a2 b1", "a2", "b1")
 	if list.reserveInZone("none") != nil || list.reserveInCell(9) != nil {
--- a/balancer/restart_evidence_test.go
+++ b/balancer/restart_evidence_test.go
@@ -9,46 +9,46 @@
 // A connection that failed is no restart where a response on an older one, or to a health check sent at
 // once, shows the process up. What failed before that stays suspected.
 func TestFailedConnectionIsConfirmed(t *testing.T) {
-	fail := func(b *Balancer, r *recorder, n int, at time.Duration) {
-		r.acts = nil
+	fail := func(b *Balancer, r *hostRecorder, n int, at time.Duration) {
+		r.actions = nil
 		b.RequestArrived(at, newRequest(n, "unsafe", "rate", uint64(n)), r)
 		b.AttemptFinished(at, Outcome{ID: fmt.Sprint("r", n), Result: ConnectFailed, EndpointID: "s0"}, r)
 	}
-	b, r := newGate(t, probing(), fleet(1)...)
+	b, r := newTestBalancer(t, healthCheckSettings(), equalEndpoints(1)...)
 	e := b.endpoints.tracked[0]
-	fail(b, r, 1, t0)
-	if r.count("probe s0") != 1 || b.warmUpFraction(e) == 1 {
+	fail(b, r, 1, testStart)
+	if r.count("check s0") != 1 || b.warmUpFraction(e) == 1 {
 		t.Errorf("%d health checks sent, warm-up fraction %v after a failed connection",
-			r.count("probe s0"), b.warmUpFraction(e))
+			r.count("check s0"), b.warmUpFraction(e))
 	}
-	if b.HealthChecked(t0+5*ms, "s0", OK, nil, r); b.warmUpFraction(e) != 1 {
+	if b.HealthChecked(testStart+5*ms, "s0", OK, nil, r); b.warmUpFraction(e) != 1 {
 		t.Error("cold though a health check sent at once was answered")
 	}
-	if fail(b, r, 2, t0+time.Second); r.count("probe s0") != 1 {
-		t.Errorf("%d health checks sent", r.count("probe s0"))
+	if fail(b, r, 2, testStart+time.Second); r.count("check s0") != 1 {
+		t.Errorf("%d health checks sent", r.count("check s0"))
 	}
-	if b.HealthChecked(t0+time.Second, "s0", ConnectFailed, nil, r); b.warmUpFraction(e) == 1 {
+	if b.HealthChecked(testStart+time.Second, "s0", ConnectFailed, nil, r); b.warmUpFraction(e) == 1 {
 		t.Error("warm though the health check failed as well")
 	}
-	if b.HealthChecked(t0+2*time.Second, "s0", OK, nil, r); b.warmUpFraction(e) == 1 {
+	if b.HealthChecked(testStart+2*time.Second, "s0", OK, nil, r); b.warmUpFraction(e) == 1 {
 		t.Error("warm after the response to a later health check: the process may have started since")
 	}
 
-	b, r = newGate(t, testSettings(), fleet(1)...)
+	b, r = newTestBalancer(t, testSettings(), equalEndpoints(1)...)
 	e = b.endpoints.tracked[0]
 	for i := range 2 * maxSuspectedRestarts {
-		e.restarts.suspect(t0 + time.Duration(i+1)*ms)
+		e.restarts.suspect(testStart + time.Duration(i+1)*ms)
 	}
-	b.now, b.actions = t0+time.Second, r
+	b.now, b.actions = testStart+time.Second, r
 	b.recordLatency(0, e, ms) // its class has a mean
 	q := &request{}
-	b.recordOutcome(q, e, Outcome{Result: OK, Elapsed: ms, ConnectedAt: t0 + 3*ms/2})
-	if e.restarts.latest != t0+ms {
-		t.Errorf("suspected since %v, want the failure before the connection was made", e.restarts.latest-t0)
+	b.recordOutcome(q, e, Outcome{Result: OK, Elapsed: ms, ConnectedAt: testStart + 3*ms/2})
+	if e.restarts.latest != testStart+ms {
+		t.Errorf("suspected since %v, want the failure before the connection was made", e.restarts.latest-testStart)
 	}
 	if b.recordOutcome(q, e, Outcome{
 		Result: OK, Elapsed: ms,
-		ConnectedAt: t0 + ms/2,
+		ConnectedAt: testStart + ms/2,
 	}); e.restarts.latest != 0 {
 		t.Error("cold after a response on a connection older than all failures")
 	}
@@ -67,11 +67,11 @@
 		upSince time.Duration
 		want    time.Duration
 	}{
-		{"nothing suspected", restartEvidence{}, t0, 0},
-		{"up before the failure", suspectedAt(t0), t0 - ms, 0},
-		{"up since the failure", suspectedAt(t0), t0, 0},
-		{"up after the failure", suspectedAt(t0), t0 + ms, t0},
-		{"up between failures", suspectedAt(t0, t0+2*ms), t0 + ms, t0},
+		{"nothing suspected", restartEvidence{}, testStart, 0},
+		{"up before the failure", suspectedAt(testStart), testStart - ms, 0},
+		{"up since the failure", suspectedAt(testStart), testStart, 0},
+		{"up after the failure", suspectedAt(testStart), testStart + ms, testStart},
+		{"up between failures", suspectedAt(testStart, testStart+2*ms), testStart + ms, testStart},
 	} {
 		test.before.confirmUpSince(test.upSince)
 		if test.before.latest != test.want {
@@ -80,14 +80,14 @@
 	}
 	var many restartEvidence
 	for i := range 24 {
-		many.suspect(t0 + time.Duration(i)*ms)
+		many.suspect(testStart + time.Duration(i)*ms)
 	}
-	last := t0 + 23*ms
+	last := testStart + 23*ms
 	if len(many.suspected) != 8 || many.latest != last {
 		t.Errorf("%d remembered, latest %v, want %d and %v", len(many.suspected), many.latest, 8, last)
 	}
 	many.confirmUpSince(last)
-	if want := t0 + 6*ms; many.latest != want {
+	if want := testStart + 6*ms; many.latest != want {
 		t.Errorf("latest %v, want the first ones kept, up to %v", many.latest, want)
 	}
 }
@@ -95,17 +95,17 @@
 // One health check at a time is sent to confirm, and only its response withdraws the suspicion.
 func TestConfirmingRestart(t *testing.T) {
 	var r restartEvidence
-	r.suspect(t0)
+	r.suspect(testStart)
 	r.confirm()
-	if r.latest != t0 {
+	if r.latest != testStart {
 		t.Error("confirmed by a health check that was not sent to confirm")
 	}
-	if !r.startConfirming(t0) || r.startConfirming(t0+ms) {
+	if !r.startConfirming(testStart) || r.startConfirming(testStart+ms) {
 		t.Error("want one health check at a time")
 	}
 	r.confirm()
 	r.stopConfirming()
-	if r.latest != 0 || !r.startConfirming(t0+ms) {
+	if r.latest != 0 || !r.startConfirming(testStart+ms) {
 		t.Errorf("after the response: %+v", r)
 	}
 }
--- a/balancer/selection_bench_test.go
+++ b/balancer/selection_bench_test.go
@@ -7,7 +7,7 @@
 )
 
 // discardingHost carries nothing out.
-type discardingHost struct{ recorder }
+type discardingHost struct{ hostRecorder }
 
 func (*discardingHost) SendAttempt(string, string, time.Duration, time.Duration) {}
 func (*discardingHost) Reject(string, time.Duration)                             {}
@@ -34,7 +34,7 @@
 				b.Fatal(err)
 			}
 			host := &discardingHost{}
-			now := t0
+			now := testStart
 			node.Start(now, host)
 			var list []Endpoint
 			for i := range bench.endpoints {
--- a/balancer/selection_law_test.go
+++ b/balancer/selection_law_test.go
@@ -36,8 +36,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		m := &selectionMachine{balancer: b, now: t0, listed: map[string]Endpoint{}}
-		b.Start(t0, &m.recorder)
+		m := &selectionMachine{balancer: b, now: testStart, listed: map[string]Endpoint{}}
+		b.Start(testStart, &m.recorder)
 		t.Repeat(map[string]func(*rapid.T){
 			"snapshot": m.snapshot, "delta": m.delta, "request": m.request, "outcome": m.outcome,
 			"tick": m.tick, "": m.check,
@@ -48,7 +48,7 @@
 // selectionMachine drives a node and keeps the list that it was sent.
 type selectionMachine struct {
 	balancer *Balancer
-	recorder recorder
+	recorder hostRecorder
 	now      time.Duration
 	listed   map[string]Endpoint
 	sent     int
--- a/balancer/selection_test.go
+++ b/balancer/selection_test.go
@@ -10,10 +10,10 @@
 
 // An endpoint that fails fast draws no requests; the last one is not ejected.
 func TestFastErrorsDrawNoRequests(t *testing.T) {
-	b, r := newGate(t, testSettings(), fleet(4)...)
+	b, r := newTestBalancer(t, testSettings(), equalEndpoints(4)...)
 	bad := 0
 	for i := 0; i < 400; i++ {
-		now := t0 + time.Duration(i)*20*ms
+		now := testStart + time.Duration(i)*20*ms
 		q := newRequest(i, "unsafe", "rate", uint64(i))
 		b.RequestArrived(now, q, r)
 		a := strings.Fields(r.last())
@@ -33,8 +33,8 @@
 	if bad > 20 {
 		t.Errorf("%d of 400 requests went to the failing endpoint", bad)
 	}
-	b.EndpointsUpdated(t0+9*time.Second, UpdateSnapshot, fleet(1), r)
-	b.RequestArrived(t0+9*time.Second, newRequest(1000, "safe", "rate", 5000), r)
+	b.EndpointsUpdated(testStart+9*time.Second, UpdateSnapshot, equalEndpoints(1), r)
+	b.RequestArrived(testStart+9*time.Second, newRequest(1000, "safe", "rate", 5000), r)
 	if r.last() != "send r1000 s0" {
 		t.Errorf("the last endpoint is not used: %q", r.last())
 	}
@@ -42,10 +42,10 @@
 
 // Silence with attempts in flight counts as latency.
 func TestSilentEndpointIsAvoided(t *testing.T) {
-	b, r := newGate(t, testSettings(), fleet(2)...)
+	b, r := newTestBalancer(t, testSettings(), equalEndpoints(2)...)
 	toSilent := 0
 	for i := 0; i < 200; i++ {
-		now := t0 + time.Duration(i)*20*ms
+		now := testStart + time.Duration(i)*20*ms
 		q := newRequest(i, "unsafe", "rate", uint64(i))
 		b.RequestArrived(now, q, r)
 		a := strings.Fields(r.last())
@@ -66,18 +66,18 @@
 // Of two endpoints alike, the silent, the failing, the slow, the cold and the busy one costs more.
 func TestCostOfSymptoms(t *testing.T) {
 	for name, spoil := range map[string]func(*endpoint){
-		"silent":    func(e *endpoint) { e.lastProgress = t0 - time.Second },
+		"silent":    func(e *endpoint) { e.lastProgress = testStart - time.Second },
 		"failing":   func(e *endpoint) { e.health.errorRate = 0.3 },
 		"slow":      func(e *endpoint) { e.latencyRatio = 2 },
-		"cold":      func(e *endpoint) { e.StartedAt = t0 - ms },
+		"cold":      func(e *endpoint) { e.StartedAt = testStart - ms },
 		"queueing":  func(e *endpoint) { e.load.queued = 3 },
 		"busy":      func(e *endpoint) { e.inFlight = 2 },
-		"restarted": func(e *endpoint) { e.restarts.latest = t0 },
+		"restarted": func(e *endpoint) { e.restarts.latest = testStart },
 	} {
-		b, _ := newGate(t, testSettings(), fleet(2)...)
+		b, _ := newTestBalancer(t, testSettings(), equalEndpoints(2)...)
 		usual, spoilt := b.endpoints.tracked[0], b.endpoints.tracked[1]
 		for _, e := range b.endpoints.tracked {
-			e.inFlight, e.lastProgress = 1, t0
+			e.inFlight, e.lastProgress = 1, testStart
 		}
 		b.latency.classes[0].mean = 0.1
 		spoil(spoilt)
@@ -89,17 +89,17 @@
 
 // Deprioritized endpoints use no samples: the choice among the others would be blind.
 func TestDeprioritizedEndpointsUseNoSamples(t *testing.T) {
-	b, r := newGate(t, testSettings(), fleet(12)...)
+	b, r := newTestBalancer(t, testSettings(), equalEndpoints(12)...)
 	b.settings.NodeCount = 6
 	for i := range 9 {
-		b.endpoints.trackedByID[fmt.Sprintf("s%d", i)].health.ejectedUntil = t0 + time.Hour
+		b.endpoints.trackedByID[fmt.Sprintf("s%d", i)].health.ejectedUntil = testStart + time.Hour
 	}
 	for _, id := range []string{"s9", "s10"} {
-		b.endpoints.trackedByID[id].inFlight, b.endpoints.trackedByID[id].lastProgress = 9, t0
+		b.endpoints.trackedByID[id].inFlight, b.endpoints.trackedByID[id].lastProgress = 9, testStart
 	}
 	blind := 0
 	for i := range 100 {
-		b.actions, b.now = r, t0
+		b.actions, b.now = r, testStart
 		if e := b.selectEndpoint(&request{number: uint64(i)}); e.ID != "s11" {
 			blind++
 		}
@@ -136,17 +136,17 @@
 // Each tier of endpoints costs more than any of the tiers before: in the subset, not sampled, outside,
 // deprioritized.
 func TestTiersOfCost(t *testing.T) {
-	b, r := newGate(t, subsetSettings(100), testEndpoints(400)...)
-	b.now, b.actions = t0, r
+	b, r := newTestBalancer(t, subsetSettings(100), testEndpoints(400)...)
+	b.now, b.actions = testStart, r
 	var outside *endpoint
 	for slot := range b.endpoints.list.entries {
 		if b.endpoints.trackedAt(slotIndex(slot)) == nil {
-			outside = b.endpoints.trackFromReserve(t0, slotIndex(slot))
+			outside = b.endpoints.trackFromReserve(testStart, slotIndex(slot))
 			break
 		}
 	}
 	ejected := newEndpoint(Endpoint{ID: "ejected"})
-	ejected.health.eject(t0)
+	ejected.health.eject(testStart)
 	s := selection{criteria: b.healthCriteria(), samples: 3}
 	if cost, deprioritized := b.tierCost(&s, outside); cost != outsideSubsetCost || deprioritized ||
 		s.outsideSubset != 1 {
--- a/balancer/slow_start_test.go
+++ b/balancer/slow_start_test.go
@@ -21,14 +21,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			r := &recorder{}
-			b.Start(t0, r)
-			b.EndpointsUpdated(t0, UpdateSnapshot, []Endpoint{{
+			r := &hostRecorder{}
+			b.Start(testStart, r)
+			b.EndpointsUpdated(testStart, UpdateSnapshot, []Endpoint{{
 				ID: coldID, MachineType: "k", Zone: "a",
-				StartedAt: t0 - ms,
+				StartedAt: testStart - ms,
 			}}, r)
 			for at := time.Duration(0); at < s.OverloadWindow; at += 50 * ms {
-				sent += flood(b, r, t0+at, 2, newRequest(int(at/ms), "safe", "rate", 1))
+				sent += sendBurst(b, r, testStart+at, 2, newRequest(int(at/ms), "safe", "rate", 1))
 			}
 			work = float64(sent) * b.latency.work(0)
 		}
@@ -47,14 +47,14 @@
 // not: connections break one by one as well, and all endpoints would count as cold.
 func TestFailedConnectionCountsAsRestart(t *testing.T) {
 	for res, cold := range map[Result]bool{ConnectFailed: true, Reset: false, ErrorResponse: false} {
-		b, r := newGate(t, testSettings(), fleet(1)...)
-		b.RequestArrived(t0, newRequest(1, "unsafe", "rate", 1), r)
-		b.AttemptFinished(t0+ms, Outcome{ID: "r1", Result: res, EndpointID: "s0"}, r)
+		b, r := newTestBalancer(t, testSettings(), equalEndpoints(1)...)
+		b.RequestArrived(testStart, newRequest(1, "unsafe", "rate", 1), r)
+		b.AttemptFinished(testStart+ms, Outcome{ID: "r1", Result: res, EndpointID: "s0"}, r)
 		if got := b.warmUpFraction(b.endpoints.tracked[0]) < 1; got != cold {
 			t.Errorf("after result %d: cold %v, want %v", res, got, cold)
 		}
-		r.acts = nil
-		if n := flood(b, r, t0+2*ms, 30, newRequest(0, "safe", "rate", 2)); cold && n > 1 {
+		r.actions = nil
+		if n := sendBurst(b, r, testStart+2*ms, 30, newRequest(0, "safe", "rate", 2)); cold && n > 1 {
 			t.Errorf("%d sent after the refused connection, want 1 at most", n)
 		}
 	}
@@ -68,17 +68,17 @@
 	for i := range list {
 		list[i].State = Draining // listed, but no other accepts requests
 	}
-	cold := Endpoint{ID: coldID, MachineType: "k", Zone: "a", StartedAt: t0 + time.Second}
+	cold := Endpoint{ID: coldID, MachineType: "k", Zone: "a", StartedAt: testStart + time.Second}
 	balancers := newFleet(t, nodes, list)
-	now, sends := t0+time.Second, 0
+	now, sends := testStart+time.Second, 0
 	for _, b := range balancers {
-		b.EndpointsUpdated(now, UpdateDelta, []Endpoint{cold}, &recorder{})
+		b.EndpointsUpdated(now, UpdateDelta, []Endpoint{cold}, &hostRecorder{})
 	}
 	before := len(nodesWithCold(balancers))
 	for step := range steps {
 		now += controlInterval
 		for _, b := range balancers {
-			r := &recorder{}
+			r := &hostRecorder{}
 			b.TimerFired(now, timerControlInterval, r)
 			for gone := step * goneEach; gone < (step+1)*goneEach; gone++ {
 				e := list[gone]
@@ -111,15 +111,15 @@
 func TestColdEndpointEntersSubsetWithoutTokens(t *testing.T) {
 	const nodes, endpoints, left = 60, 90, 20
 	list := testEndpoints(endpoints)
-	cold := Endpoint{ID: coldID, MachineType: "k", Zone: "a", StartedAt: t0}
+	cold := Endpoint{ID: coldID, MachineType: "k", Zone: "a", StartedAt: testStart}
 	balancers := newFleet(t, nodes, append(slices.Clone(list), cold))
 	first := nodesWithCold(balancers)
 	for _, b := range balancers {
 		for _, e := range list[left:] {
 			e.State = Removed
-			b.EndpointsUpdated(t0, UpdateDelta, []Endpoint{e}, &recorder{})
+			b.EndpointsUpdated(testStart, UpdateDelta, []Endpoint{e}, &hostRecorder{})
 		}
-		b.TimerFired(t0, timerControlInterval, &recorder{})
+		b.TimerFired(testStart, timerControlInterval, &hostRecorder{})
 	}
 	entered := 0
 	for _, b := range nodesWithCold(balancers) {
@@ -146,15 +146,15 @@
 		want      float64
 	}{
 		{"started long ago", curve, 0, 1},
-		{"just started", curve, t0, 0.2},
-		{"clock ahead", curve, t0 + time.Second, 0.2},
-		{"halfway", curve, t0 - 5*time.Second, 0.6},
-		{"at the end", curve, t0 - 10*time.Second, 1},
-		{"no warm-up", warmUpCurve{}, t0, 1},
-		{"nothing at the start", warmUpCurve{duration: time.Second}, t0, minWarmUpFraction},
-		{"all at the start", warmUpCurve{initialFraction: 1, duration: time.Second}, t0, 1},
+		{"just started", curve, testStart, 0.2},
+		{"clock ahead", curve, testStart + time.Second, 0.2},
+		{"halfway", curve, testStart - 5*time.Second, 0.6},
+		{"at the end", curve, testStart - 10*time.Second, 1},
+		{"no warm-up", warmUpCurve{}, testStart, 1},
+		{"nothing at the start", warmUpCurve{duration: time.Second}, testStart, minWarmUpFraction},
+		{"all at the start", warmUpCurve{initialFraction: 1, duration: time.Second}, testStart, 1},
 	} {
-		if got := test.curve.fraction(test.startedAt, t0); math.Abs(got-test.want) > 1e-12 {
+		if got := test.curve.fraction(test.startedAt, testStart); math.Abs(got-test.want) > 1e-12 {
 			t.Errorf("%s: %v, want %v", test.name, got, test.want)
 		}
 	}
@@ -167,12 +167,12 @@
 	if !budget.allows(false) || budget.bounded() {
 		t.Error("a warm endpoint is bounded")
 	}
-	budget.accrue(t0, 10, 2, rng)
+	budget.accrue(testStart, 10, 2, rng)
 	begin := budget.tokens
 	if begin < 0 || begin >= 1 || budget.allows(true) {
 		t.Errorf("begins with %v tokens", begin)
 	}
-	budget.accrue(t0+100*ms, 10, 2, rng)
+	budget.accrue(testStart+100*ms, 10, 2, rng)
 	if got := budget.tokens; math.Abs(got-begin-1) > 1e-9 || !budget.allows(true) || budget.allows(false) {
 		t.Errorf("%v tokens after 100 ms at 10 a second, from %v", got, begin)
 	}
@@ -182,12 +182,12 @@
 	if budget.withdraw(); budget.tokens != 0 {
 		t.Errorf("%v tokens, want none: a request that needs no token takes none", budget.tokens)
 	}
-	budget.accrue(t0+time.Minute, 10, 2, rng)
+	budget.accrue(testStart+time.Minute, 10, 2, rng)
 	if budget.tokens != 2 {
 		t.Errorf("%v tokens after a minute, want the limit of 2", budget.tokens)
 	}
-	budget.startEmpty(t0 + time.Minute)
-	budget.accrue(t0+time.Minute, 10, 2, rng)
+	budget.startEmpty(testStart + time.Minute)
+	budget.accrue(testStart+time.Minute, 10, 2, rng)
 	if budget.tokens != 0 {
 		t.Errorf("%v tokens, want none at the start", budget.tokens)
 	}
--- a/balancer/subset_bench_test.go
+++ b/balancer/subset_bench_test.go
@@ -10,7 +10,7 @@
 const planNodes = 4100
 
 // newBenchmarkBalancer returns a node of a large fleet without a list.
-func newBenchmarkBalancer(b *testing.B) (*Balancer, *recorder) {
+func newBenchmarkBalancer(b *testing.B) (*Balancer, *hostRecorder) {
 	b.Helper()
 	s := subsetSettings(planNodes)
 	s.NodeIndex = 7
@@ -18,8 +18,8 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	r := &recorder{}
-	node.Start(t0, r)
+	r := &hostRecorder{}
+	node.Start(testStart, r)
 	return node, r
 }
 
@@ -30,7 +30,7 @@
 	for _, endpoints := range []int{2000, 200_000} {
 		list := testEndpoints(endpoints)
 		node, r := newBenchmarkBalancer(b)
-		node.EndpointsUpdated(t0, UpdateSnapshot, list, r)
+		node.EndpointsUpdated(testStart, UpdateSnapshot, list, r)
 		changed := map[string][]Endpoint{}
 		for _, e := range list {
 			name := "reserve"
@@ -46,7 +46,7 @@
 				for n := 0; b.Loop(); n++ {
 					e := of[n%len(of)]
 					e.State = []EndpointState{Draining, Up}[n/len(of)%2]
-					node.EndpointsUpdated(t0, UpdateDelta, []Endpoint{e}, r)
+					node.EndpointsUpdated(testStart, UpdateDelta, []Endpoint{e}, r)
 				}
 			})
 		}
@@ -61,19 +61,19 @@
 		list := testEndpoints(endpoints + growth)
 		b.Run(fmt.Sprint(endpoints), func(b *testing.B) {
 			var node *Balancer
-			var r *recorder
+			var r *hostRecorder
 			for n := 0; b.Loop(); n++ {
 				at := endpoints + n%growth
 				if at == endpoints {
 					b.StopTimer()
 					node, r = newBenchmarkBalancer(b)
-					node.EndpointsUpdated(t0, UpdateSnapshot, list[:int(float64(endpoints)/listLengthSlack)], r)
-					node.EndpointsUpdated(t0, UpdateDelta,
+					node.EndpointsUpdated(testStart, UpdateSnapshot, list[:int(float64(endpoints)/listLengthSlack)], r)
+					node.EndpointsUpdated(testStart, UpdateDelta,
 						list[int(float64(endpoints)/listLengthSlack):endpoints], r)
 					b.StartTimer()
 				}
 				number := node.endpoints.sizing.subsetsPerEndpoint
-				node.EndpointsUpdated(t0, UpdateDelta, list[at:at+1], r)
+				node.EndpointsUpdated(testStart, UpdateDelta, list[at:at+1], r)
 				if node.endpoints.sizing.subsetsPerEndpoint == number {
 					b.Fatalf("the number of subsets stays at %v", number)
 				}
@@ -90,10 +90,10 @@
 		b.Run(fmt.Sprint(endpoints), func(b *testing.B) {
 			node, r := newBenchmarkBalancer(b)
 			began := time.Now()
-			node.EndpointsUpdated(t0, UpdateSnapshot, list, r)
+			node.EndpointsUpdated(testStart, UpdateSnapshot, list, r)
 			first := time.Since(began)
 			for b.Loop() {
-				node.EndpointsUpdated(t0, UpdateSnapshot, list, r)
+				node.EndpointsUpdated(testStart, UpdateSnapshot, list, r)
 			}
 			again := b.Elapsed() / time.Duration(b.N)
 			b.ReportMetric(float64(first)/float64(again), "first/again")
--- a/balancer/subset_changes_test.go
+++ b/balancer/subset_changes_test.go
@@ -32,7 +32,7 @@
 	t.Helper()
 	before, number := subsetIDsOfAll(balancers), balancers[0].endpoints.sizing.subsetsPerEndpoint
 	for _, b := range balancers {
-		b.EndpointsUpdated(t0, UpdateDelta, []Endpoint{e}, &recorder{})
+		b.EndpointsUpdated(testStart, UpdateDelta, []Endpoint{e}, &hostRecorder{})
 	}
 	after := subsetIDsOfAll(balancers)
 	own := 0.0
--- a/balancer/subset_harness_test.go
+++ b/balancer/subset_harness_test.go
@@ -39,8 +39,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Start(t0, &recorder{})
-		b.EndpointsUpdated(t0, UpdateSnapshot, list, &recorder{})
+		b.Start(testStart, &hostRecorder{})
+		b.EndpointsUpdated(testStart, UpdateSnapshot, list, &hostRecorder{})
 		balancers[me] = b
 	}
 	return balancers
--- a/balancer/subset_index_test.go
+++ b/balancer/subset_index_test.go
@@ -12,10 +12,10 @@
 	balancers := newFleet(t, nodes, testEndpoints(100))
 	from, named := balancers[3], 0
 	for _, e := range from.endpoints.tracked {
-		e.recordLoad(1, t0)
+		e.recordLoad(1, testStart)
 	}
 	for to, b := range balancers {
-		from.now = t0 + ms
+		from.now = testStart + ms
 		var buffer [maxLoadEntries]*endpoint
 		loads := from.endpoints.index.freshest(&buffer, to, from.now)
 		for _, e := range loads {
@@ -40,7 +40,7 @@
 // Endpoints that share a short hash are left out of load gossip, and counted; there are few in a subset.
 func TestHashCollisionsAreCounted(t *testing.T) {
 	list := testEndpoints(20_000)
-	b, r := newGate(t, subsetSettings(410), list...)
+	b, r := newTestBalancer(t, subsetSettings(410), list...)
 	st := b.Stats()
 	pairs := float64(st.SubsetEndpoints*st.SubsetEndpoints) / 2 / (1 << 16)
 	if float64(st.HashCollisions) > 2*(pairs+3*math.Sqrt(pairs)+1) {
@@ -51,7 +51,7 @@
 		e := Endpoint{ID: fmt.Sprintf("other-%d", n), MachineType: "k", Zone: "a"}
 		if shortEndpointHash(e.ID) == first.shortHash &&
 			b.endpoints.sizing.entersAt(e.ID) <= b.endpoints.sizing.subsetsPerEndpoint {
-			b.EndpointsUpdated(t0, UpdateDelta, []Endpoint{e}, r)
+			b.EndpointsUpdated(testStart, UpdateDelta, []Endpoint{e}, r)
 			break
 		}
 	}
@@ -63,16 +63,16 @@
 // An endpoint that is removed while an attempt is in flight there leaves the index of the subset with the
 // control interval after the attempt.
 func TestIndexFollowsDroppedEndpoints(t *testing.T) {
-	b, r := newGate(t, subsetSettings(30), Endpoint{ID: "s0", MachineType: "k", Zone: "a", StartedAt: t0})
+	b, r := newTestBalancer(t, subsetSettings(30), Endpoint{ID: "s0", MachineType: "k", Zone: "a", StartedAt: testStart})
 	e := b.endpoints.trackedByID["s0"]
 	e.slowStart.tokens = 1
-	b.RequestArrived(t0, newRequest(1, "safe", "rate", 1), r)
-	b.EndpointsUpdated(t0, UpdateSnapshot, nil, r)
+	b.RequestArrived(testStart, newRequest(1, "safe", "rate", 1), r)
+	b.EndpointsUpdated(testStart, UpdateSnapshot, nil, r)
 	if e.inFlight != 1 || len(b.endpoints.index.shared) != 1 {
 		t.Fatalf("%d attempts in flight, %d endpoints shared", e.inFlight, len(b.endpoints.index.shared))
 	}
-	b.AttemptFinished(t0, Outcome{ID: "r1", Result: OK, Answered: true, Elapsed: ms}, r)
-	b.TimerFired(t0, timerControlInterval, r)
+	b.AttemptFinished(testStart, Outcome{ID: "r1", Result: OK, Answered: true, Elapsed: ms}, r)
+	b.TimerFired(testStart, timerControlInterval, r)
 	if index := b.endpoints.index; len(index.shared) != 0 || len(index.byHash) != 0 {
 		t.Errorf("%d endpoints shared and %d named, though none is tracked", len(index.shared),
 			len(index.byHash))
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -32,7 +32,7 @@
 	for _, c := range []struct{ nodes, endpoints, sample int }{
 		{1, 1, 1}, {2, 9, 9}, {25, 3, 3}, {300, 200, 200}, {1024, 1024, 256}, {4100, 200_000, 64},
 	} {
-		b, _ := newGate(t, subsetSettings(c.nodes))
+		b, _ := newTestBalancer(t, subsetSettings(c.nodes))
 		per := b.endpoints.sizing.subsetsFor(float64(c.endpoints))
 		list := testEndpoints(c.endpoints)
 		s, err := evenness(c.sample, c.nodes, func(endpoint, node int) bool {
@@ -108,7 +108,7 @@
 		for n := range c.sample {
 			s := subsetSettings(c.nodes)
 			s.NodeIndex = n * (c.nodes / c.sample)
-			b, _ := newGate(t, s, list...)
+			b, _ := newTestBalancer(t, s, list...)
 			own, zone := 0.0, 0.0
 			for _, sv := range b.endpoints.tracked {
 				own += oneIf(sv.inSubset)
@@ -138,8 +138,8 @@
 // only those that it enters, each of which another node leaves.
 func TestPlannedFleetChangesFewestSubsets(t *testing.T) {
 	const nodes, endpoints, sample = 4100, 200_000, 4000
-	b, _ := newGate(t, subsetSettings(nodes))
-	larger, _ := newGate(t, subsetSettings(nodes+1))
+	b, _ := newTestBalancer(t, subsetSettings(nodes))
+	larger, _ := newTestBalancer(t, subsetSettings(nodes+1))
 	per := b.endpoints.sizing.subsetsFor(endpoints)
 	if per != minSubsetSize || b.endpoints.sizing.subsetsFor(endpoints+1) != per ||
 		larger.endpoints.sizing.subsetsFor(endpoints) != per {
@@ -172,7 +172,7 @@
 func TestSubsetFollowsListLength(t *testing.T) {
 	const nodes, few, many = 1024, 200, 20_000
 	list := testEndpoints(many)
-	b, r := newGate(t, subsetSettings(nodes), list[:few]...)
+	b, r := newTestBalancer(t, subsetSettings(nodes), list[:few]...)
 	check := func(n int) {
 		t.Helper()
 		perServer := func(length float64) float64 { return math.Max(3, 12*math.Sqrt(1.5*nodes/length)) }
@@ -193,7 +193,7 @@
 		}
 	}
 	for n := few; n < many; n++ {
-		b.EndpointsUpdated(t0, UpdateDelta, list[n:n+1], r)
+		b.EndpointsUpdated(testStart, UpdateDelta, list[n:n+1], r)
 		if n%4000 == 0 {
 			check(n + 1)
 		}
@@ -201,7 +201,7 @@
 	for n := many - 1; n >= few; n-- {
 		e := list[n]
 		e.State = Removed
-		b.EndpointsUpdated(t0, UpdateDelta, []Endpoint{e}, r)
+		b.EndpointsUpdated(testStart, UpdateDelta, []Endpoint{e}, r)
 		if n%4000 == 0 || n == few {
 			check(n)
 		}
@@ -214,7 +214,7 @@
 func TestSubsetFollowsWithoutScan(t *testing.T) {
 	const nodes, endpoints, gone = 1024, 4000, 3000
 	list := testEndpoints(endpoints + 5*gone)
-	b, r := newGate(t, subsetSettings(nodes), list[:endpoints/2]...)
+	b, r := newTestBalancer(t, subsetSettings(nodes), list[:endpoints/2]...)
 	peak := minSubsetCandidates // of the endpoints that can enter the subset
 	check := func(when string) {
 		t.Helper()
@@ -244,20 +244,20 @@
 	}
 	check("short")
 	for n := endpoints / 2; n < endpoints; n++ {
-		b.EndpointsUpdated(t0, UpdateDelta, list[n:n+1], r)
+		b.EndpointsUpdated(testStart, UpdateDelta, list[n:n+1], r)
 	}
 	check("grown")
 	for n := range 5 * gone { // a new endpoint takes the slot of an old one
 		old := list[n]
 		old.State = Removed
-		b.EndpointsUpdated(t0, UpdateDelta, []Endpoint{old, list[endpoints+n]}, r)
+		b.EndpointsUpdated(testStart, UpdateDelta, []Endpoint{old, list[endpoints+n]}, r)
 	}
 	check("replaced")
 	for at := range b.endpoints.list.entries[:100] { // one after another, each comes back under its name
 		for range 100 {
 			e := b.endpoints.list.endpointAt(slotIndex(at))
 			for _, e.State = range []EndpointState{Removed, Up} {
-				b.EndpointsUpdated(t0, UpdateDelta, []Endpoint{e}, r)
+				b.EndpointsUpdated(testStart, UpdateDelta, []Endpoint{e}, r)
 			}
 		}
 	}
@@ -265,9 +265,9 @@
 	for n := 5 * gone; n < 5*gone+endpoints*3/4; n++ {
 		old := list[n]
 		old.State = Removed
-		b.EndpointsUpdated(t0, UpdateDelta, []Endpoint{old}, r)
+		b.EndpointsUpdated(testStart, UpdateDelta, []Endpoint{old}, r)
 	}
 	check("shrunk")
-	b.EndpointsUpdated(t0, UpdateSnapshot, list[:endpoints], r)
+	b.EndpointsUpdated(testStart, UpdateSnapshot, list[:endpoints], r)
 	check("replaced by a snapshot")
 }
--- a/balancer/tracking_test.go
+++ b/balancer/tracking_test.go
@@ -9,18 +9,18 @@
 
 // A removed endpoint is tracked until its attempts have ended, whatever the list does.
 func TestRemovedEndpointIsTrackedWhileAttemptsAreInFlight(t *testing.T) {
-	b, r := newGate(t, subsetSettings(100), testEndpoints(400)...)
-	b.RequestArrived(t0, newRequest(1, "safe", "rate", 1), r)
+	b, r := newTestBalancer(t, subsetSettings(100), testEndpoints(400)...)
+	b.RequestArrived(testStart, newRequest(1, "safe", "rate", 1), r)
 	s := b.requests.byID["r1"].attempts[0].endpoint
 	e := s.Endpoint
 	e.State = Removed
-	b.EndpointsUpdated(t0, UpdateDelta, []Endpoint{e}, r)
-	b.TimerFired(t0+time.Minute, timerControlInterval, r)
+	b.EndpointsUpdated(testStart, UpdateDelta, []Endpoint{e}, r)
+	b.TimerFired(testStart+time.Minute, timerControlInterval, r)
 	if b.endpoints.trackedByID[s.ID] != s || s.acceptsRequests() {
 		t.Fatal("dropped with an attempt in flight, or still accepting requests")
 	}
-	b.AttemptFinished(t0+time.Minute, Outcome{ID: "r1", Result: OK, Answered: true, Elapsed: ms}, r)
-	b.TimerFired(t0+time.Minute+controlInterval, timerControlInterval, r)
+	b.AttemptFinished(testStart+time.Minute, Outcome{ID: "r1", Result: OK, Answered: true, Elapsed: ms}, r)
+	b.TimerFired(testStart+time.Minute+controlInterval, timerControlInterval, r)
 	if b.endpoints.trackedByID[s.ID] != nil {
 		t.Error("tracked after its attempts have ended")
 	}
@@ -30,22 +30,22 @@
 // have ended, also in a small fleet, which drops nothing in between.
 func TestRemovedEndpointIsDroppedOnceAttemptsEnd(t *testing.T) {
 	for _, nodes := range []int{1, 100} {
-		b, r := newGate(t, subsetSettings(nodes), fleet(3)...)
-		b.RequestArrived(t0, newRequest(1, "safe", "rate", 1), r)
+		b, r := newTestBalancer(t, subsetSettings(nodes), equalEndpoints(3)...)
+		b.RequestArrived(testStart, newRequest(1, "safe", "rate", 1), r)
 		e := b.requests.byID["r1"].attempts[0].endpoint
-		gone, other := e.Endpoint, fleet(3)[0]
+		gone, other := e.Endpoint, equalEndpoints(3)[0]
 		if other.ID == gone.ID {
-			other = fleet(3)[1]
+			other = equalEndpoints(3)[1]
 		}
 		gone.State, other.State = Removed, Draining
-		b.EndpointsUpdated(t0, UpdateDelta, []Endpoint{gone}, r)
-		b.EndpointsUpdated(t0, UpdateDelta, []Endpoint{other}, r)
+		b.EndpointsUpdated(testStart, UpdateDelta, []Endpoint{gone}, r)
+		b.EndpointsUpdated(testStart, UpdateDelta, []Endpoint{other}, r)
 		if b.endpoints.trackedByID[e.ID] != e {
 			t.Fatalf("%d nodes: dropped with an attempt in flight", nodes)
 		}
-		b.AttemptFinished(t0+ms, Outcome{ID: "r1", Result: OK, Answered: true, Elapsed: ms}, r)
+		b.AttemptFinished(testStart+ms, Outcome{ID: "r1", Result: OK, Answered: true, Elapsed: ms}, r)
 		other.State = Up
-		b.EndpointsUpdated(t0+ms, UpdateDelta, []Endpoint{other}, r)
+		b.EndpointsUpdated(testStart+ms, UpdateDelta, []Endpoint{other}, r)
 		if b.endpoints.trackedByID[e.ID] != nil || slices.Contains(b.endpoints.tracked, e) {
 			t.Errorf("%d nodes: tracked after its attempts have ended", nodes)
 		}
@@ -67,22 +67,22 @@
 		{"of the subset, no longer listed", func(e *endpoint) { e.inSubset, e.listed = true, false }, false},
 		{"attempt in flight", func(e *endpoint) { e.inFlight = 1 }, true},
 		{"attempt in flight, no longer listed", func(e *endpoint) { e.inFlight, e.listed = 1, false }, true},
-		{"used at the retention's start", func(e *endpoint) { e.lastProgress = t0 - reserveRetention }, true},
-		{"used before", func(e *endpoint) { e.lastProgress = t0 - reserveRetention - 1 }, false},
+		{"used at the retention's start", func(e *endpoint) { e.lastProgress = testStart - reserveRetention }, true},
+		{"used before", func(e *endpoint) { e.lastProgress = testStart - reserveRetention - 1 }, false},
 		{
-			"used just now, no longer listed", func(e *endpoint) { e.lastProgress, e.listed = t0, false },
+			"used just now, no longer listed", func(e *endpoint) { e.lastProgress, e.listed = testStart, false },
 			false,
 		},
-		{"ejected", func(e *endpoint) { e.health.ejectedUntil = t0 + 1 }, true},
-		{"ejection at its end", func(e *endpoint) { e.health.ejectedUntil = t0 }, false},
-		{"cold", func(e *endpoint) { e.StartedAt = t0 - 10*time.Second + 1 }, true},
-		{"warm", func(e *endpoint) { e.StartedAt = t0 - 10*time.Second }, false},
-		{"cold by a failed connection", func(e *endpoint) { e.restarts.suspect(t0) }, true},
+		{"ejected", func(e *endpoint) { e.health.ejectedUntil = testStart + 1 }, true},
+		{"ejection at its end", func(e *endpoint) { e.health.ejectedUntil = testStart }, false},
+		{"cold", func(e *endpoint) { e.StartedAt = testStart - 10*time.Second + 1 }, true},
+		{"warm", func(e *endpoint) { e.StartedAt = testStart - 10*time.Second }, false},
+		{"cold by a failed connection", func(e *endpoint) { e.restarts.suspect(testStart) }, true},
 	} {
 		e := newEndpoint(Endpoint{ID: "s0"})
-		e.lastProgress = t0 - time.Hour
+		e.lastProgress = testStart - time.Hour
 		test.change(e)
-		if got := set.isInUse(t0, e); got != test.want {
+		if got := set.isInUse(testStart, e); got != test.want {
 			t.Errorf("%s: %v, want %v", test.name, got, test.want)
 		}
 	}
@@ -94,14 +94,14 @@
 	e := newEndpoint(Endpoint{ID: "s0"})
 	learn := func() {
 		e.latencyRatio = 3
-		e.recordLoad(7, t0)
+		e.recordLoad(7, testStart)
 		e.load.queued, e.load.refusesConnections, e.load.lastResponseFailed = 2, true, true
-		e.load.utilizationReportedAt = t0
+		e.load.utilizationReportedAt = testStart
 		e.health = endpointHealth{
-			errorRate: 1, consecutiveEjections: 2, ejectedUntil: t0,
-			unreachable: true, lastResponse: t0, lastCheck: t0,
+			errorRate: 1, consecutiveEjections: 2, ejectedUntil: testStart,
+			unreachable: true, lastResponse: testStart, lastCheck: testStart,
 		}
-		e.slowStart.startEmpty(t0)
+		e.slowStart.startEmpty(testStart)
 	}
 	learn()
 	e.update(Endpoint{ID: "s0", State: Draining})
@@ -109,11 +109,11 @@
 		t.Errorf("forgotten without a restart, or not draining: %+v", e)
 	}
 	learn()
-	e.update(Endpoint{ID: "s0", StartedAt: t0})
-	fresh := newEndpoint(Endpoint{ID: "s0", StartedAt: t0})
-	fresh.health.lastResponse, fresh.health.lastCheck = t0, t0
-	fresh.load.otherNodes, fresh.load.utilizationReportedAt = 7, t0
-	fresh.slowStart.accruedAt = t0
+	e.update(Endpoint{ID: "s0", StartedAt: testStart})
+	fresh := newEndpoint(Endpoint{ID: "s0", StartedAt: testStart})
+	fresh.health.lastResponse, fresh.health.lastCheck = testStart, testStart
+	fresh.load.otherNodes, fresh.load.utilizationReportedAt = 7, testStart
+	fresh.slowStart.accruedAt = testStart
 	if !reflect.DeepEqual(e, fresh) {
 		t.Errorf("after a restart %+v, want %+v", e, fresh)
 	}
--- a/internal/registry/command.go
+++ b/internal/registry/command.go
@@ -1,8 +1,9 @@
 package registry
 
 import (
-	"opalhook/internal/discovery"
 	"time"
+
+	"opalhook/internal/discovery"
 )
 
 // Lifecycles of an entry.
--- a/internal/registry/data_folder_test.go
+++ b/internal/registry/data_folder_test.go
@@ -8,13 +8,14 @@
 	"errors"
 	"io"
 	"log/slog"
-	"opalhook/internal/golden"
 	"os"
 	"path/filepath"
 	"strings"
 	"syscall"
 	"testing"
 	"time"
+
+	"opalhook/internal/golden"
 )
 
 // recordedFolder is the folder of testdata with a data folder of an earlier version; its README says how it was made.
--- a/internal/registry/golden_client_test.go
+++ b/internal/registry/golden_client_test.go
@@ -9,12 +9,13 @@
 	"net"
 	"net/http"
 	"net/http/httptest"
-	"opalhook/internal/golden"
 	"strings"
 	"testing"
 	"time"
 
 	"github.com/hashicorp/raft"
+
+	"opalhook/internal/golden"
 )
 
 // recordedService answers each request with a golden file or an outcome, and writes the requests down.
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -7,7 +7,6 @@
 	"fmt"
 	"io"
 	"net"
-	"opalhook/internal/golden"
 	"os"
 	"path/filepath"
 	"strconv"
@@ -17,6 +16,8 @@
 	"time"
 
 	"github.com/hashicorp/raft"
+
+	"opalhook/internal/golden"
 )
 
 // goldenTerm is the term of the recorded expire command.
--- a/internal/registry/harness_test.go
+++ b/internal/registry/harness_test.go
@@ -8,10 +8,11 @@
 	"io"
 	"log/slog"
 	"net/http"
-	"opalhook/internal/testnet"
 	"strings"
 	"testing"
 	"time"
+
+	"opalhook/internal/testnet"
 )
 
 // testTimeout bounds every wait; none is expected to come near it.
--- a/internal/registry/published.go
+++ b/internal/registry/published.go
@@ -4,8 +4,9 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"opalhook/internal/discovery"
 	"time"
+
+	"opalhook/internal/discovery"
 )
 
 // notifyInterval is the time from one wake-up of the watches to the next; the changes between go out together.
--- a/internal/registry/replica_process_test.go
+++ b/internal/registry/replica_process_test.go
@@ -5,13 +5,14 @@
 	"errors"
 	"io"
 	"net/http"
-	"opalhook/internal/testbed"
-	"opalhook/internal/testnet"
 	"os"
 	"os/exec"
 	"path/filepath"
 	"testing"
 	"time"
+
+	"opalhook/internal/testbed"
+	"opalhook/internal/testnet"
 )
 
 // testReplica is one replica as a process, which may be killed, stopped and started again.
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -2,8 +2,9 @@
 
 import (
 	"fmt"
-	"opalhook/internal/discovery"
 	"time"
+
+	"opalhook/internal/discovery"
 )
 
 // MaxEntries bounds the memory of a replica, its snapshots and the full list that a watch may be sent, against clients
