--- a/cmd/opalhook/agent.go
+++ b/cmd/opalhook/agent.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
@@ -81,7 +80,7 @@
 		Example: "  opalhook agent status --at 127.0.0.1:8510 -o json",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			status, err := fetchAgentStatus(c.Context(), at)
+			status, err := agent.FetchStatus(c.Context(), at)
 			if err != nil {
 				return err
 			}
@@ -95,28 +94,6 @@
 	return c
 }
 
-// agentTimeout bounds a call of an agent.
-const agentTimeout = 5 * time.Second
-
-// fetchAgentStatus asks an agent for its status.
-func fetchAgentStatus(ctx context.Context, addr string) (status agent.Status, err error) {
-	ctx, cancel := context.WithTimeout(ctx, agentTimeout)
-	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/agent/status", nil)
-	if err != nil {
-		return status, fmt.Errorf("--at: %w", err)
-	}
-	resp, err := http.DefaultClient.Do(req)
-	if err != nil {
-		return status, fmt.Errorf("no agent answers: %w", err)
-	}
-	defer func() { _ = resp.Body.Close() }()
-	if err := json.NewDecoder(resp.Body).Decode(&status); err != nil {
-		return status, fmt.Errorf("%s is no agent: %w", addr, err)
-	}
-	return status, nil
-}
-
 // writeAgentStatus writes what an agent has and how old that is.
 func writeAgentStatus(out io.Writer, status *agent.Status) error {
 	state := "watches a replica"
--- /dev/null
+++ b/internal/agent/client_test.go
@@ -0,0 +1,28 @@
+package agent
+
+import (
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync/atomic"
+	"testing"
+)
+
+func TestFetchStatus(t *testing.T) {
+	var calls atomic.Int64
+	a := startAgent(t, "m", fastRules(), startReplica(t, &calls, serveList(snapshotOf(10, 3))))
+	nextMessage(t, watchAsNode(t, a, 0))
+	status, err := FetchStatus(t.Context(), a.Addr())
+	if err != nil || status.ReplicaCalls != 1 || status.ListsPublished != 1 || status.NodeWatches != 1 {
+		t.Errorf("status %+v, error %v", status, err)
+	}
+	other := httptest.NewServer(http.NotFoundHandler())
+	addr := strings.TrimPrefix(other.URL, "http://")
+	if _, err := FetchStatus(t.Context(), addr); err == nil || !strings.Contains(err.Error(), "is no agent") {
+		t.Errorf("another server: error %v", err)
+	}
+	other.Close()
+	if _, err := FetchStatus(t.Context(), addr); err == nil || !strings.Contains(err.Error(), "no agent answers") {
+		t.Errorf("no server: error %v", err)
+	}
+}
