--- a/internal/edgenode/client_request.go
+++ b/internal/edgenode/client_request.go
@@ -216,9 +216,9 @@
 }
 
 // parseInt parses a whole number within bounds.
-func parseInt(text string, least, most int) (int, bool) {
+func parseInt(text string, minimum, maximum int) (int, bool) {
 	x, ok := decimal.Parse(text)
-	return int(x), ok && x == math.Trunc(x) && x >= float64(least) && x <= float64(most)
+	return int(x), ok && x == math.Trunc(x) && x >= float64(minimum) && x <= float64(maximum)
 }
 
 // readBody reads the whole body, within a time so that one sent in part holds no socket for ever.
--- a/internal/edgenode/conn_cross_test.go
+++ b/internal/edgenode/conn_cross_test.go
@@ -20,13 +20,13 @@
 
 // writing runs a function before the first write on a client's connection, or once the HTTP library has
 // ended its look at the client behind it.
-type writing struct {
+type hookedWrites struct {
 	*net.TCPConn
 	before, behind func()
 	written        atomic.Bool
 }
 
-func (w *writing) Write(p []byte) (int, error) {
+func (w *hookedWrites) Write(p []byte) (int, error) {
 	if before := w.before; before != nil {
 		w.before = nil
 		before()
@@ -35,7 +35,7 @@
 	return w.TCPConn.Write(p)
 }
 
-func (w *writing) SetReadDeadline(t time.Time) error {
+func (w *hookedWrites) SetReadDeadline(t time.Time) error {
 	if behind := w.behind; behind != nil && t.IsZero() && w.written.Load() {
 		w.behind = nil
 		behind()
@@ -44,12 +44,12 @@
 }
 
 // hooked is a listener whose connections a test may change before they are served.
-type hooked struct {
+type hookedListener struct {
 	*clientListener
 	change func(*clientConn)
 }
 
-func (h hooked) Accept() (net.Conn, error) {
+func (h hookedListener) Accept() (net.Conn, error) {
 	c, err := h.clientListener.Accept()
 	if err == nil {
 		h.change(c.(*clientConn))
@@ -59,9 +59,9 @@
 
 func serveHooked(t *testing.T, cfg *Config, change func(f *frontend, c *clientConn)) (*frontend, string) {
 	t.Helper()
-	f := idleFront(t, cfg)
+	f := idleFrontend(t, cfg)
 	ln := nodetest.Listen(t)
-	serveClients(t, f, hooked{newClientListener(ln, f.conns), func(c *clientConn) { change(f, c) }})
+	serveClients(t, f, hookedListener{newClientListener(ln, f.conns), func(c *clientConn) { change(f, c) }})
 	return f, ln.Addr().String()
 }
 
@@ -76,7 +76,7 @@
 }
 
 // taken tells whether all that has come of clients was read.
-func (s *connTable) taken() bool {
+func (s *connTable) allRead() bool {
 	for _, c := range s.all() {
 		if c.hasUnread() {
 			return false
@@ -85,7 +85,7 @@
 	return true
 }
 
-func (s *connTable) in(state connState) (n int) {
+func (s *connTable) count(state connState) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
@@ -98,7 +98,7 @@
 
 // The look that decides on a resting connection's close comes in the moment before its next request is
 // read, or in the moment after: both times the request is answered.
-func TestRequestCrossesTheLookAtARestingConnection(t *testing.T) {
+func TestRequestCrossesTheClosingOfIdleConnections(t *testing.T) {
 	for _, before := range []bool{true, false} {
 		s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 		var looks atomic.Bool
@@ -125,7 +125,7 @@
 
 // What comes on a connection that was given up stays unread and has no answer, by which its client can
 // tell that it may ask again.
-func TestRequestBehindTheCloseStaysUnread(t *testing.T) {
+func TestRequestAfterTheCloseStaysUnread(t *testing.T) {
 	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 	unread := make(chan bool, 1)
 	var asks atomic.Bool
@@ -164,7 +164,7 @@
 
 // A request that becomes whole on a connection that is given up for another one is answered by nobody:
 // an empty 200 is no answer of a server.
-func TestRequestOnAConnectionGivenUpIsNotAnswered(t *testing.T) {
+func TestRequestOnAnEvictedConnectionIsNotAnswered(t *testing.T) {
 	var last atomic.Bool
 	f, addr := serveHooked(t, testConfig(), func(f *frontend, c *clientConn) {
 		c.raw = nodetest.HookedRawConn{RawConn: c.raw, AfterRead: func() {
@@ -180,7 +180,7 @@
 	c := nodetest.Dial(t, addr)
 	text := request("book", "t1")
 	c.Send(text[:len(text)-2])
-	nodetest.Eventually(t, "the rest is waited for", func() bool { return f.conns.in(connReading) == 1 && f.conns.taken() })
+	nodetest.Eventually(t, "the rest is waited for", func() bool { return f.conns.count(connReading) == 1 && f.conns.allRead() })
 	last.Store(true)
 	c.Send(text[len(text)-2:])
 	if b, err := c.Reader.ReadByte(); err == nil {
@@ -189,10 +189,10 @@
 }
 
 // While an answer is on its way its connection is not taken for a resting one.
-func TestAnswerUnderWayIsNotClosed(t *testing.T) {
+func TestConnectionIsNotIdleWhileItsResponseIsWritten(t *testing.T) {
 	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 	_, addr := serveHooked(t, testConfig(s.Endpoint("a")), func(f *frontend, c *clientConn) {
-		c.Conn = &writing{TCPConn: c.Conn.(*net.TCPConn), before: func() { f.conns.closeIdle() }}
+		c.Conn = &hookedWrites{TCPConn: c.Conn.(*net.TCPConn), before: func() { f.conns.closeIdle() }}
 	})
 	if a := nodetest.Dial(t, addr).Ask(request("check", "t1")); a.Status != http.StatusOK {
 		t.Errorf("answer %+v", a)
@@ -200,7 +200,7 @@
 }
 
 // The look at the client that goes on under its answer does not take the connection for a resting one.
-func TestLookAtTheClientIsNoRest(t *testing.T) {
+func TestConnectionIsNotIdleWhileItsClientIsWatched(t *testing.T) {
 	ln := nodetest.Listen(t)
 	client := nodetest.Dial(t, ln.Addr().String())
 	nc, err := ln.Accept()
@@ -225,7 +225,7 @@
 		ended <- err
 	}()
 	nodetest.Await(t, "the look", looks)
-	if n := s.in(connResponding); n != 1 {
+	if n := s.count(connResponding); n != 1 {
 		t.Error("the connection does not count as one with an answer under way")
 	}
 	_ = client.Close()
@@ -235,11 +235,11 @@
 }
 
 // Bytes that come behind a request, too late to be read, don't reset the connection under the answer.
-func TestUnreadBytesDoNotResetTheAnswer(t *testing.T) {
+func TestUnreadBytesDoNotResetTheResponse(t *testing.T) {
 	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 	var c *nodetest.Client
 	f, addr := serveHooked(t, testConfig(s.Endpoint("a")), func(f *frontend, conn *clientConn) {
-		conn.Conn = &writing{TCPConn: conn.Conn.(*net.TCPConn), behind: func() {
+		conn.Conn = &hookedWrites{TCPConn: conn.Conn.(*net.TCPConn), behind: func() {
 			c.Send("bytes that nobody reads")
 			nodetest.Eventually(t, "they have come", conn.hasUnread)
 		}}
@@ -288,14 +288,14 @@
 	ask := func(id, behind string) *nodetest.Client {
 		c := nodetest.Dial(t, addr)
 		c.Send(request("check", id, "X-Expires-In", "3600"))
-		nodetest.Eventually(t, "the request waits", func() bool { return open() > 0 && f.conns.in(connReading) == 0 })
+		nodetest.Eventually(t, "the request waits", func() bool { return open() > 0 && f.conns.count(connReading) == 0 })
 		c.Send(behind)
 		return c
 	}
 	for name, leave := range ways {
 		for _, behind := range []string{"", "x", request("check", "next")} {
 			c := ask("t1", behind)
-			nodetest.Eventually(t, "it is read", f.conns.taken)
+			nodetest.Eventually(t, "it is read", f.conns.allRead)
 			leave(c)
 			nodetest.Eventually(t, fmt.Sprintf("a client that has sent %d bytes more and %s is noticed", len(behind), name),
 				func() bool { return open() == 0 })
@@ -305,7 +305,7 @@
 	for i := range 300 {
 		burst = append(burst, ask(fmt.Sprint("b", i), "more"))
 	}
-	nodetest.Eventually(t, "all wait", func() bool { return open() == len(burst) && f.conns.taken() })
+	nodetest.Eventually(t, "all wait", func() bool { return open() == len(burst) && f.conns.allRead() })
 	for _, c := range burst {
 		_ = c.Close()
 	}
@@ -324,7 +324,7 @@
 	c.Send(request("book", "t1"))
 	nodetest.Eventually(t, "request out", func() bool { return len(s.Requests()) == 1 })
 	c.Send(request("book", "t2"))
-	nodetest.Eventually(t, "what stands behind it is read", f.conns.taken)
+	nodetest.Eventually(t, "what stands behind it is read", f.conns.allRead)
 	flood.Send(request("check", "t3"))
 	nodetest.Eventually(t, "requests out", func() bool { return len(s.Requests()) == 2 })
 	flood.Send(strings.Repeat("x", 2*maxReadAhead))
--- a/internal/edgenode/conn_table_test.go
+++ b/internal/edgenode/conn_table_test.go
@@ -14,9 +14,9 @@
 )
 
 // slotFront serves clients with room for most connections.
-func slotFront(t *testing.T, most int, servers ...endpointlist.Endpoint) (*frontend, string) {
+func serveWithRoom(t *testing.T, most int, servers ...endpointlist.Endpoint) (*frontend, string) {
 	t.Helper()
-	f := idleFront(t, testConfig(servers...))
+	f := idleFrontend(t, testConfig(servers...))
 	f.conns.max = most
 	f.ready.Store(true)
 	ln := nodetest.Listen(t)
@@ -51,9 +51,9 @@
 
 // Clients that connect by hundreds and say nothing shut nobody out, and cost no one a
 // connection that is in use.
-func TestSilentClientsGiveWay(t *testing.T) {
+func TestSilentClientsAreEvicted(t *testing.T) {
 	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
-	f, addr := slotFront(t, 8, s.Endpoint("a"))
+	f, addr := serveWithRoom(t, 8, s.Endpoint("a"))
 	kept := nodetest.Dial(t, addr)
 	if a := kept.Ask(readyRequest); a.Status != 200 {
 		t.Errorf("before: %+v", a)
@@ -82,8 +82,8 @@
 
 // Where three quarters of the slots are in use, answers close their connections; silent
 // ones don't make a crowd, and the count of them follows every ending.
-func TestCrowdedAnswersClose(t *testing.T) {
-	f, addr := slotFront(t, 4)
+func TestNearlyFullTableClosesAfterResponses(t *testing.T) {
+	f, addr := serveWithRoom(t, 4)
 	first := nodetest.Dial(t, addr)
 	var others []*nodetest.Client
 	for range 3 {
@@ -123,13 +123,13 @@
 // Without silent ones the connection that has been idle for longest gives way, then one
 // that does not finish its head; never one whose request is open. With only those, the
 // newcomer is closed: it may have waited in vain for a slot otherwise.
-func TestWhoGivesWay(t *testing.T) {
+func TestEvictionOrder(t *testing.T) {
 	hold := make(chan struct{})
 	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		<-hold
 		return nodetest.Say(nodetest.OKResponse)(c, r, body)
 	})
-	f, addr := slotFront(t, 100, s.Endpoint("a"), s.Endpoint("b")) // so that nobody is told to close
+	f, addr := serveWithRoom(t, 100, s.Endpoint("a"), s.Endpoint("b")) // so that nobody is told to close
 
 	busy, half, rested := nodetest.Dial(t, addr), nodetest.Dial(t, addr), nodetest.Dial(t, addr)
 	busy.Send(request("check", "t1"))
@@ -161,7 +161,7 @@
 
 // A connection on which a request has come that was not read yet is not taken for a
 // silent one: its goroutine may not have had its turn.
-func TestUnreadRequestIsNoSilence(t *testing.T) {
+func TestUnreadRequestIsNotEvicted(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/edgenode/drain_test.go
+++ b/internal/edgenode/drain_test.go
@@ -85,7 +85,7 @@
 
 // Connections that stand in the listener's queue when it is to close are taken and answered.
 func TestQueueIsEmptiedBeforeTheListenerCloses(t *testing.T) {
-	f := idleFront(t, testConfig())
+	f := idleFrontend(t, testConfig())
 	f.ready.Store(true)
 	ln := newClientListener(nodetest.Listen(t), f.conns)
 	var clients []*nodetest.Client
@@ -112,7 +112,7 @@
 
 // The drain may have closed all before the library sees that its listener is closed: that is no failure.
 func TestDrainOvertakesTheListener(t *testing.T) {
-	f := idleFront(t, testConfig())
+	f := idleFrontend(t, testConfig())
 	ln := newClientListener(nodetest.Listen(t), f.conns)
 	f.draining.Store(true)
 	_ = f.server.Close()
--- a/internal/edgenode/follower/client_test.go
+++ b/internal/edgenode/follower/client_test.go
@@ -18,7 +18,7 @@
 
 // Whatever becomes of the list's calls, and wherever a new configuration moves them in the middle of it, a
 // drain reaches the connections, where lists are pushed as where they are asked for.
-func TestIllListsTellTheDrain(t *testing.T) {
+func TestBrokenWatchesStillBringTheDrain(t *testing.T) {
 	up := endpointlist.Endpoint{Endpoint: balancer.Endpoint{ID: "a"}, Addr: netip.MustParseAddrPort("127.0.0.1:1")}
 	draining := up
 	draining.State = balancer.Draining
--- a/internal/edgenode/follower/follower_test.go
+++ b/internal/edgenode/follower/follower_test.go
@@ -18,10 +18,10 @@
 
 // Where lists are pushed, what the agent has is with the node within the rule's time, whatever
 // has become of the watch, in a fleet of any size.
-func TestPushedListIsHadInTime(t *testing.T) {
+func TestPushedListArrivesInTime(t *testing.T) {
 	// Each watch says it badly; the whole list is good.
-	spoil := func(how func(message string) []chunk) func(s *sim) {
-		return func(s *sim) {
+	spoil := func(how func(message string) []chunk) func(s *simulation) {
+		return func(s *simulation) {
 			s.wording = func(m string, whole bool) []chunk {
 				if whole {
 					return []chunk{{0, m + "\n"}}
@@ -31,34 +31,34 @@
 			s.drain()
 		}
 	}
-	line := func(how func(message string) string) func(s *sim) {
+	line := func(how func(message string) string) func(s *simulation) {
 		return spoil(func(m string) []chunk { return []chunk{{0, how(m) + "\n"}} })
 	}
-	mute := func(d time.Duration, deaf bool) func(s *sim) {
-		return func(s *sim) {
-			s.mute = true
+	mute := func(d time.Duration, deaf bool) func(s *simulation) {
+		return func(s *simulation) {
+			s.silent = true
 			s.run(d)
 			if deaf {
 				s.silence()
 			}
-			s.mute = false
+			s.silent = false
 			s.drain()
 		}
 	}
 	for _, c := range []struct {
 		name string
-		do   func(s *sim)  // until the agent has the news
-		late time.Duration // that may pass besides inTime
+		do   func(s *simulation) // until the agent has the news
+		late time.Duration       // that may pass besides inTime
 	}{
-		{"open watch", (*sim).drain, 0},
-		{"reset as it drains", func(s *sim) { s.reset(); s.drain() }, 0},
-		{"reset before", func(s *sim) { s.reset(); s.run(time.Second); s.drain() }, 0},
-		{"watches silent", func(s *sim) { s.silence(); s.drain() }, reportedAfter},
-		{"watches long silent", func(s *sim) { s.silence(); s.run(reportedAfter); s.drain() }, 0},
+		{"open watch", (*simulation).drain, 0},
+		{"reset as it drains", func(s *simulation) { s.reset(); s.drain() }, 0},
+		{"reset before", func(s *simulation) { s.reset(); s.run(time.Second); s.drain() }, 0},
+		{"watches silent", func(s *simulation) { s.silence(); s.drain() }, reportedAfter},
+		{"watches long silent", func(s *simulation) { s.silence(); s.run(reportedAfter); s.drain() }, 0},
 		{"agent mute for 8 s", mute(8*time.Second, false), 0},
 		{"agent mute for 8 s, and for ever on the calls of that time", mute(8*time.Second, true), 0},
 		{"agent mute for 61 s", mute(61*time.Second, false), 0},
-		{"agent gone for 20 s", func(s *sim) {
+		{"agent gone for 20 s", func(s *simulation) {
 			s.refuse = errors.New("refused")
 			s.reset()
 			s.run(20 * time.Second)
@@ -70,13 +70,13 @@
 		{"noise", line(func(m string) string { return "\x00\x01" + m }), 0},
 		{"entry without an id", line(func(m string) string { return strings.Replace(m, `"a"`, `7`, 1) }), 0},
 		{"state that can't be read", line(func(m string) string { return strings.Replace(m, `"draining"`, `[`, 1) }), 0},
-		{"indented", func(s *sim) {
+		{"indented", func(s *simulation) {
 			s.wording = func(m string, _ bool) []chunk {
 				return []chunk{{0, strings.NewReplacer("{", "{\r\n  ", ",", ",\r\n  ", "}", "\r\n}").Replace(m) + "\r\n"}}
 			}
 			s.drain()
 		}, 0},
-		{"a byte at a time", func(s *sim) {
+		{"a byte at a time", func(s *simulation) {
 			s.wording = func(m string, _ bool) (all []chunk) {
 				for i := range m {
 					all = append(all, chunk{0, m[i : i+1]})
@@ -111,12 +111,12 @@
 		s.version = version
 		s.run(10 * time.Millisecond)
 		select {
-		case <-s.nodes[0].reg.responded:
+		case <-s.nodes[0].client.responded:
 		default:
 			t.Errorf("version %d: no list after 10 ms", version)
 		}
 		s.run(time.Hour)
-		if n := len(s.taken); n != 2 {
+		if n := len(s.calledAt); n != 2 {
 			t.Errorf("version %d: %d calls in an hour without a fault, want a fetch and a watch", version, n)
 		}
 	}
@@ -124,12 +124,12 @@
 
 // Where lists are asked for, all nodes of a fleet come back within the platform's time after
 // their watches broke, and spread over it.
-func TestAskedListIsHadInTimeAndWithoutAStorm(t *testing.T) {
+func TestPolledListArrivesInTimeWithoutAStorm(t *testing.T) {
 	for _, fleet := range []int{1, 4, 350, 1024} {
-		for fault, do := range map[string]func(s *sim){
-			"reset":   (*sim).reset,
-			"silence": (*sim).silence,
-			"malformed": func(s *sim) {
+		for fault, do := range map[string]func(s *simulation){
+			"reset":   (*simulation).reset,
+			"silence": (*simulation).silence,
+			"malformed": func(s *simulation) {
 				s.wording = func(m string, whole bool) []chunk {
 					if !whole {
 						m = m[:30] + "\n"
@@ -140,7 +140,7 @@
 		} {
 			s := newSim(fleet, fleet, false)
 			s.run(5500 * time.Millisecond)
-			before := len(s.taken)
+			before := len(s.calledAt)
 			if before != fleet {
 				t.Errorf("%d calls of %d nodes whose watches work", before, fleet)
 			}
@@ -152,12 +152,12 @@
 				t.Errorf("%s, fleet of %d: the last node has it %v after its watch broke", fault, fleet, late)
 			}
 			most, tenths := 0, map[time.Duration]int{}
-			for _, at := range s.taken[before:] {
+			for _, at := range s.calledAt[before:] {
 				tenth := (at - broke) / (100 * time.Millisecond)
 				tenths[tenth]++
 				most = max(most, tenths[tenth])
 			}
-			if again := len(s.taken) - before; most > 5+fleet/7 || again > fleet {
+			if again := len(s.calledAt) - before; most > 5+fleet/7 || again > fleet {
 				t.Errorf("%s, fleet of %d: %d calls, %d in the worst tenth of a second", fault, fleet, again, most)
 			}
 		}
@@ -166,22 +166,22 @@
 
 // Those that are turned away come again the more seldom the more they are, also where the
 // settings say that an agent answers free: it has a line after all.
-func TestTurnedAwayNodesSpread(t *testing.T) {
+func TestRejectedNodesSpread(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
 		for _, fleet := range []int{1, 4, 80, 350} {
 			s := newSim(fleet, fleet, pushed)
 			s.run(time.Second)
-			s.full = true
+			s.rejects = true
 			s.reset()
 			s.run(10 * time.Second)
-			before := len(s.taken)
+			before := len(s.calledAt)
 			s.run(time.Minute)
 			// Half a second between the calls of few nodes, ten seconds between those of a node of many.
-			calls := len(s.taken) - before
+			calls := len(s.calledAt) - before
 			if perS := float64(calls) / 60; perS > max(3*float64(min(fleet, 10)), float64(fleet)/8) || calls < fleet {
 				t.Errorf("%d nodes, pushed %v: %.1f calls a second", fleet, pushed, perS)
 			}
-			s.full = false
+			s.rejects = false
 			s.drain()
 			back := s.now
 			s.run(time.Minute)
@@ -193,25 +193,25 @@
 }
 
 // Where the watch moves, the one before is heard until the new discovery answers.
-func TestMovedWatchIsHeardMeanwhile(t *testing.T) {
+func TestPreviousWatchIsReadUntilTheNewAddressAnswers(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
 		s := newSim(1, 350, pushed)
 		n := s.nodes[0]
 		s.run(5 * time.Second)
 		old := s.calls[len(s.calls)-1]
-		s.mute = true // what is called from now on
-		n.reg.moveTo(s.now, netip.MustParseAddrPort("127.0.0.1:2"))
+		s.silent = true // what is called from now on
+		n.client.moveTo(s.now, netip.MustParseAddrPort("127.0.0.1:2"))
 		n.step()
 		s.run(time.Second)
 		old.tell(callEvent{kind: eventMessage, list: endpointlist.List{Generation: 900, Endpoints: []endpointlist.Endpoint{{Endpoint: balancer.Endpoint{ID: "a", State: balancer.Draining}}}}})
-		if n.told == 0 || n.reg.follower.version == 900 {
-			t.Errorf("pushed %v: news of the discovery that is left: told %v, version %d", pushed, n.told, n.reg.follower.version)
+		if n.toldAt == 0 || n.client.follower.version == 900 {
+			t.Errorf("pushed %v: news of the discovery that is left: told %v, version %d", pushed, n.toldAt, n.client.follower.version)
 		}
-		s.mute = false
+		s.silent = false
 		s.each(s.serve)
 		s.run(time.Second)
-		if !old.over || n.reg.follower.version != 1 {
-			t.Errorf("pushed %v: the discovery that is left is watched on: %v, version %d", pushed, !old.over, n.reg.follower.version)
+		if !old.over || n.client.follower.version != 1 {
+			t.Errorf("pushed %v: the discovery that is left is watched on: %v, version %d", pushed, !old.over, n.client.follower.version)
 		}
 	}
 }
@@ -222,21 +222,21 @@
 		s := newSim(1, 350, pushed)
 		n := s.nodes[0]
 		s.run(5 * time.Second)
-		before, want := len(s.taken), 0
+		before, want := len(s.calledAt), 0
 		if pushed {
 			want = 2 // a fetch, and a watch that goes on from it
 		}
-		n.reg.moveTo(s.now, n.reg.addr)
+		n.client.moveTo(s.now, n.client.addr)
 		n.step()
 		s.run(time.Minute)
-		if calls := len(s.taken) - before; calls != want {
+		if calls := len(s.calledAt) - before; calls != want {
 			t.Errorf("pushed %v: %d calls, want %d", pushed, calls, want)
 		}
 	}
 }
 
 // A fetch may be overtaken: what a watch has told since must not be taken back.
-func TestOvertakenFetchIsNotTaken(t *testing.T) {
+func TestOvertakenFetchIsNotApplied(t *testing.T) {
 	f := New(Config{Pushed: true, FleetSize: 1, Rand: rand.New(rand.NewPCG(1, 1)), Version: 4})
 	f.Start(0)
 	f.Advance(0)
@@ -260,7 +260,7 @@
 }
 
 // A list of which some stays spoilt is read again, but not for ever at the same pace.
-func TestSpoiltListIsReadAgain(t *testing.T) {
+func TestMalformedListIsReadAgain(t *testing.T) {
 	for _, pushed := range []bool{true, false} {
 		s := newSim(1, 1, pushed)
 		s.wording = func(m string, _ bool) []chunk {
@@ -269,7 +269,7 @@
 		s.run(time.Second)
 		s.drain()
 		s.run(time.Hour)
-		if n := len(s.taken); n < 10 || n > 200 {
+		if n := len(s.calledAt); n < 10 || n > 200 {
 			t.Errorf("pushed %v: %d calls in an hour", pushed, n)
 		}
 	}
--- a/internal/edgenode/follower/outage_test.go
+++ b/internal/edgenode/follower/outage_test.go
@@ -8,24 +8,24 @@
 )
 
 // outages are the ways in which discovery can't be reached. Each begins one and returns what ends it.
-var outages = map[string]func(s *sim) (end func()){
-	"refuses connections": func(s *sim) func() {
+var outages = map[string]func(s *simulation) (end func()){
+	"refuses connections": func(s *simulation) func() {
 		s.refuse = errors.New("refused")
 		s.reset()
 		return func() { s.refuse = nil }
 	},
-	"answers no call": func(s *sim) func() {
-		s.mute = true
+	"answers no call": func(s *simulation) func() {
+		s.silent = true
 		return func() {
 			s.silence() // the calls of that time get no answer later either
-			s.mute = false
+			s.silent = false
 		}
 	},
 }
 
 // What discovery has, a node has 6 s after discovery had it and could be reached, however many calls have failed
 // or were given up before, for however long, and whatever longer pause the settings allow then.
-func TestChangeIsHadInTimeAfterFailedCalls(t *testing.T) {
+func TestChangeArrivesInTimeAfterFailedCalls(t *testing.T) {
 	for name, begin := range outages {
 		for _, pushed := range []bool{true, false} {
 			for _, fleet := range []int{1, 30, 350, 1024} {
--- a/internal/edgenode/follower/sim_test.go
+++ b/internal/edgenode/follower/sim_test.go
@@ -16,23 +16,23 @@
 
 // sim is a discovery and edge nodes that follow its list, on a clock of their own. The list has
 // server a, which drains at version 2, and b.
-type sim struct {
+type simulation struct {
 	now   time.Duration
-	queue []todo
+	queue []simEvent
 	seq   int
 
 	version int
-	mute    bool  // takes calls and says nothing, also on open watches
+	silent  bool  // takes calls and says nothing, also on open watches
 	refuse  error // to those who call
-	full    bool  // turns calls away
+	rejects bool  // turns calls away
 	wording func(message string, whole bool) []chunk
 
-	nodes []*simNode
-	calls []*simCall
-	taken []time.Duration // when a call came
+	nodes    []*simNode
+	calls    []*simCall
+	calledAt []time.Duration // when a call came
 }
 
-type todo struct {
+type simEvent struct {
 	at  time.Duration
 	seq int
 	do  func()
@@ -46,49 +46,49 @@
 
 // simNode is an edge node: the registry without its sockets.
 type simNode struct {
-	sim  *sim
-	reg  *Client
-	wake int           // number of the latest wake-up asked for
-	told time.Duration // when it learnt that a drains; 0: it has not
+	sim    *simulation
+	client *Client
+	wake   int           // number of the latest wake-up asked for
+	toldAt time.Duration // when it learnt that a drains; 0: it has not
 }
 
 // simCall is a call as discovery sees it.
 type simCall struct {
-	node   *simNode
-	order  Command
-	in     messageReader
-	over   bool
-	deaf   bool // nothing comes on it any more
-	head   bool // is answered
-	from   int
-	sendAt time.Duration // when what was written last arrives
+	node    *simNode
+	command Command
+	in      messageReader
+	over    bool
+	silent  bool // nothing comes on it any more
+	head    bool // is answered
+	from    int
+	sendAt  time.Duration // when what was written last arrives
 }
 
 const hop = time.Millisecond
 
-func newSim(nodes, fleet int, pushed bool) *sim {
-	s := &sim{version: 1, wording: func(message string, _ bool) []chunk { return []chunk{{0, message + "\n"}} }}
+func newSim(nodes, fleet int, pushed bool) *simulation {
+	s := &simulation{version: 1, wording: func(message string, _ bool) []chunk { return []chunk{{0, message + "\n"}} }}
 	for i := range nodes {
 		n := &simNode{sim: s}
-		n.reg = NewClient(netip.MustParseAddrPort("127.0.0.1:1"), New(Config{
+		n.client = NewClient(netip.MustParseAddrPort("127.0.0.1:1"), New(Config{
 			Pushed: pushed, FleetSize: fleet, PollInterval: defaultPollInterval,
 			Rand: rand.New(rand.NewPCG(uint64(i), 1)), Version: 1,
 		}), n.apply, slog.New(slog.DiscardHandler))
 		s.nodes = append(s.nodes, n)
-		s.after(hop+time.Duration(i)*time.Millisecond/10, func() { n.reg.follower.Start(s.now); n.step() })
+		s.after(hop+time.Duration(i)*time.Millisecond/10, func() { n.client.follower.Start(s.now); n.step() })
 	}
 	return s
 }
 
-func (s *sim) after(d time.Duration, do func()) {
+func (s *simulation) after(d time.Duration, do func()) {
 	s.seq++
-	t := todo{s.now + d, s.seq, do}
-	at, _ := slices.BinarySearchFunc(s.queue, t, func(a, b todo) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.seq, b.seq)) })
+	t := simEvent{s.now + d, s.seq, do}
+	at, _ := slices.BinarySearchFunc(s.queue, t, func(a, b simEvent) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.seq, b.seq)) })
 	s.queue = slices.Insert(s.queue, at, t)
 }
 
 // run lets so much time pass.
-func (s *sim) run(d time.Duration) {
+func (s *simulation) run(d time.Duration) {
 	for end := s.now + d; ; {
 		if len(s.queue) == 0 || s.queue[0].at > end {
 			s.now = end
@@ -103,22 +103,22 @@
 
 func (n *simNode) apply(l endpointlist.List) {
 	for _, e := range l.Endpoints {
-		if e.ID == "a" && e.State == balancer.Draining && n.told == 0 {
-			n.told = n.sim.now
+		if e.ID == "a" && e.State == balancer.Draining && n.toldAt == 0 {
+			n.toldAt = n.sim.now
 		}
 	}
 }
 
 // step carries out the follower's orders.
 func (n *simNode) step() {
-	do, wake := n.reg.follower.Advance(n.sim.now)
+	do, wake := n.client.follower.Advance(n.sim.now)
 	for _, o := range do {
 		if !o.Open {
-			closeCall(n.reg.calls, o.ID)
+			closeCall(n.client.calls, o.ID)
 			continue
 		}
-		c := &simCall{node: n, order: o, from: int(o.From)}
-		n.reg.calls[o.ID] = func() { c.over = true }
+		c := &simCall{node: n, command: o, from: int(o.From)}
+		n.client.calls[o.ID] = func() { c.over = true }
 		n.sim.after(hop, func() { n.sim.call(c) })
 	}
 	n.wake++
@@ -134,61 +134,61 @@
 	if c.over {
 		return
 	}
-	e.id = c.order.ID
+	e.id = c.command.ID
 	c.over = e.kind == eventEnd || e.kind == eventRejected || e.kind == eventMalformed
-	c.node.reg.handleEvent(c.node.sim.now, e)
+	c.node.client.handleEvent(c.node.sim.now, e)
 	c.node.step()
 }
 
 // call is a call's arrival.
-func (s *sim) call(c *simCall) {
+func (s *simulation) call(c *simCall) {
 	if c.over {
 		return
 	}
-	s.taken = append(s.taken, s.now)
+	s.calledAt = append(s.calledAt, s.now)
 	switch {
 	case s.refuse != nil:
 		s.after(hop, func() { c.tell(callEvent{kind: eventEnd, err: s.refuse}) })
-	case s.full:
+	case s.rejects:
 		s.after(hop, func() { c.tell(callEvent{kind: eventRejected}) })
 	default:
 		s.calls = append(s.calls, c)
 		s.serve(c)
-		if c.order.Watch {
+		if c.command.Watch {
 			s.beat(c)
 		}
 	}
 }
 
 // serve writes what a call has not been told.
-func (s *sim) serve(c *simCall) {
-	if s.mute || c.deaf || c.over {
+func (s *simulation) serve(c *simCall) {
+	if s.silent || c.silent || c.over {
 		return
 	}
 	if !c.head {
 		c.head = true
 		s.after(hop, func() { c.tell(callEvent{kind: eventHead}) })
 	}
-	if !c.order.Watch || c.from != s.version {
+	if !c.command.Watch || c.from != s.version {
 		text := s.list(c.from)
 		for _, k := range s.wording(text, c.from == 0) {
 			s.write(c, k.text, k.after)
 		}
 		c.from = s.version
 	}
-	if !c.order.Watch {
+	if !c.command.Watch {
 		c.sendAt = max(c.sendAt, s.now)
 		s.after(c.sendAt-s.now+hop, func() { s.bytes(c, "", io.EOF) })
 	}
 }
 
-func (s *sim) write(c *simCall, text string, after time.Duration) {
+func (s *simulation) write(c *simCall, text string, after time.Duration) {
 	c.sendAt = max(c.sendAt, s.now) + after
 	s.after(c.sendAt-s.now+hop, func() { s.bytes(c, text, nil) })
 }
 
-func (s *sim) bytes(c *simCall, text string, end error) {
-	if s.mute || c.deaf || c.over || c.in.done {
+func (s *simulation) bytes(c *simCall, text string, end error) {
+	if s.silent || c.silent || c.over || c.in.done {
 		return
 	}
 	for _, e := range c.in.read([]byte(text), end) {
@@ -196,10 +196,10 @@
 	}
 }
 
-func (s *sim) beat(c *simCall) {
+func (s *simulation) beat(c *simCall) {
 	s.after(emptyLineInterval, func() {
-		if !c.over && !c.deaf {
-			if !s.mute {
+		if !c.over && !c.silent {
+			if !s.silent {
 				s.write(c, "\n", 0)
 			}
 			s.beat(c)
@@ -207,7 +207,7 @@
 	})
 }
 
-func (s *sim) list(from int) string {
+func (s *simulation) list(from int) string {
 	a := endpointlist.Endpoint{Endpoint: balancer.Endpoint{ID: "a", Weight: 1}, Addr: netip.MustParseAddrPort("127.0.0.1:1")}
 	b := endpointlist.Endpoint{Endpoint: balancer.Endpoint{ID: "b", Weight: 1}, Addr: netip.MustParseAddrPort("127.0.0.1:2")}
 	if s.version >= 2 {
@@ -220,7 +220,7 @@
 }
 
 // each runs f on all calls that are out.
-func (s *sim) each(f func(c *simCall)) {
+func (s *simulation) each(f func(c *simCall)) {
 	for _, c := range slices.Clone(s.calls) {
 		if !c.over {
 			f(c)
@@ -228,20 +228,20 @@
 	}
 }
 
-func (s *sim) drain() { s.version = 2; s.each(s.serve) }
-func (s *sim) reset() {
+func (s *simulation) drain() { s.version = 2; s.each(s.serve) }
+func (s *simulation) reset() {
 	s.each(func(c *simCall) { c.tell(callEvent{kind: eventEnd, err: io.ErrUnexpectedEOF}) })
 }
-func (s *sim) silence() { s.each(func(c *simCall) { c.deaf = true }) }
+func (s *simulation) silence() { s.each(func(c *simCall) { c.silent = true }) }
 
 // latest is how long after a moment the last node learnt of the drain; -1: one never did.
-func (s *sim) latest(since time.Duration) time.Duration {
+func (s *simulation) latest(since time.Duration) time.Duration {
 	latest := time.Duration(0)
 	for _, n := range s.nodes {
-		if n.told == 0 {
+		if n.toldAt == 0 {
 			return -1
 		}
-		latest = max(latest, n.told-since)
+		latest = max(latest, n.toldAt-since)
 	}
 	return latest
 }
--- a/internal/edgenode/frontend_test.go
+++ b/internal/edgenode/frontend_test.go
@@ -17,7 +17,7 @@
 
 // What goes on to an app server is what the client sent, byte for byte, with the
 // wait that is left; what concerns one connection alone does not go on.
-func TestRequestGoesOnUnchanged(t *testing.T) {
+func TestRequestIsPassedOnUnchanged(t *testing.T) {
 	got := make(chan *http.Request, 1)
 	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		got <- r
@@ -175,7 +175,7 @@
 }
 
 // No client waits for longer than its class allows, so that requests can't pile up.
-func TestWaitIsThatOfTheClass(t *testing.T) {
+func TestWaitIsCappedByTheClass(t *testing.T) {
 	s := nodetest.NewAppServer(t, func(net.Conn, *http.Request, []byte) bool { select {} })
 	cfg := testConfig(s.Endpoint("a"))
 	cfg.Settings.Classes[0].Deadline = 100 * time.Millisecond
@@ -188,7 +188,7 @@
 }
 
 // Beyond its quota a customer is refused at once and told when to come back.
-func TestRefusal(t *testing.T) {
+func TestRejection(t *testing.T) {
 	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 	n := run(t, testConfig(s.Endpoint("a")))
 	c := nodetest.Dial(t, n.addr)
@@ -219,11 +219,11 @@
 
 // A class may have its clients wait for longer than an answer takes to be written: the connection is not
 // closed under a request that can still be served.
-func TestWritingIsBoundedBehindTheLongestWait(t *testing.T) {
+func TestWriteTimeoutExceedsTheLongestWait(t *testing.T) {
 	for _, deadline := range []time.Duration{time.Second, 20 * time.Second, 10 * time.Minute} {
 		cfg := testConfig()
 		cfg.Settings.Classes[1].Deadline = deadline
-		f := idleFront(t, cfg)
+		f := idleFrontend(t, cfg)
 		if limit, least := f.server.WriteTimeout, max(deadline, cfg.Settings.Classes[0].Deadline)+cfg.Settings.ResponseSlack+time.Second; limit < least {
 			t.Errorf("deadline of %v: connections are closed after %v", deadline, limit)
 		}
@@ -249,7 +249,7 @@
 }
 
 // A reset is the module's to act on: a safe request is tried at the other server.
-func TestBreakIsTriedElsewhere(t *testing.T) {
+func TestResetIsRetriedElsewhere(t *testing.T) {
 	var broken atomic.Bool
 	var resets atomic.Int32
 	bad := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
@@ -279,7 +279,7 @@
 
 // A panic of the module costs one request, which is answered, and is logged with its stack.
 func TestPanicIsAnswered(t *testing.T) {
-	f := idleFront(t, testConfig())
+	f := idleFrontend(t, testConfig())
 	logs := &nodetest.Buffer{}
 	f.node.log = slog.New(slog.NewTextHandler(logs, nil))
 	f.node.mu.Lock() // its timers fire meanwhile
@@ -299,7 +299,7 @@
 }
 
 // idleFront is the client side of a node that has no goroutines of its own.
-func idleFront(t *testing.T, cfg *Config) *frontend {
+func idleFrontend(t *testing.T, cfg *Config) *frontend {
 	t.Helper()
 	n, err := newNode(t.Context(), cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
--- a/internal/edgenode/harness_test.go
+++ b/internal/edgenode/harness_test.go
@@ -39,25 +39,25 @@
 }
 
 // running is a node that runs in this process.
-type running struct {
-	addr string
-	stop context.CancelFunc // a planned restart's SIGTERM
-	hup  chan os.Signal     // takes SIGHUP
-	done chan error
-	logs *nodetest.Buffer
+type runningNode struct {
+	addr   string
+	stop   context.CancelFunc // a planned restart's SIGTERM
+	reload chan os.Signal     // takes SIGHUP
+	done   chan error
+	logs   *nodetest.Buffer
 }
 
-func run(t testing.TB, cfg *Config) *running {
+func run(t testing.TB, cfg *Config) *runningNode {
 	t.Helper()
 	return runListening(t, cfg, nodetest.Listen(t))
 }
 
-func runListening(t testing.TB, cfg *Config, ln *net.TCPListener) *running {
+func runListening(t testing.TB, cfg *Config, ln *net.TCPListener) *runningNode {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
-	r := &running{addr: ln.Addr().String(), stop: stop, done: make(chan error, 1), logs: &nodetest.Buffer{}, hup: make(chan os.Signal, 1)}
+	r := &runningNode{addr: ln.Addr().String(), stop: stop, done: make(chan error, 1), logs: &nodetest.Buffer{}, reload: make(chan os.Signal, 1)}
 	go func() {
-		r.done <- runWithListener(ctx, cfg, r.hup, slog.New(slog.NewTextHandler(r.logs, nil)), func() (*net.TCPListener, error) { return ln, nil })
+		r.done <- runWithListener(ctx, cfg, r.reload, slog.New(slog.NewTextHandler(r.logs, nil)), func() (*net.TCPListener, error) { return ln, nil })
 	}()
 	t.Cleanup(func() {
 		stop()
--- a/internal/edgenode/inflight_test.go
+++ b/internal/edgenode/inflight_test.go
@@ -45,7 +45,7 @@
 
 // A request that has its final answer is not sent any more, also where its attempt has its connection and nobody has
 // told it.
-func TestNothingIsSentBehindTheFinalAnswer(t *testing.T) {
+func TestNothingIsSentAfterTheFinalResponse(t *testing.T) {
 	srv := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 	n, err := newNode(t.Context(), testConfig(srv.Endpoint("a")), slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -74,9 +74,9 @@
 }
 
 // A request that the module sits on gets its answer from the host all the same.
-func TestHeldRequestIsAnswered(t *testing.T) {
+func TestAbortedRequestIsAnswered(t *testing.T) {
 	cfg := testConfig()
-	front, fl := idleFront(t, cfg), &inflightRequest{id: "t1", response: make(chan clientResponse, 1)}
+	front, fl := idleFrontend(t, cfg), &inflightRequest{id: "t1", response: make(chan clientResponse, 1)}
 	front.node.inflight["t1"] = fl
 	front.node.abortRequest(fl)
 	if a := nodetest.Await(t, "an answer", fl.response); a.kind != responseFailed {
--- a/internal/edgenode/process_test.go
+++ b/internal/edgenode/process_test.go
@@ -66,7 +66,7 @@
 		cfg.reload = func() (*Config, error) { return &moved, nil }
 		n := run(t, cfg)
 		nodetest.Await(t, "the first agent is asked", called)
-		n.hup <- syscall.SIGHUP
+		n.reload <- syscall.SIGHUP
 		if a := nodetest.Dial(t, n.addr).Ask(request("check", "t1")); a.Status != http.StatusOK {
 			t.Errorf("answer %+v", a)
 		}
@@ -88,7 +88,7 @@
 		nodetest.Eventually(t, "request out", func() bool { return len(s.Requests()) == 1 })
 		n.stop()
 		nodetest.Eventually(t, "draining", func() bool { return strings.Contains(n.logs.String(), "draining") })
-		n.hup <- syscall.SIGHUP
+		n.reload <- syscall.SIGHUP
 		nodetest.Await(t, "the new agent is asked", called)
 		close(hold)
 		if a := c.Receive(); a.Status != http.StatusOK {
@@ -110,7 +110,7 @@
 }
 
 // The saved list serves while discovery is down.
-func TestKnownServes(t *testing.T) {
+func TestCachedListServes(t *testing.T) {
 	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 	n := run(t, testConfig(s.Endpoint("a"))) // its discovery refuses connections
 	nodetest.Eventually(t, "discovery found down", func() bool { return strings.Contains(n.logs.String(), `msg="discovery watch lost"`) })
--- a/internal/edgenode/ready_test.go
+++ b/internal/edgenode/ready_test.go
@@ -120,8 +120,8 @@
 		moved.Discovery = netip.AddrPortFrom(cfg.Discovery.Addr(), port)
 		return &moved, nil
 	}
-	p := &process{cfg: cfg, log: slog.New(slog.DiscardHandler), discovery: client, following: cfg.Discovery, reload: reload}
+	p := &process{ctx: ctx, cfg: cfg, log: slog.New(slog.DiscardHandler), discovery: client, following: cfg.Discovery, reload: reload}
 	began := time.Now()
-	p.waitForList(ctx, ctx)
+	p.waitForList(ctx)
 	return time.Since(began)
 }
--- a/internal/edgenode/repeat_test.go
+++ b/internal/edgenode/repeat_test.go
@@ -13,14 +13,14 @@
 )
 
 // The bound of a repeat comes from the request's first attempt that may have run, and reaches the write.
-func TestRepeatCarriesItsWindow(t *testing.T) {
+func TestRetryCarriesItsDeadline(t *testing.T) {
 	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if r.Method == "POST" {
 			return nodetest.Say("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n")(c, r, body)
 		}
 		return nodetest.Say(nodetest.OKResponse)(c, r, body)
 	})
-	n := idleFront(t, testConfig(s.Endpoint("a"), s.Endpoint("b"))).node
+	n := idleFrontend(t, testConfig(s.Endpoint("a"), s.Endpoint("b"))).node
 	ask := func(id, class, method string) *inflightRequest {
 		q := balancer.Request{ID: id, Class: class, Plan: "wide", Timeout: 10 * time.Second, Units: 1, EntryNodes: 1}
 		fl := n.startRequest(q, upstream.Message{Method: method, Target: "/" + class, ID: id}, time.Now().Add(nodetest.Patience))
--- a/internal/edgenode/run.go
+++ b/internal/edgenode/run.go
@@ -24,6 +24,8 @@
 
 // process is an edge node that runs: its parts, and the goroutines that it awaits at its end.
 type process struct {
+	ctx       context.Context // ends with the node: later than the one that Run was given, by the drain
+	stop      context.CancelFunc
 	cfg       *Config
 	log       *slog.Logger
 	node      *Node
@@ -37,13 +39,13 @@
 // runWithListener is Run on the listener that listen opens.
 func runWithListener(ctx context.Context, cfg *Config, reload <-chan os.Signal, logger *slog.Logger, listen func() (*net.TCPListener, error)) error {
 	logger = logger.With("node", cfg.Name)
-	life, stop := context.WithCancel(context.Background())
+	nodeCtx, stop := context.WithCancel(context.Background())
 	defer stop()
-	node, err := newNode(life, cfg, logger)
+	node, err := newNode(nodeCtx, cfg, logger)
 	if err != nil {
 		return err
 	}
-	p := &process{cfg: cfg, log: logger, node: node, following: cfg.Discovery, reload: reload}
+	p := &process{ctx: nodeCtx, stop: stop, cfg: cfg, log: logger, node: node, following: cfg.Discovery, reload: reload}
 	defer p.background.Wait()
 	if cfg.PeerListen.IsValid() {
 		if node.peers, err = listenPeers(cfg); err != nil {
@@ -51,20 +53,20 @@
 		}
 		defer node.peers.close() // ends its receiving goroutine, which is awaited after
 	}
-	p.start(life)
+	p.start()
 	defer stop() // before the wait for the goroutines that end with it
 
-	if !p.waitForList(life, ctx) {
+	if !p.waitForList(ctx) {
 		logger.Info("stopped before ready")
 		stop()
 		node.close()
 		return nil
 	}
-	return p.serve(ctx, life, stop, listen)
+	return p.serve(ctx, listen)
 }
 
-// start begins with the cached list, and starts the goroutines that end with life or with the peers' socket.
-func (p *process) start(life context.Context) {
+// start begins with the cached list, and starts the goroutines that end with the node or with the peers' socket.
+func (p *process) start() {
 	if errs := p.cfg.cachedListErrors; len(errs) > 0 {
 		p.log.Warn("cached list has malformed entries", "count", len(errs), "err", errs[0])
 	}
@@ -73,8 +75,8 @@
 		p.background.Go(func() { p.node.peers.receive(p.node.receivePeerMessage) })
 	}
 	p.discovery = follower.NewClient(p.cfg.Discovery, p.newFollower(), p.node.receiveList, p.log)
-	p.background.Go(func() { p.discovery.Run(life) })
-	p.background.Go(func() { p.node.upstream.ReapIdle(life) })
+	p.background.Go(func() { p.discovery.Run(p.ctx) })
+	p.background.Go(func() { p.node.upstream.ReapIdle(p.ctx) })
 }
 
 // newFollower returns the follower of the configured discovery, from the cached list on.
@@ -92,7 +94,7 @@
 // may be old, and what discovery has counts from the first moment. The listener opens after it, since time that
 // a request spends in the listener's queue cannot be seen. A reload does not extend the wait. It returns false if
 // ctx has ended.
-func (p *process) waitForList(life, ctx context.Context) bool {
+func (p *process) waitForList(ctx context.Context) bool {
 	timeout := time.NewTimer(p.cfg.listWait)
 	defer timeout.Stop()
 	for {
@@ -104,7 +106,7 @@
 				"generation", p.cfg.CachedList.Generation)
 			return true
 		case <-p.reload:
-			p.reloadConfig(life)
+			p.reloadConfig()
 		case <-ctx.Done():
 			return false
 		}
@@ -112,17 +114,17 @@
 }
 
 // serve answers clients until ctx ends, then drains and ends the node.
-func (p *process) serve(ctx, life context.Context, stop func(), listen func() (*net.TCPListener, error)) error {
+func (p *process) serve(ctx context.Context, listen func() (*net.TCPListener, error)) error {
 	tcp, err := listen()
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
 	defer func() { _ = tcp.Close() }() // a drain has closed it already
-	front := newFrontend(p.node)
-	listener := newClientListener(tcp, front.conns)
+	f := newFrontend(p.node)
+	listener := newClientListener(tcp, f.conns)
 	served := make(chan error, 1)
-	p.background.Go(func() { served <- front.serve(listener) })
-	front.ready.Store(true)
+	p.background.Go(func() { served <- f.serve(listener) })
+	f.ready.Store(true)
 	p.log.Info("ready", "listen", p.cfg.Listen, "endpoints", len(p.cfg.CachedList.Endpoints),
 		"pushed", !p.cfg.Settings.PollEndpoints)
 
@@ -135,16 +137,16 @@
 				return err
 			}
 		case <-p.reload: // also in a drain, in which endpoints are still selected
-			p.reloadConfig(life)
+			p.reloadConfig()
 		case <-ending:
 			ending = nil
 			p.log.Info("draining")
 			p.background.Go(func() {
-				front.drain(listener)
+				f.drain(listener)
 				close(drained)
 			})
 		case <-drained:
-			stop()
+			p.stop()
 			p.node.close()
 			p.log.Info("drained")
 			return nil
@@ -154,13 +156,13 @@
 
 // reloadConfig reads the configuration again and follows the list at the discovery address that it names; the
 // rest of it takes effect at the next start. If it is invalid, the one in force stays.
-func (p *process) reloadConfig(life context.Context) {
+func (p *process) reloadConfig() {
 	cfg, err := p.cfg.reload()
 	if err != nil {
 		p.log.Error("reload failed, configuration in force stays", "err", err)
 		return
 	}
 	p.log.Info("reloaded", "discovery", cfg.Discovery, "previous", p.following)
-	p.discovery.Move(life, cfg.Discovery)
+	p.discovery.Move(p.ctx, cfg.Discovery)
 	p.following = cfg.Discovery
 }
--- a/internal/edgenode/side_test.go
+++ b/internal/edgenode/side_test.go
@@ -164,7 +164,7 @@
 	n := run(t, cfg)
 	nodetest.Await(t, "the first agent is watched", watched) // a watch that has not begun can't be left
 	next <- errors.New("discovery: no port")
-	n.hup <- syscall.SIGHUP
+	n.reload <- syscall.SIGHUP
 	nodetest.Eventually(t, "bad configuration logged", func() bool { return strings.Contains(n.logs.String(), "discovery: no port") })
 	select {
 	case <-left:
@@ -172,7 +172,7 @@
 	default:
 	}
 	next <- nil
-	n.hup <- syscall.SIGHUP
+	n.reload <- syscall.SIGHUP
 	nodetest.Await(t, "the first agent is left", left)
 	if from := nodetest.Await(t, "the second agent is watched", froms); from != "0" && from != "3" {
 		t.Errorf("the new agent is watched from version %s of the old one's", from)
@@ -276,7 +276,7 @@
 
 // The clock is Unix time, so that a server's start converts to the gateway's.
 func TestClock(t *testing.T) {
-	f := idleFront(t, testConfig())
+	f := idleFrontend(t, testConfig())
 	before := time.Duration(time.Now().UnixNano())
 	now := f.node.now()
 	if d := now - before; d < -time.Second || d > nodetest.Patience || f.node.now() < now {
--- a/internal/edgenode/upstream/attempt_test.go
+++ b/internal/edgenode/upstream/attempt_test.go
@@ -84,7 +84,7 @@
 
 // What an attempt is held to holds at its first byte: nothing goes out late, nor to a server that has
 // become another one.
-func TestBoundsHoldAtTheWrite(t *testing.T) {
+func TestLimitsHoldAtTheWrite(t *testing.T) {
 	past, later := time.Now(), time.Now().Add(time.Hour)
 	as := func(change func(*endpointlist.Endpoint)) func(*Pool, endpointlist.Endpoint) {
 		return func(u *Pool, in endpointlist.Endpoint) {
@@ -130,7 +130,7 @@
 
 // A repeat goes to the server as it was when it was chosen: not to one that has restarted since, or that
 // is in another zone by now.
-func TestRepeatGoesToTheServerThatWasChosen(t *testing.T) {
+func TestRetryGoesToTheSelectedServer(t *testing.T) {
 	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 	u := testUpstream(s.Endpoint("a"))
 	to := WriteLimits{Backend: u.Lookup("a")}
@@ -175,7 +175,7 @@
 var long = Message{Method: "POST", Target: "/check", ID: "long", Body: make([]byte, 8<<20)}
 
 // A repeat whose last byte would be written too late is given up before it: it never runs.
-func TestLongRepeatEndsBeforeItsLastByte(t *testing.T) {
+func TestLongRetryEndsBeforeItsLastByte(t *testing.T) {
 	in, conns := slowReader(t)
 	u := testUpstream(in)
 	conn, err := u.acquire(t.Context(), "a", nil)
@@ -199,7 +199,7 @@
 }
 
 // An answer to a request that is not written yet is no answer to it: the attempt ends, and has never run.
-func TestAnswerBeforeTheRequestIsWritten(t *testing.T) {
+func TestResponseBeforeTheRequestIsWritten(t *testing.T) {
 	for _, text := range []string{nodetest.OKResponse, "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 503 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"} {
 		in, conns := slowReader(t)
 		u := testUpstream(in)
@@ -239,7 +239,7 @@
 }
 
 // An answer without a length is whole where its connection ends in order, and not where it is reset.
-func TestAnswerWithoutALength(t *testing.T) {
+func TestResponseWithoutALength(t *testing.T) {
 	for name, c := range map[string]struct {
 		text  string
 		reset bool
--- a/internal/edgenode/upstream/response_test.go
+++ b/internal/edgenode/upstream/response_test.go
@@ -13,7 +13,7 @@
 	"opalhook/internal/edgenode/nodetest"
 )
 
-func TestResultsOfAnswers(t *testing.T) {
+func TestResultsOfResponses(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
 		want       balancer.Result
@@ -66,7 +66,7 @@
 
 // A break is a reset, whichever part of the answer it cuts: passed on in part, it
 // could not be tried elsewhere.
-func TestBrokenAnswerIsReset(t *testing.T) {
+func TestBrokenConnectionIsAReset(t *testing.T) {
 	for _, text := range []string{
 		"", "HTTP/1.1 200", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbo",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n",
@@ -84,7 +84,7 @@
 // An answer that came and can't be read is an error that may have run, known at once:
 // not a reset, which would make a warm server count as restarted and cold, and not a
 // time-out, which would count as overload and cost the server its idle connections.
-func TestSpoiltAnswers(t *testing.T) {
+func TestMalformedResponses(t *testing.T) {
 	const body = "\r\n\r\nbody"
 	endless := func(line string) func(net.Conn, *http.Request, []byte) bool {
 		return func(c net.Conn, _ *http.Request, _ []byte) bool {
@@ -144,7 +144,7 @@
 }
 
 // Half an answer when the attempt's time ends is an error, not silence.
-func TestHalfAnAnswerIsNoSilence(t *testing.T) {
+func TestPartialResponseIsNotATimeout(t *testing.T) {
 	written := make(chan struct{}, 1)
 	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		defer func() { written <- struct{}{} }()
@@ -178,7 +178,7 @@
 }
 
 // A 1xx answer is no part of the one that counts, which may come as late as it likes.
-func TestInterimAnswerThenAPause(t *testing.T) {
+func TestInterimResponseThenAPause(t *testing.T) {
 	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n")
 		time.Sleep(responseRestTimeout * 3 / 2) // the server at work
--- a/internal/edgenode/upstream/upstream_test.go
+++ b/internal/edgenode/upstream/upstream_test.go
@@ -38,7 +38,7 @@
 }
 
 // An attempt whose own time ends before it is written says nothing of its server.
-func TestOwnTimeEnds(t *testing.T) {
+func TestOwnDeadlineSaysNothingOfTheServer(t *testing.T) {
 	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 	u := testUpstream(s.Endpoint("a"))
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(-time.Second))
