--- a/internal/edgenode/config_test.go
+++ b/internal/edgenode/config_test.go
@@ -8,6 +8,7 @@
 	"testing"
 )
 
+// The descriptors of both sides and the rest stay inside the limit together.
 func TestDescriptorShares(t *testing.T) {
 	for _, all := range []int{minSockets, 1024} {
 		if c, s := maxClientConns(all), maxServerConns(all); c < 1 || s < c || c+s+reservedDescriptors > all {
--- a/internal/edgenode/conn_cross_test.go
+++ b/internal/edgenode/conn_cross_test.go
@@ -18,7 +18,7 @@
 
 // Events that cross: each test holds one side until the other has acted.
 
-// writing runs a function before the first write on a client's connection, or once the HTTP library has
+// hookedWrites runs a function before the first write on a client's connection, or once the HTTP library has
 // ended its look at the client behind it.
 type hookedWrites struct {
 	*net.TCPConn
@@ -43,7 +43,7 @@
 	return w.TCPConn.SetReadDeadline(t)
 }
 
-// hooked is a listener whose connections a test may change before they are served.
+// hookedListener is a listener whose connections a test may change before they are served.
 type hookedListener struct {
 	*clientListener
 	change func(*clientConn)
@@ -57,6 +57,7 @@
 	return c, err
 }
 
+// serveHooked serves clients whose connections change may change before they are served.
 func serveHooked(t *testing.T, cfg *Config, change func(f *frontend, c *clientConn)) (*frontend, string) {
 	t.Helper()
 	f := idleFrontend(t, cfg)
@@ -75,7 +76,7 @@
 	return all
 }
 
-// taken tells whether all that has come of clients was read.
+// allRead tells whether all that has come from clients was read.
 func (s *connTable) allRead() bool {
 	for _, c := range s.all() {
 		if c.hasUnread() {
@@ -85,6 +86,7 @@
 	return true
 }
 
+// count returns how many connections are in a state.
 func (s *connTable) count(state connState) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,7 +98,7 @@
 	return n
 }
 
-// The look that decides on a resting connection's close comes in the moment before its next request is
+// The look that decides on an idle connection's close comes in the moment before its next request is
 // read, or in the moment after: both times the request is answered.
 func TestRequestCrossesTheClosingOfIdleConnections(t *testing.T) {
 	for _, before := range []bool{true, false} {
@@ -123,8 +125,8 @@
 	}
 }
 
-// What comes on a connection that was given up stays unread and has no answer, by which its client can
-// tell that it may ask again.
+// What comes on an evicted connection stays unread and has no answer, by which its client can
+// tell that it may send it again.
 func TestRequestAfterTheCloseStaysUnread(t *testing.T) {
 	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 	unread := make(chan bool, 1)
@@ -152,17 +154,17 @@
 	asks.Store(true)
 	c.Send(request("check", "t2"))
 	if !nodetest.Await(t, "the read", unread) {
-		t.Error("a request was taken in on a connection that was given up")
+		t.Error("a request was taken in on an evicted connection")
 	}
 	if _, err := c.Reader.ReadByte(); err == nil {
 		t.Error("something was answered on it")
 	}
 	if n := len(s.Requests()); n != 1 {
-		t.Errorf("%d requests went on", n)
+		t.Errorf("%d requests were passed on", n)
 	}
 }
 
-// A request that becomes whole on a connection that is given up for another one is answered by nobody:
+// A request that becomes whole on a connection that is evicted for another one is answered by nobody:
 // an empty 200 is no answer of a server.
 func TestRequestOnAnEvictedConnectionIsNotAnswered(t *testing.T) {
 	var last atomic.Bool
@@ -188,7 +190,7 @@
 	}
 }
 
-// While an answer is on its way its connection is not taken for a resting one.
+// While an answer is on its way its connection is not taken for an idle one.
 func TestConnectionIsNotIdleWhileItsResponseIsWritten(t *testing.T) {
 	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 	_, addr := serveHooked(t, testConfig(s.Endpoint("a")), func(f *frontend, c *clientConn) {
@@ -199,7 +201,7 @@
 	}
 }
 
-// The look at the client that goes on under its answer does not take the connection for a resting one.
+// The look at the client that goes on under its response does not take the connection for an idle one.
 func TestConnectionIsNotIdleWhileItsClientIsWatched(t *testing.T) {
 	ln := nodetest.Listen(t)
 	client := nodetest.Dial(t, ln.Addr().String())
@@ -226,7 +228,7 @@
 	}()
 	nodetest.Await(t, "the look", looks)
 	if n := s.count(connResponding); n != 1 {
-		t.Error("the connection does not count as one with an answer under way")
+		t.Error("the connection does not count as one whose response is being written")
 	}
 	_ = client.Close()
 	if err := nodetest.Await(t, "the look's end", ended); !errors.Is(err, io.EOF) {
@@ -234,7 +236,7 @@
 	}
 }
 
-// Bytes that come behind a request, too late to be read, don't reset the connection under the answer.
+// Bytes that come behind a request, too late to be read, don't reset the connection under the response.
 func TestUnreadBytesDoNotResetTheResponse(t *testing.T) {
 	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 	var c *nodetest.Client
@@ -250,9 +252,9 @@
 		t.Errorf("answer %+v", a)
 	}
 	if _, err := c.Reader.ReadByte(); err != io.EOF {
-		t.Errorf("behind the answer: %v, want an orderly end", err)
+		t.Errorf("after the response: %v, want an orderly end", err)
 	}
-	nodetest.Eventually(t, "its slot is free", func() bool { return len(f.conns.all()) == 0 })
+	nodetest.Eventually(t, "it has left the table", func() bool { return len(f.conns.all()) == 0 })
 }
 
 // A client that leaves while its request waits for the first attempt takes it along, however it leaves and
@@ -312,7 +314,7 @@
 	nodetest.Eventually(t, "all are noticed", func() bool { return open() == 0 })
 }
 
-// What a client sends behind an open request is its next request, up to a bound.
+// What a client sends behind a request in flight is its next request, up to a bound.
 func TestBytesBehindARequest(t *testing.T) {
 	hold := make(chan struct{})
 	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
@@ -363,6 +365,6 @@
 		t.Errorf("behind those who went: %+v", a)
 	}
 	if got := len(s.Requests()); got != 3 {
-		t.Errorf("%d requests went on, want 3", got)
+		t.Errorf("%d requests were passed on, want 3", got)
 	}
 }
--- a/internal/edgenode/conn_table_test.go
+++ b/internal/edgenode/conn_table_test.go
@@ -13,7 +13,7 @@
 	"opalhook/internal/edgenode/nodetest"
 )
 
-// slotFront serves clients with room for most connections.
+// serveWithRoom serves clients with room for so many connections.
 func serveWithRoom(t *testing.T, most int, servers ...endpointlist.Endpoint) (*frontend, string) {
 	t.Helper()
 	f := idleFrontend(t, testConfig(servers...))
@@ -49,7 +49,7 @@
 	}
 }
 
-// Clients that connect by hundreds and say nothing shut nobody out, and cost no one a
+// Clients that connect by hundreds and say nothing keep nobody out, and cost no one a
 // connection that is in use.
 func TestSilentClientsAreEvicted(t *testing.T) {
 	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
@@ -76,12 +76,12 @@
 	f.conns.mu.Lock()
 	defer f.conns.mu.Unlock()
 	if n := len(f.conns.conns); n > 8 {
-		t.Errorf("%d connections for 8 slots", n)
+		t.Errorf("%d connections where 8 may be", n)
 	}
 }
 
-// Where three quarters of the slots are in use, answers close their connections; silent
-// ones don't make a crowd, and the count of them follows every ending.
+// Where three quarters of the table are in use, answers close their connections; silent
+// ones don't fill it, and the count of them follows every ending.
 func TestNearlyFullTableClosesAfterResponses(t *testing.T) {
 	f, addr := serveWithRoom(t, 4)
 	first := nodetest.Dial(t, addr)
@@ -120,9 +120,9 @@
 	}
 }
 
-// Without silent ones the connection that has been idle for longest gives way, then one
-// that does not finish its head; never one whose request is open. With only those, the
-// newcomer is closed: it may have waited in vain for a slot otherwise.
+// Without silent ones the connection that has been idle for longest is evicted, then one
+// that does not finish its head; never one whose request is in flight. With only those, the
+// newcomer is closed: it may have waited in vain for a place otherwise.
 func TestEvictionOrder(t *testing.T) {
 	hold := make(chan struct{})
 	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
@@ -189,11 +189,11 @@
 	asks.Send(readyRequest)
 	nodetest.Eventually(t, "request arrived", first.hasUnread)
 	if spare := s.add(third); spare != second {
-		t.Errorf("the one with a request gave way, or none: %v", spare)
+		t.Errorf("the one with a request was evicted, or none: %v", spare)
 	}
-	// What was given up takes nothing in.
+	// An evicted connection takes nothing in.
 	if second.transition(connActive) {
-		t.Error("a request was opened on a connection that was given up")
+		t.Error("a request was opened on an evicted connection")
 	}
 	buf := make([]byte, 10)
 	if _, err := io.ReadFull(first, buf); err != nil {
--- a/internal/edgenode/drain_test.go
+++ b/internal/edgenode/drain_test.go
@@ -62,7 +62,6 @@
 	}
 }
 
-// The descriptors of both sides and the rest stay inside the limit together.
 // A request whose head is on its way as the listener closes is taken and answered; a connection on which
 // nothing comes is closed.
 func TestRequestThatComesAsTheDrainEndsIsAnswered(t *testing.T) {
@@ -127,6 +126,6 @@
 	past := time.Now()
 	f.answerBy.Store(&past)
 	if a := nodetest.Dial(t, addr).Ask(request("check", "t1")); a.Status != http.StatusTooManyRequests {
-		t.Errorf("answer %+v, want a refusal at once", a)
+		t.Errorf("answer %+v, want a rejection at once", a)
 	}
 }
--- a/internal/edgenode/follower/follower_test.go
+++ b/internal/edgenode/follower/follower_test.go
@@ -12,7 +12,7 @@
 	"opalhook/internal/edgenode/endpointlist"
 )
 
-// inTime is what the rule on drains leaves from the moment that counts as told: its grace and
+// inTime is what the rule on drains leaves from the moment that counts as reported: its grace and
 // slack are 550 ms.
 const inTime = 400 * time.Millisecond
 
@@ -103,7 +103,7 @@
 	}
 }
 
-// A new process has what the agent has before it takes clients, also where the saved list is of
+// A new process has what the agent has before it takes clients, also where the cached list is of
 // the same version, and then makes no calls while nothing is wrong.
 func TestFirstListComesAtOnce(t *testing.T) {
 	for version := 1; version <= 2; version++ {
@@ -164,7 +164,7 @@
 	}
 }
 
-// Those that are turned away come again the more seldom the more they are, also where the
+// Those that are rejected come again the more seldom the more they are, also where the
 // settings say that an agent answers free: it has a line after all.
 func TestRejectedNodesSpread(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
@@ -205,13 +205,13 @@
 		s.run(time.Second)
 		old.tell(callEvent{kind: eventMessage, list: endpointlist.List{Generation: 900, Endpoints: []endpointlist.Endpoint{{Endpoint: balancer.Endpoint{ID: "a", State: balancer.Draining}}}}})
 		if n.toldAt == 0 || n.client.follower.version == 900 {
-			t.Errorf("pushed %v: news of the discovery that is left: told %v, version %d", pushed, n.toldAt, n.client.follower.version)
+			t.Errorf("pushed %v: a change from the previous discovery: told %v, version %d", pushed, n.toldAt, n.client.follower.version)
 		}
 		s.silent = false
 		s.each(s.serve)
 		s.run(time.Second)
 		if !old.over || n.client.follower.version != 1 {
-			t.Errorf("pushed %v: the discovery that is left is watched on: %v, version %d", pushed, !old.over, n.client.follower.version)
+			t.Errorf("pushed %v: the previous discovery is watched on: %v, version %d", pushed, !old.over, n.client.follower.version)
 		}
 	}
 }
@@ -259,7 +259,7 @@
 	}
 }
 
-// A list of which some stays spoilt is read again, but not for ever at the same pace.
+// A list of which some stays malformed is read again, but not for ever at the same pace.
 func TestMalformedListIsReadAgain(t *testing.T) {
 	for _, pushed := range []bool{true, false} {
 		s := newSim(1, 1, pushed)
--- a/internal/edgenode/follower/golden_test.go
+++ b/internal/edgenode/follower/golden_test.go
@@ -49,7 +49,7 @@
 	golden.Check(t, "golden/discovery-requests.txt", []byte(requests))
 }
 
-// What comes on a call of discovery is read as recorded: beats, whole lists, changes, spoilt entries and, at the end of
+// What comes on a call of discovery is read as recorded: beats, whole lists, changes, malformed entries and, at the end of
 // a file, what is cut or no message. Of what is no message only the piece at hand is searched for servers that leave.
 func TestGoldenDiscoveryMessages(t *testing.T) {
 	for _, name := range []string{"stream", "cut", "garbage"} {
--- a/internal/edgenode/follower/sim_test.go
+++ b/internal/edgenode/follower/sim_test.go
@@ -14,7 +14,7 @@
 	"opalhook/internal/edgenode/nodetest"
 )
 
-// sim is a discovery and edge nodes that follow its list, on a clock of their own. The list has
+// simulation is a discovery and edge nodes that follow its list, on a clock of their own. The list has
 // server a, which drains at version 2, and b.
 type simulation struct {
 	now   time.Duration
@@ -44,7 +44,7 @@
 	text  string
 }
 
-// simNode is an edge node: the registry without its sockets.
+// simNode is an edge node: the client without its sockets.
 type simNode struct {
 	sim    *simulation
 	client *Client
--- a/internal/edgenode/frontend_test.go
+++ b/internal/edgenode/frontend_test.go
@@ -37,7 +37,7 @@
 	}
 	for _, hop := range []string{"Connection", "X-Hop", "TE"} {
 		if v := r.Header.Get(hop); v != "" {
-			t.Errorf("%s: %s went on", hop, v)
+			t.Errorf("%s: %s was passed on", hop, v)
 		}
 	}
 	left, err := strconv.ParseFloat(r.Header.Get("X-Expires-In"), 64)
@@ -46,7 +46,7 @@
 	}
 }
 
-// A client's mistake is its own: a plain 4xx that no client takes for a refusal,
+// A client's mistake is its own: a plain 4xx that no client takes for a rejection,
 // nothing sent on, and the connection good for the next request.
 func TestBadRequests(t *testing.T) {
 	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
@@ -112,7 +112,7 @@
 		} else if c.status == 405 && a.Header.Get("Allow") != "GET" {
 			t.Errorf("%s: Allow %q", c.name, a.Header.Get("Allow"))
 		} else if len(s.Requests()) != 0 {
-			t.Fatalf("%s: %q went on", c.name, s.Requests())
+			t.Fatalf("%s: %q was passed on", c.name, s.Requests())
 		} else if a.Close {
 			if _, err := client.Reader.ReadByte(); err != io.EOF {
 				t.Errorf("%s: after the last answer: %v, want EOF", c.name, err)
@@ -148,7 +148,7 @@
 		t.Errorf("one byte more: status %d, closed %v", a.Status, a.Close)
 	}
 	if got := len(s.Requests()); got != 1 {
-		t.Errorf("%d requests went on, want 1", got)
+		t.Errorf("%d requests were passed on, want 1", got)
 	}
 }
 
@@ -187,7 +187,7 @@
 	}
 }
 
-// Beyond its quota a customer is refused at once and told when to come back.
+// Beyond its quota a tenant is rejected at once, with the time to retry after.
 func TestRejection(t *testing.T) {
 	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 	n := run(t, testConfig(s.Endpoint("a")))
@@ -201,12 +201,12 @@
 		t.Errorf("beyond it: status %d, Retry-After %q", a.Status, a.Header.Get("Retry-After"))
 	}
 	if got := len(s.Requests()); got != 1 {
-		t.Errorf("%d requests went on, want 1", got)
+		t.Errorf("%d requests were passed on, want 1", got)
 	}
 }
 
 // The host bounds every request by its client's deadline, also at a server that is
-// silent for ever, and a keyed one that may have run is failed, not refused.
+// silent for ever, and a keyed one that may have run is failed, not rejected.
 func TestSilentServer(t *testing.T) {
 	s := nodetest.NewAppServer(t, func(net.Conn, *http.Request, []byte) bool { select {} })
 	n := run(t, testConfig(s.Endpoint("a")))
@@ -230,7 +230,7 @@
 	}
 }
 
-// A client that goes away ends its request: the attempt is given up, the books cleared.
+// A client that goes away ends its request: the attempt is given up, its state removed.
 func TestClientGone(t *testing.T) {
 	s := nodetest.NewAppServer(t, func(net.Conn, *http.Request, []byte) bool { select {} })
 	cfg := testConfig(s.Endpoint("a"))
@@ -248,7 +248,7 @@
 	})
 }
 
-// A reset is the module's to act on: a safe request is tried at the other server.
+// A reset is for the balancer to act on: an idempotent request is retried at the other server.
 func TestResetIsRetriedElsewhere(t *testing.T) {
 	var broken atomic.Bool
 	var resets atomic.Int32
@@ -277,7 +277,7 @@
 	})
 }
 
-// A panic of the module costs one request, which is answered, and is logged with its stack.
+// A panic of the balancer costs one request, which is answered, and is logged with its stack.
 func TestPanicIsAnswered(t *testing.T) {
 	f := idleFrontend(t, testConfig())
 	logs := &nodetest.Buffer{}
@@ -298,7 +298,7 @@
 	}
 }
 
-// idleFront is the client side of a node that has no goroutines of its own.
+// idleFrontend is the client side of a node that has no goroutines of its own.
 func idleFrontend(t *testing.T, cfg *Config) *frontend {
 	t.Helper()
 	n, err := newNode(t.Context(), cfg, slog.New(slog.DiscardHandler))
--- a/internal/edgenode/harness_test.go
+++ b/internal/edgenode/harness_test.go
@@ -16,7 +16,7 @@
 	"opalhook/internal/settings"
 )
 
-// testConfig is a tier of one edge node, with a safe class, a keyed one and a plan
+// testConfig is a tier of one edge node, with an idempotent class, one with keys and a plan
 // whose second request within seconds is beyond its quota.
 func testConfig(servers ...endpointlist.Endpoint) *Config {
 	return &Config{
@@ -38,7 +38,7 @@
 	}
 }
 
-// running is a node that runs in this process.
+// runningNode is a node that runs in this process.
 type runningNode struct {
 	addr   string
 	stop   context.CancelFunc // a planned restart's SIGTERM
@@ -87,7 +87,7 @@
 	})
 }
 
-// request is the text of a good request, some of whose lines may be replaced: "" as
+// request is the text of a valid request, some of whose lines may be replaced: "" as
 // the value of a header leaves it out, "" as its name replaces the first line.
 func request(class, id string, replace ...string) string {
 	lines := map[string]string{
--- a/internal/edgenode/inflight_test.go
+++ b/internal/edgenode/inflight_test.go
@@ -12,7 +12,7 @@
 	"opalhook/internal/edgenode/upstream"
 )
 
-// A request that is open when its node closes, or that comes after, keeps no handler waiting.
+// A request that is in flight when its node closes, or that comes after, keeps no handler waiting.
 func TestHandlersEndWithTheNode(t *testing.T) {
 	s := nodetest.NewAppServer(t, func(net.Conn, *http.Request, []byte) bool { select {} })
 	ctx, stop := context.WithCancel(t.Context())
@@ -73,7 +73,7 @@
 	n.close()
 }
 
-// A request that the module sits on gets its answer from the host all the same.
+// A request that the balancer does not answer gets its response from the host all the same.
 func TestAbortedRequestIsAnswered(t *testing.T) {
 	cfg := testConfig()
 	front, fl := idleFrontend(t, cfg), &inflightRequest{id: "t1", response: make(chan clientResponse, 1)}
@@ -83,14 +83,14 @@
 		t.Errorf("answer %+v", a)
 	}
 	if len(front.node.inflight) != 0 {
-		t.Error("the flight is still held")
+		t.Error("the request is still in flight")
 	}
 	if front.node.abortRequest(fl); len(fl.response) != 0 {
 		t.Error("a second final answer")
 	}
 }
 
-// Two open requests with one id could not be told apart by the module.
+// Two requests in flight with one id could not be told apart by the balancer.
 func TestIDInUse(t *testing.T) {
 	hold := make(chan struct{})
 	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
--- a/internal/edgenode/list_bench_test.go
+++ b/internal/edgenode/list_bench_test.go
@@ -14,7 +14,7 @@
 	"opalhook/internal/edgenode/nodetest"
 )
 
-// BenchmarkList takes whole lists in, from the bytes of a watch to the module: on one line, indented
+// BenchmarkList takes whole lists in, from the bytes of a watch to the balancer: on one line, indented
 // over many, and in pieces of 48 bytes.
 func BenchmarkList(b *testing.B) {
 	for _, size := range []int{60, 350, 1024} {
--- a/internal/edgenode/process_test.go
+++ b/internal/edgenode/process_test.go
@@ -15,7 +15,7 @@
 	"opalhook/internal/edgenode/nodetest"
 )
 
-// An order to end that comes before the node is ready ends it, with no listener opened.
+// A SIGTERM that comes before the node is ready ends it, with no listener opened.
 func TestEndBeforeReady(t *testing.T) {
 	cfg := testConfig()
 	cfg.listWait = nodetest.Patience
@@ -97,7 +97,7 @@
 	})
 }
 
-// A discovery that takes calls and answers none does not keep a node from serving with its saved list.
+// A discovery that takes calls and answers none does not keep a node from serving with its cached list.
 func TestSilentDiscoveryKeepsNobodyWaiting(t *testing.T) {
 	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 	cfg := testConfig(s.Endpoint("a"))
@@ -109,7 +109,7 @@
 	}
 }
 
-// The saved list serves while discovery is down.
+// The cached list serves while discovery is down.
 func TestCachedListServes(t *testing.T) {
 	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 	n := run(t, testConfig(s.Endpoint("a"))) // its discovery refuses connections
--- a/internal/edgenode/repeat_test.go
+++ b/internal/edgenode/repeat_test.go
@@ -12,7 +12,7 @@
 	"opalhook/internal/edgenode/upstream"
 )
 
-// The bound of a repeat comes from the request's first attempt that may have run, and reaches the write.
+// The bound of a retry comes from the request's first attempt that may have run, and reaches the write.
 func TestRetryCarriesItsDeadline(t *testing.T) {
 	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if r.Method == "POST" {
@@ -34,7 +34,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if len(fl.attempts) < 2 {
-		t.Fatalf("%d attempts, want a repeat", len(fl.attempts))
+		t.Fatalf("%d attempts, want a retry", len(fl.attempts))
 	}
 	if at := fl.attempts[0]; !at.limits.CompleteBefore.IsZero() {
 		t.Errorf("the first attempt is bound to %v", at.limits.CompleteBefore)
@@ -42,7 +42,7 @@
 	window := n.cfg.Settings.Classes[1].DedupWindow - 2*n.cfg.Settings.Tick
 	for _, at := range fl.attempts[1:] {
 		if got := at.limits.CompleteBefore.Sub(n.startedAt) + time.Duration(n.startedAt.UnixNano()) - fl.attempts[0].sentAt; got > window || got < window-time.Millisecond {
-			t.Errorf("a repeat is bound to %v behind the first send, want %v", got, window)
+			t.Errorf("a retry is bound to %v behind the first send, want %v", got, window)
 		}
 	}
 }
--- a/internal/edgenode/side_test.go
+++ b/internal/edgenode/side_test.go
@@ -91,7 +91,7 @@
 }
 
 // What the agent has counts from a new process's first moment: no client is taken before it has
-// told, so that the saved list, which may be old, sends nobody to a server that has left.
+// told, so that the cached list, which may be old, sends nobody to a server that has left.
 func TestNewProcessStartsFromWhatTheAgentHas(t *testing.T) {
 	old, young := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse)), nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 	tells, opened := make(chan struct{}), make(chan bool, 1)
@@ -128,7 +128,7 @@
 		t.Errorf("answer %+v", a)
 	}
 	if len(old.Requests()) > 0 || len(young.Requests()) != 1 {
-		t.Errorf("%d requests to the server of the saved list, %d to the agent's", len(old.Requests()), len(young.Requests()))
+		t.Errorf("%d requests to the server of the cached list, %d to the agent's", len(old.Requests()), len(young.Requests()))
 	}
 	stop()
 	if err := nodetest.Await(t, "the node's end", done); err != nil {
--- a/internal/edgenode/upstream/attempt_test.go
+++ b/internal/edgenode/upstream/attempt_test.go
@@ -128,7 +128,7 @@
 	}
 }
 
-// A repeat goes to the server as it was when it was chosen: not to one that has restarted since, or that
+// A retry goes to the server as it was when it was chosen: not to one that has restarted since, or that
 // is in another zone by now.
 func TestRetryGoesToTheSelectedServer(t *testing.T) {
 	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
@@ -174,7 +174,7 @@
 // long is a request that no socket takes at once.
 var long = Message{Method: "POST", Target: "/check", ID: "long", Body: make([]byte, 8<<20)}
 
-// A repeat whose last byte would be written too late is given up before it: it never runs.
+// A retry whose last byte would be written too late is given up before it: it never runs.
 func TestLongRetryEndsBeforeItsLastByte(t *testing.T) {
 	in, conns := slowReader(t)
 	u := testUpstream(in)
--- a/internal/edgenode/upstream/pool_test.go
+++ b/internal/edgenode/upstream/pool_test.go
@@ -250,7 +250,7 @@
 	}
 }
 
-// At the limit on descriptors an idle connection gives way; with none idle the
+// At the limit on descriptors an idle connection is evicted; with none idle the
 // attempt is moot, which is held against no server.
 func TestDescriptorsAreBudgeted(t *testing.T) {
 	a, b := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse)), nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
--- a/internal/edgenode/upstream/upstream_test.go
+++ b/internal/edgenode/upstream/upstream_test.go
@@ -128,7 +128,7 @@
 }
 
 // A request that was decided on and has its connection, but whose first byte has not gone out
-// when the news of the drain is applied, stays here: on a kept connection as on a new one.
+// when the drain is applied, stays here: on a kept connection as on a new one.
 func TestDrainBeforeTheFirstByte(t *testing.T) {
 	srv := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 	for _, kept := range []bool{false, true} {
@@ -158,7 +158,7 @@
 		}
 		u.discard(c)
 		if n := len(srv.Requests()) - before; n != 0 {
-			t.Errorf("kept %v: %d requests came in after the news", kept, n)
+			t.Errorf("kept %v: %d requests came in after it", kept, n)
 		}
 		u.Close()
 	}
