--- a/internal/edgenode/conn_cross_test.go
+++ b/internal/edgenode/conn_cross_test.go
@@ -18,15 +18,15 @@
 
 // Events that cross: each test holds one side until the other has acted.
 
-// writing runs a function before the first write on a client's connection, or once the HTTP library has
+// hookedWrites runs a function before the first write on a client's connection, or once the HTTP library has
 // ended its look at the client behind it.
-type writing struct {
+type hookedWrites struct {
 	*net.TCPConn
 	before, behind func()
 	written        atomic.Bool
 }
 
-func (w *writing) Write(p []byte) (int, error) {
+func (w *hookedWrites) Write(p []byte) (int, error) {
 	if before := w.before; before != nil {
 		w.before = nil
 		before()
@@ -35,7 +35,7 @@
 	return w.TCPConn.Write(p)
 }
 
-func (w *writing) SetReadDeadline(t time.Time) error {
+func (w *hookedWrites) SetReadDeadline(t time.Time) error {
 	if behind := w.behind; behind != nil && t.IsZero() && w.written.Load() {
 		w.behind = nil
 		behind()
@@ -43,13 +43,13 @@
 	return w.TCPConn.SetReadDeadline(t)
 }
 
-// hooked is a listener whose connections a test may change before they are served.
-type hooked struct {
+// hookedListener is a listener whose connections a test may change before they are served.
+type hookedListener struct {
 	*clientListener
 	change func(*clientConn)
 }
 
-func (h hooked) Accept() (net.Conn, error) {
+func (h hookedListener) Accept() (net.Conn, error) {
 	c, err := h.clientListener.Accept()
 	if err == nil {
 		h.change(c.(*clientConn))
@@ -57,11 +57,12 @@
 	return c, err
 }
 
+// serveHooked serves clients whose connections change may change before they are served.
 func serveHooked(t *testing.T, cfg *Config, change func(f *frontend, c *clientConn)) (*frontend, string) {
 	t.Helper()
-	f := idleFront(t, cfg)
+	f := idleFrontend(t, cfg)
 	ln := nodetest.Listen(t)
-	serveClients(t, f, hooked{newClientListener(ln, f.conns), func(c *clientConn) { change(f, c) }})
+	serveClients(t, f, hookedListener{newClientListener(ln, f.conns), func(c *clientConn) { change(f, c) }})
 	return f, ln.Addr().String()
 }
 
@@ -75,8 +76,8 @@
 	return all
 }
 
-// taken tells whether all that has come of clients was read.
-func (s *connTable) taken() bool {
+// allRead tells whether all that has come from clients was read.
+func (s *connTable) allRead() bool {
 	for _, c := range s.all() {
 		if c.hasUnread() {
 			return false
@@ -85,7 +86,8 @@
 	return true
 }
 
-func (s *connTable) in(state connState) (n int) {
+// count returns how many connections are in a state.
+func (s *connTable) count(state connState) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
@@ -96,9 +98,9 @@
 	return n
 }
 
-// The look that decides on a resting connection's close comes in the moment before its next request is
+// The look that decides on an idle connection's close comes in the moment before its next request is
 // read, or in the moment after: both times the request is answered.
-func TestRequestCrossesTheLookAtARestingConnection(t *testing.T) {
+func TestRequestCrossesTheClosingOfIdleConnections(t *testing.T) {
 	for _, before := range []bool{true, false} {
 		s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 		var looks atomic.Bool
@@ -123,9 +125,9 @@
 	}
 }
 
-// What comes on a connection that was given up stays unread and has no answer, by which its client can
-// tell that it may ask again.
-func TestRequestBehindTheCloseStaysUnread(t *testing.T) {
+// What comes on an evicted connection stays unread and has no answer, by which its client can
+// tell that it may send it again.
+func TestRequestAfterTheCloseStaysUnread(t *testing.T) {
 	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 	unread := make(chan bool, 1)
 	var asks atomic.Bool
@@ -152,19 +154,19 @@
 	asks.Store(true)
 	c.Send(request("check", "t2"))
 	if !nodetest.Await(t, "the read", unread) {
-		t.Error("a request was taken in on a connection that was given up")
+		t.Error("a request was taken in on an evicted connection")
 	}
 	if _, err := c.Reader.ReadByte(); err == nil {
 		t.Error("something was answered on it")
 	}
 	if n := len(s.Requests()); n != 1 {
-		t.Errorf("%d requests went on", n)
+		t.Errorf("%d requests were passed on", n)
 	}
 }
 
-// A request that becomes whole on a connection that is given up for another one is answered by nobody:
+// A request that becomes whole on a connection that is evicted for another one is answered by nobody:
 // an empty 200 is no answer of a server.
-func TestRequestOnAConnectionGivenUpIsNotAnswered(t *testing.T) {
+func TestRequestOnAnEvictedConnectionIsNotAnswered(t *testing.T) {
 	var last atomic.Bool
 	f, addr := serveHooked(t, testConfig(), func(f *frontend, c *clientConn) {
 		c.raw = nodetest.HookedRawConn{RawConn: c.raw, AfterRead: func() {
@@ -180,7 +182,7 @@
 	c := nodetest.Dial(t, addr)
 	text := request("book", "t1")
 	c.Send(text[:len(text)-2])
-	nodetest.Eventually(t, "the rest is waited for", func() bool { return f.conns.in(connReading) == 1 && f.conns.taken() })
+	nodetest.Eventually(t, "the rest is waited for", func() bool { return f.conns.count(connReading) == 1 && f.conns.allRead() })
 	last.Store(true)
 	c.Send(text[len(text)-2:])
 	if b, err := c.Reader.ReadByte(); err == nil {
@@ -188,19 +190,19 @@
 	}
 }
 
-// While an answer is on its way its connection is not taken for a resting one.
-func TestAnswerUnderWayIsNotClosed(t *testing.T) {
+// While an answer is on its way its connection is not taken for an idle one.
+func TestConnectionIsNotIdleWhileItsResponseIsWritten(t *testing.T) {
 	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 	_, addr := serveHooked(t, testConfig(s.Endpoint("a")), func(f *frontend, c *clientConn) {
-		c.Conn = &writing{TCPConn: c.Conn.(*net.TCPConn), before: func() { f.conns.closeIdle() }}
+		c.Conn = &hookedWrites{TCPConn: c.Conn.(*net.TCPConn), before: func() { f.conns.closeIdle() }}
 	})
 	if a := nodetest.Dial(t, addr).Ask(request("check", "t1")); a.Status != http.StatusOK {
 		t.Errorf("answer %+v", a)
 	}
 }
 
-// The look at the client that goes on under its answer does not take the connection for a resting one.
-func TestLookAtTheClientIsNoRest(t *testing.T) {
+// The look at the client that goes on under its response does not take the connection for an idle one.
+func TestConnectionIsNotIdleWhileItsClientIsWatched(t *testing.T) {
 	ln := nodetest.Listen(t)
 	client := nodetest.Dial(t, ln.Addr().String())
 	nc, err := ln.Accept()
@@ -225,8 +227,8 @@
 		ended <- err
 	}()
 	nodetest.Await(t, "the look", looks)
-	if n := s.in(connResponding); n != 1 {
-		t.Error("the connection does not count as one with an answer under way")
+	if n := s.count(connResponding); n != 1 {
+		t.Error("the connection does not count as one whose response is being written")
 	}
 	_ = client.Close()
 	if err := nodetest.Await(t, "the look's end", ended); !errors.Is(err, io.EOF) {
@@ -234,12 +236,12 @@
 	}
 }
 
-// Bytes that come behind a request, too late to be read, don't reset the connection under the answer.
-func TestUnreadBytesDoNotResetTheAnswer(t *testing.T) {
+// Bytes that come behind a request, too late to be read, don't reset the connection under the response.
+func TestUnreadBytesDoNotResetTheResponse(t *testing.T) {
 	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 	var c *nodetest.Client
 	f, addr := serveHooked(t, testConfig(s.Endpoint("a")), func(f *frontend, conn *clientConn) {
-		conn.Conn = &writing{TCPConn: conn.Conn.(*net.TCPConn), behind: func() {
+		conn.Conn = &hookedWrites{TCPConn: conn.Conn.(*net.TCPConn), behind: func() {
 			c.Send("bytes that nobody reads")
 			nodetest.Eventually(t, "they have come", conn.hasUnread)
 		}}
@@ -250,9 +252,9 @@
 		t.Errorf("answer %+v", a)
 	}
 	if _, err := c.Reader.ReadByte(); err != io.EOF {
-		t.Errorf("behind the answer: %v, want an orderly end", err)
+		t.Errorf("after the response: %v, want an orderly end", err)
 	}
-	nodetest.Eventually(t, "its slot is free", func() bool { return len(f.conns.all()) == 0 })
+	nodetest.Eventually(t, "it has left the table", func() bool { return len(f.conns.all()) == 0 })
 }
 
 // A client that leaves while its request waits for the first attempt takes it along, however it leaves and
@@ -288,14 +290,14 @@
 	ask := func(id, behind string) *nodetest.Client {
 		c := nodetest.Dial(t, addr)
 		c.Send(request("check", id, "X-Expires-In", "3600"))
-		nodetest.Eventually(t, "the request waits", func() bool { return open() > 0 && f.conns.in(connReading) == 0 })
+		nodetest.Eventually(t, "the request waits", func() bool { return open() > 0 && f.conns.count(connReading) == 0 })
 		c.Send(behind)
 		return c
 	}
 	for name, leave := range ways {
 		for _, behind := range []string{"", "x", request("check", "next")} {
 			c := ask("t1", behind)
-			nodetest.Eventually(t, "it is read", f.conns.taken)
+			nodetest.Eventually(t, "it is read", f.conns.allRead)
 			leave(c)
 			nodetest.Eventually(t, fmt.Sprintf("a client that has sent %d bytes more and %s is noticed", len(behind), name),
 				func() bool { return open() == 0 })
@@ -305,14 +307,14 @@
 	for i := range 300 {
 		burst = append(burst, ask(fmt.Sprint("b", i), "more"))
 	}
-	nodetest.Eventually(t, "all wait", func() bool { return open() == len(burst) && f.conns.taken() })
+	nodetest.Eventually(t, "all wait", func() bool { return open() == len(burst) && f.conns.allRead() })
 	for _, c := range burst {
 		_ = c.Close()
 	}
 	nodetest.Eventually(t, "all are noticed", func() bool { return open() == 0 })
 }
 
-// What a client sends behind an open request is its next request, up to a bound.
+// What a client sends behind a request in flight is its next request, up to a bound.
 func TestBytesBehindARequest(t *testing.T) {
 	hold := make(chan struct{})
 	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
@@ -324,7 +326,7 @@
 	c.Send(request("book", "t1"))
 	nodetest.Eventually(t, "request out", func() bool { return len(s.Requests()) == 1 })
 	c.Send(request("book", "t2"))
-	nodetest.Eventually(t, "what stands behind it is read", f.conns.taken)
+	nodetest.Eventually(t, "what stands behind it is read", f.conns.allRead)
 	flood.Send(request("check", "t3"))
 	nodetest.Eventually(t, "requests out", func() bool { return len(s.Requests()) == 2 })
 	flood.Send(strings.Repeat("x", 2*maxReadAhead))
@@ -363,6 +365,6 @@
 		t.Errorf("behind those who went: %+v", a)
 	}
 	if got := len(s.Requests()); got != 3 {
-		t.Errorf("%d requests went on, want 3", got)
+		t.Errorf("%d requests were passed on, want 3", got)
 	}
 }
--- a/internal/edgenode/drain_test.go
+++ b/internal/edgenode/drain_test.go
@@ -62,7 +62,6 @@
 	}
 }
 
-// The descriptors of both sides and the rest stay inside the limit together.
 // A request whose head is on its way as the listener closes is taken and answered; a connection on which
 // nothing comes is closed.
 func TestRequestThatComesAsTheDrainEndsIsAnswered(t *testing.T) {
@@ -85,7 +84,7 @@
 
 // Connections that stand in the listener's queue when it is to close are taken and answered.
 func TestQueueIsEmptiedBeforeTheListenerCloses(t *testing.T) {
-	f := idleFront(t, testConfig())
+	f := idleFrontend(t, testConfig())
 	f.ready.Store(true)
 	ln := newClientListener(nodetest.Listen(t), f.conns)
 	var clients []*nodetest.Client
@@ -112,7 +111,7 @@
 
 // The drain may have closed all before the library sees that its listener is closed: that is no failure.
 func TestDrainOvertakesTheListener(t *testing.T) {
-	f := idleFront(t, testConfig())
+	f := idleFrontend(t, testConfig())
 	ln := newClientListener(nodetest.Listen(t), f.conns)
 	f.draining.Store(true)
 	_ = f.server.Close()
@@ -127,6 +126,6 @@
 	past := time.Now()
 	f.answerBy.Store(&past)
 	if a := nodetest.Dial(t, addr).Ask(request("check", "t1")); a.Status != http.StatusTooManyRequests {
-		t.Errorf("answer %+v, want a refusal at once", a)
+		t.Errorf("answer %+v, want a rejection at once", a)
 	}
 }
