--- a/internal/testbed/list_service.go
+++ b/internal/testbed/list_service.go
@@ -323,8 +323,10 @@
 		entries = make([]Entry, 0, len(m.Instances)) // an empty list is written as such, not as null
 	}
 	for _, e := range m.Instances {
-		entries = append(entries, Entry{InstanceID: e.InstanceID, HostPort: e.HostPort, Zone: e.Zone, MachineType: e.MachineType, Cell: e.Cell,
-			Lifecycle: e.Lifecycle, Weight: e.Weight, StartedAtMs: e.StartedAtMs})
+		entries = append(entries, Entry{
+			InstanceID: e.InstanceID, HostPort: e.HostPort, Zone: e.Zone, MachineType: e.MachineType, Cell: e.Cell,
+			Lifecycle: e.Lifecycle, Weight: e.Weight, StartedAtMs: e.StartedAtMs,
+		})
 	}
 	return &listMessage{Generation: m.Generation, Reset: m.Reset, Instances: entries}
 }
