--- a/internal/registry/golden_client_test.go
+++ b/internal/registry/golden_client_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"bytes"
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -21,7 +22,11 @@
 // recordedService answers each request with a golden file or an outcome, and writes the requests down.
 func recordedService(t *testing.T, transcript io.Writer) *Client {
 	t.Helper()
-	answers := map[string]string{"/registry/instances": "golden/list.json", "/registry/backup": "golden/backup.json", "/registry/status": "golden/status.json"}
+	responses := map[string][]byte{
+		"/registry/instances": golden.Read(t, "golden/list.json"),
+		"/registry/backup":    golden.Read(t, "golden/backup.json"),
+		"/registry/status":    golden.Read(t, "golden/status.json"),
+	}
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
@@ -31,8 +36,8 @@
 			t.Error(err)
 		}
 		response := []byte(`{"code":"same","generation":41,"message":"why","instanceId":"s-a","weight":0.5,"incarnation":5,"leaseMs":1000}`)
-		if name := answers[r.URL.Path]; name != "" && r.Method == http.MethodGet {
-			response = golden.Read(t, name)
+		if recorded := responses[r.URL.Path]; recorded != nil && r.Method == http.MethodGet {
+			response = recorded
 		}
 		if _, err := w.Write(response); err != nil {
 			t.Error(err)
@@ -45,7 +50,9 @@
 // A client's requests are as recorded, and it reads the recorded answers.
 func TestGoldenClient(t *testing.T) {
 	var transcript, backup bytes.Buffer
-	c, ctx := recordedService(t, &transcript), t.Context()
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
+	defer cancel()
+	c := recordedService(t, &transcript)
 	owner := InstanceRef{"s-a", 5}
 	registered, err1 := c.Register(ctx, Registration{Entry: entry("s-a", 1), Incarnation: 5, LeaseMs: 1000})
 	renewed, err2 := c.Renew(ctx, owner)
