--- a/internal/agent/publisher.go
+++ b/internal/agent/publisher.go
@@ -19,7 +19,7 @@
 }
 
 // noteRemovals notes which of the published endpoints are missing from a list, and since when.
-func (p *publisher) noteRemovals(now time.Duration, held view) {
+func (p *publisher) trackRemovals(now time.Duration, held view) {
 	for id, e := range p.published.entries {
 		_, listed := held.entries[id]
 		_, noted := p.removedAt[id]
--- a/internal/agent/suspicion.go
+++ b/internal/agent/suspicion.go
@@ -110,5 +110,5 @@
 func (f *Follower) accept(now time.Duration, v view) {
 	f.held, f.suspect = v, nil
 	f.losses.accepted(now, v.upCount())
-	f.publisher.noteRemovals(now, v)
+	f.publisher.trackRemovals(now, v)
 }
--- a/internal/discovery/lenient.go
+++ b/internal/discovery/lenient.go
@@ -167,23 +167,23 @@
 	return addr, false
 }
 
-// Bounds of the work of [Salvage].
+// Bounds of the work of [ParsePartial].
 const (
-	maxSalvagedEntry = 4 << 10 // bytes of an entry
-	maxSalvageStarts = 1 << 14 // opening braces at which an entry may begin
+	maxPartialEntry  = 4 << 10 // bytes of an entry
+	maxPartialStarts = 1 << 14 // opening braces at which an entry may begin
 )
 
-// Salvage returns the entries of endpoints that leave or are gone from a text that is no complete message. The rest of
+// ParsePartial returns the entries of endpoints that leave or are gone from a text that is no complete message. The rest of
 // the message can be fetched anew, but these endpoints must get nothing more until then.
-func Salvage(text []byte) (leaving []ParsedEntry) {
-	for range maxSalvageStarts {
+func ParsePartial(text []byte) (leaving []ParsedEntry) {
+	for range maxPartialStarts {
 		at := bytes.IndexByte(text, '{')
 		if at < 0 {
 			break
 		}
 		text = text[at:]
 		var entry json.RawMessage
-		d := json.NewDecoder(bytes.NewReader(text[:min(len(text), maxSalvagedEntry)]))
+		d := json.NewDecoder(bytes.NewReader(text[:min(len(text), maxPartialEntry)]))
 		if d.Decode(&entry) != nil {
 			text = text[1:] // a complete entry may begin inside this one
 			continue
--- a/internal/discovery/lenient_test.go
+++ b/internal/discovery/lenient_test.go
@@ -53,11 +53,11 @@
 		if _, _, err := ParseLenient([]byte(text)); err == nil {
 			t.Errorf("%s is a message", text)
 		}
-		if got := Salvage([]byte(text)); len(got) != 1 || got[0].ID != "g" {
+		if got := ParsePartial([]byte(text)); len(got) != 1 || got[0].ID != "g" {
 			t.Errorf("%s: salvaged %v, want the drain of g", text, got)
 		}
 	}
-	if got := Salvage([]byte(strings.Repeat("{", 1<<20))); len(got) != 0 {
+	if got := ParsePartial([]byte(strings.Repeat("{", 1<<20))); len(got) != 0 {
 		t.Errorf("salvaged %v from noise", got)
 	}
 }
--- a/internal/edgenode/endpointlist/endpointlist.go
+++ b/internal/edgenode/endpointlist/endpointlist.go
@@ -31,9 +31,9 @@
 	return List{Generation: m.Generation, Snapshot: m.Snapshot, Endpoints: fromEntries(m.Entries)}, faults, nil
 }
 
-// Salvage returns the endpoints that leave or are gone from a text that is no complete message; see
-// [discovery.Salvage].
-func Salvage(text []byte) []Endpoint { return fromEntries(discovery.Salvage(text)) }
+// ParsePartial returns the endpoints that leave or are gone from a text that is no complete message; see
+// [discovery.ParsePartial].
+func ParsePartial(text []byte) []Endpoint { return fromEntries(discovery.ParsePartial(text)) }
 
 func fromEntries(entries []discovery.ParsedEntry) []Endpoint {
 	if len(entries) == 0 {
--- a/internal/edgenode/follower/message_reader.go
+++ b/internal/edgenode/follower/message_reader.go
@@ -54,6 +54,6 @@
 	return callEvent{
 		kind: eventMalformed,
 		err:  fmt.Errorf("malformed message: %w", err),
-		list: endpointlist.List{Endpoints: endpointlist.Salvage(text)},
+		list: endpointlist.List{Endpoints: endpointlist.ParsePartial(text)},
 	}
 }
