--- a/internal/agent/publisher.go
+++ b/internal/agent/publisher.go
@@ -18,15 +18,15 @@
 	return publisher{removalDelay: rules.RemovalDelay, removedAt: map[string]time.Duration{}}
 }
 
-// noteRemovals notes which of the published endpoints are missing from a list, and since when.
+// trackRemovals records which of the published endpoints are missing from a list, and since when.
 func (p *publisher) trackRemovals(now time.Duration, held view) {
 	for id, e := range p.published.entries {
 		_, listed := held.entries[id]
-		_, noted := p.removedAt[id]
+		_, tracked := p.removedAt[id]
 		switch {
 		case listed || e.Lifecycle != discovery.Up:
 			delete(p.removedAt, id)
-		case !noted:
+		case !tracked:
 			p.removedAt[id] = now
 		}
 	}
--- /dev/null
+++ b/internal/discovery/validate_test.go
@@ -0,0 +1,42 @@
+package discovery
+
+import (
+	"errors"
+	"testing"
+)
+
+// A message that no list service writes is rejected, and the error names the field.
+func TestValidate(t *testing.T) {
+	good := Entry{InstanceID: "a", HostPort: "127.0.0.1:1", Lifecycle: Up, Weight: 1}
+	message := func(reset bool, change func(e *Entry)) Message {
+		e := good
+		change(&e)
+		return Message{Generation: 1, Reset: reset, Instances: []Entry{good, e}}
+	}
+	for _, c := range []struct {
+		name  string
+		m     Message
+		field string // "": it is valid
+	}{
+		{"snapshot", message(true, func(*Entry) {}), ""},
+		{"empty snapshot", Message{Generation: 1, Reset: true}, ""},
+		{"removal without an address", message(false, func(e *Entry) { e.Lifecycle, e.HostPort = Removed, "" }), ""},
+		{"no generation", Message{Reset: true}, "generation"},
+		{"no id", message(true, func(e *Entry) { e.InstanceID = "" }), "instances[1].instanceId"},
+		{"removal in a snapshot", message(true, func(e *Entry) { e.Lifecycle = Removed }), "instances[1].lifecycle"},
+		{"unknown lifecycle", message(false, func(e *Entry) { e.Lifecycle = "odd" }), "instances[1].lifecycle"},
+		{"negative weight", message(false, func(e *Entry) { e.Weight = -1 }), "instances[1].weight"},
+		{"no address", message(false, func(e *Entry) { e.HostPort = "nowhere" }), "instances[1].hostPort"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			err := c.m.Validate()
+			var field *FieldError
+			switch {
+			case c.field == "" && err != nil:
+				t.Errorf("rejected: %v", err)
+			case c.field != "" && (!errors.As(err, &field) || field.Field != c.field):
+				t.Errorf("error %v, want one of %s", err, c.field)
+			}
+		})
+	}
+}
