--- a/internal/edgenode/frontend_test.go
+++ b/internal/edgenode/frontend_test.go
@@ -17,7 +17,7 @@
 
 // What goes on to an app server is what the client sent, byte for byte, with the
 // wait that is left; what concerns one connection alone does not go on.
-func TestRequestGoesOnUnchanged(t *testing.T) {
+func TestRequestIsPassedOnUnchanged(t *testing.T) {
 	got := make(chan *http.Request, 1)
 	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		got <- r
@@ -37,7 +37,7 @@
 	}
 	for _, hop := range []string{"Connection", "X-Hop", "TE"} {
 		if v := r.Header.Get(hop); v != "" {
-			t.Errorf("%s: %s went on", hop, v)
+			t.Errorf("%s: %s was passed on", hop, v)
 		}
 	}
 	left, err := strconv.ParseFloat(r.Header.Get("X-Expires-In"), 64)
@@ -46,7 +46,7 @@
 	}
 }
 
-// A client's mistake is its own: a plain 4xx that no client takes for a refusal,
+// A client's mistake is its own: a plain 4xx that no client takes for a rejection,
 // nothing sent on, and the connection good for the next request.
 func TestBadRequests(t *testing.T) {
 	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
@@ -112,7 +112,7 @@
 		} else if c.status == 405 && a.Header.Get("Allow") != "GET" {
 			t.Errorf("%s: Allow %q", c.name, a.Header.Get("Allow"))
 		} else if len(s.Requests()) != 0 {
-			t.Fatalf("%s: %q went on", c.name, s.Requests())
+			t.Fatalf("%s: %q was passed on", c.name, s.Requests())
 		} else if a.Close {
 			if _, err := client.Reader.ReadByte(); err != io.EOF {
 				t.Errorf("%s: after the last answer: %v, want EOF", c.name, err)
@@ -148,7 +148,7 @@
 		t.Errorf("one byte more: status %d, closed %v", a.Status, a.Close)
 	}
 	if got := len(s.Requests()); got != 1 {
-		t.Errorf("%d requests went on, want 1", got)
+		t.Errorf("%d requests were passed on, want 1", got)
 	}
 }
 
@@ -175,7 +175,7 @@
 }
 
 // No client waits for longer than its class allows, so that requests can't pile up.
-func TestWaitIsThatOfTheClass(t *testing.T) {
+func TestWaitIsCappedByTheClass(t *testing.T) {
 	s := nodetest.NewAppServer(t, func(net.Conn, *http.Request, []byte) bool { select {} })
 	cfg := testConfig(s.Endpoint("a"))
 	cfg.Settings.Classes[0].Deadline = 100 * time.Millisecond
@@ -187,8 +187,8 @@
 	}
 }
 
-// Beyond its quota a customer is refused at once and told when to come back.
-func TestRefusal(t *testing.T) {
+// Beyond its quota a tenant is rejected at once, with the time to retry after.
+func TestRejection(t *testing.T) {
 	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 	n := run(t, testConfig(s.Endpoint("a")))
 	c := nodetest.Dial(t, n.addr)
@@ -201,12 +201,12 @@
 		t.Errorf("beyond it: status %d, Retry-After %q", a.Status, a.Header.Get("Retry-After"))
 	}
 	if got := len(s.Requests()); got != 1 {
-		t.Errorf("%d requests went on, want 1", got)
+		t.Errorf("%d requests were passed on, want 1", got)
 	}
 }
 
 // The host bounds every request by its client's deadline, also at a server that is
-// silent for ever, and a keyed one that may have run is failed, not refused.
+// silent for ever, and a keyed one that may have run is failed, not rejected.
 func TestSilentServer(t *testing.T) {
 	s := nodetest.NewAppServer(t, func(net.Conn, *http.Request, []byte) bool { select {} })
 	n := run(t, testConfig(s.Endpoint("a")))
@@ -219,18 +219,18 @@
 
 // A class may have its clients wait for longer than an answer takes to be written: the connection is not
 // closed under a request that can still be served.
-func TestWritingIsBoundedBehindTheLongestWait(t *testing.T) {
+func TestWriteTimeoutExceedsTheLongestWait(t *testing.T) {
 	for _, deadline := range []time.Duration{time.Second, 20 * time.Second, 10 * time.Minute} {
 		cfg := testConfig()
 		cfg.Settings.Classes[1].Deadline = deadline
-		f := idleFront(t, cfg)
+		f := idleFrontend(t, cfg)
 		if limit, least := f.server.WriteTimeout, max(deadline, cfg.Settings.Classes[0].Deadline)+cfg.Settings.ResponseSlack+time.Second; limit < least {
 			t.Errorf("deadline of %v: connections are closed after %v", deadline, limit)
 		}
 	}
 }
 
-// A client that goes away ends its request: the attempt is given up, the books cleared.
+// A client that goes away ends its request: the attempt is given up, its state removed.
 func TestClientGone(t *testing.T) {
 	s := nodetest.NewAppServer(t, func(net.Conn, *http.Request, []byte) bool { select {} })
 	cfg := testConfig(s.Endpoint("a"))
@@ -248,8 +248,8 @@
 	})
 }
 
-// A reset is the module's to act on: a safe request is tried at the other server.
-func TestBreakIsTriedElsewhere(t *testing.T) {
+// A reset is for the balancer to act on: an idempotent request is retried at the other server.
+func TestResetIsRetriedElsewhere(t *testing.T) {
 	var broken atomic.Bool
 	var resets atomic.Int32
 	bad := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
@@ -277,9 +277,9 @@
 	})
 }
 
-// A panic of the module costs one request, which is answered, and is logged with its stack.
+// A panic of the balancer costs one request, which is answered, and is logged with its stack.
 func TestPanicIsAnswered(t *testing.T) {
-	f := idleFront(t, testConfig())
+	f := idleFrontend(t, testConfig())
 	logs := &nodetest.Buffer{}
 	f.node.log = slog.New(slog.NewTextHandler(logs, nil))
 	f.node.mu.Lock() // its timers fire meanwhile
@@ -298,8 +298,8 @@
 	}
 }
 
-// idleFront is the client side of a node that has no goroutines of its own.
-func idleFront(t *testing.T, cfg *Config) *frontend {
+// idleFrontend is the client side of a node that has no goroutines of its own.
+func idleFrontend(t *testing.T, cfg *Config) *frontend {
 	t.Helper()
 	n, err := newNode(t.Context(), cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
--- a/internal/edgenode/inflight_test.go
+++ b/internal/edgenode/inflight_test.go
@@ -12,7 +12,7 @@
 	"opalhook/internal/edgenode/upstream"
 )
 
-// A request that is open when its node closes, or that comes after, keeps no handler waiting.
+// A request that is in flight when its node closes, or that comes after, keeps no handler waiting.
 func TestHandlersEndWithTheNode(t *testing.T) {
 	s := nodetest.NewAppServer(t, func(net.Conn, *http.Request, []byte) bool { select {} })
 	ctx, stop := context.WithCancel(t.Context())
@@ -45,7 +45,7 @@
 
 // A request that has its final answer is not sent any more, also where its attempt has its connection and nobody has
 // told it.
-func TestNothingIsSentBehindTheFinalAnswer(t *testing.T) {
+func TestNothingIsSentAfterTheFinalResponse(t *testing.T) {
 	srv := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 	n, err := newNode(t.Context(), testConfig(srv.Endpoint("a")), slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -73,24 +73,24 @@
 	n.close()
 }
 
-// A request that the module sits on gets its answer from the host all the same.
-func TestHeldRequestIsAnswered(t *testing.T) {
+// A request that the balancer does not answer gets its response from the host all the same.
+func TestAbortedRequestIsAnswered(t *testing.T) {
 	cfg := testConfig()
-	front, fl := idleFront(t, cfg), &inflightRequest{id: "t1", response: make(chan clientResponse, 1)}
+	front, fl := idleFrontend(t, cfg), &inflightRequest{id: "t1", response: make(chan clientResponse, 1)}
 	front.node.inflight["t1"] = fl
 	front.node.abortRequest(fl)
 	if a := nodetest.Await(t, "an answer", fl.response); a.kind != responseFailed {
 		t.Errorf("answer %+v", a)
 	}
 	if len(front.node.inflight) != 0 {
-		t.Error("the flight is still held")
+		t.Error("the request is still in flight")
 	}
 	if front.node.abortRequest(fl); len(fl.response) != 0 {
 		t.Error("a second final answer")
 	}
 }
 
-// Two open requests with one id could not be told apart by the module.
+// Two requests in flight with one id could not be told apart by the balancer.
 func TestIDInUse(t *testing.T) {
 	hold := make(chan struct{})
 	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
