--- a/cmd/opalhook/testbed.go
+++ b/cmd/opalhook/testbed.go
@@ -117,7 +117,7 @@
 		Example: "  opalhook up --control 127.0.0.1:9911\n  opalhook testbed fault slow 3 --size 5 --for 10s\n  opalhook testbed fault kill 0 --for 4s",
 		Args:    cobra.RangeArgs(1, 2),
 		RunE: func(c *cobra.Command, args []string) error {
-			f.Kind, f.For, f.Delay = args[0], testbed.Duration(last), testbed.Duration(late)
+			f.Kind, f.For, f.Delay = testbed.FaultKind(args[0]), testbed.Duration(last), testbed.Duration(late)
 			if len(args) > 1 {
 				n, err := strconv.Atoi(args[1])
 				if err != nil {
--- a/internal/testbed/control.go
+++ b/internal/testbed/control.go
@@ -179,16 +179,16 @@
 
 // CommandedFault is a fault by command at run time.
 type CommandedFault struct {
-	Kind   string   `json:"kind"`
-	Target int      `json:"target"` // number of the node or server
-	For    Duration `json:"for"`
-	Zone   string   `json:"zone"`
-	Size   float64  `json:"size"`
-	Delay  Duration `json:"late"`
-	Way    string   `json:"way"`
-	From   string   `json:"from"`
-	To     string   `json:"to"`
-	Does   string   `json:"does"`
+	Kind   FaultKind `json:"kind"`
+	Target int       `json:"target"` // number of the node or server
+	For    Duration  `json:"for"`
+	Zone   string    `json:"zone"`
+	Size   float64   `json:"size"`
+	Delay  Duration  `json:"late"`
+	Way    string    `json:"way"`
+	From   string    `json:"from"`
+	To     string    `json:"to"`
+	Does   string    `json:"does"`
 }
 
 // InjectFault sends a fault to the run whose control address this is.
--- a/internal/testbed/fault.go
+++ b/internal/testbed/fault.go
@@ -30,9 +30,9 @@
 // applyFault begins or ends a fault at one target.
 func (env *environment) applyFault(ft *Fault, e FaultEvent) error {
 	switch {
-	case strings.HasPrefix(ft.Kind, "list-"):
+	case strings.HasPrefix(string(ft.Kind), "list-"):
 		return env.applyListFault(ft, e.End)
-	case faultKinds[ft.Kind].relays, ft.Kind == "peer-loss":
+	case faultKinds[ft.Kind].relays, ft.Kind == FaultPeerLoss:
 		return env.applyNetworkFault(ft, e)
 	case faultKinds[ft.Kind].target == faultsNodes:
 		return env.applyNodeFault(ft, env.nodes[e.Target], e.End)
@@ -45,15 +45,15 @@
 // applyNodeFault begins or ends a fault of an edge node's process.
 func (env *environment) applyNodeFault(ft *Fault, n *edgeNode, end bool) error {
 	switch {
-	case ft.Kind == "stall":
+	case ft.Kind == FaultStall:
 		return env.stall(n, !end)
-	case ft.Kind == "kill" && end:
+	case ft.Kind == FaultKill && end:
 		return env.startNode(n)
-	case ft.Kind == "kill":
+	case ft.Kind == FaultKill:
 		return env.kill(n)
-	case ft.Kind == "restart" && !end:
+	case ft.Kind == FaultRestart && !end:
 		return env.restart(n)
-	case ft.Kind == "hup" && !end:
+	case ft.Kind == FaultReload && !end:
 		return env.moveDiscovery(n)
 	}
 	return nil // a restart and a move end by themselves
@@ -62,18 +62,18 @@
 // applyServerFault begins or ends a fault of an app server.
 func applyServerFault(ft *Fault, s *appServer, end bool) error {
 	switch ft.Kind {
-	case "dead":
+	case FaultDead:
 		if end {
 			return s.restart(false)
 		}
 		s.crash()
-	case "drain":
+	case FaultDrain:
 		if end {
 			s.remove()
 		} else {
 			s.drain()
 		}
-	case "replace":
+	case FaultReplace:
 		if !end {
 			s.remove()
 			return s.restart(true)
@@ -91,17 +91,17 @@
 		share = 0
 	}
 	switch ft.Kind {
-	case "slow":
+	case FaultSlow:
 		if m.slow = ft.Size; end {
 			m.slow = 1
 		}
-	case "hang":
+	case FaultHang:
 		f.hang = !end
-	case "error":
+	case FaultError:
 		f.errors = share
-	case "reset":
+	case FaultReset:
 		f.resets = share
-	case "spoil":
+	case FaultSpoil:
 		f.malformed = share
 	}
 }
@@ -123,12 +123,12 @@
 // applyNetworkFault begins or ends a fault of what carries bytes between parties.
 func (env *environment) applyNetworkFault(ft *Fault, e FaultEvent) error {
 	switch ft.Kind {
-	case "cut-zone":
+	case FaultCutZone:
 		inside := func(i int) bool { return env.scenario.Fleet.zoneOf(i) == ft.Zone }
 		return env.cut(ft.Way, !e.End, inside, inside)
-	case "cut-node":
+	case FaultCutNode:
 		return env.cut(ft.Way, !e.End, func(i int) bool { return i == e.Target }, func(int) bool { return false })
-	case "link":
+	case FaultLink:
 		return env.applyLinkFault(ft, e.End)
 	}
 	loss := ft.Size
@@ -142,19 +142,19 @@
 // applyListFault begins or ends a fault of discovery.
 func (env *environment) applyListFault(ft *Fault, end bool) error {
 	switch ft.Kind {
-	case "list-late":
+	case FaultListLate:
 		env.list.setExtraDelay(time.Duration(ft.Delay), end)
-	case "list-down":
+	case FaultListDown:
 		env.list.setDown(!end)
-	case "list-reset", "list-silent":
+	case FaultListReset, FaultListSilent:
 		if !end {
-			env.list.breakWatches(ft.Kind == "list-silent")
+			env.list.breakWatches(ft.Kind == FaultListSilent)
 		}
-	case "list-words":
+	case FaultListWords:
 		if env.list.setEncoding(ft.Does); end {
 			env.list.setEncoding("")
 		}
-	case "list-kill":
+	case FaultListKill:
 		if end {
 			return env.list.service.restartKilled()
 		}
@@ -254,7 +254,7 @@
 // describe names what a fault does, for logs and charts.
 func (ft *Fault) describe(e FaultEvent) string {
 	var b strings.Builder
-	b.WriteString(ft.Kind)
+	b.WriteString(string(ft.Kind))
 	if e.Target >= 0 {
 		fmt.Fprintf(&b, " %d", e.Target)
 	} else if ft.Zone != "" {
--- a/internal/testbed/fault_kinds.go
+++ b/internal/testbed/fault_kinds.go
@@ -7,6 +7,36 @@
 	"strings"
 )
 
+// FaultKind is a kind of fault by the name that scenarios give it.
+type FaultKind string
+
+// Kinds of faults.
+const (
+	FaultKill       FaultKind = "kill"
+	FaultRestart    FaultKind = "restart"
+	FaultStall      FaultKind = "stall"
+	FaultReload     FaultKind = "hup"
+	FaultSlow       FaultKind = "slow"
+	FaultHang       FaultKind = "hang"
+	FaultError      FaultKind = "error"
+	FaultReset      FaultKind = "reset"
+	FaultSpoil      FaultKind = "spoil"
+	FaultDead       FaultKind = "dead"
+	FaultDrain      FaultKind = "drain"
+	FaultReplace    FaultKind = "replace"
+	FaultCutZone    FaultKind = "cut-zone"
+	FaultLoseZone   FaultKind = "lose-zone"
+	FaultCutNode    FaultKind = "cut-node"
+	FaultLink       FaultKind = "link"
+	FaultPeerLoss   FaultKind = "peer-loss"
+	FaultListLate   FaultKind = "list-late"
+	FaultListDown   FaultKind = "list-down"
+	FaultListReset  FaultKind = "list-reset"
+	FaultListSilent FaultKind = "list-silent"
+	FaultListWords  FaultKind = "list-words"
+	FaultListKill   FaultKind = "list-kill"
+)
+
 // faultTarget is what a fault is aimed at.
 type faultTarget int
 
@@ -17,38 +47,38 @@
 	faultsZone                       // a zone as a whole
 )
 
-// faultKind is what there is to know of a kind of fault.
-type faultKind struct {
+// faultDescription is what there is to know of a kind of fault.
+type faultDescription struct {
 	target faultTarget
 	relays bool // the links must go through relays
 	about  string
 }
 
-// faultKinds are the kinds of faults by the names that scenarios give them.
-var faultKinds = map[string]faultKind{
-	"kill":        {faultsNodes, false, "SIGKILL; started again after `for`, under the same name"},
-	"restart":     {faultsNodes, false, "SIGTERM one after another, started again when it has ended"},
-	"stall":       {faultsNodes, false, "SIGSTOP, SIGCONT after `for`"},
-	"hup":         {faultsNodes, false, "a new configuration that moves discovery, then SIGHUP"},
-	"slow":        {faultsServers, false, "`size` times slower"},
-	"hang":        {faultsServers, false, "takes requests, answers none"},
-	"error":       {faultsServers, false, "answers a share `size` with 500"},
-	"reset":       {faultsServers, false, "resets a share `size` under the request"},
-	"spoil":       {faultsServers, false, "spoils a share `size` of its answers"},
-	"dead":        {faultsServers, false, "refuses connections and resets those it has; cold afterwards"},
-	"drain":       {faultsServers, false, "drains for `for`, then is gone"},
-	"replace":     {faultsServers, false, "gone, and a cold one with a new id at the same address"},
-	"cut-zone":    {faultsZone, true, "no packet between the zone and the others"},
-	"lose-zone":   {faultsZone, false, "the zone's app servers die and return cold"},
-	"cut-node":    {faultsNodes, true, "no packet between a node and servers and peers"},
-	"link":        {faultsAll, true, "the link `from` a party `to` another, that way alone: `does` silence, reset, refuse, loss (`size`), delay (`late`) or rate (`size` bytes a second)"},
-	"peer-loss":   {faultsAll, false, "a share `size` of the datagrams is lost"},
-	"list-late":   {faultsAll, false, "discovery tells `late` later"},
-	"list-down":   {faultsAll, false, "agents stay silent and take no watch"},
-	"list-reset":  {faultsAll, false, "the open watches are reset"},
-	"list-silent": {faultsAll, false, "nothing comes on the open watches any more"},
-	"list-words":  {faultsAll, false, "changes are told as `does` says: indent, over many lines; trickle, in small pieces; half, without an end; noise; entry, with a spoilt one beside"},
-	"list-kill":   {faultsAll, false, "SIGKILL of the list service's leader, or of all replicas where `share` is 1; started again after `for`"},
+// faultKinds describes the kinds of faults.
+var faultKinds = map[FaultKind]faultDescription{
+	FaultKill:       {faultsNodes, false, "SIGKILL; started again after `for`, under the same name"},
+	FaultRestart:    {faultsNodes, false, "SIGTERM one after another, started again when it has ended"},
+	FaultStall:      {faultsNodes, false, "SIGSTOP, SIGCONT after `for`"},
+	FaultReload:     {faultsNodes, false, "a new configuration that moves discovery, then SIGHUP"},
+	FaultSlow:       {faultsServers, false, "`size` times slower"},
+	FaultHang:       {faultsServers, false, "takes requests, answers none"},
+	FaultError:      {faultsServers, false, "answers a share `size` with 500"},
+	FaultReset:      {faultsServers, false, "resets a share `size` under the request"},
+	FaultSpoil:      {faultsServers, false, "spoils a share `size` of its answers"},
+	FaultDead:       {faultsServers, false, "refuses connections and resets those it has; cold afterwards"},
+	FaultDrain:      {faultsServers, false, "drains for `for`, then is gone"},
+	FaultReplace:    {faultsServers, false, "gone, and a cold one with a new id at the same address"},
+	FaultCutZone:    {faultsZone, true, "no packet between the zone and the others"},
+	FaultLoseZone:   {faultsZone, false, "the zone's app servers die and return cold"},
+	FaultCutNode:    {faultsNodes, true, "no packet between a node and servers and peers"},
+	FaultLink:       {faultsAll, true, "the link `from` a party `to` another, that way alone: `does` silence, reset, refuse, loss (`size`), delay (`late`) or rate (`size` bytes a second)"},
+	FaultPeerLoss:   {faultsAll, false, "a share `size` of the datagrams is lost"},
+	FaultListLate:   {faultsAll, false, "discovery tells `late` later"},
+	FaultListDown:   {faultsAll, false, "agents stay silent and take no watch"},
+	FaultListReset:  {faultsAll, false, "the open watches are reset"},
+	FaultListSilent: {faultsAll, false, "nothing comes on the open watches any more"},
+	FaultListWords:  {faultsAll, false, "changes are told as `does` says: indent, over many lines; trickle, in small pieces; half, without an end; noise; entry, with a spoilt one beside"},
+	FaultListKill:   {faultsAll, false, "SIGKILL of the list service's leader, or of all replicas where `share` is 1; started again after `for`"},
 }
 
 // partyKind is what may be at an end of a link, as scenarios name it.
--- a/internal/testbed/generate.go
+++ b/internal/testbed/generate.go
@@ -30,11 +30,13 @@
 }
 func (d sampler) count(least, most int) int { return least + d.rng.IntN(most-least+1) }
 func (d sampler) chance(x float64) bool     { return d.rng.Float64() < x }
-func (d sampler) of(all ...string) string   { return all[d.rng.IntN(len(all))] }
 func (d sampler) time(least, most time.Duration) Duration {
 	return Duration(time.Duration(d.in(float64(least), float64(most))).Round(10 * time.Millisecond))
 }
 
+// oneOf draws one of several.
+func oneOf[T any](d sampler, all ...T) T { return all[d.rng.IntN(len(all))] }
+
 // shares are parts of 1, to three digits.
 func (d sampler) shares(n int) []float64 {
 	parts, left := make([]float64, n), 1.0
@@ -171,7 +173,7 @@
 	last := at
 	for _, ft := range s.Faults {
 		last = max(last, ft.At+ft.For)
-		if ft.Kind == "list-silent" {
+		if ft.Kind == FaultListSilent {
 			last = max(last, ft.At+Duration(silentWatchGrace))
 		}
 	}
@@ -187,17 +189,17 @@
 func (s *Scenario) lists(d sampler, at Duration) {
 	switch d.rng.IntN(8) {
 	case 0, 1:
-		s.addFault(Fault{At: at, Kind: "list-reset"})
+		s.addFault(Fault{At: at, Kind: FaultListReset})
 	case 2, 3:
-		s.addFault(Fault{At: at, Kind: "list-silent"})
+		s.addFault(Fault{At: at, Kind: FaultListSilent})
 	case 4:
-		s.addFault(Fault{At: at, Kind: "list-down", For: d.time(500*time.Millisecond, 5*time.Second)})
+		s.addFault(Fault{At: at, Kind: FaultListDown, For: d.time(500*time.Millisecond, 5*time.Second)})
 	case 5:
-		s.addFault(Fault{At: at, Kind: "hup", Share: 1})
+		s.addFault(Fault{At: at, Kind: FaultReload, Share: 1})
 	case 6:
-		s.addFault(Fault{At: at, Kind: "list-words", For: d.time(3*time.Second, 8*time.Second), Does: d.of(listEncodings...)})
+		s.addFault(Fault{At: at, Kind: FaultListWords, For: d.time(3*time.Second, 8*time.Second), Does: oneOf(d, listEncodings...)})
 	default:
-		s.addFault(Fault{At: at, Kind: "list-late", For: d.time(time.Second, 5*time.Second), Delay: d.time(100*time.Millisecond, 2*time.Second)})
+		s.addFault(Fault{At: at, Kind: FaultListLate, For: d.time(time.Second, 5*time.Second), Delay: d.time(100*time.Millisecond, 2*time.Second)})
 	}
 }
 
@@ -205,7 +207,7 @@
 func (s *Scenario) drains(d sampler, at Duration) {
 	s.lists(d, at)
 	last := s.Faults[len(s.Faults)-1]
-	drain := Fault{Kind: "drain", At: at + d.time(0, 3*time.Second), Share: round(d.in(0.2, 0.75))}
+	drain := Fault{Kind: FaultDrain, At: at + d.time(0, 3*time.Second), Share: round(d.in(0.2, 0.75))}
 	if last.For > 0 && d.chance(0.5) { // into its end
 		drain.At = at + last.For - Duration(d.in(0, float64(min(last.For, Duration(time.Second)))))
 	}
@@ -214,13 +216,13 @@
 	}
 	s.addFault(drain)
 	if d.chance(0.3) && !s.endsNodes() {
-		s.addFault(Fault{Kind: d.of("kill", "restart"), At: at + d.time(0, 2*time.Second), For: d.time(300*time.Millisecond, 2*time.Second), Count: 1})
+		s.addFault(Fault{Kind: oneOf(d, FaultKill, FaultRestart), At: at + d.time(0, 2*time.Second), For: d.time(300*time.Millisecond, 2*time.Second), Count: 1})
 	}
 }
 
 // endsNodes tells whether a fault ends or stops nodes already: two at once would have a node run twice.
 func (s *Scenario) endsNodes() bool {
-	return slices.ContainsFunc(s.Faults, func(ft Fault) bool { return slices.Contains([]string{"kill", "restart", "stall"}, ft.Kind) })
+	return slices.ContainsFunc(s.Faults, func(ft Fault) bool { return slices.Contains([]FaultKind{FaultKill, FaultRestart, FaultStall}, ft.Kind) })
 }
 
 // restarts ends and starts nodes, or stops them.
@@ -231,24 +233,24 @@
 	}
 	switch d.rng.IntN(4) {
 	case 0:
-		s.addFault(Fault{At: at, Kind: "kill", For: d.time(300*time.Millisecond, 3*time.Second), Share: round(d.in(0.2, 0.8))})
+		s.addFault(Fault{At: at, Kind: FaultKill, For: d.time(300*time.Millisecond, 3*time.Second), Share: round(d.in(0.2, 0.8))})
 	case 1:
-		s.addFault(Fault{At: at, Kind: "stall", For: d.time(200*time.Millisecond, 2*time.Second), Count: 1})
+		s.addFault(Fault{At: at, Kind: FaultStall, For: d.time(200*time.Millisecond, 2*time.Second), Count: 1})
 	default:
-		s.addFault(Fault{At: at, Kind: "restart", Share: 1, Step: d.time(300*time.Millisecond, 1500*time.Millisecond)})
+		s.addFault(Fault{At: at, Kind: FaultRestart, Share: 1, Step: d.time(300*time.Millisecond, 1500*time.Millisecond)})
 		if d.chance(0.6) {
-			s.addFault(Fault{At: at, Kind: "hang", For: d.time(2*time.Second, 6*time.Second), Share: round(d.in(0.2, 0.5))})
+			s.addFault(Fault{At: at, Kind: FaultHang, For: d.time(2*time.Second, 6*time.Second), Share: round(d.in(0.2, 0.5))})
 		}
 	}
 }
 
 // servers has app servers misbehave.
 func (s *Scenario) servers(d sampler, at Duration) {
-	ft := Fault{At: at, For: d.time(time.Second, 6*time.Second), Share: round(d.in(0.05, 0.5)), Kind: d.of("slow", "hang", "error", "reset", "spoil", "dead")}
+	ft := Fault{At: at, For: d.time(time.Second, 6*time.Second), Share: round(d.in(0.05, 0.5)), Kind: oneOf(d, FaultSlow, FaultHang, FaultError, FaultReset, FaultSpoil, FaultDead)}
 	switch ft.Kind {
-	case "slow":
+	case FaultSlow:
 		ft.Size = round(d.in(2, 10))
-	case "error", "reset", "spoil":
+	case FaultError, FaultReset, FaultSpoil:
 		ft.Size = round(d.in(0.05, 0.6))
 	}
 	s.addFault(ft)
@@ -256,7 +258,7 @@
 
 // colds replaces app servers by cold ones.
 func (s *Scenario) colds(d sampler, at Duration) {
-	s.addFault(Fault{At: at, Kind: "replace", Share: round(d.in(0.1, 0.6)), Step: d.time(0, 300*time.Millisecond)})
+	s.addFault(Fault{At: at, Kind: FaultReplace, Share: round(d.in(0.1, 0.6)), Step: d.time(0, 300*time.Millisecond)})
 	if d.chance(0.4) {
 		s.bursts(d, at+d.time(0, time.Second))
 	}
@@ -264,7 +266,7 @@
 
 // peers disturbs what nodes tell one another.
 func (s *Scenario) peers(d sampler, at Duration) {
-	s.addFault(Fault{At: at, Kind: "peer-loss", For: d.time(time.Second, 6*time.Second), Size: round(d.in(0.3, 1))})
+	s.addFault(Fault{At: at, Kind: FaultPeerLoss, For: d.time(time.Second, 6*time.Second), Size: round(d.in(0.3, 1))})
 }
 
 func (s *Scenario) bursts(d sampler, at Duration) {
@@ -273,11 +275,11 @@
 
 // cuts parts a zone from the others, or loses its app servers.
 func (s *Scenario) cuts(d sampler, at Duration) {
-	zone := d.of(s.Fleet.Zones...)
+	zone := oneOf(d, s.Fleet.Zones...)
 	last := d.time(time.Second, 5*time.Second)
 	if s.Fleet.Servers > generatedRelayed || len(s.Fleet.Zones) == 1 || d.chance(0.4) {
-		s.addFault(Fault{At: at, Kind: "lose-zone", Zone: zone, For: last})
+		s.addFault(Fault{At: at, Kind: FaultLoseZone, Zone: zone, For: last})
 		return
 	}
-	s.addFault(Fault{At: at, Kind: "cut-zone", Zone: zone, For: last, Way: d.of("both", "in", "out")})
+	s.addFault(Fault{At: at, Kind: FaultCutZone, Zone: zone, For: last, Way: oneOf(d, "both", "in", "out")})
 }
--- a/internal/testbed/generate_test.go
+++ b/internal/testbed/generate_test.go
@@ -41,7 +41,7 @@
 				}
 			}
 			for _, ft := range s.Faults {
-				seen[ft.Kind+ft.Does]++
+				seen[string(ft.Kind)+ft.Does]++
 			}
 		}
 	}
--- a/internal/testbed/run.go
+++ b/internal/testbed/run.go
@@ -132,7 +132,7 @@
 func (env *environment) awaitRecovery() (up int) {
 	gone := map[int]bool{}
 	for _, e := range env.schedule.Faults {
-		if env.scenario.Faults[e.Fault].Kind == "kill" {
+		if env.scenario.Faults[e.Fault].Kind == FaultKill {
 			gone[e.Target] = !e.End
 		}
 	}
--- a/internal/testbed/scenario.go
+++ b/internal/testbed/scenario.go
@@ -110,19 +110,19 @@
 
 // Fault is one thing that goes wrong, or ends to.
 type Fault struct {
-	At    Duration `toml:"at"`
-	For   Duration `toml:"for"` // 0: for the rest of the run
-	Kind  string   `toml:"kind"`
-	Zone  string   `toml:"zone"`  // of the zone faults, or to choose targets from
-	Count int      `toml:"count"` // targets; 0 with no share: one
-	Share float64  `toml:"share"` // targets as a share of all
-	Size  float64  `toml:"size"`  // times slower, or the share of requests or datagrams hit
-	Step  Duration `toml:"step"`  // from one target to the next
-	Delay Duration `toml:"late"`  // of list-late and delay
-	Way   string   `toml:"way"`   // of cuts: both, in, out, seen from the zone or node
-	From  string   `toml:"from"`  // of links: clients, node:N, nodes, zone:Z
-	To    string   `toml:"to"`    // of links: node:N, nodes, server:N, servers, zone:Z, agent
-	Does  string   `toml:"does"`  // of links: silence, reset, refuse, loss, delay, rate; of list-words: indent, trickle, half, noise, entry
+	At    Duration  `toml:"at"`
+	For   Duration  `toml:"for"` // 0: for the rest of the run
+	Kind  FaultKind `toml:"kind"`
+	Zone  string    `toml:"zone"`  // of the zone faults, or to choose targets from
+	Count int       `toml:"count"` // targets; 0 with no share: one
+	Share float64   `toml:"share"` // targets as a share of all
+	Size  float64   `toml:"size"`  // times slower, or the share of requests or datagrams hit
+	Step  Duration  `toml:"step"`  // from one target to the next
+	Delay Duration  `toml:"late"`  // of list-late and delay
+	Way   string    `toml:"way"`   // of cuts: both, in, out, seen from the zone or node
+	From  string    `toml:"from"`  // of links: clients, node:N, nodes, zone:Z
+	To    string    `toml:"to"`    // of links: node:N, nodes, server:N, servers, zone:Z, agent
+	Does  string    `toml:"does"`  // of links: silence, reset, refuse, loss, delay, rate; of list-words: indent, trickle, half, noise, entry
 }
 
 // Expect is a bound on a figure of the run.
@@ -163,10 +163,10 @@
 	"list_max_ms":    "the longest of the same",
 }
 
-func names[V any](m map[string]V) string {
+func names[K ~string, V any](m map[K]V) string {
 	var all []string
 	for n := range m {
-		all = append(all, n)
+		all = append(all, string(n))
 	}
 	slices.Sort(all)
 	return strings.Join(all, ", ")
--- a/internal/testbed/scenario_validate.go
+++ b/internal/testbed/scenario_validate.go
@@ -235,26 +235,26 @@
 		return fieldErrorf(field+"count", "%d is not from 0 to %d", ft.Count, all)
 	case ft.Share < 0 || ft.Share > 1:
 		return fieldErrorf(field+"share", "%v is not from 0 to 1", ft.Share)
-	case ft.Kind == "slow" && ft.Size < 1:
+	case ft.Kind == FaultSlow && ft.Size < 1:
 		return fieldErrorf(field+"kind", "slow wants a size of 1 or more, times slower")
-	case slices.Contains([]string{"error", "reset", "spoil", "peer-loss"}, ft.Kind) && !(ft.Size > 0 && ft.Size <= 1):
+	case slices.Contains([]FaultKind{FaultError, FaultReset, FaultSpoil, FaultPeerLoss}, ft.Kind) && !(ft.Size > 0 && ft.Size <= 1):
 		return fieldErrorf(field+"kind", "%s wants a size above 0 and up to 1, a share", ft.Kind)
-	case ft.Kind == "list-late" && ft.Delay <= 0:
+	case ft.Kind == FaultListLate && ft.Delay <= 0:
 		return fieldErrorf(field+"kind", "%s wants late, a duration", ft.Kind)
-	case ft.Kind == "list-kill" && ft.Share != 0 && ft.Share != 1:
+	case ft.Kind == FaultListKill && ft.Share != 0 && ft.Share != 1:
 		return fieldErrorf(field+"share", "%v is neither 0, for the leader, nor 1, for all", ft.Share)
-	case ft.Kind == "list-kill" && s.Fleet.ListReplicas == 0:
+	case ft.Kind == FaultListKill && s.Fleet.ListReplicas == 0:
 		return fieldErrorf(field+"kind", "list-kill wants fleet.list_replicas, 3 or 5")
-	case strings.HasPrefix(ft.Kind, "list-") && ft.Kind != "list-kill" && ft.Kind != "list-down" && ft.Kind != "list-late" && s.Fleet.ListReplicas > 0:
+	case strings.HasPrefix(string(ft.Kind), "list-") && ft.Kind != FaultListKill && ft.Kind != FaultListDown && ft.Kind != FaultListLate && s.Fleet.ListReplicas > 0:
 		return fieldErrorf(field+"kind", "%s is of the testbed's own list: leave out fleet.list_replicas", ft.Kind)
-	case ft.Kind == "list-words" && !slices.Contains(listEncodings, ft.Does):
+	case ft.Kind == FaultListWords && !slices.Contains(listEncodings, ft.Does):
 		return fieldErrorf(field+"does", "%q is none of %s", ft.Does, strings.Join(listEncodings, ", "))
-	case ft.Kind == "stall" && ft.For <= 0:
+	case ft.Kind == FaultStall && ft.For <= 0:
 		return fieldErrorf(field+"kind", "stall wants for, a duration")
 	case !slices.Contains([]string{"", "both", "in", "out"}, ft.Way):
 		return fieldErrorf(field+"way", "%q is none of both, in, out", ft.Way)
 	}
-	if ft.Kind == "link" {
+	if ft.Kind == FaultLink {
 		return s.validateLink(field, ft)
 	}
 	return nil
--- a/internal/testbed/sweep.go
+++ b/internal/testbed/sweep.go
@@ -319,7 +319,7 @@
 
 // brief names a fault in few words.
 func (ft *Fault) brief() string {
-	words := []string{fmt.Sprintf("%.2gs", ft.At.s()), ft.Kind}
+	words := []string{fmt.Sprintf("%.2gs", ft.At.s()), string(ft.Kind)}
 	for _, w := range []string{ft.Does, ft.Zone, ft.Way} {
 		if w != "" {
 			words = append(words, w)
