--- a/cmd/opalhook/testbed.go
+++ b/cmd/opalhook/testbed.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"maps"
 	"os"
 	"path/filepath"
 	"slices"
@@ -113,7 +114,7 @@
 	c := &cobra.Command{
 		Use:     "fault KIND [TARGET]",
 		Short:   "Inject a fault into a run that is under way",
-		Long:    "Inject a fault into a run that was started with --control. The target is the number of a node or an app server.",
+		Long:    "Inject a fault into a run that was started with --control. The target is the number of a node or an app server.\n\nKinds:\n" + faultHelp(),
 		Example: "  opalhook up --control 127.0.0.1:9911\n  opalhook testbed fault slow 3 --size 5 --for 10s\n  opalhook testbed fault kill 0 --for 4s",
 		Args:    cobra.RangeArgs(1, 2),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -148,6 +149,16 @@
 	return c
 }
 
+// faultHelp describes the kinds of faults for the help.
+func faultHelp() string {
+	kinds := testbed.FaultKinds()
+	var b strings.Builder
+	for _, kind := range slices.Sorted(maps.Keys(kinds)) {
+		fmt.Fprintf(&b, "  %-12s %s\n", kind, kinds[kind])
+	}
+	return b.String()
+}
+
 // scenarioRow is a scenario file in a list. An Error stands in place of what can't be read.
 type scenarioRow struct {
 	File  string `json:"file"`
--- a/internal/testbed/fault_kinds.go
+++ b/internal/testbed/fault_kinds.go
@@ -56,24 +56,24 @@
 
 // faultKinds describes the kinds of faults.
 var faultKinds = map[FaultKind]faultDescription{
-	FaultKill:       {faultsNodes, false, "SIGKILL; started again after `for`, under the same name"},
-	FaultRestart:    {faultsNodes, false, "SIGTERM one after another, started again when it has ended"},
-	FaultStall:      {faultsNodes, false, "SIGSTOP, SIGCONT after `for`"},
-	FaultReload:     {faultsNodes, false, "a new configuration that moves discovery, then SIGHUP"},
-	FaultSlow:       {faultsServers, false, "`size` times slower"},
-	FaultHang:       {faultsServers, false, "takes requests, answers none"},
-	FaultError:      {faultsServers, false, "answers a share `size` with 500"},
-	FaultReset:      {faultsServers, false, "resets a share `size` under the request"},
-	FaultSpoil:      {faultsServers, false, "spoils a share `size` of its answers"},
-	FaultDead:       {faultsServers, false, "refuses connections and resets those it has; cold afterwards"},
-	FaultDrain:      {faultsServers, false, "drains for `for`, then is gone"},
-	FaultReplace:    {faultsServers, false, "gone, and a cold one with a new id at the same address"},
+	FaultKill:       {faultsNodes, false, "SIGKILL of a node; started again after `for`, under the same name"},
+	FaultRestart:    {faultsNodes, false, "SIGTERM of nodes one after another, each started again when it has ended"},
+	FaultStall:      {faultsNodes, false, "SIGSTOP of a node, SIGCONT after `for`"},
+	FaultReload:     {faultsNodes, false, "a new configuration that moves a node to another discovery agent, then SIGHUP"},
+	FaultSlow:       {faultsServers, false, "an app server is `size` times slower"},
+	FaultHang:       {faultsServers, false, "an app server accepts requests and answers none"},
+	FaultError:      {faultsServers, false, "an app server answers a share `size` of the requests with 500"},
+	FaultReset:      {faultsServers, false, "an app server resets the connection under a share `size` of the requests"},
+	FaultSpoil:      {faultsServers, false, "an app server sends a share `size` of its responses malformed"},
+	FaultDead:       {faultsServers, false, "an app server refuses connections and resets those it has; in slow start afterwards"},
+	FaultDrain:      {faultsServers, false, "an app server drains for `for`, then is removed"},
+	FaultReplace:    {faultsServers, false, "an app server is removed, and one in slow start with a new id stands at its address"},
 	FaultCutZone:    {faultsZone, true, "no packet between the zone and the others"},
-	FaultLoseZone:   {faultsZone, false, "the zone's app servers die and return cold"},
+	FaultLoseZone:   {faultsZone, false, "the zone's app servers crash and return in slow start"},
 	FaultCutNode:    {faultsNodes, true, "no packet between a node and servers and peers"},
 	FaultLink:       {faultsAll, true, "the link `from` a party `to` another, that way alone: `does` silence, reset, refuse, loss (`size`), delay (`late`) or rate (`size` bytes a second)"},
 	FaultPeerLoss:   {faultsAll, false, "a share `size` of the datagrams is lost"},
-	FaultListLate:   {faultsAll, false, "discovery tells `late` later"},
+	FaultListLate:   {faultsAll, false, "discovery tells of changes `late` later"},
 	FaultListDown:   {faultsAll, false, "agents stay silent and take no watch"},
 	FaultListReset:  {faultsAll, false, "the open watches are reset"},
 	FaultListSilent: {faultsAll, false, "nothing comes on the open watches any more"},
@@ -81,6 +81,15 @@
 	FaultListKill:   {faultsAll, false, "SIGKILL of the list service's leader, or of all replicas where `share` is 1; started again after `for`"},
 }
 
+// FaultKinds lists the kinds of faults, with what each does; words in backquotes are a fault's fields.
+func FaultKinds() map[FaultKind]string {
+	all := map[FaultKind]string{}
+	for kind, description := range faultKinds {
+		all[kind] = description.about
+	}
+	return all
+}
+
 // partyKind is what may be at an end of a link, as scenarios name it.
 type partyKind string
 
--- a/internal/testbed/fault_kinds_test.go
+++ b/internal/testbed/fault_kinds_test.go
@@ -34,8 +34,12 @@
 
 // Every kind of fault says what it does and what it is aimed at.
 func TestFaultKindsAreDescribed(t *testing.T) {
+	described := FaultKinds()
+	if len(described) != len(faultKinds) {
+		t.Errorf("%d of %d kinds are described", len(described), len(faultKinds))
+	}
 	for name, kind := range faultKinds {
-		if kind.about == "" {
+		if described[name] == "" {
 			t.Errorf("%s: nothing is said of it", name)
 		}
 		if kind.target < faultsAll || kind.target > faultsZone {
