--- a/balancer/decisions_test.go
+++ b/balancer/decisions_test.go
@@ -24,11 +24,11 @@
 // A change that is to leave behaviour as it is must pass with the hashes as they are. One that changes
 // decisions records new hashes, and its commit says why:
 //
-//	go test ./choice -run TestDecisions -update
+//	go test ./balancer -run TestDecisions -update
 //
 // To see where two versions part, let each write its trace and compare the files:
 //
-//	go test ./choice -run TestDecisions -trace-decisions DIRECTORY
+//	go test ./balancer -run TestDecisions -trace-decisions DIRECTORY
 
 var traceDecisions = flag.String("trace-decisions", "", "directory for a text of all events and actions")
 
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -17,10 +17,10 @@
 	slowStart slowStartBudget
 	restarts  restartEvidence
 
-	rendezvousKey uint64  // from which its order of the nodes follows
-	shortHash     uint16  // its name in load gossip
-	sharers       sharers // the nodes whose subsets hold it
-	countedWeight float64 // weight with which [endpointSet.subsetWeights] counts it; 0: it doesn't
+	rendezvousKey uint64        // from which its order of the nodes follows
+	shortHash     uint16        // its name in load gossip
+	sharers       subsetHolders // the nodes whose subsets hold it
+	countedWeight float64       // weight with which [endpointSet.subsetWeights] counts it; 0: it doesn't
 }
 
 // newEndpoint returns an endpoint of which nothing is known but its entry in the list.
--- a/balancer/endpoint_list.go
+++ b/balancer/endpoint_list.go
@@ -179,7 +179,7 @@
 // see [subsetSizing.entersAt].
 func (l *endpointList) setEntersAt(slot slotIndex, subsets float64) {
 	l.entries[slot].entersAt = subsets
-	if subsets == never {
+	if subsets == notRanked {
 		return
 	}
 	if len(l.subsetCandidates) >= l.maxSubsetCandidates {
@@ -204,7 +204,7 @@
 	slices.Sort(l.subsetCandidates)
 	l.subsetCandidates = slices.Compact(l.subsetCandidates)
 	l.subsetCandidates = slices.DeleteFunc(l.subsetCandidates,
-		func(slot slotIndex) bool { return l.entries[slot].entersAt == never })
+		func(slot slotIndex) bool { return l.entries[slot].entersAt == notRanked })
 	l.maxSubsetCandidates = 2 * max(len(l.subsetCandidates), minSubsetCandidates)
 }
 
@@ -231,7 +231,7 @@
 	if l.entries[slot].snapshotMark == l.snapshotMark {
 		l.namedInSnapshot--
 	}
-	l.entries[slot] = listedEndpoint{state: listedState(Removed), entersAt: never}
+	l.entries[slot] = listedEndpoint{state: listedState(Removed), entersAt: notRanked}
 	l.free = append(l.free, slot)
 }
 
--- a/balancer/endpoint_set.go
+++ b/balancer/endpoint_set.go
@@ -102,7 +102,7 @@
 func (s *endpointSet) listEndpoint(now time.Duration, slot slotIndex, listedBefore bool, entry Endpoint) {
 	if !listedBefore {
 		slot = s.list.add(entry.ID)
-		s.list.setEntersAt(slot, s.sizing.entersAt(entry.ID))
+		s.list.setEntersAt(slot, s.sizing.entryThreshold(entry.ID))
 		s.list.setTracked(slot, s.trackedByID[entry.ID] != nil)
 	}
 	s.list.update(slot, entry)
@@ -118,7 +118,7 @@
 	}
 	s.index.invalidate()
 	if change == subsetBeyondRanks {
-		s.list.resetEntersAt(s.sizing.entersAt)
+		s.list.resetEntersAt(s.sizing.entryThreshold)
 	}
 	for _, slot := range s.list.subsetCandidates {
 		s.updateMembership(now, slot, true)
--- a/balancer/gossip_test.go
+++ b/balancer/gossip_test.go
@@ -58,9 +58,9 @@
 	gossip := newGossiper(&settings, 1)
 	codec := codec{settings.Plans, settings.NodeCount}
 	plan := func(limit int) *quotaPlan { return &quotaPlan{Plan{Rate: 1, MaxConcurrent: limit}, 0} }
-	rated := &quotaBucket{plan: plan(0), entryNodes: entryNodes{0, 2}, sharers: 2, ownerCount: 1}
-	limited := &quotaBucket{tenant: 1, plan: plan(1), entryNodes: entryNodes{0, 2}, sharers: 2, ownerCount: 1}
-	owned := &quotaBucket{plan: plan(0), entryNodes: entryNodes{0, 2}, sharers: 1, ownerCount: 1, owned: true}
+	rated := &quotaBucket{plan: plan(0), entryNodes: entryNodes{0, 2}, quotaShares: 2, ownerCount: 1}
+	limited := &quotaBucket{tenant: 1, plan: plan(1), entryNodes: entryNodes{0, 2}, quotaShares: 2, ownerCount: 1}
+	owned := &quotaBucket{plan: plan(0), entryNodes: entryNodes{0, 2}, quotaShares: 1, ownerCount: 1, owned: true}
 	limited.attemptStarted()
 	for range 2 { // queued once
 		gossip.markUnreported(rated)
--- a/balancer/overload.go
+++ b/balancer/overload.go
@@ -26,6 +26,9 @@
 	minOwnSamples = 10
 	// ownPoolSmoothing is the weight of a control interval in the pooled means: about two seconds.
 	ownPoolSmoothing = 0.05
+	// minPooledSamples is the number of samples below which the occupancy counts as 0: less is what has faded
+	// of earlier ones in the pooled means.
+	minPooledSamples = minOwnSamples * ownPoolSmoothing / 4
 	// peerPoolSmoothing is the weight of a peer's means in the pooled means.
 	peerPoolSmoothing = 0.3
 )
@@ -133,7 +136,7 @@
 	total, acceptRate := c.assessedSamples()
 	c.acceptRate = acceptRate
 	c.occupancy = 0
-	if total.occupancySamples > minOwnSamples*ownPoolSmoothing/4 {
+	if total.occupancySamples > minPooledSamples {
 		c.occupancy = math.Min(total.occupancySum/total.occupancySamples, 1)
 	}
 	c.admittedFraction = math.Min(c.fractionByAcceptRate(), c.fractionByOccupancy())
--- a/balancer/owned_quota_test.go
+++ b/balancer/owned_quota_test.go
@@ -224,8 +224,8 @@
 		settings.Plans[1].Rate = c.rate
 		node, _ := newTestBalancer(t, settings, equalEndpoints(4)...)
 		bucket := node.quotaFor(ownedTenant, node.ratePlan(), entryNodes{0, 7})
-		if !bucket.owned || bucket.sharers != c.owners {
-			t.Errorf("%+v: owned %v, by %d", c, bucket.owned, bucket.sharers)
+		if !bucket.owned || bucket.quotaShares != c.owners {
+			t.Errorf("%+v: owned %v, by %d", c, bucket.owned, bucket.quotaShares)
 		}
 	}
 }
--- a/balancer/quota_bucket.go
+++ b/balancer/quota_bucket.go
@@ -24,12 +24,12 @@
 // flight, and this node's part of the hard limit. A quota is either split between the entry nodes, which
 // report their use to each other, or owned by a few of them, which grant the others' requests.
 type quotaBucket struct {
-	tenant     uint64
-	plan       *quotaPlan
-	entryNodes entryNodes
-	owned      bool
-	sharers    int     // nodes between which the quota is divided: its owners or all its entry nodes
-	ownerCount float64 // buckets that the quota is kept in: that of its owners, or 1
+	tenant      uint64
+	plan        *quotaPlan
+	entryNodes  entryNodes
+	owned       bool
+	quotaShares int     // nodes between which the quota is divided: its owners or all its entry nodes
+	ownerCount  float64 // buckets that the quota is kept in: that of its owners, or 1
 
 	refilledAt time.Duration
 	tokens     float64 // units; below 0 when the nodes have acquired more than there was
@@ -66,7 +66,7 @@
 func (q *quotaBucket) initialTokens(sinceStart, grantedFraction float64) float64 {
 	switch {
 	case !q.owned:
-		return math.Min(q.plan.Burst, q.plan.Burst/float64(q.sharers)+q.plan.Rate*sinceStart)
+		return math.Min(q.plan.Burst, q.plan.Burst/float64(q.quotaShares)+q.plan.Rate*sinceStart)
 	case grantedFraction < overQuotaThreshold:
 		return 0
 	}
@@ -82,7 +82,7 @@
 	if q.owner.hasRequesters() && now-lastMessage > isolatedAfter {
 		// The requesters are taken to acquire as before while their messages do not come.
 		floor := -math.Max(q.tokens, 0) / math.Max(seconds, 1e-9)
-		rate = math.Max(rate-q.owner.heldGrantRate(now), floor)
+		rate = math.Max(rate-q.owner.holdGrantRate(now), floor)
 	}
 	q.tokens = math.Min(q.tokens+rate*seconds, plan.Burst/q.ownerCount)
 	q.hardLimit.refill(plan, seconds)
@@ -143,7 +143,7 @@
 	if q.owned {
 		return 1
 	}
-	return float64(q.sharers)
+	return float64(q.quotaShares)
 }
 
 // concurrencyHeadroom is how many more attempts the tenant may have in flight, as far as is known. A peer
@@ -183,7 +183,9 @@
 }
 
 // requestersPerOwner is the whole number of entry nodes that ask each owner.
-func (q *quotaBucket) requestersPerOwner() float64 { return float64(q.entryNodes.count / q.sharers) }
+func (q *quotaBucket) requestersPerOwner() float64 {
+	return float64(q.entryNodes.count / q.quotaShares)
+}
 
 // congested reports whether the tenant was rejected of late.
 func (q *quotaBucket) congested(now time.Duration) bool { return now < q.congestedUntil }
--- a/balancer/quota_bucket_test.go
+++ b/balancer/quota_bucket_test.go
@@ -11,7 +11,7 @@
 // splitBucket is a full bucket of a quota that a number of nodes split.
 func splitBucket(plan Plan, nodes int) *quotaBucket {
 	return &quotaBucket{
-		plan: &quotaPlan{Plan: plan}, entryNodes: entryNodes{0, nodes}, sharers: nodes, ownerCount: 1,
+		plan: &quotaPlan{Plan: plan}, entryNodes: entryNodes{0, nodes}, quotaShares: nodes, ownerCount: 1,
 		tokens: plan.Burst, refilledAt: testStart,
 	}
 }
@@ -19,7 +19,7 @@
 // ownedBucket is a full bucket of one of a quota's owners.
 func ownedBucket(plan Plan, owners int) *quotaBucket {
 	return &quotaBucket{
-		plan: &quotaPlan{Plan: plan}, entryNodes: entryNodes{0, 10 * owners}, owned: true, sharers: owners,
+		plan: &quotaPlan{Plan: plan}, entryNodes: entryNodes{0, 10 * owners}, owned: true, quotaShares: owners,
 		ownerCount: float64(owners), tokens: plan.Burst / float64(owners), refilledAt: testStart,
 	}
 }
--- a/balancer/quota_owner.go
+++ b/balancer/quota_owner.go
@@ -52,7 +52,7 @@
 }
 
 // answer answers a quota request for which the owner has no answer yet. underPressure
-// says that the node's inbox is.
+// says that this node's inbox is filling up.
 func (o *quotaOwner) answer(now time.Duration, bucket *quotaBucket, requester int, request *quotaRequest,
 	gossipInterval time.Duration, underPressure bool,
 ) quotaGrant {
@@ -113,7 +113,7 @@
 	o.requesters[requester] = sum
 	switch {
 	case !known:
-		return 0 // What it corrected before is in no bucket of this owner.
+		return 0 // The first sum is a baseline: earlier corrections never reached this owner's bucket.
 	case previous.incarnation != sum.incarnation:
 		return sum.units
 	}
@@ -155,18 +155,20 @@
 	o.demandRate, o.grantRate, o.ratesAt = o.demandRate*retained, o.grantRate*retained, now
 }
 
-// heldGrantRate returns the units granted per second, which don't decay while requesters go unheard.
-func (o *ownerState) heldGrantRate(now time.Duration) float64 {
+// holdGrantRate stops the decay of both averages up to now and returns the units granted per second: while no
+// requester is heard, the last known rates stand.
+func (o *ownerState) holdGrantRate(now time.Duration) float64 {
 	o.ratesAt = now
 	return o.grantRate
 }
 
 // ownerFor is the owner that a node asks for units.
 func (q *quotaBucket) ownerFor(node, nodeCount int) int {
-	return q.ownerOfPart(node%q.sharers, nodeCount)
+	return q.ownerOfPart(node%q.quotaShares, nodeCount)
 }
 
-// ownerOfPart is the owner of one part of the quota, the same at all nodes. One node may own several parts.
+// ownerOfPart is the owner of one part of the quota. All nodes have to compute the same one: a change of this
+// hash moves every quota in a fleet of mixed versions. One node may own several parts.
 func (q *quotaBucket) ownerOfPart(part, nodeCount int) int {
 	hash := (q.tenant + 1 + uint64(part)<<40) * 0x9e3779b97f4a7c15
 	hash = (hash ^ hash>>32) * 0xd6e8feb86659fd93
@@ -175,7 +177,7 @@
 
 // partsOwnedBy is the number of the quota's parts that a node owns.
 func (q *quotaBucket) partsOwnedBy(node, nodeCount int) (parts int) {
-	for part := range q.sharers {
+	for part := range q.quotaShares {
 		parts += int(oneIf(q.ownerOfPart(part, nodeCount) == node))
 	}
 	return parts
--- a/balancer/quota_owner_test.go
+++ b/balancer/quota_owner_test.go
@@ -125,7 +125,7 @@
 	if want := 10 / math.E; math.Abs(owner.demandRate-want) > 1e-9 || math.Abs(owner.grantRate-want/2) > 1e-9 {
 		t.Errorf("%v wanted and %v granted a second, want %v and %v", owner.demandRate, owner.grantRate, want, want/2)
 	}
-	held := owner.heldGrantRate(testStart + time.Hour)
+	held := owner.holdGrantRate(testStart + time.Hour)
 	owner.recordGrant(testStart+time.Hour, 0)
 	if owner.grantRate != held {
 		t.Errorf("%v granted a second after it was held at %v", owner.grantRate, held)
--- a/balancer/quota_table.go
+++ b/balancer/quota_table.go
@@ -88,13 +88,14 @@
 	now time.Duration, tenant uint64, plan *quotaPlan, nodes entryNodes, grantedFraction float64,
 ) *quotaBucket {
 	bucket := &quotaBucket{
-		tenant: tenant, plan: plan, entryNodes: nodes, sharers: nodes.count, ownerCount: 1, refilledAt: now,
+		tenant: tenant, plan: plan, entryNodes: nodes,
+		quotaShares: nodes.count, ownerCount: 1, refilledAt: now,
 		requester: requesterState{incarnation: t.random.Uint64N(maxIncarnation)},
 		owner:     ownerState{grantedFraction: 1},
 	}
 	if t.haveOwners && nodes.count > 1 {
-		bucket.owned, bucket.sharers = true, t.ownersNeeded(plan, nodes.count)
-		bucket.ownerCount = float64(bucket.sharers)
+		bucket.owned, bucket.quotaShares = true, t.ownersNeeded(plan, nodes.count)
+		bucket.ownerCount = float64(bucket.quotaShares)
 	}
 	sinceStart := (now - t.startedAt).Seconds()
 	bucket.tokens = bucket.initialTokens(sinceStart, grantedFraction)
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -17,8 +17,9 @@
 	rankedNodesFactor = 2
 )
 
-// never is the number of subsets at which an endpoint enters that can't enter this node's subset soon.
-var never = math.Inf(1)
+// notRanked is the entry threshold of an endpoint in whose order this node is not among those ranked so
+// far. It is larger than any number of subsets.
+var notRanked = math.Inf(1)
 
 // subsetSizing decides which endpoints this node's subset holds. Every connection costs both sides work: an
 // endpoint is in few enough subsets that the nodes which share it keep their connections and meet it often.
@@ -52,17 +53,17 @@
 	return max(int(s.subsetsPerEndpoint*float64(listLength))/s.nodeCount, 1)
 }
 
-// entersAt returns the number of subsets for each endpoint from which on one is in this node's subset.
+// entryThreshold returns the number of subsets for each endpoint from which on one is in this node's subset.
 // Endpoints enter one by one as that number grows, each at a fraction of its own: otherwise one endpoint
 // more might change all subsets.
-func (s *subsetSizing) entersAt(id string) float64 {
+func (s *subsetSizing) entryThreshold(id string) float64 {
 	if !s.enabled {
 		return 0
 	}
 	key := endpointKey(id)
 	before := position(key, s.nodeIndex, s.nodeCount, s.rankedNodes)
 	if before >= s.rankedNodes {
-		return never
+		return notRanked
 	}
 	return float64(before+1) - fraction(key)
 }
@@ -98,19 +99,19 @@
 	return subsetBeyondRanks
 }
 
-// sharers says which nodes' subsets hold an endpoint: the first in its order. The zero value is not worked
-// out.
-type sharers struct {
+// subsetHolders says which nodes' subsets hold an endpoint: the first in its order. The zero value is not
+// worked out.
+type subsetHolders struct {
 	count    int    // when last worked out
 	lastRank uint64 // of the last of them in the endpoint's order
 }
 
-// sharersOf returns the nodes whose subsets hold an endpoint; what was known of it before saves the work
+// holdersOf returns the nodes whose subsets hold an endpoint; what was known of it before saves the work
 // where their number is the same.
-func (s *subsetSizing) sharersOf(key uint64, before sharers) sharers {
+func (s *subsetSizing) holdersOf(key uint64, before subsetHolders) subsetHolders {
 	count := int(s.subsetsPerEndpoint + fraction(key))
 	if count == before.count || !s.enabled {
 		return before
 	}
-	return sharers{count, lastRank(key, s.nodeCount, count)}
+	return subsetHolders{count, lastRank(key, s.nodeCount, count)}
 }
--- a/balancer/subset_index.go
+++ b/balancer/subset_index.go
@@ -40,7 +40,7 @@
 	for _, e := range tracked {
 		if e.inSubset {
 			i.addHash(e)
-			e.sharers = sizing.sharersOf(e.rendezvousKey, e.sharers)
+			e.sharers = sizing.holdersOf(e.rendezvousKey, e.sharers)
 			i.shared = append(i.shared, sharedEndpoint{e.rendezvousKey, e.sharers.lastRank, e})
 		}
 	}
--- a/balancer/subset_index_test.go
+++ b/balancer/subset_index_test.go
@@ -50,7 +50,7 @@
 	for n := 0; ; n++ { // another of the subset with the same short hash
 		e := Endpoint{ID: fmt.Sprintf("other-%d", n), MachineType: "k", Zone: "a"}
 		if shortEndpointHash(e.ID) == first.shortHash &&
-			b.endpoints.sizing.entersAt(e.ID) <= b.endpoints.sizing.subsetsPerEndpoint {
+			b.endpoints.sizing.entryThreshold(e.ID) <= b.endpoints.sizing.subsetsPerEndpoint {
 			b.EndpointsUpdated(testStart, UpdateDelta, []Endpoint{e}, r)
 			break
 		}
--- a/balancer/subset_sizing_test.go
+++ b/balancer/subset_sizing_test.go
@@ -14,16 +14,16 @@
 		for i := range 200 {
 			id := fmt.Sprint("endpoint-", i)
 			before := position(endpointKey(id), 3, nodes, nodes)
-			got, want := sizing.entersAt(id), float64(before+1)-fraction(endpointKey(id))
+			got, want := sizing.entryThreshold(id), float64(before+1)-fraction(endpointKey(id))
 			if before >= ranked {
-				want = never
+				want = notRanked
 			}
 			if got != want {
 				t.Errorf("%d ranked, position %d: enters at %v, want %v", ranked, before, got, want)
 			}
 		}
 	}
-	if got := (&subsetSizing{nodeCount: nodes}).entersAt("any"); got != 0 {
+	if got := (&subsetSizing{nodeCount: nodes}).entryThreshold("any"); got != 0 {
 		t.Errorf("enters at %v in a small fleet, want always", got)
 	}
 }
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -224,7 +224,7 @@
 		}
 		live := 0
 		for at := range b.endpoints.list.entries {
-			if b.endpoints.list.isFree(slotIndex(at)) || b.endpoints.list.entries[at].entersAt == never {
+			if b.endpoints.list.isFree(slotIndex(at)) || b.endpoints.list.entries[at].entersAt == notRanked {
 				continue
 			}
 			if live++; !candidates[slotIndex(at)] {
--- a/internal/agent/follower.go
+++ b/internal/agent/follower.go
@@ -238,7 +238,8 @@
 }
 
 // checkGeneration returns a [*VersionError] for a message that does not go on from what is held. A complete list of an
-// earlier generation is let through once every replica has had no later one for the rollback tolerance.
+// earlier generation is let through once every replica has had no later one for the rollback tolerance, which begins
+// with the first such list. That it was let through is logged.
 func (f *Follower) checkGeneration(now time.Duration, m discovery.Message) error {
 	held := f.latest().generation
 	if !m.Reset {
--- a/internal/edgenode/inflight.go
+++ b/internal/edgenode/inflight.go
@@ -49,8 +49,8 @@
 var errIDInUse = errors.New("request id is in use")
 
 // handleRequest has the balancer decide on a request of a client and returns its final response. A request whose client
-// goes, or that is not answered by the deadline, is aborted. A client that has closed its sending side only still
-// has its response.
+// goes, or that is not answered by the deadline, is aborted. A client that has closed only its sending side
+// still gets its response.
 func (n *Node) handleRequest(ctx context.Context, q balancer.Request, m upstream.Message, deadline time.Time) (clientResponse, error) {
 	request := n.startRequest(q, m, deadline)
 	if request == nil {
@@ -83,7 +83,7 @@
 	if inUse {
 		return nil
 	}
-	if !ok {
+	if !ok { // the balancer panicked or the node is closed: no other response will come
 		n.abortRequest(request)
 	}
 	return request
--- a/internal/edgenode/upstream/pool.go
+++ b/internal/edgenode/upstream/pool.go
@@ -41,7 +41,7 @@
 	idleSince   time.Time
 	connectedAt time.Time
 
-	rested time.Duration // how long it was idle before the current exchange; 0 for a new one
+	idleFor time.Duration // how long it was idle before the current exchange; 0 for a new one
 }
 
 // acquire returns a connection to the server: of the idle ones that have rested, or will have in a moment, the one used
@@ -58,7 +58,7 @@
 		if c := b.takeRested(time.Now()); c != nil {
 			keep := u.keepIdleFor(b)
 			u.mu.Unlock()
-			if c.rested = time.Since(c.idleSince); c.rested < keep {
+			if c.idleFor = time.Since(c.idleSince); c.idleFor < keep {
 				return c, nil
 			}
 			u.discard(c)
@@ -241,7 +241,7 @@
 func (u *Pool) shortenKeepIdle(c *conn) {
 	u.mu.Lock()
 	b := c.backend
-	b.keepIdle, b.keepIdleSetAt = max(c.rested/2, minKeepIdle), time.Now()
+	b.keepIdle, b.keepIdleSetAt = max(c.idleFor/2, minKeepIdle), time.Now()
 	u.mu.Unlock()
 	u.closeIdle(b)
 }
--- a/internal/edgenode/upstream/upstream.go
+++ b/internal/edgenode/upstream/upstream.go
@@ -177,7 +177,7 @@
 		// A server begins a request when its last byte has come, and that was not written.
 		stop()
 		u.discard(c)
-		if !errors.Is(err, errConnStale) || c.rested == 0 {
+		if !errors.Is(err, errConnStale) || c.idleFor == 0 {
 			return sentRequest{}, err
 		}
 	}
@@ -187,7 +187,7 @@
 func (u *Pool) receive(ctx context.Context, sent sentRequest) (Response, balancer.Result) {
 	c := sent.conn
 	response, result, reuse := c.readResponse(sent.request)
-	if result == balancer.Reset && !c.reader.started && c.rested >= minKeepIdle && time.Since(sent.writtenAt) < staleResetWindow {
+	if result == balancer.Reset && !c.reader.started && c.idleFor >= minKeepIdle && time.Since(sent.writtenAt) < staleResetWindow {
 		u.shortenKeepIdle(c)
 	}
 	if sent.keepRunning() && reuse {
--- a/internal/registry/fsm.go
+++ b/internal/registry/fsm.go
@@ -28,7 +28,7 @@
 // newFSM returns an empty list in epoch 0. onChange is called for each change, with the FSM's mutex held.
 func newFSM(onChange func(Command, Outcome)) *fsm {
 	m := &fsm{state: NewState(0), onChange: onChange, publishedSignal: make(chan struct{}, 1)}
-	m.published.Store(&publishedVersion{updated: make(chan struct{})})
+	m.published.Store(&publishedVersion{readAgain: make(chan struct{})})
 	return m
 }
 
--- a/internal/registry/fsm_test.go
+++ b/internal/registry/fsm_test.go
@@ -75,7 +75,7 @@
 			t.Fatalf("chunk %d from %d is %.80s", i, at, chunk)
 		}
 	}
-	if read.generation != m.generation() && !isClosed(read.updated) {
+	if read.generation != m.generation() && !isClosed(read.readAgain) {
 		t.Fatalf("a watch waits at %d of %d", read.generation, m.generation())
 	}
 	return read.generation
@@ -109,7 +109,7 @@
 	if &first.chunks[0][0] != &second.chunks[0][0] || second.generation != first.generation {
 		t.Errorf("the list of %d was encoded anew at %d for one change", first.generation, second.generation)
 	}
-	if !isClosed(second.updated) {
+	if !isClosed(second.readAgain) {
 		t.Error("a watch that begins with an earlier list waits for more")
 	}
 	if rest := m.readSince(second.generation); rest.generation != m.generation() || len(rest.chunks) != 1 {
--- a/internal/registry/leader_leases.go
+++ b/internal/registry/leader_leases.go
@@ -16,7 +16,7 @@
 
 	mu        sync.Mutex
 	leases    *Leases // nil where the replica does not lead or has not taken over yet
-	term      uint64  // of the leases
+	raftTerm  uint64  // of the leases
 	lastCheck time.Duration
 }
 
@@ -26,7 +26,7 @@
 func (l *leadership) begin(term uint64, now time.Duration, leases []Lease) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.leases, l.term = NewLeases(now, leases, defaultSelfPreservation), term
+	l.leases, l.raftTerm = NewLeases(now, leases, defaultSelfPreservation), term
 	return len(leases)
 }
 
@@ -41,15 +41,15 @@
 func (l *leadership) isOf(term uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.leases != nil && l.term == term
+	return l.leases != nil && l.raftTerm == term
 }
 
-// renew extends an incarnation's lease. It reports whether the leader could: an entry whose lease has no term needs no
+// renew extends an incarnation's lease. It reports whether the leader could: an entry without a lease needs no
 // renewal.
-func (l *leadership) renew(at time.Duration, ref InstanceRef, term time.Duration) bool {
+func (l *leadership) renew(at time.Duration, ref InstanceRef, leaseLength time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.leases != nil && (term == 0 || l.leases.Renew(at, ref))
+	return l.leases != nil && (leaseLength == 0 || l.leases.Renew(at, ref))
 }
 
 // expirySuspended reports whether expiry is suspended here.
@@ -126,7 +126,7 @@
 	}
 	l.lastCheck = now
 	before := l.leases.Suspended()
-	batch = expiryBatch{due: l.leases.Due(now), term: l.term, leases: l.leases}
+	batch = expiryBatch{due: l.leases.Due(now), term: l.raftTerm, leases: l.leases}
 	switch after := l.leases.Suspended(); {
 	case after && !before:
 		batch.change = expirySuspended
--- a/internal/registry/published.go
+++ b/internal/registry/published.go
@@ -22,7 +22,7 @@
 type publishedVersion struct {
 	generation uint64
 	changes    []encodedChange // those that are kept, oldest first
-	updated    chan struct{}   // closed when watches are to read again
+	readAgain  chan struct{}   // closed when watches are to read again
 }
 
 // encodedChange is one generation as a watch sends it.
@@ -70,7 +70,7 @@
 
 // storeVersion makes the state's generation the published one and wakes the notifier. Called with mu held.
 func (m *fsm) storeVersion(changes []encodedChange) {
-	m.published.Store(&publishedVersion{m.state.Generation(), changes, m.published.Load().updated})
+	m.published.Store(&publishedVersion{m.state.Generation(), changes, m.published.Load().readAgain})
 	select {
 	case m.publishedSignal <- struct{}{}:
 	default:
@@ -122,8 +122,8 @@
 func (m *fsm) notifyWatches() {
 	m.mu.Lock()
 	next := *m.published.Load()
-	updated := next.updated
-	next.updated = make(chan struct{})
+	updated := next.readAgain
+	next.readAgain = make(chan struct{})
 	m.published.Store(&next)
 	m.mu.Unlock()
 	close(updated)
@@ -137,7 +137,7 @@
 	chunks      [][]byte      // in order; their bytes are shared and not to be changed
 	generation  uint64        // after the chunks
 	readerAhead bool          // the reader has a generation that this replica does not have
-	updated     chan struct{} // closed when there is more to read
+	readAgain   chan struct{} // closed when watches are to read again
 }
 
 // readSince returns the changes after a generation, up to maxChangesPerRead of them, or the full list where these are
@@ -145,16 +145,16 @@
 func (m *fsm) readSince(from uint64) watchRead {
 	v := m.published.Load()
 	if from > v.generation {
-		return watchRead{generation: v.generation, updated: v.updated, readerAhead: true}
+		return watchRead{generation: v.generation, readAgain: v.readAgain, readerAhead: true}
 	}
 	changes, ok := v.changesSince(from)
 	if !ok || from == 0 {
 		return m.readFullList(v)
 	}
-	read := watchRead{generation: v.generation, updated: v.updated}
+	read := watchRead{generation: v.generation, readAgain: v.readAgain}
 	if len(changes) > maxChangesPerRead {
 		changes = changes[:maxChangesPerRead]
-		read.generation, read.updated = changes[maxChangesPerRead-1].generation, closedChannel
+		read.generation, read.readAgain = changes[maxChangesPerRead-1].generation, closedChannel
 	}
 	read.chunks = make([][]byte, 0, len(changes))
 	for _, c := range changes {
@@ -167,9 +167,9 @@
 // between the two is read next.
 func (m *fsm) readFullList(v *publishedVersion) watchRead {
 	list := m.listForWatch()
-	read := watchRead{chunks: [][]byte{list.chunk}, generation: list.generation, updated: v.updated}
+	read := watchRead{chunks: [][]byte{list.chunk}, generation: list.generation, readAgain: v.readAgain}
 	if list.generation < v.generation {
-		read.updated = closedChannel
+		read.readAgain = closedChannel
 	}
 	return read
 }
--- a/internal/registry/watch.go
+++ b/internal/registry/watch.go
@@ -85,7 +85,7 @@
 			return read
 		case <-s.ctx.Done():
 			return read
-		case <-read.updated:
+		case <-read.readAgain:
 		}
 	}
 }
@@ -124,7 +124,7 @@
 		select {
 		case <-due:
 			read.chunks = [][]byte{s.heartbeatChunk}
-		case <-read.updated:
+		case <-read.readAgain:
 			read = s.fsm.readSince(read.generation)
 		}
 	}
