--- /dev/null
+++ b/internal/discovery/fuzz_test.go
@@ -0,0 +1,56 @@
+package discovery
+
+import (
+	"errors"
+	"slices"
+	"testing"
+)
+
+// Whatever a message says, what is read of it is within the bounds that ParsedEntry promises.
+func FuzzParseLenient(f *testing.F) {
+	f.Add([]byte(`{"generation":8,"reset":true,"instances":[{"instanceId":"a","hostPort":"127.0.0.1:1","lifecycle":"up","weight":1,"startedAtMs":1e12}]}`))
+	f.Add([]byte(`{"generation":"8","instances":[{"instanceId":"a","hostPort":7,"lifecycle":"odd","weight":-1,"startedAtMs":-1},null,{}]}`))
+	f.Add([]byte(`{"instances":[` + drainOfG + `,{"instanceId":`))
+	f.Fuzz(func(t *testing.T, text []byte) {
+		m, faults, err := ParseLenient(text)
+		if err != nil && (len(m.Entries) > 0 || len(faults) > 0) {
+			t.Errorf("error %v with %d entries and %d faults", err, len(m.Entries), len(faults))
+		}
+		for _, e := range slices.Concat(m.Entries, ParsePartial(text)) {
+			if e.ID == "" || !(e.Weight >= 0 && e.Weight <= MaxWeight) || e.StartedAt < 0 {
+				t.Errorf("entry %+v", e)
+			}
+			if e.Lifecycle != Up && e.Lifecycle != Draining && e.Lifecycle != Removed || e.Lifecycle == Up && !e.Addr.IsValid() {
+				t.Errorf("lifecycle %q at %v", e.Lifecycle, e.Addr)
+			}
+		}
+	})
+}
+
+// A stream is cut into the same messages in whatever pieces it comes.
+func FuzzSplitter(f *testing.F) {
+	f.Add([]byte("\n{\"a\":\"}{\\\"[\"}\n\n{\n \"b\": [1]\n}\n{\"c"), 3)
+	f.Add([]byte("{\"a\":1}x{}"), 1)
+	f.Fuzz(func(t *testing.T, text []byte, piece int) {
+		if piece <= 0 {
+			return
+		}
+		wantMessages, wantHeartbeats, wantErr := split([][]byte{text})
+		messages, heartbeats, err := split(slices.Collect(slices.Chunk(text, piece)))
+		if !slices.Equal(messages, wantMessages) || heartbeats != wantHeartbeats || !errors.Is(err, wantErr) {
+			t.Errorf("in pieces of %d: %q, %d heartbeats, error %v; at once %q, %d, %v",
+				piece, messages, heartbeats, err, wantMessages, wantHeartbeats, wantErr)
+		}
+	})
+}
+
+// split feeds pieces to a splitter until an error.
+func split(pieces [][]byte) (messages []string, heartbeats int, err error) {
+	var s Splitter
+	for _, p := range pieces {
+		if err := s.Feed(p, func(m []byte) { messages = append(messages, string(m)) }, func() { heartbeats++ }); err != nil {
+			return messages, heartbeats, err
+		}
+	}
+	return messages, heartbeats, nil
+}
