--- a/internal/edgenode/follower/client.go
+++ b/internal/edgenode/follower/client.go
@@ -11,6 +11,7 @@
 	"sync"
 	"time"
 
+	"opalhook/internal/discovery"
 	"opalhook/internal/edgenode/decimal"
 	"opalhook/internal/edgenode/endpointlist"
 )
@@ -273,9 +274,9 @@
 
 // requestList sends the request of a call and returns the head of its response.
 func requestList(ctx context.Context, client *http.Client, addr netip.AddrPort, c Command) (*http.Response, error) {
-	url := fmt.Sprintf("http://%s/registry/instances", addr)
+	url := discovery.SnapshotURL(addr.String())
 	if c.Watch {
-		url += fmt.Sprintf("?watch=1&from=%d", c.From)
+		url = discovery.WatchURL(addr.String(), c.From)
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
