--- a/internal/edgenode/client_request.go
+++ b/internal/edgenode/client_request.go
@@ -54,40 +54,51 @@
 	return nil
 }
 
+// The headers that every request has, and their indexes in what requiredHeaders returns.
+var requiredNames = [...]string{"X-Trace-Id", "X-Qos", "X-Contract", "X-Expires-In", "X-Metering"}
+
+const (
+	headerID = iota
+	headerClass
+	headerPlan
+	headerExpiresIn
+	headerMetering
+)
+
 // parseRequest parses the head of a request: what the balancer is to know of it, and what is passed on.
 func (f *frontend) parseRequest(r *http.Request) (q balancer.Request, m upstream.Message, err error) {
-	var expiresIn, metering string
-	for _, h := range []struct {
-		name  string
-		value *string
-	}{
-		{"X-Trace-Id", &q.ID},
-		{"X-Qos", &q.Class},
-		{"X-Contract", &q.Plan},
-		{"X-Expires-In", &expiresIn},
-		{"X-Metering", &metering},
-	} {
-		if *h.value, err = requiredHeader(r, h.name); err != nil {
-			return q, m, err
-		}
+	headers, err := requiredHeaders(r)
+	if err != nil {
+		return q, m, err
 	}
+	q.ID, q.Class, q.Plan = headers[headerID], headers[headerClass], headers[headerPlan]
 	if err := f.checkNames(r, q); err != nil {
 		return q, m, err
 	}
 	class := f.classes[q.Class]
-	if q.Timeout, err = parseTimeout(expiresIn, class); err != nil {
+	if q.Timeout, err = parseTimeout(headers[headerExpiresIn], class); err != nil {
 		return q, m, err
 	}
 	if q.Tenant, err = parseTenant(r.URL.RawQuery); err != nil {
 		return q, m, err
 	}
-	if err := f.parseMetering(metering, &q); err != nil {
+	if err := f.parseMetering(headers[headerMetering], &q); err != nil {
 		return q, m, err
 	}
 	m, err = newMessage(r, q.ID, class)
 	return q, m, err
 }
 
+// requiredHeaders returns the values of requiredNames.
+func requiredHeaders(r *http.Request) (values [len(requiredNames)]string, err error) {
+	for i, name := range requiredNames {
+		if values[i], err = requiredHeader(r, name); err != nil {
+			return values, err
+		}
+	}
+	return values, nil
+}
+
 // requiredHeader returns a header that must stand once.
 func requiredHeader(r *http.Request, name string) (string, error) {
 	values := r.Header[name]
