--- a/internal/edgenode/client_request.go
+++ b/internal/edgenode/client_request.go
@@ -187,7 +187,7 @@
 // parseMetering reads units, spread and first from X-Metering. What can't be of a usual client must not reach the
 // balancer: it would count against the tenant's quota on every node.
 func (f *frontend) parseMetering(text string, q *balancer.Request) error {
-	settings := &f.node.cfg.Settings
+	settings := f.settings
 	seen := map[string]bool{}
 	for _, pair := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
--- a/internal/edgenode/conn_cross_test.go
+++ b/internal/edgenode/conn_cross_test.go
@@ -273,9 +273,10 @@
 	cfg.Sockets = 2048
 	f, addr := serveHooked(t, cfg, func(*frontend, *clientConn) {})
 	open := func() int {
-		f.node.mu.Lock()
-		defer f.node.mu.Unlock()
-		return len(f.node.inflight)
+		n := nodeOf(f)
+		n.mu.Lock()
+		defer n.mu.Unlock()
+		return len(n.inflight)
 	}
 	ways := map[string]func(*nodetest.Client){
 		"closes": func(c *nodetest.Client) { _ = c.Close() },
--- a/internal/edgenode/frontend.go
+++ b/internal/edgenode/frontend.go
@@ -1,6 +1,7 @@
 package edgenode
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"log/slog"
@@ -11,6 +12,7 @@
 	"time"
 
 	"opalhook/balancer"
+	"opalhook/internal/edgenode/upstream"
 )
 
 // readyPath answers whether the node is ready for requests (protocol, "Clients to edge nodes").
@@ -44,9 +46,20 @@
 func maxServerConns(sockets int) int { return (sockets - reservedDescriptors) / 2 }
 func maxClientConns(sockets int) int { return (sockets - reservedDescriptors) / 2 }
 
-// frontend serves the clients' connections.
+// requestHandler decides on the requests of clients; it is a [Node].
+type requestHandler interface {
+	// handleRequest returns the final response to a request: always by the deadline, and soon once ctx ends, which
+	// means that the client has gone. The only error is errIDInUse.
+	handleRequest(ctx context.Context, q balancer.Request, m upstream.Message, deadline time.Time) (clientResponse, error)
+}
+
+// frontend serves the clients' connections. It knows of the node no more than the handler of requests.
 type frontend struct {
-	node     *Node
+	handler     requestHandler
+	settings    *balancer.Settings
+	drainPeriod time.Duration // how long the listener stays open in a drain
+	log         *slog.Logger
+
 	server   *http.Server
 	conns    *connTable
 	ready    atomic.Bool
@@ -56,17 +69,21 @@
 	plans    map[string]bool           // by name
 }
 
+// newFrontend returns the frontend of a node, which serves once serve is called.
 func newFrontend(n *Node) *frontend {
 	f := &frontend{
-		node:    n,
-		conns:   newConnTable(maxClientConns(n.cfg.Sockets)),
-		classes: map[string]balancer.Class{},
-		plans:   map[string]bool{},
-	}
-	for _, c := range n.cfg.Settings.Classes {
+		handler:     n,
+		settings:    &n.cfg.Settings,
+		drainPeriod: n.cfg.drainPeriod,
+		log:         n.log,
+		conns:       newConnTable(maxClientConns(n.cfg.Sockets)),
+		classes:     map[string]balancer.Class{},
+		plans:       map[string]bool{},
+	}
+	for _, c := range f.settings.Classes {
 		f.classes[c.Name] = c
 	}
-	for _, p := range n.cfg.Settings.Plans {
+	for _, p := range f.settings.Plans {
 		f.plans[p.Name] = true
 	}
 	f.server = &http.Server{
@@ -76,7 +93,7 @@
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 		ConnContext:       withConn,
-		ErrorLog:          slog.NewLogLogger(n.log.Handler(), slog.LevelWarn),
+		ErrorLog:          slog.NewLogLogger(f.log.Handler(), slog.LevelWarn),
 	}
 	return f
 }
@@ -100,7 +117,7 @@
 	f.ready.Store(false)
 	f.draining.Store(true)
 	began := time.Now()
-	time.Sleep(f.node.cfg.drainPeriod)
+	time.Sleep(f.drainPeriod)
 	ln.closeWhenQueueEmpty()
 	answerBy := began.Add(min(f.maxWait(), maxKillDelay) + killDelayMargin)
 	f.answerBy.Store(&answerBy)
@@ -121,10 +138,10 @@
 // maxWait is how long after a request's arrival its final response may be due.
 func (f *frontend) maxWait() time.Duration {
 	longest := time.Duration(0)
-	for _, c := range f.node.cfg.Settings.Classes {
+	for _, c := range f.settings.Classes {
 		longest = max(longest, c.Deadline)
 	}
-	return longest + f.node.cfg.Settings.ResponseSlack
+	return longest + f.settings.ResponseSlack
 }
 
 // ServeHTTP answers one request of a client.
@@ -153,7 +170,7 @@
 	case http.ErrAbortHandler:
 		panic(cause)
 	default:
-		f.node.log.Error("panic in a request handler", "err", cause, "stack", string(debug.Stack()))
+		f.log.Error("panic in a request handler", "err", cause, "stack", string(debug.Stack()))
 		writeText(w, http.StatusInternalServerError, "internal error")
 	}
 }
@@ -177,8 +194,8 @@
 	if answerBy := f.answerBy.Load(); answerBy != nil {
 		q.Timeout = min(q.Timeout, time.Until(*answerBy))
 	}
-	deadline := time.Now().Add(q.Timeout + f.node.cfg.Settings.ResponseSlack)
-	response, err := f.node.handleRequest(r.Context(), q, m, deadline)
+	deadline := time.Now().Add(q.Timeout + f.settings.ResponseSlack)
+	response, err := f.handler.handleRequest(r.Context(), q, m, deadline)
 	if errors.Is(err, errIDInUse) {
 		writeText(w, http.StatusConflict, "X-Trace-Id is in use")
 		return
--- a/internal/edgenode/frontend_test.go
+++ b/internal/edgenode/frontend_test.go
@@ -281,10 +281,11 @@
 func TestPanicIsAnswered(t *testing.T) {
 	f := idleFrontend(t, testConfig())
 	logs := &nodetest.Buffer{}
-	f.node.log = slog.New(slog.NewTextHandler(logs, nil))
-	f.node.mu.Lock() // its timers fire meanwhile
-	f.node.balancer = nil
-	f.node.mu.Unlock()
+	n := nodeOf(f)
+	n.log = slog.New(slog.NewTextHandler(logs, nil))
+	n.mu.Lock() // its timers fire meanwhile
+	n.balancer = nil
+	n.mu.Unlock()
 	ln := nodetest.Listen(t)
 	serveClients(t, f, newClientListener(ln, f.conns))
 	a := nodetest.Dial(t, ln.Addr().String()).Ask(request("check", "t1"))
@@ -292,12 +293,15 @@
 		t.Errorf("status %d, logged %q", a.Status, logs.String())
 	}
 	// One of the host's own.
-	f.node.cfg = nil
+	f.settings = nil
 	if a := nodetest.Dial(t, ln.Addr().String()).Ask(request("check", "t2")); a.Status != 500 {
 		t.Errorf("status %d", a.Status)
 	}
 }
 
+// nodeOf returns the node that a frontend was made for.
+func nodeOf(f *frontend) *Node { return f.handler.(*Node) }
+
 // idleFrontend is the client side of a node that has no goroutines of its own.
 func idleFrontend(t *testing.T, cfg *Config) *frontend {
 	t.Helper()
--- a/internal/edgenode/gone_test.go
+++ b/internal/edgenode/gone_test.go
@@ -51,7 +51,7 @@
 				})
 				second := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 				f, addr := serveHooked(t, testConfig(first.Endpoint("a")), func(*frontend, *clientConn) {})
-				n := f.node
+				n := nodeOf(f)
 				for i := range 20 { // by which further attempts are earned
 					nodetest.Dial(t, addr).Ask(request("check", fmt.Sprint("t", i)))
 				}
--- a/internal/edgenode/inflight_test.go
+++ b/internal/edgenode/inflight_test.go
@@ -76,16 +76,16 @@
 // A request that the balancer does not answer gets its response from the host all the same.
 func TestAbortedRequestIsAnswered(t *testing.T) {
 	cfg := testConfig()
-	front, fl := idleFrontend(t, cfg), &inflightRequest{id: "t1", response: make(chan clientResponse, 1)}
-	front.node.inflight["t1"] = fl
-	front.node.abortRequest(fl)
-	if a := nodetest.Await(t, "an answer", fl.response); a.kind != responseFailed {
+	n, request := nodeOf(idleFrontend(t, cfg)), &inflightRequest{id: "t1", response: make(chan clientResponse, 1)}
+	n.inflight["t1"] = request
+	n.abortRequest(request)
+	if a := nodetest.Await(t, "an answer", request.response); a.kind != responseFailed {
 		t.Errorf("answer %+v", a)
 	}
-	if len(front.node.inflight) != 0 {
+	if len(n.inflight) != 0 {
 		t.Error("the request is still in flight")
 	}
-	if front.node.abortRequest(fl); len(fl.response) != 0 {
+	if n.abortRequest(request); len(request.response) != 0 {
 		t.Error("a second final answer")
 	}
 }
--- a/internal/edgenode/repeat_test.go
+++ b/internal/edgenode/repeat_test.go
@@ -20,7 +20,7 @@
 		}
 		return nodetest.Say(nodetest.OKResponse)(c, r, body)
 	})
-	n := idleFrontend(t, testConfig(s.Endpoint("a"), s.Endpoint("b"))).node
+	n := nodeOf(idleFrontend(t, testConfig(s.Endpoint("a"), s.Endpoint("b"))))
 	ask := func(id, class, method string) *inflightRequest {
 		q := balancer.Request{ID: id, Class: class, Plan: "wide", Timeout: 10 * time.Second, Units: 1, EntryNodes: 1}
 		fl := n.startRequest(q, upstream.Message{Method: method, Target: "/" + class, ID: id}, time.Now().Add(nodetest.Patience))
--- a/internal/edgenode/side_test.go
+++ b/internal/edgenode/side_test.go
@@ -274,12 +274,12 @@
 	}
 }
 
-// The clock is Unix time, so that a server's start converts to the gateway's.
+// The clock is Unix time, so that a server's start compares to it.
 func TestClock(t *testing.T) {
-	f := idleFrontend(t, testConfig())
+	n := nodeOf(idleFrontend(t, testConfig()))
 	before := time.Duration(time.Now().UnixNano())
-	now := f.node.now()
-	if d := now - before; d < -time.Second || d > nodetest.Patience || f.node.now() < now {
+	now := n.now()
+	if d := now - before; d < -time.Second || d > nodetest.Patience || n.now() < now {
 		t.Errorf("the clock reads %v past Unix time", d)
 	}
 }
