--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -26,9 +26,9 @@
 
 // fleetSettings are the settings of an edge node of a large fleet: the form's sample with figures for
 // two classes, three plans and an inbox of 40 messages a second.
-func fleetSettings(instances, me int) balancer.Settings {
+func fleetSettings(nodeCount, nodeIndex int) balancer.Settings {
 	return balancer.Settings{
-		NodeIndex: me, NodeCount: instances, Zone: zoneOf(me),
+		NodeIndex: nodeIndex, NodeCount: nodeCount, Zone: zoneOf(nodeIndex),
 		Classes: []balancer.Class{
 			{Name: "check", Idempotency: balancer.Idempotent, LatencyObjective: time.Second, Deadline: clientDeadline, PriorityWeight: 3, LateWeightFraction: 0.2},
 			{Name: "issue", Idempotency: balancer.NonIdempotent, LatencyObjective: time.Second, Deadline: clientDeadline, PriorityWeight: 5, LateWeightFraction: 0.2},
@@ -115,28 +115,28 @@
 	nextID     int
 }
 
-func newFleet(seed uint64, instances, spread int) *fleet {
+func newFleet(seed uint64, nodeCount, entryNodes int) *fleet {
 	rng := rand.New(rand.NewPCG(seed, 0x5ca1e))
 	return &fleet{
-		rng: rng, link: link{rng}, seed: seed, nodeCount: instances, entryNodes: spread,
-		inboxRate: fleetSettings(instances, 0).PeerMessagesPerSecond, nodes: map[int]*simulatedNode{}, clock: clock{now: time.Hour}, // servers started long ago
+		rng: rng, link: link{rng}, seed: seed, nodeCount: nodeCount, entryNodes: entryNodes,
+		inboxRate: fleetSettings(nodeCount, 0).PeerMessagesPerSecond, nodes: map[int]*simulatedNode{}, clock: clock{now: time.Hour}, // servers started long ago
 	}
 }
 
 // add makes an edge node and starts its balancer, which has no list yet.
 func (f *fleet) add(number int) (*simulatedNode, error) {
 	settings := fleetSettings(f.nodeCount, number)
-	gateway, err := balancer.New(settings, f.seed<<16+uint64(number))
+	b, err := balancer.New(settings, f.seed<<16+uint64(number))
 	if err != nil {
 		return nil, fmt.Errorf("edge node %d: %w", number, err)
 	}
 	n := &simulatedNode{
-		fleet: f, number: number, balancer: gateway, open: map[string]*openRequest{},
+		fleet: f, number: number, balancer: b, open: map[string]*openRequest{},
 		inbox: newInbox(f.inboxRate, f.clock.now), usedEndpoints: map[string]bool{}, classes: settings.Classes,
 	}
 	f.nodes[number] = n
 	f.added = append(f.added, n)
-	gateway.Start(f.clock.now, n)
+	b.Start(f.clock.now, n)
 	return n, nil
 }
 
--- a/internal/scale/fleet_test.go
+++ b/internal/scale/fleet_test.go
@@ -36,7 +36,7 @@
 	for _, spread := range []int{1, 3, 8} {
 		f, c := steadyFleet(t, 1, spread, 40)
 		if c.requests == 0 || c.served+c.rejected+c.failed != c.requests || c.unanswered+c.duplicateAnswers != 0 {
-			t.Errorf("spread %d: %d requests, %d served, %d refused, %d failed, %d without an answer, %d answered again",
+			t.Errorf("spread %d: %d requests, %d served, %d rejected, %d failed, %d without an answer, %d answered again",
 				spread, c.requests, c.served, c.rejected, c.failed, c.unanswered, c.duplicateAnswers)
 		}
 		if c.longestMessage > maxMessage {
@@ -55,7 +55,7 @@
 			}
 		}
 		if spread > 1 && (c.quotaRequests == 0 || c.quotaGrants == 0) {
-			t.Errorf("spread %d: %d asks, %d answers", spread, c.quotaRequests, c.quotaGrants)
+			t.Errorf("spread %d: %d quota requests, %d grants", spread, c.quotaRequests, c.quotaGrants)
 		}
 		if spread == 1 && c.messages() > 0 {
 			t.Errorf("spread 1: %d messages", c.messages())
@@ -155,7 +155,7 @@
 	for _, tenant := range drawTenants(f.rng, fleetPlans(), []int{2, 5}, 1000) {
 		sum += tenant.demand
 		if tenant.firstEntryNode != 2 && tenant.firstEntryNode != 5 {
-			t.Fatalf("first gateway %d", tenant.firstEntryNode)
+			t.Fatalf("first entry node %d", tenant.firstEntryNode)
 		}
 	}
 	if sum < 999.9 || sum > 1000.1 {
