--- a/cmd/edge-node/main_test.go
+++ b/cmd/edge-node/main_test.go
@@ -58,62 +58,84 @@
 	}
 }
 
-// A SIGHUP that comes with the process's first instruction, under the deploy file's command, neither ends it
-// nor loses the configuration that it announces.
-func TestHangupFromTheFirstInstruction(t *testing.T) {
+// deployedCommand is the command by which the deploy file starts the node, and a folder in which it starts this test
+// binary.
+func deployedCommand(t *testing.T) (command, dir string) {
+	t.Helper()
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	command := regexp.MustCompile(`(?m)^run = "(.*)"$`).FindSubmatch(text)
-	if command == nil {
+	match := regexp.MustCompile(`(?m)^run = "(.*)"$`).FindSubmatch(text)
+	if match == nil {
 		t.Fatal("the deploy file has no run command")
 	}
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	dir := t.TempDir()
+	dir = t.TempDir()
 	if err := os.Mkdir(filepath.Join(dir, "bin"), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	if err := os.Symlink(self, filepath.Join(dir, "bin", "edge-node")); err != nil {
 		t.Fatal(err)
 	}
+	return string(match[1]), dir
+}
+
+// awaitExec waits until the shell has become the program, without a pause: a signal is to come early.
+func awaitExec(t *testing.T, pid int) {
+	t.Helper()
+	for end := time.Now().Add(30 * time.Second); ; {
+		name, err := os.ReadFile(fmt.Sprintf("/proc/%d/comm", pid))
+		if err != nil || time.Now().After(end) {
+			t.Fatalf("the program has not begun: %v", err)
+		}
+		if strings.TrimSpace(string(name)) == "edge-node" {
+			return
+		}
+	}
+}
+
+// acceptOnce listens on a port until the test ends. The channel is closed once somebody has connected.
+func acceptOnce(t *testing.T) (addr string, called <-chan struct{}) {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = ln.Close() })
+	accepted := make(chan struct{})
+	go func() {
+		if c, err := ln.Accept(); err == nil {
+			close(accepted)
+			_ = c.Close()
+		}
+	}()
+	return ln.Addr().String(), accepted
+}
+
+// A SIGHUP that comes with the process's first instruction, under the deploy file's command, neither ends it
+// nor loses the configuration that it announces.
+func TestHangupFromTheFirstInstruction(t *testing.T) {
+	command, dir := deployedCommand(t)
 	config := func(discovery string) string {
 		return fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"1",
 			"settings":{"instances":1,"lanes":[{"name":"c","idempotency":"retryable","onTime":0.4,"deadline":2}]}}`, discovery)
 	}
 	for range 5 {
-		next, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		called := make(chan struct{})
-		go func() {
-			if c, err := next.Accept(); err == nil {
-				close(called)
-				_ = c.Close()
-			}
-		}()
+		next, called := acceptOnce(t)
 		cmd, logs := program(t, config("127.0.0.1:1"))
 		path := strings.TrimPrefix(cmd.Env[len(cmd.Env)-1], "PROXY_CONFIG=")
-		cmd.Path, cmd.Args, cmd.Dir = "/bin/sh", []string{"sh", "-c", string(command[1])}, dir
-		if err := os.WriteFile(path+".new", []byte(config(next.Addr().String())), 0o600); err != nil {
+		cmd.Path, cmd.Args, cmd.Dir = "/bin/sh", []string{"sh", "-c", command}, dir
+		if err := os.WriteFile(path+".new", []byte(config(next)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
 		}
-		for end := time.Now().Add(30 * time.Second); ; { // no pause: the signal is to come early
-			name, err := os.ReadFile(fmt.Sprintf("/proc/%d/comm", cmd.Process.Pid))
-			if err != nil || time.Now().After(end) {
-				t.Fatalf("the program has not begun: %v", err)
-			}
-			if strings.TrimSpace(string(name)) == "edge-node" {
-				break
-			}
-		}
+		awaitExec(t, cmd.Process.Pid)
 		if err := os.Rename(path+".new", path); err != nil {
 			t.Fatal(err)
 		}
@@ -131,7 +153,6 @@
 		if err := cmd.Wait(); err != nil {
 			t.Errorf("%v, logged %q", err, logs())
 		}
-		_ = next.Close()
 	}
 }
 
--- a/internal/edgenode/crowd_test.go
+++ b/internal/edgenode/crowd_test.go
@@ -8,6 +8,7 @@
 	"log/slog"
 	"net"
 	"net/http"
+	"net/netip"
 	"os"
 	"os/exec"
 	"os/signal"
@@ -113,59 +114,75 @@
 	return ln.Addr().String(), logs
 }
 
-// Clients that rest may fill the descriptors while discovery is down. The node still has its calls, its
-// connections to servers and clients who ask, and follows the list once discovery is back.
-func TestRestingClientsLeaveRoomForDiscoveryAndServers(t *testing.T) {
-	const descriptors, crowd = 128, 300
-	old, young := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse)), nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
-	var down atomic.Bool
-	var list atomic.Pointer[string]
-	tell := func(text string) { list.Store(&text) }
-	tell(nodetest.ListJSON(8, true, old.Endpoint("a")))
-	out, hung := make(chan struct{}), make(chan struct{}, 1000)
-	forever := make(chan struct{})
-	hang := func() { // calls of an outage get no answer later either
-		if down.Load() {
-			hung <- struct{}{}
-			<-forever
-		}
-	}
-	at := serveDiscovery(t, func() string { hang(); return *list.Load() }, func(_ int, _ string, w io.Writer, ctx context.Context) {
-		hang()
-		_, _ = io.WriteString(w, *list.Load()+"\n")
-		ctx, end := context.WithCancel(ctx)
-		defer end()
-		go func() {
-			select {
-			case <-out:
-			case <-ctx.Done():
-			}
-			end()
-		}()
-		beat(ctx, w)
-	})
-	t.Cleanup(func() { close(forever) }) // before discovery ends, which waits for its calls
-	addr, logs := runLimited(t, descriptors, at.String(), old.Endpoint("a"))
-	asks := 0
-	ask := func(c *nodetest.Client) nodetest.Response {
-		asks++
-		return c.Ask(request("check", fmt.Sprint("t", asks)))
-	}
-	if a := ask(nodetest.Dial(t, addr)); a.Status != http.StatusOK {
-		t.Fatalf("before: %+v", a)
+// outageDiscovery is an agent whose list can be changed, and that can go down: then its watches end, and calls get no
+// answer, not even later.
+type outageDiscovery struct {
+	addr netip.AddrPort
+	list atomic.Pointer[string]
+	down atomic.Bool
+	out  chan struct{} // closed as it goes down
+	hung chan struct{} // takes each call that gets no answer
+
+	forever chan struct{}
+}
+
+func newOutageDiscovery(t *testing.T, list string) *outageDiscovery {
+	t.Helper()
+	d := &outageDiscovery{out: make(chan struct{}), hung: make(chan struct{}, 1000), forever: make(chan struct{})}
+	d.list.Store(&list)
+	d.addr = serveDiscovery(t, func() string { d.hang(); return *d.list.Load() }, d.watch)
+	t.Cleanup(func() { close(d.forever) }) // before discovery ends, which waits for its calls
+	return d
+}
+
+func (d *outageDiscovery) hang() {
+	if d.down.Load() {
+		d.hung <- struct{}{}
+		<-d.forever
 	}
+}
 
-	down.Store(true)
-	close(out)
-	nodetest.Await(t, "a call of the outage", hung)
+func (d *outageDiscovery) watch(_ int, _ string, w io.Writer, ctx context.Context) {
+	d.hang()
+	_, _ = io.WriteString(w, *d.list.Load()+"\n")
+	ctx, end := context.WithCancel(ctx)
+	defer end()
+	go func() {
+		select {
+		case <-d.out:
+		case <-ctx.Done():
+		}
+		end()
+	}()
+	beat(ctx, w)
+}
+
+// goDown begins the outage, and waits until a call has met it.
+func (d *outageDiscovery) goDown(t *testing.T) {
+	t.Helper()
+	d.down.Store(true)
+	close(d.out)
+	nodetest.Await(t, "a call of the outage", d.hung)
+}
+
+// comeBack ends the outage, with another list.
+func (d *outageDiscovery) comeBack(list string) {
+	d.list.Store(&list)
+	d.down.Store(false)
+}
+
+// fillWithIdleClients connects a crowd of clients that send nothing, half a header or one request, and waits until all
+// but so many were closed.
+func fillWithIdleClients(t *testing.T, addr string, crowd, left int) {
+	t.Helper()
 	closed := make(chan struct{}, crowd)
 	for i := range crowd {
 		c := nodetest.Dial(t, addr)
 		switch i % 3 {
-		case 0: // says nothing
-		case 1: // does not end its head
+		case 0: // sends nothing
+		case 1: // does not end its header
 			c.Send("GET /check")
-		case 2: // has asked once; in a crowd it may have been closed unread
+		case 2: // has sent one request; in a crowd it may have been closed unread
 			_, _ = c.Write([]byte(readyRequest))
 		}
 		go func() {
@@ -173,35 +190,53 @@
 			closed <- struct{}{}
 		}()
 	}
-	for range crowd - maxClientConns(descriptors) {
+	for range crowd - left {
 		nodetest.Await(t, "the crowd is more than there is room for", closed)
 	}
-	answeredInCrowd := func(what string) {
-		nodetest.Eventually(t, what, func() bool { // a new connection may be shut unread
-			c, err := net.Dial("tcp", addr)
-			if err != nil {
-				return false
-			}
-			defer func() { _ = c.Close() }()
-			nodetest.SetDeadline(t, c)
-			asks++
-			if _, err := io.WriteString(c, request("check", fmt.Sprint("t", asks))); err != nil {
-				return false
-			}
-			text, _ := io.ReadAll(io.LimitReader(c, int64(len("HTTP/1.1 200"))))
-			return string(text) == "HTTP/1.1 200"
-		})
+}
+
+// tryRequest sends a request on a new connection, which may be closed unread, and tells whether it was served.
+func tryRequest(t *testing.T, addr, id string) bool {
+	c, err := net.Dial("tcp", addr)
+	if err != nil {
+		return false
+	}
+	defer func() { _ = c.Close() }()
+	nodetest.SetDeadline(t, c)
+	if _, err := io.WriteString(c, request("check", id)); err != nil {
+		return false
 	}
-	answeredInCrowd("an answer in the outage")
+	text, _ := io.ReadAll(io.LimitReader(c, int64(len("HTTP/1.1 200"))))
+	return string(text) == "HTTP/1.1 200"
+}
 
-	tell(nodetest.ListJSON(9, true, young.Endpoint("b")))
-	down.Store(false)
+// Idle clients may fill the descriptors while discovery is down. The node still has its calls, its
+// connections to servers and clients who ask, and follows the list once discovery is back.
+func TestIdleClientsLeaveRoomForDiscoveryAndServers(t *testing.T) {
+	const descriptors, crowd = 128, 300
+	old, young := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse)), nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	agent := newOutageDiscovery(t, nodetest.ListJSON(8, true, old.Endpoint("a")))
+	addr, logs := runLimited(t, descriptors, agent.addr.String(), old.Endpoint("a"))
+	if a := nodetest.Dial(t, addr).Ask(request("check", "before")); a.Status != http.StatusOK {
+		t.Fatalf("before: %+v", a)
+	}
+	agent.goDown(t)
+	fillWithIdleClients(t, addr, crowd, maxClientConns(descriptors))
+	sent := 0
+	served := func(what string) {
+		nodetest.Eventually(t, what, func() bool {
+			sent++
+			return tryRequest(t, addr, fmt.Sprint("t", sent))
+		})
+	}
+	served("a response in the outage")
+	agent.comeBack(nodetest.ListJSON(9, true, young.Endpoint("b")))
 	nodetest.Eventually(t, "the new server is used", func() bool {
-		answeredInCrowd("an answer after the outage")
+		served("a response after the outage")
 		return len(young.Requests()) > 0
 	})
 	before := len(old.Requests())
-	answeredInCrowd("an answer by the new list")
+	served("a response by the new list")
 	if got := len(old.Requests()); got != before {
 		t.Errorf("%d requests to a server that has gone", got-before)
 	}
--- a/internal/edgenode/repeat_test.go
+++ b/internal/edgenode/repeat_test.go
@@ -23,26 +23,26 @@
 	n := nodeOf(idleFrontend(t, testConfig(s.Endpoint("a"), s.Endpoint("b"))))
 	ask := func(id, class, method string) *inflightRequest {
 		q := balancer.Request{ID: id, Class: class, Plan: "wide", Timeout: 10 * time.Second, Units: 1, EntryNodes: 1}
-		fl := n.startRequest(q, upstream.Message{Method: method, Target: "/" + class, ID: id}, time.Now().Add(nodetest.Patience))
-		nodetest.Await(t, "an answer", fl.response)
-		return fl
+		request := n.startRequest(q, upstream.Message{Method: method, Target: "/" + class, ID: id}, time.Now().Add(nodetest.Patience))
+		nodetest.Await(t, "an answer", request.response)
+		return request
 	}
-	for i := range 10 { // by which repeats are earned
+	for i := range 10 { // by which retries are earned
 		ask(fmt.Sprint("c", i), "check", "GET")
 	}
-	fl := ask("t1", "book", "POST")
+	request := ask("t1", "book", "POST")
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if len(fl.attempts) < 2 {
-		t.Fatalf("%d attempts, want a retry", len(fl.attempts))
+	if len(request.attempts) < 2 {
+		t.Fatalf("%d attempts, want a retry", len(request.attempts))
 	}
-	if at := fl.attempts[0]; !at.limits.CompleteBefore.IsZero() {
+	if at := request.attempts[0]; !at.limits.CompleteBefore.IsZero() {
 		t.Errorf("the first attempt is bound to %v", at.limits.CompleteBefore)
 	}
 	window := n.cfg.Settings.Classes[1].DedupWindow - 2*n.cfg.Settings.Tick
-	for _, at := range fl.attempts[1:] {
-		if got := at.limits.CompleteBefore.Sub(n.startedAt) + time.Duration(n.startedAt.UnixNano()) - fl.attempts[0].sentAt; got > window || got < window-time.Millisecond {
-			t.Errorf("a retry is bound to %v behind the first send, want %v", got, window)
+	for _, at := range request.attempts[1:] {
+		if got := at.limits.CompleteBefore.Sub(n.startedAt) + time.Duration(n.startedAt.UnixNano()) - request.attempts[0].sentAt; got > window || got < window-time.Millisecond {
+			t.Errorf("a retry is bound to %v after the first send, want %v", got, window)
 		}
 	}
 }
