--- a/cmd/opalhook/agent.go
+++ b/cmd/opalhook/agent.go
@@ -82,7 +82,7 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			status, err := agent.FetchStatus(c.Context(), at)
 			if err != nil {
-				return err
+				return fmt.Errorf("--at: %w", err)
 			}
 			if s.json() {
 				return writeJSON(c.OutOrStdout(), status)
--- a/internal/testbed/fault.go
+++ b/internal/testbed/fault.go
@@ -38,8 +38,10 @@
 		return env.applyNodeFault(ft, env.nodes[e.Target], e.End)
 	case faultKinds[ft.Kind].target == faultsServers:
 		return applyServerFault(ft, env.servers[e.Target], e.End)
+	case ft.Kind == FaultLoseZone:
+		return env.loseZone(ft.Zone, e.End)
 	}
-	return env.loseZone(ft.Zone, e.End)
+	return fmt.Errorf("kind %q is not carried out", ft.Kind)
 }
 
 // applyNodeFault begins or ends a fault of an edge node's process.
--- a/internal/testbed/fault_kinds.go
+++ b/internal/testbed/fault_kinds.go
@@ -54,7 +54,8 @@
 	about  string
 }
 
-// faultKinds describes the kinds of faults.
+// faultKinds describes the kinds of faults. A new kind is also carried out in applyFault, checked where scenarios are
+// validated and, to occur in sweeps, generated.
 var faultKinds = map[FaultKind]faultDescription{
 	FaultKill:       {faultsNodes, false, "SIGKILL of a node; started again after `for`, under the same name"},
 	FaultRestart:    {faultsNodes, false, "SIGTERM of nodes one after another, each started again when it has ended"},
