--- a/cmd/opalhook/up.go
+++ b/cmd/opalhook/up.go
@@ -12,7 +12,7 @@
 	"opalhook/internal/testbed"
 )
 
-// upRejects says why the demonstration rejects requests; docs/lab.md has the figures.
+// upRejects says why the demonstration rejects requests; docs/testbed.md has the figures.
 const upRejects = "Rejections are by design: some of the tenants drawn ask for three times their quota, and most of what is beyond\n" +
 	"a quota is rejected, in all from a tenth to a third of the requests."
 
