--- a/balancer/decisions_clients_test.go
+++ b/balancer/decisions_clients_test.go
@@ -102,8 +102,8 @@
 	w.after(wait, func() { w.try(q.node, again, q.class, q.tries+1) })
 }
 
-// customer is a customer with its plan and the nodes that it comes in through.
-type customer struct {
+// tenant is a tenant with its plan and the nodes that it comes in through.
+type tenant struct {
 	key    uint64
 	plan   string
 	units  float64
@@ -111,15 +111,15 @@
 	first  int
 }
 
-const customersMost = 60
+const maxTenants = 60
 
-// newCustomers draws customers. Those of most come in through nodes that run a balancer, so that the owners of
+// newTenants draws tenants. Those of most come in through nodes that run a balancer, so that the owners of
 // their quotas do as well.
-func newCustomers(random *rand.Rand, nodes, first, real int) (customers []customer) {
+func newTenants(random *rand.Rand, nodes, first, real int) (tenants []tenant) {
 	plans := decisionPlans()
-	for i := range customersMost {
+	for i := range maxTenants {
 		plan := plans[i%len(plans)]
-		c := customer{key: uint64(i), plan: plan.Name, units: 1, first: first, spread: real}
+		c := tenant{key: uint64(i), plan: plan.Name, units: 1, first: first, spread: real}
 		if random.IntN(4) == 0 {
 			c.key = random.Uint64()
 		}
@@ -138,9 +138,9 @@
 		case 4: // owners that are silent
 			c.spread = min(3*real, nodes)
 		}
-		customers = append(customers, c)
+		tenants = append(tenants, c)
 	}
-	return customers
+	return tenants
 }
 
 func requestID(number int) string { return fmt.Sprintf("r%d", number) }
@@ -154,11 +154,11 @@
 	c := decisionClasses()[class]
 	w.requests++
 	q := balancer.Request{ID: requestID(w.requests), Class: c.Name, Timeout: c.Deadline}
-	// A few customers are the source of most requests.
+	// A few tenants are the source of most requests.
 	popular := w.random.Float64()
-	customer := w.customers[int(popular*popular*popular*customersMost)]
-	q.Plan, q.Tenant, q.EntryNodes, q.FirstEntryNode = customer.plan, customer.key, customer.spread, customer.first
-	q.Units = math.Ceil(customer.units * (0.5 + 2.5*math.Pow(w.random.Float64(), 3)))
+	tenant := w.tenants[int(popular*popular*popular*maxTenants)]
+	q.Plan, q.Tenant, q.EntryNodes, q.FirstEntryNode = tenant.plan, tenant.key, tenant.spread, tenant.first
+	q.Units = math.Ceil(tenant.units * (0.5 + 2.5*math.Pow(w.random.Float64(), 3)))
 	if w.chance(0.05) {
 		q.Tenant = w.random.Uint64() // that comes once
 	}
--- a/balancer/decisions_world_test.go
+++ b/balancer/decisions_world_test.go
@@ -98,7 +98,7 @@
 	record    *record
 	nodes     []*node // those that run a balancer; the others are silent
 	endpoints endpoints
-	customers []customer
+	tenants   []tenant
 	weather   weather
 	requests  int
 	ending    bool
@@ -106,7 +106,7 @@
 	heardNext int
 }
 
-// The nodes that run a balancer: in a large fleet some in a row, whose customers ask each other.
+// The nodes that run a balancer: in a large fleet some in a row, whose tenants ask each other.
 const (
 	realNodes     = 6
 	firstRealNode = 20
@@ -130,7 +130,7 @@
 		w.nodes = append(w.nodes, n)
 		n.restart()
 	}
-	w.customers = newCustomers(w.random, s.nodes, first, len(w.nodes))
+	w.tenants = newTenants(w.random, s.nodes, first, len(w.nodes))
 	w.after(0, w.arrive)
 	w.after(3*time.Second, w.changeWeather)
 	w.after(time.Second, w.changeList)
--- a/balancer/selection_test.go
+++ b/balancer/selection_test.go
@@ -75,14 +75,14 @@
 		"restarted": func(e *endpoint) { e.restarts.latest = testStart },
 	} {
 		b, _ := newTestBalancer(t, testSettings(), equalEndpoints(2)...)
-		usual, spoilt := b.endpoints.tracked[0], b.endpoints.tracked[1]
+		usual, failing := b.endpoints.tracked[0], b.endpoints.tracked[1]
 		for _, e := range b.endpoints.tracked {
 			e.inFlight, e.lastProgress = 1, testStart
 		}
 		b.latency.classes[0].mean = 0.1
-		spoil(spoilt)
-		if b.cost(spoilt) < 1.3*b.cost(usual) {
-			t.Errorf("%s: cost %v against %v", name, b.cost(spoilt), b.cost(usual))
+		spoil(failing)
+		if b.cost(failing) < 1.3*b.cost(usual) {
+			t.Errorf("%s: cost %v against %v", name, b.cost(failing), b.cost(usual))
 		}
 	}
 }
--- a/internal/scale/quota_test.go
+++ b/internal/scale/quota_test.go
@@ -33,7 +33,7 @@
 				t.Errorf("size %d, spread %d: %v asks a second, %v bytes a tenant", size, spread, asks, heap)
 			}
 			if spread == 1 && of("units beyond quotas, of the quotas") != 0 {
-				t.Errorf("size %d: one gateway alone admits beyond quotas", size)
+				t.Errorf("size %d: one node alone admits beyond quotas", size)
 			}
 		}
 	}
--- a/internal/scale/simulated_node_test.go
+++ b/internal/scale/simulated_node_test.go
@@ -56,7 +56,7 @@
 	}
 	n.fleet.finish()
 	if n.counts.unanswered != 1 {
-		t.Errorf("%d unanswered: the gateway knows no such request", n.counts.unanswered)
+		t.Errorf("%d unanswered: the balancer knows no such request", n.counts.unanswered)
 	}
 }
 
--- a/internal/testbed/load_generator.go
+++ b/internal/testbed/load_generator.go
@@ -218,8 +218,8 @@
 	g.env.checker.attemptStarted(t, g.env.now())
 	n := g.nodes[t.node]
 	limit := g.env.wall(t.deadline + lateResponseWait + g.env.slack(t.node))
-	for again := false; ; again = true {
-		cc, kept, err := n.getConn(limit, again)
+	for isRetry := false; ; isRetry = true {
+		cc, reused, err := n.getConn(limit, isRetry)
 		if err != nil {
 			n.recordUnreachable(g.env.now(), time.Duration(g.env.scenario.Load.FailureDetection))
 			return g.unreached(t)
@@ -233,17 +233,17 @@
 		}
 		if _, err = io.WriteString(cc, g.encodeRequest(t, a, c, left)); err != nil {
 			_ = cc.Close()
-			if kept && !again {
+			if reused && !isRetry {
 				continue
 			}
 			return g.unreached(t)
 		}
 		g.env.checker.attemptSent(t, g.env.now())
-		if err = g.awaitResponse(t, cc); err != nil && kept && !again && !timedOut(err) {
+		if err = g.awaitResponse(t, cc); err != nil && reused && !isRetry && !timedOut(err) {
 			_ = cc.Close() // the node closed it as the request came: sent once more, as the protocol says
 			continue
 		}
-		return g.readResponse(t, n, cc, !kept)
+		return g.readResponse(t, n, cc, !reused)
 	}
 }
 
@@ -327,8 +327,8 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// getConn is a connection to the node, kept or new; fresh wants a new one.
-func (n *targetNode) getConn(limit time.Time, fresh bool) (cc *clientConn, kept bool, err error) {
+// getConn is a connection to the node, reused or new; fresh wants a new one.
+func (n *targetNode) getConn(limit time.Time, fresh bool) (cc *clientConn, reused bool, err error) {
 	n.mu.Lock()
 	for len(n.idle) > 0 && !fresh {
 		cc = n.idle[len(n.idle)-1]
--- a/internal/testbed/schedule_test.go
+++ b/internal/testbed/schedule_test.go
@@ -26,7 +26,7 @@
 		units += x.Units
 		c := a.Tenants[x.Tenant]
 		if d := (x.Node - c.FirstEntryNode + s.Fleet.Nodes) % s.Fleet.Nodes; d >= c.EntryNodes {
-			t.Fatalf("a request of a customer of nodes %d+%d comes through %d", c.FirstEntryNode, c.EntryNodes, x.Node)
+			t.Fatalf("a request of a tenant of nodes %d+%d comes through %d", c.FirstEntryNode, c.EntryNodes, x.Node)
 		}
 	}
 	if r := inside[0] / 50; math.Abs(r/400-1) > 0.05 {
