--- a/cmd/opalhook/registry.go
+++ b/cmd/opalhook/registry.go
@@ -155,7 +155,7 @@
 				}
 				kind := "changes"
 				if reset {
-					kind = "whole list"
+					kind = "full list"
 				}
 				var text strings.Builder
 				fmt.Fprintf(&text, "generation %d, %s:\n", generation, kind)
@@ -171,7 +171,7 @@
 			return errors.Join(err, werr)
 		},
 	}
-	c.Flags().Uint64Var(&from, "from", 0, "version that is known already; 0: show the whole list first")
+	c.Flags().Uint64Var(&from, "from", 0, "version that is known already; 0: show the full list first")
 	return c
 }
 
