--- a/balancer/api.go
+++ b/balancer/api.go
@@ -18,138 +18,139 @@
 
 import "time"
 
-// Effect says what repeating a request of a class does.
-type Effect int
+// Idempotency says what repeating a request of a class does.
+type Idempotency int
 
 const (
-	Safe   Effect = iota // may be repeated freely
-	Keyed                // a repeat is dropped inside its group while remembered
-	Unsafe               // must never run twice
+	Idempotent        Idempotency = iota // may be repeated freely
+	IdempotentWithKey                    // a repeat is dropped inside its group while remembered
+	NonIdempotent                        // must never run twice
 )
 
-// Group says which servers share the memory of a keyed class's requests.
-type Group int
+// DedupScope says which servers share the memory of a keyed class's requests.
+type DedupScope int
 
 const (
-	GroupAll  Group = iota // all servers
-	GroupZone              // the servers of one zone
-	GroupCell              // the servers of one cell
+	DedupFleet DedupScope = iota // all servers
+	DedupZone                    // the servers of one zone
+	DedupCell                    // the servers of one cell
 )
 
 // Class describes one class of requests.
 type Class struct {
-	Name     string
-	Effect   Effect
-	Group    Group         // for Keyed
-	Window   time.Duration // for Keyed: how long a server remembers, from the first send that may have run
-	Aim      time.Duration // answers up to here earn the full worth
-	Deadline time.Duration // the client's whole wait over all its tries
-	Worth    float64       // of one request
-	Late     float64       // share of Worth earned between Aim and the deadline
-	Stream   bool          // answers arrive as streams: see [Gateway.First]
+	Name        string
+	Idempotency Idempotency
+	DedupScope  DedupScope // for Keyed
+	// for Keyed: how long a server remembers, from the first send that may have run
+	DedupWindow        time.Duration
+	LatencyObjective   time.Duration // answers up to here earn the full worth
+	Deadline           time.Duration // the client's whole wait over all its tries
+	PriorityWeight     float64       // of one request
+	LateWeightFraction float64       // share of Worth earned between Aim and the deadline
+	Stream             bool          // answers arrive as streams: see [Gateway.First]
 }
 
 // Plan describes the quotas of each customer of one plan, over all gateways together.
 type Plan struct {
-	Name         string
-	Rate         float64 // units per second; 0: no quota on the rate
-	Burst        float64 // units the quota's store holds
-	Open         int     // attempts out at once; 0: no such quota
-	CeilingRate  float64 // units per second of the hard ceiling; 0: none
-	CeilingBurst float64 // units the ceiling's store holds
-	CeilingSlack float64 // units the ceiling's store may fall below nought
-	Price        float64 // factor on the worth
-	OverWorth    float64 // share of the worth earned beyond the quota
-	OverCost     float64 // share of the worth charged for each try sent beyond the quota
+	Name           string
+	Rate           float64 // units per second; 0: no quota on the rate
+	Burst          float64 // units the quota's store holds
+	MaxConcurrent  int     // attempts out at once; 0: no such quota
+	HardLimitRate  float64 // units per second of the hard ceiling; 0: none
+	HardLimitBurst float64 // units the ceiling's store holds
+	HardLimitSlack float64 // units the ceiling's store may fall below nought
+	WeightFactor   float64 // factor on the worth
+	OverQuotaValue float64 // share of the worth earned beyond the quota
+	OverQuotaCost  float64 // share of the worth charged for each try sent beyond the quota
 }
 
-// ReportMode says how servers report their load.
-type ReportMode int
+// LoadReportMode says how servers report their load.
+type LoadReportMode int
 
 const (
-	ReportNone    ReportMode = iota // never
-	ReportAnswers                   // in outcomes and probe results
-	ReportProbes                    // in probe results only
+	NoLoadReports             LoadReportMode = iota // never
+	LoadReportsInResponses                          // in outcomes and probe results
+	LoadReportsInHealthChecks                       // in probe results only
 )
 
 // Settings is all that a gateway is told at its start. The zero value of a
 // field means that the feature is absent, unless noted otherwise.
 type Settings struct {
-	Me        int    // this gateway's number, from 0
-	Instances int    // number of gateways, at least 1
+	NodeIndex int    // this gateway's number, from 0
+	NodeCount int    // number of gateways, at least 1
 	Zone      string // this gateway's zone
 	Classes   []Class
 	Plans     []Plan
 
-	AnswerSlack  time.Duration // a final answer this late past the deadline still counts
-	DrainGrace   time.Duration // sends to a draining server must have stopped by then
-	ColdFrom     float64       // a started server has at least this share of its capacity
-	RampTime     time.Duration // and is warm within this time
-	FallMultiple float64       // sent more than this multiple of its present capacity
-	OverloadFor  time.Duration // for this long, a cold server falls over
+	ResponseSlack            time.Duration // a final answer this late past the deadline still counts
+	DrainTimeout             time.Duration // sends to a draining server must have stopped by then
+	SlowStartInitialFraction float64       // a started server has at least this share of its capacity
+	SlowStartDuration        time.Duration // and is warm within this time
+	OverloadFactor           float64       // sent more than this multiple of its present capacity
+	OverloadWindow           time.Duration // for this long, a cold server falls over
 
 	MaxAttempts   int  // attempts per request; 0: no limit
-	Parallel      bool // two attempts of one request may be out at once
-	Cancel        bool // [Actions.Cancel] is allowed
-	Peers         bool // [Actions.Tell] is allowed
-	Probes        bool // [Actions.Probe] is allowed
+	Hedging       bool // two attempts of one request may be out at once
+	Cancellation  bool // [Actions.Cancel] is allowed
+	Gossip        bool // [Actions.Tell] is allowed
+	HealthChecks  bool // [Actions.Probe] is allowed
 	RetryAfter    bool // clients receive the retry-after of a refusal
 	MaxRetryAfter time.Duration
 
-	Report    ReportMode
-	AskList   bool          // the list must be subscribed to with [Actions.Watch]
-	AskWithin time.Duration // with AskList: how often an unsubscribed gateway must ask
-	InboxPerS float64       // peer messages per second that a gateway takes in
-	PostPaid  bool          // units are a guess until the first good answer
-	MostUnits float64       // of one request; 0: not told
-	Tick      time.Duration // the shortest time between events
-
-	PriceCross float64 // points per attempt to another zone, as a share of requests
-	PricePeer  float64 // points per full peer message a request
-	PriceProbe float64 // points per probe a request
-	PriceWaste float64 // points for wasted server work
+	LoadReports           LoadReportMode
+	PollEndpoints         bool          // the list must be subscribed to with [Actions.Watch]
+	PollInterval          time.Duration // with AskList: how often an unsubscribed gateway must ask
+	PeerMessagesPerSecond float64       // peer messages per second that a gateway takes in
+	PostPaid              bool          // units are a guess until the first good answer
+	MaxUnits              float64       // of one request; 0: not told
+	Tick                  time.Duration // the shortest time between events
+
+	CrossZonePrice   float64 // points per attempt to another zone, as a share of requests
+	PeerMessagePrice float64 // points per full peer message a request
+	HealthCheckPrice float64 // points per probe a request
+	WastedWorkPrice  float64 // points for wasted server work
 }
 
-// ServerState is a server's state in the list.
-type ServerState int
+// EndpointState is a server's state in the list.
+type EndpointState int
 
 const (
-	Up       ServerState = iota // takes work
-	Draining                    // finishes what it has
-	Removed                     // gone
+	Up       EndpointState = iota // takes work
+	Draining                      // finishes what it has
+	Removed                       // gone
 )
 
-// Server is one entry of the list of servers.
-type Server struct {
-	ID     string
-	State  ServerState
-	Weight float64 // relative size; 0: not told
-	Kind   string
-	Zone   string
-	Cell   int
-	Boot   time.Duration // clock reading of its last start; 0: long ago
+// Endpoint is one entry of the list of servers.
+type Endpoint struct {
+	ID          string
+	State       EndpointState
+	Weight      float64 // relative size; 0: not told
+	MachineType string
+	Zone        string
+	Cell        int
+	StartedAt   time.Duration // clock reading of its last start; 0: long ago
 }
 
-// ListForm says how a list relates to the one before.
-type ListForm int
+// UpdateKind says how a list relates to the one before.
+type UpdateKind int
 
 const (
-	ListChanges ListForm = iota // changed entries only
-	ListFull                    // the complete list
-	ListSaved                   // the complete list as last held, possibly old
-	ListError                   // asking failed; the list before stays in force
+	UpdateDelta    UpdateKind = iota // changed entries only
+	UpdateSnapshot                   // the complete list
+	UpdateCached                     // the complete list as last held, possibly old
+	UpdateFailed                     // asking failed; the list before stays in force
 )
 
 // Request is one try of a client. Its id is never used again.
 type Request struct {
-	ID       string
-	Class    string
-	Plan     string
-	Customer uint64
-	Grace    time.Duration // the client leaves after this
-	Units    float64       // that it draws from the quota
-	Spread   int           // number of gateways the customer comes in through
-	First    int           // number of the first of these; the others follow, counted round
+	ID             string
+	Class          string
+	Plan           string
+	Customer       uint64
+	Timeout        time.Duration // the client leaves after this
+	Units          float64       // that it draws from the quota
+	EntryNodes     int           // number of gateways the customer comes in through
+	FirstEntryNode int           // number of the first of these; the others follow, counted round
 }
 
 // Result is how an attempt ended.
@@ -157,33 +158,33 @@
 
 const (
 	OK            Result = iota
-	ErrorAnswer          // an error from the server; it may have run
-	Full                 // rejected unseen: never ran
+	ErrorResponse        // an error from the server; it may have run
+	Overloaded           // rejected unseen: never ran
 	TimedOut             // no answer in time; it may have run
 	ConnectFailed        // no connection: never ran
 	Reset                // the connection broke; it may have run
 	Cancelled            // cancelled by the gateway; it may have run
-	Moot                 // not sent at all: never ran
+	NotSent              // not sent at all: never ran
 )
 
-// Load is a server's load report. A value below 0 was not reported.
-type Load struct {
-	InFlight float64 // requests in hand
-	Queue    float64 // requests waiting
-	Util     float64 // busy share of the CPU, 0 to 1
+// LoadReport is a server's load report. A value below 0 was not reported.
+type LoadReport struct {
+	InFlight    float64 // requests in hand
+	Queued      float64 // requests waiting
+	Utilization float64 // busy share of the CPU, 0 to 1
 }
 
 // Outcome is the end of one attempt.
 type Outcome struct {
-	ID      string
-	Attempt int  // number of the attempt, counted from 0 in the order of Send
-	Closed  bool // the request has its final answer, by this outcome or before
-	Result  Result
-	Server  string
-	Took    time.Duration // since the attempt was sent
-	Units   float64       // with PostPaid: the true units, on the first OK; else 0
-	Load    *Load         // nil: no report came
-	Since   time.Duration // when the connection that brought an answer was made; 0: not told
+	ID          string
+	Attempt     int  // number of the attempt, counted from 0 in the order of Send
+	Answered    bool // the request has its final answer, by this outcome or before
+	Result      Result
+	EndpointID  string
+	Elapsed     time.Duration // since the attempt was sent
+	Units       float64       // with PostPaid: the true units, on the first OK; else 0
+	LoadReport  *LoadReport   // nil: no report came
+	ConnectedAt time.Duration // when the connection that brought an answer was made; 0: not told
 }
 
 // AllPeers as the peer of a [Actions.Tell] means every other gateway.
@@ -191,23 +192,24 @@
 
 // Actions is what a gateway asks of its host.
 type Actions interface {
-	// Send starts the request's next attempt. A timeout of 0 lasts to the client's deadline. Its last byte
+	// SendAttempt starts the request's next attempt. A timeout of 0 lasts to the client's deadline. Its last
+	// byte
 	// has to be on its way at the clock reading by, or the attempt is [Moot]; 0 sets no such bound.
-	Send(id, server string, timeout, by time.Duration)
-	// Refuse is a final answer: nothing happened and trying again is harmless.
-	Refuse(id string, retryAfter time.Duration)
+	SendAttempt(id, server string, timeout, by time.Duration)
+	// Reject is a final answer: nothing happened and trying again is harmless.
+	Reject(id string, retryAfter time.Duration)
 	// Fail is a final answer that promises nothing.
 	Fail(id string)
-	// Cancel stops waiting for an attempt.
-	Cancel(id string, attempt int)
+	// CancelAttempt stops waiting for an attempt.
+	CancelAttempt(id string, attempt int)
 	// SetTimer asks for one call of [Gateway.Timer] with the token.
 	SetTimer(token uint64, after time.Duration)
-	// Probe asks a server for its load; [Gateway.Probed] brings it.
-	Probe(server string)
-	// Tell sends at most 256 bytes to a peer. The host copies what it keeps of the message.
-	Tell(peer int, message []byte)
-	// Watch subscribes to changes of the list.
-	Watch(on bool)
+	// HealthCheck asks a server for its load; [Gateway.Probed] brings it.
+	HealthCheck(server string)
+	// SendPeer sends at most 256 bytes to a peer. The host copies what it keeps of the message.
+	SendPeer(peer int, message []byte)
+	// WatchEndpoints subscribes to changes of the list.
+	WatchEndpoints(on bool)
 	// Log adds a line for the operators.
 	Log(text string)
 }
--- a/balancer/serverlist.go
+++ b/balancer/serverlist.go
@@ -10,42 +10,42 @@
 // What the list says of all servers, in few bytes each. Only the servers of the subset, and those that are
 // sent to meanwhile, have a [server] with all that is learned of them (subset.go).
 
-// slot is the number of a listed server. One that is removed leaves its slot to the next that comes.
-type slot int32
-
-// listedServer is an entry of the list. Weight, zone, cell and kind are numbers in the list's tables.
-type listedServer struct {
-	id        string
-	boot      time.Duration
-	entersAt  float64 // see [Gateway.entersAt]
-	weight    int32
-	zone      int32
-	cell      int32
-	kind      int32
-	positions [poolsOfServer]int32 // in each of its pools
-	state     listedState
-	pooled    bool
-	round     bool // that of the list when it was last told
-	known     bool // more is kept of it, in [Gateway.byID]
+// slotIndex is the number of a listed server. One that is removed leaves its slot to the next that comes.
+type slotIndex int32
+
+// listedEndpoint is an entry of the list. Weight, zone, cell and kind are numbers in the list's tables.
+type listedEndpoint struct {
+	id            string
+	startedAt     time.Duration
+	entersAt      float64 // see [Gateway.entersAt]
+	weight        int32
+	zone          int32
+	cell          int32
+	machineType   int32
+	poolPositions [poolsPerEndpoint]int32 // in each of its pools
+	state         listedState
+	inReserve     bool
+	snapshotMark  bool // that of the list when it was last told
+	tracked       bool // more is kept of it, in [Gateway.byID]
 }
 
 // listedState is a [ServerState] in a byte.
 type listedState int8
 
 // pool is a set of slots from which one can be drawn. Order has no meaning.
-type pool []slot
+type pool []slotIndex
 
-// poolsOfServer is the number of pools that a server is in: of all, of its zone and of its cell.
-const poolsOfServer = 3
+// poolsPerEndpoint is the number of pools that a server is in: of all, of its zone and of its cell.
+const poolsPerEndpoint = 3
 
-// table numbers values that many servers share.
-type table[T comparable] struct {
+// valueTable numbers values that many servers share.
+type valueTable[T comparable] struct {
 	values  []T
 	numbers map[T]int32
 }
 
 // number returns the number of a value; the number that a server had before is a guess that saves a look-up.
-func (t *table[T]) number(value T, guess int32) int32 {
+func (t *valueTable[T]) number(value T, guess int32) int32 {
 	if int(guess) < len(t.values) && t.values[guess] == value {
 		return guess
 	}
@@ -61,95 +61,98 @@
 	return number
 }
 
-// serverList is the list as it was last told, with the reserve: pools of the servers that may be sent to
+// endpointList is the list as it was last told, with the reserve: pools of the servers that may be sent to
 // although nothing is known of them but what the list says.
-type serverList struct {
-	servers []listedServer
-	free    []slot
-	slots   map[string]slot
-	next    slot         // that of the entry behind the one found last
-	up      weightCounts // of the servers that take work
-	weights table[float64]
-	zones   table[string]
-	cells   table[int]
-	kinds   table[string]
-	all     pool
-	byZone  []pool // by the zone's number
-	byCell  []pool // by the cell's
-	warming warmQueue
-	near    []slot // of the servers that can enter this gateway's subset; may hold free slots, or one twice
-	nearFor int    // slots in near from which on these are dropped
-	round   bool   // changes with each whole list
-	named   int    // listed servers that the last whole list and changes since have named
-	reads   int    // entries read out one by one
-	lookups int    // entries that were looked up by their id
-}
-
-func newServerList(size int) *serverList {
-	return &serverList{
-		servers: make([]listedServer, 0, size),
-		slots:   make(map[string]slot, size),
+type endpointList struct {
+	entries       []listedEndpoint
+	free          []slotIndex
+	slotByID      map[string]slotIndex
+	expectedSlot  slotIndex    // that of the entry behind the one found last
+	activeWeights weightCounts // of the servers that take work
+	weights       valueTable[float64]
+	zones         valueTable[string]
+	cells         valueTable[int]
+	machineTypes  valueTable[string]
+	reserve       pool
+	reserveByZone []pool // by the zone's number
+	reserveByCell []pool // by the cell's
+	warmUps       warmUpQueue
+	// of the servers that can enter this gateway's subset; may hold free slots, or one twice
+	subsetCandidates    []slotIndex
+	maxSubsetCandidates int  // slots in near from which on these are dropped
+	snapshotMark        bool // changes with each whole list
+	namedInSnapshot     int  // listed servers that the last whole list and changes since have named
+	entryReads          int  // entries read out one by one
+	lookups             int  // entries that were looked up by their id
+}
+
+func newEndpointList(size int) *endpointList {
+	return &endpointList{
+		entries:  make([]listedEndpoint, 0, size),
+		slotByID: make(map[string]slotIndex, size),
 	}
 }
 
 // find returns the slot of a server. Lists come in one order as a rule: the next entry is looked at first.
-func (l *serverList) find(id string) (at slot, listed bool) {
-	at = l.next
-	if int(at) >= len(l.servers) || l.isFree(at) || l.servers[at].id != id {
+func (l *endpointList) find(id string) (at slotIndex, listed bool) {
+	at = l.expectedSlot
+	if int(at) >= len(l.entries) || l.isFree(at) || l.entries[at].id != id {
 		l.lookups++
-		if at, listed = l.slots[id]; !listed {
+		if at, listed = l.slotByID[id]; !listed {
 			return 0, false
 		}
 	}
-	l.next = at + 1
+	l.expectedSlot = at + 1
 	return at, true
 }
 
 // add enters a server of which nothing is told yet.
-func (l *serverList) add(id string) (at slot) {
+func (l *endpointList) add(id string) (at slotIndex) {
 	at = l.newSlot()
-	l.slots[id] = at
-	l.servers[at].id, l.servers[at].state, l.servers[at].round = id, listedState(Removed), !l.round
+	l.slotByID[id] = at
+	l.entries[at].id, l.entries[at].state, l.entries[at].snapshotMark = id, listedState(Removed),
+		!l.snapshotMark
 	return at
 }
 
-// put changes what is told of a server, and takes it out of the reserve.
-func (l *serverList) put(at slot, e Server) {
-	l.takeOut(at)
-	l.countUp(at, -1)
-	s := &l.servers[at]
-	s.boot, s.state = e.Boot, listedState(e.State)
-	l.markNamed(at)
+// update changes what is told of a server, and takes it out of the reserve.
+func (l *endpointList) update(at slotIndex, e Endpoint) {
+	l.removeFromReserve(at)
+	l.countActive(at, -1)
+	s := &l.entries[at]
+	s.startedAt, s.state = e.StartedAt, listedState(e.State)
+	l.markNamedInSnapshot(at)
 	s.weight = l.weights.number(weightOr1(e.Weight), s.weight)
 	s.zone = l.zones.number(e.Zone, s.zone)
 	s.cell = l.cells.number(e.Cell, s.cell)
-	s.kind = l.kinds.number(e.Kind, s.kind)
-	l.byZone = grown(l.byZone, len(l.zones.values))
-	l.byCell = grown(l.byCell, len(l.cells.values))
-	l.countUp(at, 1)
+	s.machineType = l.machineTypes.number(e.MachineType, s.machineType)
+	l.reserveByZone = grown(l.reserveByZone, len(l.zones.values))
+	l.reserveByCell = grown(l.reserveByCell, len(l.cells.values))
+	l.countActive(at, 1)
 }
 
 // confirm notes that a whole list names a server as it is listed already, and tells whether it does.
-func (l *serverList) confirm(at slot, e *Server) bool {
-	if !l.holds(at, e) {
+func (l *endpointList) confirm(at slotIndex, e *Endpoint) bool {
+	if !l.hasSameEntry(at, e) {
 		return false
 	}
-	l.markNamed(at)
+	l.markNamedInSnapshot(at)
 	return true
 }
 
-// markNamed notes that a listed server is named by the list as it is told now.
-func (l *serverList) markNamed(at slot) {
-	if s := &l.servers[at]; s.round != l.round {
-		s.round = l.round
-		l.named++
+// markNamedInSnapshot notes that a listed server is named by the list as it is told now.
+func (l *endpointList) markNamedInSnapshot(at slotIndex) {
+	if s := &l.entries[at]; s.snapshotMark != l.snapshotMark {
+		s.snapshotMark = l.snapshotMark
+		l.namedInSnapshot++
 	}
 }
 
-// holds tells whether a listed server's entry is the one given.
-func (l *serverList) holds(at slot, e *Server) bool {
-	s := &l.servers[at]
-	return s.boot == e.Boot && s.state == listedState(e.State) && l.kinds.values[s.kind] == e.Kind &&
+// hasSameEntry tells whether a listed server's entry is the one given.
+func (l *endpointList) hasSameEntry(at slotIndex, e *Endpoint) bool {
+	s := &l.entries[at]
+	return s.startedAt == e.StartedAt && s.state == listedState(e.State) &&
+		l.machineTypes.values[s.machineType] == e.MachineType &&
 		l.zones.values[s.zone] == e.Zone && l.cells.values[s.cell] == e.Cell &&
 		l.weight(at) == weightOr1(e.Weight)
 }
@@ -165,192 +168,200 @@
 
 // setEntersAt sets the number of subsets for each server from which on one is in this gateway's, see
 // [Gateway.entersAt].
-func (l *serverList) setEntersAt(at slot, subsets float64) {
-	l.servers[at].entersAt = subsets
+func (l *endpointList) setEntersAt(at slotIndex, subsets float64) {
+	l.entries[at].entersAt = subsets
 	if subsets == never {
 		return
 	}
-	if len(l.near) >= l.nearFor {
-		l.cleanNear()
+	if len(l.subsetCandidates) >= l.maxSubsetCandidates {
+		l.compactSubsetCandidates()
 	}
-	l.near = append(l.near, at)
+	l.subsetCandidates = append(l.subsetCandidates, at)
 }
 
 // resetEntersAt sets that number anew for all servers.
-func (l *serverList) resetEntersAt(subsets func(id string) float64) {
-	l.near = l.near[:0]
-	for at := range l.servers {
-		if !l.isFree(slot(at)) {
-			l.setEntersAt(slot(at), subsets(l.servers[at].id))
+func (l *endpointList) resetEntersAt(subsets func(id string) float64) {
+	l.subsetCandidates = l.subsetCandidates[:0]
+	for at := range l.entries {
+		if !l.isFree(slotIndex(at)) {
+			l.setEntersAt(slotIndex(at), subsets(l.entries[at].id))
 		}
 	}
 }
 
-// cleanNear drops from near what is gone or stands there twice, and lets as many slots come again before the
+// compactSubsetCandidates drops from near what is gone or stands there twice, and lets as many slots come
+// again before the
 // next time.
-func (l *serverList) cleanNear() {
-	slices.Sort(l.near)
-	l.near = slices.Compact(l.near)
-	l.near = slices.DeleteFunc(l.near, func(at slot) bool { return l.servers[at].entersAt == never })
-	l.nearFor = 2 * max(len(l.near), nearRoom)
+func (l *endpointList) compactSubsetCandidates() {
+	slices.Sort(l.subsetCandidates)
+	l.subsetCandidates = slices.Compact(l.subsetCandidates)
+	l.subsetCandidates = slices.DeleteFunc(l.subsetCandidates,
+		func(at slotIndex) bool { return l.entries[at].entersAt == never })
+	l.maxSubsetCandidates = 2 * max(len(l.subsetCandidates), minSubsetCandidates)
 }
 
-// nearRoom is half of the slots that near has room for, however few servers can enter the subset.
-const nearRoom = 64
+// minSubsetCandidates is half of the slots that near has room for, however few servers can enter the subset.
+const minSubsetCandidates = 64
 
-func (l *serverList) newSlot() slot {
+func (l *endpointList) newSlot() slotIndex {
 	if last := len(l.free) - 1; last >= 0 {
 		at := l.free[last]
 		l.free = l.free[:last]
 		return at
 	}
-	l.servers = append(l.servers, listedServer{})
-	return slot(len(l.servers) - 1)
+	l.entries = append(l.entries, listedEndpoint{})
+	return slotIndex(len(l.entries) - 1)
 }
 
 // isFree tells whether no server is listed at a slot.
-func (l *serverList) isFree(at slot) bool { return ServerState(l.servers[at].state) == Removed }
+func (l *endpointList) isFree(at slotIndex) bool {
+	return EndpointState(l.entries[at].state) == Removed
+}
 
 // remove takes a server off the list.
-func (l *serverList) remove(at slot) {
-	l.takeOut(at)
-	l.countUp(at, -1)
-	delete(l.slots, l.servers[at].id)
-	if l.servers[at].round == l.round {
-		l.named--
+func (l *endpointList) remove(at slotIndex) {
+	l.removeFromReserve(at)
+	l.countActive(at, -1)
+	delete(l.slotByID, l.entries[at].id)
+	if l.entries[at].snapshotMark == l.snapshotMark {
+		l.namedInSnapshot--
 	}
-	l.servers[at] = listedServer{state: listedState(Removed), entersAt: never}
+	l.entries[at] = listedEndpoint{state: listedState(Removed), entersAt: never}
 	l.free = append(l.free, at)
 }
 
-// begin starts a whole list: what is not put until end is no longer listed.
-func (l *serverList) begin() { l.round, l.named, l.next = !l.round, 0, 0 }
+// beginSnapshot starts a whole list: what is not put until end is no longer listed.
+func (l *endpointList) beginSnapshot() {
+	l.snapshotMark, l.namedInSnapshot, l.expectedSlot = !l.snapshotMark, 0, 0
+}
 
-// end removes what a whole list has not named. A list that names all servers as before leaves nothing to look
+// endSnapshot removes what a whole list has not named. A list that names all servers as before leaves nothing
+// to look
 // for.
-func (l *serverList) end() {
-	if l.named == len(l.slots) {
+func (l *endpointList) endSnapshot() {
+	if l.namedInSnapshot == len(l.slotByID) {
 		return
 	}
-	for at := range l.servers {
-		if !l.isFree(slot(at)) && l.servers[at].round != l.round {
-			l.remove(slot(at))
+	for at := range l.entries {
+		if !l.isFree(slotIndex(at)) && l.entries[at].snapshotMark != l.snapshotMark {
+			l.remove(slotIndex(at))
 		}
 	}
 }
 
 // stale tells whether most of what the list holds room for is of servers long gone.
-func (l *serverList) stale() bool {
-	values := len(l.weights.values) + len(l.zones.values) + len(l.cells.values) + len(l.kinds.values)
-	return max(values, len(l.servers)) > 4*(len(l.slots)+staleRoom)
+func (l *endpointList) stale() bool {
+	values := len(l.weights.values) + len(l.zones.values) + len(l.cells.values) + len(l.machineTypes.values)
+	return max(values, len(l.entries)) > 4*(len(l.slotByID)+staleSlack)
 }
 
-// staleRoom is what a list may hold for servers long gone, however short it is.
-const staleRoom = 1024
+// staleSlack is what a list may hold for servers long gone, however short it is.
+const staleSlack = 1024
 
-// countUp keeps the number and the weights of the servers that take work.
-func (l *serverList) countUp(at slot, by int) {
-	if ServerState(l.servers[at].state) == Up {
-		l.up.add(l.weight(at), by)
+// countActive keeps the number and the weights of the servers that take work.
+func (l *endpointList) countActive(at slotIndex, by int) {
+	if EndpointState(l.entries[at].state) == Up {
+		l.activeWeights.add(l.weight(at), by)
 	}
 }
 
-// server returns the entry in the form in which it was told.
-func (l *serverList) server(at slot) Server {
-	l.reads++
-	s := &l.servers[at]
-	return Server{ID: s.id, State: ServerState(s.state), Weight: l.weight(at), Kind: l.kinds.values[s.kind],
-		Zone: l.zones.values[s.zone], Cell: l.cells.values[s.cell], Boot: s.boot}
+// endpointAt returns the entry in the form in which it was told.
+func (l *endpointList) endpointAt(at slotIndex) Endpoint {
+	l.entryReads++
+	s := &l.entries[at]
+	return Endpoint{ID: s.id, State: EndpointState(s.state), Weight: l.weight(at),
+		MachineType: l.machineTypes.values[s.machineType],
+		Zone:        l.zones.values[s.zone], Cell: l.cells.values[s.cell], StartedAt: s.startedAt}
 }
 
 // weight returns a server's weight, 1 where none was told.
-func (l *serverList) weight(at slot) float64 {
-	return l.weights.values[l.servers[at].weight]
+func (l *endpointList) weight(at slotIndex) float64 {
+	return l.weights.values[l.entries[at].weight]
 }
 
 // pools returns the pools that a server belongs to.
-func (l *serverList) pools(at slot) [poolsOfServer]*pool {
-	s := &l.servers[at]
-	return [poolsOfServer]*pool{&l.all, &l.byZone[s.zone], &l.byCell[s.cell]}
+func (l *endpointList) pools(at slotIndex) [poolsPerEndpoint]*pool {
+	s := &l.entries[at]
+	return [poolsPerEndpoint]*pool{&l.reserve, &l.reserveByZone[s.zone], &l.reserveByCell[s.cell]}
 }
 
-// putIn enters a server into the reserve.
-func (l *serverList) putIn(at slot) {
-	s := &l.servers[at]
-	if s.pooled {
+// addToReserve enters a server into the reserve.
+func (l *endpointList) addToReserve(at slotIndex) {
+	s := &l.entries[at]
+	if s.inReserve {
 		return
 	}
 	for n, p := range l.pools(at) {
-		s.positions[n] = int32(len(*p))
+		s.poolPositions[n] = int32(len(*p))
 		*p = append(*p, at)
 	}
-	s.pooled = true
+	s.inReserve = true
 }
 
-// takeOut takes a server out of the reserve.
-func (l *serverList) takeOut(at slot) {
-	s := &l.servers[at]
-	if !s.pooled {
+// removeFromReserve takes a server out of the reserve.
+func (l *endpointList) removeFromReserve(at slotIndex) {
+	s := &l.entries[at]
+	if !s.inReserve {
 		return
 	}
 	for n, p := range l.pools(at) {
 		end := len(*p) - 1
 		last := (*p)[end]
-		(*p)[s.positions[n]] = last
-		l.servers[last].positions[n] = s.positions[n]
+		(*p)[s.poolPositions[n]] = last
+		l.entries[last].poolPositions[n] = s.poolPositions[n]
 		*p = (*p)[:end]
 	}
-	s.pooled = false
+	s.inReserve = false
 }
 
-// inZone returns the reserve in a zone.
-func (l *serverList) inZone(name string) pool {
+// reserveInZone returns the reserve in a zone.
+func (l *endpointList) reserveInZone(name string) pool {
 	if number, known := l.zones.numbers[name]; known {
-		return l.byZone[number]
+		return l.reserveByZone[number]
 	}
 	return nil
 }
 
-// inCell returns the reserve in a cell.
-func (l *serverList) inCell(cell int) pool {
+// reserveInCell returns the reserve in a cell.
+func (l *endpointList) reserveInCell(cell int) pool {
 	if number, known := l.cells.numbers[cell]; known {
-		return l.byCell[number]
+		return l.reserveByCell[number]
 	}
 	return nil
 }
 
-// warmAt is when a server that has started is warm.
-type warmAt struct {
-	at     time.Duration
-	server slot
+// warmUp is when a server that has started is warm.
+type warmUp struct {
+	at   time.Duration
+	slot slotIndex
 }
 
-// warmQueue orders cold servers by when they are warm. A slot may stand in it more than once, or have gone.
-type warmQueue []warmAt
+// warmUpQueue orders cold servers by when they are warm. A slot may stand in it more than once, or have gone.
+type warmUpQueue []warmUp
 
-func (q warmQueue) Len() int           { return len(q) }
-func (q warmQueue) Less(i, j int) bool { return q[i].at < q[j].at }
-func (q warmQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
-func (q *warmQueue) Push(x any)        { *q = append(*q, x.(warmAt)) }
+func (q warmUpQueue) Len() int           { return len(q) }
+func (q warmUpQueue) Less(i, j int) bool { return q[i].at < q[j].at }
+func (q warmUpQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *warmUpQueue) Push(x any)        { *q = append(*q, x.(warmUp)) }
 
-func (q *warmQueue) Pop() any {
+func (q *warmUpQueue) Pop() any {
 	last := len(*q) - 1
 	x := (*q)[last]
 	*q = (*q)[:last]
 	return x
 }
 
-// queueWarm notes when a server will be warm.
-func (l *serverList) queueWarm(at slot, when time.Duration) {
-	heap.Push(&l.warming, warmAt{when, at})
+// queueWarmUp notes when a server will be warm.
+func (l *endpointList) queueWarmUp(at slotIndex, when time.Duration) {
+	heap.Push(&l.warmUps, warmUp{when, at})
 }
 
-// nextWarm returns a slot whose server may be warm by now; ok is false where there is none.
-func (l *serverList) nextWarm(now time.Duration) (at slot, ok bool) {
-	if len(l.warming) == 0 || l.warming[0].at > now {
+// nextWarmedUp returns a slot whose server may be warm by now; ok is false where there is none.
+func (l *endpointList) nextWarmedUp(now time.Duration) (at slotIndex, ok bool) {
+	if len(l.warmUps) == 0 || l.warmUps[0].at > now {
 		return 0, false
 	}
-	return heap.Pop(&l.warming).(warmAt).server, true
+	return heap.Pop(&l.warmUps).(warmUp).slot, true
 }
 
 // Rendezvous hashing: each server ranks all gateways by a hash of both.
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -8,15 +8,16 @@
 // validate returns an error that names the first field that can't be.
 func (s *Settings) validate() error {
 	switch {
-	case s.Instances < 1:
+	case s.NodeCount < 1:
 		return errors.New("Instances is below 1")
-	case s.Me < 0 || s.Me >= s.Instances:
+	case s.NodeIndex < 0 || s.NodeIndex >= s.NodeCount:
 		return errors.New("Me is outside Instances")
 	case len(s.Classes) == 0:
 		return errors.New("Classes is empty")
-	case s.ColdFrom < 0 || s.ColdFrom > 1 || s.FallMultiple < 0 || s.RampTime < 0 || s.OverloadFor < 0:
+	case s.SlowStartInitialFraction < 0 || s.SlowStartInitialFraction > 1 || s.OverloadFactor < 0 ||
+		s.SlowStartDuration < 0 || s.OverloadWindow < 0:
 		return errors.New("ColdFrom, FallMultiple, RampTime or OverloadFor is out of range")
-	case s.MaxAttempts < 0 || s.InboxPerS < 0 || s.Tick < 0 || s.DrainGrace < 0:
+	case s.MaxAttempts < 0 || s.PeerMessagesPerSecond < 0 || s.Tick < 0 || s.DrainTimeout < 0:
 		return errors.New("MaxAttempts, InboxPerS, Tick or DrainGrace is negative")
 	}
 	names := map[string]bool{}
@@ -24,7 +25,8 @@
 		if names[c.Name] {
 			return fmt.Errorf("Classes: %q stands twice", c.Name)
 		}
-		if names[c.Name] = true; c.Aim < 0 || c.Deadline < 0 || c.Window < 0 || c.Worth < 0 {
+		if names[c.Name] = true; c.LatencyObjective < 0 || c.Deadline < 0 || c.DedupWindow < 0 ||
+			c.PriorityWeight < 0 {
 			return fmt.Errorf("Classes: %q has a negative figure", c.Name)
 		}
 	}
@@ -34,8 +36,8 @@
 			return fmt.Errorf("Plans: %q stands twice", p.Name)
 		}
 		names[p.Name] = true
-		if p.Rate < 0 || p.Burst < 0 || p.Open < 0 || p.CeilingRate < 0 || p.CeilingBurst < 0 ||
-			p.CeilingSlack < 0 {
+		if p.Rate < 0 || p.Burst < 0 || p.MaxConcurrent < 0 || p.HardLimitRate < 0 || p.HardLimitBurst < 0 ||
+			p.HardLimitSlack < 0 {
 			return fmt.Errorf("Plans: %q has a negative figure", p.Name)
 		}
 	}
--- a/balancer/store.go
+++ b/balancer/store.go
@@ -7,69 +7,71 @@
 
 // What is known of a customer's quota. How it is used is decided in choice.go.
 
-// store is a customer's quota as this gateway sees it.
-type store struct {
-	key     uint64
-	plan    int
-	spread  int
-	first   int
-	at      time.Duration
-	level   float64 // units left of the quota
-	ceiling float64 // units left of this gateway's part of the ceiling
-	since   float64 // units sent since the last tell
-	untold  float64 // units to tell, settlements included
+// quotaBucket is a customer's quota as this gateway sees it.
+type quotaBucket struct {
+	tenant              uint64
+	plan                int
+	entryNodes          int
+	firstEntryNode      int
+	refilledAt          time.Duration
+	tokens              float64 // units left of the quota
+	hardLimitTokens     float64 // units left of this gateway's part of the ceiling
+	acquiredSinceGossip float64 // units sent since the last tell
+	unreportedUnits     float64 // units to tell, settlements included
 	// of this store's life: units that true figures left over or lacked, and those sent unasked
-	reconciled float64
-	told       float64 // of it, what was told last
-	born       uint64  // tells this life of the store from others
-	shunned    float64 // units refused unasked since the last ask
-	out        int     // attempts out
-	opened     int     // tries sent since the last tell
-	zeros      int     // tells that said nothing is out
-	dirty      bool
-	levels     []told        // per peer: attempts out there
-	wide       bool          // its holder is asked; tells would come too late
-	split      int           // gateways over which the room is split
-	parts      float64       // stores that the quota is kept in
-	admitted   float64       // share of what is wanted that can be granted
-	want       float64       // units wanted a second, averaged
-	grant      float64       // and granted
-	ratesAt    time.Duration // when these were brought up to date
-	members    map[int]life  // of a holder: what each member has settled
-	done       []askDone     // and the asks answered last
-	shut       time.Duration // no ask until then: the holder has refused
-	leases     []lease       // attempts that this holder has granted under an open cap
-	burstPart  float64       // this gateway's part of the ceiling's burst
-	ratePart   float64       // and of its rate
-	crowded    time.Duration // refused of late: until then, less is spent on a chance
+	reconciledUnits        float64
+	reportedReconciliation float64 // of it, what was told last
+	incarnation            uint64  // tells this life of the store from others
+	locallyRejectedUnits   float64 // units refused unasked since the last ask
+	inFlight               int     // attempts out
+	startedSinceGossip     int     // tries sent since the last tell
+	idleReports            int     // tells that said nothing is out
+	dirty                  bool
+	peerInFlight           []peerInFlight               // per peer: attempts out there
+	owned                  bool                         // its holder is asked; tells would come too late
+	sharers                int                          // gateways over which the room is split
+	ownerCount             float64                      // stores that the quota is kept in
+	grantedFraction        float64                      // share of what is wanted that can be granted
+	demandRate             float64                      // units wanted a second, averaged
+	grantRate              float64                      // and granted
+	ratesAt                time.Duration                // when these were brought up to date
+	requesters             map[int]requesterIncarnation // of a holder: what each member has settled
+	answeredRequests       []answeredRequest            // and the asks answered last
+	rejectedUntil          time.Duration                // no ask until then: the holder has refused
+	// attempts that this holder has granted under an open cap
+	leases                 []concurrencyLease
+	hardLimitBurstFraction float64 // this gateway's part of the ceiling's burst
+	hardLimitRateFraction  float64 // and of its rate
+	// refused of late: until then, less is spent on a chance
+	congestedUntil time.Duration
 }
 
-// life is what a member has settled in one life of its store.
-type life struct {
-	born       uint64
-	reconciled float64
+// requesterIncarnation is what a member has settled in one life of its store.
+type requesterIncarnation struct {
+	incarnation     uint64
+	reconciledUnits float64
 }
 
-// askDone is an ask that was answered.
-type askDone struct {
+// answeredRequest is an ask that was answered.
+type answeredRequest struct {
 	from    int
-	num     uint64
+	number  uint64
 	granted bool
 	wait    time.Duration
 }
 
-// chanceAdmission is a request that went without its holder's answer.
-type chanceAdmission struct {
-	store  *store
-	holder int
-	units  float64
-	sent   bool
-	told   float64 // what its holder was told to add for it
-	at     time.Duration
+// unansweredAdmission is a request that went without its holder's answer.
+type unansweredAdmission struct {
+	quota         *quotaBucket
+	quotaOwner    int
+	units         float64
+	sent          bool
+	reportedUnits float64 // what its holder was told to add for it
+	at            time.Duration
 }
 
-// owed is what the holder must add to its store for it, granted by the holder or not.
-func (d *chanceAdmission) owed(granted bool) float64 {
+// unreconciledUnits is what the holder must add to its store for it, granted by the holder or not.
+func (d *unansweredAdmission) unreconciledUnits(granted bool) float64 {
 	switch {
 	case granted && !d.sent:
 		return d.units
@@ -79,104 +81,105 @@
 	return 0
 }
 
-// bound keeps a holder's level between a whole burst owed and its part of one.
-func (st *store) bound(level, burst float64) float64 {
-	return math.Max(math.Min(level, burst/st.parts), -burst)
+// clampTokens keeps a holder's level between a whole burst owed and its part of one.
+func (st *quotaBucket) clampTokens(level, burst float64) float64 {
+	return math.Max(math.Min(level, burst/st.ownerCount), -burst)
 }
 
-// overQuota is what was told of a customer who wants more than can be granted.
-type overQuota struct {
-	admitted float64
-	at       time.Duration
+// overQuotaTenant is what was told of a customer who wants more than can be granted.
+type overQuotaTenant struct {
+	grantedFraction float64
+	at              time.Duration
 }
 
-// settle takes in a member's sum and returns what it adds to the store. Sums make up for asks that were lost.
-func (st *store) settle(from int, m ask) (more float64) {
-	was, known := st.members[from]
-	if st.members == nil {
-		st.members = map[int]life{}
+// reconcile takes in a member's sum and returns what it adds to the store. Sums make up for asks that were
+// lost.
+func (st *quotaBucket) reconcile(from int, m quotaMessage) (more float64) {
+	was, known := st.requesters[from]
+	if st.requesters == nil {
+		st.requesters = map[int]requesterIncarnation{}
 	}
-	st.members[from] = life{m.born, m.reconciled}
+	st.requesters[from] = requesterIncarnation{m.incarnation, m.reconciledUnits}
 	switch {
 	case !known:
 		return 0 // what it settled before is in no store of this holder's
-	case was.born != m.born:
-		return m.reconciled
+	case was.incarnation != m.incarnation:
+		return m.reconciledUnits
 	}
-	return m.reconciled - was.reconciled
+	return m.reconciledUnits - was.reconciledUnits
 }
 
-// answered returns the ask if it was answered before, or nil.
-func (st *store) answered(from int, num uint64) *askDone {
-	for i := range st.done {
-		if d := &st.done[i]; d.from == from && d.num == num {
+// previousAnswer returns the ask if it was answered before, or nil.
+func (st *quotaBucket) previousAnswer(from int, num uint64) *answeredRequest {
+	for i := range st.answeredRequests {
+		if d := &st.answeredRequests[i]; d.from == from && d.number == num {
 			return d
 		}
 	}
 	return nil
 }
 
-// note keeps an ask that was answered.
-func (st *store) note(d askDone) {
-	if len(st.done) == asksKept {
-		st.done = append(st.done[:0], st.done[1:]...)
+// rememberAnswer keeps an ask that was answered.
+func (st *quotaBucket) rememberAnswer(d answeredRequest) {
+	if len(st.answeredRequests) == maxAnsweredRequests {
+		st.answeredRequests = append(st.answeredRequests[:0], st.answeredRequests[1:]...)
 	}
-	st.done = append(st.done, d)
+	st.answeredRequests = append(st.answeredRequests, d)
 }
 
-// wanted and granted count units into the averages.
-func (st *store) wanted(now time.Duration, units float64) {
-	st.age(now)
-	st.want += units / wantFor.Seconds()
+// recordDemand and granted count units into the averages.
+func (st *quotaBucket) recordDemand(now time.Duration, units float64) {
+	st.decayRates(now)
+	st.demandRate += units / demandDecay.Seconds()
 }
 
-func (st *store) granted(now time.Duration, units float64) {
-	st.age(now)
-	st.grant += units / wantFor.Seconds()
+func (st *quotaBucket) recordGrant(now time.Duration, units float64) {
+	st.decayRates(now)
+	st.grantRate += units / demandDecay.Seconds()
 }
 
-func (st *store) age(now time.Duration) {
-	keep := math.Exp(-(now - st.ratesAt).Seconds() / wantFor.Seconds())
-	st.want, st.grant, st.ratesAt = st.want*keep, st.grant*keep, now
+func (st *quotaBucket) decayRates(now time.Duration) {
+	keep := math.Exp(-(now - st.ratesAt).Seconds() / demandDecay.Seconds())
+	st.demandRate, st.grantRate, st.ratesAt = st.demandRate*keep, st.grantRate*keep, now
 }
 
-// lease is a place under an open cap that a holder gave to a gateway.
-type lease struct {
-	from int
-	num  uint64
-	ends time.Duration
+// concurrencyLease is a place under an open cap that a holder gave to a gateway.
+type concurrencyLease struct {
+	from      int
+	number    uint64
+	expiresAt time.Duration
 }
 
-type told struct {
-	n  int
-	at time.Duration
+type peerInFlight struct {
+	attempts   int
+	reportedAt time.Duration
 }
 
-func fill(units, rate float64) time.Duration {
+func refillTime(units, rate float64) time.Duration {
 	return time.Duration(math.Min(math.Max(units/rate, 0), 60) * float64(time.Second))
 }
 
-func fillIf(units, rate float64) time.Duration {
+func refillTimeIfLimited(units, rate float64) time.Duration {
 	if rate <= 0 {
 		return 0
 	}
-	return fill(units, rate)
+	return refillTime(units, rate)
 }
 
-// inSet tells whether a gateway is one of a customer's.
-func (g *Gateway) inSet(i, first, spread int) bool {
-	return (i-first+g.set.Instances)%g.set.Instances < spread
+// isEntryNode tells whether a gateway is one of a customer's.
+func (g *Balancer) isEntryNode(i, first, spread int) bool {
+	return (i-first+g.settings.NodeCount)%g.settings.NodeCount < spread
 }
 
-func (g *Gateway) mark(st *store) {
-	if !st.dirty && !st.wide && g.set.Peers && g.set.Instances > 1 {
+func (g *Balancer) markUnreported(st *quotaBucket) {
+	if !st.dirty && !st.owned && g.settings.Gossip && g.settings.NodeCount > 1 {
 		st.dirty = true
-		g.dirty = append(g.dirty, st)
+		g.unreported = append(g.unreported, st)
 	}
 }
 
-// dropLeases removes the leases for which gone holds.
-func (st *store) dropLeases(gone func(lease) bool) {
+// dropConcurrencyLeases removes the leases for which gone holds.
+func (st *quotaBucket) dropConcurrencyLeases(gone func(concurrencyLease) bool) {
 	kept := st.leases[:0]
 	for _, l := range st.leases {
 		if !gone(l) {
@@ -186,122 +189,123 @@
 	st.leases = kept
 }
 
-// sweep drops idle stores among the next eighth, and what is no longer believed of customers.
-func (g *Gateway) sweep() {
-	for key, h := range g.overQuota {
-		if g.now-h.at > overQuotaFor {
-			delete(g.overQuota, key)
+// dropIdleQuotas drops idle stores among the next eighth, and what is no longer believed of customers.
+func (g *Balancer) dropIdleQuotas() {
+	for key, h := range g.overQuotaTenants {
+		if g.now-h.at > overQuotaRetention {
+			delete(g.overQuotaTenants, key)
 		}
 	}
-	for num, d := range g.byChance {
-		if g.now-d.at > byChanceFor {
-			delete(g.byChance, num)
+	for num, d := range g.unansweredAdmissions {
+		if g.now-d.at > unansweredAdmissionRetention {
+			delete(g.unansweredAdmissions, num)
 		}
 	}
-	for n := len(g.order)/8 + 1; n > 0 && len(g.order) > 0; n-- {
-		if g.sweepAt >= len(g.order) {
-			g.sweepAt = 0
+	for n := len(g.quotaList)/8 + 1; n > 0 && len(g.quotaList) > 0; n-- {
+		if g.sweepPosition >= len(g.quotaList) {
+			g.sweepPosition = 0
 		}
-		st := g.order[g.sweepAt]
-		if !g.idle(st) {
-			g.sweepAt++
+		st := g.quotaList[g.sweepPosition]
+		if !g.isIdle(st) {
+			g.sweepPosition++
 			continue
 		}
-		delete(g.stores, st.key)
-		g.order[g.sweepAt] = g.order[len(g.order)-1]
-		g.order = g.order[:len(g.order)-1]
+		delete(g.quotas, st.tenant)
+		g.quotaList[g.sweepPosition] = g.quotaList[len(g.quotaList)-1]
+		g.quotaList = g.quotaList[:len(g.quotaList)-1]
 	}
 }
 
-// idle tells whether a store may be dropped: full for a burst's time, with nothing out and nothing to tell.
+// isIdle tells whether a store may be dropped: full for a burst's time, with nothing out and nothing to tell.
 // Memory stays bounded when customers come once only.
-func (g *Gateway) idle(st *store) bool {
-	p := &g.set.Plans[st.plan]
-	idle := idleOpen
+func (g *Balancer) isIdle(st *quotaBucket) bool {
+	p := &g.settings.Plans[st.plan]
+	idle := idleConcurrencyQuota
 	if p.Rate > 0 {
-		idle = fill(2*p.Burst-st.level, p.Rate)
+		idle = refillTime(2*p.Burst-st.tokens, p.Rate)
 	}
-	idle = max(idle, fillIf(p.CeilingBurst, p.CeilingRate))
-	return st.out == 0 && !st.dirty && len(st.leases) == 0 && g.now-st.at >= idle
+	idle = max(idle, refillTimeIfLimited(p.HardLimitBurst, p.HardLimitRate))
+	return st.inFlight == 0 && !st.dirty && len(st.leases) == 0 && g.now-st.refilledAt >= idle
 }
 
-// openRoom is how many more attempts the customer may have out, as far as is known.
-func (g *Gateway) openRoom(st *store) int {
-	room := g.set.Plans[st.plan].Open - st.out
-	for i, l := range st.levels {
+// concurrencyHeadroom is how many more attempts the customer may have out, as far as is known.
+func (g *Balancer) concurrencyHeadroom(st *quotaBucket) int {
+	room := g.settings.Plans[st.plan].MaxConcurrent - st.inFlight
+	for i, l := range st.peerInFlight {
 		// An unheard peer counts as nought.
-		if i != g.set.Me && g.now-l.at < unheardGaps*g.gossipGap {
-			room -= l.n
+		if i != g.settings.NodeIndex && g.now-l.reportedAt < maxMissedGossipIntervals*g.gossipInterval {
+			room -= l.attempts
 		}
 	}
-	st.dropLeases(func(l lease) bool { return g.now >= l.ends })
+	st.dropConcurrencyLeases(func(l concurrencyLease) bool { return g.now >= l.expiresAt })
 	return room - len(st.leases)
 }
 
-func (g *Gateway) fillUp(st *store) {
-	p := &g.set.Plans[st.plan]
-	dt := (g.now - st.at).Seconds()
-	st.at = g.now
-	rate := p.Rate / st.parts
-	if len(st.members) > 0 && g.now-g.heardAt > isolatedAfter {
+func (g *Balancer) refill(st *quotaBucket) {
+	p := &g.settings.Plans[st.plan]
+	dt := (g.now - st.refilledAt).Seconds()
+	st.refilledAt = g.now
+	rate := p.Rate / st.ownerCount
+	if len(st.requesters) > 0 && g.now-g.lastPeerMessage > isolatedAfter {
 		// Members that it does not hear go on as before.
-		rate = math.Max(rate-st.grant, -math.Max(st.level, 0)/math.Max(dt, 1e-9))
+		rate = math.Max(rate-st.grantRate, -math.Max(st.tokens, 0)/math.Max(dt, 1e-9))
 		st.ratesAt = g.now
 	}
-	st.level = math.Min(st.level+rate*dt, p.Burst/st.parts)
-	st.ceiling = math.Min(st.ceiling+p.CeilingRate*st.ratePart*dt, p.CeilingBurst*st.burstPart)
+	st.tokens = math.Min(st.tokens+rate*dt, p.Burst/st.ownerCount)
+	st.hardLimitTokens = math.Min(st.hardLimitTokens+p.HardLimitRate*st.hardLimitRateFraction*dt,
+		p.HardLimitBurst*st.hardLimitBurstFraction)
 }
 
-// take takes units of a request inside the quota, now or when it settles.
-func (g *Gateway) take(st *store, units float64) {
-	if g.set.Plans[st.plan].Rate > 0 {
-		st.level -= units
-		st.since += units
-		st.untold += units
+// acquire takes units of a request inside the quota, now or when it settles.
+func (g *Balancer) acquire(st *quotaBucket, units float64) {
+	if g.settings.Plans[st.plan].Rate > 0 {
+		st.tokens -= units
+		st.acquiredSinceGossip += units
+		st.unreportedUnits += units
 	}
-	g.mark(st)
+	g.markUnreported(st)
 }
 
-func (g *Gateway) holderOf(st *store, part int) int {
-	x := (st.key + 1 + uint64(part)<<40) * 0x9e3779b97f4a7c15
+func (g *Balancer) ownerOfPart(st *quotaBucket, part int) int {
+	x := (st.tenant + 1 + uint64(part)<<40) * 0x9e3779b97f4a7c15
 	x = (x ^ x>>32) * 0xd6e8feb86659fd93
-	return (st.first + int((x^x>>32)%uint64(st.spread))) % g.set.Instances
+	return (st.firstEntryNode + int((x^x>>32)%uint64(st.entryNodes))) % g.settings.NodeCount
 }
 
-func (g *Gateway) partsHeld(st *store) (n int) {
-	for part := range st.split {
-		n += int(b2f(g.holderOf(st, part) == g.set.Me))
+func (g *Balancer) partsOwned(st *quotaBucket) (n int) {
+	for part := range st.sharers {
+		n += int(oneIf(g.ownerOfPart(st, part) == g.settings.NodeIndex))
 	}
 	return n
 }
 
-func (g *Gateway) holder(st *store) int {
-	return g.holderOf(st, g.set.Me%st.split)
+func (g *Balancer) ownerFor(st *quotaBucket) int {
+	return g.ownerOfPart(st, g.settings.NodeIndex%st.sharers)
 }
 
-// noteOverQuota takes in what can be granted of a customer's wants.
-func (g *Gateway) noteOverQuota(key uint64, admitted float64) {
-	if _, known := g.overQuota[hashKey(key)]; known || admitted < overQuotaBelow {
-		g.overQuota[hashKey(key)] = overQuota{admitted, g.now}
+// recordOverQuota takes in what can be granted of a customer's wants.
+func (g *Balancer) recordOverQuota(key uint64, admitted float64) {
+	if _, known := g.overQuotaTenants[tenantHash(key)]; known || admitted < overQuotaThreshold {
+		g.overQuotaTenants[tenantHash(key)] = overQuotaTenant{admitted, g.now}
 	}
 }
 
-// admittedShare is the share of a customer's wants that can be granted, as far as is known: a customer of
+// grantedFraction is the share of a customer's wants that can be granted, as far as is known: a customer of
 // whom
 // nobody tells is inside its quota.
-func (g *Gateway) admittedShare(st *store) float64 {
-	if h, known := g.overQuota[hashKey(st.key)]; known {
-		return h.admitted
+func (g *Balancer) grantedFraction(st *quotaBucket) float64 {
+	if h, known := g.overQuotaTenants[tenantHash(st.tenant)]; known {
+		return h.grantedFraction
 	}
 	return 1
 }
 
-// tooLate takes in an answer that nobody waited for any more: it says what the holder has taken.
-func (g *Gateway) tooLate(from int, m ask) {
-	d, ok := g.byChance[m.num]
-	if !ok || d.holder != from {
+// receiveLateGrant takes in an answer that nobody waited for any more: it says what the holder has taken.
+func (g *Balancer) receiveLateGrant(from int, m quotaMessage) {
+	d, ok := g.unansweredAdmissions[m.number]
+	if !ok || d.quotaOwner != from {
 		return
 	}
-	delete(g.byChance, m.num)
-	d.store.reconciled += d.owed(m.granted) - d.told
+	delete(g.unansweredAdmissions, m.number)
+	d.quota.reconciledUnits += d.unreconciledUnits(m.granted) - d.reportedUnits
 }
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -13,165 +13,177 @@
 // drawn, and is known while it is used. A small fleet's subsets hold all servers.
 
 const (
-	subsetServers = 12              // servers in a subset, on average, with usualRatio gateways to a server
-	usualRatio    = 1.5             // subsets of other fleets go with the root of the servers to a gateway
-	subsetLeast   = 3               // servers in a subset, on average, and subsets that hold each server
-	lengthSlack   = 1.25            // factor by which the list may be longer or shorter before subsets follow
-	horizonTimes  = 2               // times the subsets of a server for which its entry is worked out ahead
-	drawsMost     = 4               // draws from the reserve for one that is accepted by its weight
-	reserveFor    = 5 * time.Second // for which a server of the reserve stays known when it is no longer used
+	// servers in a subset, on average, with usualRatio gateways to a server
+	referenceSubsetSize = 12
+	// subsets of other fleets go with the root of the servers to a gateway
+	subsetReferenceRatio = 1.5
+	// servers in a subset, on average, and subsets that hold each server
+	minSubsetSize = 3
+	// factor by which the list may be longer or shorter before subsets follow
+	listLengthSlack = 1.25
+	// times the subsets of a server for which its entry is worked out ahead
+	rankedNodesFactor = 2
+	maxReserveSamples = 4 // draws from the reserve for one that is accepted by its weight
+	// for which a server of the reserve stays known when it is no longer used
+	reserveRetention = 5 * time.Second
 )
 
-// List brings the list of servers or changes of it.
-func (g *Gateway) List(now time.Duration, form ListForm, entries []Server, out Actions) {
-	g.now, g.out = now, out
-	if form == ListError {
-		if g.set.AskList {
-			g.out.SetTimer(timerList, time.Second+time.Duration(g.rng.Int64N(int64(time.Second))))
+// EndpointsUpdated brings the list of servers or changes of it.
+func (g *Balancer) EndpointsUpdated(now time.Duration, form UpdateKind, entries []Endpoint, out Actions) {
+	g.now, g.actions = now, out
+	if form == UpdateFailed {
+		if g.settings.PollEndpoints {
+			g.actions.SetTimer(timerPollEndpoints,
+				time.Second+time.Duration(g.rng.Int64N(int64(time.Second))))
 		}
 		return
 	}
-	if form != ListChanges {
-		g.beginWhole(len(entries))
+	if form != UpdateDelta {
+		g.beginSnapshot(len(entries))
 	}
-	if len(g.list.slots) == 0 {
-		g.follow(len(entries))
+	if len(g.list.slotByID) == 0 {
+		g.resizeSubset(len(entries))
 	}
 	for i := range entries {
-		g.entry(&entries[i])
+		g.applyEntry(&entries[i])
 	}
-	if form != ListChanges {
-		g.endWhole()
+	if form != UpdateDelta {
+		g.endSnapshot()
 	}
-	g.follow(len(g.list.slots))
-	g.dropGone()
-	g.nameSubset()
+	g.resizeSubset(len(g.list.slotByID))
+	g.dropUnlisted()
+	g.indexSubset()
 }
 
-// subsetsPerServer is in how many subsets a server is, for a list of a length. Connections cost work, and a
+// subsetsPerEndpointFor is in how many subsets a server is, for a list of a length. Connections cost work,
+// and a
 // server takes few: gateways that share it are few enough to keep theirs, and to meet it often. By the root,
 // a server more takes half as many members from others as it brings; subsets of one size would lose as many.
-func (g *Gateway) subsetsPerServer(length float64) float64 {
-	all := float64(g.set.Instances)
-	if !g.wide() {
+func (g *Balancer) subsetsPerEndpointFor(length float64) float64 {
+	all := float64(g.settings.NodeCount)
+	if !g.ownsQuotas() {
 		return all
 	}
 	ratio := all / max(length, 1)
-	return min(max(subsetServers*math.Sqrt(usualRatio*ratio), subsetLeast*ratio, subsetLeast), all)
+	return min(max(referenceSubsetSize*math.Sqrt(subsetReferenceRatio*ratio), minSubsetSize*ratio,
+		minSubsetSize), all)
 }
 
 // subsetSize is how many servers a subset has, on average and at least one.
-func (g *Gateway) subsetSize() int {
-	return max(int(g.perServer*float64(len(g.list.slots)))/g.set.Instances, 1)
+func (g *Balancer) subsetSize() int {
+	return max(int(g.subsetsPerEndpoint*float64(len(g.list.slotByID)))/g.settings.NodeCount, 1)
 }
 
 // entersAt is the number of subsets for each server from which on one is in this gateway's. Servers enter one
 // by one as that number grows, each at a fraction of its own, or one server more might change all subsets.
-func (g *Gateway) entersAt(id string) float64 {
-	if !g.wide() {
+func (g *Balancer) entersAt(id string) float64 {
+	if !g.ownsQuotas() {
 		return 0
 	}
-	key := hashID(id)
-	before := position(key, g.set.Me, g.set.Instances, g.horizon)
-	if before >= g.horizon && g.horizon < g.set.Instances {
+	key := endpointKey(id)
+	before := position(key, g.settings.NodeIndex, g.settings.NodeCount, g.rankedNodes)
+	if before >= g.rankedNodes && g.rankedNodes < g.settings.NodeCount {
 		return never
 	}
 	return float64(before+1) - fraction(key)
 }
 
-// follow has the subset follow the length of the list.
-func (g *Gateway) follow(length int) {
+// resizeSubset has the subset follow the length of the list.
+func (g *Balancer) resizeSubset(length int) {
 	n := math.Max(float64(length), 1)
-	if g.lengthUsed == 0 {
-		g.lengthUsed = n
+	if g.smoothedListLength == 0 {
+		g.smoothedListLength = n
 	}
-	g.lengthUsed = min(max(g.lengthUsed, n/lengthSlack), n*lengthSlack)
-	per := g.subsetsPerServer(g.lengthUsed)
-	if per == g.perServer {
+	g.smoothedListLength = min(max(g.smoothedListLength, n/listLengthSlack), n*listLengthSlack)
+	per := g.subsetsPerEndpointFor(g.smoothedListLength)
+	if per == g.subsetsPerEndpoint {
 		return
 	}
-	g.perServer, g.subsetChanged = per, true
-	if per+1 > float64(g.horizon) {
-		g.horizon = min(int(horizonTimes*per)+1, g.set.Instances)
+	g.subsetsPerEndpoint, g.subsetDirty = per, true
+	if per+1 > float64(g.rankedNodes) {
+		g.rankedNodes = min(int(rankedNodesFactor*per)+1, g.settings.NodeCount)
 		g.list.resetEntersAt(g.entersAt)
 	}
-	for _, at := range g.list.near {
-		g.enroll(at, true)
+	for _, at := range g.list.subsetCandidates {
+		g.updateMembership(at, true)
 	}
 }
 
-// enroll has the subset hold a listed server, or no longer. It may have been listed before.
-func (g *Gateway) enroll(at slot, before bool) {
-	e := &g.list.servers[at]
-	member := ServerState(e.state) != Removed && e.entersAt <= g.perServer
-	s := g.knownAt(at)
-	if s == nil && !member || s != nil && s.member == member {
+// updateMembership has the subset hold a listed server, or no longer. It may have been listed before.
+func (g *Balancer) updateMembership(at slotIndex, before bool) {
+	e := &g.list.entries[at]
+	member := EndpointState(e.state) != Removed && e.entersAt <= g.subsetsPerEndpoint
+	s := g.trackedAt(at)
+	if s == nil && !member || s != nil && s.inSubset == member {
 		return
 	}
 	if s == nil {
 		s = g.track(at)
 	}
-	s.member, g.subsetChanged = member, true
-	g.countMember(s)
+	s.inSubset, g.subsetDirty = member, true
+	g.countInSubset(s)
 	if member && before {
 		// Rule 4: others have shared what a cold server may be sent so far.
-		s.credit, s.credited = 0, g.now
+		s.slowStartTokens, s.slowStartAccruedAt = 0, g.now
 	}
 	g.updateReserve(at)
 }
 
-// freshest returns the servers last told of that another gateway's subset holds too, at most n, newest first.
-func (g *Gateway) freshest(n, node int) []*server {
-	var news []*server
-	for i := range g.shared {
-		s := &g.shared[i]
-		if rank(s.key, node) <= s.lastRank && s.takes() && s.loadAt > 0 && g.now-s.loadAt < newsFor {
-			news = append(news, s.server)
+// freshestLoads returns the servers last told of that another gateway's subset holds too, at most n, newest
+// first.
+func (g *Balancer) freshestLoads(n, node int) []*endpoint {
+	var news []*endpoint
+	for i := range g.sharedEndpoints {
+		s := &g.sharedEndpoints[i]
+		if rank(s.rendezvousKey, node) <= s.lastSubsetRank && s.acceptsRequests() && s.loadReportedAt > 0 &&
+			g.now-s.loadReportedAt < loadGossipMaxAge {
+			news = append(news, s.endpoint)
 		}
 	}
-	slices.SortFunc(news, func(a, b *server) int {
-		return cmp.Or(cmp.Compare(b.loadAt, a.loadAt), cmp.Compare(a.ID, b.ID))
+	slices.SortFunc(news, func(a, b *endpoint) int {
+		return cmp.Or(cmp.Compare(b.loadReportedAt, a.loadReportedAt), cmp.Compare(a.ID, b.ID))
 	})
 	return news[:min(n, len(news))]
 }
 
-// draw returns a server of the reserve that the request may go to, or nil.
-func (g *Gateway) draw(r *request) *server {
-	g.warmUp()
-	from := g.list.all
+// sampleReserve returns a server of the reserve that the request may go to, or nil.
+func (g *Balancer) sampleReserve(r *request) *endpoint {
+	g.moveWarmedUpToReserve()
+	from := g.list.reserve
 	for i := range r.attempts { // a keyed request that may have run stays where its repeats are dropped
-		a, c := &r.attempts[i], &g.set.Classes[r.class]
+		a, c := &r.attempts[i], &g.settings.Classes[r.class]
 		switch {
-		case a.noRun || c.Effect != Keyed:
-		case c.Group == GroupZone:
-			from = g.list.inZone(a.zone)
-		case c.Group == GroupCell:
-			from = g.list.inCell(a.cell)
+		case a.neverRan || c.Idempotency != IdempotentWithKey:
+		case c.DedupScope == DedupZone:
+			from = g.list.reserveInZone(a.zone)
+		case c.DedupScope == DedupCell:
+			from = g.list.reserveInCell(a.cell)
 		}
 	}
 	if len(from) == 0 {
 		return nil
 	}
 	at := from[g.rng.IntN(len(from))]
-	for n := 1; n < drawsMost && g.rng.Float64()*g.list.up.largest > g.list.weight(at); n++ {
+	for n := 1; n < maxReserveSamples &&
+		g.rng.Float64()*g.list.activeWeights.largest > g.list.weight(at); n++ {
 		at = from[g.rng.IntN(len(from))]
 	}
-	if !g.maySend(r, &server{Server: g.list.server(at)}) {
+	if !g.mayAttempt(r, &endpoint{Endpoint: g.list.endpointAt(at)}) {
 		return nil
 	}
 	s := g.track(at)
-	s.seen = g.now
+	s.lastProgress = g.now
 	g.updateReserve(at)
 	return s
 }
 
-// used tells whether what is known of a server is still of use.
-func (g *Gateway) used(s *server) bool {
+// isInUse tells whether what is known of a server is still of use.
+func (g *Balancer) isInUse(s *endpoint) bool {
 	switch {
-	case s.member && s.listed, s.out > 0:
+	case s.inSubset && s.listed, s.inFlight > 0:
 		return true
 	case !s.listed:
 		return false
 	}
-	return g.now-s.seen <= reserveFor || g.now < s.ejected || g.warmth(s) < 1
+	return g.now-s.lastProgress <= reserveRetention || g.now < s.ejectedUntil || g.warmUpFraction(s) < 1
 }
