--- a/cmd/sim-adapter/main.go
+++ b/cmd/sim-adapter/main.go
@@ -1,5 +1,5 @@
-// Command sim-adapter hosts balancers on the simulator's wire: batches of events on standard input, one reply each on
-// standard output. It decides nothing.
+// Command sim-adapter runs balancers for the simulator. It reads batches of events from standard input and writes one
+// reply for each batch to standard output. All decisions are the balancers'.
 package main
 
 import (
@@ -22,19 +22,19 @@
 	}
 }
 
-// replyBuffer is the size of the output's buffer in bytes.
+// replyBuffer is the size of the output buffer, in bytes.
 const replyBuffer = 1 << 16
 
-// Errors of the order in which messages come.
+// Errors for messages in the wrong order or for nodes that do not run.
 var (
 	errClockInBatch = errors.New("CLOCK inside a batch")
 	errClockBack    = errors.New("CLOCK goes backwards")
 	errOutsideBatch = errors.New("message outside a batch")
 	errEndsInBatch  = errors.New("input ends inside a batch")
-	errUnknownNode  = errors.New("unknown instance")
+	errUnknownNode  = errors.New("unknown node")
 )
 
-// run answers each batch of the input, until its end between two of them.
+// run replies to each batch of the input. It returns nil if the input ends between two batches.
 func run(in io.Reader, out io.Writer) error {
 	r := simwire.NewReader(in)
 	w := bufio.NewWriterSize(out, replyBuffer)
@@ -59,7 +59,7 @@
 	}
 }
 
-// writeReply writes out what a batch has led to.
+// writeReply writes and flushes the reply to a batch.
 func writeReply(w *bufio.Writer, reply *simwire.Reply) error {
 	_, _ = w.Write(reply.Take()) // Flush returns its error
 	if err := w.Flush(); err != nil {
@@ -68,15 +68,15 @@
 	return nil
 }
 
-// host is the state of the process.
+// host runs the balancers of several nodes.
 type host struct {
-	nodes   map[int]*balancer.Balancer // by the simulator's number
-	now     time.Duration              // the time of the batch, since the simulation's start
+	nodes   map[int]*balancer.Balancer // by the simulator's number of the node
+	now     time.Duration              // time of the current batch, since the simulation's start
 	inBatch bool
-	reply   simwire.Reply // to the batch
+	reply   simwire.Reply // reply to the current batch
 }
 
-// end checks that the input may end after a line.
+// end returns an error if the input ends inside a batch. line is its last line.
 func (h *host) end(line int) error {
 	if h.inBatch {
 		return &simwire.LineError{Line: line, Err: errEndsInBatch}
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// handle takes one event.
+// handle processes one event.
 func (h *host) handle(event simwire.Event) error {
 	if e, ok := event.(simwire.Clock); ok {
 		return h.begin(e.Now)
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// stop ends a node.
+// stop stops a node.
 func (h *host) stop(node int) error {
 	if _, ok := h.nodes[node]; !ok {
 		return fmt.Errorf("%w %d", errUnknownNode, node)
@@ -138,7 +138,7 @@
 	return nil
 }
 
-// deliver hands an event to its node.
+// deliver passes an event to its node.
 func (h *host) deliver(e simwire.NodeEvent) error {
 	b, ok := h.nodes[e.NodeNumber()]
 	if !ok {
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// guard runs a node's code; a panic is told in the reply.
+// guard calls code, which runs the balancer of a node, and reports a panic in the reply.
 func (h *host) guard(node int, code func()) {
 	h.reply.Node = node
 	defer func() {
@@ -178,6 +178,6 @@
 		b.HealthChecked(now, e.EndpointID, e.Result, e.LoadReport, out)
 	case simwire.PeerMessage:
 		b.PeerMessage(now, e.From, e.Payload, out)
-	case simwire.CounterRead: // of a counter that the balancer does not use
+	case simwire.CounterRead: // the balancer does not use the counter
 	}
 }
--- a/cmd/sim-adapter/main_test.go
+++ b/cmd/sim-adapter/main_test.go
@@ -25,8 +25,8 @@
 func TestBadInput(t *testing.T) {
 	for in, want := range map[string]string{
 		"COMMIT\n":                        "line 1: message outside a batch",
-		"CLOCK 1\nLEFT 4 rq\n":            "line 2: unknown instance 4",
-		"CLOCK 1\nHALT 4\n":               "line 2: unknown instance 4",
+		"CLOCK 1\nLEFT 4 rq\n":            "line 2: unknown node 4",
+		"CLOCK 1\nHALT 4\n":               "line 2: unknown node 4",
 		"CLOCK 2\nCOMMIT\nCLOCK 1\n":      "line 3: CLOCK goes backwards",
 		"CLOCK 1\nCLOCK 2\n":              "line 2: CLOCK inside a batch",
 		"CLOCK 1\n":                       "line 1: input ends inside a batch",
--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -6,10 +6,10 @@
 	"opalhook/internal/discovery"
 )
 
-// ActionKind says what the host has to do.
+// ActionKind is the kind of an [Action].
 type ActionKind int
 
-// Kinds of actions.
+// Kinds of actions, with the fields of [Action] that they use.
 const (
 	OpenWatch     ActionKind = iota // open a watch at Replica from generation From, as call CallID
 	CloseWatch                      // close the watch CallID
@@ -18,24 +18,24 @@
 	LogEvent                        // log Event
 )
 
-// Action is one thing for the host to do. The fields that a kind does not name are zero.
+// Action is an instruction of a [Follower] to its host. The fields that its kind does not use are zero.
 type Action struct {
 	Kind    ActionKind
-	Replica string
+	Replica string // address, host:port
 	CallID  uint64
-	From    uint64
+	From    uint64 // generation
 	List    discovery.Message
 	Event   Event
 }
 
-// Event is a line for the log. Its message is constant; what varies is in the attributes.
+// Event is a log record. Its message is constant; variable data is in the attributes.
 type Event struct {
 	Level   slog.Level
 	Message string
 	Attrs   []slog.Attr
 }
 
-// DrainActions returns the actions to carry out, in order, and forgets them.
+// DrainActions returns the pending actions in the order in which they have to be performed, and removes them.
 func (f *Follower) DrainActions() []Action {
 	actions := f.actions
 	f.actions = nil
@@ -44,7 +44,8 @@
 
 func (f *Follower) emit(a Action) { f.actions = append(f.actions, a) }
 
-// warn logs an event at the level that is shown by default: an end of an outage is worth as much as its begin.
+// warn logs an event at the warning level, which is shown by default. The end of an outage uses the same level as
+// its start, so that operators see both.
 func (f *Follower) warn(message string, attrs ...slog.Attr) {
 	f.emit(Action{Kind: LogEvent, Event: Event{slog.LevelWarn, message, attrs}})
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -12,61 +12,63 @@
 	"time"
 )
 
-// Config is what an agent is started with.
+// Config configures an [Agent].
 type Config struct {
-	Replicas []string // addresses of the list service, host:port
-	Listen   string   // address for the nodes, host:port
-	Name     string   // of this machine; it must differ from machine to machine
+	Replicas []string // addresses of the list service's replicas, host:port
+	Listen   string   // address on which nodes are served, host:port
+	Name     string   // name of this machine, unique among the machines of the list service
 	Rules    Rules
-	Seed     uint64 // of the random backoffs
+	Seed     uint64 // seed of the random backoffs
 	Log      *slog.Logger
 }
 
-// Status is what an agent reports of itself at /agent/status.
+// Status is the agent's report about itself, served at [StatusPath].
 type Status struct {
-	Generation     uint64  `json:"generation"`     // that nodes are sent
-	Endpoints      int     `json:"servers"`        // in the list that nodes are sent
-	Watching       bool    `json:"watching"`       // a replica's watch is open
-	AgeSeconds     float64 `json:"secondsOld"`     // since a replica last confirmed the list
-	Suspecting     bool    `json:"doubting"`       // a newer list is suspect and not accepted yet
-	ReplicaCalls   uint64  `json:"calls"`          // of replicas, since the start
-	NodeWatches    int64   `json:"watches"`        // that are open
-	ListsPublished uint64  `json:"listsPublished"` // messages to the nodes, since the start
+	Generation     uint64  `json:"generation"`     // generation of the list published to nodes
+	Endpoints      int     `json:"servers"`        // number of endpoints in the published list
+	Watching       bool    `json:"watching"`       // whether a watch at a replica is open
+	AgeSeconds     float64 `json:"secondsOld"`     // time since a replica last confirmed the list
+	Suspecting     bool    `json:"doubting"`       // whether a newer list is suspect and not yet accepted
+	ReplicaCalls   uint64  `json:"calls"`          // number of calls to replicas since the start
+	NodeWatches    int64   `json:"watches"`        // number of open watches of nodes
+	ListsPublished uint64  `json:"listsPublished"` // number of messages published to nodes since the start
 }
 
-// statusInterval is how often the status is renewed when nothing happens.
+// statusInterval is the longest time between two updates of the status.
 const statusInterval = time.Second
 
-// minTimer keeps the follower's timer from firing in a loop.
+// minTimer is the shortest time between two ticks of the follower. It prevents a busy loop when a tick is overdue.
 const minTimer = time.Millisecond
 
-// Agent follows the list service and serves the list to the nodes on its machine. [Start] starts one.
+// Agent follows the list service and serves the list to the nodes on its machine. Use [Start] to create one. Its
+// methods are safe for concurrent use.
 type Agent struct {
 	log    *slog.Logger
-	origin time.Time // of the follower's clock
+	origin time.Time // zero of the follower's clock
 
 	listener   net.Listener
 	server     *http.Server
 	replicas   *replicaClient
 	feed       *feed
-	ctx        context.Context // of all that the agent has started
+	ctx        context.Context // ends the goroutines and calls that the agent started
 	stop       context.CancelFunc
 	goroutines sync.WaitGroup
 
-	// Of the goroutine of run.
+	// Used only by the goroutine that executes run, except for sending to events.
 	follower       *Follower
 	silenceTimeout time.Duration
-	closeWatch     context.CancelFunc
+	closeWatch     context.CancelFunc // ends the current watch; nil if there is none
 	events         chan func(now time.Duration)
 
 	mu           sync.Mutex
-	status       FollowerStatus
+	status       FollowerStatus // guarded by mu
 	replicaCalls atomic.Uint64
 	nodeWatches  atomic.Int64
 }
 
-// Start starts an agent. It runs until [Agent.Close]; when ctx ends it follows no replica any more and ends the watches
-// of nodes.
+// Start starts an agent, which runs until [Agent.Close]. When ctx ends, the agent stops following replicas and ends
+// the watches of nodes, but its server keeps listening until Close. Start returns an error if cfg is invalid or the
+// address is not available.
 func Start(ctx context.Context, cfg Config) (*Agent, error) {
 	if err := cfg.validate(); err != nil {
 		return nil, err
@@ -97,23 +99,23 @@
 	return a, nil
 }
 
-// validate returns an error that names the first field that an agent can't work with.
+// validate returns an error that names the first invalid field.
 func (c Config) validate() error {
 	if len(c.Replicas) == 0 {
-		return errors.New("replicas: none is named; addresses of the list service are wanted")
+		return errors.New("replicas: must name at least one address of the list service, host:port")
 	}
 	for _, replica := range c.Replicas {
 		if _, port, err := net.SplitHostPort(replica); err != nil || port == "" {
-			return fmt.Errorf("replicas: %q is no address such as 127.0.0.1:8500", replica)
+			return fmt.Errorf("replicas: must be addresses such as 127.0.0.1:8500, got %q", replica)
 		}
 	}
 	return nil
 }
 
-// Addr returns the address for nodes.
+// Addr returns the address on which the agent serves nodes, host:port.
 func (a *Agent) Addr() string { return a.listener.Addr().String() }
 
-// Close ends the agent and its watches. It returns the error of closing the listener.
+// Close stops the agent, ends all watches and waits for its goroutines. It returns the error of closing the listener.
 func (a *Agent) Close() error {
 	a.stop()
 	err := a.server.Close()
@@ -121,7 +123,7 @@
 	return err
 }
 
-// Status returns what the agent reports of itself.
+// Status returns the agent's current status.
 func (a *Agent) Status() Status {
 	a.mu.Lock()
 	follower := a.status
@@ -138,7 +140,8 @@
 	}
 }
 
-// run owns the follower: it takes in what calls bring and carries out the follower's actions, until the agent ends.
+// run owns the follower. It passes the events of calls to the follower and performs the follower's actions until the
+// agent is stopped.
 func (a *Agent) run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -164,7 +167,7 @@
 // now returns the time on the follower's clock.
 func (a *Agent) now() time.Duration { return time.Since(a.origin) }
 
-// updateStatus publishes the state of the follower.
+// updateStatus stores the follower's status, and reports to the feed whether the list service is reachable.
 func (a *Agent) updateStatus(now time.Duration) {
 	status := a.follower.Status(now)
 	a.feed.setLive(status.Watching || status.Age < a.silenceTimeout)
@@ -173,7 +176,7 @@
 	a.status = status
 }
 
-// post hands an event to the goroutine of run.
+// post sends an event to the run goroutine. It drops the event if the agent has been stopped.
 func (a *Agent) post(event func(now time.Duration)) {
 	select {
 	case a.events <- event:
@@ -181,7 +184,7 @@
 	}
 }
 
-// perform carries out an action of the follower.
+// perform executes an action of the follower.
 func (a *Agent) perform(action Action) {
 	switch action.Kind {
 	case OpenWatch:
@@ -197,7 +200,7 @@
 	}
 }
 
-// openWatch starts a goroutine that follows a watch to its end.
+// openWatch starts a goroutine that opens a watch, follows it and reports its end to the follower.
 func (a *Agent) openWatch(action Action) {
 	ctx, cancel := context.WithCancel(a.ctx)
 	a.closeWatch = cancel
@@ -217,7 +220,8 @@
 	}
 }
 
-// followWatch hands what a watch brings to the follower until the watch ends. It always returns an error.
+// followWatch opens a watch and passes its messages and heartbeats to the follower until the watch ends. It always
+// returns a non-nil error.
 func (a *Agent) followWatch(ctx context.Context, action Action) error {
 	watch, err := a.replicas.watch(ctx, action.Replica, action.From)
 	if err != nil {
@@ -240,7 +244,7 @@
 	}
 }
 
-// openFetch starts a goroutine that fetches a replica's complete list.
+// openFetch starts a goroutine that fetches a replica's complete list for the follower.
 func (a *Agent) openFetch(replica string) {
 	a.replicaCalls.Add(1)
 	a.goroutines.Go(func() {
@@ -249,7 +253,7 @@
 	})
 }
 
-// publish makes a message of the follower what nodes are sent.
+// publish sends a message of the follower to all nodes.
 func (a *Agent) publish(action Action) {
 	if err := a.feed.publish(action.List, a.follower.Published()); err != nil {
 		a.log.Error("list not encoded", "generation", action.List.Generation, "err", err)
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -15,7 +15,7 @@
 )
 
 // Whatever is wrong with one replica, another one is found after few calls of the faulty one.
-func TestFaultyReplicasAreLeft(t *testing.T) {
+func TestAgentLeavesFaultyReplica(t *testing.T) {
 	hold := func(r *http.Request) { <-r.Context().Done() }
 	list := line(snapshotOf(10, 3))
 	for name, faulty := range map[string]func(w http.ResponseWriter, r *http.Request){
@@ -69,7 +69,7 @@
 
 // An agent that has been restarted and holds less than its node is silent until it holds as much; a restored list is
 // sent completely.
-func TestRestartedAgentNeverGoesBack(t *testing.T) {
+func TestRestartedAgentNeverRollsBackNodes(t *testing.T) {
 	var calls atomic.Int64
 	changes := make(chan discovery.Message, 1)
 	at := startReplica(t, &calls, func(w http.ResponseWriter, r *http.Request) {
@@ -106,7 +106,7 @@
 	nextMessage(t, watchAsNode(t, a, 0))
 	s.CloseClientConnections()
 	s.Close()
-	for end := time.Now().Add(patience); a.Status().Watching || a.Status().AgeSeconds < fastRules().SilenceTimeout.Seconds(); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); a.Status().Watching || a.Status().AgeSeconds < fastRules().SilenceTimeout.Seconds(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("the agent has not noticed: %+v", a.Status())
 		}
--- a/internal/agent/backoff.go
+++ b/internal/agent/backoff.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// randomDuration returns a random duration from 0 up to limit, 0 if there is none.
+// randomDuration returns a random duration in [0, limit), or 0 if limit is not positive.
 func randomDuration(rng *rand.Rand, limit time.Duration) time.Duration {
 	if limit <= 0 {
 		return 0
@@ -13,20 +13,22 @@
 	return time.Duration(rng.Int64N(int64(limit)))
 }
 
-// backoff decides how long to wait between failed calls.
+// backoff computes the delays between failed calls.
 type backoff struct {
-	initial, limit time.Duration // of the window
+	initial, limit time.Duration // first and longest window
 	rng            *rand.Rand
 
-	window   time.Duration // within which the next call is made
-	failures int           // calls that failed since a replica was last healthy
+	window   time.Duration // range of the random part of the next delay
+	failures int           // number of failed calls since a replica was last healthy
 }
 
 func newBackoff(rules Rules, rng *rand.Rand) backoff {
 	return backoff{initial: rules.InitialBackoff, limit: rules.MaxBackoff, rng: rng, window: rules.InitialBackoff}
 }
 
-// fail counts a failed call and returns the time before the next one. The window doubles once every replica has failed.
+// fail records a failed call and returns the delay before the next one. The delay is between a quarter and one and a
+// quarter windows. With a Retry-After it is between one and two times that duration. The window doubles each time
+// the number of failures reaches a multiple of the number of replicas.
 func (b *backoff) fail(replicas int, retryAfter time.Duration) time.Duration {
 	b.failures++
 	wait := b.window/4 + randomDuration(b.rng, b.window)
@@ -39,12 +41,13 @@
 	return wait
 }
 
-// reset notes a healthy replica.
+// reset restores the first window after a replica has proved healthy.
 func (b *backoff) reset() { b.window, b.failures = b.initial, 0 }
 
-// callBudget is the token bucket of a process's calls. It bounds what one follower costs the service, whatever fails.
+// callBudget is a token bucket for the calls of one follower. It bounds the follower's load on the service during
+// any kind of failure.
 type callBudget struct {
-	perSecond, burst float64
+	perSecond, burst float64 // refill rate and capacity, in calls
 	tokens           float64
 	refilledAt       time.Duration
 }
@@ -53,7 +56,7 @@
 	return callBudget{perSecond: rules.CallsPerSecond, burst: rules.CallBurst, tokens: rules.CallBurst, refilledAt: now}
 }
 
-// spend takes the token of one call. It reports whether there was one.
+// spend refills the bucket and takes the token of one call. It reports whether a token was available.
 func (b *callBudget) spend(now time.Duration) bool {
 	b.tokens = min(b.tokens+b.perSecond*(now-b.refilledAt).Seconds(), b.burst)
 	b.refilledAt = now
@@ -64,7 +67,7 @@
 	return true
 }
 
-// untilNext returns how long after the latest refill the next token is there.
+// untilNext returns the time from the latest refill until the next token is available, plus one millisecond.
 func (b *callBudget) untilNext() time.Duration {
 	return time.Duration((1-b.tokens)/b.perSecond*float64(time.Second)) + time.Millisecond
 }
--- a/internal/agent/backoff_test.go
+++ b/internal/agent/backoff_test.go
@@ -15,7 +15,7 @@
 	var at []time.Duration
 	for seed := range uint64(100) {
 		f := NewFollower(0, fmt.Sprint("m", seed), []string{"a", "b", "c"}, DefaultRules(), seed)
-		r := &rig{t: t, f: f}
+		r := &followerHarness{t: t, f: f}
 		r.connect()
 		r.receive(snapshotOf(10, 10))
 		f.CallFailed(r.now, f.callID, 0, errors.New("gone"))
@@ -89,7 +89,7 @@
 
 // An outage is logged once at its begin and once at its end.
 func TestOutageIsLoggedOnce(t *testing.T) {
-	r := newRig(t, "a", "b")
+	r := newFollowerHarness(t, "a", "b")
 	for range 5 {
 		r.connect()
 		r.f.CallFailed(r.now, r.f.callID, 0, errors.New("refused"))
--- a/internal/agent/client_test.go
+++ b/internal/agent/client_test.go
@@ -18,11 +18,11 @@
 	}
 	other := httptest.NewServer(http.NotFoundHandler())
 	addr := strings.TrimPrefix(other.URL, "http://")
-	if _, err := FetchStatus(t.Context(), addr); err == nil || !strings.Contains(err.Error(), "is no agent") {
+	if _, err := FetchStatus(t.Context(), addr); err == nil || !strings.Contains(err.Error(), "response is not an agent's status") {
 		t.Errorf("another server: error %v", err)
 	}
 	other.Close()
-	if _, err := FetchStatus(t.Context(), addr); err == nil || !strings.Contains(err.Error(), "no agent answers") {
+	if _, err := FetchStatus(t.Context(), addr); err == nil || !strings.Contains(err.Error(), "agent did not respond") {
 		t.Errorf("no server: error %v", err)
 	}
 }
--- a/internal/agent/feed.go
+++ b/internal/agent/feed.go
@@ -9,38 +9,39 @@
 	"opalhook/internal/discovery"
 )
 
-// maxChanges is how many of the latest messages are kept for nodes that hold an earlier generation.
+// maxChanges is the number of latest messages of changes that are kept for nodes with an older generation.
 const maxChanges = 512
 
-// feed is what nodes are sent: the complete list and the latest changes, encoded once for all nodes.
+// feed holds the messages for nodes: the complete list and the latest changes, encoded once for all nodes. It is safe
+// for concurrent use.
 type feed struct {
-	published atomic.Uint64 // messages so far
+	published atomic.Uint64 // number of messages published so far
 
 	mu         sync.Mutex
-	snapshot   []byte // a line; nil: nothing is held yet
-	generation uint64 // of the snapshot; 0: none
+	snapshot   []byte // complete list as a line; nil before the first list
+	generation uint64 // generation of the snapshot; 0 before the first list
 	changes    []feedChange
-	updated    chan struct{} // closed at the next message
-	live       bool          // the list service is heard: nodes are sent heartbeats
+	updated    chan struct{} // closed by the next publish
+	live       bool          // the list service is reachable, so nodes get heartbeats
 }
 
-// feedChange is a message as a node gets it that holds the generation before.
+// feedChange is an encoded message that takes a node from one generation to a later one.
 type feedChange struct {
-	before, generation uint64
-	line               []byte
+	from, generation uint64
+	line             []byte
 }
 
-// feedUpdate is what a node is to be sent that holds some generation.
+// feedUpdate contains the messages that a node with a given generation lacks.
 type feedUpdate struct {
 	lines      [][]byte
-	generation uint64          // that the node holds after the lines
-	updated    <-chan struct{} // closed when there may be more
-	heartbeats bool            // the node is sent heartbeats meanwhile
+	generation uint64          // generation of the node after these lines
+	updated    <-chan struct{} // closed when newer messages may be available
+	heartbeats bool            // whether to send heartbeats until then
 }
 
 func newFeed() *feed { return &feed{updated: make(chan struct{})} }
 
-// publish makes a message the latest one; list is the complete list with it.
+// publish makes m the latest message. list is the complete list that includes the changes of m.
 func (f *feed) publish(m, list discovery.Message) error {
 	line, err := encodeLine(m)
 	if err != nil {
@@ -64,7 +65,7 @@
 	return nil
 }
 
-// addChange appends a change in place of the oldest one, if there are too many.
+// addChange appends a change, in place of the oldest one if there are already [maxChanges].
 func (f *feed) addChange(c feedChange) {
 	if len(f.changes) == maxChanges {
 		f.changes = append(f.changes[:0], f.changes[1:]...)
@@ -72,24 +73,25 @@
 	f.changes = append(f.changes, c)
 }
 
-// encodeLine returns a message as a line.
+// encodeLine encodes a message as one line of JSON.
 func encodeLine(m discovery.Message) ([]byte, error) {
 	text, err := json.Marshal(m)
 	if err != nil {
-		return nil, fmt.Errorf("message: %w", err)
+		return nil, fmt.Errorf("encode message: %w", err)
 	}
 	return append(text, '\n'), nil
 }
 
-// setLive says whether the list service is heard.
+// setLive sets whether the list service is reachable. Nodes get heartbeats only while it is.
 func (f *feed) setLive(live bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.live = live
 }
 
-// since returns what a node is to be sent that holds a generation. One that holds a later one than the feed, as from an
-// agent that has been restarted since, is sent nothing: it must never be taken back.
+// since returns the update for a node that has the list of generation from, 0 for no list. A node can be ahead of the
+// feed if the agent was restarted and has an older list than before. Such a node gets nothing, not even heartbeats,
+// because its list must never return to an older generation.
 func (f *feed) since(from uint64) feedUpdate {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -99,13 +101,13 @@
 	return feedUpdate{lines: f.linesSince(from), generation: f.generation, updated: f.updated, heartbeats: f.live}
 }
 
-// linesSince returns the changes after a generation, or the complete list where they are not kept.
+// linesSince returns the changes after a generation, or the complete list if they are no longer kept.
 func (f *feed) linesSince(from uint64) (lines [][]byte) {
 	if from == f.generation {
 		return nil
 	}
 	for i, c := range f.changes {
-		if c.before == from {
+		if c.from == from {
 			for _, c := range f.changes[i:] {
 				lines = append(lines, c.line)
 			}
--- a/internal/agent/follower.go
+++ b/internal/agent/follower.go
@@ -10,70 +10,73 @@
 	"opalhook/internal/discovery"
 )
 
-// ErrSilent is the reason for which a watch is closed that has brought no complete line within its timeout.
-var ErrSilent = errors.New("silent for too long")
+// ErrSilenceTimeout means that a call was closed because the replica sent no complete line within
+// [Rules.SilenceTimeout].
+var ErrSilenceTimeout = errors.New("no complete line within the silence timeout")
 
-// VersionError is the reason for which a replica is left whose generations do not go on from what is held.
-type VersionError struct {
-	Generation uint64 // of the replica's message
-	Held       uint64
-	Snapshot   bool // the message is a complete list
+// GenerationError means that a replica's message does not follow the latest list of the follower.
+type GenerationError struct {
+	Generation uint64 // generation of the replica's message
+	Latest     uint64 // generation of the latest list, accepted or suspect; 0: none
+	Snapshot   bool   // whether the message is a complete list
 }
 
 // Error implements error.
-func (e *VersionError) Error() string {
+func (e *GenerationError) Error() string {
 	kind := "changes"
 	if e.Snapshot {
 		kind = "complete list"
 	}
-	return fmt.Sprintf("%s of generation %d while %d is held", kind, e.Generation, e.Held)
+	return fmt.Sprintf("%s: generation %d does not follow generation %d", kind, e.Generation, e.Latest)
 }
 
-// callState is what a follower's current call has come to.
+// callState is the state of a follower's current call.
 type callState int
 
 const (
-	backingOff callState = iota // there is none; the next one is due at Follower.callAt
-	calling                     // the replica has not answered yet
-	watching                    // the watch is open
+	backingOff callState = iota // no call; the next one is due at Follower.callAt
+	calling                     // call sent, no response yet
+	watching                    // watch open
 )
 
-// rollback is a time in which no replica accepted the generation that is held.
+// rollback tracks a period in which replicas offered complete lists older than the latest one, and none confirmed
+// the latest one.
 type rollback struct {
 	active bool
 	since  time.Duration
 }
 
-// Follower is the state machine of one follower of the list. Times count from any fixed moment on a monotonic clock. It
-// is not safe for concurrent use.
+// Follower is the state machine that follows the list at one replica after the other. Its host calls [Follower.Tick]
+// when it is due, reports the results of calls, and performs the actions of [Follower.DrainActions] after each of
+// these. Times are those of a monotonic clock with any origin. A Follower is not safe for concurrent use.
 type Follower struct {
 	rules    Rules
-	replicas []string // in the order of preference
+	replicas []string // in order of preference
 	rng      *rand.Rand
 	actions  []Action
 
-	callID       uint64 // of the latest call; what earlier ones bring is ignored
-	rank         int    // of the replica of that call
+	callID       uint64 // ID of the latest call; events of earlier calls are ignored
+	rank         int    // index in replicas of the latest call's replica
 	state        callState
-	callAt       time.Duration // when the next call is due
-	returnAt     time.Duration // when to return to the first replica
-	lastReceived time.Duration // when a complete line came last, or the call began
-	lastHealthy  time.Duration // when a replica last confirmed what is held
+	callAt       time.Duration // time of the next call while backing off
+	returnAt     time.Duration // time to return to the preferred replica, replicas[0]
+	lastReceived time.Duration // time of the last complete line, or of the start of the call
+	lastHealthy  time.Duration // time at which a replica last confirmed the latest list
 
 	budget  callBudget
 	backoff backoff
 
-	held      view
+	accepted  view
 	rollback  rollback
 	losses    lossDetector
-	suspect   *suspectList // nil: none
+	suspect   *suspectList // nil if no list is suspect
 	publisher publisher
 }
 
-// NewFollower returns a follower whose first call is due within the start window. Its name must differ from machine to
-// machine, as replicas are ranked by it; seed is that of its random backoffs.
+// NewFollower returns a follower whose first call is due within [Rules.StartWindow]. The replicas are ranked by name,
+// which must be unique among machines. The seed is that of the random backoffs.
 func NewFollower(now time.Duration, name string, replicas []string, rules Rules, seed uint64) *Follower {
-	const secondSeed = 0x9e3779b97f4a7c15 // makes the generator's two words differ
+	const secondSeed = 0x9e3779b97f4a7c15 // makes the two seed words of the generator differ
 	rng := rand.New(rand.NewPCG(seed, seed^secondSeed))
 	return &Follower{
 		rules:        rules,
@@ -89,19 +92,19 @@
 	}
 }
 
-// Published returns the list as nodes have it, complete.
+// Published returns the complete list that has been published to nodes.
 func (f *Follower) Published() discovery.Message { return f.publisher.published.snapshot() }
 
-// FollowerStatus describes a follower.
+// FollowerStatus is the status of a [Follower].
 type FollowerStatus struct {
-	Generation uint64        // that is published
-	Endpoints  int           // in the published list
-	Age        time.Duration // since a replica last confirmed what is held
-	Watching   bool          // a watch is open
-	Suspecting bool          // a list is suspect
+	Generation uint64        // generation of the published list
+	Endpoints  int           // number of endpoints in the published list
+	Age        time.Duration // time since a replica last confirmed the latest list
+	Watching   bool          // whether a watch is open
+	Suspecting bool          // whether a newer list is suspect
 }
 
-// Status describes the follower at a time.
+// Status returns the follower's status.
 func (f *Follower) Status(now time.Duration) FollowerStatus {
 	return FollowerStatus{
 		Generation: f.publisher.published.generation,
@@ -112,7 +115,7 @@
 	}
 }
 
-// NextTick returns when [Follower.Tick] is due at the latest.
+// NextTick returns the time at which [Follower.Tick] has to be called next.
 func (f *Follower) NextTick() time.Duration {
 	next := f.lastReceived + f.rules.SilenceTimeout
 	if f.state == backingOff {
@@ -130,23 +133,24 @@
 	return next
 }
 
-// Tick does what is due.
+// Tick performs the steps that are due: calls, timeouts, the return to the preferred replica and publications.
 func (f *Follower) Tick(now time.Duration) {
-	f.acceptUncontradicted(now)
+	f.acceptAfterTimeout(now)
 	switch {
 	case f.state == backingOff && now >= f.callAt:
 		f.call(now)
 	case f.state != backingOff && now >= f.lastReceived+f.rules.SilenceTimeout:
-		f.abandonCall(now, 0, ErrSilent)
+		f.abandonCall(now, 0, ErrSilenceTimeout)
 	case f.state == watching && f.rank > 0 && now >= f.returnAt && f.budget.spend(now):
-		f.rank = 0 // what is held stays while the new watch opens
+		f.rank = 0 // the accepted list stays in use while the new watch opens
 		f.emit(Action{Kind: CloseWatch, CallID: f.callID})
 		f.openWatch(now)
 	}
 	f.publish(now)
 }
 
-// call opens a watch if the budget has a call left, or waits for one. The first call of a process is free.
+// call opens a watch if the budget allows it, and otherwise waits for the next token. The first call of a follower
+// does not count against the budget.
 func (f *Follower) call(now time.Duration) {
 	if f.callID > 0 && !f.budget.spend(now) {
 		f.callAt = now + f.budget.untilNext()
@@ -161,31 +165,31 @@
 	f.emit(Action{Kind: OpenWatch, Replica: f.replica(), CallID: f.callID, From: f.latest().generation})
 }
 
-// replica returns the one that is followed.
+// replica returns the address of the replica that is followed or called next.
 func (f *Follower) replica() string { return f.replicas[f.rank] }
 
-// latest returns the newest list that replicas have sent, accepted or suspect.
+// latest returns the suspect list if there is one, or else the accepted list.
 func (f *Follower) latest() view {
 	if f.suspect != nil {
 		return f.suspect.view
 	}
-	return f.held
+	return f.accepted
 }
 
-// abandonCall closes a call that failed and backs off before the next one, to another replica.
+// abandonCall closes a failed call and backs off before calling the next replica.
 func (f *Follower) abandonCall(now, retryAfter time.Duration, cause error) {
 	f.emit(Action{Kind: CloseWatch, CallID: f.callID})
 	wait := f.backoff.fail(len(f.replicas), retryAfter)
-	if f.backoff.failures == 1 { // one line for an outage
+	if f.backoff.failures == 1 { // log an outage only once
 		f.warn("replica left", slog.String("replica", f.replica()), slog.Any("err", cause))
 	}
 	f.rank = (f.rank + 1) % len(f.replicas)
-	f.callAfter(now, wait)
+	f.scheduleCall(now, wait)
 }
 
-func (f *Follower) callAfter(now, wait time.Duration) { f.state, f.callAt = backingOff, now+wait }
+func (f *Follower) scheduleCall(now, wait time.Duration) { f.state, f.callAt = backingOff, now+wait }
 
-// WatchOpened takes in that a replica has answered a call with a watch.
+// WatchOpened reports that a replica has answered a call and the watch is open.
 func (f *Follower) WatchOpened(now time.Duration, callID uint64) {
 	if callID != f.callID || f.state == backingOff {
 		return
@@ -194,22 +198,22 @@
 	f.returnAt = now + f.rules.PreferredReturn/2 + randomDuration(f.rng, f.rules.PreferredReturn)
 }
 
-// CallFailed takes in that a call failed or that its watch ended, with the cause; retryAfter is what the replica
-// advises, 0 for nothing.
+// CallFailed reports that a call failed or its watch ended, and the cause. retryAfter is the replica's Retry-After,
+// or 0.
 func (f *Follower) CallFailed(now time.Duration, callID uint64, retryAfter time.Duration, cause error) {
 	if callID == f.callID && f.state != backingOff {
 		f.abandonCall(now, retryAfter, cause)
 	}
 }
 
-// HeartbeatReceived takes in an empty line of a watch.
+// HeartbeatReceived reports a heartbeat, an empty line of a watch.
 func (f *Follower) HeartbeatReceived(now time.Duration, callID uint64) {
 	if callID == f.callID && f.state == watching {
 		f.markHealthy(now)
 	}
 }
 
-// markHealthy notes that the replica has the generation that is held, or a later one.
+// markHealthy records that the replica has the latest list or a newer one. It ends the backoff and a rollback period.
 func (f *Follower) markHealthy(now time.Duration) {
 	if f.backoff.failures > 0 {
 		f.warn("replica followed again", slog.String("replica", f.replica()))
@@ -219,7 +223,8 @@
 	f.rollback.active = false
 }
 
-// MessageReceived takes in a message of a watch.
+// MessageReceived reports a message of a watch. If the message is invalid or its generation does not follow the
+// latest one, the follower leaves the replica.
 func (f *Follower) MessageReceived(now time.Duration, callID uint64, m discovery.Message) {
 	if callID != f.callID || f.state != watching {
 		return
@@ -233,37 +238,37 @@
 		return
 	}
 	f.markHealthy(now)
-	f.consider(now, f.latest().apply(m))
+	f.acceptOrSuspect(now, f.latest().apply(m))
 	f.publish(now)
 }
 
-// checkGeneration returns a [*VersionError] for a message that does not go on from what is held. A complete list of an
-// earlier generation is let through once every replica has had no later one for the rollback tolerance, which begins
-// with the first such list. That it was let through is logged.
+// checkGeneration returns a [*GenerationError] for a message that does not follow the latest list. A complete list of
+// an older generation is accepted, and logged, once [Rules.RollbackTolerance] has passed since the first such list
+// and no replica has confirmed the latest list in the meantime.
 func (f *Follower) checkGeneration(now time.Duration, m discovery.Message) error {
-	held := f.latest().generation
+	latest := f.latest().generation
 	if !m.Reset {
-		if held == 0 || discovery.Epoch(m.Generation) != discovery.Epoch(held) || m.Generation <= held {
-			return &VersionError{Generation: m.Generation, Held: held}
+		if latest == 0 || discovery.Epoch(m.Generation) != discovery.Epoch(latest) || m.Generation <= latest {
+			return &GenerationError{Generation: m.Generation, Latest: latest}
 		}
 		return nil
 	}
-	if m.Generation >= held {
+	if m.Generation >= latest {
 		return nil
 	}
 	if !f.rollback.active {
 		f.rollback = rollback{active: true, since: now}
 	} else if now-f.rollback.since >= f.rules.RollbackTolerance {
 		f.warn("rollback accepted", slog.String("replica", f.replica()), slog.Uint64("generation", m.Generation),
-			slog.Uint64("previous_generation", held))
+			slog.Uint64("previous_generation", latest))
 		return nil
 	}
-	return &VersionError{Generation: m.Generation, Held: held, Snapshot: true}
+	return &GenerationError{Generation: m.Generation, Latest: latest, Snapshot: true}
 }
 
-// publish sends what is held to the nodes, if it is due.
+// publish emits a message that brings nodes to the accepted list, if one is due.
 func (f *Follower) publish(now time.Duration) {
-	if m, ok := f.publisher.next(now, f.held); ok {
+	if m, ok := f.publisher.next(now, f.accepted); ok {
 		f.emit(Action{Kind: PublishList, List: m})
 	}
 }
--- a/internal/agent/follower_test.go
+++ b/internal/agent/follower_test.go
@@ -14,9 +14,9 @@
 
 // Whatever replicas send, in whatever order, generations never go back for the nodes, and the changes that they get add
 // up to the complete list.
-func TestVersionsNeverGoBack(t *testing.T) {
+func TestPublishedGenerationsIncrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := newRig(t, "a", "b", "c")
+		r := newFollowerHarness(t, "a", "b", "c")
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		nodes, at := map[string]discovery.Entry{}, uint64(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -65,8 +65,8 @@
 }
 
 // A replica that lags, or whose list is of another epoch, is left for the next one.
-func TestLaggingReplicaIsLeft(t *testing.T) {
-	r := newRig(t, "a", "b", "c")
+func TestFollowerLeavesLaggingReplica(t *testing.T) {
+	r := newFollowerHarness(t, "a", "b", "c")
 	first := r.connect()
 	r.receive(snapshotOf(20, 10))
 	r.f.CallFailed(r.now, r.f.callID, 0, errors.New("gone"))
@@ -98,8 +98,8 @@
 
 // A list whose generations went back is accepted only after a long time in which no replica had the generation that is
 // held.
-func TestRollbackIsAcceptedAtLast(t *testing.T) {
-	r := newRig(t, "a", "b")
+func TestRollbackIsAcceptedAfterTolerance(t *testing.T) {
+	r := newFollowerHarness(t, "a", "b")
 	r.connect()
 	r.receive(snapshotOf(20, 10))
 	past := func(d time.Duration) {
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -121,7 +121,7 @@
 			t.Fatalf("%s: the watch ended", what)
 		}
 		return text
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatalf("%s: no line", what)
 	}
 	return ""
@@ -131,7 +131,7 @@
 func TestGoldenAgent(t *testing.T) {
 	r := startScriptedReplica(t)
 	rules := fastRules()
-	rules.SilenceTimeout, rules.DialTimeout = patience, patience // the one watch is not left, however busy the machine is
+	rules.SilenceTimeout, rules.DialTimeout = waitTimeout, waitTimeout // the one watch is not left, however busy the machine is
 	a := startAgent(t, "m", rules, r.addr)
 	requests := nextLine(t, "first request", r.requests)
 	first := testEntry(1, discovery.Up)
--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -15,8 +15,8 @@
 	"opalhook/internal/discovery"
 )
 
-// patience bounds every wait; none is expected to come near it.
-const patience = 60 * time.Second
+// waitTimeout bounds every wait; none is expected to come near it.
+const waitTimeout = 60 * time.Second
 
 // fastRules are rules for tests: the same order of steps in less time.
 func fastRules() Rules {
@@ -129,7 +129,7 @@
 			t.Fatal("the watch ended")
 		}
 		return m
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatal("no message")
 	}
 	return discovery.Message{}
--- a/internal/agent/publisher.go
+++ b/internal/agent/publisher.go
@@ -6,22 +6,23 @@
 	"opalhook/internal/discovery"
 )
 
-// publisher decides when the list that is held is sent to the nodes, and whether as a snapshot or as changes.
+// publisher decides when the accepted list is published to nodes, and whether as a snapshot or as changes.
 type publisher struct {
 	removalDelay time.Duration
 
 	published view
-	removedAt map[string]time.Duration // by instance id: endpoints that are up for the nodes and no longer in the list
+	removedAt map[string]time.Duration // by instance ID: when endpoints published as up left the accepted list
 }
 
 func newPublisher(rules Rules) publisher {
 	return publisher{removalDelay: rules.RemovalDelay, removedAt: map[string]time.Duration{}}
 }
 
-// trackRemovals records which of the published endpoints are missing from a list, and since when.
-func (p *publisher) trackRemovals(now time.Duration, held view) {
+// trackRemovals records which endpoints that are published as up are missing from the accepted list, and since when.
+// Endpoints that are published as draining are not tracked: their removal is not delayed.
+func (p *publisher) trackRemovals(now time.Duration, accepted view) {
 	for id, e := range p.published.entries {
-		_, listed := held.entries[id]
+		_, listed := accepted.entries[id]
 		_, tracked := p.removedAt[id]
 		switch {
 		case listed || e.Lifecycle != discovery.Up:
@@ -32,8 +33,8 @@
 	}
 }
 
-// due returns when the removals may be published: once none is new, or the oldest has waited for twice the delay. It
-// reports whether there are any.
+// due returns when the tracked removals may be published: the removal delay after the latest one, but at most twice
+// the delay after the oldest one. It reports whether there are any.
 func (p *publisher) due() (at time.Duration, ok bool) {
 	var first, last time.Duration
 	for _, t := range p.removedAt {
@@ -46,31 +47,32 @@
 	return min(last+p.removalDelay, first+2*p.removalDelay), ok
 }
 
-// next returns the message for the nodes that makes held the published list. It reports whether there is one now.
-func (p *publisher) next(now time.Duration, held view) (m discovery.Message, ok bool) {
-	if held.generation == p.published.generation {
+// next returns the message that takes nodes from the published to the accepted list, and records that list as
+// published. It reports whether a message is due.
+func (p *publisher) next(now time.Duration, accepted view) (m discovery.Message, ok bool) {
+	if accepted.generation == p.published.generation {
 		return discovery.Message{}, false
 	}
-	snapshot := p.needsSnapshot(held)
+	snapshot := p.needsSnapshot(accepted)
 	if at, delayed := p.due(); delayed && now < at && !snapshot {
 		return discovery.Message{}, false
 	}
 	if snapshot {
-		m = held.snapshot()
+		m = accepted.snapshot()
 	} else {
-		m = held.deltaFrom(p.published)
+		m = accepted.deltaFrom(p.published)
 	}
 	clear(p.removedAt)
-	if len(m.Instances) == 0 && !snapshot { // a flap after which everything is as it was
+	if len(m.Instances) == 0 && !snapshot { // no difference, as after a flap
 		return discovery.Message{}, false
 	}
-	p.published = held
+	p.published = accepted
 	return m, true
 }
 
-// needsSnapshot reports whether nodes can't get to a list by changes.
-func (p *publisher) needsSnapshot(held view) bool {
+// needsSnapshot reports whether nodes need the complete list: as the first list, in a new epoch or after a rollback.
+func (p *publisher) needsSnapshot(accepted view) bool {
 	return p.published.generation == 0 ||
-		discovery.Epoch(held.generation) != discovery.Epoch(p.published.generation) ||
-		held.generation < p.published.generation
+		discovery.Epoch(accepted.generation) != discovery.Epoch(p.published.generation) ||
+		accepted.generation < p.published.generation
 }
--- a/internal/agent/publisher_test.go
+++ b/internal/agent/publisher_test.go
@@ -9,7 +9,7 @@
 
 // An endpoint that is removed and back at once is not published; one that stays away is.
 func TestFlapIsNotPublished(t *testing.T) {
-	r := newRig(t, "a", "b")
+	r := newFollowerHarness(t, "a", "b")
 	r.connect()
 	r.receive(snapshotOf(10, 10))
 	n := len(r.published)
--- a/internal/agent/rank.go
+++ b/internal/agent/rank.go
@@ -9,8 +9,9 @@
 // hashMultiplier is an odd constant with evenly spread bits: multiplying by it mixes low bits into high ones.
 const hashMultiplier = 0xd6e8feb86659fd93
 
-// Rank returns the replicas without duplicates in a follower's order of preference. Each replica is first for about as
-// many followers as any other, and where one has failed its followers spread over the others.
+// Rank returns the replicas without duplicates, in the order of preference of the follower with the given name. It
+// uses rendezvous hashing: each replica is the first of about the same number of followers, and the followers of a
+// failed replica spread evenly over the others.
 func Rank(name string, replicas []string) []string {
 	ranked := slices.Clone(replicas)
 	slices.SortFunc(ranked, func(a, b string) int {
@@ -19,11 +20,11 @@
 	return slices.Compact(ranked)
 }
 
-// rankScore is a replica's weight in rendezvous hashing.
+// rankScore returns the rendezvous hash of a follower and a replica. The replica with the highest score is preferred.
 func rankScore(name, replica string) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(replica + "\x00" + name)) // a hash's Write does not fail
-	x := h.Sum64()                                  // its high bits hardly change with the last bytes of the name
+	_, _ = h.Write([]byte(replica + "\x00" + name)) // Write of a hash never fails
+	x := h.Sum64()                                  // the last bytes of the name hardly affect the high bits
 	x ^= x >> 32
 	x *= hashMultiplier
 	x ^= x >> 32
--- a/internal/agent/rank_test.go
+++ b/internal/agent/rank_test.go
@@ -6,7 +6,7 @@
 )
 
 // Followers spread evenly over replicas, and those of a replica that failed over the others.
-func TestRankSpreads(t *testing.T) {
+func TestRankSpreadsFollowers(t *testing.T) {
 	first, second := map[string]int{}, map[string]int{}
 	for n := range 3000 {
 		r := Rank(fmt.Sprint("machine-", n), []string{"127.0.0.1:8500", "127.0.0.2:8500", "127.0.0.3:8500"})
--- a/internal/agent/replica_client.go
+++ b/internal/agent/replica_client.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	maxMessageBytes = 8 << 20          // of a message of a replica; 5,000 entries are about 1 MB
-	maxRetryAfter   = 60 * time.Second // a longer advice is ignored
+	maxMessageBytes = 8 << 20          // largest message of a replica; 5,000 entries take about 1 MB
+	maxRetryAfter   = 60 * time.Second // longest accepted Retry-After; longer ones are ignored
 )
 
-// ErrWatchEnded is the error of a watch that its replica ended.
+// ErrWatchEnded means that the replica ended a watch.
 var ErrWatchEnded = errors.New("watch ended")
 
-// StatusError is a response of a replica other than 200.
+// StatusError means that a replica responded with a status other than 200.
 type StatusError struct {
-	Status     string        // as in "503 Service Unavailable"
-	RetryAfter time.Duration // that the replica advises; 0: nothing
+	Status     string        // status code and text, such as "503 Service Unavailable"
+	RetryAfter time.Duration // from the Retry-After header; 0: none
 }
 
 // Error implements error.
 func (e *StatusError) Error() string { return "status " + e.Status }
 
-// retryAfterOf returns what a replica advises with an error, 0 for nothing.
+// retryAfterOf returns the Retry-After duration of a [StatusError], or 0 for other errors.
 func retryAfterOf(err error) time.Duration {
 	var status *StatusError
 	if errors.As(err, &status) {
@@ -40,7 +40,7 @@
 	return 0
 }
 
-// replicaClient calls replicas of the list service, with a connection for each call.
+// replicaClient calls replicas of the list service. It opens a new connection for each call.
 type replicaClient struct {
 	http         *http.Client
 	fetchTimeout time.Duration
@@ -57,7 +57,8 @@
 	}
 }
 
-// get calls a URL. The response is one of status 200, whose body the caller closes.
+// get sends a GET request and returns a response with status 200, whose body the caller closes. Any other status is a
+// [*StatusError].
 func (c *replicaClient) get(ctx context.Context, url string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -68,13 +69,14 @@
 		return nil, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		_ = resp.Body.Close() // it is not read
+		_ = resp.Body.Close() // the body is not needed
 		return nil, &StatusError{resp.Status, parseRetryAfter(resp.Header.Get("Retry-After"))}
 	}
 	return resp, nil
 }
 
-// parseRetryAfter returns the duration of a Retry-After header in whole seconds, 0 if it is none or too long.
+// parseRetryAfter parses a Retry-After header in whole seconds. It returns 0 if the header is missing, has another
+// form or exceeds [maxRetryAfter].
 func parseRetryAfter(text string) time.Duration {
 	seconds, err := strconv.Atoi(text)
 	if err != nil || seconds < 0 || seconds > int(maxRetryAfter/time.Second) {
@@ -83,7 +85,7 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// fetch returns a replica's complete list.
+// fetch requests a replica's complete list.
 func (c *replicaClient) fetch(ctx context.Context, replica string) (m discovery.Message, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.fetchTimeout)
 	defer cancel()
@@ -91,7 +93,7 @@
 	if err != nil {
 		return m, err
 	}
-	defer func() { _ = resp.Body.Close() }() // whatever is left of it is not wanted
+	defer func() { _ = resp.Body.Close() }() // a failure does not affect the list that was read
 	text, err := io.ReadAll(io.LimitReader(resp.Body, maxMessageBytes))
 	if err != nil {
 		return m, err
@@ -102,7 +104,7 @@
 	return m, nil
 }
 
-// watch opens a watch at a replica from a generation. The caller closes it.
+// watch opens a watch at a replica for the changes after a generation. The caller closes it.
 func (c *replicaClient) watch(ctx context.Context, replica string, from uint64) (*replicaWatch, error) {
 	resp, err := c.get(ctx, discovery.WatchURL(replica, from))
 	if err != nil {
@@ -111,13 +113,13 @@
 	return &replicaWatch{resp.Body, discovery.NewLineReader(resp.Body, maxMessageBytes)}, nil
 }
 
-// replicaWatch is an open watch.
+// replicaWatch is an open watch at a replica.
 type replicaWatch struct {
 	body  io.Closer
 	lines *discovery.LineReader
 }
 
-// next waits for the next line. It returns [ErrWatchEnded] once the replica has ended the watch.
+// next waits for the next message or heartbeat. It returns [ErrWatchEnded] after the replica has ended the watch.
 func (w *replicaWatch) next() (m discovery.Message, heartbeat bool, err error) {
 	m, heartbeat, err = w.lines.Next()
 	if errors.Is(err, io.EOF) {
@@ -127,4 +129,4 @@
 }
 
 // close ends the watch.
-func (w *replicaWatch) close() { _ = w.body.Close() } // nothing of it is wanted any more
+func (w *replicaWatch) close() { _ = w.body.Close() } // no more data is read
--- a/internal/agent/rig_test.go
+++ b/internal/agent/rig_test.go
@@ -28,8 +28,8 @@
 	Errorf(string, ...any)
 }
 
-// rig drives a follower in the place of its host.
-type rig struct {
+// followerHarness drives a follower in the place of its host.
+type followerHarness struct {
 	t         testingT
 	f         *Follower
 	now       time.Duration
@@ -39,14 +39,14 @@
 	events    []Event
 }
 
-func newRig(t testingT, replicas ...string) *rig {
-	r := &rig{t: t, f: NewFollower(0, "m", replicas, DefaultRules(), 1)}
+func newFollowerHarness(t testingT, replicas ...string) *followerHarness {
+	r := &followerHarness{t: t, f: NewFollower(0, "m", replicas, DefaultRules(), 1)}
 	r.drain()
 	return r
 }
 
 // drain takes the actions of the follower.
-func (r *rig) drain() {
+func (r *followerHarness) drain() {
 	for _, a := range r.f.DrainActions() {
 		switch a.Kind {
 		case OpenWatch:
@@ -62,7 +62,7 @@
 }
 
 // wait lets time pass in small steps.
-func (r *rig) wait(d time.Duration) {
+func (r *followerHarness) wait(d time.Duration) {
 	for end := r.now + d; r.now < end; {
 		r.now = max(min(end, r.f.NextTick()), r.now+time.Millisecond)
 		r.f.Tick(r.now)
@@ -71,7 +71,7 @@
 }
 
 // connect waits for the next call and answers it.
-func (r *rig) connect() Action {
+func (r *followerHarness) connect() Action {
 	r.t.Helper()
 	for n := len(r.watches); len(r.watches) == n; r.wait(10 * time.Millisecond) {
 		if r.now > time.Hour {
@@ -84,13 +84,13 @@
 }
 
 // receive hands over a message of the current watch.
-func (r *rig) receive(m discovery.Message) {
+func (r *followerHarness) receive(m discovery.Message) {
 	r.f.MessageReceived(r.now, r.f.callID, m)
 	r.drain()
 }
 
 // expectPublished checks the list that nodes have.
-func (r *rig) expectPublished(endpoints int, generation uint64) {
+func (r *followerHarness) expectPublished(endpoints int, generation uint64) {
 	r.t.Helper()
 	m := r.f.Published()
 	if len(m.Instances) != endpoints || m.Generation != generation {
--- a/internal/agent/rules.go
+++ b/internal/agent/rules.go
@@ -4,22 +4,38 @@
 
 // Rules are the parameters of a [Follower]. The zero value is not useful; see [DefaultRules].
 type Rules struct {
-	SilenceTimeout    time.Duration // a watch that brings no complete line for so long is closed
-	DialTimeout       time.Duration // within which a replica must accept a call and begin its answer
-	InitialBackoff    time.Duration // the first backoff window after a watch that worked
-	MaxBackoff        time.Duration // the longest backoff window
-	StartWindow       time.Duration // within which the first call is made: machines start together
-	CallsPerSecond    float64       // further calls of one process, on average
-	CallBurst         float64       // further calls of one process at once
-	MaxLossFraction   float64       // of the endpoints; a list that loses more within LossWindow is suspect
-	LossWindow        time.Duration
-	SuspectTimeout    time.Duration // after which a suspect list is accepted that no other replica contradicts
-	RollbackTolerance time.Duration // after which a list is accepted whose generations went back at every replica
-	RemovalDelay      time.Duration // of the removal of an endpoint that was not draining
-	PreferredReturn   time.Duration // between half of this and one and a half, a follower returns to its first replica
+	// SilenceTimeout is the longest time without a complete line. After it a call or a watch is closed. It also
+	// bounds the fetch of a complete list.
+	SilenceTimeout time.Duration
+	// DialTimeout bounds the time to connect to a replica, and the time from the request to the response header.
+	DialTimeout time.Duration
+	// InitialBackoff is the first backoff window after a replica has been healthy.
+	InitialBackoff time.Duration
+	// MaxBackoff is the longest backoff window.
+	MaxBackoff time.Duration
+	// StartWindow is the range of the random delay before the first call, as many machines may start together.
+	StartWindow time.Duration
+	// CallsPerSecond is the average rate at which calls after the first one are allowed.
+	CallsPerSecond float64
+	// CallBurst is the number of calls after the first one that are allowed at once.
+	CallBurst float64
+	// MaxLossFraction is a fraction of the endpoints that are up. A list that loses a larger fraction within
+	// LossWindow is suspect.
+	MaxLossFraction float64
+	// LossWindow is the time over which losses of endpoints are added up.
+	LossWindow time.Duration
+	// SuspectTimeout is the time after which a suspect list is accepted unless another replica contradicts it.
+	SuspectTimeout time.Duration
+	// RollbackTolerance is the time after which an older complete list is accepted if no replica has the latest one.
+	RollbackTolerance time.Duration
+	// RemovalDelay is the delay before the removal of an endpoint that was not draining is published.
+	RemovalDelay time.Duration
+	// PreferredReturn is the mean time for which a follower watches another replica before it returns to its preferred
+	// one. The time is random, from 0.5 to 1.5 times this value.
+	PreferredReturn time.Duration
 }
 
-// DefaultRules returns the rules of the service.
+// DefaultRules returns the standard parameters.
 func DefaultRules() Rules {
 	return Rules{
 		SilenceTimeout:    5 * time.Second,
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -11,18 +11,18 @@
 	"opalhook/internal/discovery"
 )
 
-// StatusPath is where the agent's server reports its [Status] as JSON.
+// StatusPath is the URL path at which the agent serves its [Status] as JSON.
 const StatusPath = "/agent/status"
 
-// Bounds on the connections of nodes.
+// Limits for the connections of nodes.
 const (
 	nodeHeaderTimeout  = 3 * time.Second
 	nodeIdleTimeout    = time.Minute
 	maxNodeHeaderBytes = 8 << 10
-	nodeWriteTimeout   = 5 * time.Second // a node that reads nothing for so long is dropped
+	nodeWriteTimeout   = 5 * time.Second // bounds each write; a node that does not read is disconnected
 )
 
-// heartbeatInterval is the time between two heartbeats to a node, of the platform's protocol.
+// heartbeatInterval is the time between two heartbeats to a node.
 const heartbeatInterval = 2 * time.Second
 
 func (a *Agent) newServer() *http.Server {
@@ -40,10 +40,11 @@
 
 func (a *Agent) serveStatus(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(a.Status()) // fails only if the client is gone
+	_ = json.NewEncoder(w).Encode(a.Status()) // fails only if the client has disconnected
 }
 
-// serveInstances answers the platform's discovery protocol. While nothing is held it is silent.
+// serveInstances implements the platform's discovery protocol: the complete list, or a watch. It sends nothing until
+// the agent has a list.
 func (a *Agent) serveInstances(w http.ResponseWriter, r *http.Request) {
 	from, err := parseFrom(r)
 	if err != nil {
@@ -60,7 +61,7 @@
 	a.serveWatch(out, r, from)
 }
 
-// parseFrom returns the generation that a node holds, 0 where the request names none.
+// parseFrom returns the generation of the list that the node already has, or 0 if the request has none.
 func parseFrom(r *http.Request) (uint64, error) {
 	text := r.URL.Query().Get("from")
 	if text == "" {
@@ -69,7 +70,7 @@
 	return strconv.ParseUint(text, 10, 64)
 }
 
-// serveSnapshot sends what a node lacks, once there is anything.
+// serveSnapshot sends the messages that a node lacks. It waits until there are any.
 func (a *Agent) serveSnapshot(out nodeWriter, r *http.Request, from uint64) {
 	for {
 		update := a.feed.since(from)
@@ -87,10 +88,11 @@
 	}
 }
 
-// serveWatch sends what a node lacks and each message after it, with heartbeats in between, until the node or the agent
-// ends the watch.
+// serveWatch sends the messages that a node lacks and then each new message, with heartbeats in between, until the
+// node or the agent ends the watch.
 func (a *Agent) serveWatch(out nodeWriter, r *http.Request, from uint64) {
-	firstHeartbeat := heartbeatInterval/2 + time.Duration(rand.Int64N(int64(heartbeatInterval/2))) // not in step with others
+	// The random first interval keeps the heartbeats of several watches from coinciding.
+	firstHeartbeat := heartbeatInterval/2 + time.Duration(rand.Int64N(int64(heartbeatInterval/2)))
 	heartbeat := time.NewTimer(firstHeartbeat)
 	defer heartbeat.Stop()
 	for {
@@ -114,13 +116,13 @@
 	}
 }
 
-// nodeWriter writes to a node and drops one that does not read.
+// nodeWriter writes to a node, with a timeout for nodes that do not read.
 type nodeWriter struct {
 	http.ResponseWriter
 	control *http.ResponseController
 }
 
-// send writes lines at once. It reports whether the node is still there.
+// send writes lines and flushes them. It reports whether all writes succeeded.
 func (w nodeWriter) send(lines ...[]byte) bool {
 	if w.control.SetWriteDeadline(time.Now().Add(nodeWriteTimeout)) != nil {
 		return false
--- a/internal/agent/suspicion_test.go
+++ b/internal/agent/suspicion_test.go
@@ -8,11 +8,11 @@
 	"opalhook/internal/discovery"
 )
 
-// newSuspiciousRig has published ten endpoints, and has then received an empty list, for which it fetches the list of a
+// newHarnessWithSuspectList has published ten endpoints, and has then received an empty list, for which it fetches the list of a
 // second replica.
-func newSuspiciousRig(t *testing.T) (r *rig, fetch Action) {
+func newHarnessWithSuspectList(t *testing.T) (r *followerHarness, fetch Action) {
 	t.Helper()
-	r = newRig(t, "a", "b", "c")
+	r = newFollowerHarness(t, "a", "b", "c")
 	r.connect()
 	r.receive(snapshotOf(10, 10))
 	r.wait(2 * time.Second)
@@ -36,7 +36,7 @@
 		{"no answer", discovery.Message{}, errors.New("down"), DefaultRules().SuspectTimeout},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r, fetch := newSuspiciousRig(t)
+			r, fetch := newHarnessWithSuspectList(t)
 			r.f.SnapshotReceived(r.now, fetch.Replica, c.answer, c.err)
 			r.drain()
 			for end := r.now + c.suspectFor; r.now < end; {
@@ -52,7 +52,7 @@
 
 // A suspect list that a second replica contradicts is dropped, and that replica is followed.
 func TestSuspectListIsContradicted(t *testing.T) {
-	r, fetch := newSuspiciousRig(t)
+	r, fetch := newHarnessWithSuspectList(t)
 	r.f.SnapshotReceived(r.now, fetch.Replica, snapshotOf(12, 10), nil)
 	r.drain()
 	if call := r.connect(); call.Replica != fetch.Replica {
@@ -64,7 +64,7 @@
 
 // Endpoints that drain one by one within the window make a list suspect as if they did at once.
 func TestGradualLossIsSuspected(t *testing.T) {
-	r := newRig(t, "a", "b")
+	r := newFollowerHarness(t, "a", "b")
 	r.connect()
 	r.receive(snapshotOf(10, 10))
 	for n := range 10 {
--- a/internal/agent/view.go
+++ b/internal/agent/view.go
@@ -8,10 +8,11 @@
 	"opalhook/internal/discovery"
 )
 
-// view is a list at a generation. The zero value is that of a follower that has heard nothing.
+// view is the list at a generation. The zero value means that no list has been received. Views are not modified after
+// their creation.
 type view struct {
 	generation uint64
-	entries    map[string]discovery.Entry // by instance id; none is removed
+	entries    map[string]discovery.Entry // by instance ID; none has the lifecycle [discovery.Removed]
 }
 
 // upCount returns the number of endpoints that accept requests.
@@ -24,7 +25,7 @@
 	return n
 }
 
-// apply returns the view after a message.
+// apply returns a new view with the changes or the complete list of a message.
 func (v view) apply(m discovery.Message) view {
 	next := view{generation: m.Generation, entries: map[string]discovery.Entry{}}
 	if !m.Reset {
@@ -40,14 +41,14 @@
 	return next
 }
 
-// snapshot returns the view as a message of the complete list, sorted by instance id.
+// snapshot returns the view as a message with the complete list, sorted by instance ID.
 func (v view) snapshot() discovery.Message {
 	m := discovery.Message{Generation: v.generation, Reset: true, Instances: slices.Collect(maps.Values(v.entries))}
 	sortEntries(m.Instances)
 	return m
 }
 
-// deltaFrom returns the message that turns an older view of the same epoch into v, sorted by instance id.
+// deltaFrom returns the message of changes from an older view of the same epoch to v, sorted by instance ID.
 func (v view) deltaFrom(old view) discovery.Message {
 	m := discovery.Message{Generation: v.generation, Instances: []discovery.Entry{}}
 	for id, e := range v.entries {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,40 +1,42 @@
-// Package discovery has the messages of the platform's discovery protocol as the list service writes them and its
-// clients read them: their form, their framing on a watch, and the checks. It imports the standard library alone.
+// Package discovery defines the messages of the platform's discovery protocol, their framing on a watch, and their
+// validation. The list service writes these messages and its clients read them. The package imports only the standard
+// library.
 //
-// There are two ways to read a watch, and they differ on purpose:
+// There are two ways to read a watch, with different tolerance for errors:
 //
-//   - An edge node has one discovery and must act on what it is told, however it is worded. It cuts the stream with a
-//     [Splitter], which accepts messages that span lines, and reads them with [ParseLenient], which keeps every entry
-//     that is safe to act on and reports the malformed fields.
-//   - A client of the list service has other replicas to turn to. It reads with a [LineReader], which accepts one
-//     message on each line and none that is malformed. The agent also rejects what fails [Message.Validate]; the
-//     registry's own client and the testbed accept any message that decodes.
+//   - An edge node has a single discovery server and has to use even a malformed message as far as possible. It
+//     splits the stream with a [Splitter], which accepts messages that span lines. It parses each message with
+//     [ParseLenient], which keeps every entry that is safe to act on and reports the malformed fields.
+//   - A client of the list service can change to another replica. It reads the stream with a [LineReader], which
+//     accepts one message per line and fails on a malformed one. The agent also rejects messages that fail
+//     [Message.Validate]. The registry's own client and the testbed accept any message that decodes.
 //
-// The bound on a message is the caller's, because the callers differ in the lists that they expect.
+// A [LineReader] gets its limit on the length of a message from the caller, because callers expect lists of different
+// sizes. A [Splitter] has the fixed limit [MaxStreamMessage].
 package discovery
 
 import "fmt"
 
-// Path is where a server of discovery has the list: GET returns the complete list as one message.
+// Path is the URL path of the list at a discovery server. GET returns the complete list as one message.
 const Path = "/registry/instances"
 
-// SnapshotURL is the URL of the complete list at a server's address, host:port.
+// SnapshotURL returns the URL of the complete list at a server's address, host:port.
 func SnapshotURL(addr string) string { return "http://" + addr + Path }
 
-// WatchURL is the URL of a watch at a server's address, host:port. The watch begins with the changes after a
-// generation, or with the complete list where the server does not have them; from 0 it is always the complete list.
+// WatchURL returns the URL of a watch at a server's address, host:port. The watch begins with the changes after the
+// generation from. It begins with the complete list if from is 0 or the server no longer has those changes.
 func WatchURL(addr string, from uint64) string {
 	return fmt.Sprintf("%s?watch=1&from=%d", SnapshotURL(addr), from)
 }
 
-// Lifecycles of an entry.
+// Lifecycles of an app server, the values of [Entry.Lifecycle].
 const (
 	Up       = "up"       // accepts new requests
-	Draining = "draining" // completes the requests that it has and accepts no new ones
-	Removed  = "removed"  // gone; in messages of changes only
+	Draining = "draining" // completes the requests in flight and accepts no new ones
+	Removed  = "removed"  // no longer in the list; used only in messages of changes
 )
 
-// Entry is an app server as it is written.
+// Entry describes an app server in a [Message].
 type Entry struct {
 	InstanceID  string  `json:"instanceId"`
 	HostPort    string  `json:"hostPort"` // IP address and port
@@ -43,19 +45,20 @@
 	Cell        int     `json:"cell"`
 	Lifecycle   string  `json:"lifecycle"`
 	Weight      float64 `json:"weight"`
-	StartedAtMs int64   `json:"startedAtMs"` // Unix time in milliseconds; 0: long ago
+	StartedAtMs int64   `json:"startedAtMs"` // Unix time in milliseconds; 0 means long ago
 }
 
-// Message is the complete list where Reset is set, or else the entries that have changed up to a generation.
+// Message is either the complete list or the changes since an earlier generation.
 type Message struct {
-	Generation uint64  `json:"generation"`
-	Reset      bool    `json:"reset"`
-	Instances  []Entry `json:"instances"`
+	Generation uint64  `json:"generation"` // generation of the list after this message
+	Reset      bool    `json:"reset"`      // whether Instances is the complete list
+	Instances  []Entry `json:"instances"`  // complete list, or the entries that have changed
 }
 
-// EpochBits is the number of a generation's bits below its epoch, in the project's own list service.
+// EpochBits is the number of low bits of a generation below its epoch, in generations of the project's own list
+// service.
 const EpochBits = 32
 
-// Epoch returns the epoch of a generation. A list that is restored from a backup begins a new epoch; generations are
-// comparable within one epoch only.
+// Epoch returns the epoch of a generation. A list that is restored from a backup begins a new epoch. Generations can be
+// compared only within an epoch.
 func Epoch(generation uint64) uint64 { return generation >> EpochBits }
--- a/internal/discovery/field_error.go
+++ b/internal/discovery/field_error.go
@@ -5,9 +5,9 @@
 	"fmt"
 )
 
-// FieldError is a field of a message that is not what the protocol says.
+// FieldError means that a field of a message is missing or malformed.
 type FieldError struct {
-	Field string // as in "generation" or "instances[3].weight"
+	Field string // path in the message, such as "generation" or "instances[3].weight"
 	Err   error
 }
 
@@ -17,7 +17,7 @@
 // Unwrap returns the cause.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// entryField names a field of the entry at an index.
+// entryField returns the path of a field of the entry at an index.
 func entryField(index int, name string) string { return fmt.Sprintf("instances[%d].%s", index, name) }
 
 var (
--- a/internal/discovery/fuzz_test.go
+++ b/internal/discovery/fuzz_test.go
@@ -10,7 +10,7 @@
 func FuzzParseLenient(f *testing.F) {
 	f.Add([]byte(`{"generation":8,"reset":true,"instances":[{"instanceId":"a","hostPort":"127.0.0.1:1","lifecycle":"up","weight":1,"startedAtMs":1e12}]}`))
 	f.Add([]byte(`{"generation":"8","instances":[{"instanceId":"a","hostPort":7,"lifecycle":"odd","weight":-1,"startedAtMs":-1},null,{}]}`))
-	f.Add([]byte(`{"instances":[` + drainOfG + `,{"instanceId":`))
+	f.Add([]byte(`{"instances":[` + drainingEntry + `,{"instanceId":`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		m, faults, err := ParseLenient(text)
 		if err != nil && (len(m.Entries) > 0 || len(faults) > 0) {
--- a/internal/discovery/lenient.go
+++ b/internal/discovery/lenient.go
@@ -11,15 +11,15 @@
 // MaxWeight is the largest weight that [ParseLenient] accepts.
 const MaxWeight = 1e6
 
-// ParsedMessage is a [Message] as [ParseLenient] reads it.
+// ParsedMessage is a [Message] parsed by [ParseLenient].
 type ParsedMessage struct {
 	Generation uint64
-	Snapshot   bool // the complete list: an endpoint missing from it is gone
+	Snapshot   bool // the message is the complete list, so endpoints missing from it are removed
 	Entries    []ParsedEntry
 }
 
-// ParsedEntry is an [Entry] as [ParseLenient] reads it: each field has been checked by itself, and has its zero value
-// where it was missing or malformed.
+// ParsedEntry is an [Entry] parsed by [ParseLenient]. Each field has been checked separately. Fields other than
+// Lifecycle have their zero values if they were missing or malformed.
 type ParsedEntry struct {
 	ID          string // never empty
 	Addr        netip.AddrPort
@@ -28,18 +28,19 @@
 	Cell        int
 	Lifecycle   string        // [Up], [Draining] or [Removed]
 	Weight      float64       // from 0 to [MaxWeight]
-	StartedAt   time.Duration // Unix time; 0: long ago
+	StartedAt   time.Duration // Unix time; 0 means long ago
 }
 
-// ParseLenient parses one message and keeps as much of a malformed one as is safe to act on:
+// ParseLenient parses one message and keeps the parts of a malformed message that are safe to act on:
 //
-//   - an entry whose id can't be read is left out;
-//   - an entry whose lifecycle, address or start can't be read counts as draining unless it is removed, as nothing new
-//     may go to an endpoint that may be leaving;
-//   - other fields that can't be read have their zero value.
+//   - An entry without a readable ID is left out.
+//   - An entry with a malformed lifecycle, address or start time counts as draining unless it is removed. The endpoint
+//     may be leaving, so it must not get new requests.
+//   - Other malformed fields get their zero values.
 //
-// Each element of faults is a [*FieldError]. A non-nil err means that the text is no message at all.
-func ParseLenient(text []byte) (m ParsedMessage, faults []error, err error) {
+// Each element of fieldErrors is a [*FieldError]. A non-nil err means that no part of the text can be used: it is not a
+// JSON object of the expected form, or it is a complete list without the field "instances".
+func ParseLenient(text []byte) (m ParsedMessage, fieldErrors []error, err error) {
 	var raw struct {
 		Generation json.RawMessage
 		Reset      json.RawMessage
@@ -60,49 +61,50 @@
 			m.Entries = append(m.Entries, e)
 		}
 	}
-	return m, fields.faults, nil
+	return m, fields.errs, nil
 }
 
-// fieldReader reads the fields of a message one by one and collects what is malformed.
+// fieldReader reads the fields of a message one by one and collects the errors of malformed fields.
 type fieldReader struct {
-	entryIndex int // of the entry whose fields are read, or noEntry
-	faults     []error
+	entryIndex int // index of the entry that is read; noEntry for the fields of the message itself
+	errs       []error
 }
 
-// noEntry is the index of the message's own fields.
+// noEntry is the value of fieldReader.entryIndex while no entry is read.
 const noEntry = -1
 
-// fault records that a field is malformed.
-func (r *fieldReader) fault(name string, err error) {
+// addError records a [*FieldError] for a field of the current entry or of the message.
+func (r *fieldReader) addError(name string, err error) {
 	if r.entryIndex != noEntry {
 		name = entryField(r.entryIndex, name)
 	}
-	r.faults = append(r.faults, &FieldError{name, err})
+	r.errs = append(r.errs, &FieldError{name, err})
 }
 
-// read decodes a field, if it is there. It reports whether the field is missing or well-formed.
+// read decodes a field into a variable, which stays unchanged if the field is missing. It returns false for a
+// malformed field.
 func (r *fieldReader) read(name string, text json.RawMessage, into any) bool {
 	if len(text) == 0 {
 		return true
 	}
 	if err := json.Unmarshal(text, into); err != nil {
-		r.fault(name, fmt.Errorf("%.40q: %w", text, err))
+		r.addError(name, fmt.Errorf("%.40q: %w", text, err))
 		return false
 	}
 	return true
 }
 
-// entry reads one entry by the rules of [ParseLenient]. It reports whether the entry has an id.
+// entry reads one entry by the rules of [ParseLenient]. It reports whether the entry has an ID.
 func (r *fieldReader) entry(text []byte) (e ParsedEntry, ok bool) {
 	var raw struct {
 		InstanceID, HostPort, Zone, MachineType, Cell, Lifecycle, Weight, StartedAtMs json.RawMessage
 	}
 	if err := json.Unmarshal(text, &raw); err != nil {
-		r.fault("instanceId", fmt.Errorf("%.40q: %w", text, err))
+		r.addError("instanceId", fmt.Errorf("%.40q: %w", text, err))
 		return ParsedEntry{}, false
 	}
 	if r.read("instanceId", raw.InstanceID, &e.ID); e.ID == "" {
-		r.fault("instanceId", errEmpty)
+		r.addError("instanceId", errEmpty)
 		return ParsedEntry{}, false
 	}
 	r.read("zone", raw.Zone, &e.Zone)
@@ -119,39 +121,39 @@
 	return e, true
 }
 
-// weight reads a weight, 0 where it is malformed.
+// weight reads a weight, which is 0 if it is missing or malformed.
 func (r *fieldReader) weight(text json.RawMessage, weight *float64) {
 	r.read("weight", text, weight)
 	if !(*weight >= 0 && *weight <= MaxWeight) {
-		r.fault("weight", fmt.Errorf("%v is not from 0 to %v", *weight, MaxWeight))
+		r.addError("weight", fmt.Errorf("must be from 0 to %v, got %v", MaxWeight, *weight))
 		*weight = 0
 	}
 }
 
-// lifecycle reads a lifecycle, [Draining] where it is malformed.
+// lifecycle reads a lifecycle. It returns [Draining] if the field is missing or malformed.
 func (r *fieldReader) lifecycle(text json.RawMessage) (lifecycle string) {
 	r.read("lifecycle", text, &lifecycle)
 	switch lifecycle {
 	case Up, Draining, Removed:
 		return lifecycle
 	}
-	r.fault("lifecycle", fmt.Errorf("%q is neither %s, %s nor %s", lifecycle, Up, Draining, Removed))
+	r.addError("lifecycle", fmt.Errorf("must be %s, %s or %s, got %q", Up, Draining, Removed, lifecycle))
 	return Draining
 }
 
-// startedAt reads the time of an endpoint's start. It reports whether the time is well-formed.
+// startedAt reads the start time of an endpoint. It returns false for a malformed time.
 func (r *fieldReader) startedAt(text json.RawMessage) (at time.Duration, ok bool) {
 	var ms float64
 	ok = r.read("startedAtMs", text, &ms)
 	if ms < 0 || ms > math.MaxInt64/float64(time.Millisecond) {
-		r.fault("startedAtMs", fmt.Errorf("%v is out of range", ms))
+		r.addError("startedAtMs", fmt.Errorf("Unix time in milliseconds out of range: %v", ms))
 		return 0, false
 	}
 	return time.Duration(ms * float64(time.Millisecond)), ok
 }
 
-// address reads an address, which only an endpoint that is removed may lack. It reports whether the endpoint has what
-// it needs.
+// address reads an IP address and port. It returns false if the address is missing or malformed, unless the endpoint
+// is removed and therefore needs none.
 func (r *fieldReader) address(text json.RawMessage, lifecycle string) (addr netip.AddrPort, ok bool) {
 	var hostPort string
 	r.read("hostPort", text, &hostPort)
@@ -162,6 +164,6 @@
 	if lifecycle == Removed {
 		return addr, true
 	}
-	r.fault("hostPort", err)
+	r.addError("hostPort", err)
 	return addr, false
 }
--- a/internal/discovery/lenient_test.go
+++ b/internal/discovery/lenient_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// drainOfG is a valid entry.
-const drainOfG = `{"instanceId":"g","hostPort":"127.0.0.1:9","lifecycle":"draining","weight":1}`
+// drainingEntry is a valid entry.
+const drainingEntry = `{"instanceId":"g","hostPort":"127.0.0.1:9","lifecycle":"draining","weight":1}`
 
 // A malformed entry hides nothing of the rest of its message.
 func TestParseLenientMalformedEntries(t *testing.T) {
@@ -34,7 +34,7 @@
 		{`{"instanceId":"a","lifecycle":"up","hostPort":"127.0.0.1:1","startedAtMs":1e300}`, "a", Draining, "startedAtMs"},
 		{`{"instanceId":"a","lifecycle":"up","hostPort":"127.0.0.1:1","startedAtMs":"soon"}`, "a", Draining, "startedAtMs"},
 	} {
-		m, faults, err := ParseLenient([]byte(`{"generation":8,"reset":true,"instances":[` + c.entry + `,` + drainOfG + `]}`))
+		m, faults, err := ParseLenient([]byte(`{"generation":8,"reset":true,"instances":[` + c.entry + `,` + drainingEntry + `]}`))
 		if err != nil || len(faults) == 0 || !strings.Contains(errors.Join(faults...).Error(), "instances[0]."+c.field+": ") {
 			t.Errorf("%s: error %v, faults %v, want %s named", c.entry, err, faults, c.field)
 		}
--- a/internal/discovery/lines.go
+++ b/internal/discovery/lines.go
@@ -6,8 +6,8 @@
 	"io"
 )
 
-// LineReader reads the body of a watch that has one message on each line, as the list service writes it. Unlike
-// [Splitter] with [ParseLenient] it accepts no message that spans lines, and the first malformed line ends the watch.
+// LineReader reads the body of a watch with one message per line, the format of the list service. Unlike [Splitter]
+// with [ParseLenient], it does not accept messages that span lines, and the first malformed line ends the watch.
 type LineReader struct {
 	lines *bufio.Scanner
 }
@@ -19,8 +19,9 @@
 	return &LineReader{lines}
 }
 
-// Next waits for the next line: a message, or an empty line, which is a heartbeat. The error is [io.EOF] at the end of
-// the watch, a [*MalformedLineError] where the line is no message, or the body's own.
+// Next waits for the next line, which is a message or, if empty, a heartbeat. It returns [io.EOF] at the end of the
+// watch, a [*MalformedLineError] for a line that is not a message, and otherwise the error of reading the body or of
+// a line that is too long.
 func (r *LineReader) Next() (m Message, heartbeat bool, err error) {
 	if !r.lines.Scan() {
 		if err := r.lines.Err(); err != nil {
@@ -38,7 +39,7 @@
 	return m, false, nil
 }
 
-// MalformedLineError is a line of a watch that is no message.
+// MalformedLineError means that a line of a watch is neither empty nor a message.
 type MalformedLineError struct {
 	Line string
 	Err  error
--- a/internal/discovery/partial.go
+++ b/internal/discovery/partial.go
@@ -5,14 +5,14 @@
 	"encoding/json"
 )
 
-// Bounds of the work of [ParsePartial].
+// Limits on the work of [ParsePartial].
 const (
-	maxPartialEntry  = 4 << 10 // bytes of an entry
-	maxPartialStarts = 1 << 14 // opening braces at which an entry may begin
+	maxPartialEntry  = 4 << 10 // largest entry, in bytes
+	maxPartialStarts = 1 << 14 // number of opening braces that are tried as the start of an entry
 )
 
-// ParsePartial returns the entries of endpoints that leave or are gone from a text that is no complete message. The rest of
-// the message can be fetched anew, but these endpoints must get nothing more until then.
+// ParsePartial returns the draining and removed entries in a malformed or truncated message. The caller can fetch the
+// rest of the list again, but must not send requests to these endpoints in the meantime.
 func ParsePartial(text []byte) (leaving []ParsedEntry) {
 	for range maxPartialStarts {
 		at := bytes.IndexByte(text, '{')
--- a/internal/discovery/partial_test.go
+++ b/internal/discovery/partial_test.go
@@ -8,9 +8,9 @@
 // From a text that is no message, the entries of endpoints that leave are read.
 func TestParsePartial(t *testing.T) {
 	for _, text := range []string{
-		`{"generation":8,"instances":[{"instanceId":"a,"lifecycle":"up"},` + drainOfG + `]}`,
-		`{"generation":8,"instances":[` + drainOfG + `,{"instanceId":`,
-		`{{{{` + drainOfG,
+		`{"generation":8,"instances":[{"instanceId":"a,"lifecycle":"up"},` + drainingEntry + `]}`,
+		`{"generation":8,"instances":[` + drainingEntry + `,{"instanceId":`,
+		`{{{{` + drainingEntry,
 	} {
 		if _, _, err := ParseLenient([]byte(text)); err == nil {
 			t.Errorf("%s is a message", text)
--- a/internal/discovery/splitter.go
+++ b/internal/discovery/splitter.go
@@ -5,43 +5,44 @@
 	"fmt"
 )
 
-// MaxStreamMessage bounds one message that a [Splitter] collects, in bytes.
+// MaxStreamMessage is the size limit for an incomplete message that a [Splitter] buffers, in bytes.
 const MaxStreamMessage = 16 << 20
 
 // Errors that end a stream of messages.
 var (
 	// ErrTooLong means that a message exceeds [MaxStreamMessage].
-	ErrTooLong = fmt.Errorf("message of over %d bytes", MaxStreamMessage)
-	// ErrNoMessage means that something other than a JSON object stands between messages.
+	ErrTooLong = fmt.Errorf("message exceeds %d bytes", MaxStreamMessage)
+	// ErrNoMessage means that a message does not begin with an opening brace.
 	ErrNoMessage = errors.New("not a JSON object")
-	// ErrTruncated means that a message was not completed.
+	// ErrTruncated means that a message is incomplete: an empty line or the end of the stream follows it, or one of
+	// its strings contains a control character such as a line end.
 	ErrTruncated = errors.New("message is truncated")
 )
 
-// splitState is what the bytes of a stream belong to.
+// splitState is the position of a [Splitter] in the syntax of the stream.
 type splitState int
 
 const (
 	betweenMessages splitState = iota
-	inMessage                  // and in none of its strings
+	inMessage                  // inside a message, outside its strings
 	inString
-	afterBackslash // in a string
+	afterBackslash // inside a string, after a backslash
 )
 
-// Splitter cuts the body of a watch into messages. A message is one JSON object, on one line or indented over many;
-// messages are separated by line ends, and an empty line is a heartbeat. The zero value is ready for a new stream.
+// Splitter splits the body of a watch into messages. A message is one JSON object, which may span lines. Messages are
+// separated by line ends, and an empty line is a heartbeat. The zero value is ready for a new stream.
 type Splitter struct {
 	state     splitState
-	part      []byte // of the message that has begun
-	depth     int    // of the brackets that are open in it
-	blankLine bool   // only white space on this line of it so far
+	partial   []byte // bytes of the incomplete message
+	depth     int    // number of open braces and brackets
+	blankLine bool   // whether the current line of the message has only white space so far
 }
 
-// Feed takes the next piece of the stream. It calls message for each complete message, whose bytes are valid during the
-// call only, and heartbeat for each line end between messages. An error ends the stream; [Splitter.Partial] then
-// returns what was being read.
+// Feed reads the next piece of the stream. It calls message for each complete message, with bytes that are valid only
+// during the call, and heartbeat for each line end between messages. After an error the stream can't be continued,
+// and [Splitter.Partial] returns the bytes that caused it.
 func (s *Splitter) Feed(text []byte, message func([]byte), heartbeat func()) error {
-	from := 0 // of the message in text
+	from := 0 // start of the current message in text
 	for i := 0; i < len(text); i++ {
 		if s.state == inString {
 			if i += plainPrefix(text[i:]); i == len(text) {
@@ -57,33 +58,33 @@
 			case c == '\n':
 				heartbeat()
 			case !isBlank(c):
-				s.part = append(s.part[:0], text[i:]...)
+				s.partial = append(s.partial[:0], text[i:]...)
 				return ErrNoMessage
 			}
 			continue
 		}
 		if !s.step(c) {
-			s.part = append(s.part, text[from:]...)
+			s.partial = append(s.partial, text[from:]...)
 			return ErrTruncated
 		}
 		if s.depth == 0 {
-			s.part = append(s.part, text[from:i+1]...)
-			message(s.part)
-			s.state, s.part = betweenMessages, s.part[:0]
+			s.partial = append(s.partial, text[from:i+1]...)
+			message(s.partial)
+			s.state, s.partial = betweenMessages, s.partial[:0]
 		}
 	}
 	if s.state == betweenMessages {
-		s.part = nil // a buffer for the largest list would otherwise stay for as long as the watch
+		s.partial = nil // frees the buffer, which may be as large as the largest list, during idle times of the watch
 		return nil
 	}
-	s.part = append(s.part, text[from:]...)
-	if len(s.part) > MaxStreamMessage {
+	s.partial = append(s.partial, text[from:]...)
+	if len(s.partial) > MaxStreamMessage {
 		return ErrTooLong
 	}
 	return nil
 }
 
-// step takes one byte of a message. It reports whether the message can go on with it.
+// step reads one byte of a message. It returns false if the message is truncated before that byte.
 func (s *Splitter) step(c byte) bool {
 	switch s.state {
 	case inString, afterBackslash:
@@ -91,7 +92,7 @@
 	}
 	switch {
 	case c == '\n':
-		if s.blankLine { // a heartbeat: the message before it was never completed
+		if s.blankLine { // a heartbeat, so the server will not complete the message
 			return false
 		}
 		s.blankLine = true
@@ -111,7 +112,7 @@
 	return true
 }
 
-// stepString takes one byte of a string. It reports whether a string may contain it.
+// stepString reads one byte of a string. It returns false for a control character, which JSON strings can't contain.
 func (s *Splitter) stepString(c byte) bool {
 	switch {
 	case c < ' ':
@@ -126,7 +127,8 @@
 	return true
 }
 
-// plainPrefix returns the number of bytes at the start of text that only go on with a string.
+// plainPrefix returns the number of leading bytes of text that neither end a string nor begin an escape sequence and
+// are not control characters.
 func plainPrefix(text []byte) int {
 	for i, c := range text {
 		if c < ' ' || c == '\\' || c == '"' {
@@ -139,8 +141,8 @@
 // isBlank reports whether c is white space within a line.
 func isBlank(c byte) bool { return c == ' ' || c == '\t' || c == '\r' }
 
-// Incomplete reports whether a message has begun that is not complete yet.
+// Incomplete reports whether the stream so far ends inside a message.
 func (s *Splitter) Incomplete() bool { return s.state != betweenMessages }
 
-// Partial returns the bytes of the message that has begun, or what stood in its place when [Splitter.Feed] failed.
-func (s *Splitter) Partial() []byte { return s.part }
+// Partial returns the bytes of the incomplete message, or the malformed bytes after [Splitter.Feed] has failed.
+func (s *Splitter) Partial() []byte { return s.partial }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,8 +1,9 @@
-// Package golden compares what a test has encoded with files that were recorded earlier. Test files alone import it.
+// Package golden compares the output of a test with golden files, which were recorded by an earlier run. Only test files
+// import it.
 //
 // Golden files fix the formats in which the program stores data and exchanges messages. `go test PACKAGE -update`
-// records them anew. A change of a format records new files in the commit that makes it, and says why; data that was
-// stored in the earlier format must stay readable.
+// records them again. A commit that changes a format contains the new files and explains the change. Data stored in the
+// earlier format must stay readable.
 package golden
 
 import (
@@ -13,15 +14,15 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "record the golden files anew; the commit says why the format changes")
+var update = flag.Bool("update", false, "record the golden files again; explain the change of format in the commit")
 
-// Updating reports whether golden files are to be recorded anew.
+// Updating reports whether the test runs with -update and has to record golden files.
 func Updating() bool { return *update }
 
-// around is the number of bytes shown before and after the first difference.
+// around is the number of bytes before and after the first difference that an error message shows.
 const around = 60
 
-// Read returns a golden file of the package under test, by its name in testdata.
+// Read returns the contents of a golden file. The name is a slash-separated path below the package's folder testdata.
 func Read(t testing.TB, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", filepath.FromSlash(name)))
@@ -31,8 +32,8 @@
 	return text
 }
 
-// Check reports any difference between got and the golden file, and returns the file. With -update it writes the file
-// first.
+// Check compares got with a golden file, fails the test if they differ, and returns the contents of the file. With
+// -update it first writes got to the file.
 func Check(t testing.TB, name string, got []byte) []byte {
 	t.Helper()
 	if *update {
@@ -49,7 +50,7 @@
 	return want
 }
 
-// Same reports the first difference between what was encoded and what is wanted.
+// Same fails the test if got differs from want, and shows the first difference. The name identifies the data.
 func Same(t testing.TB, name string, got, want []byte) {
 	t.Helper()
 	if bytes.Equal(got, want) {
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -7,7 +7,8 @@
 	"opalhook/balancer"
 )
 
-// platformNames are the platform's names of the balancer's settings, as paths in the settings object.
+// platformNames maps the balancer's names of settings to the platform's names. These are paths in the settings object,
+// or for settings of a class or a plan the key within it.
 var platformNames = map[string]string{
 	"NodeCount":                "instances",
 	"NodeIndex":                "me",
@@ -33,8 +34,8 @@
 	"HardLimitSlack":           "capSlack",
 }
 
-// PlatformError gives a [balancer.SettingError] the platform's name of the field, under which operators configured it.
-// Other errors are returned as they are.
+// PlatformError replaces the field name of a [balancer.SettingError] by the platform's name, which operators use in the
+// configuration. It returns other errors unchanged.
 func PlatformError(err error) error {
 	var setting *balancer.SettingError
 	if !errors.As(err, &setting) {
--- a/internal/settings/object.go
+++ b/internal/settings/object.go
@@ -1,7 +1,7 @@
 package settings
 
-// object mirrors the platform's settings object under the platform's names; keys that are not named here are skipped.
-// Times are in seconds, rates a second.
+// object is the platform's settings object with the platform's names. Unknown keys are ignored. Times are in seconds
+// and rates are per second.
 type object struct {
 	Instances    int            `json:"instances"`
 	Me           int            `json:"me"`
@@ -17,17 +17,19 @@
 	Tariffs      []tariffObject `json:"tariffs"`
 }
 
+// familyObject describes the fleet's peer messages and the metering of requests.
 type familyObject struct {
-	InboxPerS float64 `json:"inboxPerS"` // messages
-	UnitsTop  float64 `json:"unitsTop"`  // quota units
-	PostPaid  bool    `json:"postPaid"`
+	InboxPerS float64 `json:"inboxPerS"` // peer messages that a node can receive per second; 0 means unlimited
+	UnitsTop  float64 `json:"unitsTop"`  // largest number of quota units of a request; 0 means unknown
+	PostPaid  bool    `json:"postPaid"`  // whether a request's units are an estimate until its first OK response
 }
 
+// feedbackObject describes how app servers report their load.
 type feedbackObject struct {
 	How string `json:"how"` // a key of loadReportModes
 }
 
-// laneObject is a class of requests.
+// laneObject describes a class of requests.
 type laneObject struct {
 	Name        string  `json:"name"`
 	Idempotency string  `json:"idempotency"` // a key of idempotencies
@@ -36,11 +38,11 @@
 	OnTime      float64 `json:"onTime"`
 	Deadline    float64 `json:"deadline"`
 	Worth       float64 `json:"worth"`
-	LateWorth   float64 `json:"lateWorth"` // share of the worth
+	LateWorth   float64 `json:"lateWorth"` // fraction of worth
 	Streamed    bool    `json:"streamed"`
 }
 
-// penaltyObject is what things cost, in points.
+// penaltyObject contains the prices of a node's actions, in points.
 type penaltyObject struct {
 	CrossZone float64 `json:"crossZone"`
 	Peer      float64 `json:"peer"`
@@ -48,7 +50,7 @@
 	Waste     float64 `json:"waste"`
 }
 
-// limitsObject is what a node may do.
+// limitsObject contains the actions that a node is allowed to take, and their limits.
 type limitsObject struct {
 	Cancel         bool    `json:"cancel"`
 	ParallelTries  bool    `json:"parallelTries"`
@@ -61,17 +63,18 @@
 	ConnectTimeout float64 `json:"connectTimeout"`
 }
 
+// rulesObject contains intervals and timeouts, and the behavior of cold and overloaded app servers.
 type rulesObject struct {
 	AnswerSlack  float64 `json:"answerSlack"`
 	AskWithin    float64 `json:"askWithin"`
 	DrainGrace   float64 `json:"drainGrace"`
-	ColdFrom     float64 `json:"coldFrom"` // share of the capacity
+	ColdFrom     float64 `json:"coldFrom"` // fraction of the capacity
 	RampTime     float64 `json:"rampTime"`
-	FallMultiple float64 `json:"fallMultiple"` // of the capacity
+	FallMultiple float64 `json:"fallMultiple"` // multiple of the capacity
 	OverloadFor  float64 `json:"overloadFor"`
 }
 
-// tariffObject is a plan of customers; what it counts are quota units.
+// tariffObject describes a plan. Rates and bursts are in quota units.
 type tariffObject struct {
 	Name          string  `json:"name"`
 	QuotaRate     float64 `json:"quotaRate"`
@@ -81,6 +84,6 @@
 	CapSlack      float64 `json:"capSlack"`
 	MaxOut        int     `json:"maxOut"`
 	WorthFactor   float64 `json:"worthFactor"`
-	ExtraWorth    float64 `json:"extraWorth"` // share of the worth
-	OverCost      float64 `json:"overCost"`   // share of the worth
+	ExtraWorth    float64 `json:"extraWorth"` // fraction of the request's worth
+	OverCost      float64 `json:"overCost"`   // fraction of the request's worth
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the platform's settings object, in the form in which both the simulator and an edge
-// node's configuration give it. The platform's field names and words are mapped to the balancer's here and nowhere else.
+// Package settings parses the platform's settings object, which both the simulator and an edge node's configuration
+// contain. It is the only package that maps the platform's names and values of settings to the balancer's.
 package settings
 
 import (
@@ -11,7 +11,7 @@
 	"opalhook/balancer"
 )
 
-// The platform's words and what they mean to the balancer.
+// The platform's values of settings and the balancer's values that they stand for.
 var (
 	idempotencies = map[string]balancer.Idempotency{
 		"retryable": balancer.Idempotent,
@@ -24,33 +24,33 @@
 		"cell": balancer.DedupCell,
 	}
 	loadReportModes = map[string]balancer.LoadReportMode{
-		"":        balancer.NoLoadReports, // not told
+		"":        balancer.NoLoadReports, // key is missing
 		"none":    balancer.NoLoadReports,
 		"answers": balancer.LoadReportsInResponses,
 		"probe":   balancer.LoadReportsInHealthChecks,
 	}
 )
 
-// pollMode is the registryMode in which a node has to ask for the list of endpoints.
+// pollMode is the value of registryMode with which a node has to poll for the list of endpoints.
 const pollMode = "subscribe"
 
-// WordError is a word in the settings object that the platform does not define.
+// WordError means that a setting has a value that the platform does not define.
 type WordError struct {
-	Key  string // with the keys around it, such as "feedback.how"
-	Word string
+	Key  string // path in the settings object, such as "feedback.how"
+	Word string // received value
 }
 
-// Error names the key and the word.
-func (e *WordError) Error() string { return fmt.Sprintf("%s: unknown word %q", e.Key, e.Word) }
+// Error names the key and the value.
+func (e *WordError) Error() string { return fmt.Sprintf("%s: unknown value %q", e.Key, e.Word) }
 
-// Transport is the part of the settings that concerns connections: the host's business, not the balancer's.
+// Transport contains the settings of connections to app servers. The balancer's host uses them, not the balancer.
 type Transport struct {
-	ConnIdle       time.Duration // a server closes a connection that has been idle for so long
-	ConnectTimeout time.Duration // a connection that is not made within this has failed
+	ConnIdle       time.Duration // idle time after which an app server closes a connection
+	ConnectTimeout time.Duration // time within which a connection must be established
 }
 
-// Parse reads the settings object. The error is one of encoding/json or a [WordError]; ranges are the balancer's to
-// check.
+// Parse parses the settings object. It returns an error of encoding/json or a [*WordError]. It does not check the
+// ranges of numbers, which [balancer.New] does.
 func Parse(text []byte) (balancer.Settings, Transport, error) {
 	var in object
 	if err := json.Unmarshal(text, &in); err != nil {
@@ -68,7 +68,7 @@
 	return time.Duration(math.Round(seconds*1e6)) * time.Microsecond
 }
 
-// settings maps the whole object.
+// settings converts the settings object, except for the settings of connections.
 func (in *object) settings() (balancer.Settings, error) {
 	s := balancer.Settings{
 		NodeIndex:             in.Me,
@@ -100,7 +100,7 @@
 	return s, nil
 }
 
-// apply maps the platform's rules of time and of cold servers.
+// apply copies the rules to s.
 func (r *rulesObject) apply(s *balancer.Settings) {
 	s.ResponseSlack = Duration(r.AnswerSlack)
 	s.DrainTimeout = Duration(r.DrainGrace)
@@ -111,7 +111,7 @@
 	s.OverloadWindow = Duration(r.OverloadFor)
 }
 
-// apply maps what a node may do.
+// apply copies the allowed actions and their limits to s.
 func (l *limitsObject) apply(s *balancer.Settings) {
 	s.MaxAttempts = l.MostTries
 	s.Hedging = l.ParallelTries
@@ -122,12 +122,12 @@
 	s.MaxRetryAfter = Duration(l.MaxRetryAfter)
 }
 
-// transport is what concerns connections.
+// transport returns the settings of connections.
 func (l *limitsObject) transport() Transport {
 	return Transport{ConnIdle: Duration(l.ConnIdle), ConnectTimeout: Duration(l.ConnectTimeout)}
 }
 
-// apply maps what things cost.
+// apply copies the prices to s.
 func (p *penaltyObject) apply(s *balancer.Settings) {
 	s.CrossZonePrice = p.CrossZone
 	s.PeerMessagePrice = p.Peer
@@ -135,7 +135,7 @@
 	s.WastedWorkPrice = p.Waste
 }
 
-// class maps a class of requests. A class that is not deduplicated needs no scope.
+// class converts the settings of a class of requests. Only a class with deduplication needs a valid keyScope.
 func (l *laneObject) class() (balancer.Class, error) {
 	c := balancer.Class{
 		Name:               l.Name,
@@ -156,7 +156,7 @@
 	return c, nil
 }
 
-// plan maps a plan of customers.
+// plan converts the settings of a plan.
 func (t *tariffObject) plan() balancer.Plan {
 	return balancer.Plan{
 		Name:           t.Name,
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -12,8 +12,8 @@
 	"opalhook/internal/golden"
 )
 
-// full gives each key a value of its own, so that a key mapped to the wrong field shows.
-const full = `{
+// allKeys gives each key a value of its own, so that a key mapped to the wrong field shows.
+const allKeys = `{
 	"instances": 9, "me": 4, "zone": "z", "tick": 0.004, "registryMode": "subscribe", "unknown": [1],
 	"familyInfo": {"inboxPerS": 40, "unitsTop": 8, "postPaid": true},
 	"feedback": {"how": "probe"},
@@ -36,7 +36,7 @@
 	}]
 }`
 
-func fullSettings() balancer.Settings {
+func allSettings() balancer.Settings {
 	return balancer.Settings{
 		NodeIndex: 4, NodeCount: 9, Zone: "z", Tick: 4 * time.Millisecond,
 		PollEndpoints: true, PollInterval: 10 * time.Second,
@@ -68,7 +68,7 @@
 		settings   balancer.Settings
 		transport  Transport
 	}{
-		{"every key", full, fullSettings(), Transport{ConnIdle: 30 * time.Second, ConnectTimeout: 250 * time.Millisecond}},
+		{"every key", allKeys, allSettings(), Transport{ConnIdle: 30 * time.Second, ConnectTimeout: 250 * time.Millisecond}},
 		{"no key", `{}`, balancer.Settings{}, Transport{}},
 		{"list pushed", `{"registryMode":"automatic"}`, balancer.Settings{}, Transport{}},
 		{"no load reports", `{"feedback":{"how":"none"}}`, balancer.Settings{}, Transport{}},
@@ -110,9 +110,9 @@
 	}
 }
 
-// TestFullSettingsNameEveryField keeps the case of every key complete when the balancer's settings gain a field.
-func TestFullSettingsNameEveryField(t *testing.T) {
-	s := fullSettings()
+// TestAllSettingsSetEveryField keeps the case of every key complete when the balancer's settings gain a field.
+func TestAllSettingsSetEveryField(t *testing.T) {
+	s := allSettings()
 	for _, part := range []any{s, s.Plans[0]} {
 		v := reflect.ValueOf(part)
 		for i := range v.NumField() {
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -6,96 +6,96 @@
 	"opalhook/balancer"
 )
 
-// Event is one message of the simulator: [Clock], [Commit] or a [NodeEvent].
+// Event is a parsed message of the simulator: a [Clock], a [Commit] or a [NodeEvent].
 type Event interface{ isEvent() }
 
 // NodeEvent is an event that concerns one of the nodes that the process hosts.
 type NodeEvent interface {
 	Event
-	// NodeNumber is the simulator's number of the node.
+	// NodeNumber returns the simulator's number of the node.
 	NodeNumber() int
 }
 
-// forNode makes an event a NodeEvent.
-type forNode struct{ Node int }
+// nodeEvent implements [NodeEvent] for the events that embed it.
+type nodeEvent struct{ Node int }
 
-func (forNode) isEvent() {}
+func (nodeEvent) isEvent() {}
 
-// NodeNumber is the simulator's number of the node.
-func (n forNode) NodeNumber() int { return n.Node }
+// NodeNumber returns the simulator's number of the node.
+func (n nodeEvent) NodeNumber() int { return n.Node }
 
-// Clock begins a batch of events, all of which happen at one time.
-type Clock struct{ Now time.Duration } // since the simulation's start
+// Clock begins a batch of events with the same time, which counts from the simulation's start.
+type Clock struct{ Now time.Duration }
 
-// Commit ends a batch and asks for the reply.
+// Commit ends a batch. The simulator then waits for the reply to it.
 type Commit struct{}
 
 func (Clock) isEvent()  {}
 func (Commit) isEvent() {}
 
-// StartNode starts a node, in place of one that bore its number.
+// StartNode starts a node. It replaces an earlier node with the same number.
 type StartNode struct {
-	forNode
-	Seed     uint64 // of everything that the node draws
+	nodeEvent
+	Seed     uint64 // seed of the node's random decisions
 	Settings balancer.Settings
 }
 
-// StopNode ends a node at once, without a drain.
-type StopNode struct{ forNode }
+// StopNode stops a node immediately, without a drain.
+type StopNode struct{ nodeEvent }
 
-// EndpointList is an update of the endpoint list, with the entries of its table resolved.
+// EndpointList is an update of the endpoint list, with the entries of the table that the message refers to.
 type EndpointList struct {
-	forNode
+	nodeEvent
 	Kind      balancer.UpdateKind
-	Endpoints []balancer.Endpoint // shared by all updates that name the table; nil with UpdateFailed
+	Endpoints []balancer.Endpoint // shared by all updates that refer to the table; nil for balancer.UpdateFailed
 }
 
-// RequestArrived is a client's request.
+// RequestArrived is the arrival of a client's request.
 type RequestArrived struct {
-	forNode
+	nodeEvent
 	Request balancer.Request
 }
 
-// ResponseStarted is the head of a streamed response to an attempt.
+// ResponseStarted is the arrival of the headers of a streamed response to an attempt.
 type ResponseStarted struct {
-	forNode
-	ID      string // of the request
-	Attempt int    // from 0
+	nodeEvent
+	ID      string // request ID
+	Attempt int    // number of the attempt, from 0
 }
 
 // AttemptFinished is the end of an attempt.
 type AttemptFinished struct {
-	forNode
+	nodeEvent
 	Outcome balancer.Outcome
 }
 
-// ClientGone says that a client waits no longer.
+// ClientGone means that a client no longer waits for the response to its request.
 type ClientGone struct {
-	forNode
-	ID string // of the request
+	nodeEvent
+	ID string // request ID
 }
 
-// TimerFired is the end of a timer that the node has set.
+// TimerFired is the expiry of a timer that the node has set.
 type TimerFired struct {
-	forNode
+	nodeEvent
 	Token uint64
 }
 
 // HealthChecked is the end of a health check.
 type HealthChecked struct {
-	forNode
+	nodeEvent
 	EndpointID string
 	Result     balancer.Result
 	Took       time.Duration
-	LoadReport *balancer.LoadReport // nil: none came
+	LoadReport *balancer.LoadReport // nil if there was none
 }
 
-// PeerMessage is a message of another node.
+// PeerMessage is a message from another node.
 type PeerMessage struct {
-	forNode
+	nodeEvent
 	From    int // the sender's number in the fleet
 	Payload []byte
 }
 
 // CounterRead is a reading of the platform's shared counter, which the balancer does not use.
-type CounterRead struct{ forNode }
+type CounterRead struct{ nodeEvent }
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -13,149 +13,150 @@
 	"opalhook/internal/settings"
 )
 
-// maxSeconds bounds times of either sign; a larger one is malformed.
+// maxSeconds is the largest absolute value of a time, in seconds. A larger one is malformed.
 const maxSeconds = 1e9
 
-// fields takes the values of one message in order. It keeps the first error, after which what it returns means nothing.
+// fields parses the values of one message in order. It stores the first error. Values returned after an error must not
+// be used. The parameter field of its methods is the name of the value for error messages.
 type fields struct {
-	name string // of the message
-	vals []string
-	next int
-	err  error
+	name   string // name of the message
+	values []string
+	next   int
+	err    error
 }
 
-// newFields splits a line into the message's name and values.
+// newFields splits a line at spaces into the message's name and its values.
 func newFields(line string) *fields {
 	name, rest, _ := strings.Cut(line, " ")
 	f := &fields{name: name}
 	if rest != "" {
-		f.vals = strings.Split(rest, " ")
+		f.values = strings.Split(rest, " ")
 	}
 	return f
 }
 
-// end returns the first error, or that values are left over.
+// end returns the first error, or an error if values are left over.
 func (f *fields) end() error {
 	if f.err != nil {
 		return fmt.Errorf("%s: %w", f.name, f.err)
 	}
-	if left := len(f.vals) - f.next; left > 0 {
-		return fmt.Errorf("%s: %d values more than expected", f.name, left)
+	if left := len(f.values) - f.next; left > 0 {
+		return fmt.Errorf("%s: %d more values than expected", f.name, left)
 	}
 	return nil
 }
 
-// fail keeps an error if it is the first.
+// fail stores an error if it is the first one.
 func (f *fields) fail(err error) {
 	if f.err == nil {
 		f.err = err
 	}
 }
 
-// malformed keeps that a value can't be read.
-func (f *fields) malformed(what, v string) { f.fail(fmt.Errorf("bad %s %q", what, v)) }
+// malformed stores an error for a value that can't be parsed.
+func (f *fields) malformed(field, v string) { f.fail(fmt.Errorf("bad %s %q", field, v)) }
 
-// str returns the next value; an absent one is "".
-func (f *fields) str(what string) string {
-	if f.next >= len(f.vals) {
-		f.fail(fmt.Errorf("%s is missing", what))
+// str returns the next value, or "" if it is absent.
+func (f *fields) str(field string) string {
+	if f.next >= len(f.values) {
+		f.fail(fmt.Errorf("%s is missing", field))
 		return ""
 	}
-	v := f.vals[f.next]
+	v := f.values[f.next]
 	f.next++
 	if v == absent {
 		return ""
 	}
 	if v == "" {
-		f.fail(fmt.Errorf("%s is empty", what))
+		f.fail(fmt.Errorf("%s is empty", field))
 	}
 	return v
 }
 
-// num returns a finite number; an absent one is 0.
-func (f *fields) num(what string) float64 {
-	v := f.str(what)
+// num returns the next value as a finite number, or 0 if it is absent.
+func (f *fields) num(field string) float64 {
+	v := f.str(field)
 	if v == "" {
 		return 0
 	}
 	x, err := parseFinite(v)
 	if err != nil {
-		f.malformed(what, v)
+		f.malformed(field, v)
 	}
 	return x
 }
 
-// dur returns a time given in seconds; an absent one is 0.
-func (f *fields) dur(what string) time.Duration {
-	x := f.num(what)
+// dur returns the next value, a time in seconds, or 0 if it is absent.
+func (f *fields) dur(field string) time.Duration {
+	x := f.num(field)
 	if math.Abs(x) > maxSeconds {
-		f.malformed(what, strconv.FormatFloat(x, 'g', -1, 64))
+		f.malformed(field, strconv.FormatFloat(x, 'g', -1, 64))
 		return 0
 	}
 	return settings.Duration(x)
 }
 
-// int returns a whole number, which may not be absent.
-func (f *fields) int(what string) int {
-	v := f.str(what)
+// int returns the next value as an integer, which must not be absent.
+func (f *fields) int(field string) int {
+	v := f.str(field)
 	x, err := strconv.Atoi(v)
 	if err != nil {
-		f.malformed(what, v)
+		f.malformed(field, v)
 	}
 	return x
 }
 
-// uint returns a whole number from 0; an absent one is 0.
-func (f *fields) uint(what string) uint64 {
-	v := f.str(what)
+// uint returns the next value as an unsigned integer, or 0 if it is absent.
+func (f *fields) uint(field string) uint64 {
+	v := f.str(field)
 	if v == "" {
 		return 0
 	}
 	x, err := strconv.ParseUint(v, 10, 64)
 	if err != nil {
-		f.malformed(what, v)
+		f.malformed(field, v)
 	}
 	return x
 }
 
-// bool returns 0 or 1 as a truth.
-func (f *fields) bool(what string) bool {
-	v := f.str(what)
+// bool returns the next value, which must be 0 or 1, as a bool.
+func (f *fields) bool(field string) bool {
+	v := f.str(field)
 	if v != "0" && v != "1" {
-		f.malformed(what, v)
+		f.malformed(field, v)
 	}
 	return v == "1"
 }
 
-// bytes returns a value in base64; an absent one is empty.
-func (f *fields) bytes(what string) []byte {
-	v := f.str(what)
+// bytes decodes the next value from base64. An absent value is empty.
+func (f *fields) bytes(field string) []byte {
+	v := f.str(field)
 	b, err := base64.StdEncoding.DecodeString(v)
 	if err != nil {
-		f.malformed(what, v)
+		f.malformed(field, v)
 	}
 	return b
 }
 
-// state returns the state of an endpoint.
-func (f *fields) state(what string) balancer.EndpointState { return lookUp(f, what, endpointStates) }
+// state returns the next value as the state of an endpoint.
+func (f *fields) state(field string) balancer.EndpointState { return lookUp(f, field, endpointStates) }
 
-// result returns how an attempt or a health check ended.
-func (f *fields) result(what string) balancer.Result { return lookUp(f, what, results) }
+// result returns the next value as the result of an attempt or a health check.
+func (f *fields) result(field string) balancer.Result { return lookUp(f, field, results) }
 
-// lookUp returns what the next value, a word, means.
-func lookUp[T any](f *fields, what string, meanings map[string]T) T {
-	v := f.str(what)
+// lookUp returns the meaning of the next value, which must be a key of meanings.
+func lookUp[T any](f *fields, field string, meanings map[string]T) T {
+	v := f.str(field)
 	meaning, ok := meanings[v]
 	if !ok {
-		f.malformed(what, v)
+		f.malformed(field, v)
 	}
 	return meaning
 }
 
-// load returns a load report, nil where it is absent.
-func (f *fields) load(what string) *balancer.LoadReport {
-	v := f.str(what)
+// load returns the next value as a load report, or nil if it is absent. Numbers that the report does not contain are -1.
+func (f *fields) load(field string) *balancer.LoadReport {
+	v := f.str(field)
 	if v == "" {
 		return nil
 	}
@@ -164,7 +165,7 @@
 		name, val, ok := strings.Cut(pair, ":")
 		x, err := parseFinite(val)
 		if !ok || err != nil {
-			f.malformed(what, v)
+			f.malformed(field, v)
 			return nil
 		}
 		switch name {
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -1,5 +1,6 @@
-// Package simwire is the codec of the simulator's line protocol: it turns lines into typed events and the balancer's
-// actions into lines. The simulator's words are mapped to the balancer's here and nowhere else. It decides nothing.
+// Package simwire is the codec of the simulator's line protocol. It parses lines into typed events and encodes the
+// balancer's actions as lines. It is the only package that maps the simulator's names and values to the balancer's. It
+// contains no decisions of its own.
 package simwire
 
 import (
@@ -15,41 +16,42 @@
 )
 
 const (
-	firstLineBuffer = 1 << 16 // bytes
-	maxLine         = 1 << 24 // bytes; settings and lists of entries are the longest
-	maxTable        = 15      // the largest number of a table
+	initialLineBuffer = 1 << 16 // in bytes
+	maxLine           = 1 << 24 // largest line, in bytes; the longest lines contain settings
+	maxTable          = 15      // largest number of a table
 )
 
-// LineError is an error with the number of the line where it was met.
+// LineError is an error with the number of the line in which it occurred.
 type LineError struct {
 	Line int // from 1
 	Err  error
 }
 
-// Error names the line before the cause.
+// Error returns the line number and the cause.
 func (e *LineError) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
 
 // Unwrap returns the cause.
 func (e *LineError) Unwrap() error { return e.Err }
 
-// Reader reads events. It keeps the numbered tables of endpoints that the simulator fills and refers to.
+// Reader reads events. It stores the numbered tables of endpoints that the simulator sends once and later refers to.
 type Reader struct {
-	s      *bufio.Scanner
-	line   int
-	tables map[int][]balancer.Endpoint
+	scanner *bufio.Scanner
+	line    int
+	tables  map[int][]balancer.Endpoint
 }
 
-// NewReader returns a Reader of r.
+// NewReader returns a [Reader] that reads from r.
 func NewReader(r io.Reader) *Reader {
 	s := bufio.NewScanner(r)
-	s.Buffer(make([]byte, firstLineBuffer), maxLine)
-	return &Reader{s: s, tables: map[int][]balancer.Endpoint{}}
+	s.Buffer(make([]byte, initialLineBuffer), maxLine)
+	return &Reader{scanner: s, tables: map[int][]balancer.Endpoint{}}
 }
 
 // Line returns the number of the line read last, from 1.
 func (r *Reader) Line() int { return r.line }
 
-// Next returns the next event. The error is [io.EOF] at the end of the input between messages, else a [LineError].
+// Next returns the next event. It skips empty lines and the messages that fill tables. It returns [io.EOF] if the input
+// ends between messages, and a [*LineError] for any other error.
 func (r *Reader) Next() (Event, error) {
 	for {
 		text, err := r.readLine()
@@ -69,19 +71,19 @@
 	}
 }
 
-// readLine returns the next line without its end.
+// readLine returns the next line without its line end.
 func (r *Reader) readLine() (string, error) {
-	if r.s.Scan() {
+	if r.scanner.Scan() {
 		r.line++
-		return r.s.Text(), nil
+		return r.scanner.Text(), nil
 	}
-	if err := r.s.Err(); err != nil {
+	if err := r.scanner.Err(); err != nil {
 		return "", &LineError{r.line + 1, err}
 	}
 	return "", io.EOF
 }
 
-// parse reads one message. There is no event where it fills a table.
+// parse parses one message. The event is nil for a message that fills a table.
 func (r *Reader) parse(text string) (Event, error) {
 	if name, rest, _ := strings.Cut(text, " "); name == "LAUNCH" {
 		return parseLaunch(rest)
@@ -97,7 +99,7 @@
 	return event, nil
 }
 
-// event reads a message whose values are apart by spaces. Malformed values are kept in f.
+// event parses a message whose values are separated by spaces. Errors of malformed values are stored in f.
 func (r *Reader) event(f *fields) (Event, error) {
 	switch f.name {
 	case "PAGE":
@@ -112,8 +114,8 @@
 	return parse(f), nil
 }
 
-// parsers read the messages that need nothing but their own values. A value that is read and not kept is checked all
-// the same.
+// parsers contains the parsers of messages that depend only on their own values. The parsers also check the values that
+// they do not use.
 var parsers = map[string]func(*fields) Event{
 	"CLOCK":         func(f *fields) Event { return Clock{f.dur("clock")} },
 	"COMMIT":        func(*fields) Event { return Commit{} },
@@ -128,11 +130,11 @@
 	"TOTAL":         parseTotal,
 }
 
-// node reads the number of the node that an event concerns.
-func node(f *fields) forNode { return forNode{f.int("i")} }
+// node parses the number of the node that an event concerns.
+func node(f *fields) nodeEvent { return nodeEvent{f.int("i")} }
 
 func parseAccept(f *fields) Event {
-	e := RequestArrived{forNode: node(f)}
+	e := RequestArrived{nodeEvent: node(f)}
 	q := &e.Request
 	q.ID = f.str("ref")
 	q.Class = f.str("tierClass")
@@ -147,7 +149,7 @@
 }
 
 func parseHeaders(f *fields) Event {
-	e := ResponseStarted{forNode: node(f)}
+	e := ResponseStarted{nodeEvent: node(f)}
 	e.ID = f.str("ref")
 	e.Attempt = f.int("roundNo")
 	f.str("server")
@@ -156,7 +158,7 @@
 }
 
 func parseCompleted(f *fields) Event {
-	e := AttemptFinished{forNode: node(f)}
+	e := AttemptFinished{nodeEvent: node(f)}
 	o := &e.Outcome
 	o.ID = f.str("ref")
 	o.Answered = f.bool("closed")
@@ -171,7 +173,7 @@
 }
 
 func parseProbeDone(f *fields) Event {
-	e := HealthChecked{forNode: node(f)}
+	e := HealthChecked{nodeEvent: node(f)}
 	e.Result = f.result("reason")
 	e.EndpointID = f.str("server")
 	e.Took = f.dur("spent")
@@ -188,12 +190,12 @@
 	return e
 }
 
-// parseLaunch reads a node's start, whose last value is the settings object with spaces of its own.
+// parseLaunch parses a node's start. Its last value is the settings object, which may contain spaces.
 func parseLaunch(rest string) (Event, error) {
 	number, rest, _ := strings.Cut(rest, " ")
 	seed, object, _ := strings.Cut(rest, " ")
-	f := fields{name: "LAUNCH", vals: []string{number, seed}}
-	e := StartNode{forNode: node(&f)}
+	f := fields{name: "LAUNCH", values: []string{number, seed}}
+	e := StartNode{nodeEvent: node(&f)}
 	e.Seed = f.uint("prng")
 	if err := f.end(); err != nil {
 		return nil, err
@@ -205,20 +207,20 @@
 	return e, nil
 }
 
-// parsePage fills a table from the lines that follow.
+// parsePage fills a table from the following lines, one entry per line.
 func (r *Reader) parsePage(f *fields) error {
 	table, rows := f.int("table"), f.int("rows")
 	if f.err != nil {
-		return nil // the caller reports it
+		return nil // the caller reports f.err
 	}
 	if table < 0 || table > maxTable || rows < 0 {
-		return fmt.Errorf("PAGE: table %d or row count %d out of range", table, rows)
+		return fmt.Errorf("PAGE: table must be from 0 to %d and rows at least 0, got %d and %d", maxTable, table, rows)
 	}
 	var list []balancer.Endpoint
 	for i := range rows {
 		text, err := r.readLine()
 		if err != nil {
-			return fmt.Errorf("PAGE: %d of %d entries: %w", i, rows, noEOF(err))
+			return fmt.Errorf("PAGE: %d of %d entries: %w", i, rows, unexpectedEOF(err))
 		}
 		entry, err := parseItem(text)
 		if err != nil {
@@ -230,15 +232,15 @@
 	return nil
 }
 
-// noEOF is for an input that ends inside a message.
-func noEOF(err error) error {
+// unexpectedEOF replaces [io.EOF] by [io.ErrUnexpectedEOF], for an input that ends inside a message.
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// parseItem reads one entry of a table.
+// parseItem parses one entry of a table.
 func parseItem(text string) (balancer.Endpoint, error) {
 	var e balancer.Endpoint
 	f := newFields(text)
@@ -255,13 +257,13 @@
 	return e, f.end()
 }
 
-// parseFleet reads an update of the endpoint list, which names a table unless it tells of a failure.
+// parseFleet parses an update of the endpoint list. The update refers to a table unless it reports a failure.
 func (r *Reader) parseFleet(f *fields) (Event, error) {
-	e := EndpointList{forNode: node(f)}
+	e := EndpointList{nodeEvent: node(f)}
 	f.num("seqNo")
 	table, kind := f.str("table"), f.str("form")
 	if f.err != nil {
-		return nil, nil // the caller reports it
+		return nil, nil // the caller reports f.err
 	}
 	var ok bool
 	if e.Kind, ok = updateKinds[kind]; !ok {
--- a/internal/simwire/reader_test.go
+++ b/internal/simwire/reader_test.go
@@ -13,7 +13,7 @@
 	"opalhook/balancer"
 )
 
-func all(text string) (events []Event, err error) {
+func readAll(text string) (events []Event, err error) {
 	r := NewReader(strings.NewReader(text))
 	for {
 		ev, err := r.Next()
@@ -32,7 +32,7 @@
 	`"tariffs":[{"name":"p","quotaRate":2.5,"peakUnits":7,"maxOut":3}],"policyLimits":{"mostTries":3},"rules":{"drainGrace":2}}`
 
 func TestReadEvents(t *testing.T) {
-	events, err := all("CLOCK 8.41225\n" + launch + "\nPAGE 0 2\nITEM s.a IN 1 k z 0 -\nITEM s.b LAME 1.5 k y 3 6.1\n" +
+	events, err := readAll("CLOCK 8.41225\n" + launch + "\nPAGE 0 2\nITEM s.a IN 1 k z 0 -\nITEM s.b LAME 1.5 k y 3 6.1\n" +
 		"FLEET 3 41 0 Persisted\nACCEPT 3 rq_a c p 4569004829183723 0.24 2 3 1 1\n" +
 		"COMPLETED 3 rq_a 1 254 s.a 0.0185 0 86 3 backlog:3,novel:7\nTIMEOUT_FIRED 3 77\nWHISPER 3 0 aGkgNw==\n" +
 		"FLEET 3 42 - Error\nLEFT 3 rq_a\nCOMMIT\n")
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestMalformedLinesAreNamed(t *testing.T) {
+func TestReadMalformedLines(t *testing.T) {
 	for _, bad := range []string{
 		"NONSENSE 1", "CLOCK x", "CLOCK", "LEFT 3", "LEFT 3 a b", "TIMEOUT_FIRED 3 -1", "WHISPER 3 0 ???",
 		"COMPLETED 3 rq 2 0 s 0 0 0 0 -", "COMPLETED 3 rq 1 17 s 0 0 0 0 -", "COMPLETED 3 rq 1 0 s 0 0 0 0 backlog",
@@ -73,7 +73,7 @@
 		"LAUNCH 3 99 {", "LAUNCH x 99 {}", `LAUNCH 3 9 {"feedback":{"how":"odd"}}`, `LAUNCH 3 9 {"lanes":[{"idempotency":"odd"}]}`,
 		"ACCEPT 3 rq c p 1 nan 1 1 1 1", "LEFT 3  rq",
 	} {
-		_, err := all("CLOCK 1\n" + bad + "\n")
+		_, err := readAll("CLOCK 1\n" + bad + "\n")
 		var at *LineError
 		if !errors.As(err, &at) || at.Line < 2 || !strings.HasPrefix(err.Error(), fmt.Sprintf("line %d: ", at.Line)) {
 			t.Errorf("%q: error %v", bad, err)
--- a/internal/simwire/words.go
+++ b/internal/simwire/words.go
@@ -2,7 +2,7 @@
 
 import "opalhook/balancer"
 
-// The simulator's words and what they mean to the balancer.
+// The simulator's values and the balancer's values that they stand for.
 var (
 	endpointStates = map[string]balancer.EndpointState{
 		"IN":   balancer.Up,
@@ -27,12 +27,12 @@
 	}
 )
 
-// Names of the values of a load report; others are skipped.
+// Names of the numbers in a load report. Other names are ignored.
 const (
 	loadInFlight    = "outstanding"
 	loadQueued      = "backlog"
 	loadUtilization = "utilization"
 )
 
-// absent stands for a value that is not given.
+// absent is the text of a value that is not set.
 const absent = "-"
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -10,24 +10,24 @@
 	"opalhook/balancer"
 )
 
-// Reply gathers the lines of one reply. The actions that it takes are those of one node at a time. The zero value is an
-// empty reply.
+// Reply collects the lines of the reply to one batch. It implements [balancer.Actions] for one node at a time. The zero
+// value is an empty reply.
 type Reply struct {
-	Node int // the simulator's number of the node that acts; to be set before a node gets an event
+	Node int // simulator's number of the acting node; must be set before the node gets an event
 	buf  []byte
 }
 
 var _ balancer.Actions = (*Reply)(nil)
 
-// Take returns the reply with its last line and empties it; the slice is valid until the next action.
+// Take returns the reply including its final line, and empties it. The slice is valid until the next action.
 func (r *Reply) Take() []byte {
 	b := append(r.buf, "FINISHED\n"...)
 	r.buf = r.buf[:0]
 	return b
 }
 
-// begin begins a line with the message's name and the node.
-func (r *Reply) begin(name string) {
+// beginLine begins a line with the message's name and the node.
+func (r *Reply) beginLine(name string) {
 	r.buf = append(r.buf, name...)
 	r.buf = append(r.buf, ' ')
 	r.buf = strconv.AppendInt(r.buf, int64(r.Node), 10)
@@ -49,58 +49,59 @@
 	r.buf = strconv.AppendFloat(r.buf, d.Round(time.Microsecond).Seconds(), 'f', -1, 64)
 }
 
-func (r *Reply) end() { r.buf = append(r.buf, '\n') }
+func (r *Reply) endLine() { r.buf = append(r.buf, '\n') }
 
-// SendAttempt implements [balancer.Actions]. The simulator sends at once: a time to send by has no place in it.
+// SendAttempt implements [balancer.Actions]. The last parameter, the time limit for sending, is ignored because the
+// simulator sends immediately.
 func (r *Reply) SendAttempt(id, server string, timeout, _ time.Duration) {
-	r.begin("CALL_OUT")
+	r.beginLine("CALL_OUT")
 	r.str(id)
 	r.str(server)
 	r.dur(timeout)
-	r.end()
+	r.endLine()
 }
 
 // Reject implements [balancer.Actions].
 func (r *Reply) Reject(id string, retryAfter time.Duration) {
-	r.begin("TURN_AWAY")
+	r.beginLine("TURN_AWAY")
 	r.str(id)
 	r.dur(retryAfter)
-	r.end()
+	r.endLine()
 }
 
 // Fail implements [balancer.Actions].
 func (r *Reply) Fail(id string) {
-	r.begin("SURRENDER")
+	r.beginLine("SURRENDER")
 	r.str(id)
-	r.end()
+	r.endLine()
 }
 
 // CancelAttempt implements [balancer.Actions].
 func (r *Reply) CancelAttempt(id string, attempt int) {
-	r.begin("WITHDRAW")
+	r.beginLine("WITHDRAW")
 	r.str(id)
 	r.int(int64(attempt))
-	r.end()
+	r.endLine()
 }
 
 // SetTimer implements [balancer.Actions].
 func (r *Reply) SetTimer(token uint64, after time.Duration) {
-	r.begin("SET_ALARM")
+	r.beginLine("SET_ALARM")
 	r.int(int64(token))
 	r.dur(after)
-	r.end()
+	r.endLine()
 }
 
 // HealthCheck implements [balancer.Actions].
 func (r *Reply) HealthCheck(server string) {
-	r.begin("PROBE")
+	r.beginLine("PROBE")
 	r.str(server)
-	r.end()
+	r.endLine()
 }
 
 // SendPeer implements [balancer.Actions].
 func (r *Reply) SendPeer(peer int, message []byte) {
-	r.begin("SIGNAL")
+	r.beginLine("SIGNAL")
 	if peer < 0 {
 		r.str("all")
 	} else {
@@ -112,40 +113,41 @@
 		r.buf = append(r.buf, ' ')
 		r.buf = base64.StdEncoding.AppendEncode(r.buf, message)
 	}
-	r.end()
+	r.endLine()
 }
 
 // WatchEndpoints implements [balancer.Actions].
 func (r *Reply) WatchEndpoints(on bool) {
-	r.begin("STREAM_CHANGES")
+	r.beginLine("STREAM_CHANGES")
 	if on {
 		r.int(1)
 	} else {
 		r.int(0)
 	}
-	r.end()
+	r.endLine()
 }
 
-// Log implements [balancer.Actions]. The message and its attributes are one line of text; the simulator knows no levels.
+// Log implements [balancer.Actions]. It writes the message and its attributes as one line of text. The simulator's
+// protocol has no log levels.
 func (r *Reply) Log(_ slog.Level, message string, attributes ...slog.Attr) {
 	var text strings.Builder
 	text.WriteString(message)
 	for _, attribute := range attributes {
 		text.WriteString(" " + attribute.String())
 	}
-	r.begin("PRINT")
+	r.beginLine("PRINT")
 	r.str(oneLine(text.String()))
-	r.end()
+	r.endLine()
 }
 
-// Crash reports that the balancer panicked.
+// Crash reports a panic of the balancer. The text is the panic's value.
 func (r *Reply) Crash(text string) {
-	r.begin("BROKEN")
+	r.beginLine("BROKEN")
 	r.str(oneLine(text))
-	r.end()
+	r.endLine()
 }
 
-// oneLine is a text with each run of white space as one space.
+// oneLine returns a text with each sequence of white space replaced by one space.
 func oneLine(s string) string {
 	return strings.Join(strings.Fields(s), " ")
 }
--- a/internal/testnet/testnet.go
+++ b/internal/testnet/testnet.go
@@ -1,8 +1,10 @@
-// Package testnet gives tests loopback addresses that can be listened on again after they were free for a while.
+// Package testnet provides loopback addresses for tests that close a listener and later listen on the same address
+// again.
 //
-// A port of 127.0.0.1 that was free a moment ago may be taken: every connection from there and every listener on port
-// 0 draws from the same range. The addresses of this package lie on a host of 127.0.0.0/8 that belongs to the test's
-// process alone. The kernel gives connections to it the source 127.0.0.1, so that they use none of its ports.
+// On 127.0.0.1 another socket may take the port in the meantime: outgoing connections and listeners on port 0 of all
+// processes get their ports from the same range. The addresses of this package have a host in 127.0.0.0/8 that only the
+// test's process uses. Connections to such an address do not take its ports either, because the kernel gives them the
+// source address 127.0.0.1.
 package testnet
 
 import (
@@ -13,26 +15,26 @@
 	"testing"
 )
 
-// maxAttempts bounds the search for an address that was not returned before.
+// maxAttempts is the number of ports that [FreeAddr] tries to find one that it has not returned before.
 const maxAttempts = 1000
 
-// given holds the addresses that [FreeAddr] has returned.
-var given sync.Map
+// returned contains the addresses that [FreeAddr] has returned, as strings.
+var returned sync.Map
 
-// Host returns the loopback host of this process.
+// Host returns the loopback IP address of this process.
 func Host() string { return hostOf(os.Getpid()) }
 
-// hostOf returns a process's host. Linux has process ids of 22 bits at most, so that the hosts lie between 127.1.0.0
-// and 127.64.255.255.
+// hostOf returns the loopback IP address of a process. Process IDs of Linux have at most 22 bits, so the addresses lie
+// between 127.1.0.0 and 127.64.255.255.
 func hostOf(pid int) string {
 	return fmt.Sprintf("127.%d.%d.%d", 1+pid>>16&0x3f, pid>>8&0xff, pid&0xff)
 }
 
-// AnyPort returns the address of this process's host with port 0.
+// AnyPort returns the address of this process's host with port 0, for a listener on any free port.
 func AnyPort() string { return net.JoinHostPort(Host(), "0") }
 
-// FreeAddr returns a TCP address of this process's host on which nothing listens, and which it has not returned
-// before. A failure to listen ends the test, as does a range of ports that is used up.
+// FreeAddr returns a TCP address of this process's host on which nothing listens and which it has not returned before.
+// It ends the test if it can't listen on the host or finds no such port.
 func FreeAddr(t testing.TB) string {
 	t.Helper()
 	for range maxAttempts {
@@ -44,10 +46,10 @@
 		if err := listener.Close(); err != nil {
 			t.Fatal(err)
 		}
-		if _, again := given.LoadOrStore(addr, true); !again {
+		if _, again := returned.LoadOrStore(addr, true); !again {
 			return addr
 		}
 	}
-	t.Fatalf("no port of %s is left that was not given before", Host())
+	t.Fatalf("%s: no unused port found", Host())
 	return ""
 }
--- a/internal/testnet/testnet_test.go
+++ b/internal/testnet/testnet_test.go
@@ -23,7 +23,7 @@
 
 // A connection to an address of this process's host comes from 127.0.0.1: it takes no port that such an address may
 // have.
-func TestConnectionsUseNoPortOfTheHost(t *testing.T) {
+func TestConnectionsDoNotUsePortsOfHost(t *testing.T) {
 	addr := FreeAddr(t)
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
