--- a/cmd/sim-adapter/main.go
+++ b/cmd/sim-adapter/main.go
@@ -1,5 +1,5 @@
-// Command sim-adapter runs balancers for the simulator. It reads batches of events from standard input and writes one
-// reply for each batch to standard output. All decisions are the balancers'.
+// Command sim-adapter runs balancers for the simulator. It reads batches of events from standard input and
+// writes one reply for each batch to standard output. All decisions are the balancers'.
 package main
 
 import (
--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -44,8 +44,8 @@
 
 func (f *Follower) emit(a Action) { f.actions = append(f.actions, a) }
 
-// warn logs an event at the warning level, which is shown by default. The end of an outage uses the same level as
-// its start, so that operators see both.
+// warn logs an event at the warning level, which is shown by default. The end of an outage uses the same
+// level as its start, so that operators see both.
 func (f *Follower) warn(message string, attrs ...slog.Attr) {
 	f.emit(Action{Kind: LogEvent, Event: Event{slog.LevelWarn, message, attrs}})
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -37,11 +37,12 @@
 // statusInterval is the longest time between two updates of the status.
 const statusInterval = time.Second
 
-// minTimer is the shortest time between two ticks of the follower. It prevents a busy loop when a tick is overdue.
+// minTimer is the shortest time between two ticks of the follower. It prevents a busy loop when a tick is
+// overdue.
 const minTimer = time.Millisecond
 
-// Agent follows the list service and serves the list to the nodes on its machine. Use [Start] to create one. Its
-// methods are safe for concurrent use.
+// Agent follows the list service and serves the list to the nodes on its machine. Use [Start] to create one.
+// Its methods are safe for concurrent use.
 type Agent struct {
 	log    *slog.Logger
 	origin time.Time // zero of the follower's clock
@@ -66,9 +67,9 @@
 	nodeWatches  atomic.Int64
 }
 
-// Start starts an agent, which runs until [Agent.Close]. When ctx ends, the agent stops following replicas and ends
-// the watches of nodes, but its server keeps listening until Close. Start returns an error if cfg is invalid or the
-// address is not available.
+// Start starts an agent, which runs until [Agent.Close]. When ctx ends, the agent stops following replicas
+// and ends the watches of nodes, but its server keeps listening until Close. Start returns an error if cfg is
+// invalid or the address is not available.
 func Start(ctx context.Context, cfg Config) (*Agent, error) {
 	if err := cfg.validate(); err != nil {
 		return nil, err
@@ -115,7 +116,8 @@
 // Addr returns the address on which the agent serves nodes, host:port.
 func (a *Agent) Addr() string { return a.listener.Addr().String() }
 
-// Close stops the agent, ends all watches and waits for its goroutines. It returns the error of closing the listener.
+// Close stops the agent, ends all watches and waits for its goroutines. It returns the error of closing the
+// listener.
 func (a *Agent) Close() error {
 	a.stop()
 	err := a.server.Close()
@@ -140,8 +142,8 @@
 	}
 }
 
-// run owns the follower. It passes the events of calls to the follower and performs the follower's actions until the
-// agent is stopped.
+// run owns the follower. It passes the events of calls to the follower and performs the follower's actions
+// until the agent is stopped.
 func (a *Agent) run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -220,8 +222,8 @@
 	}
 }
 
-// followWatch opens a watch and passes its messages and heartbeats to the follower until the watch ends. It always
-// returns a non-nil error.
+// followWatch opens a watch and passes its messages and heartbeats to the follower until the watch ends. It
+// always returns a non-nil error.
 func (a *Agent) followWatch(ctx context.Context, action Action) error {
 	watch, err := a.replicas.watch(ctx, action.Replica, action.From)
 	if err != nil {
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -14,7 +14,7 @@
 	"opalhook/internal/discovery"
 )
 
-// Whatever is wrong with one replica, another one is found after few calls of the faulty one.
+// The agent changes to a healthy replica after at most three calls to a faulty one, for each kind of fault.
 func TestAgentLeavesFaultyReplica(t *testing.T) {
 	hold := func(r *http.Request) { <-r.Context().Done() }
 	list := line(snapshotOf(10, 3))
@@ -53,22 +53,23 @@
 			bad := startReplica(t, &calls, faulty)
 			healthy := startReplica(t, &goodCalls, serveList(snapshotOf(10, 3)))
 			name := "m"
-			for Rank(name, []string{bad, healthy})[0] != bad { // the faulty replica is called first
+			for Rank(name, []string{bad, healthy})[0] != bad { // find a name for which the faulty replica is preferred
 				name += "m"
 			}
 			a := startAgent(t, name, fastRules(), bad, healthy)
 			if m := nextMessage(t, watchAsNode(t, a, 0)); m.Generation != 10 || len(m.Instances) != 3 || !m.Reset {
 				t.Errorf("a node receives %+v", m)
 			}
-			if n := calls.Load(); n < 1 || n > 3 { // one, where the machine is not too busy for the other's answer
-				t.Errorf("%d calls of the faulty replica", n)
+			if n := calls.Load(); n < 1 || n > 3 { // 1, unless the healthy replica answers late on a busy machine
+				t.Errorf("%d calls to the faulty replica, want 1 to 3", n)
 			}
 		})
 	}
 }
 
-// An agent that has been restarted and holds less than its node is silent until it holds as much; a restored list is
-// sent completely.
+// A restarted agent may have an older list than its nodes. It sends such a node nothing until its list is
+// newer than the node's, so that the node never goes back to an older list. It sends a list of a new epoch in
+// full.
 func TestRestartedAgentNeverRollsBackNodes(t *testing.T) {
 	var calls atomic.Int64
 	changes := make(chan discovery.Message, 1)
@@ -90,16 +91,16 @@
 	ahead := watchAsNode(t, a, 11)
 	changes <- discovery.Message{Generation: 12, Instances: []discovery.Entry{testEntry(1, discovery.Draining)}}
 	if m := nextMessage(t, ahead); m.Generation != 12 || !m.Reset || len(m.Instances) != 3 {
-		t.Errorf("a node at 11 receives %+v first", m)
+		t.Errorf("a node at generation 11 receives %+v first", m)
 	}
-	held := watchAsNode(t, a, 12)
+	upToDate := watchAsNode(t, a, 12)
 	changes <- snapshotOf(1<<discovery.EpochBits|1, 2)
-	if m := nextMessage(t, held); m.Generation != 1<<discovery.EpochBits|1 || !m.Reset || len(m.Instances) != 2 {
+	if m := nextMessage(t, upToDate); m.Generation != 1<<discovery.EpochBits|1 || !m.Reset || len(m.Instances) != 2 {
 		t.Errorf("after a restore a node receives %+v", m)
 	}
 }
 
-// While no replica answers, nodes keep what they have, and a new watch gets it at once.
+// While no replica answers, the agent keeps its list and sends it to a new watch immediately.
 func TestServiceUnavailable(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(serveList(snapshotOf(10, 3))))
 	a := startAgent(t, "m", fastRules(), strings.TrimPrefix(s.URL, "http://"))
@@ -108,18 +109,18 @@
 	s.Close()
 	for end := time.Now().Add(waitTimeout); a.Status().Watching || a.Status().AgeSeconds < fastRules().SilenceTimeout.Seconds(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("the agent has not noticed: %+v", a.Status())
+			t.Fatalf("the agent does not report the outage: status %+v", a.Status())
 		}
 	}
 	if m := nextMessage(t, watchAsNode(t, a, 0)); len(m.Instances) != 3 {
-		t.Errorf("while the service is away a node receives %+v", m)
+		t.Errorf("during the outage a node receives %+v", m)
 	}
 	if st := a.Status(); st.Endpoints != 3 || st.Generation != 10 {
 		t.Errorf("status %+v", st)
 	}
 }
 
-// BenchmarkList decodes, checks, compares and accepts a complete list.
+// BenchmarkList measures the decoding, validation, comparison and acceptance of a complete list.
 func BenchmarkList(b *testing.B) {
 	for _, n := range []int{200, 5000} {
 		text := []byte(line(snapshotOf(10, n)))
--- a/internal/agent/backoff.go
+++ b/internal/agent/backoff.go
@@ -23,12 +23,17 @@
 }
 
 func newBackoff(rules Rules, rng *rand.Rand) backoff {
-	return backoff{initial: rules.InitialBackoff, limit: rules.MaxBackoff, rng: rng, window: rules.InitialBackoff}
+	return backoff{
+		initial: rules.InitialBackoff,
+		limit:   rules.MaxBackoff,
+		rng:     rng,
+		window:  rules.InitialBackoff,
+	}
 }
 
-// fail records a failed call and returns the delay before the next one. The delay is between a quarter and one and a
-// quarter windows. With a Retry-After it is between one and two times that duration. The window doubles each time
-// the number of failures reaches a multiple of the number of replicas.
+// fail records a failed call and returns the delay before the next one. The delay is between a quarter and
+// one and a quarter windows. With a Retry-After it is between one and two times that duration. The window
+// doubles each time the number of failures reaches a multiple of the number of replicas.
 func (b *backoff) fail(replicas int, retryAfter time.Duration) time.Duration {
 	b.failures++
 	wait := b.window/4 + randomDuration(b.rng, b.window)
@@ -44,8 +49,8 @@
 // reset restores the first window after a replica has proved healthy.
 func (b *backoff) reset() { b.window, b.failures = b.initial, 0 }
 
-// callBudget is a token bucket for the calls of one follower. It bounds the follower's load on the service during
-// any kind of failure.
+// callBudget is a token bucket for the calls of one follower. It bounds the follower's load on the service
+// during any kind of failure.
 type callBudget struct {
 	perSecond, burst float64 // refill rate and capacity, in calls
 	tokens           float64
@@ -53,7 +58,12 @@
 }
 
 func newCallBudget(now time.Duration, rules Rules) callBudget {
-	return callBudget{perSecond: rules.CallsPerSecond, burst: rules.CallBurst, tokens: rules.CallBurst, refilledAt: now}
+	return callBudget{
+		perSecond:  rules.CallsPerSecond,
+		burst:      rules.CallBurst,
+		tokens:     rules.CallBurst,
+		refilledAt: now,
+	}
 }
 
 // spend refills the bucket and takes the token of one call. It reports whether a token was available.
--- a/internal/agent/backoff_test.go
+++ b/internal/agent/backoff_test.go
@@ -10,34 +10,35 @@
 	"time"
 )
 
-// While no replica answers, what is held stays, and calls keep to the budget, Retry-After and random backoffs.
+// While no replica answers, followers keep their lists, and the backoffs and the call budget bound the number
+// of their calls. Followers whose calls fail at the same time do not repeat them at the same time.
 func TestCallsInAnOutageAreBounded(t *testing.T) {
 	var at []time.Duration
 	for seed := range uint64(100) {
 		f := NewFollower(0, fmt.Sprint("m", seed), []string{"a", "b", "c"}, DefaultRules(), seed)
-		r := &followerHarness{t: t, f: f}
-		r.connect()
-		r.receive(snapshotOf(10, 10))
-		f.CallFailed(r.now, f.callID, 0, errors.New("gone"))
-		for start := r.now; r.now < start+time.Hour; r.wait(50 * time.Millisecond) {
-			if n := len(r.watches); n > 0 && f.state != backingOff {
-				at = append(at, r.now-start)
-				f.CallFailed(r.now, f.callID, 2*time.Second, errors.New("refused"))
-				r.drain()
+		h := &followerHarness{t: t, f: f}
+		h.connect()
+		h.receive(snapshotOf(10, 10))
+		f.CallFailed(h.now, f.callID, 0, errors.New("gone"))
+		for start := h.now; h.now < start+time.Hour; h.wait(50 * time.Millisecond) {
+			if n := len(h.watches); n > 0 && f.state != backingOff {
+				at = append(at, h.now-start)
+				f.CallFailed(h.now, f.callID, 2*time.Second, errors.New("refused"))
+				h.drain()
 			}
 		}
-		r.expectPublished(10, 10)
+		h.expectPublished(10, 10)
 	}
 	perHour := float64(len(at)) / 100
 	if perHour > 1900 || perHour < 300 {
-		t.Errorf("%.0f calls of a follower in an hour's outage", perHour)
+		t.Errorf("%.0f calls of a follower in an outage of one hour, want 300 to 1900", perHour)
 	}
 	bySecond := map[int]int{}
 	for _, t := range at {
 		bySecond[int(t/time.Second)]++
 	}
 	if worst := slices.Max(slices.Collect(maps.Values(bySecond))); worst > 100 {
-		t.Errorf("%d calls of 100 followers in one second", worst)
+		t.Errorf("%d calls of 100 followers in one second, want at most 100", worst)
 	}
 }
 
@@ -60,7 +61,7 @@
 		{time.Hour, false},
 	} {
 		if got := budget.spend(c.now); got != c.want {
-			t.Errorf("at %v: a call is allowed %v, want %v", c.now, got, c.want)
+			t.Errorf("at %v: call allowed: %v, want %v", c.now, got, c.want)
 		}
 	}
 	if wait := budget.untilNext(); wait != 2*time.Second+time.Millisecond {
@@ -68,39 +69,39 @@
 	}
 }
 
-// The window doubles each time that all replicas have failed, up to its limit, and starts anew after a healthy one.
+// The window doubles each time all replicas have failed, up to its limit, and is reset by a healthy replica.
 func TestBackoffWindow(t *testing.T) {
 	rules := DefaultRules()
 	b := newBackoff(rules, rand.New(rand.NewPCG(1, 2)))
 	for failure := range 30 {
 		window := min(rules.InitialBackoff<<(failure/3), rules.MaxBackoff)
 		if wait := b.fail(3, 0); wait < window/4 || wait >= window/4+window {
-			t.Errorf("failure %d: wait %v, want a quarter of %v and a part of it", failure, wait, window)
+			t.Errorf("failure %d: wait %v, want from 0.25 to 1.25 times %v", failure, wait, window)
 		}
 	}
 	if wait := b.fail(3, 20*time.Second); wait < 20*time.Second || wait >= 40*time.Second {
-		t.Errorf("wait %v, want from 20s to 40s as advised", wait)
+		t.Errorf("wait %v, want from 20s to 40s for a Retry-After of 20s", wait)
 	}
 	b.reset()
 	if wait := b.fail(3, 0); wait > rules.InitialBackoff*5/4 {
-		t.Errorf("wait %v after a healthy replica", wait)
+		t.Errorf("wait %v after a healthy replica, want at most %v", wait, rules.InitialBackoff*5/4)
 	}
 }
 
-// An outage is logged once at its begin and once at its end.
+// An outage is logged once when it starts and once when it ends, however many calls fail.
 func TestOutageIsLoggedOnce(t *testing.T) {
-	r := newFollowerHarness(t, "a", "b")
+	h := newFollowerHarness(t, "a", "b")
 	for range 5 {
-		r.connect()
-		r.f.CallFailed(r.now, r.f.callID, 0, errors.New("refused"))
-		r.drain()
+		h.connect()
+		h.f.CallFailed(h.now, h.f.callID, 0, errors.New("refused"))
+		h.drain()
 	}
-	r.connect()
-	r.receive(snapshotOf(10, 10))
-	r.f.HeartbeatReceived(r.now, r.f.callID)
-	r.drain()
+	h.connect()
+	h.receive(snapshotOf(10, 10))
+	h.f.HeartbeatReceived(h.now, h.f.callID)
+	h.drain()
 	var messages []string
-	for _, e := range r.events {
+	for _, e := range h.events {
 		messages = append(messages, e.Message)
 	}
 	if want := []string{"replica left", "replica followed again"}; !slices.Equal(messages, want) {
--- a/internal/agent/feed.go
+++ b/internal/agent/feed.go
@@ -12,8 +12,8 @@
 // maxChanges is the number of latest messages of changes that are kept for nodes with an older generation.
 const maxChanges = 512
 
-// feed holds the messages for nodes: the complete list and the latest changes, encoded once for all nodes. It is safe
-// for concurrent use.
+// feed holds the messages for nodes: the complete list and the latest changes, encoded once for all nodes. It
+// is safe for concurrent use.
 type feed struct {
 	published atomic.Uint64 // number of messages published so far
 
@@ -89,16 +89,21 @@
 	f.live = live
 }
 
-// since returns the update for a node that has the list of generation from, 0 for no list. A node can be ahead of the
-// feed if the agent was restarted and has an older list than before. Such a node gets nothing, not even heartbeats,
-// because its list must never return to an older generation.
+// since returns the update for a node that has the list of generation from, 0 for no list. A node can be
+// ahead of the feed if the agent was restarted and has an older list than before. Such a node gets nothing,
+// not even heartbeats, because its list must never return to an older generation.
 func (f *feed) since(from uint64) feedUpdate {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.generation == 0 || from > f.generation {
 		return feedUpdate{generation: from, updated: f.updated}
 	}
-	return feedUpdate{lines: f.linesSince(from), generation: f.generation, updated: f.updated, heartbeats: f.live}
+	return feedUpdate{
+		lines:      f.linesSince(from),
+		generation: f.generation,
+		updated:    f.updated,
+		heartbeats: f.live,
+	}
 }
 
 // linesSince returns the changes after a generation, or the complete list if they are no longer kept.
--- a/internal/agent/feed_test.go
+++ b/internal/agent/feed_test.go
@@ -7,12 +7,12 @@
 	"opalhook/internal/discovery"
 )
 
-// A node gets the changes after what it holds, or the complete list where they are not kept, and nothing where it holds
-// more than the feed.
+// A node gets the changes after its own generation, or the complete list if those changes are no longer kept.
+// A node that is ahead of the feed gets nothing.
 func TestFeedSince(t *testing.T) {
 	f := newFeed()
 	if update := f.since(0); len(update.lines) != 0 || update.heartbeats {
-		t.Errorf("an empty feed has %+v", update)
+		t.Errorf("an empty feed returns %+v", update)
 	}
 	f.setLive(true)
 	var list view
--- a/internal/agent/follower.go
+++ b/internal/agent/follower.go
@@ -39,16 +39,17 @@
 	watching                    // watch open
 )
 
-// rollback tracks a period in which replicas offered complete lists older than the latest one, and none confirmed
-// the latest one.
+// rollback tracks a period in which replicas offered complete lists older than the latest one, and none
+// confirmed the latest one.
 type rollback struct {
 	active bool
 	since  time.Duration
 }
 
-// Follower is the state machine that follows the list at one replica after the other. Its host calls [Follower.Tick]
-// when it is due, reports the results of calls, and performs the actions of [Follower.DrainActions] after each of
-// these. Times are those of a monotonic clock with any origin. A Follower is not safe for concurrent use.
+// Follower is the state machine that follows the list at one replica after the other. Its host calls
+// [Follower.Tick] when it is due, reports the results of calls, and performs the actions of
+// [Follower.DrainActions] after each of these. Times are those of a monotonic clock with any origin. A
+// Follower is not safe for concurrent use.
 type Follower struct {
 	rules    Rules
 	replicas []string // in order of preference
@@ -73,8 +74,8 @@
 	publisher publisher
 }
 
-// NewFollower returns a follower whose first call is due within [Rules.StartWindow]. The replicas are ranked by name,
-// which must be unique among machines. The seed is that of the random backoffs.
+// NewFollower returns a follower whose first call is due within [Rules.StartWindow]. The replicas are ranked
+// by name, which must be unique among machines. The seed is that of the random backoffs.
 func NewFollower(now time.Duration, name string, replicas []string, rules Rules, seed uint64) *Follower {
 	const secondSeed = 0x9e3779b97f4a7c15 // makes the two seed words of the generator differ
 	rng := rand.New(rand.NewPCG(seed, seed^secondSeed))
@@ -133,7 +134,8 @@
 	return next
 }
 
-// Tick performs the steps that are due: calls, timeouts, the return to the preferred replica and publications.
+// Tick performs the steps that are due: calls, timeouts, the return to the preferred replica and
+// publications.
 func (f *Follower) Tick(now time.Duration) {
 	f.acceptAfterTimeout(now)
 	switch {
@@ -149,8 +151,8 @@
 	f.publish(now)
 }
 
-// call opens a watch if the budget allows it, and otherwise waits for the next token. The first call of a follower
-// does not count against the budget.
+// call opens a watch if the budget allows it, and otherwise waits for the next token. The first call of a
+// follower does not count against the budget.
 func (f *Follower) call(now time.Duration) {
 	if f.callID > 0 && !f.budget.spend(now) {
 		f.callAt = now + f.budget.untilNext()
@@ -198,8 +200,8 @@
 	f.returnAt = now + f.rules.PreferredReturn/2 + randomDuration(f.rng, f.rules.PreferredReturn)
 }
 
-// CallFailed reports that a call failed or its watch ended, and the cause. retryAfter is the replica's Retry-After,
-// or 0.
+// CallFailed reports that a call failed or its watch ended, and the cause. retryAfter is the replica's
+// Retry-After, or 0.
 func (f *Follower) CallFailed(now time.Duration, callID uint64, retryAfter time.Duration, cause error) {
 	if callID == f.callID && f.state != backingOff {
 		f.abandonCall(now, retryAfter, cause)
@@ -213,7 +215,8 @@
 	}
 }
 
-// markHealthy records that the replica has the latest list or a newer one. It ends the backoff and a rollback period.
+// markHealthy records that the replica has the latest list or a newer one. It ends the backoff and a rollback
+// period.
 func (f *Follower) markHealthy(now time.Duration) {
 	if f.backoff.failures > 0 {
 		f.warn("replica followed again", slog.String("replica", f.replica()))
@@ -223,8 +226,8 @@
 	f.rollback.active = false
 }
 
-// MessageReceived reports a message of a watch. If the message is invalid or its generation does not follow the
-// latest one, the follower leaves the replica.
+// MessageReceived reports a message of a watch. If the message is invalid or its generation does not follow
+// the latest one, the follower leaves the replica.
 func (f *Follower) MessageReceived(now time.Duration, callID uint64, m discovery.Message) {
 	if callID != f.callID || f.state != watching {
 		return
@@ -242,9 +245,9 @@
 	f.publish(now)
 }
 
-// checkGeneration returns a [*GenerationError] for a message that does not follow the latest list. A complete list of
-// an older generation is accepted, and logged, once [Rules.RollbackTolerance] has passed since the first such list
-// and no replica has confirmed the latest list in the meantime.
+// checkGeneration returns a [*GenerationError] for a message that does not follow the latest list. A complete
+// list of an older generation is accepted, and logged, once [Rules.RollbackTolerance] has passed since the
+// first such list and no replica has confirmed the latest list in the meantime.
 func (f *Follower) checkGeneration(now time.Duration, m discovery.Message) error {
 	latest := f.latest().generation
 	if !m.Reset {
@@ -259,8 +262,8 @@
 	if !f.rollback.active {
 		f.rollback = rollback{active: true, since: now}
 	} else if now-f.rollback.since >= f.rules.RollbackTolerance {
-		f.warn("rollback accepted", slog.String("replica", f.replica()), slog.Uint64("generation", m.Generation),
-			slog.Uint64("previous_generation", latest))
+		f.warn("rollback accepted", slog.String("replica", f.replica()),
+			slog.Uint64("generation", m.Generation), slog.Uint64("previous_generation", latest))
 		return nil
 	}
 	return &GenerationError{Generation: m.Generation, Latest: latest, Snapshot: true}
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -15,12 +15,12 @@
 	"opalhook/internal/golden"
 )
 
-// scriptedReplica is a replica on a bare listener: it hands on the bytes of each request, with HOST in place of its address,
-// and answers a watch with the lines that a test gives it.
+// scriptedReplica is a fake replica without an HTTP server, so that a test sees the exact bytes of each
+// request. It answers a watch with the lines that the test sends.
 type scriptedReplica struct {
 	addr     string
-	requests chan string
-	lines    chan string // of the watch that is open; "" ends it
+	requests chan string // received requests, with HOST in place of addr
+	lines    chan string // lines to send on the open watch; "" ends the watch
 }
 
 func startScriptedReplica(t *testing.T) *scriptedReplica {
@@ -29,23 +29,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &scriptedReplica{ln.Addr().String(), make(chan string, 100), make(chan string)}
+	replica := &scriptedReplica{ln.Addr().String(), make(chan string, 100), make(chan string)}
 	var connections sync.WaitGroup
 	t.Cleanup(connections.Wait)
-	t.Cleanup(func() { _ = ln.Close() }) // it ends the accepting
+	t.Cleanup(func() { _ = ln.Close() }) // ends the loop that accepts connections
 	connections.Go(func() {
 		for {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			connections.Go(func() { s.serve(t, c) })
+			connections.Go(func() { replica.serve(t, c) })
 		}
 	})
-	return s
+	return replica
 }
 
-func (s *scriptedReplica) serve(t *testing.T, c net.Conn) {
+func (replica *scriptedReplica) serve(t *testing.T, c net.Conn) {
 	defer func() { _ = c.Close() }()
 	var text string
 	for in := bufio.NewReader(c); !strings.HasSuffix(text, "\r\n\r\n"); {
@@ -55,21 +55,21 @@
 		}
 		text += line
 	}
-	s.requests <- strings.ReplaceAll(text, s.addr, "HOST")
+	replica.requests <- strings.ReplaceAll(text, replica.addr, "HOST")
 	const head = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
 	if !strings.Contains(text, "watch=1") {
-		_, _ = io.WriteString(c, head+line(snapshotOf(20, 2))) // the agent may be gone
+		_, _ = io.WriteString(c, head+line(snapshotOf(20, 2))) // the agent may have disconnected
 		return
 	}
-	_, _ = io.WriteString(c, head)                      // the agent may be gone
-	heartbeat := time.NewTicker(100 * time.Millisecond) // well under the silence after which a watch is left
+	_, _ = io.WriteString(c, head)                      // the agent may have disconnected
+	heartbeat := time.NewTicker(100 * time.Millisecond) // much shorter than any silence timeout of the tests
 	defer heartbeat.Stop()
 	for {
 		next := "\n"
 		select {
 		case <-t.Context().Done():
 			return
-		case next = <-s.lines:
+		case next = <-replica.lines:
 		case <-heartbeat.C:
 		}
 		if next == "" {
@@ -81,7 +81,8 @@
 	}
 }
 
-// watchLines returns the lines of a watch as an edge node opens it that holds a generation, without heartbeats.
+// watchLines opens a watch at an agent, like an edge node whose list has generation from. It returns the
+// received lines without heartbeats.
 func watchLines(t *testing.T, a *Agent, from uint64) <-chan string {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, discovery.WatchURL(a.Addr(), from), nil)
@@ -90,7 +91,7 @@
 	}
 	received := make(chan string, 16)
 	t.Cleanup(func() {
-		for range received { // until the watch has ended with the test's context
+		for range received { // wait until the test's context has ended the watch
 		}
 	})
 	go func() {
@@ -127,28 +128,28 @@
 	return ""
 }
 
-// An agent calls replicas with the recorded requests, and sends nodes the recorded lines.
+// The agent's requests to replicas and the lines that it sends to nodes match the golden files.
 func TestGoldenAgent(t *testing.T) {
-	r := startScriptedReplica(t)
+	replica := startScriptedReplica(t)
 	rules := fastRules()
-	rules.SilenceTimeout, rules.DialTimeout = waitTimeout, waitTimeout // the one watch is not left, however busy the machine is
-	a := startAgent(t, "m", rules, r.addr)
-	requests := nextLine(t, "first request", r.requests)
+	rules.SilenceTimeout, rules.DialTimeout = waitTimeout, waitTimeout // keep the watch open on a busy machine
+	a := startAgent(t, "m", rules, replica.addr)
+	requests := nextLine(t, "first request", replica.requests)
 	first := testEntry(1, discovery.Up)
 	first.Zone, first.MachineType, first.Cell, first.Weight, first.StartedAtMs = "a", "std-4c", 3, 0.25, 1700000000123
-	r.lines <- line(discovery.Message{Generation: 7<<discovery.EpochBits | 10, Reset: true, Instances: []discovery.Entry{testEntry(3, discovery.Draining), first, testEntry(2, discovery.Up)}})
+	replica.lines <- line(discovery.Message{Generation: 7<<discovery.EpochBits | 10, Reset: true, Instances: []discovery.Entry{testEntry(3, discovery.Draining), first, testEntry(2, discovery.Up)}})
 	node := watchLines(t, a, 0)
-	told := nextLine(t, "whole list", node)
+	sent := nextLine(t, "whole list", node)
 	first.Lifecycle = discovery.Draining
 	for i, entries := range [][]discovery.Entry{{first, testEntry(0, discovery.Up)}, {testEntry(3, discovery.Removed)}, {}, {testEntry(9, discovery.Up), testEntry(2, discovery.Removed)}} {
-		r.lines <- line(discovery.Message{Generation: 7<<discovery.EpochBits | uint64(11+i), Instances: entries})
+		replica.lines <- line(discovery.Message{Generation: 7<<discovery.EpochBits | uint64(11+i), Instances: entries})
 		if len(entries) > 0 {
-			told += nextLine(t, "change", node)
+			sent += nextLine(t, "change", node)
 		}
 	}
-	told += nextLine(t, "first of the changes", watchLines(t, a, 7<<discovery.EpochBits|10))
-	told += nextLine(t, "whole list for a node of another epoch", watchLines(t, a, 6<<discovery.EpochBits|99))
-	golden.Check(t, "golden/told.txt", []byte(told))
+	sent += nextLine(t, "first of the changes", watchLines(t, a, 7<<discovery.EpochBits|10))
+	sent += nextLine(t, "whole list for a node of another epoch", watchLines(t, a, 6<<discovery.EpochBits|99))
+	golden.Check(t, "golden/told.txt", []byte(sent))
 	resp, err := http.Get(discovery.SnapshotURL(a.Addr()))
 	if err != nil {
 		t.Fatal(err)
@@ -159,15 +160,15 @@
 		t.Fatal(err)
 	}
 	golden.Check(t, "golden/list.txt", list)
-	r.lines <- ""
-	requests += nextLine(t, "request after the watch's end", r.requests)
-	if m, err := a.replicas.fetch(t.Context(), r.addr); err != nil || m.Generation != 20 || !m.Reset || len(m.Instances) != 2 || m.Instances[1] != testEntry(1, discovery.Up) {
-		t.Errorf("asked for the list: %+v, error %v", m, err)
+	replica.lines <- ""
+	requests += nextLine(t, "request after the watch's end", replica.requests)
+	if m, err := a.replicas.fetch(t.Context(), replica.addr); err != nil || m.Generation != 20 || !m.Reset || len(m.Instances) != 2 || m.Instances[1] != testEntry(1, discovery.Up) {
+		t.Errorf("fetched list: %+v, error %v", m, err)
 	}
-	golden.Check(t, "golden/requests.txt", []byte(requests+nextLine(t, "request of the list", r.requests)))
+	golden.Check(t, "golden/requests.txt", []byte(requests+nextLine(t, "request of the list", replica.requests)))
 }
 
-// An agent's status is written as recorded.
+// The JSON form of the agent's status matches the golden file and decodes to the same status.
 func TestGoldenStatus(t *testing.T) {
 	status := Status{Generation: 7<<discovery.EpochBits | 10, Endpoints: 3, Watching: true, AgeSeconds: 0.25, Suspecting: true, ReplicaCalls: 4, NodeWatches: 5, ListsPublished: 6}
 	text, err := json.Marshal(status)
--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -15,10 +15,11 @@
 	"opalhook/internal/discovery"
 )
 
-// waitTimeout bounds every wait; none is expected to come near it.
+// waitTimeout bounds every wait of the tests. It is much longer than any of them should take.
 const waitTimeout = 60 * time.Second
 
-// fastRules are rules for tests: the same order of steps in less time.
+// fastRules returns rules with short delays for tests. The order of the follower's steps is the same as with
+// the default rules.
 func fastRules() Rules {
 	r := DefaultRules()
 	r.SilenceTimeout, r.DialTimeout = 2*time.Second, 2*time.Second
@@ -27,7 +28,7 @@
 	return r
 }
 
-// startAgent runs an agent until the test ends.
+// startAgent starts an agent that is closed at the end of the test.
 func startAgent(t *testing.T, name string, rules Rules, replicas ...string) *Agent {
 	t.Helper()
 	a, err := Start(t.Context(), Config{
@@ -49,7 +50,8 @@
 	return a
 }
 
-// startReplica runs a replica that answers calls by a script, and counts them. It returns its address.
+// startReplica starts a fake replica until the end of the test. It counts the calls and answers them with
+// script. It returns the address.
 func startReplica(t *testing.T, calls *atomic.Int64, script func(w http.ResponseWriter, r *http.Request)) string {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -61,13 +63,13 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// write sends text at once. A client that has closed its call is no fault.
+// write sends text immediately. It ignores errors, because the client may have closed the connection.
 func write(w http.ResponseWriter, text string) {
 	_, _ = io.WriteString(w, text)
 	_ = http.NewResponseController(w).Flush()
 }
 
-// line is a message as a replica writes it.
+// line returns a message encoded as a replica writes it.
 func line(m discovery.Message) string {
 	text, err := json.Marshal(m)
 	if err != nil {
@@ -76,7 +78,7 @@
 	return string(text) + "\n"
 }
 
-// serveList answers with a list and, on a watch, with heartbeats after it.
+// serveList returns a handler that answers with a list, followed by heartbeats if the request is a watch.
 func serveList(m discovery.Message) func(http.ResponseWriter, *http.Request) {
 	return func(w http.ResponseWriter, r *http.Request) {
 		write(w, line(m))
@@ -91,8 +93,9 @@
 	}
 }
 
-// watchAsNode returns the messages of a watch as an edge node opens it that holds a generation. An agent that has nothing
-// to send does not answer it yet.
+// watchAsNode opens a watch at an agent, like an edge node whose list has generation from, and returns the
+// received messages. It does not wait for the response, as the agent sends none before it has a message for
+// the node.
 func watchAsNode(t *testing.T, a *Agent, from uint64) <-chan discovery.Message {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, discovery.WatchURL(a.Addr(), from), nil)
@@ -101,7 +104,7 @@
 	}
 	received := make(chan discovery.Message, 16)
 	t.Cleanup(func() {
-		for range received { // until the watch has ended with the test's context
+		for range received { // wait until the test's context has ended the watch
 		}
 	})
 	go func() {
--- a/internal/agent/publisher.go
+++ b/internal/agent/publisher.go
@@ -11,15 +11,15 @@
 	removalDelay time.Duration
 
 	published view
-	removedAt map[string]time.Duration // by instance ID: when endpoints published as up left the accepted list
+	removedAt map[string]time.Duration // by instance ID: when an endpoint published as up left the list
 }
 
 func newPublisher(rules Rules) publisher {
 	return publisher{removalDelay: rules.RemovalDelay, removedAt: map[string]time.Duration{}}
 }
 
-// trackRemovals records which endpoints that are published as up are missing from the accepted list, and since when.
-// Endpoints that are published as draining are not tracked: their removal is not delayed.
+// trackRemovals records which endpoints that are published as up are missing from the accepted list, and
+// since when. Endpoints that are published as draining are not tracked: their removal is not delayed.
 func (p *publisher) trackRemovals(now time.Duration, accepted view) {
 	for id, e := range p.published.entries {
 		_, listed := accepted.entries[id]
@@ -33,8 +33,8 @@
 	}
 }
 
-// due returns when the tracked removals may be published: the removal delay after the latest one, but at most twice
-// the delay after the oldest one. It reports whether there are any.
+// due returns when the tracked removals may be published: the removal delay after the latest one, but at most
+// twice the delay after the oldest one. It reports whether there are any.
 func (p *publisher) due() (at time.Duration, ok bool) {
 	var first, last time.Duration
 	for _, t := range p.removedAt {
@@ -70,7 +70,8 @@
 	return m, true
 }
 
-// needsSnapshot reports whether nodes need the complete list: as the first list, in a new epoch or after a rollback.
+// needsSnapshot reports whether nodes need the complete list: as the first list, in a new epoch or after a
+// rollback.
 func (p *publisher) needsSnapshot(accepted view) bool {
 	return p.published.generation == 0 ||
 		discovery.Epoch(accepted.generation) != discovery.Epoch(p.published.generation) ||
--- a/internal/agent/rank_test.go
+++ b/internal/agent/rank_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Followers spread evenly over replicas, and those of a replica that failed over the others.
+// Followers spread evenly over the replicas, and the followers of a failed replica spread evenly over the
+// others.
 func TestRankSpreadsFollowers(t *testing.T) {
 	first, second := map[string]int{}, map[string]int{}
 	for n := range 3000 {
@@ -17,12 +18,12 @@
 	}
 	for r, n := range first {
 		if n < 900 || n > 1100 {
-			t.Errorf("%s is first for %d of 3000", r, n)
+			t.Errorf("%s is the first replica of %d of 3000 followers, want 900 to 1100", r, n)
 		}
 	}
 	for r, n := range second {
 		if n < 420 || n > 580 {
-			t.Errorf("%s is second for %d of 1000", r, n)
+			t.Errorf("%s is the second replica of %d of about 1000 followers, want 420 to 580", r, n)
 		}
 	}
 }
--- a/internal/agent/replica_client.go
+++ b/internal/agent/replica_client.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// get sends a GET request and returns a response with status 200, whose body the caller closes. Any other status is a
-// [*StatusError].
+// get sends a GET request and returns a response with status 200, whose body the caller closes. Any other
+// status is a [*StatusError].
 func (c *replicaClient) get(ctx context.Context, url string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -75,8 +75,8 @@
 	return resp, nil
 }
 
-// parseRetryAfter parses a Retry-After header in whole seconds. It returns 0 if the header is missing, has another
-// form or exceeds [maxRetryAfter].
+// parseRetryAfter parses a Retry-After header in whole seconds. It returns 0 if the header is missing, has
+// another form or exceeds [maxRetryAfter].
 func parseRetryAfter(text string) time.Duration {
 	seconds, err := strconv.Atoi(text)
 	if err != nil || seconds < 0 || seconds > int(maxRetryAfter/time.Second) {
@@ -119,7 +119,8 @@
 	lines *discovery.LineReader
 }
 
-// next waits for the next message or heartbeat. It returns [ErrWatchEnded] after the replica has ended the watch.
+// next waits for the next message or heartbeat. It returns [ErrWatchEnded] after the replica has ended the
+// watch.
 func (w *replicaWatch) next() (m discovery.Message, heartbeat bool, err error) {
 	m, heartbeat, err = w.lines.Next()
 	if errors.Is(err, io.EOF) {
--- a/internal/agent/replica_client_test.go
+++ b/internal/agent/replica_client_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// A replica's refusal is a StatusError with its advice.
+// A response with a status other than 200 is returned as a StatusError with the status and Retry-After.
 func TestReplicaClientStatusError(t *testing.T) {
 	var calls atomic.Int64
 	addr := startReplica(t, &calls, func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/agent/rig_test.go
+++ b/internal/agent/rig_test.go
@@ -7,12 +7,12 @@
 	"opalhook/internal/discovery"
 )
 
-// testEntry is an endpoint by number.
+// testEntry returns the entry of endpoint number n.
 func testEntry(n int, lifecycle string) discovery.Entry {
 	return discovery.Entry{InstanceID: fmt.Sprint("s-", n), HostPort: fmt.Sprintf("127.0.0.1:%d", 1000+n), Lifecycle: lifecycle, Weight: 1}
 }
 
-// snapshotOf is a complete list of the first n endpoints, all of them up.
+// snapshotOf returns a message with a complete list: the first n endpoints, all of them up.
 func snapshotOf(generation uint64, n int) discovery.Message {
 	m := discovery.Message{Generation: generation, Reset: true}
 	for i := range n {
@@ -21,14 +21,15 @@
 	return m
 }
 
-// testingT is what a rig needs of a test, of the standard library's or of rapid's.
+// testingT is the common interface of *testing.T and *rapid.T that a followerHarness uses.
 type testingT interface {
 	Helper()
 	Fatal(...any)
 	Errorf(string, ...any)
 }
 
-// followerHarness drives a follower in the place of its host.
+// followerHarness takes the place of a follower's host. It sets the time, reports the results of calls and
+// collects the follower's actions by kind.
 type followerHarness struct {
 	t         testingT
 	f         *Follower
@@ -40,60 +41,60 @@
 }
 
 func newFollowerHarness(t testingT, replicas ...string) *followerHarness {
-	r := &followerHarness{t: t, f: NewFollower(0, "m", replicas, DefaultRules(), 1)}
-	r.drain()
-	return r
+	h := &followerHarness{t: t, f: NewFollower(0, "m", replicas, DefaultRules(), 1)}
+	h.drain()
+	return h
 }
 
-// drain takes the actions of the follower.
-func (r *followerHarness) drain() {
-	for _, a := range r.f.DrainActions() {
+// drain collects the pending actions of the follower.
+func (h *followerHarness) drain() {
+	for _, a := range h.f.DrainActions() {
 		switch a.Kind {
 		case OpenWatch:
-			r.watches = append(r.watches, a)
+			h.watches = append(h.watches, a)
 		case FetchSnapshot:
-			r.fetches = append(r.fetches, a)
+			h.fetches = append(h.fetches, a)
 		case PublishList:
-			r.published = append(r.published, a.List)
+			h.published = append(h.published, a.List)
 		case LogEvent:
-			r.events = append(r.events, a.Event)
+			h.events = append(h.events, a.Event)
 		}
 	}
 }
 
-// wait lets time pass in small steps.
-func (r *followerHarness) wait(d time.Duration) {
-	for end := r.now + d; r.now < end; {
-		r.now = max(min(end, r.f.NextTick()), r.now+time.Millisecond)
-		r.f.Tick(r.now)
-		r.drain()
+// wait advances the time by d and calls Tick whenever it is due.
+func (h *followerHarness) wait(d time.Duration) {
+	for end := h.now + d; h.now < end; {
+		h.now = max(min(end, h.f.NextTick()), h.now+time.Millisecond)
+		h.f.Tick(h.now)
+		h.drain()
 	}
 }
 
-// connect waits for the next call and answers it.
-func (r *followerHarness) connect() Action {
-	r.t.Helper()
-	for n := len(r.watches); len(r.watches) == n; r.wait(10 * time.Millisecond) {
-		if r.now > time.Hour {
-			r.t.Fatal("no call in an hour")
+// connect waits until the follower opens a watch, reports it as open and returns the action.
+func (h *followerHarness) connect() Action {
+	h.t.Helper()
+	for n := len(h.watches); len(h.watches) == n; h.wait(10 * time.Millisecond) {
+		if h.now > time.Hour {
+			h.t.Fatal("the follower opens no watch within an hour")
 		}
 	}
-	a := r.watches[len(r.watches)-1]
-	r.f.WatchOpened(r.now, a.CallID)
+	a := h.watches[len(h.watches)-1]
+	h.f.WatchOpened(h.now, a.CallID)
 	return a
 }
 
-// receive hands over a message of the current watch.
-func (r *followerHarness) receive(m discovery.Message) {
-	r.f.MessageReceived(r.now, r.f.callID, m)
-	r.drain()
+// receive reports a message of the current watch.
+func (h *followerHarness) receive(m discovery.Message) {
+	h.f.MessageReceived(h.now, h.f.callID, m)
+	h.drain()
 }
 
-// expectPublished checks the list that nodes have.
-func (r *followerHarness) expectPublished(endpoints int, generation uint64) {
-	r.t.Helper()
-	m := r.f.Published()
+// expectPublished checks the number of endpoints and the generation of the published list.
+func (h *followerHarness) expectPublished(endpoints int, generation uint64) {
+	h.t.Helper()
+	m := h.f.Published()
 	if len(m.Instances) != endpoints || m.Generation != generation {
-		r.t.Errorf("%d endpoints at generation %d are published, want %d at %d; events %v", len(m.Instances), m.Generation, endpoints, generation, r.events)
+		h.t.Errorf("%d endpoints at generation %d are published, want %d at %d; events %v", len(m.Instances), m.Generation, endpoints, generation, h.events)
 	}
 }
--- a/internal/agent/rules.go
+++ b/internal/agent/rules.go
@@ -4,16 +4,18 @@
 
 // Rules are the parameters of a [Follower]. The zero value is not useful; see [DefaultRules].
 type Rules struct {
-	// SilenceTimeout is the longest time without a complete line. After it a call or a watch is closed. It also
-	// bounds the fetch of a complete list.
+	// SilenceTimeout is the longest time without a complete line. After it a call or a watch is closed. It
+	// also bounds the fetch of a complete list.
 	SilenceTimeout time.Duration
-	// DialTimeout bounds the time to connect to a replica, and the time from the request to the response header.
+	// DialTimeout bounds the time to connect to a replica, and the time from the request to the response
+	// header.
 	DialTimeout time.Duration
 	// InitialBackoff is the first backoff window after a replica has been healthy.
 	InitialBackoff time.Duration
 	// MaxBackoff is the longest backoff window.
 	MaxBackoff time.Duration
-	// StartWindow is the range of the random delay before the first call, as many machines may start together.
+	// StartWindow is the range of the random delay before the first call, as many machines may start
+	// together.
 	StartWindow time.Duration
 	// CallsPerSecond is the average rate at which calls after the first one are allowed.
 	CallsPerSecond float64
@@ -24,14 +26,16 @@
 	MaxLossFraction float64
 	// LossWindow is the time over which losses of endpoints are added up.
 	LossWindow time.Duration
-	// SuspectTimeout is the time after which a suspect list is accepted unless another replica contradicts it.
+	// SuspectTimeout is the time after which a suspect list is accepted unless another replica contradicts
+	// it.
 	SuspectTimeout time.Duration
-	// RollbackTolerance is the time after which an older complete list is accepted if no replica has the latest one.
+	// RollbackTolerance is the time after which an older complete list is accepted if no replica has the
+	// latest one.
 	RollbackTolerance time.Duration
 	// RemovalDelay is the delay before the removal of an endpoint that was not draining is published.
 	RemovalDelay time.Duration
-	// PreferredReturn is the mean time for which a follower watches another replica before it returns to its preferred
-	// one. The time is random, from 0.5 to 1.5 times this value.
+	// PreferredReturn is the mean time for which a follower watches another replica before it returns to its
+	// preferred one. The time is random, from 0.5 to 1.5 times this value.
 	PreferredReturn time.Duration
 }
 
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -43,8 +43,8 @@
 	_ = json.NewEncoder(w).Encode(a.Status()) // fails only if the client has disconnected
 }
 
-// serveInstances implements the platform's discovery protocol: the complete list, or a watch. It sends nothing until
-// the agent has a list.
+// serveInstances implements the platform's discovery protocol: the complete list, or a watch. It sends
+// nothing until the agent has a list.
 func (a *Agent) serveInstances(w http.ResponseWriter, r *http.Request) {
 	from, err := parseFrom(r)
 	if err != nil {
@@ -88,8 +88,8 @@
 	}
 }
 
-// serveWatch sends the messages that a node lacks and then each new message, with heartbeats in between, until the
-// node or the agent ends the watch.
+// serveWatch sends the messages that a node lacks and then each new message, with heartbeats in between,
+// until the node or the agent ends the watch.
 func (a *Agent) serveWatch(out nodeWriter, r *http.Request, from uint64) {
 	// The random first interval keeps the heartbeats of several watches from coinciding.
 	firstHeartbeat := heartbeatInterval/2 + time.Duration(rand.Int64N(int64(heartbeatInterval/2)))
--- a/internal/agent/suspicion.go
+++ b/internal/agent/suspicion.go
@@ -24,15 +24,15 @@
 	}
 }
 
-// suspects reports whether a list with the given number of endpoints up has lost too many: all of them, or more than
-// one plus maxFraction of the baseline. The additional one keeps the loss of one endpoint out of a few from being
-// suspect.
+// suspects reports whether a list with the given number of endpoints up has lost too many: all of them, or
+// more than one plus maxFraction of the baseline. The additional one keeps the loss of one endpoint out of a
+// few from being suspect.
 func (d *lossDetector) suspects(up int) bool {
 	return d.baseline > 0 && up == 0 || float64(up) < (1-d.maxFraction)*float64(d.baseline)-1
 }
 
-// recordAccepted records the number of endpoints up in an accepted list. After a suspect list it starts a new window
-// with that number as the baseline.
+// recordAccepted records the number of endpoints up in an accepted list. After a suspect list it starts a new
+// window with that number as the baseline.
 func (d *lossDetector) recordAccepted(now time.Duration, up int) {
 	d.baseline = max(d.baseline, up)
 	if up < d.baseline && d.suspects(up) {
@@ -64,8 +64,8 @@
 	}
 }
 
-// consultNextReplica fetches the list of the next replica. It does nothing if the next one is the replica that sent
-// the suspect list or if the call budget is used up.
+// consultNextReplica fetches the list of the next replica. It does nothing if the next one is the replica
+// that sent the suspect list or if the call budget is used up.
 func (f *Follower) consultNextReplica(now time.Duration) {
 	f.suspect.consulted = (f.suspect.consulted + 1) % len(f.replicas)
 	replica := f.replicas[f.suspect.consulted]
@@ -74,26 +74,28 @@
 	}
 }
 
-// SnapshotReceived reports the result of a fetch: a replica's complete list, or the error of the fetch. A list that
-// has lost too many endpoints as well confirms the suspect list. Any other list of the same or a later generation
-// contradicts it, and its replica is followed instead. A failed or unusable response makes the follower consult the
-// next replica.
+// SnapshotReceived reports the result of a fetch: a replica's complete list, or the error of the fetch. A
+// list that has lost too many endpoints as well confirms the suspect list. Any other list of the same or a
+// later generation contradicts it, and its replica is followed instead. A failed or unusable response makes
+// the follower consult the next replica.
 func (f *Follower) SnapshotReceived(now time.Duration, replica string, m discovery.Message, err error) {
 	suspect := f.suspect
 	if suspect == nil || replica == suspect.replica {
 		return
 	}
 	switch {
-	case err != nil || m.Validate() != nil || !m.Reset || discovery.Epoch(m.Generation) < discovery.Epoch(suspect.generation):
+	case err != nil || m.Validate() != nil || !m.Reset ||
+		discovery.Epoch(m.Generation) < discovery.Epoch(suspect.generation):
 		f.consultNextReplica(now)
 	case f.losses.suspects(view{}.apply(m).upCount()):
-		f.warn("suspect list confirmed", slog.String("replica", replica), slog.Uint64("generation", suspect.generation),
-			slog.Int("endpoints", suspect.upCount()), slog.Int("previous_endpoints", f.accepted.upCount()))
+		f.warn("suspect list confirmed", slog.String("replica", replica),
+			slog.Uint64("generation", suspect.generation), slog.Int("endpoints", suspect.upCount()),
+			slog.Int("previous_endpoints", f.accepted.upCount()))
 		f.accept(now, suspect.view)
 		f.publish(now)
 	case m.Generation >= suspect.generation:
-		f.warn("suspect list contradicted", slog.String("replica", replica), slog.String("suspect_replica", suspect.replica),
-			slog.Uint64("generation", m.Generation))
+		f.warn("suspect list contradicted", slog.String("replica", replica),
+			slog.String("suspect_replica", suspect.replica), slog.Uint64("generation", m.Generation))
 		f.suspect = nil
 		f.rank = slices.Index(f.replicas, replica)
 		f.emit(Action{Kind: CloseWatch, CallID: f.callID})
@@ -107,7 +109,8 @@
 		return
 	}
 	f.warn("suspect list accepted after timeout", slog.Uint64("generation", f.suspect.generation),
-		slog.Int("endpoints", len(f.suspect.entries)), slog.Int("previous_endpoints", len(f.accepted.entries)))
+		slog.Int("endpoints", len(f.suspect.entries)),
+		slog.Int("previous_endpoints", len(f.accepted.entries)))
 	f.accept(now, f.suspect.view)
 }
 
--- a/internal/agent/suspicion_test.go
+++ b/internal/agent/suspicion_test.go
@@ -8,23 +8,24 @@
 	"opalhook/internal/discovery"
 )
 
-// newHarnessWithSuspectList has published ten endpoints, and has then received an empty list, for which it fetches the list of a
-// second replica.
-func newHarnessWithSuspectList(t *testing.T) (r *followerHarness, fetch Action) {
+// newHarnessWithSuspectList returns a harness whose follower has published ten endpoints and then received an
+// empty list. It also returns the follower's action to fetch the list of a second replica.
+func newHarnessWithSuspectList(t *testing.T) (h *followerHarness, fetch Action) {
 	t.Helper()
-	r = newFollowerHarness(t, "a", "b", "c")
-	r.connect()
-	r.receive(snapshotOf(10, 10))
-	r.wait(2 * time.Second)
-	r.receive(snapshotOf(11, 0))
-	r.expectPublished(10, 10)
-	if len(r.fetches) != 1 {
-		t.Fatalf("fetches %v, want one", r.fetches)
+	h = newFollowerHarness(t, "a", "b", "c")
+	h.connect()
+	h.receive(snapshotOf(10, 10))
+	h.wait(2 * time.Second)
+	h.receive(snapshotOf(11, 0))
+	h.expectPublished(10, 10)
+	if len(h.fetches) != 1 {
+		t.Fatalf("fetches %v, want one", h.fetches)
 	}
-	return r, r.fetches[0]
+	return h, h.fetches[0]
 }
 
-// A suspect list is accepted once a second replica confirms it, or after the timeout where none answers.
+// A suspect list is accepted when a second replica confirms it, or after the timeout if no other replica
+// answers.
 func TestSuspectListIsAccepted(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -36,44 +37,44 @@
 		{"no answer", discovery.Message{}, errors.New("down"), DefaultRules().SuspectTimeout},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r, fetch := newHarnessWithSuspectList(t)
-			r.f.SnapshotReceived(r.now, fetch.Replica, c.answer, c.err)
-			r.drain()
-			for end := r.now + c.suspectFor; r.now < end; {
-				r.expectPublished(10, 10)
-				r.f.HeartbeatReceived(r.now, r.f.callID)
-				r.wait(time.Second)
+			h, fetch := newHarnessWithSuspectList(t)
+			h.f.SnapshotReceived(h.now, fetch.Replica, c.answer, c.err)
+			h.drain()
+			for end := h.now + c.suspectFor; h.now < end; {
+				h.expectPublished(10, 10)
+				h.f.HeartbeatReceived(h.now, h.f.callID)
+				h.wait(time.Second)
 			}
-			r.wait(DefaultRules().RemovalDelay + time.Millisecond)
-			r.expectPublished(0, 11)
+			h.wait(DefaultRules().RemovalDelay + time.Millisecond)
+			h.expectPublished(0, 11)
 		})
 	}
 }
 
-// A suspect list that a second replica contradicts is dropped, and that replica is followed.
+// When a second replica contradicts a suspect list, the follower drops the list and follows that replica.
 func TestSuspectListIsContradicted(t *testing.T) {
-	r, fetch := newHarnessWithSuspectList(t)
-	r.f.SnapshotReceived(r.now, fetch.Replica, snapshotOf(12, 10), nil)
-	r.drain()
-	if call := r.connect(); call.Replica != fetch.Replica {
+	h, fetch := newHarnessWithSuspectList(t)
+	h.f.SnapshotReceived(h.now, fetch.Replica, snapshotOf(12, 10), nil)
+	h.drain()
+	if call := h.connect(); call.Replica != fetch.Replica {
 		t.Errorf("%s is followed, want %s", call.Replica, fetch.Replica)
 	}
-	r.receive(discovery.Message{Generation: 12, Instances: []discovery.Entry{testEntry(1, discovery.Draining)}})
-	r.expectPublished(10, 12)
+	h.receive(discovery.Message{Generation: 12, Instances: []discovery.Entry{testEntry(1, discovery.Draining)}})
+	h.expectPublished(10, 12)
 }
 
-// Endpoints that drain one by one within the window make a list suspect as if they did at once.
+// Losses add up over the window: a list becomes suspect also if its endpoints start draining one by one.
 func TestGradualLossIsSuspected(t *testing.T) {
-	r := newFollowerHarness(t, "a", "b")
-	r.connect()
-	r.receive(snapshotOf(10, 10))
+	h := newFollowerHarness(t, "a", "b")
+	h.connect()
+	h.receive(snapshotOf(10, 10))
 	for n := range 10 {
-		r.receive(discovery.Message{Generation: uint64(11 + n), Instances: []discovery.Entry{testEntry(n, discovery.Draining)}})
+		h.receive(discovery.Message{Generation: uint64(11 + n), Instances: []discovery.Entry{testEntry(n, discovery.Draining)}})
 	}
-	if !r.f.Status(r.now).Suspecting {
+	if !h.f.Status(h.now).Suspecting {
 		t.Error("the list is not suspected")
 	}
-	if up := (view{}).apply(r.f.Published()).upCount(); up < 6 {
+	if up := (view{}).apply(h.f.Published()).upCount(); up < 6 {
 		t.Errorf("%d endpoints are published as up, want 6 or more", up)
 	}
 }
--- a/internal/agent/view.go
+++ b/internal/agent/view.go
@@ -8,8 +8,8 @@
 	"opalhook/internal/discovery"
 )
 
-// view is the list at a generation. The zero value means that no list has been received. Views are not modified after
-// their creation.
+// view is the list at a generation. The zero value means that no list has been received. Views are not
+// modified after their creation.
 type view struct {
 	generation uint64
 	entries    map[string]discovery.Entry // by instance ID; none has the lifecycle [discovery.Removed]
@@ -43,7 +43,11 @@
 
 // snapshot returns the view as a message with the complete list, sorted by instance ID.
 func (v view) snapshot() discovery.Message {
-	m := discovery.Message{Generation: v.generation, Reset: true, Instances: slices.Collect(maps.Values(v.entries))}
+	m := discovery.Message{
+		Generation: v.generation,
+		Reset:      true,
+		Instances:  slices.Collect(maps.Values(v.entries)),
+	}
 	sortEntries(m.Instances)
 	return m
 }
@@ -67,5 +71,7 @@
 }
 
 func sortEntries(entries []discovery.Entry) {
-	slices.SortFunc(entries, func(a, b discovery.Entry) int { return cmp.Compare(a.InstanceID, b.InstanceID) })
+	slices.SortFunc(entries, func(a, b discovery.Entry) int {
+		return cmp.Compare(a.InstanceID, b.InstanceID)
+	})
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,18 +1,18 @@
-// Package discovery defines the messages of the platform's discovery protocol, their framing on a watch, and their
-// validation. The list service writes these messages and its clients read them. The package imports only the standard
-// library.
+// Package discovery defines the messages of the platform's discovery protocol, their framing on a watch, and
+// their validation. The list service writes these messages and its clients read them. The package imports
+// only the standard library.
 //
 // There are two ways to read a watch, with different tolerance for errors:
 //
-//   - An edge node has a single discovery server and has to use even a malformed message as far as possible. It
-//     splits the stream with a [Splitter], which accepts messages that span lines. It parses each message with
-//     [ParseLenient], which keeps every entry that is safe to act on and reports the malformed fields.
-//   - A client of the list service can change to another replica. It reads the stream with a [LineReader], which
-//     accepts one message per line and fails on a malformed one. The agent also rejects messages that fail
-//     [Message.Validate]. The registry's own client and the testbed accept any message that decodes.
+//   - An edge node has a single discovery server and has to use even a malformed message as far as possible.
+//     It splits the stream with a [Splitter], which accepts messages that span lines. It parses each message
+//     with [ParseLenient], which keeps every entry that is safe to act on and reports the malformed fields.
+//   - A client of the list service can change to another replica. It reads the stream with a [LineReader],
+//     which accepts one message per line and fails on a malformed one. The agent also rejects messages that
+//     fail [Message.Validate]. The registry's own client and the testbed accept any message that decodes.
 //
-// A [LineReader] gets its limit on the length of a message from the caller, because callers expect lists of different
-// sizes. A [Splitter] has the fixed limit [MaxStreamMessage].
+// A [LineReader] gets its limit on the length of a message from the caller, because callers expect lists of
+// different sizes. A [Splitter] has the fixed limit [MaxStreamMessage].
 package discovery
 
 import "fmt"
@@ -23,8 +23,9 @@
 // SnapshotURL returns the URL of the complete list at a server's address, host:port.
 func SnapshotURL(addr string) string { return "http://" + addr + Path }
 
-// WatchURL returns the URL of a watch at a server's address, host:port. The watch begins with the changes after the
-// generation from. It begins with the complete list if from is 0 or the server no longer has those changes.
+// WatchURL returns the URL of a watch at a server's address, host:port. The watch begins with the changes
+// after the generation from. It begins with the complete list if from is 0 or the server no longer has those
+// changes.
 func WatchURL(addr string, from uint64) string {
 	return fmt.Sprintf("%s?watch=1&from=%d", SnapshotURL(addr), from)
 }
@@ -55,10 +56,10 @@
 	Instances  []Entry `json:"instances"`  // complete list, or the entries that have changed
 }
 
-// EpochBits is the number of low bits of a generation below its epoch, in generations of the project's own list
-// service.
+// EpochBits is the number of low bits of a generation below its epoch, in generations of the project's own
+// list service.
 const EpochBits = 32
 
-// Epoch returns the epoch of a generation. A list that is restored from a backup begins a new epoch. Generations can be
-// compared only within an epoch.
+// Epoch returns the epoch of a generation. A list that is restored from a backup begins a new epoch.
+// Generations can be compared only within an epoch.
 func Epoch(generation uint64) uint64 { return generation >> EpochBits }
--- a/internal/discovery/fuzz_test.go
+++ b/internal/discovery/fuzz_test.go
@@ -6,15 +6,16 @@
 	"testing"
 )
 
-// Whatever a message says, what is read of it is within the bounds that ParsedEntry promises.
+// For any text, parsed entries satisfy the documented ranges of ParsedEntry, and an error excludes other
+// results.
 func FuzzParseLenient(f *testing.F) {
 	f.Add([]byte(`{"generation":8,"reset":true,"instances":[{"instanceId":"a","hostPort":"127.0.0.1:1","lifecycle":"up","weight":1,"startedAtMs":1e12}]}`))
 	f.Add([]byte(`{"generation":"8","instances":[{"instanceId":"a","hostPort":7,"lifecycle":"odd","weight":-1,"startedAtMs":-1},null,{}]}`))
 	f.Add([]byte(`{"instances":[` + drainingEntry + `,{"instanceId":`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		m, faults, err := ParseLenient(text)
-		if err != nil && (len(m.Entries) > 0 || len(faults) > 0) {
-			t.Errorf("error %v with %d entries and %d faults", err, len(m.Entries), len(faults))
+		m, fieldErrors, err := ParseLenient(text)
+		if err != nil && (len(m.Entries) > 0 || len(fieldErrors) > 0) {
+			t.Errorf("error %v with %d entries and %d faults", err, len(m.Entries), len(fieldErrors))
 		}
 		for _, e := range slices.Concat(m.Entries, ParsePartial(text)) {
 			if e.ID == "" || !(e.Weight >= 0 && e.Weight <= MaxWeight) || e.StartedAt < 0 {
@@ -27,7 +28,7 @@
 	})
 }
 
-// A stream is cut into the same messages in whatever pieces it comes.
+// The messages, heartbeats and error of a stream do not depend on the sizes of the pieces in which it is fed.
 func FuzzSplitter(f *testing.F) {
 	f.Add([]byte("\n{\"a\":\"}{\\\"[\"}\n\n{\n \"b\": [1]\n}\n{\"c"), 3)
 	f.Add([]byte("{\"a\":1}x{}"), 1)
@@ -38,13 +39,13 @@
 		wantMessages, wantHeartbeats, wantErr := split([][]byte{text})
 		messages, heartbeats, err := split(slices.Collect(slices.Chunk(text, piece)))
 		if !slices.Equal(messages, wantMessages) || heartbeats != wantHeartbeats || !errors.Is(err, wantErr) {
-			t.Errorf("in pieces of %d: %q, %d heartbeats, error %v; at once %q, %d, %v",
+			t.Errorf("in pieces of %d bytes: %q, %d heartbeats, error %v; in one piece: %q, %d, %v",
 				piece, messages, heartbeats, err, wantMessages, wantHeartbeats, wantErr)
 		}
 	})
 }
 
-// split feeds pieces to a splitter until an error.
+// split feeds pieces to a Splitter until the first error.
 func split(pieces [][]byte) (messages []string, heartbeats int, err error) {
 	var s Splitter
 	for _, p := range pieces {
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -8,7 +8,7 @@
 	"opalhook/internal/golden"
 )
 
-// Messages are written as recorded, and the recorded ones are read to what they were written from.
+// The JSON form of messages matches the golden files and decodes to the same messages.
 func TestGoldenMessages(t *testing.T) {
 	up := Entry{InstanceID: "s-a", HostPort: "127.0.0.1:9001", Zone: "a", MachineType: "std-4c", Cell: 3, Lifecycle: Up, Weight: 0.25, StartedAtMs: 1700000000123}
 	for _, c := range []struct {
@@ -29,10 +29,10 @@
 			t.Fatal(err)
 		}
 		if !reflect.DeepEqual(read, c.m) {
-			t.Errorf("%s is read as %+v, want %+v", c.name, read, c.m)
+			t.Errorf("%s is decoded as %+v, want %+v", c.name, read, c.m)
 		}
 	}
 	if epoch := Epoch(7<<EpochBits | 2); epoch != 7 {
-		t.Errorf("epoch %d", epoch)
+		t.Errorf("epoch %d, want 7", epoch)
 	}
 }
--- a/internal/discovery/lenient.go
+++ b/internal/discovery/lenient.go
@@ -18,8 +18,8 @@
 	Entries    []ParsedEntry
 }
 
-// ParsedEntry is an [Entry] parsed by [ParseLenient]. Each field has been checked separately. Fields other than
-// Lifecycle have their zero values if they were missing or malformed.
+// ParsedEntry is an [Entry] parsed by [ParseLenient]. Each field has been checked separately. Fields other
+// than Lifecycle have their zero values if they were missing or malformed.
 type ParsedEntry struct {
 	ID          string // never empty
 	Addr        netip.AddrPort
@@ -34,12 +34,12 @@
 // ParseLenient parses one message and keeps the parts of a malformed message that are safe to act on:
 //
 //   - An entry without a readable ID is left out.
-//   - An entry with a malformed lifecycle, address or start time counts as draining unless it is removed. The endpoint
-//     may be leaving, so it must not get new requests.
+//   - An entry with a malformed lifecycle, address or start time counts as draining unless it is removed. The
+//     endpoint may be leaving, so it must not get new requests.
 //   - Other malformed fields get their zero values.
 //
-// Each element of fieldErrors is a [*FieldError]. A non-nil err means that no part of the text can be used: it is not a
-// JSON object of the expected form, or it is a complete list without the field "instances".
+// Each element of fieldErrors is a [*FieldError]. A non-nil err means that no part of the text can be used:
+// it is not a JSON object of the expected form, or it is a complete list without the field "instances".
 func ParseLenient(text []byte) (m ParsedMessage, fieldErrors []error, err error) {
 	var raw struct {
 		Generation json.RawMessage
@@ -152,8 +152,8 @@
 	return time.Duration(ms * float64(time.Millisecond)), ok
 }
 
-// address reads an IP address and port. It returns false if the address is missing or malformed, unless the endpoint
-// is removed and therefore needs none.
+// address reads an IP address and port. It returns false if the address is missing or malformed, unless the
+// endpoint is removed and therefore needs none.
 func (r *fieldReader) address(text json.RawMessage, lifecycle string) (addr netip.AddrPort, ok bool) {
 	var hostPort string
 	r.read("hostPort", text, &hostPort)
--- a/internal/discovery/lenient_test.go
+++ b/internal/discovery/lenient_test.go
@@ -6,16 +6,16 @@
 	"testing"
 )
 
-// drainingEntry is a valid entry.
+// drainingEntry is a valid entry of a draining endpoint with the ID g.
 const drainingEntry = `{"instanceId":"g","hostPort":"127.0.0.1:9","lifecycle":"draining","weight":1}`
 
-// A malformed entry hides nothing of the rest of its message.
+// A malformed entry does not affect the other entries of its message. Each malformed field is reported.
 func TestParseLenientMalformedEntries(t *testing.T) {
 	for _, c := range []struct {
 		entry     string
-		id        string // "": the entry is left out
-		lifecycle string
-		field     string
+		id        string // expected ID; "" if the entry is left out
+		lifecycle string // expected lifecycle
+		field     string // malformed field that must be reported
 	}{
 		{`{}`, "", "", "instanceId"},
 		{`7`, "", "", "instanceId"},
@@ -34,17 +34,17 @@
 		{`{"instanceId":"a","lifecycle":"up","hostPort":"127.0.0.1:1","startedAtMs":1e300}`, "a", Draining, "startedAtMs"},
 		{`{"instanceId":"a","lifecycle":"up","hostPort":"127.0.0.1:1","startedAtMs":"soon"}`, "a", Draining, "startedAtMs"},
 	} {
-		m, faults, err := ParseLenient([]byte(`{"generation":8,"reset":true,"instances":[` + c.entry + `,` + drainingEntry + `]}`))
-		if err != nil || len(faults) == 0 || !strings.Contains(errors.Join(faults...).Error(), "instances[0]."+c.field+": ") {
-			t.Errorf("%s: error %v, faults %v, want %s named", c.entry, err, faults, c.field)
+		m, fieldErrors, err := ParseLenient([]byte(`{"generation":8,"reset":true,"instances":[` + c.entry + `,` + drainingEntry + `]}`))
+		if err != nil || len(fieldErrors) == 0 || !strings.Contains(errors.Join(fieldErrors...).Error(), "instances[0]."+c.field+": ") {
+			t.Errorf("%s: error %v, field errors %v, want one for %s", c.entry, err, fieldErrors, c.field)
 		}
 		last := len(m.Entries) - 1
 		if last < 0 || m.Entries[last].ID != "g" || m.Entries[last].Lifecycle != Draining {
-			t.Errorf("%s: hides the drain of another: %v", c.entry, m.Entries)
+			t.Errorf("%s: the last entry is not the draining endpoint g: %v", c.entry, m.Entries)
 			continue
 		}
 		if c.id == "" && last != 0 || c.id != "" && (last != 1 || m.Entries[0].ID != c.id || m.Entries[0].Lifecycle != c.lifecycle) {
-			t.Errorf("%s: read as %+v", c.entry, m.Entries[:last])
+			t.Errorf("%s: parsed as %+v, want ID %q and lifecycle %q", c.entry, m.Entries[:last], c.id, c.lifecycle)
 		}
 	}
 }
--- a/internal/discovery/lines.go
+++ b/internal/discovery/lines.go
@@ -6,8 +6,9 @@
 	"io"
 )
 
-// LineReader reads the body of a watch with one message per line, the format of the list service. Unlike [Splitter]
-// with [ParseLenient], it does not accept messages that span lines, and the first malformed line ends the watch.
+// LineReader reads the body of a watch with one message per line, the format of the list service. Unlike
+// [Splitter] with [ParseLenient], it does not accept messages that span lines, and the first malformed line
+// ends the watch.
 type LineReader struct {
 	lines *bufio.Scanner
 }
@@ -19,9 +20,9 @@
 	return &LineReader{lines}
 }
 
-// Next waits for the next line, which is a message or, if empty, a heartbeat. It returns [io.EOF] at the end of the
-// watch, a [*MalformedLineError] for a line that is not a message, and otherwise the error of reading the body or of
-// a line that is too long.
+// Next waits for the next line, which is a message or, if empty, a heartbeat. It returns [io.EOF] at the end
+// of the watch, a [*MalformedLineError] for a line that is not a message, and otherwise the error of reading
+// the body or of a line that is too long.
 func (r *LineReader) Next() (m Message, heartbeat bool, err error) {
 	if !r.lines.Scan() {
 		if err := r.lines.Err(); err != nil {
--- a/internal/discovery/lines_test.go
+++ b/internal/discovery/lines_test.go
@@ -9,7 +9,7 @@
 	"testing/iotest"
 )
 
-// readLines reads a watch to its end.
+// readLines reads a watch until the first error, which it returns as end.
 func readLines(lines *LineReader) (generations []uint64, heartbeats int, end error) {
 	for {
 		m, heartbeat, err := lines.Next()
@@ -24,16 +24,17 @@
 	}
 }
 
-// A watch of one message on each line is read line by line, to its end, its error or the first malformed line.
+// LineReader returns each message and heartbeat of a watch until the end of the body, its error or a
+// malformed line.
 func TestLineReader(t *testing.T) {
 	errBroken := errors.New("connection reset")
 	const good = `{"generation":3,"reset":true,"instances":[]}`
 	for _, c := range []struct {
 		name, text  string
-		end         error // of the body; nil: io.EOF
+		end         error // error at the end of the body; nil for io.EOF
 		generations []uint64
 		heartbeats  int
-		malformed   string // the line; "" for none
+		malformed   string // expected malformed line; "" if there is none
 	}{
 		{name: "empty", text: ""},
 		{name: "heartbeats", text: "\n\r\n\n", heartbeats: 3},
@@ -68,6 +69,6 @@
 		})
 	}
 	if _, _, err := NewLineReader(strings.NewReader(strings.Repeat("x", 1001)), 1000).Next(); err == nil || errors.Is(err, io.EOF) {
-		t.Errorf("a line beyond the bound: error %v", err)
+		t.Errorf("a line of 1001 bytes with a limit of 1000: error %v, want one other than io.EOF", err)
 	}
 }
--- a/internal/discovery/partial.go
+++ b/internal/discovery/partial.go
@@ -11,8 +11,8 @@
 	maxPartialStarts = 1 << 14 // number of opening braces that are tried as the start of an entry
 )
 
-// ParsePartial returns the draining and removed entries in a malformed or truncated message. The caller can fetch the
-// rest of the list again, but must not send requests to these endpoints in the meantime.
+// ParsePartial returns the draining and removed entries in a malformed or truncated message. The caller can
+// fetch the rest of the list again, but must not send requests to these endpoints in the meantime.
 func ParsePartial(text []byte) (leaving []ParsedEntry) {
 	for range maxPartialStarts {
 		at := bytes.IndexByte(text, '{')
--- a/internal/discovery/splitter.go
+++ b/internal/discovery/splitter.go
@@ -14,8 +14,8 @@
 	ErrTooLong = fmt.Errorf("message exceeds %d bytes", MaxStreamMessage)
 	// ErrNoMessage means that a message does not begin with an opening brace.
 	ErrNoMessage = errors.New("not a JSON object")
-	// ErrTruncated means that a message is incomplete: an empty line or the end of the stream follows it, or one of
-	// its strings contains a control character such as a line end.
+	// ErrTruncated means that a message is incomplete: an empty line or the end of the stream follows it, or
+	// one of its strings contains a control character such as a line end.
 	ErrTruncated = errors.New("message is truncated")
 )
 
@@ -29,8 +29,9 @@
 	afterBackslash // inside a string, after a backslash
 )
 
-// Splitter splits the body of a watch into messages. A message is one JSON object, which may span lines. Messages are
-// separated by line ends, and an empty line is a heartbeat. The zero value is ready for a new stream.
+// Splitter splits the body of a watch into messages. A message is one JSON object, which may span lines.
+// Messages are separated by line ends, and an empty line is a heartbeat. The zero value is ready for a new
+// stream.
 type Splitter struct {
 	state     splitState
 	partial   []byte // bytes of the incomplete message
@@ -38,9 +39,9 @@
 	blankLine bool   // whether the current line of the message has only white space so far
 }
 
-// Feed reads the next piece of the stream. It calls message for each complete message, with bytes that are valid only
-// during the call, and heartbeat for each line end between messages. After an error the stream can't be continued,
-// and [Splitter.Partial] returns the bytes that caused it.
+// Feed reads the next piece of the stream. It calls message for each complete message, with bytes that are
+// valid only during the call, and heartbeat for each line end between messages. After an error the stream
+// can't be continued, and [Splitter.Partial] returns the bytes that caused it.
 func (s *Splitter) Feed(text []byte, message func([]byte), heartbeat func()) error {
 	from := 0 // start of the current message in text
 	for i := 0; i < len(text); i++ {
@@ -74,7 +75,7 @@
 		}
 	}
 	if s.state == betweenMessages {
-		s.partial = nil // frees the buffer, which may be as large as the largest list, during idle times of the watch
+		s.partial = nil // do not keep a buffer for the largest list while the watch is idle
 		return nil
 	}
 	s.partial = append(s.partial, text[from:]...)
@@ -112,7 +113,8 @@
 	return true
 }
 
-// stepString reads one byte of a string. It returns false for a control character, which JSON strings can't contain.
+// stepString reads one byte of a string. It returns false for a control character, which JSON strings can't
+// contain.
 func (s *Splitter) stepString(c byte) bool {
 	switch {
 	case c < ' ':
@@ -127,8 +129,8 @@
 	return true
 }
 
-// plainPrefix returns the number of leading bytes of text that neither end a string nor begin an escape sequence and
-// are not control characters.
+// plainPrefix returns the number of leading bytes of text that neither end a string nor begin an escape
+// sequence and are not control characters.
 func plainPrefix(text []byte) int {
 	for i, c := range text {
 		if c < ' ' || c == '\\' || c == '"' {
@@ -144,5 +146,6 @@
 // Incomplete reports whether the stream so far ends inside a message.
 func (s *Splitter) Incomplete() bool { return s.state != betweenMessages }
 
-// Partial returns the bytes of the incomplete message, or the malformed bytes after [Splitter.Feed] has failed.
+// Partial returns the bytes of the incomplete message, or the malformed bytes after [Splitter.Feed] has
+// failed.
 func (s *Splitter) Partial() []byte { return s.partial }
--- a/internal/discovery/splitter_bench_test.go
+++ b/internal/discovery/splitter_bench_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// BenchmarkSplitter cuts a complete list of 1,024 entries out of a stream, at once and in small pieces.
+// BenchmarkSplitter splits a stream with a complete list of 1,024 entries, in one piece and in pieces of 48
+// bytes.
 func BenchmarkSplitter(b *testing.B) {
 	m := Message{Generation: 9, Reset: true}
 	for i := range 1024 {
@@ -27,14 +28,14 @@
 				for rest := text; len(rest) > 0; rest = rest[min(piece, len(rest)):] {
 					if err := s.Feed(rest[:min(piece, len(rest))], func(got []byte) {
 						if messages++; !bytes.Equal(got, text) {
-							b.Fatal("another message")
+							b.Fatal("the message differs from the input")
 						}
 					}, func() {}); err != nil {
 						b.Fatal(err)
 					}
 				}
 				if messages != 1 {
-					b.Fatalf("%d messages", messages)
+					b.Fatalf("%d messages, want 1", messages)
 				}
 			}
 		})
--- a/internal/discovery/splitter_test.go
+++ b/internal/discovery/splitter_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// Messages are cut out of the stream the same however it comes in pieces.
+// Splitter returns the same messages and heartbeats for each size of the pieces of a stream, and the right
+// error for a stream that is not a sequence of messages.
 func TestSplitter(t *testing.T) {
 	const text = "\n{\"a\":\"}{\\\"[\"}\n\n{\r\n  \"b\": [\r\n    1\r\n  ]\r\n}\r\n{}{\"c\":1}\n"
 	for size := 1; size <= len(text); size++ {
@@ -21,7 +22,7 @@
 			rest = rest[n:]
 		}
 		if want := []string{"{\"a\":\"}{\\\"[\"}", "{\r\n  \"b\": [\r\n    1\r\n  ]\r\n}", "{}", "{\"c\":1}"}; strings.Join(got, "|") != strings.Join(want, "|") || beats != 5 {
-			t.Fatalf("pieces of %d: %q and %d line ends", size, got, beats)
+			t.Fatalf("pieces of %d: messages %q, want %q; %d heartbeats, want 5", size, got, want, beats)
 		}
 	}
 	for text, want := range map[string]error{
--- a/internal/discovery/validate.go
+++ b/internal/discovery/validate.go
@@ -9,8 +9,8 @@
 
 var errZero = errors.New("is 0")
 
-// Validate returns a [*FieldError] for the first field that a list service would not write. It is stricter than
-// [ParseLenient] because its callers can reject the whole message and change to another replica.
+// Validate returns a [*FieldError] for the first field that a list service would not write. It is stricter
+// than [ParseLenient] because its callers can reject the whole message and change to another replica.
 func (m Message) Validate() error {
 	if m.Generation == 0 {
 		return &FieldError{"generation", errZero}
@@ -23,14 +23,14 @@
 	return nil
 }
 
-// validate returns the name and the error of the first malformed field. Removed entries are valid only in a message of
-// changes.
+// validate returns the name and the error of the first malformed field. Removed entries are valid only in a
+// message of changes.
 func (e Entry) validate(snapshot bool) (field string, err error) {
 	switch {
 	case e.InstanceID == "":
 		return "instanceId", errEmpty
 	case e.Lifecycle != Up && e.Lifecycle != Draining && (e.Lifecycle != Removed || snapshot):
-		return "lifecycle", fmt.Errorf("must be up, draining or, in changes only, removed, got %q", e.Lifecycle)
+		return "lifecycle", fmt.Errorf("must be up, draining or (in changes) removed, got %q", e.Lifecycle)
 	case !(e.Weight >= 0) || math.IsInf(e.Weight, 0):
 		return "weight", fmt.Errorf("must be a finite number of at least 0, got %v", e.Weight)
 	}
--- a/internal/discovery/validate_test.go
+++ b/internal/discovery/validate_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A message that no list service writes is rejected, and the error names the field.
+// Validate rejects messages that a list service would not write. The error names the field.
 func TestValidate(t *testing.T) {
 	good := Entry{InstanceID: "a", HostPort: "127.0.0.1:1", Lifecycle: Up, Weight: 1}
 	message := func(reset bool, change func(e *Entry)) Message {
@@ -16,7 +16,7 @@
 	for _, c := range []struct {
 		name  string
 		m     Message
-		field string // "": it is valid
+		field string // field named by the error; "" if the message is valid
 	}{
 		{"snapshot", message(true, func(*Entry) {}), ""},
 		{"empty snapshot", Message{Generation: 1, Reset: true}, ""},
@@ -35,7 +35,7 @@
 			case c.field == "" && err != nil:
 				t.Errorf("rejected: %v", err)
 			case c.field != "" && (!errors.As(err, &field) || field.Field != c.field):
-				t.Errorf("error %v, want one of %s", err, c.field)
+				t.Errorf("error %v, want one for field %s", err, c.field)
 			}
 		})
 	}
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,9 +1,9 @@
-// Package golden compares the output of a test with golden files, which were recorded by an earlier run. Only test files
-// import it.
+// Package golden compares the output of a test with golden files, which were recorded by an earlier run. Only
+// test files import it.
 //
-// Golden files fix the formats in which the program stores data and exchanges messages. `go test PACKAGE -update`
-// records them again. A commit that changes a format contains the new files and explains the change. Data stored in the
-// earlier format must stay readable.
+// Golden files fix the formats in which the program stores data and exchanges messages. `go test PACKAGE
+// -update` records them again. A commit that changes a format contains the new files and explains the change.
+// Data stored in the earlier format must stay readable.
 package golden
 
 import (
@@ -14,7 +14,7 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "record the golden files again; explain the change of format in the commit")
+var update = flag.Bool("update", false, "record the golden files again; the commit has to explain why")
 
 // Updating reports whether the test runs with -update and has to record golden files.
 func Updating() bool { return *update }
@@ -22,7 +22,8 @@
 // around is the number of bytes before and after the first difference that an error message shows.
 const around = 60
 
-// Read returns the contents of a golden file. The name is a slash-separated path below the package's folder testdata.
+// Read returns the contents of a golden file. The name is a slash-separated path below the package's folder
+// testdata.
 func Read(t testing.TB, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", filepath.FromSlash(name)))
@@ -32,8 +33,8 @@
 	return text
 }
 
-// Check compares got with a golden file, fails the test if they differ, and returns the contents of the file. With
-// -update it first writes got to the file.
+// Check compares got with a golden file, fails the test if they differ, and returns the contents of the file.
+// With -update it first writes got to the file.
 func Check(t testing.TB, name string, got []byte) []byte {
 	t.Helper()
 	if *update {
@@ -60,7 +61,8 @@
 	for at < min(len(got), len(want)) && got[at] == want[at] {
 		at++
 	}
-	t.Errorf("%s: %d bytes, want %d; from byte %d on\ngot  %q\nwant %q", name, len(got), len(want), at, excerpt(got, at), excerpt(want, at))
+	t.Errorf("%s: got %d bytes, want %d; first difference at byte %d\ngot  %q\nwant %q",
+		name, len(got), len(want), at, excerpt(got, at), excerpt(want, at))
 }
 
 func excerpt(text []byte, at int) []byte { return text[max(at-around, 0):min(at+around, len(text))] }
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -7,8 +7,8 @@
 	"opalhook/balancer"
 )
 
-// platformNames maps the balancer's names of settings to the platform's names. These are paths in the settings object,
-// or for settings of a class or a plan the key within it.
+// platformNames maps the balancer's names of settings to the platform's names. These are paths in the
+// settings object, or for settings of a class or a plan the key within it.
 var platformNames = map[string]string{
 	"NodeCount":                "instances",
 	"NodeIndex":                "me",
@@ -34,8 +34,8 @@
 	"HardLimitSlack":           "capSlack",
 }
 
-// PlatformError replaces the field name of a [balancer.SettingError] by the platform's name, which operators use in the
-// configuration. It returns other errors unchanged.
+// PlatformError replaces the field name of a [balancer.SettingError] by the platform's name, which operators
+// use in the configuration. It returns other errors unchanged.
 func PlatformError(err error) error {
 	var setting *balancer.SettingError
 	if !errors.As(err, &setting) {
--- a/internal/settings/errors_test.go
+++ b/internal/settings/errors_test.go
@@ -8,7 +8,7 @@
 	"opalhook/balancer"
 )
 
-// A setting that the balancer rejects is told under the platform's name.
+// The error of a setting that the balancer rejects contains the platform's name of the setting.
 func TestPlatformError(t *testing.T) {
 	for _, c := range []struct {
 		text  string
@@ -31,16 +31,16 @@
 		_, err = balancer.New(s, 1)
 		var got *balancer.SettingError
 		if err = PlatformError(err); !errors.As(err, &got) || got.Field != c.field {
-			t.Errorf("%s: error %v, want one of %s", c.text, err, c.field)
+			t.Errorf("%s: error %v, want one for %s", c.text, err, c.field)
 		}
 	}
 }
 
 func TestPlatformErrorLeavesOthers(t *testing.T) {
-	if got := PlatformError(io.EOF); got != io.EOF { //nolint:errorlint // the very error is wanted
-		t.Errorf("%v", got)
+	if got := PlatformError(io.EOF); got != io.EOF { //nolint:errorlint // the error must be returned unchanged
+		t.Errorf("error %v, want %v unchanged", got, io.EOF)
 	}
 	if got := PlatformError(nil); got != nil {
-		t.Errorf("%v", got)
+		t.Errorf("error %v, want nil", got)
 	}
 }
--- a/internal/settings/object.go
+++ b/internal/settings/object.go
@@ -1,7 +1,7 @@
 package settings
 
-// object is the platform's settings object with the platform's names. Unknown keys are ignored. Times are in seconds
-// and rates are per second.
+// object is the platform's settings object with the platform's names. Unknown keys are ignored. Times are in
+// seconds and rates are per second.
 type object struct {
 	Instances    int            `json:"instances"`
 	Me           int            `json:"me"`
@@ -19,9 +19,9 @@
 
 // familyObject describes the fleet's peer messages and the metering of requests.
 type familyObject struct {
-	InboxPerS float64 `json:"inboxPerS"` // peer messages that a node can receive per second; 0 means unlimited
-	UnitsTop  float64 `json:"unitsTop"`  // largest number of quota units of a request; 0 means unknown
-	PostPaid  bool    `json:"postPaid"`  // whether a request's units are an estimate until its first OK response
+	InboxPerS float64 `json:"inboxPerS"` // peer messages per second that a node can receive; 0: unlimited
+	UnitsTop  float64 `json:"unitsTop"`  // largest number of quota units of a request; 0: unknown
+	PostPaid  bool    `json:"postPaid"`  // whether a request's units are an estimate until its first OK
 }
 
 // feedbackObject describes how app servers report their load.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings parses the platform's settings object, which both the simulator and an edge node's configuration
-// contain. It is the only package that maps the platform's names and values of settings to the balancer's.
+// Package settings parses the platform's settings object, which both the simulator and an edge node's
+// configuration contain. It is the only package that maps the platform's names and values of settings to the
+// balancer's.
 package settings
 
 import (
@@ -43,14 +44,15 @@
 // Error names the key and the value.
 func (e *WordError) Error() string { return fmt.Sprintf("%s: unknown value %q", e.Key, e.Word) }
 
-// Transport contains the settings of connections to app servers. The balancer's host uses them, not the balancer.
+// Transport contains the settings of connections to app servers. The balancer's host uses them, not the
+// balancer.
 type Transport struct {
 	ConnIdle       time.Duration // idle time after which an app server closes a connection
 	ConnectTimeout time.Duration // time within which a connection must be established
 }
 
-// Parse parses the settings object. It returns an error of encoding/json or a [*WordError]. It does not check the
-// ranges of numbers, which [balancer.New] does.
+// Parse parses the settings object. It returns an error of encoding/json or a [*WordError]. It does not check
+// the ranges of numbers, which [balancer.New] does.
 func Parse(text []byte) (balancer.Settings, Transport, error) {
 	var in object
 	if err := json.Unmarshal(text, &in); err != nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -12,7 +12,7 @@
 	"opalhook/internal/golden"
 )
 
-// allKeys gives each key a value of its own, so that a key mapped to the wrong field shows.
+// allKeys sets every key. The numbers within a section differ, so that the test detects swapped keys.
 const allKeys = `{
 	"instances": 9, "me": 4, "zone": "z", "tick": 0.004, "registryMode": "subscribe", "unknown": [1],
 	"familyInfo": {"inboxPerS": 40, "unitsTop": 8, "postPaid": true},
@@ -36,6 +36,7 @@
 	}]
 }`
 
+// allSettings returns the settings that allKeys stands for.
 func allSettings() balancer.Settings {
 	return balancer.Settings{
 		NodeIndex: 4, NodeCount: 9, Zone: "z", Tick: 4 * time.Millisecond,
@@ -99,18 +100,19 @@
 	}
 }
 
-// What the simulator's recorded settings say of connections is read as well.
+// Parse also returns the settings of connections in the settings object of the simulator's golden file.
 func TestParseRecordedTransport(t *testing.T) {
 	script := string(golden.Read(t, "../../simwire/testdata/golden/script.txt"))
 	_, rest, _ := strings.Cut(script, "LAUNCH 3 18446744073709551615 ")
 	text, _, _ := strings.Cut(rest, "\n")
 	_, transport, err := Parse([]byte(text))
 	if want := (Transport{ConnIdle: 30 * time.Second, ConnectTimeout: 250 * time.Millisecond}); err != nil || transport != want {
-		t.Errorf("%+v, error %v; want %+v", transport, err, want)
+		t.Errorf("transport %+v, error %v; want %+v", transport, err, want)
 	}
 }
 
-// TestAllSettingsSetEveryField keeps the case of every key complete when the balancer's settings gain a field.
+// TestAllSettingsSetEveryField fails when a new field of the balancer's settings is missing from allSettings,
+// so that TestParse always covers all fields.
 func TestAllSettingsSetEveryField(t *testing.T) {
 	s := allSettings()
 	for _, part := range []any{s, s.Plans[0]} {
@@ -145,11 +147,11 @@
 func TestParseMalformed(t *testing.T) {
 	var syntax *json.SyntaxError
 	if _, _, err := Parse([]byte(`{"me":1,}`)); !errors.As(err, &syntax) {
-		t.Errorf("error %v is no syntax error", err)
+		t.Errorf("error %v, want a json.SyntaxError", err)
 	}
 	var kind *json.UnmarshalTypeError
 	if _, _, err := Parse([]byte(`{"rules":{"coldFrom":"0.5"}}`)); !errors.As(err, &kind) || kind.Field != "rules.coldFrom" {
-		t.Errorf("error %v does not name the field", err)
+		t.Errorf("error %v, want a json.UnmarshalTypeError for rules.coldFrom", err)
 	}
 }
 
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -47,7 +47,7 @@
 type EndpointList struct {
 	nodeEvent
 	Kind      balancer.UpdateKind
-	Endpoints []balancer.Endpoint // shared by all updates that refer to the table; nil for balancer.UpdateFailed
+	Endpoints []balancer.Endpoint // shared by all updates from the table; nil for balancer.UpdateFailed
 }
 
 // RequestArrived is the arrival of a client's request.
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -16,8 +16,8 @@
 // maxSeconds is the largest absolute value of a time, in seconds. A larger one is malformed.
 const maxSeconds = 1e9
 
-// fields parses the values of one message in order. It stores the first error. Values returned after an error must not
-// be used. The parameter field of its methods is the name of the value for error messages.
+// fields parses the values of one message in order. It stores the first error. Values returned after an error
+// must not be used. The parameter field of its methods is the name of the value for error messages.
 type fields struct {
 	name   string // name of the message
 	values []string
@@ -154,7 +154,8 @@
 	return meaning
 }
 
-// load returns the next value as a load report, or nil if it is absent. Numbers that the report does not contain are -1.
+// load returns the next value as a load report, or nil if it is absent. Numbers that the report does not
+// contain are -1.
 func (f *fields) load(field string) *balancer.LoadReport {
 	v := f.str(field)
 	if v == "" {
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -14,7 +14,8 @@
 	"opalhook/internal/golden"
 )
 
-// The recorded script holds every kind of event, and each is read as recorded.
+// The events parsed from the golden script match the golden descriptions, and the script contains every kind
+// of event.
 func TestGoldenEvents(t *testing.T) {
 	in := NewReader(bytes.NewReader(golden.Read(t, "golden/script.txt")))
 	var described strings.Builder
@@ -40,7 +41,8 @@
 	}
 }
 
-// describe words an event by the values that the decision code gets, whatever the names of its fields are.
+// describe returns a text with all values of an event that the balancer gets. The texts are in a golden file,
+// so they do not change with the names of Go types and fields.
 func describe(event Event) string {
 	switch e := event.(type) {
 	case Clock:
@@ -100,7 +102,7 @@
 	return text
 }
 
-// Every kind of action is written as recorded.
+// The encoding of every kind of action matches the golden files.
 func TestGoldenActions(t *testing.T) {
 	r := Reply{Node: 17}
 	var out balancer.Actions = &r
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -1,6 +1,6 @@
-// Package simwire is the codec of the simulator's line protocol. It parses lines into typed events and encodes the
-// balancer's actions as lines. It is the only package that maps the simulator's names and values to the balancer's. It
-// contains no decisions of its own.
+// Package simwire is the codec of the simulator's line protocol. It parses lines into typed events and
+// encodes the balancer's actions as lines. It is the only package that maps the simulator's names and values
+// to the balancer's. It contains no decisions of its own.
 package simwire
 
 import (
@@ -33,7 +33,8 @@
 // Unwrap returns the cause.
 func (e *LineError) Unwrap() error { return e.Err }
 
-// Reader reads events. It stores the numbered tables of endpoints that the simulator sends once and later refers to.
+// Reader reads events. It stores the numbered tables of endpoints that the simulator sends once and later
+// refers to.
 type Reader struct {
 	scanner *bufio.Scanner
 	line    int
@@ -50,8 +51,8 @@
 // Line returns the number of the line read last, from 1.
 func (r *Reader) Line() int { return r.line }
 
-// Next returns the next event. It skips empty lines and the messages that fill tables. It returns [io.EOF] if the input
-// ends between messages, and a [*LineError] for any other error.
+// Next returns the next event. It skips empty lines and the messages that fill tables. It returns [io.EOF] if
+// the input ends between messages, and a [*LineError] for any other error.
 func (r *Reader) Next() (Event, error) {
 	for {
 		text, err := r.readLine()
@@ -114,8 +115,8 @@
 	return parse(f), nil
 }
 
-// parsers contains the parsers of messages that depend only on their own values. The parsers also check the values that
-// they do not use.
+// parsers contains the parsers of messages that depend only on their own values. The parsers also check the
+// values that they do not use.
 var parsers = map[string]func(*fields) Event{
 	"CLOCK":         func(f *fields) Event { return Clock{f.dur("clock")} },
 	"COMMIT":        func(*fields) Event { return Commit{} },
@@ -214,7 +215,8 @@
 		return nil // the caller reports f.err
 	}
 	if table < 0 || table > maxTable || rows < 0 {
-		return fmt.Errorf("PAGE: table must be from 0 to %d and rows at least 0, got %d and %d", maxTable, table, rows)
+		return fmt.Errorf("PAGE: table must be from 0 to %d and rows at least 0, got %d and %d",
+			maxTable, table, rows)
 	}
 	var list []balancer.Endpoint
 	for i := range rows {
--- a/internal/simwire/reader_test.go
+++ b/internal/simwire/reader_test.go
@@ -13,6 +13,7 @@
 	"opalhook/balancer"
 )
 
+// readAll returns the events of a text, until its end or the first error.
 func readAll(text string) (events []Event, err error) {
 	r := NewReader(strings.NewReader(text))
 	for {
@@ -37,7 +38,7 @@
 		"COMPLETED 3 rq_a 1 254 s.a 0.0185 0 86 3 backlog:3,novel:7\nTIMEOUT_FIRED 3 77\nWHISPER 3 0 aGkgNw==\n" +
 		"FLEET 3 42 - Error\nLEFT 3 rq_a\nCOMMIT\n")
 	if err != nil || len(events) != 10 {
-		t.Fatalf("%d events, error %v", len(events), err)
+		t.Fatalf("%d events, want 10; error %v", len(events), err)
 	}
 	if c := events[0].(Clock); c.Now != 8412250*time.Microsecond {
 		t.Errorf("clock %v", c.Now)
@@ -65,6 +66,7 @@
 	}
 }
 
+// The error for a malformed message contains the number of its line.
 func TestReadMalformedLines(t *testing.T) {
 	for _, bad := range []string{
 		"NONSENSE 1", "CLOCK x", "CLOCK", "LEFT 3", "LEFT 3 a b", "TIMEOUT_FIRED 3 -1", "WHISPER 3 0 ???",
@@ -76,7 +78,7 @@
 		_, err := readAll("CLOCK 1\n" + bad + "\n")
 		var at *LineError
 		if !errors.As(err, &at) || at.Line < 2 || !strings.HasPrefix(err.Error(), fmt.Sprintf("line %d: ", at.Line)) {
-			t.Errorf("%q: error %v", bad, err)
+			t.Errorf("%q: error %v, want a LineError for line 2 or later", bad, err)
 		}
 	}
 }
@@ -99,7 +101,7 @@
 		t.Errorf("got %q\nwant %q", got, want)
 	}
 	if got := string(r.Take()); got != "FINISHED\n" {
-		t.Errorf("empty reply %q", got)
+		t.Errorf("empty reply %q, want only its final line", got)
 	}
 }
 
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -10,8 +10,8 @@
 	"opalhook/balancer"
 )
 
-// Reply collects the lines of the reply to one batch. It implements [balancer.Actions] for one node at a time. The zero
-// value is an empty reply.
+// Reply collects the lines of the reply to one batch. It implements [balancer.Actions] for one node at a
+// time. The zero value is an empty reply.
 type Reply struct {
 	Node int // simulator's number of the acting node; must be set before the node gets an event
 	buf  []byte
@@ -51,8 +51,8 @@
 
 func (r *Reply) endLine() { r.buf = append(r.buf, '\n') }
 
-// SendAttempt implements [balancer.Actions]. The last parameter, the time limit for sending, is ignored because the
-// simulator sends immediately.
+// SendAttempt implements [balancer.Actions]. The last parameter, the time limit for sending, is ignored
+// because the simulator sends immediately.
 func (r *Reply) SendAttempt(id, server string, timeout, _ time.Duration) {
 	r.beginLine("CALL_OUT")
 	r.str(id)
@@ -127,8 +127,8 @@
 	r.endLine()
 }
 
-// Log implements [balancer.Actions]. It writes the message and its attributes as one line of text. The simulator's
-// protocol has no log levels.
+// Log implements [balancer.Actions]. It writes the message and its attributes as one line of text. The
+// simulator's protocol has no log levels.
 func (r *Reply) Log(_ slog.Level, message string, attributes ...slog.Attr) {
 	var text strings.Builder
 	text.WriteString(message)
