--- a/cmd/sim-adapter/main.go
+++ b/cmd/sim-adapter/main.go
@@ -27,11 +27,11 @@
 
 // Errors for messages in the wrong order or for nodes that do not run.
 var (
-	errClockInBatch = errors.New("CLOCK inside a batch")
-	errClockBack    = errors.New("CLOCK goes backwards")
-	errOutsideBatch = errors.New("message outside a batch")
-	errEndsInBatch  = errors.New("input ends inside a batch")
-	errUnknownNode  = errors.New("unknown node")
+	errClockInBatch   = errors.New("CLOCK inside a batch")
+	errClockBackwards = errors.New("CLOCK goes backwards")
+	errOutsideBatch   = errors.New("message outside a batch")
+	errEndsInBatch    = errors.New("input ends inside a batch")
+	errUnknownNode    = errors.New("unknown node")
 )
 
 // run replies to each batch of the input. It returns nil if the input ends between two batches.
@@ -112,7 +112,7 @@
 		return errClockInBatch
 	}
 	if now < h.now {
-		return errClockBack
+		return errClockBackwards
 	}
 	h.inBatch, h.now = true, now
 	return nil
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -21,15 +21,15 @@
 	for name, faulty := range map[string]func(w http.ResponseWriter, r *http.Request){
 		"garbage":     func(w http.ResponseWriter, r *http.Request) { write(w, "<html>\n"); hold(r) },
 		"half a line": func(w http.ResponseWriter, r *http.Request) { write(w, list[:len(list)/2]) },
-		"endless": func(w http.ResponseWriter, r *http.Request) {
+		"endless line": func(w http.ResponseWriter, r *http.Request) {
 			for r.Context().Err() == nil {
 				if _, err := io.WriteString(w, strings.Repeat("x", 1<<20)); err != nil {
 					return
 				}
 			}
 		},
-		"mute":     func(w http.ResponseWriter, r *http.Request) { hold(r) },
-		"mute 200": func(w http.ResponseWriter, r *http.Request) { write(w, ""); hold(r) },
+		"no response":  func(w http.ResponseWriter, r *http.Request) { hold(r) },
+		"headers only": func(w http.ResponseWriter, r *http.Request) { write(w, ""); hold(r) },
 		"trickle": func(w http.ResponseWriter, r *http.Request) {
 			for i := 0; r.Context().Err() == nil; i++ {
 				write(w, " ")
@@ -37,12 +37,12 @@
 			}
 		},
 		"error": func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(http.StatusInternalServerError) },
-		"no entry": func(w http.ResponseWriter, r *http.Request) {
+		"empty entry": func(w http.ResponseWriter, r *http.Request) {
 			write(w, `{"generation":9,"reset":true,"instances":[{}]}`+"\n")
 			hold(r)
 		},
-		"no version": func(w http.ResponseWriter, r *http.Request) { write(w, `{"reset":true,"instances":[]}`+"\n"); hold(r) },
-		"only change": func(w http.ResponseWriter, r *http.Request) {
+		"no generation": func(w http.ResponseWriter, r *http.Request) { write(w, `{"reset":true,"instances":[]}`+"\n"); hold(r) },
+		"changes without a list": func(w http.ResponseWriter, r *http.Request) {
 			write(w, line(discovery.Message{Generation: 9}))
 			hold(r)
 		},
@@ -67,9 +67,8 @@
 	}
 }
 
-// A restarted agent may have an older list than its nodes. It sends such a node nothing until its list is
-// newer than the node's, so that the node never goes back to an older list. It sends a list of a new epoch in
-// full.
+// A restarted agent may have an older list than its nodes. It sends such a node nothing until its own list is
+// newer, so that the node never returns to an older list. It sends a list of a new epoch completely.
 func TestRestartedAgentNeverRollsBackNodes(t *testing.T) {
 	var calls atomic.Int64
 	changes := make(chan discovery.Message, 1)
--- a/internal/agent/doc.go
+++ b/internal/agent/doc.go
@@ -35,9 +35,9 @@
 //   - Backoff: this package waits for a quarter of the window plus a random time of up to the window. The
 //     window starts at a fixed duration and doubles each time every replica has failed once. Retry-After
 //     replaces it: the delay is then random between one and two times Retry-After. In the edge node the
-//     window grows with the number of nodes in the fleet, the delay is bounded by the time within which a
-//     change has to be reported, and Retry-After is a lower limit that is itself limited. With pushed lists
-//     the window does not grow at all.
+//     window grows with the number of nodes in the fleet, and the next call is made before the time at which
+//     missed changes count as reported. Retry-After is a lower limit that is itself limited. With pushed
+//     lists the window does not grow at all.
 //   - Heartbeats: this package has one timeout for a watch, counted from its last complete line. In the edge
 //     node the timeout depends on the kind of discovery, on whether the watch has received anything, and on
 //     how long a message has been incomplete, because part of a message counts as activity.
--- a/internal/agent/feed.go
+++ b/internal/agent/feed.go
@@ -27,8 +27,8 @@
 
 // feedChange is an encoded message that takes a node from one generation to a later one.
 type feedChange struct {
-	from, generation uint64
-	line             []byte
+	previous, generation uint64
+	line                 []byte
 }
 
 // feedUpdate contains the messages that a node with a given generation lacks.
@@ -112,7 +112,7 @@
 		return nil
 	}
 	for i, c := range f.changes {
-		if c.from == from {
+		if c.previous == from {
 			for _, c := range f.changes[i:] {
 				lines = append(lines, c.line)
 			}
--- a/internal/agent/follower.go
+++ b/internal/agent/follower.go
@@ -57,7 +57,7 @@
 	actions  []Action
 
 	callID       uint64 // ID of the latest call; events of earlier calls are ignored
-	rank         int    // index in replicas of the latest call's replica
+	rank         int    // index in replicas of the replica that is followed or called next
 	state        callState
 	callAt       time.Duration // time of the next call while backing off
 	returnAt     time.Duration // time to return to the preferred replica, replicas[0]
@@ -249,27 +249,27 @@
 // list of an older generation is accepted, and logged, once [Rules.RollbackTolerance] has passed since the
 // first such list and no replica has confirmed the latest list in the meantime.
 func (f *Follower) checkGeneration(now time.Duration, m discovery.Message) error {
-	latest := f.latest().generation
+	current := f.latest().generation
 	if !m.Reset {
-		if latest == 0 || discovery.Epoch(m.Generation) != discovery.Epoch(latest) || m.Generation <= latest {
-			return &GenerationError{Generation: m.Generation, Latest: latest}
+		if current == 0 || discovery.Epoch(m.Generation) != discovery.Epoch(current) || m.Generation <= current {
+			return &GenerationError{Generation: m.Generation, Latest: current}
 		}
 		return nil
 	}
-	if m.Generation >= latest {
+	if m.Generation >= current {
 		return nil
 	}
 	if !f.rollback.active {
 		f.rollback = rollback{active: true, since: now}
 	} else if now-f.rollback.since >= f.rules.RollbackTolerance {
 		f.warn("rollback accepted", slog.String("replica", f.replica()),
-			slog.Uint64("generation", m.Generation), slog.Uint64("previous_generation", latest))
+			slog.Uint64("generation", m.Generation), slog.Uint64("previous_generation", current))
 		return nil
 	}
-	return &GenerationError{Generation: m.Generation, Latest: latest, Snapshot: true}
+	return &GenerationError{Generation: m.Generation, Latest: current, Snapshot: true}
 }
 
-// publish emits a message that brings nodes to the accepted list, if one is due.
+// publish emits the message that updates nodes to the accepted list, if one is due.
 func (f *Follower) publish(now time.Duration) {
 	if m, ok := f.publisher.next(now, f.accepted); ok {
 		f.emit(Action{Kind: PublishList, List: m})
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -45,7 +45,7 @@
 	return replica
 }
 
-func (replica *scriptedReplica) serve(t *testing.T, c net.Conn) {
+func (s *scriptedReplica) serve(t *testing.T, c net.Conn) {
 	defer func() { _ = c.Close() }()
 	var text string
 	for in := bufio.NewReader(c); !strings.HasSuffix(text, "\r\n\r\n"); {
@@ -55,7 +55,7 @@
 		}
 		text += line
 	}
-	replica.requests <- strings.ReplaceAll(text, replica.addr, "HOST")
+	s.requests <- strings.ReplaceAll(text, s.addr, "HOST")
 	const head = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
 	if !strings.Contains(text, "watch=1") {
 		_, _ = io.WriteString(c, head+line(snapshotOf(20, 2))) // the agent may have disconnected
@@ -69,7 +69,7 @@
 		select {
 		case <-t.Context().Done():
 			return
-		case next = <-replica.lines:
+		case next = <-s.lines:
 		case <-heartbeat.C:
 		}
 		if next == "" {
@@ -139,7 +139,7 @@
 	first.Zone, first.MachineType, first.Cell, first.Weight, first.StartedAtMs = "a", "std-4c", 3, 0.25, 1700000000123
 	replica.lines <- line(discovery.Message{Generation: 7<<discovery.EpochBits | 10, Reset: true, Instances: []discovery.Entry{testEntry(3, discovery.Draining), first, testEntry(2, discovery.Up)}})
 	node := watchLines(t, a, 0)
-	sent := nextLine(t, "whole list", node)
+	sent := nextLine(t, "complete list", node)
 	first.Lifecycle = discovery.Draining
 	for i, entries := range [][]discovery.Entry{{first, testEntry(0, discovery.Up)}, {testEntry(3, discovery.Removed)}, {}, {testEntry(9, discovery.Up), testEntry(2, discovery.Removed)}} {
 		replica.lines <- line(discovery.Message{Generation: 7<<discovery.EpochBits | uint64(11+i), Instances: entries})
@@ -148,7 +148,7 @@
 		}
 	}
 	sent += nextLine(t, "first of the changes", watchLines(t, a, 7<<discovery.EpochBits|10))
-	sent += nextLine(t, "whole list for a node of another epoch", watchLines(t, a, 6<<discovery.EpochBits|99))
+	sent += nextLine(t, "complete list for a node of another epoch", watchLines(t, a, 6<<discovery.EpochBits|99))
 	golden.Check(t, "golden/told.txt", []byte(sent))
 	resp, err := http.Get(discovery.SnapshotURL(a.Addr()))
 	if err != nil {
@@ -161,11 +161,11 @@
 	}
 	golden.Check(t, "golden/list.txt", list)
 	replica.lines <- ""
-	requests += nextLine(t, "request after the watch's end", replica.requests)
+	requests += nextLine(t, "request after the end of the watch", replica.requests)
 	if m, err := a.replicas.fetch(t.Context(), replica.addr); err != nil || m.Generation != 20 || !m.Reset || len(m.Instances) != 2 || m.Instances[1] != testEntry(1, discovery.Up) {
 		t.Errorf("fetched list: %+v, error %v", m, err)
 	}
-	golden.Check(t, "golden/requests.txt", []byte(requests+nextLine(t, "request of the list", replica.requests)))
+	golden.Check(t, "golden/requests.txt", []byte(requests+nextLine(t, "request for the list", replica.requests)))
 }
 
 // The JSON form of the agent's status matches the golden file and decodes to the same status.
--- a/internal/agent/rules.go
+++ b/internal/agent/rules.go
@@ -14,12 +14,12 @@
 	InitialBackoff time.Duration
 	// MaxBackoff is the longest backoff window.
 	MaxBackoff time.Duration
-	// StartWindow is the range of the random delay before the first call, as many machines may start
-	// together.
+	// StartWindow is the range of the random delay before the first call. Machines may start at the same
+	// time, and this delay spreads their calls.
 	StartWindow time.Duration
-	// CallsPerSecond is the average rate at which calls after the first one are allowed.
+	// CallsPerSecond is the average rate of calls that a follower may make. Its first call does not count.
 	CallsPerSecond float64
-	// CallBurst is the number of calls after the first one that are allowed at once.
+	// CallBurst is the number of calls that a follower may make at once. Its first call does not count.
 	CallBurst float64
 	// MaxLossFraction is a fraction of the endpoints that are up. A list that loses a larger fraction within
 	// LossWindow is suspect.
@@ -39,7 +39,7 @@
 	PreferredReturn time.Duration
 }
 
-// DefaultRules returns the standard parameters.
+// DefaultRules returns the default rules of an agent.
 func DefaultRules() Rules {
 	return Rules{
 		SilenceTimeout:    5 * time.Second,
--- a/internal/discovery/lenient.go
+++ b/internal/discovery/lenient.go
@@ -61,13 +61,13 @@
 			m.Entries = append(m.Entries, e)
 		}
 	}
-	return m, fields.errs, nil
+	return m, fields.fieldErrors, nil
 }
 
 // fieldReader reads the fields of a message one by one and collects the errors of malformed fields.
 type fieldReader struct {
-	entryIndex int // index of the entry that is read; noEntry for the fields of the message itself
-	errs       []error
+	entryIndex  int // index of the entry that is read; noEntry for the fields of the message itself
+	fieldErrors []error
 }
 
 // noEntry is the value of fieldReader.entryIndex while no entry is read.
@@ -78,7 +78,7 @@
 	if r.entryIndex != noEntry {
 		name = entryField(r.entryIndex, name)
 	}
-	r.errs = append(r.errs, &FieldError{name, err})
+	r.fieldErrors = append(r.fieldErrors, &FieldError{name, err})
 }
 
 // read decodes a field into a variable, which stays unchanged if the field is missing. It returns false for a
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -12,7 +12,7 @@
 	"opalhook/balancer"
 )
 
-// The platform's values of settings and the balancer's values that they stand for.
+// The platform's values of settings and the corresponding values of the balancer.
 var (
 	idempotencies = map[string]balancer.Idempotency{
 		"retryable": balancer.Idempotent,
@@ -35,14 +35,16 @@
 // pollMode is the value of registryMode with which a node has to poll for the list of endpoints.
 const pollMode = "subscribe"
 
-// WordError means that a setting has a value that the platform does not define.
-type WordError struct {
-	Key  string // path in the settings object, such as "feedback.how"
-	Word string // received value
+// UnknownValueError means that a setting has a value that the platform does not define.
+type UnknownValueError struct {
+	Key   string // path in the settings object, such as "feedback.how"
+	Value string // received value
 }
 
 // Error names the key and the value.
-func (e *WordError) Error() string { return fmt.Sprintf("%s: unknown value %q", e.Key, e.Word) }
+func (e *UnknownValueError) Error() string {
+	return fmt.Sprintf("%s: unknown value %q", e.Key, e.Value)
+}
 
 // Transport contains the settings of connections to app servers. The balancer's host uses them, not the
 // balancer.
@@ -51,8 +53,8 @@
 	ConnectTimeout time.Duration // time within which a connection must be established
 }
 
-// Parse parses the settings object. It returns an error of encoding/json or a [*WordError]. It does not check
-// the ranges of numbers, which [balancer.New] does.
+// Parse parses the settings object. It returns an error of encoding/json or a [*UnknownValueError]. It does
+// not check the ranges of numbers, which [balancer.New] does.
 func Parse(text []byte) (balancer.Settings, Transport, error) {
 	var in object
 	if err := json.Unmarshal(text, &in); err != nil {
@@ -87,7 +89,7 @@
 	in.Penalties.apply(&s)
 	var known bool
 	if s.LoadReports, known = loadReportModes[in.Feedback.How]; !known {
-		return s, &WordError{"feedback.how", in.Feedback.How}
+		return s, &UnknownValueError{"feedback.how", in.Feedback.How}
 	}
 	for i := range in.Lanes {
 		class, err := in.Lanes[i].class()
@@ -150,10 +152,10 @@
 	}
 	var known bool
 	if c.Idempotency, known = idempotencies[l.Idempotency]; !known {
-		return c, &WordError{"lanes.idempotency", l.Idempotency}
+		return c, &UnknownValueError{"lanes.idempotency", l.Idempotency}
 	}
 	if c.DedupScope, known = dedupScopes[l.KeyScope]; !known && c.Idempotency == balancer.IdempotentWithKey {
-		return c, &WordError{"lanes.keyScope", l.KeyScope}
+		return c, &UnknownValueError{"lanes.keyScope", l.KeyScope}
 	}
 	return c, nil
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -36,7 +36,7 @@
 	}]
 }`
 
-// allSettings returns the settings that allKeys stands for.
+// allSettings returns the result of parsing allKeys.
 func allSettings() balancer.Settings {
 	return balancer.Settings{
 		NodeIndex: 4, NodeCount: 9, Zone: "z", Tick: 4 * time.Millisecond,
@@ -128,16 +128,16 @@
 func TestParseUnknownWord(t *testing.T) {
 	for _, c := range []struct {
 		text string
-		want WordError
+		want UnknownValueError
 	}{
-		{`{"feedback":{"how":"odd"}}`, WordError{"feedback.how", "odd"}},
-		{`{"lanes":[{"idempotency":"odd"}]}`, WordError{"lanes.idempotency", "odd"}},
-		{`{"lanes":[{"idempotency":""}]}`, WordError{"lanes.idempotency", ""}},
-		{`{"lanes":[{"idempotency":"dedup","keyScope":"odd"}]}`, WordError{"lanes.keyScope", "odd"}},
-		{`{"lanes":[{"idempotency":"dedup"}]}`, WordError{"lanes.keyScope", ""}},
+		{`{"feedback":{"how":"odd"}}`, UnknownValueError{"feedback.how", "odd"}},
+		{`{"lanes":[{"idempotency":"odd"}]}`, UnknownValueError{"lanes.idempotency", "odd"}},
+		{`{"lanes":[{"idempotency":""}]}`, UnknownValueError{"lanes.idempotency", ""}},
+		{`{"lanes":[{"idempotency":"dedup","keyScope":"odd"}]}`, UnknownValueError{"lanes.keyScope", "odd"}},
+		{`{"lanes":[{"idempotency":"dedup"}]}`, UnknownValueError{"lanes.keyScope", ""}},
 	} {
 		_, _, err := Parse([]byte(c.text))
-		var got *WordError
+		var got *UnknownValueError
 		if !errors.As(err, &got) || *got != c.want {
 			t.Errorf("%s: error %v, want %v", c.text, err, &c.want)
 		}
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -43,9 +43,9 @@
 
 // NewReader returns a [Reader] that reads from r.
 func NewReader(r io.Reader) *Reader {
-	s := bufio.NewScanner(r)
-	s.Buffer(make([]byte, initialLineBuffer), maxLine)
-	return &Reader{scanner: s, tables: map[int][]balancer.Endpoint{}}
+	scanner := bufio.NewScanner(r)
+	scanner.Buffer(make([]byte, initialLineBuffer), maxLine)
+	return &Reader{scanner: scanner, tables: map[int][]balancer.Endpoint{}}
 }
 
 // Line returns the number of the line read last, from 1.
--- a/internal/simwire/words.go
+++ b/internal/simwire/words.go
@@ -2,7 +2,7 @@
 
 import "opalhook/balancer"
 
-// The simulator's values and the balancer's values that they stand for.
+// The simulator's values and the corresponding values of the balancer.
 var (
 	endpointStates = map[string]balancer.EndpointState{
 		"IN":   balancer.Up,
