--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -58,7 +58,7 @@
 			}
 			a := startAgent(t, name, fastRules(), bad, healthy)
 			if m := nextMessage(t, watchAsNode(t, a, 0)); m.Generation != 10 || len(m.Instances) != 3 || !m.Reset {
-				t.Errorf("a node receives %+v", m)
+				t.Errorf("a node receives %+v, want the complete list of the healthy replica", m)
 			}
 			if n := calls.Load(); n < 1 || n > 3 { // 1, unless the healthy replica answers late on a busy machine
 				t.Errorf("%d calls to the faulty replica, want 1 to 3", n)
@@ -68,7 +68,7 @@
 }
 
 // A restarted agent may have an older list than its nodes. It sends such a node nothing until its own list is
-// newer, so that the node never returns to an older list. It sends a list of a new epoch completely.
+// at least as new, so that the node never returns to an older list. It sends a list of a new epoch completely.
 func TestRestartedAgentNeverRollsBackNodes(t *testing.T) {
 	var calls atomic.Int64
 	changes := make(chan discovery.Message, 1)
@@ -90,12 +90,12 @@
 	ahead := watchAsNode(t, a, 11)
 	changes <- discovery.Message{Generation: 12, Instances: []discovery.Entry{testEntry(1, discovery.Draining)}}
 	if m := nextMessage(t, ahead); m.Generation != 12 || !m.Reset || len(m.Instances) != 3 {
-		t.Errorf("a node at generation 11 receives %+v first", m)
+		t.Errorf("a node at generation 11 receives %+v first, want the complete list of generation 12", m)
 	}
 	upToDate := watchAsNode(t, a, 12)
 	changes <- snapshotOf(1<<discovery.EpochBits|1, 2)
 	if m := nextMessage(t, upToDate); m.Generation != 1<<discovery.EpochBits|1 || !m.Reset || len(m.Instances) != 2 {
-		t.Errorf("after a restore a node receives %+v", m)
+		t.Errorf("after a restore a node receives %+v, want the complete list of the new epoch", m)
 	}
 }
 
@@ -112,10 +112,10 @@
 		}
 	}
 	if m := nextMessage(t, watchAsNode(t, a, 0)); len(m.Instances) != 3 {
-		t.Errorf("during the outage a node receives %+v", m)
+		t.Errorf("during the outage a node receives %+v, want a list of 3 endpoints", m)
 	}
 	if st := a.Status(); st.Endpoints != 3 || st.Generation != 10 {
-		t.Errorf("status %+v", st)
+		t.Errorf("status %+v, want 3 endpoints at generation 10", st)
 	}
 }
 
--- a/internal/agent/backoff_test.go
+++ b/internal/agent/backoff_test.go
@@ -15,15 +15,15 @@
 func TestCallsInAnOutageAreBounded(t *testing.T) {
 	var at []time.Duration
 	for seed := range uint64(100) {
-		f := NewFollower(0, fmt.Sprint("m", seed), []string{"a", "b", "c"}, DefaultRules(), seed)
-		h := &followerHarness{t: t, f: f}
+		follower := NewFollower(0, fmt.Sprint("m", seed), []string{"a", "b", "c"}, DefaultRules(), seed)
+		h := &followerHarness{t: t, follower: follower}
 		h.connect()
 		h.receive(snapshotOf(10, 10))
-		f.CallFailed(h.now, f.callID, 0, errors.New("gone"))
+		follower.CallFailed(h.now, follower.callID, 0, errors.New("gone"))
 		for start := h.now; h.now < start+time.Hour; h.wait(50 * time.Millisecond) {
-			if n := len(h.watches); n > 0 && f.state != backingOff {
+			if n := len(h.watches); n > 0 && follower.state != backingOff {
 				at = append(at, h.now-start)
-				f.CallFailed(h.now, f.callID, 2*time.Second, errors.New("refused"))
+				follower.CallFailed(h.now, follower.callID, 2*time.Second, errors.New("refused"))
 				h.drain()
 			}
 		}
@@ -93,12 +93,12 @@
 	h := newFollowerHarness(t, "a", "b")
 	for range 5 {
 		h.connect()
-		h.f.CallFailed(h.now, h.f.callID, 0, errors.New("refused"))
+		h.follower.CallFailed(h.now, h.follower.callID, 0, errors.New("refused"))
 		h.drain()
 	}
 	h.connect()
 	h.receive(snapshotOf(10, 10))
-	h.f.HeartbeatReceived(h.now, h.f.callID)
+	h.follower.HeartbeatReceived(h.now, h.follower.callID)
 	h.drain()
 	var messages []string
 	for _, e := range h.events {
--- a/internal/agent/follower.go
+++ b/internal/agent/follower.go
@@ -251,7 +251,8 @@
 func (f *Follower) checkGeneration(now time.Duration, m discovery.Message) error {
 	current := f.latest().generation
 	if !m.Reset {
-		if current == 0 || discovery.Epoch(m.Generation) != discovery.Epoch(current) || m.Generation <= current {
+		if current == 0 || discovery.Epoch(m.Generation) != discovery.Epoch(current) ||
+			m.Generation <= current {
 			return &GenerationError{Generation: m.Generation, Latest: current}
 		}
 		return nil
--- a/internal/agent/follower_test.go
+++ b/internal/agent/follower_test.go
@@ -27,15 +27,15 @@
 				m := snapshotOf(uint64(rng.IntN(2))<<discovery.EpochBits|uint64(rng.IntN(40)), rng.IntN(10))
 				h.receive(m)
 			case 3, 4:
-				h.receive(discovery.Message{Generation: h.f.latest().generation + uint64(rng.IntN(3)), Instances: []discovery.Entry{testEntry(rng.IntN(10), []string{discovery.Up, discovery.Draining, discovery.Removed}[rng.IntN(3)])}})
+				h.receive(discovery.Message{Generation: h.follower.latest().generation + uint64(rng.IntN(3)), Instances: []discovery.Entry{testEntry(rng.IntN(10), []string{discovery.Up, discovery.Draining, discovery.Removed}[rng.IntN(3)])}})
 			case 5:
-				h.f.CallFailed(h.now, h.f.callID, time.Duration(rng.IntN(3))*time.Second, errors.New("ended"))
+				h.follower.CallFailed(h.now, h.follower.callID, time.Duration(rng.IntN(3))*time.Second, errors.New("ended"))
 				h.drain()
 			case 6:
 				h.wait(time.Duration(rng.IntN(5000)) * time.Millisecond)
 			}
 			for _, a := range h.fetches {
-				h.f.SnapshotReceived(h.now, a.Replica, snapshotOf(uint64(rng.IntN(40)), rng.IntN(10)), nil)
+				h.follower.SnapshotReceived(h.now, a.Replica, snapshotOf(uint64(rng.IntN(40)), rng.IntN(10)), nil)
 			}
 			h.fetches = nil
 			h.drain()
@@ -57,8 +57,8 @@
 				at = m.Generation
 			}
 			h.published = nil
-			if !maps.Equal(nodes, h.f.publisher.published.entries) {
-				t.Fatalf("nodes have %v, published list is %v", nodes, h.f.publisher.published.entries)
+			if !maps.Equal(nodes, h.follower.publisher.published.entries) {
+				t.Fatalf("nodes have %v, published list is %v", nodes, h.follower.publisher.published.entries)
 			}
 		}
 	})
@@ -70,7 +70,7 @@
 	h := newFollowerHarness(t, "a", "b", "c")
 	first := h.connect()
 	h.receive(snapshotOf(20, 10))
-	h.f.CallFailed(h.now, h.f.callID, 0, errors.New("gone"))
+	h.follower.CallFailed(h.now, h.follower.callID, 0, errors.New("gone"))
 	second := h.connect()
 	if second.Replica == first.Replica || second.From != 20 {
 		t.Errorf("call after a failure is %+v, want another replica than %s from generation 20", second, first.Replica)
@@ -90,7 +90,7 @@
 		t.Error("a new epoch is not published as a complete list")
 	}
 	for range 3 { // each replica sends the old epoch, which is rejected
-		h.f.CallFailed(h.now, h.f.callID, 0, errors.New("gone"))
+		h.follower.CallFailed(h.now, h.follower.callID, 0, errors.New("gone"))
 		h.connect()
 		h.receive(snapshotOf(25, 10))
 	}
@@ -106,7 +106,7 @@
 	h.receive(snapshotOf(20, 10))
 	past := func(d time.Duration) {
 		for end := h.now + d; h.now < end; {
-			h.f.CallFailed(h.now, h.f.callID, 0, errors.New("gone"))
+			h.follower.CallFailed(h.now, h.follower.callID, 0, errors.New("gone"))
 			h.connect()
 			h.receive(snapshotOf(5, 10))
 		}
@@ -114,7 +114,7 @@
 	past(time.Second)
 	h.connect() // this replica has generation 20, so it sends only heartbeats
 	for end := h.now + 2*DefaultRules().RollbackTolerance; h.now < end; h.wait(time.Second) {
-		h.f.HeartbeatReceived(h.now, h.f.callID)
+		h.follower.HeartbeatReceived(h.now, h.follower.callID)
 	}
 	past(DefaultRules().RollbackTolerance / 2)
 	h.expectPublished(10, 20)
--- a/internal/agent/publisher_test.go
+++ b/internal/agent/publisher_test.go
@@ -19,7 +19,7 @@
 		h.wait(300 * time.Millisecond)
 		h.receive(discovery.Message{Generation: g + 1, Instances: []discovery.Entry{testEntry(3, discovery.Up)}})
 		h.wait(time.Second)
-		h.f.HeartbeatReceived(h.now, h.f.callID)
+		h.follower.HeartbeatReceived(h.now, h.follower.callID)
 	}
 	if len(h.published) != n {
 		t.Errorf("a flapping endpoint causes %d messages, want none", len(h.published)-n)
--- a/internal/agent/rig_test.go
+++ b/internal/agent/rig_test.go
@@ -32,7 +32,7 @@
 // collects the follower's actions by kind.
 type followerHarness struct {
 	t         testingT
-	f         *Follower
+	follower  *Follower
 	now       time.Duration
 	watches   []Action
 	fetches   []Action
@@ -41,14 +41,14 @@
 }
 
 func newFollowerHarness(t testingT, replicas ...string) *followerHarness {
-	h := &followerHarness{t: t, f: NewFollower(0, "m", replicas, DefaultRules(), 1)}
+	h := &followerHarness{t: t, follower: NewFollower(0, "m", replicas, DefaultRules(), 1)}
 	h.drain()
 	return h
 }
 
 // drain collects the pending actions of the follower.
 func (h *followerHarness) drain() {
-	for _, a := range h.f.DrainActions() {
+	for _, a := range h.follower.DrainActions() {
 		switch a.Kind {
 		case OpenWatch:
 			h.watches = append(h.watches, a)
@@ -65,8 +65,8 @@
 // wait advances the time by d and calls Tick whenever it is due.
 func (h *followerHarness) wait(d time.Duration) {
 	for end := h.now + d; h.now < end; {
-		h.now = max(min(end, h.f.NextTick()), h.now+time.Millisecond)
-		h.f.Tick(h.now)
+		h.now = max(min(end, h.follower.NextTick()), h.now+time.Millisecond)
+		h.follower.Tick(h.now)
 		h.drain()
 	}
 }
@@ -80,20 +80,20 @@
 		}
 	}
 	a := h.watches[len(h.watches)-1]
-	h.f.WatchOpened(h.now, a.CallID)
+	h.follower.WatchOpened(h.now, a.CallID)
 	return a
 }
 
 // receive reports a message of the current watch.
 func (h *followerHarness) receive(m discovery.Message) {
-	h.f.MessageReceived(h.now, h.f.callID, m)
+	h.follower.MessageReceived(h.now, h.follower.callID, m)
 	h.drain()
 }
 
 // expectPublished checks the number of endpoints and the generation of the published list.
 func (h *followerHarness) expectPublished(endpoints int, generation uint64) {
 	h.t.Helper()
-	m := h.f.Published()
+	m := h.follower.Published()
 	if len(m.Instances) != endpoints || m.Generation != generation {
 		h.t.Errorf("%d endpoints at generation %d are published, want %d at %d; events %v", len(m.Instances), m.Generation, endpoints, generation, h.events)
 	}
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -19,10 +19,10 @@
 	nodeHeaderTimeout  = 3 * time.Second
 	nodeIdleTimeout    = time.Minute
 	maxNodeHeaderBytes = 8 << 10
-	nodeWriteTimeout   = 5 * time.Second // bounds each write; a node that does not read is disconnected
+	nodeWriteTimeout   = 5 * time.Second // bounds each send; a node that does not read is disconnected
 )
 
-// heartbeatInterval is the time between two heartbeats to a node.
+// heartbeatInterval is the time between two heartbeats to a node, as in the platform's protocol.
 const heartbeatInterval = 2 * time.Second
 
 func (a *Agent) newServer() *http.Server {
--- a/internal/agent/suspicion.go
+++ b/internal/agent/suspicion.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// consultNextReplica fetches the list of the next replica. It does nothing if the next one is the replica
+// consultNextReplica fetches the list of the next replica. It makes no call if the next one is the replica
 // that sent the suspect list or if the call budget is used up.
 func (f *Follower) consultNextReplica(now time.Duration) {
 	f.suspect.consulted = (f.suspect.consulted + 1) % len(f.replicas)
--- a/internal/agent/suspicion_test.go
+++ b/internal/agent/suspicion_test.go
@@ -38,11 +38,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h, fetch := newHarnessWithSuspectList(t)
-			h.f.SnapshotReceived(h.now, fetch.Replica, c.answer, c.err)
+			h.follower.SnapshotReceived(h.now, fetch.Replica, c.answer, c.err)
 			h.drain()
 			for end := h.now + c.suspectFor; h.now < end; {
 				h.expectPublished(10, 10)
-				h.f.HeartbeatReceived(h.now, h.f.callID)
+				h.follower.HeartbeatReceived(h.now, h.follower.callID)
 				h.wait(time.Second)
 			}
 			h.wait(DefaultRules().RemovalDelay + time.Millisecond)
@@ -54,7 +54,7 @@
 // When a second replica contradicts a suspect list, the follower drops the list and follows that replica.
 func TestSuspectListIsContradicted(t *testing.T) {
 	h, fetch := newHarnessWithSuspectList(t)
-	h.f.SnapshotReceived(h.now, fetch.Replica, snapshotOf(12, 10), nil)
+	h.follower.SnapshotReceived(h.now, fetch.Replica, snapshotOf(12, 10), nil)
 	h.drain()
 	if call := h.connect(); call.Replica != fetch.Replica {
 		t.Errorf("%s is followed, want %s", call.Replica, fetch.Replica)
@@ -71,10 +71,10 @@
 	for n := range 10 {
 		h.receive(discovery.Message{Generation: uint64(11 + n), Instances: []discovery.Entry{testEntry(n, discovery.Draining)}})
 	}
-	if !h.f.Status(h.now).Suspecting {
+	if !h.follower.Status(h.now).Suspecting {
 		t.Error("the list is not suspected")
 	}
-	if up := (view{}).apply(h.f.Published()).upCount(); up < 6 {
+	if up := (view{}).apply(h.follower.Published()).upCount(); up < 6 {
 		t.Errorf("%d endpoints are published as up, want 6 or more", up)
 	}
 }
--- a/internal/discovery/fuzz_test.go
+++ b/internal/discovery/fuzz_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// For any text, parsed entries satisfy the documented ranges of ParsedEntry, and an error excludes other
-// results.
+// For any text, parsed entries are within the documented ranges of ParsedEntry. ParseLenient returns either
+// an error or a message with field errors, not both.
 func FuzzParseLenient(f *testing.F) {
 	f.Add([]byte(`{"generation":8,"reset":true,"instances":[{"instanceId":"a","hostPort":"127.0.0.1:1","lifecycle":"up","weight":1,"startedAtMs":1e12}]}`))
 	f.Add([]byte(`{"generation":"8","instances":[{"instanceId":"a","hostPort":7,"lifecycle":"odd","weight":-1,"startedAtMs":-1},null,{}]}`))
@@ -15,7 +15,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		m, fieldErrors, err := ParseLenient(text)
 		if err != nil && (len(m.Entries) > 0 || len(fieldErrors) > 0) {
-			t.Errorf("error %v with %d entries and %d faults", err, len(m.Entries), len(fieldErrors))
+			t.Errorf("error %v with %d entries and %d field errors", err, len(m.Entries), len(fieldErrors))
 		}
 		for _, e := range slices.Concat(m.Entries, ParsePartial(text)) {
 			if e.ID == "" || !(e.Weight >= 0 && e.Weight <= MaxWeight) || e.StartedAt < 0 {
--- a/internal/discovery/lenient.go
+++ b/internal/discovery/lenient.go
@@ -146,7 +146,7 @@
 	var ms float64
 	ok = r.read("startedAtMs", text, &ms)
 	if ms < 0 || ms > math.MaxInt64/float64(time.Millisecond) {
-		r.addError("startedAtMs", fmt.Errorf("Unix time in milliseconds out of range: %v", ms))
+		r.addError("startedAtMs", fmt.Errorf("out of range for a Unix time in milliseconds: %v", ms))
 		return 0, false
 	}
 	return time.Duration(ms * float64(time.Millisecond)), ok
--- a/internal/discovery/lenient_test.go
+++ b/internal/discovery/lenient_test.go
@@ -9,7 +9,7 @@
 // drainingEntry is a valid entry of a draining endpoint with the ID g.
 const drainingEntry = `{"instanceId":"g","hostPort":"127.0.0.1:9","lifecycle":"draining","weight":1}`
 
-// A malformed entry does not affect the other entries of its message. Each malformed field is reported.
+// A malformed entry does not affect the other entries of its message. The error names the malformed field.
 func TestParseLenientMalformedEntries(t *testing.T) {
 	for _, c := range []struct {
 		entry     string
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -1,6 +1,6 @@
 // Package simwire is the codec of the simulator's line protocol. It parses lines into typed events and
 // encodes the balancer's actions as lines. It is the only package that maps the simulator's names and values
-// to the balancer's. It contains no decisions of its own.
+// to the balancer's. It makes no decisions.
 package simwire
 
 import (
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -51,8 +51,8 @@
 
 func (r *Reply) endLine() { r.buf = append(r.buf, '\n') }
 
-// SendAttempt implements [balancer.Actions]. The last parameter, the time limit for sending, is ignored
-// because the simulator sends immediately.
+// SendAttempt implements [balancer.Actions]. It ignores the last parameter, the time by which the request has
+// to be written, because the simulator writes requests immediately.
 func (r *Reply) SendAttempt(id, server string, timeout, _ time.Duration) {
 	r.beginLine("CALL_OUT")
 	r.str(id)
