--- a/internal/registry/bench_encoder_test.go
+++ b/internal/registry/bench_encoder_test.go
@@ -15,22 +15,22 @@
 	"time"
 )
 
-// naiveList is a list that encodes what each watch gets for that watch, and keeps it in memory alone: what the service
-// is measured against.
-type naiveList struct {
+// perWatchEncoder is a list in memory that encodes each message again for each watch. The benchmarks compare
+// the service with it.
+type perWatchEncoder struct {
 	mu      sync.Mutex
 	state   *State
 	updated chan struct{} // closed at the next change
 }
 
-// runEncoder serves a naive list until the process is told to end.
+// runEncoder serves a perWatchEncoder until the process gets SIGTERM. text is the value of encoderEnv.
 func runEncoder(text string) error {
 	addr, number, _ := strings.Cut(text, " ")
 	entries, err := strconv.Atoi(number)
 	if err != nil {
 		return fmt.Errorf("encoder: %w", err)
 	}
-	list := &naiveList{state: NewState(0), updated: make(chan struct{})}
+	list := &perWatchEncoder{state: NewState(0), updated: make(chan struct{})}
 	for n := range entries {
 		list.apply(Command{Kind: Register, Entry: entry(fmt.Sprint("s-", n), n+1), Incarnation: 1})
 	}
@@ -44,14 +44,14 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
 	server := &http.Server{Handler: mux}
-	defer context.AfterFunc(ctx, func() { _ = server.Close() })() // the process ends
+	defer context.AfterFunc(ctx, func() { _ = server.Close() })() // the process ends anyway
 	if err := server.Serve(smallBufferListener{listener}); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
 }
 
-func (l *naiveList) apply(c Command) Outcome {
+func (l *perWatchEncoder) apply(c Command) Outcome {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	o := l.state.Apply(c)
@@ -60,8 +60,9 @@
 	return o
 }
 
-// messagesSince returns what a watch at a generation gets, the generation after it, and the signal of the next change.
-func (l *naiveList) messagesSince(from uint64) (messages []message, generation uint64, updated chan struct{}) {
+// messagesSince returns the messages for a watch at a generation, the generation after them, and a channel
+// that the next change closes.
+func (l *perWatchEncoder) messagesSince(from uint64) (messages []message, generation uint64, updated chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	generation = l.state.Generation()
@@ -78,14 +79,14 @@
 	return messages, generation, l.updated
 }
 
-func (l *naiveList) handleRegister(w http.ResponseWriter, r *http.Request) {
+func (l *perWatchEncoder) handleRegister(w http.ResponseWriter, r *http.Request) {
 	var registration Registration
 	if decodeBody(w, r, &registration) {
 		encodeTo(w, l.apply(Command{Kind: Register, Entry: registration.Entry, Incarnation: registration.Incarnation}))
 	}
 }
 
-func (l *naiveList) handleWatch(w http.ResponseWriter, r *http.Request) {
+func (l *perWatchEncoder) handleWatch(w http.ResponseWriter, r *http.Request) {
 	controller := http.NewResponseController(w)
 	for from := uint64(0); ; {
 		messages, generation, updated := l.messagesSince(from)
--- a/internal/registry/bench_fanout_test.go
+++ b/internal/registry/bench_fanout_test.go
@@ -14,7 +14,7 @@
 	"github.com/prometheus/procfs"
 )
 
-// processUsage returns the CPU time and the resident bytes of a process.
+// processUsage returns the CPU time and the resident memory, in bytes, of a process.
 func processUsage(b *testing.B, pid int) (cpu time.Duration, memory float64) {
 	b.Helper()
 	p, err := procfs.NewProc(pid)
@@ -33,7 +33,7 @@
 	return d[min(int(p*float64(len(d))), len(d)-1)]
 }
 
-// registerEntries fills the list over HTTP, at a replica that leads.
+// registerEntries registers n instances over HTTP at the leader.
 func registerEntries(b *testing.B, addr string, n int) {
 	b.Helper()
 	for i := range n {
@@ -45,20 +45,20 @@
 
 const fanoutEntries = 200
 
-// fanout is a list in a process of its own, with many watches.
-type fanout struct {
+// fanoutBenchmark is a process that serves a list, and a second one with many watches of it.
+type fanoutBenchmark struct {
 	list        *testReplica
 	watchers    *watchers
-	watchBytes  float64 // resident memory for each watch
-	incarnation int     // the latest that was registered
+	watchBytes  float64 // resident memory per watch
+	incarnation int     // largest registered incarnation
 }
 
-// startNaiveList starts a [naiveList] in the place of the replica.
-func (m *testReplica) startNaiveList(b *testing.B) {
+// startPerWatchEncoder starts a [perWatchEncoder] in place of the replica.
+func (m *testReplica) startPerWatchEncoder(b *testing.B) {
 	b.Helper()
 	m.cmd = exec.Command(os.Args[0])
 	m.cmd.Env = append(os.Environ(), fmt.Sprintf("%s=%s %d", encoderEnv, m.listen, fanoutEntries))
-	if _, err := m.cmd.StdinPipe(); err != nil { // open for as long as this process lives
+	if _, err := m.cmd.StdinPipe(); err != nil { // stays open until this process ends
 		b.Fatal(err)
 	}
 	if err := m.cmd.Start(); err != nil {
@@ -66,10 +66,10 @@
 	}
 }
 
-// startFanout opens the watches of a list that is being served.
-func startFanout(b *testing.B, list *testReplica) *fanout {
+// startFanout waits until the list is served and opens the watches.
+func startFanout(b *testing.B, list *testReplica) *fanoutBenchmark {
 	b.Helper()
-	waitFor(b, "the list", func() bool {
+	waitFor(b, "the list accepts a watch", func() bool {
 		conn, _, err := openWatch(list.listen)
 		if err == nil {
 			_ = conn.Close()
@@ -80,11 +80,11 @@
 	_, before := processUsage(b, pid)
 	w := startWatchers(b, list.listen, watchCount)
 	_, after := processUsage(b, pid)
-	return &fanout{list: list, watchers: w, watchBytes: (after - before) / watchCount, incarnation: 1}
+	return &fanoutBenchmark{list: list, watchers: w, watchBytes: (after - before) / watchCount, incarnation: 1}
 }
 
-// register registers the start of an instance.
-func (f *fanout) register(b *testing.B, n, incarnation int) {
+// register registers an incarnation of an instance.
+func (f *fanoutBenchmark) register(b *testing.B, n, incarnation int) {
 	b.Helper()
 	body := registration(fmt.Sprint("s-", n), n+1, incarnation, 0)
 	if status, text := call(b, "POST", "http://"+f.list.listen+"/registry/instances", body); status != http.StatusOK {
@@ -92,15 +92,15 @@
 	}
 }
 
-// cpu is the processor time that the list has used.
-func (f *fanout) cpu(b *testing.B) time.Duration {
+// cpu returns the CPU time of the process that serves the list.
+func (f *fanoutBenchmark) cpu(b *testing.B) time.Duration {
 	b.Helper()
 	cpu, _ := processUsage(b, f.list.cmd.Process.Pid)
 	return cpu
 }
 
-// single measures changes that come alone, each until the last watch has it.
-func (f *fanout) single(b *testing.B) {
+// measureSingleChanges measures separate changes, each until the last watch has received it.
+func (f *fanoutBenchmark) measureSingleChanges(b *testing.B) {
 	var cpu time.Duration
 	var latency, spread []time.Duration
 	for i := range b.N {
@@ -122,8 +122,8 @@
 	b.ReportMetric(f.watchBytes, "B/watch")
 }
 
-// hundred measures 100 changes that 20 clients send together.
-func (f *fanout) hundred(b *testing.B) {
+// measureBursts measures bursts of 100 changes from 20 concurrent clients.
+func (f *fanoutBenchmark) measureBursts(b *testing.B) {
 	const changes, clients = 100, 20
 	before := f.cpu(b)
 	for range b.N {
@@ -146,8 +146,8 @@
 	b.ReportMetric(float64((f.cpu(b)-before).Microseconds())/float64(changes*b.N), "cpu-µs/change")
 }
 
-// whole measures watches that are all opened again with no generation.
-func (f *fanout) whole(b *testing.B) {
+// measureReconnects measures the reconnection of all watches with no generation.
+func (f *fanoutBenchmark) measureReconnects(b *testing.B) {
 	before := f.cpu(b)
 	for range b.N {
 		f.watchers.reconnect(b)
@@ -158,8 +158,8 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1e3 }
 
-// 200 entries and 10,000 watches of one replica. An operation is one change that has reached the last watch (one), 100
-// changes sent together (hundred), or all watches opened again (whole).
+// Measures one replica with 200 entries and 10,000 watches. An operation is one change until the last watch
+// has received it (one), 100 concurrent changes (hundred), or the reconnection of all watches (whole).
 func BenchmarkFanout(b *testing.B) {
 	for _, kind := range []string{"shared", "each"} {
 		b.Run(kind, func(b *testing.B) {
@@ -169,17 +169,18 @@
 				list.start("")
 				registerEntries(b, list.listen, fanoutEntries)
 			} else {
-				list.startNaiveList(b)
+				list.startPerWatchEncoder(b)
 			}
 			f := startFanout(b, list)
-			b.Run("one", f.single)
-			b.Run("hundred", f.hundred)
-			b.Run("whole", f.whole)
+			b.Run("one", f.measureSingleChanges)
+			b.Run("hundred", f.measureBursts)
+			b.Run("whole", f.measureReconnects)
 		})
 	}
 }
 
-// Encoding alone: what one change costs 10,000 watches.
+// Measures only the encoding of one change for 10,000 watches: once for all of them (shared), or once for
+// each (each).
 func BenchmarkEncoding(b *testing.B) {
 	st := NewState(0)
 	for n := range fanoutEntries {
@@ -200,8 +201,8 @@
 	})
 }
 
-// Watches that all reconnect at once to a replica with one core, beside a watch that is open already: how late that
-// one receives changes, with the service's limit on watch opens and without one.
+// All watches of a replica with one core reconnect at once. Measures how long changes take to reach another
+// watch that is open already, with the service's limit on opening watches (paced) and without it (unpaced).
 func BenchmarkReconnect(b *testing.B) {
 	for _, n := range []int{1000, watchCount} {
 		for name, opensPerSecond := range map[string]float64{"paced": 0, "unpaced": 1e6} {
--- a/internal/registry/bench_raft_test.go
+++ b/internal/registry/bench_raft_test.go
@@ -12,7 +12,8 @@
 	"time"
 )
 
-// Committed writes, with fsync on, by clients that write one after another.
+// Measures committed writes with fsync. Each client sends its next write after the response to the one
+// before.
 func BenchmarkWrites(b *testing.B) {
 	for _, n := range []int{1, 3, 5} {
 		all := startService(b, n)
@@ -46,7 +47,8 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "writes/s")
 }
 
-// writeOnce registers a new start of an instance. Another client may have registered a later one.
+// writeOnce registers a new incarnation of an instance. A conflict is accepted, since another client may have
+// registered a newer one.
 func writeOnce(httpClient *http.Client, addr string, n int) error {
 	body := registration(fmt.Sprint("s-", n), n+1, int(time.Now().UnixNano()), 0)
 	resp, err := httpClient.Post("http://"+addr+"/registry/instances", "application/json", strings.NewReader(body))
@@ -63,7 +65,8 @@
 	return nil
 }
 
-// Time from a leader's SIGKILL to the next write that is acknowledged, as a multiple of the election timeout.
+// Measures the time from a SIGKILL of the leader to the next acknowledged write, as a multiple of the
+// election timeout.
 func BenchmarkFailover(b *testing.B) {
 	all := startService(b, 3)
 	var gaps []time.Duration
@@ -78,27 +81,28 @@
 				break
 			}
 			if time.Since(killed) > testTimeout {
-				b.Fatal("no leader")
+				b.Fatal("no write acknowledged after the leader was killed")
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
 		gaps = append(gaps, time.Since(killed))
 		leader.start("")
-		sameLists(b, all)
+		waitForSameList(b, all)
 	}
 	for _, p := range []float64{0.5, 0.99, 1} {
 		b.ReportMetric(float64(percentile(gaps, p))/float64(defaultElectionTimeout), fmt.Sprintf("p%g-timeouts", 100*p))
 	}
 }
 
-// recoveryCase is what a replica recovers from.
+// recoveryCase describes the stored state that a replica recovers.
 type recoveryCase struct {
 	entries  int
-	log      int // commands
+	log      int // number of commands
 	snapshot bool
 }
 
-// Time from a replica's start to its full state, by the length of its log and by the size of its snapshot.
+// Measures the time from the start of a replica until it has recovered its state, by the length of its log
+// and the size of its snapshot.
 func BenchmarkRecovery(b *testing.B) {
 	for _, c := range []recoveryCase{
 		{200, 1_000, false},
@@ -140,7 +144,7 @@
 	}
 }
 
-// fill commits the case's commands from many clients.
+// fill commits the commands of the case from 256 concurrent clients.
 func (c recoveryCase) fill(b *testing.B, s *Server) {
 	b.Helper()
 	var writing sync.WaitGroup
--- a/internal/registry/bench_watchers_test.go
+++ b/internal/registry/bench_watchers_test.go
@@ -18,35 +18,36 @@
 	"time"
 )
 
-// Environment variables that make the test binary another process of a benchmark.
+// Environment variables that make the test binary run as a helper process of a benchmark.
 const (
-	watchersEnv = "OPALHOOK_REGISTRY_WATCHERS" // "ADDRESS COUNT": many watches of one replica
-	encoderEnv  = "OPALHOOK_REGISTRY_ENCODER"  // "ADDRESS ENTRIES": a list that encodes each change for each watch
+	watchersEnv = "OPALHOOK_REGISTRY_WATCHERS" // "ADDRESS COUNT": opens watches of one replica
+	encoderEnv  = "OPALHOOK_REGISTRY_ENCODER"  // "ADDRESS ENTRIES": serves a [perWatchEncoder]
 )
 
 const watchCount = 10_000
 
-// watchEvent is a message that a watch has received.
+// watchEvent is the arrival of a message at a watch.
 type watchEvent struct {
 	generation int64
 	at         int64 // Unix nanoseconds
-	first      bool  // the first message of a watch
+	first      bool  // whether it is the first message of its watch
 }
 
-// watchRound is many watches that were opened together.
+// watchRound is a set of watches that are opened and closed together.
 type watchRound struct {
 	addr     string
 	count    int
 	events   chan watchEvent
-	readers  sync.WaitGroup // one for each watch, and each sends events
-	reported chan struct{}  // closed when all events are reported
+	readers  sync.WaitGroup // one per watch; they send the events
+	reported chan struct{}  // closed when all events have been reported
 
 	mu    sync.Mutex
 	conns []net.Conn
 }
 
 // runWatchers opens watches and prints when the first and the last of them received each generation, in Unix
-// nanoseconds. A line on standard input makes all of them reconnect with no generation; its end ends them.
+// nanoseconds. After each line on standard input it closes the watches and opens new ones with no generation.
+// It ends at the end of standard input. text is the value of watchersEnv.
 func runWatchers(text string) error {
 	addr, number, _ := strings.Cut(text, " ")
 	count, err := strconv.Atoi(number)
@@ -59,11 +60,11 @@
 		if !commands.Scan() {
 			return commands.Err()
 		}
-		round.end()
+		round.close()
 	}
 }
 
-// openRound returns when all watches are open.
+// openRound opens watches and returns when all of them are open.
 func openRound(addr string, count int) *watchRound {
 	r := &watchRound{addr: addr, count: count, events: make(chan watchEvent, count), reported: make(chan struct{})}
 	var opening sync.WaitGroup
@@ -75,7 +76,7 @@
 	return r
 }
 
-// openOne opens a watch, trying again until it is open, and starts its reader.
+// openOne opens a watch, with as many attempts as it takes, and starts its reader.
 func (r *watchRound) openOne() {
 	for {
 		conn, lines, err := openWatch(r.addr)
@@ -86,15 +87,15 @@
 			r.readers.Go(func() { r.read(lines) })
 			return
 		}
-		pause := 100 * time.Millisecond // the backlog is full
+		pause := 100 * time.Millisecond // the listen backlog may be full
 		if errors.Is(err, errNotOpened) {
-			pause = time.Second + rand.N(2*time.Second) // as Retry-After advises
+			pause = time.Second + rand.N(2*time.Second) // like the Retry-After header of the service
 		}
 		time.Sleep(pause)
 	}
 }
 
-// read sends an event for each message of a watch until it ends.
+// read sends an event for each message of a watch, until the watch ends.
 func (r *watchRound) read(lines *bufio.Reader) {
 	generationKey := []byte(`{"generation":`)
 	for first := true; ; {
@@ -102,7 +103,7 @@
 		at := time.Now().UnixNano()
 		if rest, ok := bytes.CutPrefix(line, generationKey); ok {
 			digits, _, _ := bytes.Cut(rest, []byte(","))
-			generation, _ := strconv.ParseInt(string(digits), 10, 64) // the service wrote it
+			generation, _ := strconv.ParseInt(string(digits), 10, 64) // the service sends valid numbers
 			r.events <- watchEvent{generation, at, first}
 			first = false
 		}
@@ -115,7 +116,8 @@
 	}
 }
 
-// report prints when all watches have the full list, and when all have received each change.
+// report prints a line when all watches have received the full list, and a line for each change that all of
+// them have received.
 func (r *watchRound) report() {
 	defer close(r.reported)
 	first, last, count := map[int64]int64{}, map[int64]int64{}, map[int64]int{}
@@ -137,20 +139,20 @@
 	}
 }
 
-// end closes all watches and waits for what they do.
-func (r *watchRound) end() {
+// close closes all watches and waits for their readers and for the report.
+func (r *watchRound) close() {
 	for _, conn := range r.conns {
-		_ = conn.Close() // the service may have closed it
+		_ = conn.Close() // the service may have closed it already
 	}
 	r.readers.Wait()
 	close(r.events)
 	<-r.reported
 }
 
-// errNotOpened is the error of a watch that the service did not open.
-var errNotOpened = errors.New("the service does not open the watch")
+// errNotOpened is the error of a watch that the service rejected with status 503.
+var errNotOpened = errors.New("watch rejected with status 503")
 
-// openWatch opens a watch with no generation and reads the head of its response.
+// openWatch opens a watch with no generation and reads the header of the response.
 func openWatch(addr string) (net.Conn, *bufio.Reader, error) {
 	conn, err := net.DialTimeout("tcp", addr, 10*time.Second)
 	if err != nil {
@@ -158,7 +160,7 @@
 	}
 	lines, err := requestWatch(conn)
 	if err != nil {
-		_ = conn.Close() // the first error says more
+		_ = conn.Close() // the earlier error is returned
 		return nil, nil, err
 	}
 	return conn, lines, nil
@@ -190,7 +192,7 @@
 	}
 }
 
-// watchers are the watches of one replica, as a process of their own.
+// watchers controls a process that runs [runWatchers].
 type watchers struct {
 	in  io.WriteCloser
 	out *bufio.Scanner
@@ -213,11 +215,11 @@
 		b.Fatal(err)
 	}
 	b.Cleanup(func() {
-		_ = cmd.Process.Kill() // it may have ended
-		_ = cmd.Wait()         // its status is that of the kill
+		_ = cmd.Process.Kill() // the process may have ended already
+		_ = cmd.Wait()         // the status only reflects the kill
 	})
 	w := &watchers{in, bufio.NewScanner(out)}
-	w.next(b) // all are open
+	w.next(b) // returns when all watches have the full list
 	return w
 }
 
@@ -229,11 +231,11 @@
 	}
 }
 
-// next returns the numbers of the next line that the watchers print.
+// next returns the numbers in the next line that the process prints.
 func (w *watchers) next(b *testing.B) (numbers []int64) {
 	b.Helper()
 	if !w.out.Scan() {
-		b.Fatal("the watchers have ended")
+		b.Fatal("the process of the watchers has ended")
 	}
 	for _, field := range strings.Fields(w.out.Text()) {
 		if number, err := strconv.ParseInt(field, 10, 64); err == nil {
--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -10,14 +10,14 @@
 	"strconv"
 )
 
-// Client calls the replicas of the service. Every request may be sent again: where a replica can't be reached, or
-// responds that it is unavailable, the call is tried at the next one until its context ends. A [RejectedError] is
-// final.
+// Client calls the replicas of the service. All its requests are safe to repeat: if a replica cannot be
+// reached or responds that it is unavailable, a call is retried at the next replica until its context ends. A
+// [RejectedError] is final. [Client.Watch] tries each replica once.
 type Client struct {
-	Replicas []string // HTTP addresses
+	Replicas []string // HTTP addresses, host:port
 }
 
-// callOutcome sends a request and decodes its outcome.
+// callOutcome sends a request and decodes the outcome in the response.
 func (c *Client) callOutcome(ctx context.Context, method, path string, body []byte) (Outcome, error) {
 	text, err := c.call(ctx, method, path, body)
 	if err != nil {
@@ -25,12 +25,13 @@
 	}
 	var o Outcome
 	if err := json.Unmarshal(text, &o); err != nil {
-		return o, fmt.Errorf("answer: %w", err)
+		return o, fmt.Errorf("decoding the response: %w", err)
 	}
 	return o, nil
 }
 
-// path is the URL's path of an instance, with a suffix.
+// path returns the URL path of the instance followed by suffix. It includes the incarnation as a query
+// parameter, unless the incarnation is 0.
 func (ref InstanceRef) path(suffix string) string {
 	path := "/registry/instances/" + url.PathEscape(ref.ID) + suffix
 	if ref.Incarnation > 0 {
@@ -39,7 +40,7 @@
 	return path
 }
 
-// Register puts an instance into the list.
+// Register adds an instance to the list, or replaces an earlier incarnation of it.
 func (c *Client) Register(ctx context.Context, r Registration) (Outcome, error) {
 	body, err := json.Marshal(r)
 	if err != nil {
@@ -53,17 +54,19 @@
 	return c.callOutcome(ctx, http.MethodPost, ref.path("/renew"), nil)
 }
 
-// Drain stops new work for an instance, which finishes what it has. Incarnation 0 is any.
+// Drain marks an instance as draining: it gets no new requests and finishes those in progress. Incarnation 0
+// matches any incarnation.
 func (c *Client) Drain(ctx context.Context, ref InstanceRef) (Outcome, error) {
 	return c.callOutcome(ctx, http.MethodPost, ref.path("/drain"), nil)
 }
 
-// Remove takes an instance out of the list. Incarnation 0 is any.
+// Remove removes an instance from the list. Incarnation 0 matches any incarnation.
 func (c *Client) Remove(ctx context.Context, ref InstanceRef) (Outcome, error) {
 	return c.callOutcome(ctx, http.MethodDelete, ref.path(""), nil)
 }
 
-// Show returns one instance after all writes that were acknowledged before the call.
+// Show returns the state of one instance. The state includes all writes that were acknowledged before the
+// call.
 func (c *Client) Show(ctx context.Context, id string) (InstanceStatus, error) {
 	text, err := c.call(ctx, http.MethodGet, "/registry/instances/"+url.PathEscape(id), nil)
 	if err != nil {
@@ -71,7 +74,7 @@
 	}
 	var status InstanceStatus
 	if err := json.Unmarshal(text, &status); err != nil {
-		return status, fmt.Errorf("instance: %w", err)
+		return status, fmt.Errorf("decoding the instance: %w", err)
 	}
 	return status, nil
 }
@@ -81,7 +84,8 @@
 	return c.callOutcome(ctx, http.MethodDelete, "/registry/replicas/"+url.PathEscape(id), nil)
 }
 
-// List returns the full list and its version as one replica has it, which may be behind the leader.
+// List returns the full list and its generation as one replica has them. The replica may be behind the
+// leader.
 func (c *Client) List(ctx context.Context) (generation uint64, entries []Entry, err error) {
 	text, err := c.call(ctx, http.MethodGet, "/registry/instances", nil)
 	if err != nil {
@@ -89,13 +93,13 @@
 	}
 	var m message
 	if err := json.Unmarshal(text, &m); err != nil {
-		return 0, nil, fmt.Errorf("list: %w", err)
+		return 0, nil, fmt.Errorf("decoding the list: %w", err)
 	}
 	return m.Generation, m.Instances, nil
 }
 
-// Status asks each replica for its status. The results are in the order of Replicas; one that does not respond has an
-// error and no status.
+// Status requests the status of each replica. The results are in the order of Replicas. For a replica that
+// does not respond, the error is set and the status is empty.
 func (c *Client) Status(ctx context.Context) (statuses []Status, errs []error) {
 	for _, replica := range c.Replicas {
 		status, err := replicaStatus(ctx, replica)
@@ -104,7 +108,7 @@
 	return statuses, errs
 }
 
-// replicaStatus asks one replica.
+// replicaStatus requests the status of one replica.
 func replicaStatus(ctx context.Context, replica string) (status Status, err error) {
 	one := Client{Replicas: []string{replica}}
 	text, err := one.call(ctx, http.MethodGet, "/registry/status", nil)
@@ -115,7 +119,7 @@
 	return status, err
 }
 
-// Backup writes the state as the leader has it, for [Restore].
+// Backup writes the state of the leader to out, in the format that [Restore] reads.
 func (c *Client) Backup(ctx context.Context, out io.Writer) error {
 	text, err := c.call(ctx, http.MethodGet, "/registry/backup", nil)
 	if err != nil {
--- a/internal/registry/client_call.go
+++ b/internal/registry/client_call.go
@@ -15,40 +15,40 @@
 )
 
 const (
-	callTimeout       = 3 * time.Second        // for one attempt at one replica
-	dialTimeout       = time.Second            // of it, for the connection
-	clientRetryPause  = 200 * time.Millisecond // after all replicas were tried, where none says when to retry
-	longestRetryAfter = 60 * time.Second       // that a client heeds
-	maxResponseBytes  = 256 << 20              // of a response, or of a line of a watch: more than a full list
+	callTimeout          = 3 * time.Second        // per attempt at one replica, with the response body
+	dialTimeout          = time.Second            // part of callTimeout that connecting may take
+	clientRetryBackoff   = 200 * time.Millisecond // delay after all replicas failed without Retry-After
+	maxHonoredRetryAfter = 60 * time.Second       // longer values of Retry-After are ignored
+	maxResponseBytes     = 256 << 20              // per response body or line of a watch; above a full list
 )
 
-// ErrNoReplicas is the error of a client that has no address of a replica.
-var ErrNoReplicas = errors.New("no replica is named")
+// ErrNoReplicas is the error of a client without replica addresses.
+var ErrNoReplicas = errors.New("no replica addresses are configured")
 
-// RejectedError is a response that no further attempt can change.
+// RejectedError is the error of a request that the service rejected. Retrying the request cannot succeed.
 type RejectedError struct {
-	Status  int // of HTTP
-	Outcome Outcome
+	Status  int     // HTTP status code
+	Outcome Outcome // zero if the response contains no outcome
 }
 
 // Error implements error.
 func (e *RejectedError) Error() string {
 	if e.Outcome.Message == "" {
-		return fmt.Sprintf("the list service answers %d", e.Status)
+		return fmt.Sprintf("the list service responded with status %d", e.Status)
 	}
 	return e.Outcome.Message
 }
 
-// unavailableError is a response that asks for another attempt.
+// unavailableError is the error of a response after which the request should be retried.
 type unavailableError struct {
-	body       string
-	retryAfter time.Duration // 0: the response names none
+	message    string
+	retryAfter time.Duration // from the Retry-After header; 0: absent or ignored
 }
 
 // Error implements error.
-func (e *unavailableError) Error() string { return e.body }
+func (e *unavailableError) Error() string { return e.message }
 
-// call sends a request to one replica after another until one carries it out or rejects it, or ctx ends.
+// call sends a request to the replicas in turn until one of them executes or rejects it, or ctx ends.
 func (c *Client) call(ctx context.Context, method, path string, body []byte) ([]byte, error) {
 	if len(c.Replicas) == 0 {
 		return nil, ErrNoReplicas
@@ -60,7 +60,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("replica %q: %w", replica, err)
 		}
-		text, err := tryCall(httpClient, req)
+		text, err := callOnce(httpClient, req)
 		if err == nil {
 			return text, nil
 		}
@@ -70,13 +70,14 @@
 		}
 		select {
 		case <-ctx.Done():
-			return nil, fmt.Errorf("no replica of %s answers for good: %w", strings.Join(c.Replicas, ", "), err)
-		case <-time.After(c.pauseAfter(attempt, err)):
+			return nil, fmt.Errorf("no replica of %s executed the request: %w", strings.Join(c.Replicas, ", "), err)
+		case <-time.After(c.backoffAfter(attempt, err)):
 		}
 	}
 }
 
-// newHTTPClient returns a client for one call. It follows a redirect to the leader with the body.
+// newHTTPClient returns an HTTP client for one call. It follows a redirect to the leader and sends the body
+// again.
 func newHTTPClient() *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &http.Client{
@@ -85,15 +86,15 @@
 	}
 }
 
-// tryCall sends a request once and returns the body of a response with status 200. A response that is final is a
-// [RejectedError].
-func tryCall(httpClient *http.Client, req *http.Request) ([]byte, error) {
+// callOnce sends a request once and returns the body of a response with status 200. The error is an
+// [unavailableError] if the request should be retried, and a [RejectedError] if the response is final.
+func callOnce(httpClient *http.Client, req *http.Request) ([]byte, error) {
 	resp, err := httpClient.Do(req)
 	if err != nil {
 		return nil, err
 	}
 	text, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
-	_ = resp.Body.Close() // all that matters was read
+	_ = resp.Body.Close() // the body has been read
 	if err != nil {
 		return nil, err
 	}
@@ -104,21 +105,23 @@
 		return nil, &unavailableError{strings.TrimSpace(string(text)), parseRetryAfter(resp.Header)}
 	}
 	rejected := &RejectedError{Status: resp.StatusCode}
-	_ = json.Unmarshal(text, &rejected.Outcome) // a response of another form has no message to show
+	_ = json.Unmarshal(text, &rejected.Outcome) // without an outcome in the body, the error shows the status
 	return nil, rejected
 }
 
-// parseRetryAfter returns the advice of a response, 0 where there is none that a client heeds.
+// parseRetryAfter returns the delay in a Retry-After header, or 0 if it is absent, invalid or longer than
+// maxHonoredRetryAfter.
 func parseRetryAfter(header http.Header) time.Duration {
 	seconds, err := strconv.Atoi(header.Get("Retry-After"))
-	if err != nil || seconds <= 0 || seconds > int(longestRetryAfter/time.Second) {
+	if err != nil || seconds <= 0 || seconds > int(maxHonoredRetryAfter/time.Second) {
 		return 0
 	}
 	return time.Duration(seconds) * time.Second
 }
 
-// pauseAfter is the pause after a failed attempt: none until every replica was tried.
-func (c *Client) pauseAfter(attempt int, err error) time.Duration {
+// backoffAfter returns the delay after a failed attempt; attempts count from 0. It is 0 until all replicas
+// have been tried.
+func (c *Client) backoffAfter(attempt int, err error) time.Duration {
 	if (attempt+1)%len(c.Replicas) != 0 {
 		return 0
 	}
@@ -126,5 +129,5 @@
 	if errors.As(err, &unavailable) && unavailable.retryAfter > 0 {
 		return unavailable.retryAfter
 	}
-	return clientRetryPause
+	return clientRetryBackoff
 }
--- a/internal/registry/client_call_test.go
+++ b/internal/registry/client_call_test.go
@@ -12,7 +12,8 @@
 	"time"
 )
 
-// scriptedReplica answers each request with the next response, the last one for ever. It counts requests.
+// scriptedReplica starts a server that sends the given responses in order, and the last one for all further
+// requests. It counts the requests.
 func scriptedReplica(t *testing.T, responses ...http.HandlerFunc) (addr string, requests *atomic.Int32) {
 	t.Helper()
 	requests = new(atomic.Int32)
@@ -28,7 +29,7 @@
 	return func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, status, o) }
 }
 
-// A client tries one replica after another until one responds for good.
+// A client tries one replica after another until one executes the request.
 func TestClientTriesReplicas(t *testing.T) {
 	unavailable := respondWith(http.StatusServiceUnavailable, Outcome{Code: Unavailable, Message: "no leader"})
 	done := respondWith(http.StatusOK, Outcome{Code: Done, Generation: 7})
@@ -37,14 +38,14 @@
 	client := &Client{Replicas: []string{"127.0.0.1:1", first, second}}
 	o, err := client.Remove(t.Context(), InstanceRef{ID: "s-a"})
 	if err != nil || o.Code != Done || o.Generation != 7 {
-		t.Errorf("%+v, %v", o, err)
+		t.Errorf("outcome %+v, error %v; want done at generation 7", o, err)
 	}
 	if n, m := firstRequests.Load(), secondRequests.Load(); n != 3 || m != 2 {
-		t.Errorf("%d requests at the first and %d at the second", n, m)
+		t.Errorf("%d requests at the first replica and %d at the second, want 3 and 2", n, m)
 	}
 }
 
-// A response that no further attempt can change ends the call with its outcome.
+// A client does not retry a request that was rejected, and returns the outcome in the response.
 func TestClientReturnsRejections(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -54,39 +55,40 @@
 		text     string
 	}{
 		{"outcome", respondWith(http.StatusConflict, Outcome{Code: StaleIncarnation, Message: "why"}), 409, StaleIncarnation, "why"},
-		{"other form", func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "x", http.StatusTeapot) }, 418, "", "418"},
+		{"no outcome in the body", func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "x", http.StatusTeapot) }, 418, "", "418"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			addr, requests := scriptedReplica(t, c.response)
 			_, err := (&Client{Replicas: []string{addr}}).Remove(t.Context(), InstanceRef{ID: "s-a"})
 			var rejected *RejectedError
 			if !errors.As(err, &rejected) || rejected.Status != c.status || rejected.Outcome.Code != c.code || !strings.Contains(err.Error(), c.text) {
-				t.Errorf("error %#v: %v", err, err)
+				t.Errorf("error %#v: %v, want status %d, code %q and text %q", err, err, c.status, c.code, c.text)
 			}
 			if n := requests.Load(); n != 1 {
-				t.Errorf("%d requests", n)
+				t.Errorf("%d requests, want 1", n)
 			}
 		})
 	}
 }
 
-// A call that no replica carries out ends with its context, and with the last replica's error.
+// A call that no replica executes ends with its context and returns the error of the last attempt.
 func TestClientEndsWithContext(t *testing.T) {
 	unavailable := respondWith(http.StatusServiceUnavailable, Outcome{Code: Unavailable, Message: "no leader"})
 	addr, _ := scriptedReplica(t, unavailable)
-	ctx, cancel := context.WithTimeout(t.Context(), 2*clientRetryPause)
+	ctx, cancel := context.WithTimeout(t.Context(), 2*clientRetryBackoff)
 	defer cancel()
 	_, err := (&Client{Replicas: []string{addr}}).Remove(ctx, InstanceRef{ID: "s-a"})
 	var last *unavailableError
 	if !errors.As(err, &last) && !errors.Is(err, context.DeadlineExceeded) || !strings.Contains(fmt.Sprint(err), addr) {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want that of the last attempt at %s", err, addr)
 	}
 	if _, err := (&Client{}).Remove(t.Context(), InstanceRef{ID: "s-a"}); !errors.Is(err, ErrNoReplicas) {
-		t.Errorf("without a replica: %v", err)
+		t.Errorf("client without replicas: error %v, want %v", err, ErrNoReplicas)
 	}
 }
 
-// The pause after a round of all replicas is what the last one advises, within bounds.
+// After all replicas have failed, the delay is the Retry-After header of the last response, if that is within
+// bounds.
 func TestClientPauses(t *testing.T) {
 	client := &Client{Replicas: []string{"a", "b"}}
 	for _, c := range []struct {
@@ -97,17 +99,17 @@
 		{0, "2", 0},
 		{1, "2", 2 * time.Second},
 		{3, "60", time.Minute},
-		{1, "61", clientRetryPause},
-		{1, "0", clientRetryPause},
-		{1, "soon", clientRetryPause},
-		{1, "", clientRetryPause},
+		{1, "61", clientRetryBackoff},
+		{1, "0", clientRetryBackoff},
+		{1, "soon", clientRetryBackoff},
+		{1, "", clientRetryBackoff},
 	} {
 		err := &unavailableError{retryAfter: parseRetryAfter(http.Header{"Retry-After": {c.retryAfter}})}
-		if pause := client.pauseAfter(c.attempt, err); pause != c.want {
+		if pause := client.backoffAfter(c.attempt, err); pause != c.want {
 			t.Errorf("attempt %d, Retry-After %q: %v, want %v", c.attempt, c.retryAfter, pause, c.want)
 		}
 	}
-	if pause := client.pauseAfter(1, context.DeadlineExceeded); pause != clientRetryPause {
-		t.Errorf("after an error: %v", pause)
+	if pause := client.backoffAfter(1, context.DeadlineExceeded); pause != clientRetryBackoff {
+		t.Errorf("delay after an error: %v, want %v", pause, clientRetryBackoff)
 	}
 }
--- a/internal/registry/client_watch.go
+++ b/internal/registry/client_watch.go
@@ -10,11 +10,12 @@
 	"opalhook/internal/discovery"
 )
 
-// ErrWatchEnded is the error of a watch that its replica ended.
+// ErrWatchEnded is the error of a watch whose connection ended.
 var ErrWatchEnded = errors.New("the watch ended")
 
-// Watch follows the list from a generation, 0 for the full list, at the first replica that accepts the watch. It calls
-// handle for each message and returns an error when the watch or ctx ends.
+// Watch follows the list from a generation, or from the full list if the generation is 0. It uses the first
+// replica that accepts the watch and tries each replica once. It calls handle for each message, in order, and
+// returns an error when the watch or ctx ends.
 func (c *Client) Watch(ctx context.Context, from uint64, handle func(generation uint64, reset bool, entries []Entry)) error {
 	var lastErr error
 	for _, replica := range c.Replicas {
@@ -28,12 +29,12 @@
 			continue
 		}
 		if resp.StatusCode != http.StatusOK {
-			_ = resp.Body.Close() // it was not read
-			lastErr = fmt.Errorf("%s answers %s", replica, resp.Status)
+			_ = resp.Body.Close() // the body is not needed
+			lastErr = fmt.Errorf("%s rejected the watch: %s", replica, resp.Status)
 			continue
 		}
 		err = readWatch(resp.Body, handle)
-		_ = resp.Body.Close() // the watch is over
+		_ = resp.Body.Close() // the watch has ended
 		return fmt.Errorf("%s: %w", replica, err)
 	}
 	return lastErr
--- a/internal/registry/cluster_test.go
+++ b/internal/registry/cluster_test.go
@@ -19,14 +19,14 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// backgroundClients are the clients of a test that write while it disturbs the replicas.
+// backgroundClients are clients that write while a test disturbs the replicas.
 type backgroundClients struct {
 	stop       context.CancelFunc
 	running    sync.WaitGroup
-	operations []porcupine.Operation // once they have ended
+	operations []porcupine.Operation // set when the clients have ended
 }
 
-// startClients starts clients that end with the test at the latest.
+// startClients starts clients. They end with the test at the latest.
 func startClients(t *testing.T, replicas []*testReplica) *backgroundClients {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -36,7 +36,7 @@
 	return c
 }
 
-// end stops the clients and checks what they saw. It returns their operations.
+// end stops the clients, checks their history and returns their operations.
 func (c *backgroundClients) end(t *testing.T) []porcupine.Operation {
 	t.Helper()
 	c.stop()
@@ -47,25 +47,25 @@
 	return c.operations
 }
 
-// checkWritable checks that a write gets through.
+// checkWritable checks that the service executes a write.
 func checkWritable(t *testing.T, all []*testReplica) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	client := &Client{Replicas: addresses(all)}
 	if _, err := client.Register(ctx, Registration{entry("s-probe", 99), uint64(time.Now().UnixMicro()), 0}); err != nil {
-		t.Errorf("writes never go through again: %v", err)
+		t.Errorf("no write succeeds after the fault: %v", err)
 	}
 }
 
-// stopLeader stops the leader's process until another replica leads.
+// stopLeader suspends the leader's process until another replica is the leader.
 func stopLeader(t *testing.T, all []*testReplica) {
 	t.Helper()
 	stopped := leaderOf(t, all)
 	if err := stopped.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Error(err)
 	}
-	waitFor(t, "another leads", func() bool {
+	waitFor(t, "another replica is the leader", func() bool {
 		return slices.ContainsFunc(without(all, stopped), (*testReplica).leads)
 	})
 	if err := stopped.cmd.Process.Signal(syscall.SIGCONT); err != nil {
@@ -73,8 +73,9 @@
 	}
 }
 
-// Three replicas as processes. Leaders are killed, stopped and cut off, and all replicas are killed at once, while six
-// clients write; the history is linearizable, and all replicas end with the same list.
+// Runs three replicas as processes and six clients. Leaders are killed, suspended and disconnected, and all
+// replicas are killed at once. The history of the clients must be linearizable, and all replicas must end
+// with the same list.
 func TestLinearizableUnderFaults(t *testing.T) {
 	all := startService(t, 3)
 	clients := startClients(t, all)
@@ -109,12 +110,12 @@
 		}
 	}
 	if known < 50 {
-		t.Errorf("%d writes with a known end of %d: nothing was tested", known, len(operations))
+		t.Errorf("%d of %d operations have a known result, want at least 50", known, len(operations))
 	}
-	sameLists(t, all)
+	waitForSameList(t, all)
 }
 
-// leaderStatus is the status of the leader among the replicas.
+// leaderStatus returns the status of the leader.
 func leaderStatus(t *testing.T, all []*testReplica) Status {
 	t.Helper()
 	statuses, errs := (&Client{Replicas: []string{leaderOf(t, all).listen}}).Status(t.Context())
@@ -124,8 +125,9 @@
 	return statuses[0]
 }
 
-// idOf returns the ID under which the leader among the replicas knows one, "" where it does not.
-func idOf(t *testing.T, all []*testReplica, m *testReplica) string {
+// replicaID returns the ID of a replica as the leader knows it, or "" if the leader does not know the
+// replica.
+func replicaID(t *testing.T, all []*testReplica, m *testReplica) string {
 	t.Helper()
 	for _, r := range leaderStatus(t, all).Replicas {
 		if strings.HasSuffix(r.ID, "@"+m.listen) {
@@ -141,11 +143,11 @@
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	if _, err := (&Client{Replicas: addresses(all)}).RemoveReplica(ctx, id); err != nil {
-		t.Errorf("dismissing %s: %v", id, err)
+		t.Errorf("removing replica %s: %v", id, err)
 	}
 }
 
-// wipe kills a replica and empties its folder.
+// wipe kills a replica and empties its data folder.
 func (m *testReplica) wipe() {
 	m.t.Helper()
 	m.kill()
@@ -160,12 +162,12 @@
 	}
 }
 
-// without returns the replicas but one.
+// without returns all replicas except one.
 func without(all []*testReplica, one *testReplica) []*testReplica {
 	return slices.DeleteFunc(slices.Clone(all), func(m *testReplica) bool { return m == one })
 }
 
-// followerOf returns a replica that does not lead.
+// followerOf returns a follower.
 func followerOf(t *testing.T, all []*testReplica) *testReplica {
 	t.Helper()
 	if all[0] == leaderOf(t, all) {
@@ -174,43 +176,43 @@
 	return all[0]
 }
 
-// A replica whose state is lost is not mistaken for the one that it was, and comes back as a new one; replicas are
-// added and dismissed, the leader too, while clients write.
+// A replica that has lost its state must not be taken for the earlier replica at the same address; it joins
+// again under a new ID. Replicas, among them the leader, are added and removed while clients write.
 func TestReplicaReplacement(t *testing.T) {
 	all := startService(t, 3)
 	wiped := followerOf(t, all)
 	others := without(all, wiped)
 	clients := startClients(t, others)
-	earlierID := idOf(t, others, wiped)
+	earlierID := replicaID(t, others, wiped)
 	wiped.wipe()
-	wiped.start("") // as if nothing had been there: a service of its own
-	checkNotMistaken(t, others, wiped)
+	wiped.start("") // with no state and no service to join, it starts a service of its own
+	checkReceivesNoCommits(t, others, wiped)
 	wiped.wipe()
 	leader := leaderOf(t, others)
 	intruder := Replica{ID: "rx@" + wiped.listen, Raft: wiped.raft + addressNameSeparator + "rx"}
 	if body, status := joinAs(t, leader.listen, intruder); status != http.StatusConflict || !strings.Contains(body, "dismiss "+earlierID) {
-		t.Errorf("a new replica at the address of one that is not dismissed: %d %s", status, body)
+		t.Errorf("a new replica at the address of one that has not been removed: %d %s", status, body)
 	}
 	dismiss(t, all, earlierID)
 	wiped.start(leader.listen)
-	waitFor(t, "the replica is back as a new one", func() bool {
-		id := idOf(t, others, wiped)
+	waitFor(t, "the wiped replica has joined under a new ID", func() bool {
+		id := replicaID(t, others, wiped)
 		return id != "" && id != earlierID
 	})
 	earlierLeader := leaderOf(t, others)
-	dismiss(t, all, idOf(t, others, earlierLeader))
+	dismiss(t, all, replicaID(t, others, earlierLeader))
 	earlierLeader.kill()
 	rest := without(all, earlierLeader)
 	leaderOf(t, rest)
 	clients.end(t)
-	sameLists(t, rest)
+	waitForSameList(t, rest)
 }
 
-// checkNotMistaken checks that a wiped replica, which was started as a service of its own, takes none of the commits
-// that the others offer to the one that it was.
-func checkNotMistaken(t *testing.T, others []*testReplica, wiped *testReplica) {
+// checkReceivesNoCommits checks that a wiped replica, which was started as a new service, gets none of the
+// commits that the other replicas send to the earlier replica at its address.
+func checkReceivesNoCommits(t *testing.T, others []*testReplica, wiped *testReplica) {
 	t.Helper()
-	waitFor(t, "the wiped replica leads what it alone is", wiped.leads)
+	waitFor(t, "the wiped replica leads its own service", wiped.leads)
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	for n := range 20 {
@@ -220,11 +222,11 @@
 	}
 	_, list, err := (&Client{Replicas: []string{wiped.listen}}).List(ctx)
 	if err != nil || slices.ContainsFunc(list, func(e Entry) bool { return e.InstanceID == "s-x0" }) {
-		t.Errorf("a replica that lost its state is taken for the one that it was: %v", err)
+		t.Errorf("a replica that lost its state receives commits for the earlier one: %v", err)
 	}
 }
 
-// joinAs asks for a place in the service, once, and returns the response's body and status.
+// joinAs sends one join request and returns the body and the status of the response.
 func joinAs(t *testing.T, addr string, r Replica) (string, int) {
 	t.Helper()
 	body, err := json.Marshal(r)
@@ -238,19 +240,19 @@
 	return readBody(t, resp), resp.StatusCode
 }
 
-// readBody reads a response to its end.
+// readBody reads the body of a response and closes it.
 func readBody(t testing.TB, resp *http.Response) string {
 	t.Helper()
 	text, err := io.ReadAll(resp.Body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = resp.Body.Close() // all was read
+	_ = resp.Body.Close() // the body has been read
 	return string(text)
 }
 
-// A reader that is ahead of a lagging replica is rejected there, and is served when the replica has caught up: it is
-// never shown the past.
+// A replica that lags behind rejects a reader with a newer generation until it has caught up, so that the
+// reader never sees an older state.
 func TestReaderAheadOfLaggingReplica(t *testing.T) {
 	all := startService(t, 3)
 	client := &Client{Replicas: addresses(all)}
@@ -274,12 +276,12 @@
 	}
 	text := readBody(t, resp)
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
-		t.Errorf("a reader of %d gets %s %s", ahead, resp.Status, text)
+		t.Errorf("a reader ahead at generation %d gets %s %s, want 503 with Retry-After", ahead, resp.Status, text)
 	}
 	lagging.cut(all, cutNone)
 	w := startWatch(t, lagging.listen, ahead)
 	next := register(3)
 	if m := w.next(t); m.Reset || m.Generation != next {
-		t.Errorf("after it has caught up the watch gets %+v, not %d", m, next)
+		t.Errorf("after the replica has caught up, the watch gets %+v, want generation %d", m, next)
 	}
 }
--- a/internal/registry/command.go
+++ b/internal/registry/command.go
@@ -13,7 +13,7 @@
 	Removed  = discovery.Removed
 )
 
-// Entry is an app server in the form of the discovery protocol.
+// Entry is an app server as the discovery protocol represents it.
 type Entry = discovery.Entry
 
 // Kinds of commands.
@@ -22,7 +22,7 @@
 	Drain    = "drain"
 	Remove   = "remove"
 	Expire   = "expire"
-	Load     = "load" // the first command of a list that was restored from a backup
+	Load     = "load" // replaces an empty list with a restored backup
 )
 
 // Command is one change to the list, as the replicated log stores it.
@@ -30,10 +30,10 @@
 	Kind        string        `json:"kind"`
 	Entry       Entry         `json:"entry,omitzero"`        // Register
 	ID          string        `json:"id,omitempty"`          // Drain and Remove: the instance
-	Incarnation uint64        `json:"incarnation,omitempty"` // 0 with Drain and Remove: any
+	Incarnation uint64        `json:"incarnation,omitempty"` // Register, Drain, Remove; 0 in the last two: any
 	Lease       time.Duration `json:"lease,omitempty"`       // Register; 0: the entry does not expire
 	Expired     []InstanceRef `json:"expired,omitempty"`     // Expire
-	Term        uint64        `json:"term,omitempty"`        // Expire: the Raft term in which the leases were found to have expired
+	Term        uint64        `json:"term,omitempty"`        // Expire: Raft term in which the leases expired
 	Snapshot    *State        `json:"image,omitempty"`       // Load
 }
 
@@ -50,7 +50,7 @@
 	LeaseMs     int64  `json:"leaseMs"` // milliseconds; 0: the entry does not expire
 }
 
-// command returns the command that carries the registration out.
+// command returns the Register command for the registration.
 func (r Registration) command() Command {
 	lease := time.Duration(r.LeaseMs) * time.Millisecond
 	return Command{Kind: Register, Entry: r.Entry, Incarnation: r.Incarnation, Lease: lease}
@@ -63,21 +63,21 @@
 const (
 	Done                 Code = "done"      // the list has changed
 	Unchanged            Code = "same"      // the list already was in the requested state
-	StaleIncarnation     Code = "stale"     // a newer incarnation is, or was, registered
+	StaleIncarnation     Code = "stale"     // the incarnation was removed, or a newer one has been registered
 	NotFound             Code = "missing"   // no such instance
 	AddressConflict      Code = "taken"     // the address belongs to another instance
 	RegistrationConflict Code = "conflict"  // the same incarnation is registered with other properties
-	Invalid              Code = "invalid"   // the command is malformed
+	Invalid              Code = "invalid"   // the request or command is malformed
 	ListFull             Code = "too-many"  // the list has MaxEntries entries
-	Unavailable          Code = "later"     // not done: the service can't do it now
-	OutcomeUnknown       Code = "unknown"   // it may have been done, or may be done yet
-	NotLeader            Code = "elsewhere" // another replica leads
+	Unavailable          Code = "later"     // not executed: the service is temporarily unable to
+	OutcomeUnknown       Code = "unknown"   // the command may have been executed, or may still be
+	NotLeader            Code = "elsewhere" // another replica is the leader
 	Failed               Code = "failed"    // an internal error
 )
 
 // Outcome is the result of a command or request.
 type Outcome struct {
 	Code       Code   `json:"code"`
-	Generation uint64 `json:"generation"` // of the list after it
+	Generation uint64 `json:"generation"` // generation of the list afterwards; may be 0 in an error
 	Message    string `json:"message,omitempty"`
 }
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -9,18 +9,23 @@
 
 // Config is the configuration of a replica.
 type Config struct {
-	Dir                 string            // the data folder; it is made if it does not exist
-	Listen              string            // HTTP address, for readers and writers
-	Raft                string            // address for the other replicas
-	DialVia             map[string]string // where this replica reaches another's Raft address, if not there
-	Join                string            // HTTP address of a replica of the service to join; "": the folder's state, or a new service
-	WatchOpensPerSecond float64           // 0: 2,000
-	ElectionTimeout     time.Duration     // without contact to the leader; 0: 500 ms
-	Logger              *slog.Logger      // must not be nil
-	WrapStores          WrapStores        // nil: the durable stores as they are
+	Dir     string            // data folder; created if it does not exist
+	Listen  string            // HTTP address for clients and watches
+	Raft    string            // address for connections from other replicas
+	DialVia map[string]string // address to dial in place of a Raft address
+
+	// Join is the HTTP address of a replica of the service that a new replica joins. If it is empty, a new
+	// replica starts a new service. A replica that has state in Dir ignores it.
+	Join string
+
+	WatchOpensPerSecond float64       // limit on opening watches; 0: 2,000
+	ElectionTimeout     time.Duration // time without contact to the leader before an election; 0: 500 ms
+	Logger              *slog.Logger  // must not be nil
+	WrapStores          WrapStores    // nil: Raft uses the durable stores directly
 }
 
-// WrapStores returns the stores that Raft is to use around the durable ones.
+// WrapStores returns the stores that Raft uses in place of the given durable stores, usually wrappers of
+// them.
 type WrapStores func(raft.LogStore, raft.StableStore) (raft.LogStore, raft.StableStore)
 
 // Defaults of [Config].
@@ -29,7 +34,7 @@
 	defaultElectionTimeout     = 500 * time.Millisecond
 )
 
-// withDefaults returns the configuration with the defaults for what is not set.
+// withDefaults returns the configuration with defaults in place of zero values.
 func (c Config) withDefaults() Config {
 	if c.WatchOpensPerSecond == 0 {
 		c.WatchOpensPerSecond = defaultWatchOpensPerSecond
--- a/internal/registry/data_folder_test.go
+++ b/internal/registry/data_folder_test.go
@@ -18,18 +18,19 @@
 	"opalhook/internal/golden"
 )
 
-// recordedFolder is the folder of testdata with a data folder of an earlier version; its README says how it was made.
+// recordedFolder is the folder in testdata with a data folder of an earlier version. Its README says how it
+// was recorded.
 const recordedFolder = "data-69ea924/"
 
-// The addresses of the recorded replica. A replica starts again only where the others know it. The host is one that
-// neither testnet nor the lab gives out, and the ports lie below those that the kernel does.
+// The addresses of the recorded replica. A replica can only be started again at its recorded address. Neither
+// testnet nor the testbed assigns this host, and the ports are below those that the kernel assigns.
 const (
 	recordedListen = "127.252.69.92:8500"
 	recordedRaft   = "127.252.69.92:8501"
 )
 
-// A data folder of an earlier version opens with the list, the owners, the leases, the tombstones and the changes that
-// it was stopped with: from its snapshot and the log after it, and from the log alone.
+// A data folder of an earlier version opens with the same list, incarnations, leases, tombstones and changes:
+// from its snapshot and the rest of the log, and from the log alone.
 func TestRecordedDataFolder(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -46,13 +47,13 @@
 					t.Fatal(err)
 				}
 			}
-			checkRecorded(t, startRecorded(t, dir))
+			checkRecordedState(t, startRecordedReplica(t, dir))
 		})
 	}
 }
 
-// checkRecorded compares what a replica of the recorded folder answers with what the earlier version answered.
-func checkRecorded(t *testing.T, s *Server) {
+// checkRecordedState compares the responses of a replica with the recorded ones.
+func checkRecordedState(t *testing.T, s *Server) {
 	t.Helper()
 	waitFor(t, "the log is applied", func() bool { return s.Generation() == 7<<epochBits|15 })
 	base := "http://" + s.Addr() + "/registry/"
@@ -67,23 +68,24 @@
 	_, backup := call(t, "GET", base+"backup", "")
 	golden.Same(t, "backup", []byte(backup), golden.Read(t, recordedFolder+"backup.json"))
 	if m := startWatch(t, s.Addr(), 7<<epochBits|13).next(t); m.Generation != 7<<epochBits|14 || m.Reset {
-		t.Errorf("a watch goes on with %+v", m)
+		t.Errorf("the watch continues with %+v, want generation %d", m, uint64(7<<epochBits|14))
 	}
 	for path, want := range map[string]int{"s-expired/renew?incarnation=6": 409, "s-leased/renew?incarnation=5": 200} {
 		if status, text := call(t, "POST", base+"instances/"+path, ""); status != want {
-			t.Errorf("%s: %d %s", path, status, text)
+			t.Errorf("%s: %d %s, want %d", path, status, text, want)
 		}
 	}
 	if status, text := call(t, "POST", base+"instances", registration("s-removed", 9003, 4, 0)); status != 409 {
-		t.Errorf("a removed incarnation is registered again: %d %s", status, text)
+		t.Errorf("registration of a removed incarnation: %d %s, want 409", status, text)
 	}
 	if status, text := call(t, "POST", base+"instances", registration("s-new", 9100, 1, 0)); status != 200 || s.Generation() != 7<<epochBits|16 {
-		t.Errorf("a new entry: %d %s, generation %d", status, text, s.Generation())
+		t.Errorf("registration of a new entry: %d %s, generation %d", status, text, s.Generation())
 	}
 }
 
-// startRecorded starts a replica of the recorded folder. It waits while another process has the addresses.
-func startRecorded(t *testing.T, dir string) *Server {
+// startRecordedReplica starts a replica with the recorded data folder. It retries while another process uses
+// the addresses.
+func startRecordedReplica(t *testing.T, dir string) *Server {
 	t.Helper()
 	cfg := Config{Dir: dir, Listen: recordedListen, Raft: recordedRaft, Logger: slog.New(slog.DiscardHandler)}
 	for end := time.Now().Add(testTimeout); ; time.Sleep(20 * time.Millisecond) {
@@ -98,7 +100,7 @@
 	}
 }
 
-// unpack returns a folder of the test with the content of an archive's only folder.
+// unpack extracts an archive into a temporary folder and returns the path of the archive's only folder.
 func unpack(t *testing.T, archive []byte) string {
 	t.Helper()
 	zipped, err := gzip.NewReader(bytes.NewReader(archive))
--- a/internal/registry/encoded_list.go
+++ b/internal/registry/encoded_list.go
@@ -6,28 +6,28 @@
 	"slices"
 )
 
-// maxCachedListLag is the fraction of the full list's bytes that the changes since may come to before the list is
-// encoded again for watches. Up to then a watch is sent the earlier list and the changes, so that slow readers hold few
-// copies.
+// maxCachedListLag limits how far the cached list may lag behind the current one: the size of the changes
+// since it was encoded, as a fraction of its own size. Below the limit, a new watch is sent the cached list
+// followed by the changes. Slow readers then share few copies of the list.
 const maxCachedListLag = 1.0 / 8
 
-// encodedList is the full list at a generation as a watch sends it.
+// encodedList is the full list at a generation, encoded for watches.
 type encodedList struct {
 	generation   uint64
-	restoreCount uint64 // of the FSM when it was encoded
-	chunk        []byte // nil: there is none
+	restoreCount uint64 // value of fsm.restoreCount when the list was encoded
+	chunk        []byte // HTTP chunk with one line of JSON; nil: no list has been encoded
 }
 
-// json returns the list as one line of JSON.
+// json returns the list as one line of JSON, without the chunk's framing.
 func (l encodedList) json() []byte {
 	start := bytes.Index(l.chunk, crlf) + len(crlf)
 	return l.chunk[start : len(l.chunk)-len(crlf)]
 }
 
-// crlf ends the length and the content of a chunk.
+// crlf ends the size line and the data of a chunk.
 var crlf = []byte("\r\n")
 
-// httpChunk frames text as a chunk of HTTP/1.1.
+// httpChunk frames text as an HTTP/1.1 chunk.
 func httpChunk(text []byte) []byte {
 	return slices.Concat(fmt.Appendf(nil, "%x", len(text)), crlf, text, crlf)
 }
@@ -39,15 +39,16 @@
 	return m.encodeList(func(list encodedList, s *State) bool { return list.generation == s.Generation() })
 }
 
-// listForWatch returns the full list as a watch may begin with it: an earlier one where the changes since are kept and
-// few.
+// listForWatch returns the full list for a new watch. This is the cached list, if the changes since then are
+// retained and small enough.
 func (m *fsm) listForWatch() encodedList {
 	m.encodeMu.Lock()
 	defer m.encodeMu.Unlock()
 	return m.encodeList(func(list encodedList, _ *State) bool { return m.published.Load().isCloseTo(list) })
 }
 
-// isCloseTo reports whether the changes since a list are kept and at most maxCachedListLag of its size.
+// isCloseTo reports whether the changes since the list was encoded are retained and amount to at most
+// maxCachedListLag of the list's size.
 func (v *publishedVersion) isCloseTo(list encodedList) bool {
 	changes, ok := v.changesSince(list.generation)
 	if !ok {
@@ -61,8 +62,9 @@
 	return float64(lag) <= maxCachedListLag*float64(len(list.chunk))
 }
 
-// encodeList returns the cached list where usable accepts it, or encodes the current one. Only the copying of the
-// entries delays changes. Called with encodeMu held.
+// encodeList returns the cached list if usable accepts it, and otherwise encodes the current list. It holds
+// mu only while it copies the entries, so that encoding does not delay changes. The caller must hold
+// encodeMu.
 func (m *fsm) encodeList(usable func(encodedList, *State) bool) encodedList {
 	m.mu.Lock()
 	if m.cachedList.chunk != nil && m.cachedList.restoreCount == m.restoreCount && usable(m.cachedList, m.state) {
--- a/internal/registry/fsm.go
+++ b/internal/registry/fsm.go
@@ -10,37 +10,41 @@
 	"github.com/hashicorp/raft"
 )
 
-// fsm is the state behind the replicated log, and what its readers need: each change encoded once for all watches, the
-// full list encoded once for many of them.
+// fsm is the Raft state machine. It holds the state and the encoded data for readers: each change is encoded
+// once for all watches, and the full list once for many watches. The published version is atomic, since all
+// watches read it at each change and would contend for a lock.
 type fsm struct {
 	mu           sync.Mutex
 	state        *State
-	restoreCount uint64                 // states that replaced the one before, by a snapshot or a restored backup
+	restoreCount uint64                 // replacements of the state by a snapshot or a backup
 	onChange     func(Command, Outcome) // called for each change, with mu held
 
-	published       atomic.Pointer[publishedVersion] // every watch reads it at each change: a lock would make them wait for one another
-	publishedSignal chan struct{}                    // wakes the notifier
+	published       atomic.Pointer[publishedVersion]
+	publishedSignal chan struct{} // wakes the notifier
 
-	encodeMu   sync.Mutex  // held while the full list is encoded; taken before mu
-	cachedList encodedList // the latest that was encoded
+	encodeMu   sync.Mutex  // held while the full list is encoded; acquired before mu
+	cachedList encodedList // most recently encoded list
 }
 
-// newFSM returns an empty list in epoch 0. onChange is called for each change, with the FSM's mutex held.
+// newFSM returns a state machine with an empty list in epoch 0. onChange is called for each change, with the
+// FSM's mutex held.
 func newFSM(onChange func(Command, Outcome)) *fsm {
 	m := &fsm{state: NewState(0), onChange: onChange, publishedSignal: make(chan struct{}, 1)}
 	m.published.Store(&publishedVersion{readAgain: make(chan struct{})})
 	return m
 }
 
-// Apply implements raft.FSM; it returns an [Outcome]. Every replica skips an entry of the log that can't be decoded.
+// Apply implements raft.FSM; it returns an [Outcome]. A log entry that cannot be decoded is skipped, on every
+// replica alike.
 func (m *fsm) Apply(entry *raft.Log) any {
 	var c Command
 	if err := json.Unmarshal(entry.Data, &c); err != nil {
 		return Outcome{Code: Invalid, Message: fmt.Sprintf("command: %v", err)}
 	}
 	if c.Kind == Expire && c.Term != entry.Term {
-		// Another leader was elected after these leases were found to have expired, and may have accepted renewals.
-		return Outcome{Code: StaleIncarnation, Message: "leases of another leadership"}
+		// Another leader was elected after these leases were found to have expired, and may have accepted
+		// renewals.
+		return Outcome{Code: StaleIncarnation, Message: fmt.Sprintf("term: got %d, must be %d, the term of the log entry", c.Term, entry.Term)}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -57,7 +61,7 @@
 	return o
 }
 
-// Snapshot implements raft.FSM. It copies the state, which Persist encodes while the list changes.
+// Snapshot implements raft.FSM. It copies the state, so that Persist can encode it while the list changes.
 func (m *fsm) Snapshot() (raft.FSMSnapshot, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -66,7 +70,7 @@
 
 // Restore implements raft.FSM.
 func (m *fsm) Restore(in io.ReadCloser) error {
-	defer func() { _ = in.Close() }() // it was only read
+	defer func() { _ = in.Close() }() // it has only been read
 	var restored State
 	if err := json.NewDecoder(in).Decode(&restored); err != nil {
 		return fmt.Errorf("snapshot: %w", err)
@@ -78,17 +82,17 @@
 	return nil
 }
 
-// withState calls f with the state, which f may read until it returns.
+// withState calls f with the mutex held. f may read the state until it returns.
 func (m *fsm) withState(f func(*State)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	f(m.state)
 }
 
-// generation is the version of the list that watches can read.
+// generation returns the latest generation that watches can read.
 func (m *fsm) generation() uint64 { return m.published.Load().generation }
 
-// fsmSnapshot is a copy of the state that is to be written to a snapshot.
+// fsmSnapshot is a copy of the state, to be written as a snapshot.
 type fsmSnapshot stateSnapshot
 
 // Persist implements raft.FSMSnapshot.
@@ -98,7 +102,7 @@
 		_, err = sink.Write(text)
 	}
 	if err != nil {
-		_ = sink.Cancel() // the first error says more
+		_ = sink.Cancel() // the earlier error is returned
 		return fmt.Errorf("snapshot: %w", err)
 	}
 	return sink.Close()
--- a/internal/registry/fsm_test.go
+++ b/internal/registry/fsm_test.go
@@ -12,8 +12,8 @@
 	"github.com/hashicorp/raft"
 )
 
-// A lease that one leadership found to have expired is not expired in another one's term: that leader may have accepted
-// a renewal.
+// An expiry that one leader found must not be applied in a later term, since the next leader may have
+// accepted a renewal of the lease.
 func TestExpiryOfEarlierTermRejected(t *testing.T) {
 	m := newFSM(func(Command, Outcome) {})
 	apply := func(term uint64, c Command) Code {
@@ -26,20 +26,20 @@
 	apply(2, Command{Kind: Register, Entry: entry("s-a", 1), Incarnation: 1, Lease: time.Minute})
 	late := Command{Kind: Expire, Expired: []InstanceRef{{"s-a", 1}}, Term: 2}
 	if code := apply(3, late); code != StaleIncarnation || m.generation() != 1 {
-		t.Errorf("an expiry of term 2 in term 3: %s, generation %d", code, m.generation())
+		t.Errorf("an expiry of term 2 in term 3: code %s, generation %d", code, m.generation())
 	}
 	if late.Term = 3; apply(3, late) != Done || m.generation() != 2 {
-		t.Errorf("an expiry of its own term is not done: generation %d", m.generation())
+		t.Errorf("an expiry of the current term is not applied: generation %d", m.generation())
 	}
 }
 
-// The entries that the plan loses at once are forgotten neither as changes nor as tombstones.
+// When the largest zone is lost at once, the history must retain all of its changes and tombstones.
 func TestLostZoneStaysInHistory(t *testing.T) {
 	m := newFSM(func(Command, Outcome) {})
-	fillList(t, m.state, planZoneEntries+1)
+	fillList(t, m.state, maxZoneEntries+1)
 	m.publishRestored()
 	before := m.generation()
-	for n := range planZoneEntries {
+	for n := range maxZoneEntries {
 		text, err := json.Marshal(Command{Kind: Remove, ID: numberedEntry(n).InstanceID, Incarnation: 1})
 		if err != nil {
 			t.Fatal(err)
@@ -52,36 +52,36 @@
 	for at := before; m.generation() != at; reads++ {
 		at = checkRead(t, m, at)
 	}
-	if want := (planZoneEntries + maxChangesPerRead - 1) / maxChangesPerRead; reads != want {
-		t.Errorf("read in %d parts, want %d", reads, want)
+	if want := (maxZoneEntries + maxChangesPerRead - 1) / maxChangesPerRead; reads != want {
+		t.Errorf("%d reads, want %d", reads, want)
 	}
-	for _, n := range []int{0, planZoneEntries - 1} {
+	for _, n := range []int{0, maxZoneEntries - 1} {
 		if o := m.state.Apply(Command{Kind: Register, Entry: numberedEntry(n), Incarnation: 1}); o.Code != StaleIncarnation {
-			t.Errorf("a late registration of the removed incarnation, instance %d: %+v", n, o)
+			t.Errorf("registration of the removed incarnation of instance %d: %+v, want stale", n, o)
 		}
 	}
 }
 
-// checkRead reads what a watch at a generation gets, which must be the changes that follow, and returns the generation
-// after them.
+// checkRead reads like a watch at a generation. It checks that the result is the next changes, and returns
+// the generation after them.
 func checkRead(t *testing.T, m *fsm, at uint64) uint64 {
 	t.Helper()
 	read := m.readSince(at)
 	if len(read.chunks) == 0 || len(read.chunks) > maxChangesPerRead || read.generation != at+uint64(len(read.chunks)) {
-		t.Fatalf("from %d: %d chunks up to %d", at, len(read.chunks), read.generation)
+		t.Fatalf("read from %d returns %d chunks up to %d", at, len(read.chunks), read.generation)
 	}
 	for i, chunk := range read.chunks {
 		if want := fmt.Sprintf(`{"generation":%d,"reset":false,`, at+1+uint64(i)); !bytes.Contains(chunk, []byte(want)) {
-			t.Fatalf("chunk %d from %d is %.80s", i, at, chunk)
+			t.Fatalf("chunk %d of the read from %d is %.80s, want %s", i, at, chunk, want)
 		}
 	}
 	if read.generation != m.generation() && !isClosed(read.readAgain) {
-		t.Fatalf("a watch waits at %d of %d", read.generation, m.generation())
+		t.Fatalf("a watch at generation %d waits, though the current one is %d", read.generation, m.generation())
 	}
 	return read.generation
 }
 
-// isClosed reports whether a watch reads on at once.
+// isClosed reports whether a watch with this signal reads again immediately.
 func isClosed(updated chan struct{}) bool {
 	select {
 	case <-updated:
@@ -91,8 +91,8 @@
 	}
 }
 
-// A watch may begin with an earlier list and the changes since; a reader of the list gets the current one. The list is
-// encoded again when the changes have come to a fraction of it.
+// A watch may begin with the cached list and the changes since then, but a reader of the list always gets the
+// current one. The list is encoded again when the changes amount to a fraction of its size.
 func TestEncodedListIsShared(t *testing.T) {
 	m := newFSM(func(Command, Outcome) {})
 	fillList(t, m.state, 400)
@@ -107,28 +107,28 @@
 	change(0, 2)
 	second := m.readSince(0)
 	if &first.chunks[0][0] != &second.chunks[0][0] || second.generation != first.generation {
-		t.Errorf("the list of %d was encoded anew at %d for one change", first.generation, second.generation)
+		t.Errorf("the list at generation %d was encoded again at %d after one change", first.generation, second.generation)
 	}
 	if !isClosed(second.readAgain) {
-		t.Error("a watch that begins with an earlier list waits for more")
+		t.Error("a watch that begins with the cached list waits instead of reading the changes")
 	}
 	if rest := m.readSince(second.generation); rest.generation != m.generation() || len(rest.chunks) != 1 {
-		t.Errorf("then it gets %d changes up to %d", len(rest.chunks), rest.generation)
+		t.Errorf("after the cached list, a watch gets %d changes up to %d", len(rest.chunks), rest.generation)
 	}
 	var now message
 	if err := json.Unmarshal(m.currentList().json(), &now); err != nil || now.Generation != m.generation() || len(now.Instances) != 400 || !now.Reset {
-		t.Errorf("a reader gets generation %d of %d, %d entries: %v", now.Generation, m.generation(), len(now.Instances), err)
+		t.Errorf("a reader gets generation %d, current is %d, with %d entries, want 400: %v", now.Generation, m.generation(), len(now.Instances), err)
 	}
 	start, changes := m.readSince(0).generation, 0
 	for ; m.readSince(0).generation == start; changes++ {
 		change(1, uint64(changes)+2)
 	}
 	if changes < 400/16 || changes > 400/4 {
-		t.Errorf("encoded anew after %d changes of 400 entries", changes)
+		t.Errorf("a list of 400 entries was encoded again after %d changes", changes)
 	}
 }
 
-// After a restore, readers get the restored list, though the one before has the same generation.
+// After a restore, readers must get the restored list, even if the list before it has the same generation.
 func TestEncodedListIsNotSharedOverRestore(t *testing.T) {
 	m := newFSM(func(Command, Outcome) {})
 	fillList(t, m.state, 400)
@@ -149,18 +149,19 @@
 	}
 	var now message
 	if err := json.Unmarshal(m.currentList().json(), &now); err != nil || len(now.Instances) != other.state.Len() {
-		t.Errorf("after a restore a reader gets %d entries of %d: %v", len(now.Instances), other.state.Len(), err)
+		t.Errorf("after a restore, a reader gets %d entries, want %d: %v", len(now.Instances), other.state.Len(), err)
 	}
 }
 
-// memorySink is a snapshot that is being written.
+// memorySink is a raft.SnapshotSink in memory.
 type memorySink struct{ bytes.Buffer }
 
 func (*memorySink) Close() error  { return nil }
 func (*memorySink) Cancel() error { return nil }
 func (*memorySink) ID() string    { return "sink" }
 
-// A snapshot has the state at which it was taken, whatever changes before it is written.
+// A snapshot contains the state at the time it was taken, even if the state changes before the snapshot is
+// written.
 func TestSnapshotIsolation(t *testing.T) {
 	m := newFSM(func(Command, Outcome) {})
 	fillList(t, m.state, 50)
@@ -181,12 +182,12 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(written.Bytes(), want) {
-		t.Errorf("%d bytes of another moment, want %d", written.Len(), len(want))
+		t.Errorf("the snapshot differs from the state at the time it was taken: %d bytes, want %d", written.Len(), len(want))
 	}
 }
 
-// A watch of a replica that is lost continues at another one, also at one that began with a snapshot: from any
-// generation it gets the same bytes.
+// When a replica is lost, its watches continue at another one, which may have begun with a snapshot. From any
+// generation, both replicas must send the same bytes.
 func TestWatchResumesAtAnotherReplica(t *testing.T) {
 	lost, other := newFSM(func(Command, Outcome) {}), newFSM(func(Command, Outcome) {})
 	for n := range 3 * maxChangesPerRead {
@@ -204,7 +205,7 @@
 	if err := other.Restore(io.NopCloser(&written)); err != nil {
 		t.Fatal(err)
 	}
-	for _, m := range []*fsm{lost, other} { // changes that both apply after it
+	for _, m := range []*fsm{lost, other} { // changes after the snapshot
 		for n := range 10 {
 			m.state.Apply(Command{Kind: Remove, ID: numberedEntry(n).InstanceID})
 			m.publish()
@@ -213,7 +214,7 @@
 	for from := uint64(1); from <= lost.generation(); from++ {
 		a, b := lost.readSince(from), other.readSince(from)
 		if a.generation != b.generation || !slices.EqualFunc(a.chunks, b.chunks, bytes.Equal) {
-			t.Fatalf("from %d: %d changes up to %d at one, %d up to %d at the other", from, len(a.chunks), a.generation, len(b.chunks), b.generation)
+			t.Fatalf("from %d: %d changes up to %d at the lost replica, %d up to %d at the other", from, len(a.chunks), a.generation, len(b.chunks), b.generation)
 		}
 	}
 }
--- a/internal/registry/golden_client_test.go
+++ b/internal/registry/golden_client_test.go
@@ -19,7 +19,8 @@
 	"opalhook/internal/golden"
 )
 
-// recordedService answers each request with a golden file or an outcome, and writes the requests down.
+// recordedService responds to each request with a golden file or a fixed outcome, and writes the requests to
+// transcript.
 func recordedService(t *testing.T, transcript io.Writer) *Client {
 	t.Helper()
 	responses := map[string][]byte{
@@ -47,7 +48,7 @@
 	return &Client{Replicas: []string{strings.TrimPrefix(srv.URL, "http://")}}
 }
 
-// A client's requests are as recorded, and it reads the recorded answers.
+// The client's requests match the golden file, and the client decodes recorded responses.
 func TestGoldenClient(t *testing.T) {
 	var transcript, backup bytes.Buffer
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
@@ -72,7 +73,7 @@
 		}
 	})
 	if !errors.Is(watchErr, ErrWatchEnded) {
-		t.Errorf("the watch ends with %v", watchErr)
+		t.Errorf("the watch ends with %v, want %v", watchErr, ErrWatchEnded)
 	}
 	golden.Check(t, "golden/client-requests.txt", transcript.Bytes())
 	for _, o := range []Outcome{registered, renewed, drained, removed, dismissed} {
@@ -84,7 +85,7 @@
 		t.Errorf("instance %+v", shown)
 	}
 	if generation != 7<<epochBits|8 || len(entries) != 2 || entries[1].StartedAtMs != 1700000000123 || watched != generation {
-		t.Errorf("list %d %+v, on a watch %d", generation, entries, watched)
+		t.Errorf("list at generation %d: %+v; generation on the watch: %d", generation, entries, watched)
 	}
 	if len(all) != 1 || all[0].AppliedIndex != 17 || !all[0].ExpirySuspended || all[0].SecondsSinceLeaderContact != 0.25 || !all[0].Replicas[0].Leader {
 		t.Errorf("status %+v", all)
@@ -92,7 +93,7 @@
 	golden.Same(t, "backup", backup.Bytes(), golden.Read(t, "golden/backup.json"))
 }
 
-// A connection between replicas begins with the recorded line.
+// The first line of a connection between replicas matches the golden file.
 func TestGoldenGreeting(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -20,17 +20,18 @@
 	"opalhook/internal/golden"
 )
 
-// goldenTerm is the term of the recorded expire command.
+// goldenTerm is the Raft term in the recorded expire command.
 const goldenTerm = 2
 
-// goldenCommand is a command with the name of its golden file and its outcome.
+// goldenCommand is a recorded command: the name in its golden file, and the code of its outcome.
 type goldenCommand struct {
 	name    string
 	command Command
 	code    Code
 }
 
-// goldenCommands returns commands of each kind, in an order in which each changes the list.
+// goldenCommands returns commands of each kind. In this order, each of them changes the list, except the last
+// one.
 func goldenCommands(t *testing.T) []goldenCommand {
 	t.Helper()
 	earlier := NewState(0)
@@ -56,7 +57,7 @@
 	}
 }
 
-// recordingStore is a log store that keeps the commands written to it.
+// recordingStore is a log store that records the commands written to it.
 type recordingStore struct {
 	raft.LogStore
 	mu       sync.Mutex
@@ -74,7 +75,7 @@
 	return l.LogStore.StoreLogs(logs)
 }
 
-// latest returns the command that was written last.
+// latest returns the most recent command, or nil.
 func (l *recordingStore) latest() []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -84,7 +85,8 @@
 	return l.commands[len(l.commands)-1]
 }
 
-// goldenReplica starts a replica that has carried out the golden commands, and compares its log entries.
+// goldenReplica starts a replica, executes the golden commands and compares the log entries with the golden
+// files.
 func goldenReplica(t *testing.T) *Server {
 	t.Helper()
 	log := &recordingStore{}
@@ -100,7 +102,7 @@
 			t.Fatalf("%s: %v", g.name, err)
 		}
 		golden.Check(t, "golden/command-"+g.name+".json", log.latest())
-		if g.command.Kind == Expire { // again, should the term be another than the recorded one
+		if g.command.Kind == Expire { // again with the current term, which may differ from the recorded one
 			g.command.Term = s.raft.CurrentTerm()
 			if _, err := s.commit(g.command); err != nil {
 				t.Fatalf("%s: %v", g.name, err)
@@ -110,7 +112,7 @@
 	return s
 }
 
-// Commands go into the log, states into snapshots and backups, and lists to readers as they were recorded.
+// Log entries, snapshots, backups, lists and watches match the golden files.
 func TestGoldenWrites(t *testing.T) {
 	s := goldenReplica(t)
 	if err := s.Snapshot(); err != nil {
@@ -138,14 +140,14 @@
 	golden.Check(t, "golden/watch-beat.txt", s.heartbeatChunk)
 }
 
-// watchBytes returns the head of a watch's answer and its first chunks, without those of empty lines.
+// watchBytes returns the header of a watch's response and its first chunks, except those with an empty line.
 func watchBytes(t *testing.T, addr string, from uint64, chunks int) []byte {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = conn.Close() }() // all that matters was read
+	defer func() { _ = conn.Close() }() // the response has been read
 	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
@@ -182,7 +184,7 @@
 	return got
 }
 
-// The recorded log entries are decoded to the commands, which lead to the recorded state.
+// Recorded log entries are decoded to the golden commands and lead to the recorded state.
 func TestGoldenLogIsRead(t *testing.T) {
 	m := newFSM(func(Command, Outcome) {})
 	for _, g := range goldenCommands(t) {
@@ -203,7 +205,7 @@
 	golden.Same(t, "state", persisted(t, m), golden.Read(t, "golden/snapshot.json"))
 }
 
-// persisted returns what a snapshot writes.
+// persisted returns the bytes of a snapshot.
 func persisted(t *testing.T, m *fsm) []byte {
 	t.Helper()
 	taken, err := m.Snapshot()
@@ -217,7 +219,7 @@
 	return written.Bytes()
 }
 
-// A recorded snapshot or backup is read to the state that it was written from.
+// Recorded snapshots and backups are decoded to the state that they were taken of.
 func TestGoldenStateIsRead(t *testing.T) {
 	for _, name := range []string{"golden/snapshot.json", "golden/backup.json"} {
 		text := golden.Read(t, name)
@@ -231,7 +233,8 @@
 	}
 }
 
-// checkGoldenState compares what the list does not show: owners, leases, tombstones, addresses and changes.
+// checkGoldenState compares the part of the state that is not in the list: incarnations, leases, tombstones,
+// addresses and changes.
 func checkGoldenState(t *testing.T, name string, s *State) {
 	t.Helper()
 	if s.Epoch() != 7 || s.Generation() != 7<<epochBits|8 || s.Len() != 2 {
@@ -258,12 +261,12 @@
 		{"s-plain", 9010, 2, Done},
 	} {
 		if o := s.Apply(Command{Kind: Register, Entry: entry(c.id, c.port), Incarnation: c.incarnation}); o.Code != c.want {
-			t.Errorf("%s: %s of incarnation %d is %s, want %s", name, c.id, c.incarnation, o.Code, c.want)
+			t.Errorf("%s: registration of %s, incarnation %d: %s, want %s", name, c.id, c.incarnation, o.Code, c.want)
 		}
 	}
 }
 
-// A folder is prepared from a recorded backup as it was recorded.
+// A data folder that is prepared from a recorded backup matches the golden file.
 func TestGoldenRestore(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "new")
 	if _, err := Restore(dir, bytes.NewReader(golden.Read(t, "golden/backup.json")), 9); err != nil {
@@ -276,7 +279,7 @@
 	golden.Check(t, "golden/restore.json", text)
 }
 
-// The HTTP API's answers are as recorded.
+// The responses of the HTTP API match the golden file.
 func TestGoldenResponses(t *testing.T) {
 	s := startReplica(t, t.TempDir(), "")
 	var transcript bytes.Buffer
@@ -307,7 +310,8 @@
 	golden.Check(t, "golden/answers.txt", transcript.Bytes())
 }
 
-// What a replica says of itself and of its members, and each code, is encoded as recorded and read back.
+// A status, a join request and outcomes with each code match the golden files and are decoded to the same
+// values.
 func TestGoldenStatus(t *testing.T) {
 	status := Status{
 		Replica: "r0123456789ab@127.0.0.1:8500", State: "follower", Leader: "127.0.0.2:8500", Epoch: 7, Generation: 7<<epochBits | 8, Entries: 3,
@@ -322,7 +326,8 @@
 	checkJSON(t, "golden/outcomes.json", append(outcomes, Outcome{Code: Done}))
 }
 
-// checkJSON compares a value's encoding with a golden file, and with that of what is decoded from the file.
+// checkJSON compares the encoding of a value with a golden file. It also decodes the file and compares the
+// encoding of the result.
 func checkJSON[T any](t *testing.T, name string, v T) {
 	t.Helper()
 	text, err := json.Marshal(v)
--- a/internal/registry/harness_test.go
+++ b/internal/registry/harness_test.go
@@ -15,10 +15,10 @@
 	"opalhook/internal/testnet"
 )
 
-// testTimeout bounds every wait; none is expected to come near it.
+// testTimeout limits every wait. A passing test waits far less.
 const testTimeout = 60 * time.Second
 
-// startReplica starts a replica with its state in dir; it ends with the test.
+// startReplica starts a replica with the data folder dir. The replica ends with the test.
 func startReplica(t testing.TB, dir, join string, change ...func(*Config)) *Server {
 	t.Helper()
 	cfg := Config{Dir: dir, Listen: testnet.AnyPort(), Raft: testnet.AnyPort(), Join: join, Logger: slog.New(slog.DiscardHandler)}
@@ -29,11 +29,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = s.Close() }) // most tests close it themselves
+	t.Cleanup(func() { _ = s.Close() }) // most tests close the replica themselves
 	return s
 }
 
-// call sends a request, again while the service has no leader, and returns the response's status and body.
+// call sends a request, repeats it while the service responds with 503, and returns the status and the body
+// of the response.
 func call(t testing.TB, method, url, body string) (int, string) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(20 * time.Millisecond) {
@@ -43,38 +44,38 @@
 		}
 		resp, err := http.DefaultClient.Do(req)
 		if err == nil {
-			text, _ := io.ReadAll(resp.Body) // a body that is cut off fails the test that compares it
+			text, _ := io.ReadAll(resp.Body) // a truncated body fails the test that compares it
 			_ = resp.Body.Close()
 			if resp.StatusCode != http.StatusServiceUnavailable {
 				return resp.StatusCode, string(text)
 			}
 			if resp.Header.Get("Retry-After") == "" {
-				t.Errorf("503 with no advice: %s", text)
+				t.Errorf("503 without Retry-After: %s", text)
 			}
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%s %s: never answered: %v", method, url, err)
+			t.Fatalf("%s %s: no final response within %v: %v", method, url, testTimeout, err)
 		}
 	}
 }
 
-// registration is the body that registers an instance.
-func registration(id string, port, inc int, lease time.Duration) string {
-	text, err := json.Marshal(Registration{entry(id, port), uint64(inc), lease.Milliseconds()})
+// registration returns the body of a request that registers an instance.
+func registration(id string, port, incarnation int, lease time.Duration) string {
+	text, err := json.Marshal(Registration{entry(id, port), uint64(incarnation), lease.Milliseconds()})
 	if err != nil {
 		panic(err)
 	}
 	return string(text)
 }
 
-// testWatch is a watch that is read as an edge node does.
+// testWatch is an open watch whose messages are read in the background.
 type testWatch struct{ messages chan message }
 
-// startWatch opens a watch; it ends with the test.
+// startWatch opens a watch. The watch ends with the test.
 func startWatch(t testing.TB, addr string, from uint64) *testWatch {
 	t.Helper()
 	var resp *http.Response
-	waitFor(t, "a watch", func() bool {
+	waitFor(t, "the watch is open", func() bool {
 		r, err := http.Get(fmt.Sprintf("http://%s/registry/instances?watch=1&from=%d", addr, from))
 		if err != nil {
 			return false
@@ -97,7 +98,7 @@
 	return w
 }
 
-// read hands on messages until the watch ends.
+// read sends the messages of the watch to the channel until the watch ends.
 func (w *testWatch) read(body io.Reader) {
 	defer close(w.messages)
 	lines := bufio.NewScanner(body)
@@ -110,7 +111,7 @@
 	}
 }
 
-// next returns the next message.
+// next returns the next message of the watch. It fails the test if the watch ends or times out.
 func (w *testWatch) next(t testing.TB) message {
 	t.Helper()
 	select {
@@ -120,40 +121,40 @@
 		}
 		return m
 	case <-time.After(testTimeout):
-		t.Fatal("nothing comes on the watch")
+		t.Fatal("no message on the watch before the timeout")
 	}
 	return message{}
 }
 
-// waitFor waits for a condition.
+// waitFor waits until a condition holds. It fails the test after testTimeout.
 func waitFor(t testing.TB, what string, cond func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !cond(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("not within %v: %s", testTimeout, what)
 		}
 	}
 }
 
-// entry is an app server with a port of its own.
+// entry returns an app server at the given port of 127.0.0.1.
 func entry(id string, port int) Entry {
 	return Entry{InstanceID: id, HostPort: fmt.Sprintf("127.0.0.1:%d", port), Zone: "a", MachineType: "m", Lifecycle: Up, Weight: 1}
 }
 
-// The plan of the largest fleet.
+// Sizes of the largest fleet that the service is designed for.
 const (
-	planEntries     = 200_000
-	planZoneEntries = planEntries / 15 // instances that may be lost at once
+	maxFleetEntries = 200_000
+	maxZoneEntries  = maxFleetEntries / 15 // instances that may be lost at once
 )
 
-// numberedEntry is an app server whose address is its own among the first 500,000.
+// numberedEntry returns an app server with a unique address, for n below 500,000.
 func numberedEntry(n int) Entry {
 	e := entry(fmt.Sprintf("s-%06d", n), 0)
 	e.HostPort = fmt.Sprintf("127.%d.%d.1:%d", n/50_000, n/200%250, 1+n%200)
 	return e
 }
 
-// fillList registers instances until there are that many.
+// fillList registers instances until the list has the given number of entries.
 func fillList(t testing.TB, s *State, entries int) {
 	t.Helper()
 	for n := s.Len(); n < entries; n++ {
--- a/internal/registry/history_test.go
+++ b/internal/registry/history_test.go
@@ -20,47 +20,48 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// operation is an input of a history.
+// operation is one request of a client in a history.
 type operation struct {
-	kind string
-	id   string
-	inc  uint64
+	kind        string
+	id          string
+	incarnation uint64
 }
 
-// result is the output of an operation; unknown where the client can't tell whether it was carried out.
+// result is the outcome of an operation. It is unknown if the client cannot tell whether the operation was
+// executed.
 type result struct {
 	code       Code
 	generation uint64
 	unknown    bool
-	seen       instanceModel // of showKind
+	seen       instanceModel // instance that a showKind operation returned
 }
 
 // instanceModel is the state of one instance in the model.
 type instanceModel struct {
-	here, drained bool
-	inc, gone     uint64
+	registered, drained             bool
+	incarnation, removedIncarnation uint64
 }
 
-// showKind is an operation that reads one instance at the leader.
+// showKind is the kind of an operation that reads one instance from the leader.
 const showKind = "read"
 
-// applyModel is the sequential specification of the writes of one instance. It shares nothing with the state machine.
+// applyModel is the sequential specification of writes to one instance. It shares no code with [State].
 func applyModel(s instanceModel, w operation) (instanceModel, Code) {
 	if w.kind == Register {
 		switch {
-		case w.inc <= s.gone || s.here && w.inc < s.inc:
+		case w.incarnation <= s.removedIncarnation || s.registered && w.incarnation < s.incarnation:
 			return s, StaleIncarnation
-		case s.here && w.inc == s.inc:
+		case s.registered && w.incarnation == s.incarnation:
 			return s, Unchanged
 		}
-		return instanceModel{here: true, inc: w.inc, gone: s.gone}, Done
+		return instanceModel{registered: true, incarnation: w.incarnation, removedIncarnation: s.removedIncarnation}, Done
 	}
 	switch {
-	case !s.here && w.inc <= s.gone:
+	case !s.registered && w.incarnation <= s.removedIncarnation:
 		return s, Unchanged
-	case !s.here || w.inc > s.inc:
+	case !s.registered || w.incarnation > s.incarnation:
 		return s, NotFound
-	case w.inc < s.inc:
+	case w.incarnation < s.incarnation:
 		return s, StaleIncarnation
 	case w.kind == Drain && s.drained:
 		return s, Unchanged
@@ -68,7 +69,7 @@
 		s.drained = true
 		return s, Done
 	}
-	return instanceModel{gone: s.inc}, Done
+	return instanceModel{removedIncarnation: s.incarnation}, Done
 }
 
 var linearizabilityModel = porcupine.Model{
@@ -84,7 +85,7 @@
 	Step: func(state, input, output any) (bool, any) {
 		before, op, res := state.(instanceModel), input.(operation), output.(result)
 		if op.kind == showKind {
-			return res.unknown || res.seen == instanceModel{here: before.here, drained: before.drained, inc: before.inc}, before
+			return res.unknown || res.seen == instanceModel{registered: before.registered, drained: before.drained, incarnation: before.incarnation}, before
 		}
 		after, code := applyModel(before, op)
 		return res.unknown || res.code == code, after
@@ -92,13 +93,15 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// Settings of the clients of a history.
+// Settings of the clients that produce a history.
 const (
-	clientCount      = 6
-	clientTimeout    = 4 * time.Second
-	clientPause      = 50 * time.Millisecond // after a request that failed, not to flood a service without a leader
-	incarnationEvery = 500 * time.Millisecond
-	neverReturned    = int64(1 << 62) // the return time of an operation that may be carried out at any time yet
+	clientCount   = 6
+	clientTimeout = 4 * time.Second
+	// clientBackoff is the delay after a failed request, so that the clients do not flood a service without a
+	// leader.
+	clientBackoff       = 50 * time.Millisecond
+	incarnationInterval = 500 * time.Millisecond
+	neverReturned       = int64(1 << 62) // return time of an operation that may still be executed at any time
 )
 
 // recorder collects the operations of concurrent clients.
@@ -116,7 +119,7 @@
 	r.operations = append(r.operations, o)
 }
 
-// runClients runs clients against the replicas until ctx ends and returns what they saw.
+// runClients runs clients against the replicas until ctx ends and returns their operations.
 func runClients(ctx context.Context, all []*testReplica) []porcupine.Operation {
 	rec := &recorder{start: time.Now()}
 	var clients sync.WaitGroup
@@ -144,22 +147,23 @@
 			r.add(recorded)
 		}
 		if res.unknown || res.code == Unavailable {
-			time.Sleep(clientPause)
+			time.Sleep(clientBackoff)
 		}
 	}
 }
 
-// randomOperation draws from few instances and from incarnations that grow with time.
+// randomOperation chooses from few instances and from incarnations that grow with time, so that operations
+// conflict.
 func randomOperation(rng *rand.Rand, elapsed time.Duration) operation {
 	kinds := []string{Register, Register, Drain, Remove, showKind, showKind}
 	return operation{
-		kind: kinds[rng.IntN(len(kinds))],
-		id:   fmt.Sprint("s-", rng.IntN(8)),
-		inc:  1 + rng.Uint64N(1000)/100 + uint64(elapsed/incarnationEvery),
+		kind:        kinds[rng.IntN(len(kinds))],
+		id:          fmt.Sprint("s-", rng.IntN(8)),
+		incarnation: 1 + rng.Uint64N(1000)/100 + uint64(elapsed/incarnationInterval),
 	}
 }
 
-// port is the port that an operation registers its instance with.
+// port returns the port at which an operation registers its instance.
 func (op operation) port() int {
 	number, err := strconv.Atoi(strings.TrimPrefix(op.id, "s-"))
 	if err != nil {
@@ -174,13 +178,13 @@
 	method, body := http.MethodPost, ""
 	switch op.kind {
 	case Register:
-		body = registration(op.id, op.port(), int(op.inc), 0)
+		body = registration(op.id, op.port(), int(op.incarnation), 0)
 	case showKind:
 		method, url = http.MethodGet, url+"/"+op.id
 	case Drain:
-		url = fmt.Sprintf("%s/%s/drain?incarnation=%d", url, op.id, op.inc)
+		url = fmt.Sprintf("%s/%s/drain?incarnation=%d", url, op.id, op.incarnation)
 	default:
-		method, url = http.MethodDelete, fmt.Sprintf("%s/%s?incarnation=%d", url, op.id, op.inc)
+		method, url = http.MethodDelete, fmt.Sprintf("%s/%s?incarnation=%d", url, op.id, op.incarnation)
 	}
 	req, err := http.NewRequest(method, url, strings.NewReader(body))
 	if err != nil {
@@ -189,7 +193,7 @@
 	return req
 }
 
-// run carries out an operation, once.
+// run sends the request of an operation once and returns its result.
 func (op operation) run(httpClient *http.Client, addr string) result {
 	resp, err := httpClient.Do(op.request(addr))
 	if errors.Is(err, syscall.ECONNREFUSED) {
@@ -211,30 +215,30 @@
 	case err != nil || o.Code == OutcomeUnknown:
 		return result{unknown: true}
 	case resp.StatusCode == http.StatusTemporaryRedirect:
-		return result{code: Unavailable} // in a circle
+		return result{code: Unavailable} // too many redirects between replicas
 	}
 	return result{code: o.Code, generation: o.Generation}
 }
 
-// shownResult is the result of reading an instance that is registered.
+// shownResult returns the result of reading a registered instance.
 func shownResult(text []byte) result {
 	var status InstanceStatus
 	if err := json.Unmarshal(text, &status); err != nil {
 		return result{unknown: true}
 	}
-	seen := instanceModel{here: true, drained: status.Lifecycle == Draining, inc: status.Incarnation}
+	seen := instanceModel{registered: true, drained: status.Lifecycle == Draining, incarnation: status.Incarnation}
 	return result{code: Unchanged, seen: seen}
 }
 
-// Faults of a history, as [checkHistory] finds them.
+// Errors of [checkHistory].
 var (
 	errNotLinearizable     = errors.New("the history is not linearizable")
-	errGenerationUsedTwice = errors.New("a generation is that of two changes")
-	errGenerationOrder     = errors.New("generations do not follow the order of time")
+	errGenerationUsedTwice = errors.New("two changes have the same generation")
+	errGenerationOrder     = errors.New("the generations of two consecutive changes do not grow")
 )
 
-// checkHistory checks that the model could have given a history, that no generation identifies two changes, and that
-// generations follow the order of time.
+// checkHistory checks that a history is linearizable, that no two changes have the same generation, and that
+// a change has a larger generation than every change that ended before it began.
 func checkHistory(operations []porcupine.Operation) error {
 	if res := porcupine.CheckOperationsTimeout(linearizabilityModel, operations, testTimeout); res != porcupine.Ok {
 		return fmt.Errorf("%w: %v", errNotLinearizable, res)
@@ -244,7 +248,7 @@
 	for i, a := range changes {
 		generation := a.Output.(result).generation
 		if other, twice := byGeneration[generation]; twice {
-			return fmt.Errorf("%w: %d of %v and of %v", errGenerationUsedTwice, generation, other, a.Input)
+			return fmt.Errorf("%w: generation %d of %v and of %v", errGenerationUsedTwice, generation, other, a.Input)
 		}
 		byGeneration[generation] = a.Input.(operation)
 		for _, b := range changes[i+1:] {
@@ -256,20 +260,20 @@
 	return nil
 }
 
-// inOrder reports whether a has the smaller generation, if it returned before b was called.
+// inOrder reports whether a has the smaller generation. It is true if a did not end before b began.
 func inOrder(a, b porcupine.Operation) bool {
 	return a.Return >= b.Call || a.Output.(result).generation < b.Output.(result).generation
 }
 
-// simulatedHistory is the history of one client of a state machine.
+// simulatedHistory returns the history of one client that calls apply on a state.
 func simulatedHistory(apply func(*State, Command) Outcome) []porcupine.Operation {
 	s := NewState(0)
 	rng := rand.New(rand.NewPCG(1, 2))
 	kinds := []string{Register, Register, Drain, Remove}
 	var operations []porcupine.Operation
 	for i := range int64(400) {
-		op := operation{kind: kinds[rng.IntN(4)], id: fmt.Sprint("s-", rng.IntN(3)), inc: 1 + rng.Uint64N(6) + uint64(i/80)}
-		c := Command{Kind: op.kind, ID: op.id, Incarnation: op.inc}
+		op := operation{kind: kinds[rng.IntN(4)], id: fmt.Sprint("s-", rng.IntN(3)), incarnation: 1 + rng.Uint64N(6) + uint64(i/80)}
+		c := Command{Kind: op.kind, ID: op.id, Incarnation: op.incarnation}
 		if op.kind == Register {
 			c.Entry = entry(op.id, op.port())
 		}
@@ -280,10 +284,10 @@
 	return operations
 }
 
-// The checker accepts the history of the state machine and rejects those of broken ones.
+// checkHistory must accept the history of the state machine and reject the histories of faulty ones.
 func TestCheckHistoryCatchesBrokenHistories(t *testing.T) {
 	if err := checkHistory(simulatedHistory((*State).Apply)); err != nil {
-		t.Errorf("the right one: %v", err)
+		t.Errorf("history of the state machine: %v", err)
 	}
 	acceptOlder := func(s *State, c Command) Outcome {
 		if r := s.records[c.Entry.InstanceID]; c.Kind == Register && r != nil && c.Incarnation < r.Incarnation {
@@ -307,10 +311,10 @@
 	for name, history := range map[string][]porcupine.Operation{
 		"an older incarnation accepted": simulatedHistory(acceptOlder),
 		"a generation used twice":       simulatedHistory(reuseGeneration),
-		"a read of the past":            staleRead,
+		"a read of an older state":      staleRead,
 	} {
 		if checkHistory(history) == nil {
-			t.Errorf("%s was not caught", name)
+			t.Errorf("%s: not detected", name)
 		}
 	}
 }
--- a/internal/registry/http_api.go
+++ b/internal/registry/http_api.go
@@ -25,38 +25,39 @@
 	return m
 }
 
-// requireLeader reports whether this replica leads. If not, it redirects the client to the leader or responds that none
-// is known.
+// requireLeader reports whether this replica is the leader. If it is not, it redirects the client to the
+// leader, or responds with 503 if no leader is known.
 func (s *Server) requireLeader(w http.ResponseWriter, r *http.Request) bool {
 	if s.raft.State() == raft.Leader {
 		return true
 	}
 	leader := s.leaderAddress()
 	if leader == "" || leader == s.Addr() {
-		writeUnavailable(w, "no leader is known; ask again, or another replica")
+		writeUnavailable(w, "no leader is known; retry, or try another replica")
 		return false
 	}
 	w.Header().Set("Location", "http://"+leader+r.URL.RequestURI())
-	writeError(w, http.StatusTemporaryRedirect, NotLeader, "%s leads", leader)
+	writeError(w, http.StatusTemporaryRedirect, NotLeader, "%s is the leader", leader)
 	return false
 }
 
-// confirmLeadership asks the quorum whether this replica leads. If it does not, or has not yet applied what its
-// predecessors committed, it responds so and returns false.
+// confirmLeadership confirms with a quorum that this replica is still the leader, and that it has applied
+// everything that earlier leaders committed. If this fails, it responds with 503 and returns false.
 func (s *Server) confirmLeadership(w http.ResponseWriter) bool {
 	if s.raft.VerifyLeader().Error() == nil && s.hasTakenOver() {
 		return true
 	}
-	writeUnavailable(w, "the leader has changed; ask again")
+	writeUnavailable(w, "the leader has changed; retry")
 	return false
 }
 
-// commitAndRespond commits a command and responds with its outcome.
+// commitAndRespond commits a command and responds with its outcome. If the commit fails, the outcome is
+// unknown.
 func (s *Server) commitAndRespond(w http.ResponseWriter, c Command) {
 	o, err := s.commit(c)
 	if err != nil {
 		s.metrics.writes.WithLabelValues(c.Kind, failedOutcome).Inc()
-		writeRetryable(w, OutcomeUnknown, "%v; the write may have been done, and may be sent again", err)
+		writeRetryable(w, OutcomeUnknown, "%v; the write may have been executed, and may be sent again", err)
 		return
 	}
 	s.metrics.writes.WithLabelValues(c.Kind, string(o.Code)).Inc()
@@ -68,9 +69,9 @@
 	if !decodeBody(w, r, &registration) {
 		return
 	}
-	// Checked before it becomes a duration, which might overflow.
+	// Checked before the conversion to a time.Duration, which could overflow.
 	if registration.LeaseMs < 0 || registration.LeaseMs > MaxLease.Milliseconds() {
-		writeError(w, http.StatusBadRequest, Invalid, "leaseMs: %d is not from 0 to %d", registration.LeaseMs, MaxLease.Milliseconds())
+		writeError(w, http.StatusBadRequest, Invalid, "leaseMs: got %d, must be from 0 to %d", registration.LeaseMs, MaxLease.Milliseconds())
 		return
 	}
 	if registration.Lifecycle == "" {
@@ -86,7 +87,7 @@
 	}
 }
 
-// handleChange returns the handler of Drain or Remove.
+// handleChange returns the handler of Drain or Remove requests.
 func (s *Server) handleChange(kind string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		ref, ok := parseInstanceRef(w, r, incarnationOptional)
@@ -96,14 +97,14 @@
 	}
 }
 
-// handleRenew extends a lease. A renewal does not change the list and is not logged, so the quorum is asked first: a
-// leader that was replaced must not accept it.
+// handleRenew extends a lease. A renewal does not change the list and is not written to the log, so the
+// handler confirms the leadership with a quorum: a leader that has been replaced must not accept renewals.
 func (s *Server) handleRenew(w http.ResponseWriter, r *http.Request) {
 	ref, ok := parseInstanceRef(w, r, incarnationRequired)
 	if !ok || !s.requireLeader(w, r) {
 		return
 	}
-	at := s.now() // a lease runs from before the quorum was asked
+	at := s.now() // before the quorum check, so that its duration does not extend the lease
 	if !s.confirmLeadership(w) {
 		return
 	}
@@ -111,25 +112,26 @@
 	s.metrics.writes.WithLabelValues(renewKind, string(code)).Inc()
 }
 
-// renew extends a lease at a time and responds with the outcome. It returns whether the incarnation is registered, as
-// a code.
+// renew extends a lease from the given time to its full term and responds with the outcome. The returned code
+// says whether the incarnation is registered.
 func (s *Server) renew(w http.ResponseWriter, at time.Duration, ref InstanceRef) Code {
 	var term time.Duration
 	var code Code
 	s.fsm.withState(func(st *State) { term, code = st.LeaseTerm(ref) })
-	renewed := s.leader.renew(at, ref, term)
+	renewed := s.leadership.renew(at, ref, term)
 	switch {
 	case code != Done:
 		writeError(w, statusByCode[code], code, "%s: incarnation %d is not registered; register it", ref.ID, ref.Incarnation)
 	case !renewed:
-		writeUnavailable(w, "the lease is being taken over or has run out; renew again, or register")
+		writeUnavailable(w, "the leader is taking over the lease, or the lease has expired; renew again, or register")
 	default:
 		writeJSON(w, http.StatusOK, Outcome{Code: Done, Generation: s.fsm.generation()})
 	}
 	return code
 }
 
-// handleShow responds with one instance after all writes that were acknowledged before the request.
+// handleShow responds with the state of one instance. The state includes all writes that were acknowledged
+// before the request.
 func (s *Server) handleShow(w http.ResponseWriter, r *http.Request) {
 	if !s.requireLeader(w, r) || !s.confirmLeadership(w) {
 		return
@@ -148,13 +150,13 @@
 	writeJSON(w, http.StatusOK, status)
 }
 
-// InstanceStatus is an instance at a generation.
+// InstanceStatus is the state of an instance at a generation of the list.
 type InstanceStatus struct {
 	Registration
 	Generation uint64 `json:"generation"`
 }
 
-// incarnationRule says whether a request must name an incarnation.
+// incarnationRule says whether a request must specify an incarnation.
 type incarnationRule int
 
 const (
@@ -162,8 +164,8 @@
 	incarnationRequired
 )
 
-// parseInstanceRef reads which incarnation a request is about, 0 for any. Where ok is false it has responded with an
-// error.
+// parseInstanceRef parses the instance and the incarnation of a request. Incarnation 0 means any. If ok is
+// false, it has responded with an error.
 func parseInstanceRef(w http.ResponseWriter, r *http.Request, rule incarnationRule) (ref InstanceRef, ok bool) {
 	ref.ID = r.PathValue("id")
 	text := r.URL.Query().Get("incarnation")
--- a/internal/registry/http_api_test.go
+++ b/internal/registry/http_api_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// The lifecycle of an entry over HTTP, and what a watch and a reader see of it.
+// An instance is registered, renewed, drained, removed and registered again over HTTP. Watches and readers
+// see each change.
 func TestInstanceLifecycle(t *testing.T) {
 	s := startReplica(t, t.TempDir(), "")
 	base := "http://" + s.Addr() + "/registry/instances"
@@ -25,19 +26,19 @@
 		{"address of another", "POST", "", registration("s-b", 1, 1, 0), 409, AddressConflict},
 		{"renewed", "POST", "/s-a/renew?incarnation=5", "", 200, Done},
 		{"renewed by an older one", "POST", "/s-a/renew?incarnation=4", "", 409, StaleIncarnation},
-		{"renewed by nobody", "POST", "/s-z/renew?incarnation=1", "", 404, NotFound},
+		{"renewed without a registration", "POST", "/s-z/renew?incarnation=1", "", 404, NotFound},
 		{"drained", "POST", "/s-a/drain?incarnation=5", "", 200, Done},
 		{"drained again", "POST", "/s-a/drain?incarnation=5", "", 200, Unchanged},
 		{"removed by an older one", "DELETE", "/s-a?incarnation=4", "", 409, StaleIncarnation},
 		{"removed", "DELETE", "/s-a?incarnation=5", "", 200, Done},
 		{"removed again", "DELETE", "/s-a?incarnation=5", "", 200, Unchanged},
-		{"registered late", "POST", "", registration("s-a", 1, 5, 0), 409, StaleIncarnation},
-		{"its next start", "POST", "", registration("s-a", 1, 6, 0), 200, Done},
+		{"registered after its removal", "POST", "", registration("s-a", 1, 5, 0), 409, StaleIncarnation},
+		{"registered with the next incarnation", "POST", "", registration("s-a", 1, 6, 0), 200, Done},
 	} {
 		status, text := call(t, c.method, base+c.path, c.body)
 		var o Outcome
 		if err := json.Unmarshal([]byte(text), &o); err != nil || status != c.status || o.Code != c.code {
-			t.Errorf("%s: %d %s", c.name, status, text)
+			t.Errorf("%s: %d %s, want %d %s", c.name, status, text, c.status, c.code)
 		}
 	}
 	w := startWatch(t, s.Addr(), 1)
@@ -52,13 +53,14 @@
 	if m := startWatch(t, s.Addr(), 0).next(t); !m.Reset || m.Generation != 4 || len(m.Instances) != 1 {
 		t.Errorf("a new watch gets %+v", m)
 	}
-	// The leader never had this generation: it is another list's, and the reader gets the full list of this one.
+	// The leader never had this generation. It belongs to another list, and the reader gets the full list of
+	// this one.
 	if m := startWatch(t, s.Addr(), 1<<40).next(t); !m.Reset || m.Generation != 4 {
 		t.Errorf("a reader of another list gets %+v", m)
 	}
 }
 
-// An invalid request gets an error and changes nothing.
+// An invalid request is rejected with an error and changes nothing.
 func TestInvalidRequests(t *testing.T) {
 	s := startReplica(t, t.TempDir(), "")
 	base := "http://" + s.Addr() + "/registry/instances"
@@ -87,11 +89,11 @@
 		}
 	}
 	if g := s.fsm.generation(); g != 1 {
-		t.Errorf("generation %d", g)
+		t.Errorf("generation %d after invalid requests, want 1", g)
 	}
 }
 
-// An entry whose lease is not renewed is removed; one that is stays, also with a new leader.
+// An entry whose lease is not renewed is removed. The entries whose leases have not expired are kept.
 func TestLeasesOverHTTP(t *testing.T) {
 	s := startReplica(t, t.TempDir(), "")
 	base := "http://" + s.Addr() + "/registry/instances"
@@ -101,14 +103,14 @@
 	call(t, "POST", base, registration("s-short", 99, 1, time.Second))
 	w := startWatch(t, s.Addr(), 6)
 	if m := w.next(t); len(m.Instances) != 1 || m.Instances[0].InstanceID != "s-short" || m.Instances[0].Lifecycle != Removed {
-		t.Errorf("%+v", m)
+		t.Errorf("the watch gets %+v, want the removal of s-short", m)
 	}
 	if status, text := call(t, "POST", base+"/s-short/renew?incarnation=1", ""); status != http.StatusConflict {
-		t.Errorf("renewed after its end: %d %s", status, text)
+		t.Errorf("renewal of an expired lease: %d %s, want 409", status, text)
 	}
 }
 
-// Whatever a client sends is rejected, or makes a list that can be encoded and decoded.
+// Every request body is either rejected with a 4xx status or leads to a list that can be encoded and decoded.
 func FuzzRegistration(f *testing.F) {
 	f.Add(registration("s-a", 1, 1, 0))
 	f.Add(`{"instanceId":"s\u0000","hostPort":"[::1]:80","lifecycle":"up","weight":1e-320,"incarnation":9223372036854775807,"leaseMs":-1}`)
@@ -134,7 +136,7 @@
 		}
 		var again State
 		if err := json.Unmarshal(text, &again); err != nil || again.Generation() != s.Generation() || again.Len() != s.Len() {
-			t.Fatalf("%q: written and read again: %v, %d entries", body, err, again.Len())
+			t.Fatalf("%q: encoded and decoded: %v, %d entries", body, err, again.Len())
 		}
 	})
 }
--- a/internal/registry/join.go
+++ b/internal/registry/join.go
@@ -11,19 +11,21 @@
 	"time"
 )
 
-// joinRetryInterval is the pause between attempts to join a service.
+// joinRetryInterval is the delay between attempts to join a service.
 const joinRetryInterval = time.Second
 
-// joinRejectedError is a response that no further attempt to join can change.
+// joinRejectedError is the error of a join request that the service rejected. Retrying the request cannot
+// succeed.
 type joinRejectedError struct {
-	status string
+	status string // HTTP status line, such as "409 Conflict"
 	body   string
 }
 
 // Error implements error.
 func (e *joinRejectedError) Error() string { return e.status + ": " + e.body }
 
-// join asks the service to add this replica until it is added or rejected, or the replica closes.
+// join requests that the service add this replica. It retries until the replica has been added or rejected,
+// or the server closes.
 func (s *Server) join(raftAddr string) error {
 	body, err := json.Marshal(Replica{ID: s.id, Raft: raftAddr})
 	if err != nil {
@@ -31,7 +33,7 @@
 	}
 	client := &http.Client{Timeout: applyTimeout}
 	for {
-		err := s.tryJoin(client, body)
+		err := s.joinOnce(client, body)
 		if err == nil {
 			return nil
 		}
@@ -48,13 +50,13 @@
 	}
 }
 
-// tryJoin asks once.
-func (s *Server) tryJoin(client *http.Client, body []byte) error {
+// joinOnce sends one join request.
+func (s *Server) joinOnce(client *http.Client, body []byte) error {
 	resp, err := client.Post("http://"+s.cfg.Join+"/registry/replicas", "application/json", bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
-	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxRequestBody)) // the status says enough
+	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxRequestBody)) // optional: the status is sufficient
 	_ = resp.Body.Close()
 	if resp.StatusCode == http.StatusOK {
 		return nil
--- a/internal/registry/leader_leases.go
+++ b/internal/registry/leader_leases.go
@@ -5,24 +5,25 @@
 	"time"
 )
 
-// expiryCheckInterval is the time between checks for expired leases. Those that expire in between go together, since
-// each change wakes every watch.
+// expiryCheckInterval is the minimum time between checks for expired leases. Leases that expire in between
+// are removed together, since each change wakes every watch.
 const expiryCheckInterval = 100 * time.Millisecond
 
-// leadership is what a replica keeps while it leads: the leases, and the Raft term that they belong to. It is safe for
-// concurrent use. The FSM calls it with its mutex held, so it must not call the FSM.
+// leadership is the state that a replica has only while it is the leader: the leases, and the Raft term in
+// which it took them over. It is safe for concurrent use. The FSM calls it with its mutex held, so it must
+// not call the FSM.
 type leadership struct {
 	changed chan struct{} // wakes the replica's leadership loop
 
 	mu        sync.Mutex
-	leases    *Leases // nil where the replica does not lead or has not taken over yet
-	raftTerm  uint64  // of the leases
-	lastCheck time.Duration
+	leases    *Leases       // nil if the replica is not the leader or has not taken over yet
+	raftTerm  uint64        // Raft term in which the leases were taken over
+	lastCheck time.Duration // time of the last check for expired leases
 }
 
 func newLeadership() leadership { return leadership{changed: make(chan struct{}, 1)} }
 
-// begin starts the leases of a term and returns their number.
+// begin starts tracking the leases in a Raft term, each with a full lease term, and returns their number.
 func (l *leadership) begin(term uint64, now time.Duration, leases []Lease) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -30,36 +31,36 @@
 	return len(leases)
 }
 
-// end forgets the leases.
+// end discards the leases.
 func (l *leadership) end() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.leases = nil
 }
 
-// isOf reports whether there are leases, and those of a term.
-func (l *leadership) isOf(term uint64) bool {
+// holdsTerm reports whether leases are being tracked and were taken over in the given Raft term.
+func (l *leadership) holdsTerm(term uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.leases != nil && l.raftTerm == term
 }
 
-// renew extends an incarnation's lease. It reports whether the leader could: an entry without a lease needs no
-// renewal.
+// renew extends an incarnation's lease from the given time. It returns false if no leases are being tracked
+// or the lease cannot be renewed. An entry without a lease (leaseLength 0) needs no renewal.
 func (l *leadership) renew(at time.Duration, ref InstanceRef, leaseLength time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.leases != nil && (leaseLength == 0 || l.leases.Renew(at, ref))
 }
 
-// expirySuspended reports whether expiry is suspended here.
+// expirySuspended reports whether this replica tracks leases and has suspended their expiry.
 func (l *leadership) expirySuspended() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.leases != nil && l.leases.Suspended()
 }
 
-// track keeps the leases in step with a change of the list, and wakes the leadership loop.
+// track applies a change of the list to the leases and wakes the leadership loop.
 func (l *leadership) track(now time.Duration, c Command) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -86,7 +87,7 @@
 	}
 }
 
-// untilExpiryCheck is the time until leases are to be checked again.
+// untilExpiryCheck returns the time until the next check for expired leases is due.
 func (l *leadership) untilExpiryCheck(now time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -100,7 +101,7 @@
 	return max(at, l.lastCheck+expiryCheckInterval) - now
 }
 
-// suspensionChange is what a check did to the suspension of expiry.
+// suspensionChange is the effect of a check on the suspension of expiry.
 type suspensionChange int
 
 const (
@@ -109,16 +110,17 @@
 	expiryResumed
 )
 
-// expiryBatch is what a check for expired leases found.
+// expiryBatch is the result of a check for expired leases.
 type expiryBatch struct {
-	due    []InstanceRef
-	term   uint64  // of the leadership that found them
-	leases *Leases // that they are of
+	due    []InstanceRef // expired leases to be removed
+	term   uint64        // Raft term of the leadership that made the check
+	leases *Leases       // leases that were checked
 	change suspensionChange
 }
 
-// expired checks for expired leases; ok is false where there are no leases, or the last check was too recent.
-func (l *leadership) expired(now time.Duration) (batch expiryBatch, ok bool) {
+// checkExpired checks for expired leases. ok is false if no leases are being tracked, or if the last check
+// was less than expiryCheckInterval ago.
+func (l *leadership) checkExpired(now time.Duration) (batch expiryBatch, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.leases == nil || now < l.lastCheck+expiryCheckInterval {
@@ -136,7 +138,7 @@
 	return batch, true
 }
 
-// expiryFailed makes a batch due again, unless its leadership has ended.
+// expiryFailed makes the leases of a batch due again, unless their leadership has ended.
 func (l *leadership) expiryFailed(batch expiryBatch) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/registry/leadership.go
+++ b/internal/registry/leadership.go
@@ -9,22 +9,22 @@
 
 const (
 	takeOverRetryInterval = time.Second
-	idleCheckInterval     = time.Hour // while there is no lease to expire
+	idleCheckInterval     = time.Hour // while no lease can expire
 )
 
-// IsLeader reports whether this replica leads and has taken its leadership over. Whether it still leads only its quorum
-// can tell.
+// IsLeader reports whether this replica is the leader and has taken over the leases. The result may be
+// outdated: only a quorum can confirm that the replica is still the leader.
 func (s *Server) IsLeader() bool { return s.raft.State() == raft.Leader && s.hasTakenOver() }
 
-// leaderAddress is the HTTP address of the leader, "" where none is known.
+// leaderAddress returns the HTTP address of the leader, or "" if no leader is known.
 func (s *Server) leaderAddress() string {
 	_, id := s.raft.LeaderWithID()
 	_, addr, _ := strings.Cut(string(id), "@")
 	return addr
 }
 
-// runLeadership follows this replica's leadership until it closes: a leader takes over the leases, each with a full
-// term, and expires them.
+// runLeadership follows the leadership of this replica until the server closes. When the replica becomes
+// leader, it takes over the leases, each with a full term, and from then on removes the expired ones.
 func (s *Server) runLeadership() {
 	for {
 		var retryTakeOver <-chan time.Time
@@ -35,7 +35,7 @@
 		case <-s.ctx.Done():
 			return
 		case leads := <-s.raft.LeaderCh():
-			s.leader.end()
+			s.leadership.end()
 			if !leads {
 				s.logger.Info("leadership lost", "replica", s.id)
 				continue
@@ -43,18 +43,18 @@
 			s.takeOver()
 		case <-retryTakeOver:
 			s.takeOver()
-		case <-s.leader.changed:
-		case <-time.After(s.leader.untilExpiryCheck(s.now())):
+		case <-s.leadership.changed:
+		case <-time.After(s.leadership.untilExpiryCheck(s.now())):
 		}
 		s.expireLeases()
 	}
 }
 
-// hasTakenOver reports whether this replica has taken over the leadership that it is in: it has applied what was
-// committed before, and its leases are not those of an earlier leadership.
-func (s *Server) hasTakenOver() bool { return s.leader.isOf(s.raft.CurrentTerm()) }
+// hasTakenOver reports whether this replica has taken over in the current Raft term: it has applied
+// everything that earlier leaders committed, and it tracks the leases in this term.
+func (s *Server) hasTakenOver() bool { return s.leadership.holdsTerm(s.raft.CurrentTerm()) }
 
-// takeOver begins a leader's work once it has applied everything that its predecessors committed.
+// takeOver starts the work of a leader, once everything that earlier leaders committed has been applied.
 func (s *Server) takeOver() {
 	term := s.raft.CurrentTerm()
 	err := s.raft.Barrier(applyTimeout).Error()
@@ -66,15 +66,16 @@
 		return
 	}
 	leases := 0
-	s.fsm.withState(func(st *State) { // no change may come between reading the leases and tracking them
-		leases = s.leader.begin(term, s.now(), st.Leases())
+	// The FSM's mutex is held, so that no change is missed between reading the leases and tracking them.
+	s.fsm.withState(func(st *State) {
+		leases = s.leadership.begin(term, s.now(), st.Leases())
 	})
 	s.logger.Info("leadership acquired", "replica", s.id, "term", term, "generation", s.fsm.generation(), "leases", leases)
 }
 
-// expireLeases brings the leases that have expired through the log.
+// expireLeases commits the removal of expired leases, if a check is due.
 func (s *Server) expireLeases() {
-	batch, ok := s.leader.expired(s.now())
+	batch, ok := s.leadership.checkExpired(s.now())
 	if !ok {
 		return
 	}
@@ -89,7 +90,7 @@
 	}
 	o, err := s.commit(Command{Kind: Expire, Expired: batch.due, Term: batch.term})
 	if err != nil || o.Code != Done {
-		s.leader.expiryFailed(batch)
+		s.leadership.expiryFailed(batch)
 		return
 	}
 	s.metrics.expired.Add(float64(len(batch.due)))
--- a/internal/registry/lease_queue.go
+++ b/internal/registry/lease_queue.go
@@ -2,8 +2,8 @@
 
 import "container/heap"
 
-// leaseQueue is a heap of leases by their deadline; it implements [heap.Interface]. A renewal does not move a lease in
-// it: a lease that comes to the front is moved to where it belongs then, at most once in a term.
+// leaseQueue is a heap of leases ordered by queueKey; it implements [heap.Interface]. A renewal does not move
+// a lease in the queue. The lease is moved when it reaches the front, at most once per lease term.
 type leaseQueue []*leaseEntry
 
 // Len implements sort.Interface.
@@ -39,7 +39,8 @@
 	heap.Push(q, entry)
 }
 
-// earliest returns the lease that expires first, nil where there is none.
+// earliest returns the lease that expires first, or nil if the queue is empty. It first moves leases that
+// have been renewed from the front to their new positions.
 func (q leaseQueue) earliest() *leaseEntry {
 	for len(q) > 0 && q[0].queueKey < q[0].expiresAt {
 		q[0].queueKey = q[0].expiresAt
--- a/internal/registry/leases.go
+++ b/internal/registry/leases.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// Lease is the lease of an entry.
+// Lease is the lease of one incarnation of an instance.
 type Lease struct {
 	InstanceRef
-	Term time.Duration
+	Term time.Duration // time until expiry without a renewal
 }
 
-// SelfPreservation says when the service suspects itself or the network rather than its instances: when more than
-// MaxExpiringFraction of all leases would expire within Window. Expiry is then suspended for Window, and afterwards
-// limited to one entry each SlowInterval until no lease is due.
+// SelfPreservation configures the protection against mass expiry. If more than MaxExpiringFraction of all
+// leases would expire within Window, the service or the network is more likely at fault than the instances.
+// Expiry is then suspended for Window. Afterwards one entry expires per SlowInterval, until no lease is due.
 type SelfPreservation struct {
 	MaxExpiringFraction float64
 	Window              time.Duration
 	SlowInterval        time.Duration
-	MinLeases           int // with fewer leases a fraction means nothing
+	MinLeases           int // below this number of leases a fraction is not significant
 }
 
-// defaultSelfPreservation is the setting of [Server].
+// defaultSelfPreservation is the configuration that [Server] uses.
 var defaultSelfPreservation = SelfPreservation{
 	MaxExpiringFraction: 0.3,
 	Window:              10 * time.Second,
@@ -31,33 +31,34 @@
 	MinLeases:           5,
 }
 
-// Leases is the leader's record of leases, by its own monotonic clock. It removes nothing from the list: an expiry goes
-// through the log. A new leader makes a new one, in which each lease begins with a full term. It is not safe for
-// concurrent use.
+// Leases tracks leases on the leader, by its monotonic clock. It does not remove entries from the list: an
+// expiry is a command in the log. A new leader creates new Leases, in which each lease begins with a full
+// term. Leases is not safe for concurrent use.
 type Leases struct {
 	selfPreservation SelfPreservation
-	entries          map[string]*leaseEntry // by instance
-	queue            leaseQueue             // of the entries that are not expiring
-	suspendedAt      time.Duration          // since when expiry is suspended; 0: it is not
-	lastExpiry       time.Duration          // while expiry is slow
+	entries          map[string]*leaseEntry // by instance ID
+	queue            leaseQueue             // entries whose expiry is not being committed
+	suspendedAt      time.Duration          // start of the suspension of expiry; 0: not suspended
+	lastExpiry       time.Duration          // during a suspension: time of its last expiry, or of its start
 }
 
-// leaseEntry is a lease with its deadline.
+// leaseEntry is a lease with its expiry time.
 type leaseEntry struct {
 	Lease
 	expiresAt  time.Duration
-	queueKey   time.Duration // the position in the queue: expiresAt, or an earlier value of it
+	queueKey   time.Duration // position in the queue: expiresAt, or an earlier value of it
 	queueIndex int
-	expiring   bool // its expiry is on its way through the log; it is not in the queue
+	expiring   bool // its expiry is being committed; the lease is not in the queue
 }
 
-// expiresSoon reports whether the lease has expired, or will within a window and is in the later half of its term.
+// expiresSoon reports whether the lease has expired, or is in the second half of its term and will expire
+// within the window.
 func (e *leaseEntry) expiresSoon(now, window time.Duration) bool {
 	left := e.expiresAt - now
 	return left <= 0 || left <= window && left < e.Term/2
 }
 
-// NewLeases returns the leases of a new leader, each with a full term.
+// NewLeases returns the leases of a new leader, each with a full term from now.
 func NewLeases(now time.Duration, leases []Lease, selfPreservation SelfPreservation) *Leases {
 	l := &Leases{selfPreservation: selfPreservation, entries: map[string]*leaseEntry{}}
 	for _, lease := range leases {
@@ -66,7 +67,7 @@
 	return l
 }
 
-// Grant records the lease of a newly registered incarnation.
+// Grant records the lease of a newly registered incarnation. It replaces any earlier lease of the instance.
 func (l *Leases) Grant(now time.Duration, lease Lease) {
 	l.Drop(lease.ID)
 	entry := &leaseEntry{Lease: lease, expiresAt: now + lease.Term}
@@ -74,8 +75,8 @@
 	l.queue.add(entry)
 }
 
-// Renew extends a lease to a full term from now. It reports false for another incarnation's lease, and for one whose
-// expiry is on its way.
+// Renew extends a lease to a full term from now. It returns false if the incarnation has no lease, or if the
+// expiry of the lease is being committed.
 func (l *Leases) Renew(now time.Duration, ref InstanceRef) bool {
 	entry := l.entries[ref.ID]
 	if entry == nil || entry.Incarnation != ref.Incarnation || entry.expiring {
@@ -85,7 +86,7 @@
 	return true
 }
 
-// Drop forgets the lease of an instance that was removed.
+// Drop deletes the lease of an instance, if it has one.
 func (l *Leases) Drop(id string) {
 	if entry := l.entries[id]; entry != nil && !entry.expiring {
 		heap.Remove(&l.queue, entry.queueIndex)
@@ -93,7 +94,7 @@
 	delete(l.entries, id)
 }
 
-// ExpiryFailed makes leases due again whose expiry did not get through the log.
+// ExpiryFailed makes leases due again whose expiry could not be committed.
 func (l *Leases) ExpiryFailed(refs []InstanceRef) {
 	for _, ref := range refs {
 		entry := l.entries[ref.ID]
@@ -104,11 +105,11 @@
 	}
 }
 
-// Suspended reports whether expiry is suspended, or slow after a suspension.
+// Suspended reports whether expiry is suspended, or slowed down after a suspension.
 func (l *Leases) Suspended() bool { return l.suspendedAt > 0 }
 
-// Due returns the leases that have expired and may be removed now, sorted by instance. They are not due again unless
-// [Leases.ExpiryFailed] is called.
+// Due returns the leases that have expired and may be removed now, sorted by instance ID. It does not return
+// them again unless [Leases.ExpiryFailed] is called.
 func (l *Leases) Due(now time.Duration) []InstanceRef {
 	if earliest := l.queue.earliest(); earliest == nil || earliest.expiresAt > now {
 		l.suspendedAt = 0
@@ -124,7 +125,8 @@
 	return due
 }
 
-// scan returns the expired leases, sorted by instance, and the number of those that have expired or will soon.
+// scan returns the expired leases, sorted by instance ID, and the number of leases that have expired or will
+// expire soon.
 func (l *Leases) scan(now time.Duration) (expired []InstanceRef, soon int) {
 	for _, entry := range l.entries {
 		if entry.expiring {
@@ -141,7 +143,8 @@
 	return expired, soon
 }
 
-// limit returns the part of the expired leases that self-preservation lets go now, and begins a suspension.
+// limit returns the expired leases that self-preservation allows to be removed now. It begins a suspension if
+// too many leases expire at once.
 func (l *Leases) limit(now time.Duration, expired []InstanceRef, soon int) []InstanceRef {
 	p := l.selfPreservation
 	total := len(l.entries)
@@ -159,7 +162,8 @@
 	return expired[:1]
 }
 
-// NextDue returns when [Leases.Due] may have something new; ok is false where there is no lease to expire.
+// NextDue returns the earliest time at which [Leases.Due] may return leases. ok is false if no lease can
+// expire.
 func (l *Leases) NextDue(now time.Duration) (at time.Duration, ok bool) {
 	earliest := l.queue.earliest()
 	if earliest == nil {
--- a/internal/registry/leases_test.go
+++ b/internal/registry/leases_test.go
@@ -9,6 +9,7 @@
 	"pgregory.net/rapid"
 )
 
+// leases returns n leases with the given term, of instances s-00, s-01 and so on.
 func leases(n int, term time.Duration) (ls []Lease) {
 	for i := range n {
 		ls = append(ls, Lease{InstanceRef{fmt.Sprintf("s-%02d", i), 1}, term})
@@ -16,8 +17,8 @@
 	return ls
 }
 
-// A lease runs out a full term after its last renewal or after the leader began, and not
-// before; a renewal by another incarnation does not count.
+// A lease expires exactly one term after its last renewal, or after the leader began. A renewal by another
+// incarnation has no effect.
 func TestLeaseExpiry(t *testing.T) {
 	l := NewLeases(100*time.Second, leases(20, 10*time.Second), defaultSelfPreservation)
 	if due := l.Due(109 * time.Second); due != nil {
@@ -25,62 +26,63 @@
 	}
 	for i := range 20 {
 		if i > 0 && !l.Renew(109*time.Second, InstanceRef{fmt.Sprintf("s-%02d", i), 1}) {
-			t.Errorf("renewal %d refused", i)
+			t.Errorf("renewal %d failed", i)
 		}
 	}
 	if l.Renew(109*time.Second, InstanceRef{"s-00", 2}) {
-		t.Error("another incarnation renewed")
+		t.Error("renewed by another incarnation")
 	}
 	due := l.Due(110 * time.Second)
 	if !slices.Equal(due, []InstanceRef{{"s-00", 1}}) {
-		t.Fatalf("due %v", due)
+		t.Fatalf("due: %v, want s-00", due)
 	}
 	if l.Renew(110*time.Second, due[0]) {
-		t.Error("renewed while its expiry is under way")
+		t.Error("renewed while its expiry is being committed")
 	}
 	if again := l.Due(111 * time.Second); again != nil {
-		t.Errorf("due again while under way: %v", again)
+		t.Errorf("due again while its expiry is being committed: %v", again)
 	}
 	l.ExpiryFailed(due)
 	if again := l.Due(112 * time.Second); len(again) != 1 {
-		t.Errorf("after a failed commit due %v", again)
+		t.Errorf("due after a failed commit: %v, want one lease", again)
 	}
 	l.Drop("s-00")
 }
 
-// When all leases expire at once the service suspects itself: none is due for a while, then one after another; those
-// that are renewed meanwhile stay.
+// When all leases expire at once, none is due during the suspension, and afterwards one after another. Leases
+// that are renewed in the meantime do not expire.
 func TestMassExpirySuspends(t *testing.T) {
 	l := NewLeases(0, leases(20, 10*time.Second), defaultSelfPreservation)
-	now, gone := 10*time.Second, 0
+	now, expired := 10*time.Second, 0
 	if due := l.Due(now); due != nil {
-		t.Fatalf("all at once: %v", due)
+		t.Fatalf("due when all leases expire at once: %v, want none", due)
 	}
 	if !l.Suspended() {
-		t.Fatal("not suspended")
+		t.Fatal("expiry is not suspended")
 	}
 	for now += time.Second; now < 30*time.Second; now += time.Second {
 		due := l.Due(now)
 		if len(due) > 1 || now < 20*time.Second && len(due) > 0 {
-			t.Errorf("at %v: %v", now, due)
+			t.Errorf("due at %v: %v", now, due)
 		}
-		for _, o := range due {
-			gone++
-			l.Drop(o.ID)
+		for _, ref := range due {
+			expired++
+			l.Drop(ref.ID)
 		}
 	}
-	if gone < 3 || gone > 6 {
-		t.Errorf("%d gone in the ten seconds after the suspension, one for each two seconds wanted", gone)
+	if expired < 3 || expired > 6 {
+		t.Errorf("%d leases expired in the ten seconds after the suspension, want one every two seconds", expired)
 	}
 	for i := range 20 {
 		l.Renew(now, InstanceRef{fmt.Sprintf("s-%02d", i), 1})
 	}
 	if l.Due(now); l.Suspended() {
-		t.Error("still suspended when all leases are renewed")
+		t.Error("expiry is still suspended after all leases have been renewed")
 	}
 }
 
-// The queue of leases agrees with a scan of all of them, after any grants, renewals, failed expiries and removals.
+// The queue finds the same leases as a scan of all leases, after any sequence of grants, renewals, failed
+// expiries and removals.
 func TestLeaseQueueMatchesScan(t *testing.T) {
 	neverSuspends := SelfPreservation{MaxExpiringFraction: 1, Window: time.Second, SlowInterval: time.Second, MinLeases: 5}
 	rapid.Check(t, func(t *rapid.T) {
@@ -108,7 +110,7 @@
 	})
 }
 
-// checkDue compares the leases that are due with a scan, and returns them.
+// checkDue compares the leases that are due with the result of a scan, and returns them.
 func checkDue(t *rapid.T, l *Leases, now time.Duration) []InstanceRef {
 	var want []InstanceRef
 	for _, entry := range sortedLeases(l) {
@@ -118,12 +120,12 @@
 	}
 	due := l.Due(now)
 	if fmt.Sprint(due) != fmt.Sprint(want) {
-		t.Fatalf("due at %v: %v, a scan finds %v", now, due, want)
+		t.Fatalf("due at %v: %v, want %v as a scan finds", now, due, want)
 	}
 	return due
 }
 
-// checkNextDue compares the time at which a lease is due next, and the length of the queue, with a scan.
+// checkNextDue compares the earliest due time and the length of the queue with the result of a scan.
 func checkNextDue(t *rapid.T, l *Leases, now time.Duration) {
 	first, waiting := time.Duration(-1), 0
 	for _, entry := range l.entries {
@@ -137,35 +139,35 @@
 	}
 	at, ok := l.NextDue(now)
 	if ok != (waiting > 0) || ok && at != max(first, now) || len(l.queue) != waiting {
-		t.Fatalf("next at %v (%v), a scan finds %v; %d of %d in the queue", at, ok, first, len(l.queue), waiting)
+		t.Fatalf("next due at %v (%v), want %v as a scan finds; %d leases in the queue, want %d", at, ok, first, len(l.queue), waiting)
 	}
 }
 
 // sortedLeases returns all leases, sorted by instance.
 func sortedLeases(l *Leases) (all []*leaseEntry) {
 	for n := range 8 {
-		if h := l.entries[fmt.Sprintf("s-%02d", n)]; h != nil {
-			all = append(all, h)
+		if entry := l.entries[fmt.Sprintf("s-%02d", n)]; entry != nil {
+			all = append(all, entry)
 		}
 	}
 	return all
 }
 
-// The leases of a zone of the plan that is lost expire together and are due together; so are those of one region of four.
+// When a zone of the largest fleet or one of four regions is lost, all of its leases must be due together.
 // Only a larger loss suspends expiry.
 func TestLostZoneDoesNotSuspendExpiry(t *testing.T) {
-	const term, entries = 10 * time.Second, planEntries / 10
+	const term, entries = 10 * time.Second, maxFleetEntries / 10
 	for name, c := range map[string]struct {
-		lostOneIn int // one instance in so many is lost
+		lostOneIn int // one in lostOneIn instances is lost
 		suspended bool
 	}{"zone": {15, false}, "region": {4, false}, "half": {2, true}} {
 		l := NewLeases(0, nil, defaultSelfPreservation)
 		var lost []InstanceRef
 		for n := range entries {
-			o := InstanceRef{numberedEntry(n).InstanceID, 1}
-			l.Grant(0, Lease{o, term})
+			ref := InstanceRef{numberedEntry(n).InstanceID, 1}
+			l.Grant(0, Lease{ref, term})
 			if n%c.lostOneIn == 0 {
-				lost = append(lost, o)
+				lost = append(lost, ref)
 			}
 		}
 		for at := term / 3; at < term; at += term / 3 {
@@ -191,11 +193,11 @@
 	}
 }
 
-// What the leader reads after each change of a list with 200,000 leases: the lease that expires first, by the queue and,
-// for comparison, by a scan of all.
+// Measures what the leader reads after each change of a list with 200,000 leases: the lease that expires
+// first, from the queue and, for comparison, by a scan of all leases.
 func BenchmarkNextLease(b *testing.B) {
 	l := NewLeases(0, nil, defaultSelfPreservation)
-	for n := range planEntries {
+	for n := range maxFleetEntries {
 		l.Grant(time.Duration(n)*time.Microsecond, Lease{InstanceRef{numberedEntry(n).InstanceID, 1}, 10 * time.Second})
 	}
 	b.Run("queue", func(b *testing.B) {
@@ -206,9 +208,9 @@
 	b.Run("scan", func(b *testing.B) {
 		for b.Loop() {
 			first := time.Duration(-1)
-			for _, h := range l.entries {
-				if !h.expiring && (first < 0 || h.expiresAt < first) {
-					first = h.expiresAt
+			for _, entry := range l.entries {
+				if !entry.expiring && (first < 0 || entry.expiresAt < first) {
+					first = entry.expiresAt
 				}
 			}
 		}
--- a/internal/registry/main_test.go
+++ b/internal/registry/main_test.go
@@ -12,7 +12,8 @@
 	"testing"
 )
 
-// replicaEnv is the environment variable that makes the test binary a replica. Its value is a [replicaSettings].
+// replicaEnv is the environment variable that makes the test binary run as a replica. Its value is a
+// [replicaSettings] in JSON.
 const replicaEnv = "OPALHOOK_REGISTRY_REPLICA"
 
 func TestMain(m *testing.M) {
@@ -31,19 +32,20 @@
 	os.Exit(m.Run())
 }
 
-// exitWithParent ends this process when standard input ends, as it does with the process that started this one.
+// exitWithParent ends this process when standard input ends, which happens when the parent process ends.
 func exitWithParent() {
 	_, _ = io.Copy(io.Discard, os.Stdin)
 	os.Exit(1)
 }
 
-// replicaSettings are the parts of a [Config] that another process can give.
+// replicaSettings are the parts of a [Config] that can be passed to another process.
 type replicaSettings struct {
 	Dir, Listen, Raft, Join string
 	DialVia                 map[string]string
 	WatchOpensPerSecond     float64
 }
 
+// runReplica runs a replica until SIGTERM. text is the value of replicaEnv.
 func runReplica(text string) error {
 	var settings replicaSettings
 	if err := json.Unmarshal([]byte(text), &settings); err != nil {
--- a/internal/registry/metrics.go
+++ b/internal/registry/metrics.go
@@ -8,16 +8,17 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// metricPrefix begins the name of every metric of the service.
+// metricPrefix is the prefix of all metric names of the service.
 const metricPrefix = "opalhook_registry_"
 
-// Labels of writes that have no outcome of the list.
+// Label values of the writes metric: the kind of a renewal, and the outcome of a command that could not be
+// committed.
 const (
 	renewKind     = "renew"
 	failedOutcome = "failed"
 )
 
-// metrics are the counters of a replica and the registry that exports them together with its gauges.
+// metrics contains the counters of a replica and the Prometheus registry that exports them and the gauges.
 type metrics struct {
 	registry        *prometheus.Registry
 	droppedWatches  prometheus.Counter
@@ -46,7 +47,7 @@
 	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: metricPrefix + name, Help: help}, value))
 }
 
-// boolGauge registers a gauge that is 1 or 0.
+// boolGauge registers a gauge with the value 1 or 0.
 func (m *metrics) boolGauge(name, help string, value func() bool) {
 	m.gauge(name, help, func() float64 {
 		if value() {
@@ -60,11 +61,12 @@
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// registerMetrics makes the replica's metrics. Raft must have started.
+// registerMetrics creates the replica's metrics. Raft must have been started, since the gauges read its
+// state.
 func (s *Server) registerMetrics() {
 	s.metrics = newMetrics()
 	s.metrics.gauge("generation", "Version of the list at this replica.", func() float64 { return float64(s.fsm.generation()) })
 	s.metrics.gauge("watches", "Open watches.", func() float64 { return float64(s.openWatches.Load()) })
 	s.metrics.boolGauge("leader", "1 where this replica leads.", func() bool { return s.raft.State() == raft.Leader })
-	s.metrics.boolGauge("expiry_paused", "1 where expiry of leases is suspended.", s.leader.expirySuspended)
+	s.metrics.boolGauge("expiry_paused", "1 where expiry of leases is suspended.", s.leadership.expirySuspended)
 }
--- a/internal/registry/published.go
+++ b/internal/registry/published.go
@@ -9,31 +9,32 @@
 	"opalhook/internal/discovery"
 )
 
-// notifyInterval is the time from one wake-up of the watches to the next; the changes between go out together.
+// notifyInterval is the minimum time between two wake-ups of the watches. Changes in between are sent
+// together.
 const notifyInterval = 200 * time.Millisecond
 
-// maxChangesPerRead bounds the changes that a watch reads at once, and so the memory that it uses.
+// maxChangesPerRead limits the number of changes that a watch reads at once, and so the memory that it uses.
 const maxChangesPerRead = 256
 
 // message is a message of the discovery protocol.
 type message = discovery.Message
 
-// publishedVersion is what watches read at a generation. It is immutable.
+// publishedVersion is the data that watches read at one generation. It is immutable.
 type publishedVersion struct {
 	generation uint64
-	changes    []encodedChange // those that are kept, oldest first
-	readAgain  chan struct{}   // closed when watches are to read again
+	changes    []encodedChange // retained changes, oldest first
+	readAgain  chan struct{}   // closed when watches should read again
 }
 
-// encodedChange is one generation as a watch sends it.
+// encodedChange is the change of one generation, encoded for watches.
 type encodedChange struct {
 	generation      uint64
 	chunk           []byte // an HTTP/1.1 chunk that holds one line of JSON
-	cumulativeBytes uint64 // of this chunk and all before it
+	cumulativeBytes uint64 // size of this chunk and all earlier ones
 }
 
-// changesSince returns the changes after a generation, oldest first. Where ok is false, these are not kept, or the
-// generation is not one of this list's.
+// changesSince returns the changes after a generation, oldest first. ok is false if some of them are no
+// longer retained, or if the generation does not belong to this list.
 func (v *publishedVersion) changesSince(from uint64) (changes []encodedChange, ok bool) {
 	if from == v.generation {
 		return nil, true
@@ -48,27 +49,29 @@
 	return v.changes[from-beforeOldest:], true
 }
 
-// publish encodes the latest change for the watches. Called with mu held.
+// publish encodes the latest change and publishes the new version. The caller must hold mu.
 func (m *fsm) publish() {
 	changes := m.published.Load().changes
 	if len(changes) == maxChanges {
 		changes = changes[1:]
 	}
-	// Versions share one array: what is appended lies behind what the earlier ones see.
+	// Versions share one array: a change is appended behind the end of the earlier versions' slices.
 	m.storeVersion(appendEncoded(changes, m.state.latestChange()))
 }
 
-// publishRestored encodes all changes of a state that replaced the one before. Called with mu held.
+// publishRestored encodes and publishes all retained changes of a state that replaced the previous one. The
+// caller must hold mu.
 func (m *fsm) publishRestored() {
 	m.restoreCount++
 	var changes []encodedChange
-	for _, c := range m.state.keptChanges() {
+	for _, c := range m.state.retainedChanges() {
 		changes = appendEncoded(changes, c)
 	}
 	m.storeVersion(changes)
 }
 
-// storeVersion makes the state's generation the published one and wakes the notifier. Called with mu held.
+// storeVersion publishes the state's generation with the encoded changes, and wakes the notifier. The caller
+// must hold mu.
 func (m *fsm) storeVersion(changes []encodedChange) {
 	m.published.Store(&publishedVersion{m.state.Generation(), changes, m.published.Load().readAgain})
 	select {
@@ -77,7 +80,7 @@
 	}
 }
 
-// appendEncoded encodes a change behind those before it.
+// appendEncoded encodes a change and appends it to the earlier ones.
 func appendEncoded(changes []encodedChange, c Change) []encodedChange {
 	encoded := encodeChange(c)
 	encoded.cumulativeBytes = uint64(len(encoded.chunk))
@@ -91,17 +94,17 @@
 	return encodedChange{generation: c.Generation, chunk: encodeMessage(message{Generation: c.Generation, Instances: c.Entries})}
 }
 
-// encodeMessage returns an HTTP chunk with a message as one line.
+// encodeMessage returns an HTTP chunk with a message as one line of JSON.
 func encodeMessage(m message) []byte {
 	text, err := json.Marshal(m)
-	if err != nil { // only weights could fail, and ValidateRegistration admits none that does
+	if err != nil { // only NaN and infinite weights fail, and ValidateRegistration rejects them
 		panic(fmt.Sprintf("registry: encoding a valid entry: %v", err))
 	}
 	return httpChunk(append(text, '\n'))
 }
 
-// runNotifier wakes the watches until ctx ends: at once for a change after a pause, and each notifyInterval where
-// changes follow one another.
+// runNotifier wakes the watches after changes, until ctx ends: immediately for a change after a quiet period,
+// and at most once per notifyInterval for a sequence of changes.
 func (m *fsm) runNotifier(ctx context.Context) {
 	for {
 		select {
@@ -118,7 +121,7 @@
 	}
 }
 
-// notifyWatches makes every watch that waits read again.
+// notifyWatches wakes all waiting watches, so that they read again.
 func (m *fsm) notifyWatches() {
 	m.mu.Lock()
 	next := *m.published.Load()
@@ -129,19 +132,20 @@
 	close(updated)
 }
 
-// closedChannel is the signal for a watch that has more to read at once.
+// closedChannel is the readAgain channel of a watch that should read again immediately.
 var closedChannel = func() chan struct{} { c := make(chan struct{}); close(c); return c }()
 
-// watchRead is what a watch at some generation is to send next.
+// watchRead is the data that a watch sends next.
 type watchRead struct {
-	chunks      [][]byte      // in order; their bytes are shared and not to be changed
-	generation  uint64        // after the chunks
-	readerAhead bool          // the reader has a generation that this replica does not have
-	readAgain   chan struct{} // closed when watches are to read again
+	chunks      [][]byte      // in order; watches share the bytes, which must not be modified
+	generation  uint64        // generation of the watch after the chunks
+	readerAhead bool          // the reader's generation is above this replica's
+	readAgain   chan struct{} // closed when the watch should read again
 }
 
-// readSince returns the changes after a generation, up to maxChangesPerRead of them, or the full list where these are
-// not known. A reader that is ahead of the replica gets nothing.
+// readSince returns the changes after a generation, up to maxChangesPerRead of them. It returns the full list
+// if these changes are not available, or if the generation is 0. A reader that is ahead of the replica gets
+// no chunks.
 func (m *fsm) readSince(from uint64) watchRead {
 	v := m.published.Load()
 	if from > v.generation {
@@ -163,8 +167,8 @@
 	return read
 }
 
-// readFullList returns the full list for a watch. The version must be loaded before the list is read, so that a change
-// between the two is read next.
+// readFullList returns the full list for a watch. v must have been loaded before the call, so that the watch
+// reads any change in between next.
 func (m *fsm) readFullList(v *publishedVersion) watchRead {
 	list := m.listForWatch()
 	read := watchRead{chunks: [][]byte{list.chunk}, generation: list.generation, readAgain: v.readAgain}
--- a/internal/registry/raft_host.go
+++ b/internal/registry/raft_host.go
@@ -16,26 +16,27 @@
 )
 
 const (
-	applyTimeout          = 5 * time.Second       // for a command, a barrier, a change of the replicas, and I/O between replicas
-	logLockTimeout        = 2 * time.Second       // for another process to release the log's file
-	maxCommitTimeout      = 50 * time.Millisecond // of an idle leader before it tells followers what is committed
+	applyTimeout          = 5 * time.Second       // for a command, barrier or membership change, and for I/O
+	logLockTimeout        = 2 * time.Second       // waiting time for another process to release the log file
+	maxCommitTimeout      = 50 * time.Millisecond // limit for an idle leader to send its commit index
 	retainedSnapshots     = 2
-	connectionsPerReplica = 3 // kept open to each other replica
+	connectionsPerReplica = 3 // idle connections kept open to each other replica
 )
 
-// errLogInUse is the error of a log that another process has open.
+// errLogInUse is the error of a log file that another process has open.
 var errLogInUse = errors.New("another process has it open")
 
-// discardLogger discards the log of the Raft library: this package logs what an operator needs.
+// discardLogger returns a logger that discards the messages of the Raft library. This package itself logs the
+// events that operators need.
 func discardLogger() hclog.Logger { return hclog.NewNullLogger() }
 
-// raftStores are the stores of the replicated log and of the replica's votes.
+// raftStores contains the stores of the replicated log and of the replica's votes.
 type raftStores struct {
 	log    raft.LogStore
 	stable raft.StableStore
 }
 
-// openLog opens the file of the replicated log and of the replica's votes.
+// openLog opens the file that contains the replicated log and the replica's votes.
 func (s *Server) openLog() (raftStores, error) {
 	path := filepath.Join(s.cfg.Dir, logFile)
 	var err error
@@ -53,8 +54,8 @@
 	return stores, nil
 }
 
-// startRaft starts Raft on the stores. It reports whether the replica belonged to a service before; the first replica
-// of a new service bootstraps it.
+// startRaft starts Raft on the stores. known reports whether the replica had belonged to a service before.
+// The first replica of a new service bootstraps it.
 func (s *Server) startRaft(stores raftStores) (known bool, err error) {
 	snapshots, err := raft.NewFileSnapshotStore(s.cfg.Dir, retainedSnapshots, io.Discard)
 	if err != nil {
@@ -73,7 +74,7 @@
 	}
 	self := raft.Server{ID: config.LocalID, Address: s.transport.LocalAddr()}
 	if err := s.raft.BootstrapCluster(raft.Configuration{Servers: []raft.Server{self}}).Error(); err != nil {
-		return false, fmt.Errorf("first replica: %w", err)
+		return false, fmt.Errorf("bootstrapping the first replica: %w", err)
 	}
 	return false, nil
 }
@@ -89,8 +90,8 @@
 	return config
 }
 
-// commit brings a command through the log and returns its outcome. After an error it may or may not have been done, and
-// may be sent again.
+// commit writes a command to the replicated log and returns its outcome. After an error the command may or
+// may not have been executed, and it is safe to send it again.
 func (s *Server) commit(c Command) (Outcome, error) {
 	text, err := json.Marshal(c)
 	if err != nil {
@@ -103,7 +104,8 @@
 	return applied.Response().(Outcome), nil
 }
 
-// Snapshot writes a snapshot of the state at once, as the replica does by itself from time to time.
+// Snapshot writes a snapshot of the state immediately. Raft also writes snapshots by itself from time to
+// time.
 func (s *Server) Snapshot() error {
 	if err := s.raft.Snapshot().Error(); err != nil {
 		return fmt.Errorf("snapshot: %w", err)
@@ -111,7 +113,7 @@
 	return nil
 }
 
-// members returns the replicas of the service as this one knows them, nil where Raft has ended.
+// members returns the replicas of the service as this replica knows them, or nil if Raft has shut down.
 func (s *Server) members() []raft.Server {
 	configuration := s.raft.GetConfiguration()
 	if configuration.Error() != nil {
--- a/internal/registry/replica_process_test.go
+++ b/internal/registry/replica_process_test.go
@@ -15,19 +15,20 @@
 	"opalhook/internal/testnet"
 )
 
-// testReplica is one replica as a process, which may be killed, stopped and started again.
+// testReplica is a replica that runs as a process and can be killed, suspended and started again.
 type testReplica struct {
 	t                   testing.TB
 	dir                 string
 	listen, raft        string
 	cmd                 *exec.Cmd
 	logPath             string
-	watchOpensPerSecond float64                        // WatchOpensPerSecond of its configuration
-	env                 []string                       // additional environment
-	via                 map[string]string              // to the others, through links
-	links               map[*testReplica]*testbed.Link // the same, by the other
+	watchOpensPerSecond float64                        // Config.WatchOpensPerSecond
+	env                 []string                       // additional environment variables
+	dialVia             map[string]string              // addresses of links, by the Raft address of the other replica
+	links               map[*testReplica]*testbed.Link // links to the other replicas
 }
 
+// newTestReplica reserves addresses and folders for a replica, which start starts.
 func newTestReplica(t testing.TB) *testReplica {
 	m := &testReplica{t: t, dir: t.TempDir(), listen: testnet.FreeAddr(t), raft: testnet.FreeAddr(t)}
 	m.logPath = filepath.Join(t.TempDir(), "log")
@@ -35,10 +36,10 @@
 	return m
 }
 
-// start starts the process and waits until it answers.
+// start starts the process and waits until it responds.
 func (m *testReplica) start(join string) {
 	m.t.Helper()
-	settings := replicaSettings{Dir: m.dir, Listen: m.listen, Raft: m.raft, Join: join, DialVia: m.via, WatchOpensPerSecond: m.watchOpensPerSecond}
+	settings := replicaSettings{Dir: m.dir, Listen: m.listen, Raft: m.raft, Join: join, DialVia: m.dialVia, WatchOpensPerSecond: m.watchOpensPerSecond}
 	text, err := json.Marshal(settings)
 	if err != nil {
 		m.t.Fatal(err)
@@ -47,11 +48,11 @@
 	if err != nil {
 		m.t.Fatal(err)
 	}
-	defer func() { _ = log.Close() }() // the process has a descriptor of its own
+	defer func() { _ = log.Close() }() // the process has its own descriptor
 	m.cmd = exec.Command(os.Args[0])
 	m.cmd.Env = append(append(os.Environ(), replicaEnv+"="+string(text)), m.env...)
 	m.cmd.Stderr = log
-	if _, err := m.cmd.StdinPipe(); err != nil { // open for as long as this process lives
+	if _, err := m.cmd.StdinPipe(); err != nil { // stays open until this process ends
 		m.t.Fatal(err)
 	}
 	if err := m.cmd.Start(); err != nil {
@@ -59,21 +60,21 @@
 	}
 	for end := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
 		if resp, err := http.Get("http://" + m.listen + "/registry/status"); err == nil {
-			_ = resp.Body.Close() // only the response itself matters
+			_ = resp.Body.Close() // any response will do
 			return
 		}
 		if time.Now().After(end) {
 			text, _ := os.ReadFile(m.logPath)
-			m.t.Fatalf("replica never answers: %s", text)
+			m.t.Fatalf("the replica does not respond: %s", text)
 		}
 	}
 }
 
-// connect puts links between all replicas, each direction apart.
+// connect puts links between all replicas, one for each direction of dialing.
 func connect(t testing.TB, all []*testReplica) {
 	t.Helper()
 	for _, a := range all {
-		a.via, a.links = map[string]string{}, map[*testReplica]*testbed.Link{}
+		a.dialVia, a.links = map[string]string{}, map[*testReplica]*testbed.Link{}
 		for i, b := range all {
 			if a == b {
 				continue
@@ -83,12 +84,12 @@
 				t.Fatal(err)
 			}
 			t.Cleanup(l.Close)
-			a.via[b.raft], a.links[b] = l.Addr(), l
+			a.dialVia[b.raft], a.links[b] = l.Addr(), l
 		}
 	}
 }
 
-// linkCut is which of a replica's links to the others are cut.
+// linkCut says which of a replica's links to the others are cut, by the direction of the data.
 type linkCut int
 
 const (
@@ -98,7 +99,7 @@
 	cutBoth
 )
 
-// cut cuts the links of a replica to and from the others, or heals them.
+// cut cuts the links of a replica to and from the others, or restores them.
 func (m *testReplica) cut(all []*testReplica, cut linkCut) {
 	m.t.Helper()
 	out := testbed.LinkState{Cut: cut == cutOutgoing || cut == cutBoth}
@@ -107,23 +108,23 @@
 		if b == m {
 			continue
 		}
-		// A connection carries its dialer's requests one way and the responses the other.
+		// A connection carries requests from its dialer and responses to its dialer.
 		if err := errors.Join(m.links[b].Set(out, in), b.links[m].Set(in, out)); err != nil {
 			m.t.Fatal(err)
 		}
 	}
 }
 
-// kill ends the process at once.
+// kill ends the process with SIGKILL and waits for its end.
 func (m *testReplica) kill() {
 	if m.cmd != nil {
-		_ = m.cmd.Process.Kill() // it may have ended
-		_ = m.cmd.Wait()         // its status is that of the kill
+		_ = m.cmd.Process.Kill() // the process may have ended already
+		_ = m.cmd.Wait()         // the status only reflects the kill
 		m.cmd = nil
 	}
 }
 
-// leads reports whether the replica says that it leads.
+// leads reports whether the replica's status says that it is the leader.
 func (m *testReplica) leads() bool {
 	c := http.Client{Timeout: time.Second}
 	resp, err := c.Get("http://" + m.listen + "/registry/status")
@@ -135,7 +136,7 @@
 	return json.NewDecoder(resp.Body).Decode(&s) == nil && s.State == "leader"
 }
 
-// startService starts replicas with links between them and waits until each knows all.
+// startService starts n replicas with links between them and waits until each of them knows all.
 func startService(t testing.TB, n int) (all []*testReplica) {
 	t.Helper()
 	for range n {
@@ -150,7 +151,7 @@
 		}
 	}
 	leaderOf(t, all)
-	waitFor(t, "every replica knows all", func() bool {
+	waitFor(t, "every replica knows all replicas", func() bool {
 		sts, errs := (&Client{Replicas: addresses(all)}).Status(t.Context())
 		known := errors.Join(errs...) == nil
 		for _, st := range sts {
@@ -168,7 +169,7 @@
 	return out
 }
 
-// leaderOf waits for a replica that says that it leads.
+// leaderOf waits until one of the replicas reports that it is the leader.
 func leaderOf(t testing.TB, all []*testReplica) (m *testReplica) {
 	t.Helper()
 	waitFor(t, "a leader", func() bool {
@@ -183,10 +184,10 @@
 	return m
 }
 
-// sameLists waits until all replicas hold one list.
-func sameLists(t testing.TB, all []*testReplica) {
+// waitForSameList waits until all replicas have the same list.
+func waitForSameList(t testing.TB, all []*testReplica) {
 	t.Helper()
-	waitFor(t, "all replicas hold one list", func() bool {
+	waitFor(t, "all replicas have the same list", func() bool {
 		texts := map[string]bool{}
 		for _, m := range all {
 			resp, err := http.Get("http://" + m.listen + "/registry/instances")
--- a/internal/registry/replicas_api.go
+++ b/internal/registry/replicas_api.go
@@ -11,35 +11,35 @@
 
 // Replica is a member of the service.
 type Replica struct {
-	ID     string `json:"id"` // its name, "@" and its HTTP address
-	Raft   string `json:"raft"`
+	ID     string `json:"id"`   // "NAME@HTTP-ADDRESS"
+	Raft   string `json:"raft"` // "RAFT-ADDRESS#NAME"
 	Leader bool   `json:"leader"`
 }
 
-// Status is what a replica reports of itself and of the service.
+// Status is a replica's report about itself and the service.
 type Status struct {
 	Replica                   string    `json:"replica"`
-	State                     string    `json:"state"`  // leader, follower or candidate; "" while it closes
-	Leader                    string    `json:"leader"` // HTTP address; "": none is known
+	State                     string    `json:"state"`  // leader, follower or candidate; "" during shutdown
+	Leader                    string    `json:"leader"` // HTTP address; "": unknown
 	Epoch                     uint64    `json:"epoch"`
 	Generation                uint64    `json:"generation"`
 	Entries                   int       `json:"entries"`
 	Leases                    int       `json:"leases"`
 	Watches                   int64     `json:"watches"`
 	ExpirySuspended           bool      `json:"expiryPaused"`
-	AppliedIndex              uint64    `json:"appliedIndex"`       // of the replicated log
-	SecondsSinceLeaderContact float64   `json:"secondsSinceLeader"` // at a follower
+	AppliedIndex              uint64    `json:"appliedIndex"`       // last applied entry of the Raft log
+	SecondsSinceLeaderContact float64   `json:"secondsSinceLeader"` // on followers only
 	Replicas                  []Replica `json:"replicas"`
 }
 
-// stateNames are the names of Raft's states in a [Status].
+// stateNames maps Raft states to values of [Status].State.
 var stateNames = map[raft.RaftState]string{
 	raft.Leader:    "leader",
 	raft.Follower:  "follower",
 	raft.Candidate: "candidate",
 }
 
-// status returns what the replica reports now.
+// status returns the current report of the replica.
 func (s *Server) status() Status {
 	raftState := s.raft.State()
 	status := Status{
@@ -47,7 +47,7 @@
 		State:           stateNames[raftState],
 		Leader:          s.leaderAddress(),
 		Watches:         s.openWatches.Load(),
-		ExpirySuspended: s.leader.expirySuspended(),
+		ExpirySuspended: s.leadership.expirySuspended(),
 		AppliedIndex:    s.raft.AppliedIndex(),
 	}
 	if raftState == raft.Follower {
@@ -69,7 +69,7 @@
 	writeJSON(w, http.StatusOK, s.status())
 }
 
-// handleBackup responds with the state as the leader has it.
+// handleBackup responds with the state of the leader.
 func (s *Server) handleBackup(w http.ResponseWriter, r *http.Request) {
 	if !s.requireLeader(w, r) || !s.confirmLeadership(w) {
 		return
@@ -82,7 +82,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(text) // a client that is gone needs no backup; one that got a part can't decode it
+	_, _ = w.Write(text) // fails only if the client has disconnected; a truncated backup cannot be decoded
 }
 
 func (s *Server) handleAddReplica(w http.ResponseWriter, r *http.Request) {
@@ -91,12 +91,12 @@
 		return
 	}
 	if replica.ID == "" || replica.Raft == "" {
-		writeError(w, http.StatusBadRequest, Invalid, "id, raft: both are wanted")
+		writeError(w, http.StatusBadRequest, Invalid, "id, raft: both are required")
 		return
 	}
 	if other, used := s.addressOwner(replica); used {
 		addr, _ := splitRaftAddress(raft.ServerAddress(replica.Raft))
-		writeError(w, http.StatusConflict, AddressConflict, "%s is the address of %s; if that is gone: opalhook registry dismiss %s", addr, other, other)
+		writeError(w, http.StatusConflict, AddressConflict, "%s is the address of %s; if that replica no longer exists: opalhook registry dismiss %s", addr, other, other)
 		return
 	}
 	if err := s.raft.AddVoter(raft.ServerID(replica.ID), raft.ServerAddress(replica.Raft), 0, applyTimeout).Error(); err != nil {
@@ -107,7 +107,8 @@
 	encodeTo(w, replica)
 }
 
-// addressOwner returns the other replica that has the Raft address of this one.
+// addressOwner returns the ID of another replica that has the same Raft address. used is false if there is
+// none.
 func (s *Server) addressOwner(replica Replica) (id raft.ServerID, used bool) {
 	addr, _ := splitRaftAddress(raft.ServerAddress(replica.Raft))
 	for _, member := range s.members() {
@@ -125,7 +126,7 @@
 	}
 	id := r.PathValue("id")
 	if !slices.ContainsFunc(s.members(), func(member raft.Server) bool { return string(member.ID) == id }) {
-		writeError(w, http.StatusNotFound, NotFound, "%s is no replica; `opalhook registry status` lists them", truncate(id))
+		writeError(w, http.StatusNotFound, NotFound, "%s is not a replica; `opalhook registry status` lists the replicas", truncate(id))
 		return
 	}
 	if err := s.raft.RemoveServer(raft.ServerID(id), 0, applyTimeout).Error(); err != nil {
--- a/internal/registry/replication_test.go
+++ b/internal/registry/replication_test.go
@@ -14,13 +14,13 @@
 	"github.com/hashicorp/raft"
 )
 
-// Three replicas: a write at a follower finds the leader, a new leader has every acknowledged write, and watches of every
-// replica continue by changes.
+// Runs three replicas. A write at a follower reaches the leader, a new leader has every acknowledged write,
+// and the watches of all replicas continue with changes.
 func TestReplication(t *testing.T) {
 	dirs := []string{t.TempDir(), t.TempDir(), t.TempDir()}
 	first := startReplica(t, dirs[0], "")
 	all := []*Server{first, startReplica(t, dirs[1], first.Addr()), startReplica(t, dirs[2], first.Addr())}
-	for n := range 10 { // at each in turn
+	for n := range 10 { // at each replica in turn
 		if status, text := call(t, "POST", "http://"+all[n%3].Addr()+"/registry/instances", registration(fmt.Sprint("s-", n), n+1, 1, 0)); status != 200 {
 			t.Fatalf("%d %s", status, text)
 		}
@@ -39,16 +39,16 @@
 		t.Fatal(err)
 	}
 	if status, text := call(t, "POST", "http://"+all[1].Addr()+"/registry/instances/s-3/drain", ""); status != 200 {
-		t.Fatalf("after the leader's end: %d %s", status, text)
+		t.Fatalf("drain after the leader has closed: %d %s", status, text)
 	}
 	for _, w := range followers {
 		if m := w.next(t); m.Reset || m.Generation != 11 || m.Instances[0].InstanceID != "s-3" {
-			t.Errorf("a watch gets %+v", m)
+			t.Errorf("a watch gets %+v, want the change to s-3 at generation 11", m)
 		}
 	}
-	// The one that was away catches up.
+	// The closed replica is started again and catches up.
 	back := startReplica(t, dirs[0], "", func(c *Config) { c.Listen, c.Raft = first.Addr(), raftAddr(first) })
-	waitFor(t, "the replica that was away has caught up", func() bool { return back.fsm.generation() == 11 })
+	waitFor(t, "the restarted replica has caught up", func() bool { return back.fsm.generation() == 11 })
 }
 
 func raftAddr(s *Server) string {
@@ -61,8 +61,9 @@
 	return ""
 }
 
-// What was acknowledged is there after a restart, and the file that is damaged is named.
-func TestStatePersists(t *testing.T) {
+// Acknowledged writes survive a restart. A replica does not start at another address, with a damaged log or
+// without its log, and the error says which file is affected and how to repair it.
+func TestStateSurvivesRestart(t *testing.T) {
 	dir := t.TempDir()
 	s := startReplica(t, dir, "")
 	call(t, "POST", "http://"+s.Addr()+"/registry/instances", registration("s-a", 1, 1, 0))
@@ -77,10 +78,10 @@
 	same := func(c *Config) { c.Listen, c.Raft = addr, raftAt }
 	elsewhere := Config{Dir: dir, Listen: "127.0.0.1:0", Raft: raftAt, Logger: slog.New(slog.DiscardHandler)}
 	if _, err := Start(t.Context(), elsewhere); err == nil || !strings.Contains(err.Error(), "belongs to "+addr) {
-		t.Errorf("a replica starts where the others don't know it: %v", err)
+		t.Errorf("start at another address: error %v, want one with the recorded address", err)
 	}
 	s = startReplica(t, dir, "", same)
-	waitFor(t, "the state is back", func() bool { return s.fsm.generation() == 2 })
+	waitFor(t, "the state is restored", func() bool { return s.fsm.generation() == 2 })
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -90,18 +91,18 @@
 	}
 	cfg := Config{Dir: dir, Listen: addr, Raft: raftAt, Logger: slog.New(slog.DiscardHandler)}
 	if _, err := Start(t.Context(), cfg); err == nil || !strings.Contains(err.Error(), db) || !strings.Contains(err.Error(), "--join") {
-		t.Errorf("error %v names no file or no way out", err)
+		t.Errorf("start with a damaged log: error %v, want one with the file and the repair", err)
 	}
 	if err := os.Remove(db); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Start(t.Context(), cfg); err == nil || !strings.Contains(err.Error(), "log is gone") {
-		t.Errorf("a replica that lost its log starts as the one it was: %v", err)
+	if _, err := Start(t.Context(), cfg); err == nil || !strings.Contains(err.Error(), "log is missing") {
+		t.Errorf("start without the log: error %v, want one that says so", err)
 	}
 }
 
-// failingStore is a log store whose disk fails while failing is set: it is full, or fsync fails though the log was
-// written.
+// failingStore is a log store whose writes fail while failing is set: the disk is full, or fsync fails
+// although the data was written.
 type failingStore struct {
 	raft.LogStore
 	failing *atomic.Bool
@@ -126,15 +127,15 @@
 	return errors.New("no space left on device")
 }
 
-// A write that can't be made durable is not acknowledged, and the client gets an error; sent again once the disk works,
+// A write that cannot be made durable must not be acknowledged. When the client repeats it after the failure,
 // it takes effect once.
-func TestFullDisk(t *testing.T) {
+func TestDiskFailure(t *testing.T) {
 	for _, failure := range []diskFailure{diskFull, fsyncFailed} {
-		t.Run(string(failure), func(t *testing.T) { testFailingDisk(t, failure) })
+		t.Run(string(failure), func(t *testing.T) { testDiskFailure(t, failure) })
 	}
 }
 
-func testFailingDisk(t *testing.T, failure diskFailure) {
+func testDiskFailure(t *testing.T, failure diskFailure) {
 	t.Helper()
 	var failing atomic.Bool
 	s := startReplica(t, t.TempDir(), "", func(c *Config) {
@@ -151,14 +152,14 @@
 	}
 	readBody(t, resp)
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
-		t.Errorf("status %s", resp.Status)
+		t.Errorf("write to a failing disk: status %s, want 503 with Retry-After", resp.Status)
 	}
 	if g := s.fsm.generation(); g != 1 {
-		t.Errorf("generation %d after a write that was not kept", g)
+		t.Errorf("generation %d after a write that failed, want 1", g)
 	}
 	failing.Store(false)
 	status, text := call(t, "POST", base, registration("s-b", 2, 1, 0))
 	if status != http.StatusOK || s.fsm.generation() != 2 {
-		t.Errorf("sent again: %d %s, generation %d", status, text, s.fsm.generation())
+		t.Errorf("write sent again: %d %s, generation %d; want 200 at generation 2", status, text, s.fsm.generation())
 	}
 }
--- a/internal/registry/restore.go
+++ b/internal/registry/restore.go
@@ -10,21 +10,23 @@
 	"time"
 )
 
-// epochLength is the time after which a list that is restored again gets another epoch by itself.
+// epochLength is the period during which [EpochAt] returns the same epoch.
 const epochLength = 450 * time.Second
 
-// epochOrigin is when epoch 0 began.
+// epochOrigin is the beginning of epoch 0.
 var epochOrigin = time.Date(2020, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// EpochAt returns the epoch of a list that is restored at a time: larger than that of any restored before it. Restores
-// of one backup less than 450 s apart need epochs chosen by hand.
+// EpochAt returns the epoch of a list that is restored at the given time. The epoch grows every 450 s, so
+// that it exceeds that of every earlier restore. Two restores of one backup less than 450 s apart may get the
+// same epoch. The caller must choose their epochs instead.
 func EpochAt(now time.Time) uint64 { return uint64(now.Sub(epochOrigin) / epochLength) }
 
-// Restore prepares a new or empty folder for the first replica of a new service that begins with a backup, in an epoch
-// that is at least the given one. It returns the state of the restored list.
+// Restore prepares a new or empty folder as the data folder of the first replica of a new service, whose list
+// begins with a backup. The new epoch is the given one, or the one after the backup's epoch if that is
+// larger. Restore returns the state of the restored list.
 func Restore(dir string, backup io.Reader, epoch uint64) (*State, error) {
 	if files, err := os.ReadDir(dir); err == nil && len(files) > 0 {
-		return nil, fmt.Errorf("%s: is not empty: a backup is restored into a new folder", dir)
+		return nil, fmt.Errorf("%s: must be a new or empty folder, found %d files", dir, len(files))
 	}
 	var saved State
 	if err := json.NewDecoder(backup).Decode(&saved); err != nil {
@@ -47,7 +49,7 @@
 	return restored, nil
 }
 
-// writeNewFile makes a file and syncs it to disk.
+// writeNewFile creates a file and syncs it to disk. The file must not exist.
 func writeNewFile(path string, text []byte) error {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -62,7 +64,7 @@
 	return f.Close()
 }
 
-// loadRestored puts a restored state into the log, once.
+// loadRestored commits the restored state, if the data folder contains one, and then deletes its file.
 func (s *Server) loadRestored() error {
 	path := filepath.Join(s.cfg.Dir, restoreFile)
 	text, err := os.ReadFile(path)
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -20,8 +20,8 @@
 
 // Limits of the HTTP server.
 const (
-	requestHeaderTimeout = 3 * time.Second // also for the body of a write
-	idleTimeout          = time.Minute     // of a connection between requests
+	requestHeaderTimeout = 3 * time.Second // limit for a request's header, and for the body of a write
+	idleTimeout          = time.Minute     // limit for a connection between requests
 	maxRequestHeader     = 8 << 10         // bytes
 	maxRequestBody       = 16 << 10        // bytes
 )
@@ -30,8 +30,8 @@
 type Server struct {
 	cfg       Config
 	logger    *slog.Logger
-	id        string    // its name, "@" and its HTTP address
-	startedAt time.Time // origin of the monotonic clock of leases
+	id        string    // "NAME@HTTP-ADDRESS"
+	startedAt time.Time // zero of the monotonic clock of leases
 
 	listener   net.Listener
 	httpServer *http.Server
@@ -39,12 +39,12 @@
 	store      *raftboltdb.BoltStore
 	raft       *raft.Raft
 	fsm        *fsm
-	leader     leadership
+	leadership leadership
 
 	watchLimiter   *rate.Limiter
 	heartbeats     [heartbeatGroups]heartbeat
 	heartbeatChunk []byte
-	shuttingDown   atomic.Bool // set before the last heartbeats
+	shuttingDown   atomic.Bool // set before the final broadcast of all heartbeats
 	openWatches    atomic.Int64
 	metrics        *metrics
 
@@ -53,9 +53,10 @@
 	goroutines sync.WaitGroup // awaited by Close
 }
 
-// Start starts a replica: the one that the data folder belongs to, the first one of a new service, or one that joins a
-// service. It returns once the HTTP API is served and the replica has joined; ctx ends the replica's work, but only
-// [Server.Close] waits for its end and closes its files.
+// Start starts the replica whose state is in the data folder, the first replica of a new service, or a
+// replica that joins a service. It returns when the HTTP API is being served and the replica has joined. The
+// end of ctx stops the replica's work, but only [Server.Close] waits until the work has stopped, and closes
+// the files.
 func Start(ctx context.Context, cfg Config) (*Server, error) {
 	cfg = cfg.withDefaults()
 	if err := os.MkdirAll(cfg.Dir, 0o700); err != nil {
@@ -65,20 +66,21 @@
 		cfg:            cfg,
 		logger:         cfg.Logger,
 		startedAt:      time.Now(),
-		leader:         newLeadership(),
+		leadership:     newLeadership(),
 		watchLimiter:   rate.NewLimiter(rate.Limit(cfg.WatchOpensPerSecond), max(int(cfg.WatchOpensPerSecond), 1)),
 		heartbeatChunk: httpChunk([]byte{'\n'}),
 	}
 	s.ctx, s.cancel = context.WithCancel(ctx)
-	s.fsm = newFSM(func(c Command, _ Outcome) { s.leader.track(s.now(), c) })
+	s.fsm = newFSM(func(c Command, _ Outcome) { s.leadership.track(s.now(), c) })
 	if err := s.open(); err != nil {
-		_ = s.Close() // what failed to start says more than what fails to end
+		_ = s.Close() // the error of open is returned
 		return nil, err
 	}
 	return s, nil
 }
 
-// open opens everything; Close closes what it opened.
+// open opens the listeners and the log, and starts Raft and the replica's goroutines. After an error, Close
+// closes what open has opened.
 func (s *Server) open() error {
 	if err := s.listen(); err != nil {
 		return err
@@ -102,20 +104,21 @@
 	return nil
 }
 
-// listen opens both listeners. The replica's ID is loaded between them: it holds the HTTP address, and connections to
-// the Raft address begin with its name.
+// listen opens both listeners and creates the transport. It loads the replica's ID after the HTTP listener is
+// open, since the ID contains the HTTP address, and before it creates the transport, since connections to the
+// Raft address begin with the replica's name.
 func (s *Server) listen() error {
 	httpListener, err := net.Listen("tcp", s.cfg.Listen)
 	if err != nil {
-		return fmt.Errorf("listen: %w", err)
+		return fmt.Errorf("http listener: %w", err)
 	}
 	s.listener = smallBufferListener{httpListener}
 	raftListener, err := net.Listen("tcp", s.cfg.Raft)
 	if err != nil {
-		return fmt.Errorf("raft address: %w", err)
+		return fmt.Errorf("raft listener: %w", err)
 	}
 	if s.id, err = loadIdentity(s.cfg.Dir, s.Addr()); err != nil {
-		_ = raftListener.Close() // nothing was accepted
+		_ = raftListener.Close() // it has not accepted any connections
 		return err
 	}
 	name, _, _ := strings.Cut(s.id, "@")
@@ -128,9 +131,9 @@
 	return nil
 }
 
-// startWork starts the goroutines that last as long as the replica.
+// startWork starts the goroutines that run until the replica closes.
 func (s *Server) startWork() {
-	for i := range s.heartbeats { // a watch waits for the next one, so there must be one
+	for i := range s.heartbeats { // heartbeat.signal requires an earlier broadcast
 		s.heartbeats[i].broadcast()
 	}
 	s.httpServer = &http.Server{
@@ -150,17 +153,17 @@
 	s.goroutines.Go(s.runLeadership)
 }
 
-// Addr is the HTTP address.
+// Addr returns the HTTP address of the replica.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Generation is the version of the list at this replica.
+// Generation returns the generation of the list at this replica.
 func (s *Server) Generation() uint64 { return s.fsm.generation() }
 
-// now is the time on the monotonic clock that leases are measured by.
+// now returns the time on the monotonic clock of leases.
 func (s *Server) now() time.Duration { return time.Since(s.startedAt) }
 
-// Close ends the replica and waits for its work; its state stays in its folder. The errors of what it closes are
-// joined.
+// Close stops the replica and waits for its goroutines. Its state remains in the data folder. Close returns
+// the joined errors of everything it closes.
 func (s *Server) Close() error {
 	s.cancel()
 	var errs []error
--- a/internal/registry/slow_readers.go
+++ b/internal/registry/slow_readers.go
@@ -9,9 +9,15 @@
 )
 
 const (
-	writeTimeout   = 5 * time.Second // for a client to take one write
-	maxWriteSize   = 32 << 10        // bytes of one write: a client that reads 7 KB a second keeps up
-	sendBufferSize = 32 << 10        // bytes that the kernel holds for a client that does not read; by itself it takes megabytes for each
+	writeTimeout = 5 * time.Second // limit for one write to a client
+
+	// maxWriteSize is the size of one write, in bytes. A client that reads 7 KB a second receives it within
+	// writeTimeout.
+	maxWriteSize = 32 << 10
+
+	// sendBufferSize is the size of a connection's send buffer, in bytes. By default, the kernel would buffer
+	// megabytes for each client that does not read.
+	sendBufferSize = 32 << 10
 )
 
 // smallBufferListener is a listener whose connections have a send buffer of sendBufferSize.
@@ -26,7 +32,8 @@
 	return conn, err
 }
 
-// writeList responds with the full list, each write within writeTimeout.
+// writeList responds with the full list, in writes of up to maxWriteSize bytes that may each take
+// writeTimeout.
 func (s *Server) writeList(w http.ResponseWriter) {
 	text := s.fsm.currentList().json()
 	w.Header().Set("Content-Type", "application/json")
@@ -37,13 +44,14 @@
 			return
 		}
 		if _, err := w.Write(part); err != nil {
-			return // the client is gone or does not read
+			return // the client has disconnected or does not read
 		}
 	}
 }
 
-// writePaced writes chunks to a watch in writes of up to maxWriteSize, each within writeTimeout, so that a slow client
-// is not dropped for the length of what it is sent. It uses the slice of chunks up.
+// writePaced writes chunks to a watch, in writes of up to maxWriteSize bytes that may each take writeTimeout.
+// A slow client is therefore not dropped because of the amount of data. writePaced modifies the slice of
+// chunks.
 func writePaced(conn net.Conn, chunks [][]byte) error {
 	for len(chunks) > 0 {
 		var next net.Buffers
@@ -58,7 +66,7 @@
 	return nil
 }
 
-// writeBuffers writes buffers at once. A single one needs no vectored write.
+// writeBuffers writes buffers with one system call. A single buffer needs no vectored write.
 func writeBuffers(conn net.Conn, buffers net.Buffers) error {
 	if len(buffers) == 1 {
 		_, err := conn.Write(buffers[0])
@@ -68,7 +76,8 @@
 	return err
 }
 
-// nextWrite takes up to maxWriteSize bytes, and at least one, from the front of chunks.
+// nextWrite splits up to maxWriteSize bytes off the front of chunks, and at least one byte if there are any.
+// It modifies the slice.
 func nextWrite(chunks [][]byte) (next net.Buffers, rest [][]byte) {
 	size := 0
 	for i, c := range chunks {
--- a/internal/registry/snapshot.go
+++ b/internal/registry/snapshot.go
@@ -7,10 +7,10 @@
 	"slices"
 )
 
-// snapshotFormat is the version of the encoding of a state; other versions are rejected.
+// snapshotFormat is the version of the encoding of a state. Other versions are rejected.
 const snapshotFormat = 1
 
-// stateSnapshot is the form of a state in snapshots, backups and Load commands.
+// stateSnapshot is the serialized form of a state in snapshots, backups and Load commands.
 type stateSnapshot struct {
 	Format     int         `json:"format"`
 	Epoch      uint64      `json:"epoch"`
@@ -20,8 +20,8 @@
 	Changes    []Change    `json:"changes"`
 }
 
-// snapshot copies the state, so that it can be encoded while the state changes. The entries of a change are shared:
-// they are never altered.
+// snapshot copies the state, so that the copy can be encoded while the state changes. The entries of changes
+// are shared with the state, which never modifies them.
 func (s *State) snapshot() stateSnapshot {
 	records := make([]record, 0, len(s.records))
 	for _, r := range s.records {
@@ -37,17 +37,18 @@
 	}
 }
 
-// encode returns bytes that depend on the content alone.
+// encode returns the snapshot as JSON. The result depends only on the content, since encode sorts the
+// records.
 func (snap stateSnapshot) encode() ([]byte, error) {
 	slices.SortFunc(snap.Records, func(a, b record) int { return cmp.Compare(a.Entry.InstanceID, b.Entry.InstanceID) })
 	return json.Marshal(snap)
 }
 
-// state returns the state that the snapshot was taken of, or an error that names what is invalid.
+// state returns the state that the snapshot was taken of, or an error that names the invalid field.
 func (snap stateSnapshot) state() (*State, error) {
 	switch {
 	case snap.Format != snapshotFormat:
-		return nil, fmt.Errorf("state: format %d; this release reads %d", snap.Format, snapshotFormat)
+		return nil, fmt.Errorf("state: format %d is not supported, must be %d", snap.Format, snapshotFormat)
 	case snap.Epoch > MaxEpoch || snap.Count >= 1<<epochBits:
 		return nil, fmt.Errorf("state: epoch %d or count %d is out of range", snap.Epoch, snap.Count)
 	}
@@ -57,7 +58,7 @@
 		r := snap.Records[i]
 		id, addr := r.Entry.InstanceID, r.Entry.HostPort
 		if s.records[id] != nil || s.instanceByAddr[addr] != "" {
-			return nil, fmt.Errorf("state: records[%d]: %s or its address stands twice", i, id)
+			return nil, fmt.Errorf("state: records[%d]: instance %s or its address occurs twice", i, id)
 		}
 		s.records[id], s.instanceByAddr[addr] = &r, id
 	}
@@ -67,10 +68,11 @@
 	return s, nil
 }
 
-// MarshalJSON implements json.Marshaler. The bytes depend on the state alone.
+// MarshalJSON implements json.Marshaler. The result depends only on the state.
 func (s *State) MarshalJSON() ([]byte, error) { return s.snapshot().encode() }
 
-// UnmarshalJSON implements json.Unmarshaler for what MarshalJSON wrote. On an error the state is unchanged.
+// UnmarshalJSON implements json.Unmarshaler for the output of MarshalJSON. After an error the state is
+// unchanged.
 func (s *State) UnmarshalJSON(text []byte) error {
 	var snap stateSnapshot
 	if err := json.Unmarshal(text, &snap); err != nil {
@@ -84,11 +86,12 @@
 	return nil
 }
 
-// RestoredInEpoch returns a copy of the state in a new epoch, for a list that begins again from a backup. The epoch
-// must be larger than any that the list has ever been in; it is an error if it is not above the state's own.
+// RestoredInEpoch returns a copy of the state in a new epoch, for a list that is restored from a backup. The
+// epoch must be larger than any that the list has been in. RestoredInEpoch knows only the epoch of the
+// backup, and returns an error if the new epoch is not larger than that or exceeds MaxEpoch.
 func (s *State) RestoredInEpoch(epoch uint64) (*State, error) {
 	if epoch <= s.epoch || epoch > MaxEpoch {
-		return nil, fmt.Errorf("epoch: %d is not above the backup's %d and up to %d", epoch, s.epoch, MaxEpoch)
+		return nil, fmt.Errorf("epoch: got %d, must be above the backup's epoch %d and at most %d", epoch, s.epoch, MaxEpoch)
 	}
 	text, err := s.MarshalJSON()
 	if err != nil {
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -7,22 +7,22 @@
 	"opalhook/internal/discovery"
 )
 
-// MaxEntries bounds the memory of a replica, its snapshots and the full list that a watch may be sent, against clients
-// that register without end.
+// MaxEntries is the maximum number of entries. It limits the memory of a replica and the size of snapshots
+// and of the full list, even if clients never stop registering new instances.
 const MaxEntries = 1 << 18
 
-// Bounds of the history that a state keeps. A zone of 13,333 instances may be lost within a second, one change for
-// each: a watch must find all of them, or every watch is sent the full list. So must a watch that has just taken
-// minutes to read the full list.
+// Bounds of the history in a state. A zone of 13,333 instances may be lost within one second, with one
+// change for each instance. If the history is too short for these changes, every watch is sent the full
+// list. The same holds for a watch that has just taken minutes to read the full list.
 const (
 	maxTombstones = 1 << 16
 	maxChanges    = 1 << 15
 )
 
-// epochBits is the position of the epoch in a generation.
+// epochBits is the number of bits of a generation below its epoch.
 const epochBits = discovery.EpochBits
 
-// MaxEpoch keeps generations below 2^53.
+// MaxEpoch is the largest epoch. With it, generations stay below 2^53.
 const MaxEpoch = 1<<21 - 1
 
 // record is an entry with its incarnation and lease.
@@ -30,33 +30,33 @@
 	Entry       Entry         `json:"entry"`
 	Incarnation uint64        `json:"incarnation"`
 	Lease       time.Duration `json:"lease"`
-	Changed     uint64        `json:"changed"` // generation of its last change
+	Changed     uint64        `json:"changed"` // generation of the last change to the entry
 }
 
-// tombstone is the incarnation of a removed entry.
+// tombstone records the incarnation of a removed entry.
 type tombstone struct {
 	ID          string `json:"id"`
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// Change is the entries that one generation changed.
+// Change contains the entries that one generation changed.
 type Change struct {
 	Generation uint64  `json:"generation"`
 	Entries    []Entry `json:"entries"`
 }
 
-// State is the replicated list. It is not safe for concurrent use.
+// State is the replicated list, as a deterministic state machine. It is not safe for concurrent use.
 type State struct {
 	epoch          uint64
-	changeCount    uint64 // in this epoch
+	changeCount    uint64 // number of changes in this epoch
 	records        map[string]*record
-	instanceByAddr map[string]string
-	tombstones     map[string]uint64 // incarnation of removed entries
-	tombstoneOrder []tombstone       // oldest first
-	changes        []Change          // the latest ones, oldest first
+	instanceByAddr map[string]string // instance ID by host and port
+	tombstones     map[string]uint64 // incarnation of removed entries, by instance ID
+	tombstoneOrder []tombstone       // tombstones, oldest first
+	changes        []Change          // most recent changes, oldest first
 }
 
-// NewState returns an empty list in an epoch.
+// NewState returns an empty list in the given epoch.
 func NewState(epoch uint64) *State {
 	return &State{
 		epoch:          epoch,
@@ -66,8 +66,8 @@
 	}
 }
 
-// Apply carries out a command. It is deterministic: equal states are equal after the same command. The outcome's code
-// is Done exactly where the generation has grown.
+// Apply executes a command. It is deterministic: the same command turns equal states into equal states. The
+// outcome's code is Done if and only if the generation has grown.
 func (s *State) Apply(c Command) Outcome {
 	switch c.Kind {
 	case Register:
@@ -81,14 +81,14 @@
 	case Load:
 		return s.load(c)
 	}
-	return s.outcome(Invalid, "kind: %q is none of register, drain, remove, expire, load", c.Kind)
+	return s.outcome(Invalid, "kind: got %q, must be register, drain, remove, expire or load", c.Kind)
 }
 
 func (s *State) outcome(code Code, format string, args ...any) Outcome {
 	return Outcome{Code: code, Generation: s.Generation(), Message: fmt.Sprintf(format, args...)}
 }
 
-// commit makes the changed entries the next generation.
+// commit records the changed entries as the next generation.
 func (s *State) commit(entries ...Entry) Outcome {
 	s.changeCount++
 	generation := s.Generation()
@@ -98,15 +98,15 @@
 		}
 	}
 	if len(s.changes) == maxChanges {
-		s.changes = s.changes[1:] // the array moves in append, once in maxChanges changes
+		s.changes = s.changes[1:] // append reallocates the array about once per maxChanges changes
 	}
 	s.changes = append(s.changes, Change{generation, entries})
 	return Outcome{Code: Done, Generation: generation}
 }
 
 func (s *State) register(c Command) Outcome {
-	if refusal := s.refuseRegistration(c); refusal != nil {
-		return *refusal
+	if rejection := s.checkRegistration(c); rejection != nil {
+		return *rejection
 	}
 	e := c.Entry
 	if earlier := s.records[e.InstanceID]; earlier != nil {
@@ -117,50 +117,52 @@
 	return s.commit(e)
 }
 
-// refuseRegistration returns the outcome of a registration that changes nothing, nil where it is to be carried out.
-func (s *State) refuseRegistration(c Command) *Outcome {
+// checkRegistration returns the outcome of a registration that changes nothing, or nil if the registration is
+// to be executed.
+func (s *State) checkRegistration(c Command) *Outcome {
 	e := c.Entry
-	refusal := func(code Code, format string, args ...any) *Outcome {
+	rejection := func(code Code, format string, args ...any) *Outcome {
 		o := s.outcome(code, format, args...)
 		return &o
 	}
 	if err := ValidateRegistration(c); err != nil {
-		return refusal(Invalid, "%v", err)
+		return rejection(Invalid, "%v", err)
 	}
 	if removed := s.tombstones[e.InstanceID]; c.Incarnation <= removed {
-		return refusal(StaleIncarnation, "%s: incarnation %d is gone since; a larger one than %d is wanted",
+		return rejection(StaleIncarnation, "%s: got incarnation %d, must be above the removed incarnation %d",
 			e.InstanceID, c.Incarnation, removed)
 	}
 	r := s.records[e.InstanceID]
 	if r != nil && c.Incarnation < r.Incarnation {
-		return refusal(StaleIncarnation, "%s: incarnation %d is registered", e.InstanceID, r.Incarnation)
+		return rejection(StaleIncarnation, "%s: incarnation %d is registered", e.InstanceID, r.Incarnation)
 	}
 	if r != nil && c.Incarnation == r.Incarnation {
 		if r.registeredBy(c) {
-			return refusal(Unchanged, "")
+			return rejection(Unchanged, "")
 		}
-		return refusal(RegistrationConflict, "%s: incarnation %d is registered otherwise; register changes under a larger one",
+		return rejection(RegistrationConflict, "%s: incarnation %d is registered otherwise; register changes under a larger one",
 			e.InstanceID, c.Incarnation)
 	}
 	if other, used := s.instanceByAddr[e.HostPort]; used && other != e.InstanceID {
-		return refusal(AddressConflict, "hostPort: %s belongs to %s", e.HostPort, other)
+		return rejection(AddressConflict, "hostPort: %s belongs to %s", e.HostPort, other)
 	}
 	if r == nil && len(s.records) >= MaxEntries {
-		return refusal(ListFull, "the list holds %d entries, the most there can be", MaxEntries)
+		return rejection(ListFull, "the list is full: %d entries is the maximum", MaxEntries)
 	}
 	return nil
 }
 
-// registeredBy reports whether the command is the one that made the record. The record may have been drained since.
+// registeredBy reports whether the command created the record. It ignores the lifecycle, since the instance
+// may have been drained after the registration.
 func (r *record) registeredBy(c Command) bool {
 	registered := r.Entry
 	registered.Lifecycle = c.Entry.Lifecycle
 	return registered == c.Entry && r.Lease == c.Lease
 }
 
-// findRecord returns the record that a Drain or Remove command is about; where ok is false, the outcome says why there
-// is none.
-func (s *State) findRecord(c Command) (r *record, refusal Outcome, ok bool) {
+// findRecord returns the record that a Drain or Remove command refers to. If ok is false, the rejection is
+// the outcome of the command.
+func (s *State) findRecord(c Command) (r *record, rejection Outcome, ok bool) {
 	r = s.records[c.ID]
 	switch {
 	case r == nil && c.Incarnation > 0 && c.Incarnation <= s.tombstones[c.ID]:
@@ -176,9 +178,9 @@
 }
 
 func (s *State) drain(c Command) Outcome {
-	r, refusal, ok := s.findRecord(c)
+	r, rejection, ok := s.findRecord(c)
 	if !ok {
-		return refusal
+		return rejection
 	}
 	if r.Entry.Lifecycle == Draining {
 		return s.outcome(Unchanged, "")
@@ -188,15 +190,15 @@
 }
 
 func (s *State) remove(c Command) Outcome {
-	r, refusal, ok := s.findRecord(c)
+	r, rejection, ok := s.findRecord(c)
 	if !ok {
-		return refusal
+		return rejection
 	}
 	return s.commit(s.removeRecord(r))
 }
 
-// expire removes the entries whose leases have expired, all in one generation. An entry that has a newer incarnation
-// by now, or no lease, stays.
+// expire removes the entries whose leases have expired, all in one generation. It keeps an entry that has a
+// newer incarnation by now, or no lease.
 func (s *State) expire(c Command) Outcome {
 	var removed []Entry
 	for _, ref := range c.Expired {
@@ -210,7 +212,8 @@
 	return s.commit(removed...)
 }
 
-// removeRecord takes a record out of the list, leaves a tombstone, and returns the entry that announces the removal.
+// removeRecord removes a record from the list, adds a tombstone, and returns the entry that tells readers
+// about the removal.
 func (s *State) removeRecord(r *record) Entry {
 	e := r.Entry
 	delete(s.records, e.InstanceID)
@@ -232,15 +235,15 @@
 	}
 }
 
-// load replaces a list to which nothing has been written yet with a restored state.
+// load replaces a list that has never been changed with a restored state.
 func (s *State) load(c Command) Outcome {
 	switch {
 	case c.Snapshot == nil || c.Snapshot.Epoch() == 0:
-		return s.outcome(Invalid, "image: is missing or in no epoch of its own")
+		return s.outcome(Invalid, "image: must be present and in an epoch above 0")
 	case s.Generation() == c.Snapshot.Generation():
 		return s.outcome(Unchanged, "")
 	case s.Generation() != 0:
-		return s.outcome(RegistrationConflict, "the list has been written to: a backup is loaded into a new one")
+		return s.outcome(RegistrationConflict, "the list has been changed already; a backup can only be loaded into a new list")
 	}
 	text, err := c.Snapshot.MarshalJSON()
 	if err != nil {
