--- a/internal/registry/state_invariants_test.go
+++ b/internal/registry/state_invariants_test.go
@@ -10,31 +10,33 @@
 	"pgregory.net/rapid"
 )
 
-// drawCommand draws from few instances, addresses and incarnations, so that they meet.
+// drawCommand chooses from few instances, addresses and incarnations, so that commands conflict.
 func drawCommand(t *rapid.T) Command {
 	id := rapid.SampledFrom([]string{"s-a", "s-b", "s-c", "s-d"}).Draw(t, "id")
-	inc := rapid.Uint64Range(1, 4).Draw(t, "incarnation")
+	incarnation := rapid.Uint64Range(1, 4).Draw(t, "incarnation")
 	switch rapid.SampledFrom([]string{Register, Register, Drain, Remove, Expire}).Draw(t, "kind") {
 	case Register:
 		e := entry(id, rapid.IntRange(1, 5).Draw(t, "port"))
 		lease := rapid.SampledFrom([]time.Duration{0, time.Second, time.Minute}).Draw(t, "lease")
-		return Command{Kind: Register, Entry: e, Incarnation: inc, Lease: lease}
+		return Command{Kind: Register, Entry: e, Incarnation: incarnation, Lease: lease}
 	case Drain:
-		return Command{Kind: Drain, ID: id, Incarnation: inc - 1}
+		return Command{Kind: Drain, ID: id, Incarnation: incarnation - 1}
 	case Remove:
-		return Command{Kind: Remove, ID: id, Incarnation: inc - 1}
+		return Command{Kind: Remove, ID: id, Incarnation: incarnation - 1}
 	}
-	return Command{Kind: Expire, Expired: []InstanceRef{{id, inc}, {"s-a", 1}}}
+	return Command{Kind: Expire, Expired: []InstanceRef{{id, incarnation}, {"s-a", 1}}}
 }
 
-// changeReader is a reader of the list: by changes alone, from wherever it last was.
+// changeReader follows the list by changes from its last generation. It reads the full list if they are not
+// retained.
 type changeReader struct {
-	at   uint64
-	list map[string]Entry
+	generation uint64
+	list       map[string]Entry
 }
 
+// catchUp brings the reader to the current generation.
 func (r *changeReader) catchUp(s *State) {
-	changes, ok := s.ChangesSince(r.at)
+	changes, ok := s.ChangesSince(r.generation)
 	if !ok {
 		r.list = map[string]Entry{}
 		for _, e := range s.List() {
@@ -48,20 +50,20 @@
 			}
 		}
 	}
-	r.at = s.Generation()
+	r.generation = s.Generation()
 }
 
-// invariantChecker applies commands to a state machine and checks what must hold of any.
+// invariantChecker applies commands to a state machine and checks its invariants after each of them.
 type invariantChecker struct {
 	apply   func(*State, Command) Outcome
 	state   *State
-	replica *State            // applies the same commands, each twice, or begins with a snapshot
-	seen    map[uint64]string // the list at each generation
-	newest  map[string]uint64 // the largest incarnation of each instance so far
+	replica *State            // gets the same commands, each twice, or is replaced by a snapshot
+	seen    map[uint64]string // list in JSON, by generation
+	newest  map[string]uint64 // largest registered incarnation, by instance
 	reader  *changeReader
 }
 
-// checkInvariants applies random commands with apply, and returns the first invariant that is violated, "" for none.
+// checkInvariants executes random commands with apply. It returns the first violated invariant, or "".
 func checkInvariants(t *rapid.T, apply func(*State, Command) Outcome) (violated string) {
 	checker := &invariantChecker{
 		apply:   apply,
@@ -79,7 +81,7 @@
 	return checker.checkReader()
 }
 
-// step applies one command.
+// step executes one command and checks the invariants.
 func (ch *invariantChecker) step(t *rapid.T, c Command) (violated string) {
 	before := ch.state.Generation()
 	o := ch.apply(ch.state, c)
@@ -90,22 +92,22 @@
 		return violated
 	}
 	if again := ch.apply(ch.state, c); again.Code == Done && c.Incarnation > 0 {
-		return "a command sent again changes the list"
+		return "a repeated command changes the list"
 	}
 	if violated := ch.checkAddresses(); violated != "" {
 		return violated
 	}
-	if rapid.Bool().Draw(t, "reconnects") { // by any chain of these the list is the same
+	if rapid.Bool().Draw(t, "reconnects") { // any sequence of reconnections gives the same list
 		ch.reader.catchUp(ch.state)
 	}
-	if rapid.Bool().Draw(t, "snapshot") { // log replayed equals snapshot and the rest of the log
+	if rapid.Bool().Draw(t, "snapshot") { // snapshot and rest of the log must equal the full log
 		ch.replica = copyState(t, ch.state)
 	} else {
 		ch.apply(ch.replica, c)
 		ch.apply(ch.replica, c)
 	}
 	if mustJSON(t, ch.state) != mustJSON(t, ch.replica) {
-		return "a snapshot and the rest of the log give another state"
+		return "a snapshot and the log after it give a different state"
 	}
 	return ""
 }
@@ -119,27 +121,27 @@
 	list := string(text)
 	switch {
 	case o.Generation != after || after < before:
-		return "a generation goes back"
+		return "the generation decreases"
 	case (o.Code == Done) != (after == before+1) || o.Code != Done && after != before:
-		return "a change is not one generation"
+		return "a change does not create exactly one generation"
 	case ch.seen[after] != "" && ch.seen[after] != list:
-		return "a generation names two states"
+		return "a generation identifies two states"
 	}
 	ch.seen[after] = list
 	return ""
 }
 
 func (ch *invariantChecker) checkIncarnations(c Command, o Outcome) (violated string) {
-	const touched = "an older incarnation touches a newer"
+	const violation = "an older incarnation affects a newer one"
 	if c.Kind == Register && o.Code == Done {
 		if c.Incarnation < ch.newest[c.Entry.InstanceID] {
-			return touched
+			return violation
 		}
 		ch.newest[c.Entry.InstanceID] = c.Incarnation
 	}
 	for id, r := range ch.state.records {
 		if r.Incarnation < ch.newest[id] {
-			return touched
+			return violation
 		}
 	}
 	return ""
@@ -149,25 +151,25 @@
 	used := map[string]bool{}
 	for _, e := range ch.state.List() {
 		if used[e.HostPort] {
-			return "two instances have one address"
+			return "two instances have the same address"
 		}
 		used[e.HostPort] = true
 	}
 	return ""
 }
 
-// checkReader compares the list that changes gave with the full one.
+// checkReader compares the list of the reader, which follows the changes, with the full list.
 func (ch *invariantChecker) checkReader() (violated string) {
 	ch.reader.catchUp(ch.state)
-	full := &changeReader{at: math.MaxUint64}
+	full := &changeReader{generation: math.MaxUint64}
 	full.catchUp(ch.state)
 	if !maps.Equal(ch.reader.list, full.list) {
-		return "changes give another list than the whole one"
+		return "the changes give a different list than the full list"
 	}
 	return ""
 }
 
-// copyState returns the state that is read from a snapshot.
+// copyState returns a copy of the state that is encoded and decoded like a snapshot.
 func copyState(t *rapid.T, s *State) *State {
 	restored := &State{}
 	if err := json.Unmarshal([]byte(mustJSON(t, s)), restored); err != nil {
@@ -192,7 +194,7 @@
 	})
 }
 
-// A state machine that is wrong in one way is caught by the invariants.
+// The invariants must detect each of these faulty state machines.
 func TestInvariantsCatchBrokenStates(t *testing.T) {
 	for name, apply := range map[string]func(*State, Command) Outcome{
 		"older incarnation accepted": func(s *State, c Command) Outcome {
@@ -218,7 +220,7 @@
 			s.tombstoneOrder = nil
 			return o
 		},
-		"change not told": func(s *State, c Command) Outcome {
+		"change without entries": func(s *State, c Command) Outcome {
 			o := s.Apply(c)
 			if o.Code == Done && c.Kind == Remove {
 				s.changes[len(s.changes)-1].Entries = nil
@@ -226,13 +228,13 @@
 			return o
 		},
 	} {
-		caught := ""
-		for seed := 0; seed < 300 && caught == ""; seed++ {
+		detected := ""
+		for seed := 0; seed < 300 && detected == ""; seed++ {
 			g := rapid.Custom(func(t *rapid.T) string { return checkInvariants(t, apply) })
-			caught = g.Example(seed)
+			detected = g.Example(seed)
 		}
-		if caught == "" {
-			t.Errorf("%s: not caught", name)
+		if detected == "" {
+			t.Errorf("%s: not detected", name)
 		}
 	}
 }
--- a/internal/registry/state_queries.go
+++ b/internal/registry/state_queries.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// Generation is the version of the list. Only an empty list in epoch 0 has version 0.
+// Generation returns the version of the list. It is 0 only for a new list in epoch 0.
 func (s *State) Generation() uint64 { return s.epoch<<epochBits | s.changeCount }
 
-// Epoch is the number of the list's current epoch; see the package's section on versions.
+// Epoch returns the current epoch of the list; see the section on versions in the package documentation.
 func (s *State) Epoch() uint64 { return s.epoch }
 
-// Len is the number of entries.
+// Len returns the number of entries.
 func (s *State) Len() int { return len(s.records) }
 
-// List returns all entries, sorted by instance.
+// List returns all entries, sorted by instance ID.
 func (s *State) List() []Entry {
 	entries := s.unsortedEntries()
 	sortEntries(entries)
 	return entries
 }
 
-// unsortedEntries returns all entries in no order.
+// unsortedEntries returns all entries in an unspecified order.
 func (s *State) unsortedEntries() []Entry {
 	entries := make([]Entry, 0, len(s.records))
 	for _, r := range s.records {
@@ -35,9 +35,9 @@
 	slices.SortFunc(entries, func(a, b Entry) int { return cmp.Compare(a.InstanceID, b.InstanceID) })
 }
 
-// ChangesSince returns the changes after a generation, oldest first. Where ok is false, these are no longer kept, or
-// the generation is not one of this list's: the reader needs the full list. The slice is the state's own and not to be
-// changed.
+// ChangesSince returns the changes after a generation, oldest first. ok is false if some of them are no
+// longer retained, or if the generation does not belong to this list; the reader then needs the full list.
+// The slice belongs to the state and must not be modified.
 func (s *State) ChangesSince(generation uint64) (changes []Change, ok bool) {
 	current := s.Generation()
 	if generation == current {
@@ -46,21 +46,21 @@
 	if generation > current || generation>>epochBits != s.epoch {
 		return nil, false
 	}
-	beforeOldest := current - uint64(len(s.changes)) // the generation before the oldest change that is kept
+	beforeOldest := current - uint64(len(s.changes)) // generation before the oldest retained change
 	if generation < beforeOldest {
 		return nil, false
 	}
 	return s.changes[generation-beforeOldest:], true
 }
 
-// keptChanges returns the latest changes, up to maxChanges, oldest first. The slice is the state's own and not to be
-// changed.
-func (s *State) keptChanges() []Change { return s.changes }
+// retainedChanges returns the most recent changes, up to maxChanges, oldest first. The slice belongs to the
+// state and must not be modified.
+func (s *State) retainedChanges() []Change { return s.changes }
 
-// latestChange returns the change that made the current generation. There must be one.
+// latestChange returns the change that made the current generation. There must be at least one change.
 func (s *State) latestChange() Change { return s.changes[len(s.changes)-1] }
 
-// Leases returns the leases of the list, sorted by instance.
+// Leases returns the leases of all entries that have one, sorted by instance ID.
 func (s *State) Leases() []Lease {
 	var leases []Lease
 	for _, r := range s.records {
@@ -72,7 +72,7 @@
 	return leases
 }
 
-// LeaseCount is the number of entries that have a lease.
+// LeaseCount returns the number of entries that have a lease.
 func (s *State) LeaseCount() int {
 	count := 0
 	for _, r := range s.records {
@@ -83,8 +83,8 @@
 	return count
 }
 
-// LeaseTerm returns the term of an incarnation's lease, 0 for an entry without one. The code is Done, or says why the
-// incarnation is not registered: StaleIncarnation or NotFound.
+// LeaseTerm returns the term of an incarnation's lease, or 0 for an entry without a lease. The code is Done
+// if the incarnation is registered, and otherwise StaleIncarnation or NotFound.
 func (s *State) LeaseTerm(ref InstanceRef) (term time.Duration, code Code) {
 	r := s.records[ref.ID]
 	switch {
@@ -98,7 +98,8 @@
 	return r.Lease, Done
 }
 
-// Find returns the registration of an instance with its current lifecycle; ok is false where there is none.
+// Find returns the registration of an instance with its current lifecycle. ok is false if the instance is not
+// registered.
 func (s *State) Find(id string) (registration Registration, ok bool) {
 	r := s.records[id]
 	if r == nil {
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Old changes and tombstones are forgotten, within bounds.
+// The numbers of changes and tombstones are bounded: the oldest ones are dropped.
 func TestHistoryIsBounded(t *testing.T) {
 	s := NewState(0)
 	for n := range 2*maxTombstones + 10 {
@@ -17,17 +17,17 @@
 		s.Apply(Command{Kind: Remove, ID: id, Incarnation: 1})
 	}
 	if len(s.changes) != maxChanges || len(s.tombstones) != maxTombstones || len(s.tombstoneOrder) != maxTombstones || s.Len() != 0 {
-		t.Errorf("%d changes, %d and %d tombstones, %d entries", len(s.changes), len(s.tombstones), len(s.tombstoneOrder), s.Len())
+		t.Errorf("%d changes, %d tombstones, %d in order, %d entries", len(s.changes), len(s.tombstones), len(s.tombstoneOrder), s.Len())
 	}
 	if _, ok := s.ChangesSince(s.Generation() - maxChanges); !ok {
-		t.Error("the oldest change that is kept is not returned")
+		t.Error("the oldest retained change is not returned")
 	}
 	if _, ok := s.ChangesSince(s.Generation() - maxChanges - 1); ok {
-		t.Error("a change that is not kept is returned")
+		t.Error("a dropped change is returned")
 	}
 }
 
-// An invalid registration is rejected with the field's name, and changes nothing.
+// An invalid registration is rejected with the name of the field, and changes nothing.
 func TestInvalidRegistrations(t *testing.T) {
 	for field, change := range map[string]func(*Command){
 		"instanceId":  func(c *Command) { c.Entry.InstanceID = strings.Repeat("x", 1<<20) },
@@ -51,43 +51,43 @@
 	s := NewState(0)
 	s.Apply(Command{Kind: Register, Entry: entry("s-a", 1), Incarnation: 1})
 	if o := s.Apply(Command{Kind: Register, Entry: entry("s-b", 1), Incarnation: 1}); o.Code != AddressConflict || !strings.Contains(o.Message, "s-a") {
-		t.Errorf("one address twice: %+v", o)
+		t.Errorf("registration of an address in use: %+v", o)
 	}
 }
 
-// The error of an invalid registration holds the field's name for callers.
+// Callers can get the name of the field from the error of an invalid registration.
 func TestFieldErrors(t *testing.T) {
 	c := Command{Kind: Register, Entry: entry("s-a", 1)}
 	var field *FieldError
 	if err := ValidateRegistration(c); !errors.As(err, &field) || field.Field != "incarnation" || field.Reason == "" {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want a FieldError for incarnation", err)
 	}
 	c.Entry.InstanceID, c.Entry.Zone = "", "a\nb"
 	err := ValidateRegistration(c)
 	if !errors.As(err, &field) || field.Field != "instanceId" || !strings.Contains(err.Error(), "zone: ") {
-		t.Errorf("of two invalid names: %v", err)
+		t.Errorf("two invalid names: error %v, want both fields", err)
 	}
 }
 
-// The plan's list is accepted, with headroom; one entry more than the bound is rejected with the bound, and accepted when
-// another was removed.
+// The list has room for the largest fleet and a quarter more. An entry above the maximum is rejected with an
+// error that contains the maximum, and accepted after another entry has been removed.
 func TestListCapacity(t *testing.T) {
-	if MaxEntries < planEntries*5/4 {
-		t.Errorf("the bound is %d entries, the plan's are %d", MaxEntries, planEntries)
+	if MaxEntries < maxFleetEntries*5/4 {
+		t.Errorf("the maximum is %d entries, want a quarter more than %d", MaxEntries, maxFleetEntries)
 	}
 	s := NewState(0)
 	fillList(t, s, MaxEntries)
 	next := Command{Kind: Register, Entry: numberedEntry(MaxEntries), Incarnation: 1}
 	before := s.Generation()
 	if o := s.Apply(next); o.Code != ListFull || !strings.Contains(o.Message, fmt.Sprint(MaxEntries)) || s.Generation() != before || s.Len() != MaxEntries {
-		t.Errorf("one more than the bound: %+v, %d entries", o, s.Len())
+		t.Errorf("one entry above the maximum: %+v, %d entries", o, s.Len())
 	}
-	again := numberedEntry(0) // of an instance that is there
+	again := numberedEntry(0) // a registered instance
 	if o := s.Apply(Command{Kind: Register, Entry: again, Incarnation: 2}); o.Code != Done {
-		t.Errorf("a new start of one that is there: %+v", o)
+		t.Errorf("new incarnation of a registered instance: %+v", o)
 	}
 	s.Apply(Command{Kind: Remove, ID: again.InstanceID})
 	if o := s.Apply(next); o.Code != Done || s.Len() != MaxEntries {
-		t.Errorf("after another has gone: %+v, %d entries", o, s.Len())
+		t.Errorf("after the removal of another entry: %+v, %d entries", o, s.Len())
 	}
 }
--- a/internal/registry/stream_layer.go
+++ b/internal/registry/stream_layer.go
@@ -17,20 +17,21 @@
 	addressNameSeparator = "#"
 )
 
-// errWrongReplica is the error of a connection that is meant for another replica.
-var errWrongReplica = errors.New("greeting: meant for another replica")
+// errWrongReplica is the error of a connection whose greeting names another replica.
+var errWrongReplica = errors.New("greeting: the connection is for another replica")
 
-// streamLayer connects the replicas; it implements raft.StreamLayer. A replica's address for the others includes its
-// name, and each connection begins with a line that says which replica it is meant for; any other replica closes it. A
-// replica that lost its state and was started again at the same address must not be mistaken for the one that it was,
-// since it has forgotten its votes and what it acknowledged.
+// streamLayer connects the replicas; it implements raft.StreamLayer. A replica's Raft address includes its
+// name, and each connection begins with a greeting: a line with the name of the replica that is being called.
+// A replica with another name closes the connection. This guards against a replica that lost its state and
+// was started again at the same address: it must not be taken for the earlier replica, since it no longer
+// knows its votes and the entries that it acknowledged.
 type streamLayer struct {
 	net.Listener
-	name string            // of this replica
-	via  map[string]string // where to dial an address, if not there
+	name string            // name of this replica
+	via  map[string]string // addresses to dial in place of Raft addresses, by Raft address without name
 }
 
-// namedAddr is the address of a replica for the others.
+// namedAddr is a network address with the name of the replica.
 type namedAddr struct {
 	net.Addr
 	name string
@@ -39,7 +40,7 @@
 // String implements net.Addr.
 func (a namedAddr) String() string { return a.Addr.String() + addressNameSeparator + a.name }
 
-// splitRaftAddress returns the parts of a replica's address.
+// splitRaftAddress splits a replica's Raft address into its network address and its name.
 func splitRaftAddress(address raft.ServerAddress) (addr, name string) {
 	addr, name, _ = strings.Cut(string(address), addressNameSeparator)
 	return addr, name
@@ -59,13 +60,13 @@
 		return nil, err
 	}
 	if err := greet(conn, name, timeout); err != nil {
-		_ = conn.Close() // the first error says more
+		_ = conn.Close() // the earlier error is returned
 		return nil, fmt.Errorf("greeting %s: %w", address, err)
 	}
 	return conn, nil
 }
 
-// greet writes the first line of a connection.
+// greet sends the greeting, the first line of a connection.
 func greet(conn net.Conn, name string, timeout time.Duration) error {
 	if err := conn.SetWriteDeadline(time.Now().Add(timeout)); err != nil {
 		return err
@@ -76,8 +77,8 @@
 	return conn.SetWriteDeadline(time.Time{})
 }
 
-// Accept implements net.Listener. The greeting is checked by the connection's first Read, so that a slow one delays
-// no other connection.
+// Accept implements net.Listener. The first Read of the connection checks the greeting, so that a slow peer
+// does not delay other connections.
 func (s streamLayer) Accept() (net.Conn, error) {
 	conn, err := s.Listener.Accept()
 	if err != nil {
@@ -86,10 +87,10 @@
 	return &greetedConn{Conn: conn, expectedGreeting: greetingPrefix + s.name + "\n"}, nil
 }
 
-// greetedConn is a connection whose first line is checked before anything else is read.
+// greetedConn is an accepted connection that checks the greeting before it returns any data.
 type greetedConn struct {
 	net.Conn
-	expectedGreeting string // "" once it was read
+	expectedGreeting string // "" once it has been received
 }
 
 // Read implements net.Conn.
--- a/internal/registry/transport.go
+++ b/internal/registry/transport.go
@@ -6,9 +6,9 @@
 	"github.com/hashicorp/raft"
 )
 
-// transport is Raft's network transport with a Close that waits for heartbeats. Raft handles these on the goroutines of
-// their connections, for which neither its Shutdown nor NetworkTransport.Close waits: one that is being handled may
-// still write the term to the stable store.
+// transport is Raft's network transport with a Close that waits for heartbeats. Raft handles heartbeats on
+// the goroutines of their connections. Neither its Shutdown nor NetworkTransport.Close waits for these
+// goroutines, and a heartbeat that is being handled may still write the term to the stable store.
 type transport struct {
 	*raft.NetworkTransport
 
@@ -26,8 +26,8 @@
 	return &transport{NetworkTransport: raft.NewNetworkTransportWithConfig(config)}
 }
 
-// SetHeartbeatHandler implements raft.Transport. The handler is not called once Close has returned; the connection of
-// a heartbeat that arrives then ends without a response.
+// SetHeartbeatHandler implements raft.Transport. The handler is not called after Close has returned: the
+// connection of a later heartbeat ends without a response.
 func (t *transport) SetHeartbeatHandler(handle func(raft.RPC)) {
 	t.NetworkTransport.SetHeartbeatHandler(func(heartbeat raft.RPC) {
 		t.handleMu.RLock()
@@ -38,7 +38,7 @@
 	})
 }
 
-// Close implements raft.WithClose. It returns when no heartbeat is being handled any more.
+// Close implements raft.WithClose. It returns when no heartbeat is being handled.
 func (t *transport) Close() error {
 	err := t.NetworkTransport.Close()
 	t.handleMu.Lock()
--- a/internal/registry/transport_test.go
+++ b/internal/registry/transport_test.go
@@ -10,16 +10,16 @@
 	"github.com/hashicorp/raft"
 )
 
-// gatedStore is a stable store whose write of a given term waits until it is let go.
-type gatedStore struct {
+// blockingStore is a stable store in which the write of one term blocks until release is closed.
+type blockingStore struct {
 	raft.StableStore
-	term    uint64
-	entered chan struct{}
-	release chan struct{}
+	term    uint64        // term whose write blocks
+	entered chan struct{} // closed when that write has begun
+	release chan struct{} // closed to let the write continue
 }
 
 // SetUint64 implements raft.StableStore.
-func (g *gatedStore) SetUint64(key []byte, value uint64) error {
+func (g *blockingStore) SetUint64(key []byte, value uint64) error {
 	if string(key) == "CurrentTerm" && value == g.term {
 		close(g.entered)
 		<-g.release
@@ -27,7 +27,7 @@
 	return g.StableStore.SetUint64(key, value)
 }
 
-// testStream is a listener of replicas for a name.
+// testStream returns a stream layer that listens on a free port, for a replica with the given name.
 func testStream(t *testing.T, name string) streamLayer {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -37,7 +37,7 @@
 	return streamLayer{Listener: ln, name: name}
 }
 
-// testLeader sends heartbeats as the leader of a service does, over one connection while that lasts.
+// testLeader sends heartbeats like the leader of a service, over one connection as long as it is open.
 type testLeader struct{ *raft.NetworkTransport }
 
 func newTestLeader(t *testing.T) testLeader {
@@ -46,24 +46,24 @@
 		Stream: testStream(t, "leader"), MaxPool: 1, Timeout: testTimeout, Logger: discardLogger(),
 	})}
 	t.Cleanup(func() {
-		_ = leader.Close() // it fails nothing that is tested
+		_ = leader.Close() // an error here does not affect the test
 		leader.CloseStreams()
 	})
 	return leader
 }
 
-// heartbeat returns when it is answered or its connection ends.
+// heartbeat sends a heartbeat and returns when the response arrives or the connection ends.
 func (l testLeader) heartbeat(to raft.ServerAddress, term uint64) error {
 	header := raft.RPCHeader{ProtocolVersion: raft.ProtocolVersionMax, ID: []byte("leader"), Addr: []byte(l.LocalAddr())}
 	request := &raft.AppendEntriesRequest{RPCHeader: header, Term: term}
 	return l.AppendEntries("replica", to, request, new(raft.AppendEntriesResponse))
 }
 
-// A heartbeat of a new leader that is being handled as a replica closes is handled to its end: the replica's files
-// stay open for the term that it writes.
+// Guards against closing the log file during a write: Close must wait for a heartbeat that is being handled,
+// since the heartbeat of a new leader writes its term to the stable store.
 func TestCloseWaitsForHeartbeat(t *testing.T) {
-	const newTerm = 1000 // that no election of this replica reaches
-	store := &gatedStore{term: newTerm, entered: make(chan struct{}), release: make(chan struct{})}
+	const newTerm = 1000 // no election of this replica reaches this term
+	store := &blockingStore{term: newTerm, entered: make(chan struct{}), release: make(chan struct{})}
 	s := startReplica(t, t.TempDir(), "", func(c *Config) {
 		c.WrapStores = func(logs raft.LogStore, stable raft.StableStore) (raft.LogStore, raft.StableStore) {
 			store.StableStore = stable
@@ -71,42 +71,43 @@
 		}
 	})
 	waitFor(t, "the replica leads", s.IsLeader)
-	answered := make(chan error, 1)
+	responded := make(chan error, 1)
 	leader := newTestLeader(t)
-	go func() { answered <- leader.heartbeat(s.transport.LocalAddr(), newTerm) }()
+	go func() { responded <- leader.heartbeat(s.transport.LocalAddr(), newTerm) }()
 	<-store.entered
 	closed := make(chan error, 1)
 	go func() { closed <- s.Close() }()
-	// Let go once Close waits for the heartbeat; a Close that does not wait is over by then, and its files with it.
+	// Let the heartbeat continue once Close waits for it, which makes TryRLock fail. A Close that does not wait
+	// has returned by then and has closed the files.
 	for early := false; !early && s.transport.handleMu.TryRLock(); {
 		s.transport.handleMu.RUnlock()
 		select {
 		case err := <-closed:
 			closed <- err
 			early = true
-			t.Error("closed while a heartbeat was handled")
+			t.Error("the replica closed while a heartbeat was being handled")
 		default:
 			runtime.Gosched()
 		}
 	}
 	close(store.release)
-	for what, ended := range map[string]chan error{"the heartbeat is over": answered, "the replica has closed": closed} {
+	for what, ended := range map[string]chan error{"the heartbeat has ended": responded, "the replica has closed": closed} {
 		select {
 		case err := <-ended:
 			t.Logf("%s, error %v", what, err) // the heartbeat may have lost its connection
 		case <-time.After(testTimeout):
-			t.Fatalf("never: %s", what)
+			t.Fatalf("not within %v: %s", testTimeout, what)
 		}
 	}
 	if term, err := s.store.GetUint64([]byte("CurrentTerm")); err == nil {
-		t.Errorf("the store is open behind Close, term %d", term)
+		t.Errorf("the store is still open after Close, with term %d", term)
 	}
 }
 
-// A heartbeat that comes on an open connection once the transport has closed is not handled.
+// A heartbeat that arrives on an open connection after the transport has closed must not be handled.
 func TestHeartbeatAfterCloseIsDropped(t *testing.T) {
 	trans := newTransport(&raft.NetworkTransportConfig{Stream: testStream(t, "replica"), MaxPool: 1, Timeout: testTimeout, Logger: discardLogger()})
-	defer func() { _ = trans.Close() }() // where the test fails before it closes it
+	defer func() { _ = trans.Close() }() // in case the test fails before it closes the transport
 	var handled atomic.Int32
 	trans.SetHeartbeatHandler(func(heartbeat raft.RPC) {
 		handled.Add(1)
@@ -120,9 +121,9 @@
 		t.Fatal(err)
 	}
 	if err := leader.heartbeat(trans.LocalAddr(), 1); err == nil {
-		t.Error("a heartbeat behind the close is answered")
+		t.Error("a heartbeat after the close gets a response")
 	}
 	if n := handled.Load(); n != 1 {
-		t.Errorf("%d heartbeats handled, 1 before the close", n)
+		t.Errorf("%d heartbeats handled, want only the one before the close", n)
 	}
 }
--- a/internal/registry/validate.go
+++ b/internal/registry/validate.go
@@ -21,10 +21,10 @@
 	maxStartedAtMs = 1 << 52
 )
 
-// maxQuotedLength bounds, in bytes, how much of a client's input an error message repeats.
+// maxQuotedLength limits, in bytes, how much of a client's input an error message repeats.
 const maxQuotedLength = 40
 
-// FieldError reports the field of a registration that is invalid.
+// FieldError reports an invalid field of a registration.
 type FieldError struct {
 	Field  string // its JSON key
 	Reason string
@@ -37,8 +37,8 @@
 	return &FieldError{Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
-// ValidateRegistration returns an error that holds a [FieldError] for each invalid name of a Register command, or for
-// the first other field that is invalid.
+// ValidateRegistration checks a Register command. Its error contains a [FieldError] for each invalid name. If
+// all names are valid, it contains one for the first other invalid field.
 func ValidateRegistration(c Command) error {
 	err := errors.Join(
 		validateID(c.Entry.InstanceID),
@@ -56,19 +56,20 @@
 
 func validateID(id string) error {
 	if id == "" {
-		return fieldError("instanceId", "is empty")
+		return fieldError("instanceId", "must not be empty")
 	}
 	return validateName("instanceId", id, maxIDLength)
 }
 
-// validateName accepts printable ASCII without the characters that would need escaping in JSON or in a URL's path.
+// validateName accepts printable ASCII without spaces and without the characters that need escaping in JSON
+// or in the path of a URL.
 func validateName(field, name string, maxLength int) error {
 	if len(name) > maxLength {
-		return fieldError(field, "%d bytes, %d are the most", len(name), maxLength)
+		return fieldError(field, "got %d bytes, must be at most %d", len(name), maxLength)
 	}
 	for _, b := range []byte(name) {
 		if b <= ' ' || b > '~' || strings.IndexByte(`"\/?#%`, b) >= 0 {
-			return fieldError(field, "holds the byte %q; letters, digits and plain signs are wanted", b)
+			return fieldError(field, `contains the byte %q, must be printable ASCII without spaces and "\/?#%%`, b)
 		}
 	}
 	return nil
@@ -78,22 +79,22 @@
 	e := c.Entry
 	switch {
 	case e.Lifecycle != Up:
-		return fieldError("lifecycle", "%q; an instance registers as up", truncate(e.Lifecycle))
-	case !(e.Weight >= 0 && e.Weight <= maxWeight): // also true of NaN
-		return fieldError("weight", "%v is not from 0 to %v", e.Weight, maxWeight)
+		return fieldError("lifecycle", "got %q, must be up", truncate(e.Lifecycle))
+	case !(e.Weight >= 0 && e.Weight <= maxWeight): // also rejects NaN
+		return fieldError("weight", "got %v, must be from 0 to %v", e.Weight, maxWeight)
 	case e.Cell < 0 || e.Cell > maxCell:
-		return fieldError("cell", "%d is not from 0 to %d", e.Cell, maxCell)
+		return fieldError("cell", "got %d, must be from 0 to %d", e.Cell, maxCell)
 	case e.StartedAtMs < 0 || e.StartedAtMs > maxStartedAtMs:
-		return fieldError("startedAtMs", "%d is no Unix time in milliseconds", e.StartedAtMs)
+		return fieldError("startedAtMs", "got %d, must be a Unix time in milliseconds", e.StartedAtMs)
 	case c.Incarnation == 0 || c.Incarnation > math.MaxInt64:
-		return fieldError("incarnation", "%d; a number from 1 that grows with each start is wanted", c.Incarnation)
+		return fieldError("incarnation", "got %d, must be from 1 to 2^63-1 and grow with each start", c.Incarnation)
 	case c.Lease != 0 && (c.Lease < MinLease || c.Lease > MaxLease):
-		return fieldError("leaseMs", "%v is neither 0 nor from %v to %v", c.Lease, MinLease, MaxLease)
+		return fieldError("leaseMs", "got %v, must be 0 or from %v to %v", c.Lease, MinLease, MaxLease)
 	}
 	return nil
 }
 
-// truncate bounds input that an error message repeats.
+// truncate shortens input that an error message repeats.
 func truncate(s string) string {
 	if len(s) > maxQuotedLength {
 		return s[:maxQuotedLength] + "…"
--- a/internal/registry/watch.go
+++ b/internal/registry/watch.go
@@ -12,10 +12,11 @@
 	"github.com/hashicorp/raft"
 )
 
-// readerAheadTimeout is how long a reader that is ahead of this replica may wait for it to catch up.
+// readerAheadTimeout is how long a watch waits for this replica to reach the generation of a reader that is
+// ahead of it.
 const readerAheadTimeout = 2 * time.Second
 
-// watchResponseHeader begins the response to a watch.
+// watchResponseHeader is the status line and the headers of the response to a watch.
 const watchResponseHeader = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 // handleList responds with the list, or opens a watch.
@@ -32,17 +33,17 @@
 	}
 	if !s.watchLimiter.Allow() {
 		s.metrics.rejectedWatches.Inc()
-		writeUnavailable(w, "too many watches are being opened; come again")
+		writeUnavailable(w, "too many watches are being opened; retry")
 		return
 	}
 	s.handleWatch(w, r, from)
 }
 
-// handleWatch takes the connection of a watch from the HTTP server, whose buffers and second goroutine for each
-// connection would be most of what a watch costs.
+// handleWatch takes over the connection of a watch from the HTTP server. The server's buffers and its second
+// goroutine per connection would make up most of the cost of a watch.
 func (s *Server) handleWatch(w http.ResponseWriter, r *http.Request, from uint64) {
 	if !r.ProtoAtLeast(1, 1) {
-		writeError(w, http.StatusHTTPVersionNotSupported, Invalid, "a watch is told in chunks, as HTTP/1.1 has them")
+		writeError(w, http.StatusHTTPVersionNotSupported, Invalid, "a watch requires HTTP/1.1, since its response is chunked")
 		return
 	}
 	read := s.fsm.readSince(from)
@@ -50,7 +51,7 @@
 		read = s.awaitGeneration(r, from)
 	}
 	if read.readerAhead {
-		writeUnavailable(w, "this replica is behind generation %d; ask another", from)
+		writeUnavailable(w, "this replica is behind generation %d; try another replica", from)
 		return
 	}
 	conn, _, err := http.NewResponseController(w).Hijack()
@@ -65,8 +66,9 @@
 	})
 }
 
-// awaitGeneration waits for this replica to reach the generation of a reader that is ahead of it. A leader that its
-// quorum confirms is behind nobody: the reader's generation is of another list, and it gets the full list of this one.
+// awaitGeneration waits until this replica reaches the generation of a reader that is ahead of it. A leader
+// that a quorum confirms cannot be behind. In that case the reader's generation belongs to another list, and
+// the reader gets the full list of this one.
 func (s *Server) awaitGeneration(r *http.Request, from uint64) watchRead {
 	if s.raft.State() == raft.Leader && s.raft.VerifyLeader().Error() == nil {
 		return s.fsm.readSince(0)
@@ -90,11 +92,12 @@
 	}
 }
 
-// serveWatch writes the response of a watch until its client or the replica ends, and closes the connection.
+// serveWatch writes the response of a watch until the client disconnects or the replica closes, and then
+// closes the connection.
 func (s *Server) serveWatch(conn net.Conn, read watchRead) {
-	defer func() { _ = conn.Close() }() // nothing is left to be written
+	defer func() { _ = conn.Close() }() // no data remains to be written
 	stop := context.AfterFunc(s.ctx, func() {
-		_ = conn.SetDeadline(time.Now()) // it fails only where the connection has ended already
+		_ = conn.SetDeadline(time.Now()) // fails only if the connection has ended already
 	})
 	defer stop()
 	if conn.SetReadDeadline(time.Time{}) != nil {
@@ -104,8 +107,9 @@
 	s.feedWatch(conn, read)
 }
 
-// feedWatch writes changes until the watch ends. There is no queue for each watch: what is to be written lies in the
-// FSM, the same bytes for all, and a client that does not read is dropped. One that is gone is found at the next write.
+// feedWatch writes changes until the watch ends. There is no queue per watch: all watches write the same
+// bytes, which the FSM holds. A client that does not read is dropped. A disconnected client is detected at
+// the next write.
 func (s *Server) feedWatch(conn net.Conn, read watchRead) {
 	heartbeat := s.randomHeartbeat()
 	for {
@@ -115,8 +119,8 @@
 			}
 			return
 		}
-		// A channel that ends with the replica would be one for all watches, and 10,000 would wait for its lock:
-		// shuttingDown is set before the last heartbeat instead.
+		// The watch does not select on s.ctx.Done: all watches would share that channel, and 10,000 of them
+		// would contend for its lock. Instead, shuttingDown is set before the final heartbeat.
 		due := heartbeat.signal()
 		if s.shuttingDown.Load() {
 			return
--- a/internal/registry/watch_heartbeat.go
+++ b/internal/registry/watch_heartbeat.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	heartbeatInterval = 2 * time.Second // of a watch's empty line
-	heartbeatGroups   = 64              // of watches, whose heartbeats are spread over the interval
+	heartbeatInterval = 2 * time.Second // between the empty lines of a watch
+	heartbeatGroups   = 64              // groups of watches; their heartbeats are spread over the interval
 )
 
-// heartbeat wakes a group of the watches for their empty line. A timer for each watch would make all of them wait for
-// the lock of the runtime's timers at every change.
+// heartbeat wakes a group of watches to send an empty line. With a timer per watch, all watches would contend
+// for the lock of the runtime's timers at every change.
 type heartbeat struct{ current atomic.Pointer[chan struct{}] }
 
-// signal returns the channel that the next broadcast closes. There must have been a broadcast before.
+// signal returns the channel that the next broadcast closes. broadcast must have been called at least once.
 func (h *heartbeat) signal() chan struct{} { return *h.current.Load() }
 
 // broadcast wakes every goroutine that waits for the signal.
@@ -29,7 +29,7 @@
 // randomHeartbeat returns the heartbeat of a random group.
 func (s *Server) randomHeartbeat() *heartbeat { return &s.heartbeats[rand.IntN(len(s.heartbeats))] }
 
-// runHeartbeats broadcasts to each group in its turn, and to all of them when the replica ends.
+// runHeartbeats broadcasts to one group after another, and to all groups when the replica closes.
 func (s *Server) runHeartbeats() {
 	ticker := time.NewTicker(heartbeatInterval / heartbeatGroups)
 	defer ticker.Stop()
--- a/internal/registry/watch_test.go
+++ b/internal/registry/watch_test.go
@@ -16,7 +16,7 @@
 	"pgregory.net/rapid"
 )
 
-// dialSlow opens a connection with a small receive buffer and sends text on it.
+// dialSlow opens a connection with a small receive buffer and sends text.
 func dialSlow(t *testing.T, addr, text string) net.Conn {
 	t.Helper()
 	dialer := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
@@ -35,7 +35,8 @@
 	return conn
 }
 
-// checkClosed checks that the service closes a connection that sent no full request, after an error at most.
+// checkClosed checks that the service closes a connection without a complete request, after a 4xx response at
+// most.
 func checkClosed(t *testing.T, conn net.Conn) {
 	t.Helper()
 	if err := conn.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
@@ -43,19 +44,19 @@
 	}
 	text, err := io.ReadAll(conn)
 	if err != nil && !errors.Is(err, syscall.ECONNRESET) {
-		t.Fatalf("a silent connection stays open: %v", err)
+		t.Fatalf("a connection without a complete request stays open: %v", err)
 	}
 	if len(text) > 0 && !strings.HasPrefix(string(text), "HTTP/1.1 4") {
-		t.Fatalf("a silent connection is told %q", text)
+		t.Fatalf("a connection without a complete request gets %q", text)
 	}
 }
 
-// A watch that does not read is dropped and holds no other up; connections that send nothing, or send slowly, are
-// closed and hold up nobody.
+// A watch that does not read is dropped, and connections that send nothing or send slowly are closed. None of
+// them delays other watches.
 func TestSilentAndSlowClients(t *testing.T) {
 	s := startReplica(t, t.TempDir(), "")
 	base := "http://" + s.Addr() + "/registry/instances"
-	for n := range 400 { // more than the buffers between take
+	for n := range 400 { // a list larger than all buffers between the service and the client
 		e := entry(fmt.Sprint("s-", n), n+1)
 		e.MachineType = strings.Repeat("m", maxNameLength)
 		text, err := json.Marshal(Registration{Entry: e, Incarnation: 1})
@@ -77,7 +78,7 @@
 	good.next(t)
 	call(t, "POST", base+"/s-1/drain", "")
 	if m := good.next(t); m.Generation != 401 {
-		t.Errorf("beside the silent clients and the one that does not read a watch gets %+v", m)
+		t.Errorf("with silent clients and one that does not read, another watch gets %+v, want generation 401", m)
 	}
 	waitFor(t, "the watch that does not read is dropped", func() bool { return s.openWatches.Load() == 1 })
 	for _, conn := range silent {
@@ -85,7 +86,8 @@
 	}
 }
 
-// Watches that are opened too fast are rejected with Retry-After; one that is open is not starved.
+// Watches above the limit on opening are rejected with Retry-After. A watch that is open already still gets
+// changes.
 func TestWatchOpensAreRateLimited(t *testing.T) {
 	s := startReplica(t, t.TempDir(), "", func(c *Config) { c.WatchOpensPerSecond = 3 })
 	base := "http://" + s.Addr() + "/registry/instances"
@@ -104,20 +106,20 @@
 		}
 	}
 	if rejected < 10 {
-		t.Errorf("%d of 20 rejected at 3 a second", rejected)
+		t.Errorf("%d of 20 watches rejected at a limit of 3 per second, want at least 10", rejected)
 	}
 	call(t, "POST", base+"/s-a/drain", "")
 	if m := open.next(t); m.Generation != 2 {
-		t.Errorf("the open watch gets %+v", m)
+		t.Errorf("the open watch gets %+v, want generation 2", m)
 	}
 }
 
-// pacedConn is a connection that records how much it is given under each deadline.
+// pacedConn is a connection that records how many bytes are written under each deadline.
 type pacedConn struct {
 	net.Conn
 	deadlines int
-	pending   int // bytes since the last deadline
-	max       int // of pending
+	pending   int // bytes since the last deadline was set
+	max       int // largest value of pending
 	text      bytes.Buffer
 }
 
@@ -133,7 +135,7 @@
 	return p.text.Write(b)
 }
 
-// However long a list is, a reader has writeTimeout for each piece of it, and gets each byte once.
+// A client has writeTimeout for each piece of a list, however long the list is, and gets each byte once.
 func TestWriteDeadlinePerPiece(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var want []byte
@@ -147,7 +149,7 @@
 			t.Fatal(err)
 		}
 		if !bytes.Equal(conn.text.Bytes(), want) {
-			t.Fatalf("%d bytes of %d, or others", conn.text.Len(), len(want))
+			t.Fatalf("%d bytes written, want %d, or the bytes differ", conn.text.Len(), len(want))
 		}
 		if conn.max > maxWriteSize || conn.deadlines > 1+len(want)/maxWriteSize+len(chunks) {
 			t.Fatalf("%d bytes under one deadline, %d deadlines for %d bytes", conn.max, conn.deadlines, len(want))
