--- a/internal/registry/cluster_test.go
+++ b/internal/registry/cluster_test.go
@@ -185,7 +185,7 @@
 	clients := startClients(t, others)
 	earlierID := replicaID(t, others, wiped)
 	wiped.wipe()
-	wiped.start("") // with no state and no service to join, it starts a service of its own
+	wiped.start("") // with an empty data folder, it starts a new service
 	checkReceivesNoCommits(t, others, wiped)
 	wiped.wipe()
 	leader := leaderOf(t, others)
--- a/internal/registry/command.go
+++ b/internal/registry/command.go
@@ -30,7 +30,7 @@
 	Kind        string        `json:"kind"`
 	Entry       Entry         `json:"entry,omitzero"`        // Register
 	ID          string        `json:"id,omitempty"`          // Drain and Remove: the instance
-	Incarnation uint64        `json:"incarnation,omitempty"` // Register, Drain, Remove; 0 in the last two: any
+	Incarnation uint64        `json:"incarnation,omitempty"` // 0 with Drain and Remove: any incarnation
 	Lease       time.Duration `json:"lease,omitempty"`       // Register; 0: the entry does not expire
 	Expired     []InstanceRef `json:"expired,omitempty"`     // Expire
 	Term        uint64        `json:"term,omitempty"`        // Expire: Raft term in which the leases expired
--- a/internal/registry/encoded_list.go
+++ b/internal/registry/encoded_list.go
@@ -6,9 +6,9 @@
 	"slices"
 )
 
-// maxCachedListLag limits how far the cached list may lag behind the current one: the size of the changes
-// since it was encoded, as a fraction of its own size. Below the limit, a new watch is sent the cached list
-// followed by the changes. Slow readers then share few copies of the list.
+// maxCachedListLag limits how far the cached list may lag behind the current one: the total size of the
+// changes since it was encoded, as a fraction of the size of the list. Below the limit, a new watch is sent
+// the cached list followed by the changes. Slow readers then share few copies of the list.
 const maxCachedListLag = 1.0 / 8
 
 // encodedList is the full list at a generation, encoded for watches.
--- a/internal/registry/fsm.go
+++ b/internal/registry/fsm.go
@@ -30,7 +30,7 @@
 // FSM's mutex held.
 func newFSM(onChange func(Command, Outcome)) *fsm {
 	m := &fsm{state: NewState(0), onChange: onChange, publishedSignal: make(chan struct{}, 1)}
-	m.published.Store(&publishedVersion{readAgain: make(chan struct{})})
+	m.published.Store(&publishedVersion{updated: make(chan struct{})})
 	return m
 }
 
--- a/internal/registry/fsm_test.go
+++ b/internal/registry/fsm_test.go
@@ -75,7 +75,7 @@
 			t.Fatalf("chunk %d of the read from %d is %.80s, want %s", i, at, chunk, want)
 		}
 	}
-	if read.generation != m.generation() && !isClosed(read.readAgain) {
+	if read.generation != m.generation() && !isClosed(read.updated) {
 		t.Fatalf("a watch at generation %d waits, though the current one is %d", read.generation, m.generation())
 	}
 	return read.generation
@@ -109,7 +109,7 @@
 	if &first.chunks[0][0] != &second.chunks[0][0] || second.generation != first.generation {
 		t.Errorf("the list at generation %d was encoded again at %d after one change", first.generation, second.generation)
 	}
-	if !isClosed(second.readAgain) {
+	if !isClosed(second.updated) {
 		t.Error("a watch that begins with the cached list waits instead of reading the changes")
 	}
 	if rest := m.readSince(second.generation); rest.generation != m.generation() || len(rest.chunks) != 1 {
--- a/internal/registry/leader_leases.go
+++ b/internal/registry/leader_leases.go
@@ -38,8 +38,8 @@
 	l.leases = nil
 }
 
-// holdsTerm reports whether leases are being tracked and were taken over in the given Raft term.
-func (l *leadership) holdsTerm(term uint64) bool {
+// activeIn reports whether this replica tracks leases that it took over in the given Raft term.
+func (l *leadership) activeIn(term uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.leases != nil && l.raftTerm == term
--- a/internal/registry/leader_leases_test.go
+++ b/internal/registry/leader_leases_test.go
@@ -12,7 +12,7 @@
 func TestLeadershipBeginsAndEnds(t *testing.T) {
 	l := newLeadership()
 	ref := InstanceRef{"s-00", 1}
-	if l.holdsTerm(3) || l.renew(0, ref, time.Second) || l.expirySuspended() || l.untilExpiryCheck(0) != idleCheckInterval {
+	if l.activeIn(3) || l.renew(0, ref, time.Second) || l.expirySuspended() || l.untilExpiryCheck(0) != idleCheckInterval {
 		t.Error("leases are tracked before the leadership begins")
 	}
 	if _, ok := l.checkExpired(time.Minute); ok {
@@ -21,7 +21,7 @@
 	if n := l.begin(3, 0, leases(4, 10*time.Second)); n != 4 {
 		t.Errorf("%d leases taken over, want 4", n)
 	}
-	if !l.holdsTerm(3) || l.holdsTerm(2) {
+	if !l.activeIn(3) || l.activeIn(2) {
 		t.Error("the leases are not those of term 3")
 	}
 	if !l.renew(time.Second, ref, 10*time.Second) || l.renew(time.Second, InstanceRef{"s-99", 1}, 10*time.Second) {
@@ -31,7 +31,7 @@
 		t.Error("the renewal of an entry without a lease fails")
 	}
 	l.end()
-	if l.holdsTerm(3) || l.renew(2*time.Second, ref, 10*time.Second) {
+	if l.activeIn(3) || l.renew(2*time.Second, ref, 10*time.Second) {
 		t.Error("leases are tracked after the leadership has ended")
 	}
 }
--- a/internal/registry/leadership.go
+++ b/internal/registry/leadership.go
@@ -52,7 +52,7 @@
 
 // hasTakenOver reports whether this replica has taken over in the current Raft term: it has applied
 // everything that earlier leaders committed, and it tracks the leases in this term.
-func (s *Server) hasTakenOver() bool { return s.leadership.holdsTerm(s.raft.CurrentTerm()) }
+func (s *Server) hasTakenOver() bool { return s.leadership.activeIn(s.raft.CurrentTerm()) }
 
 // takeOver starts the work of a leader, once everything that earlier leaders committed has been applied.
 func (s *Server) takeOver() {
--- a/internal/registry/published.go
+++ b/internal/registry/published.go
@@ -23,7 +23,7 @@
 type publishedVersion struct {
 	generation uint64
 	changes    []encodedChange // retained changes, oldest first
-	readAgain  chan struct{}   // closed when watches should read again
+	updated    chan struct{}   // closed when watches should read again
 }
 
 // encodedChange is the change of one generation, encoded for watches.
@@ -73,7 +73,7 @@
 // storeVersion publishes the state's generation with the encoded changes, and wakes the notifier. The caller
 // must hold mu.
 func (m *fsm) storeVersion(changes []encodedChange) {
-	m.published.Store(&publishedVersion{m.state.Generation(), changes, m.published.Load().readAgain})
+	m.published.Store(&publishedVersion{m.state.Generation(), changes, m.published.Load().updated})
 	select {
 	case m.publishedSignal <- struct{}{}:
 	default:
@@ -125,14 +125,14 @@
 func (m *fsm) notifyWatches() {
 	m.mu.Lock()
 	next := *m.published.Load()
-	updated := next.readAgain
-	next.readAgain = make(chan struct{})
+	updated := next.updated
+	next.updated = make(chan struct{})
 	m.published.Store(&next)
 	m.mu.Unlock()
 	close(updated)
 }
 
-// closedChannel is the readAgain channel of a watch that should read again immediately.
+// closedChannel is the update signal of a watch that should read again immediately.
 var closedChannel = func() chan struct{} { c := make(chan struct{}); close(c); return c }()
 
 // watchRead is the data that a watch sends next.
@@ -140,7 +140,7 @@
 	chunks      [][]byte      // in order; watches share the bytes, which must not be modified
 	generation  uint64        // generation of the watch after the chunks
 	readerAhead bool          // the reader's generation is above this replica's
-	readAgain   chan struct{} // closed when the watch should read again
+	updated     chan struct{} // closed when the watch should read again
 }
 
 // readSince returns the changes after a generation, up to maxChangesPerRead of them. It returns the full list
@@ -149,16 +149,16 @@
 func (m *fsm) readSince(from uint64) watchRead {
 	v := m.published.Load()
 	if from > v.generation {
-		return watchRead{generation: v.generation, readAgain: v.readAgain, readerAhead: true}
+		return watchRead{generation: v.generation, updated: v.updated, readerAhead: true}
 	}
 	changes, ok := v.changesSince(from)
 	if !ok || from == 0 {
 		return m.readFullList(v)
 	}
-	read := watchRead{generation: v.generation, readAgain: v.readAgain}
+	read := watchRead{generation: v.generation, updated: v.updated}
 	if len(changes) > maxChangesPerRead {
 		changes = changes[:maxChangesPerRead]
-		read.generation, read.readAgain = changes[maxChangesPerRead-1].generation, closedChannel
+		read.generation, read.updated = changes[maxChangesPerRead-1].generation, closedChannel
 	}
 	read.chunks = make([][]byte, 0, len(changes))
 	for _, c := range changes {
@@ -171,9 +171,9 @@
 // reads any change in between next.
 func (m *fsm) readFullList(v *publishedVersion) watchRead {
 	list := m.listForWatch()
-	read := watchRead{chunks: [][]byte{list.chunk}, generation: list.generation, readAgain: v.readAgain}
+	read := watchRead{chunks: [][]byte{list.chunk}, generation: list.generation, updated: v.updated}
 	if list.generation < v.generation {
-		read.readAgain = closedChannel
+		read.updated = closedChannel
 	}
 	return read
 }
--- a/internal/registry/raft_host.go
+++ b/internal/registry/raft_host.go
@@ -16,9 +16,12 @@
 )
 
 const (
-	applyTimeout          = 5 * time.Second       // for a command, barrier or membership change, and for I/O
-	logLockTimeout        = 2 * time.Second       // waiting time for another process to release the log file
-	maxCommitTimeout      = 50 * time.Millisecond // limit for an idle leader to send its commit index
+	applyTimeout = 5 * time.Second // for a command, barrier or membership change, and for I/O
+
+	// maxCommitTimeout limits the delay after which an idle leader sends its commit index to the followers.
+	maxCommitTimeout = 50 * time.Millisecond
+
+	logLockTimeout        = 2 * time.Second // waiting time for another process to release the log file
 	retainedSnapshots     = 2
 	connectionsPerReplica = 3 // idle connections kept open to each other replica
 )
--- a/internal/registry/replica_process_test.go
+++ b/internal/registry/replica_process_test.go
@@ -24,7 +24,7 @@
 	logPath             string
 	watchOpensPerSecond float64                        // Config.WatchOpensPerSecond
 	env                 []string                       // additional environment variables
-	dialVia             map[string]string              // addresses of links, by the Raft address of the other replica
+	dialVia             map[string]string              // link address by Raft address of the other replica
 	links               map[*testReplica]*testbed.Link // links to the other replicas
 }
 
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -31,7 +31,7 @@
 	cfg       Config
 	logger    *slog.Logger
 	id        string    // "NAME@HTTP-ADDRESS"
-	startedAt time.Time // zero of the monotonic clock of leases
+	startedAt time.Time // origin of the monotonic clock of leases
 
 	listener   net.Listener
 	httpServer *http.Server
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -12,8 +12,8 @@
 const MaxEntries = 1 << 18
 
 // Bounds of the history in a state. A zone of 13,333 instances may be lost within one second, with one
-// change for each instance. If the history is too short for these changes, every watch is sent the full
-// list. The same holds for a watch that has just taken minutes to read the full list.
+// change for each instance. All watches must find these changes in the history, even a watch that has just
+// taken minutes to read the full list. Otherwise they are sent the full list.
 const (
 	maxTombstones = 1 << 16
 	maxChanges    = 1 << 15
@@ -22,7 +22,7 @@
 // epochBits is the number of bits of a generation below its epoch.
 const epochBits = discovery.EpochBits
 
-// MaxEpoch is the largest epoch. With it, generations stay below 2^53.
+// MaxEpoch is the largest epoch for which generations stay below 2^53.
 const MaxEpoch = 1<<21 - 1
 
 // record is an entry with its incarnation and lease.
@@ -212,8 +212,8 @@
 	return s.commit(removed...)
 }
 
-// removeRecord removes a record from the list, adds a tombstone, and returns the entry that tells readers
-// about the removal.
+// removeRecord removes a record from the list, adds a tombstone, and returns the entry that announces the
+// removal to readers.
 func (s *State) removeRecord(r *record) Entry {
 	e := r.Entry
 	delete(s.records, e.InstanceID)
--- a/internal/registry/state_invariants_test.go
+++ b/internal/registry/state_invariants_test.go
@@ -34,7 +34,7 @@
 	list       map[string]Entry
 }
 
-// catchUp brings the reader to the current generation.
+// catchUp advances the reader to the current generation.
 func (r *changeReader) catchUp(s *State) {
 	changes, ok := s.ChangesSince(r.generation)
 	if !ok {
--- a/internal/registry/stream_layer.go
+++ b/internal/registry/stream_layer.go
@@ -21,10 +21,10 @@
 var errWrongReplica = errors.New("greeting: the connection is for another replica")
 
 // streamLayer connects the replicas; it implements raft.StreamLayer. A replica's Raft address includes its
-// name, and each connection begins with a greeting: a line with the name of the replica that is being called.
-// A replica with another name closes the connection. This guards against a replica that lost its state and
-// was started again at the same address: it must not be taken for the earlier replica, since it no longer
-// knows its votes and the entries that it acknowledged.
+// name, and each connection begins with a greeting: a line with the name of the replica that the connection
+// is for. A replica with another name closes the connection. This guards against a replica that lost its
+// state and was started again at the same address: it must not be taken for the earlier replica, since it no
+// longer knows its votes and the entries that it acknowledged.
 type streamLayer struct {
 	net.Listener
 	name string            // name of this replica
--- a/internal/registry/transport_test.go
+++ b/internal/registry/transport_test.go
@@ -37,7 +37,7 @@
 	return streamLayer{Listener: ln, name: name}
 }
 
-// testLeader sends heartbeats like the leader of a service, over one connection as long as it is open.
+// testLeader sends heartbeats like the leader of a service. It uses one connection while that is open.
 type testLeader struct{ *raft.NetworkTransport }
 
 func newTestLeader(t *testing.T) testLeader {
@@ -77,8 +77,8 @@
 	<-store.entered
 	closed := make(chan error, 1)
 	go func() { closed <- s.Close() }()
-	// Let the heartbeat continue once Close waits for it, which makes TryRLock fail. A Close that does not wait
-	// has returned by then and has closed the files.
+	// Let the heartbeat continue once Close waits for it, which makes TryRLock fail. A Close that does not
+	// wait has returned by then and has closed the files.
 	for early := false; !early && s.transport.handleMu.TryRLock(); {
 		s.transport.handleMu.RUnlock()
 		select {
--- a/internal/registry/watch.go
+++ b/internal/registry/watch.go
@@ -87,7 +87,7 @@
 			return read
 		case <-s.ctx.Done():
 			return read
-		case <-read.readAgain:
+		case <-read.updated:
 		}
 	}
 }
@@ -128,7 +128,7 @@
 		select {
 		case <-due:
 			read.chunks = [][]byte{s.heartbeatChunk}
-		case <-read.readAgain:
+		case <-read.updated:
 			read = s.fsm.readSince(read.generation)
 		}
 	}
