--- a/internal/registry/bench_fanout_test.go
+++ b/internal/registry/bench_fanout_test.go
@@ -38,7 +38,7 @@
 	b.Helper()
 	for i := range n {
 		if status, text := call(b, "POST", "http://"+addr+"/registry/instances", registration(fmt.Sprint("s-", i), i+1, 1, 0)); status != http.StatusOK {
-			b.Fatalf("%d %s", status, text)
+			b.Fatalf("registration: %d %s", status, text)
 		}
 	}
 }
@@ -88,7 +88,7 @@
 	b.Helper()
 	body := registration(fmt.Sprint("s-", n), n+1, incarnation, 0)
 	if status, text := call(b, "POST", "http://"+f.list.listen+"/registry/instances", body); status != http.StatusOK {
-		b.Errorf("%d %s", status, text)
+		b.Errorf("registration: %d %s", status, text)
 	}
 }
 
--- a/internal/registry/fsm_test.go
+++ b/internal/registry/fsm_test.go
@@ -45,7 +45,7 @@
 			t.Fatal(err)
 		}
 		if o := m.Apply(&raft.Log{Index: uint64(n) + 1, Data: text}).(Outcome); o.Code != Done {
-			t.Fatalf("%+v", o)
+			t.Fatalf("removal: %+v", o)
 		}
 	}
 	reads := 0
@@ -99,7 +99,7 @@
 	m.publishRestored()
 	change := func(n int, incarnation uint64) {
 		if o := m.state.Apply(Command{Kind: Register, Entry: numberedEntry(n), Incarnation: incarnation}); o.Code != Done {
-			t.Fatalf("%+v", o)
+			t.Fatalf("registration: %+v", o)
 		}
 		m.publish()
 	}
--- a/internal/registry/leader_leases_test.go
+++ b/internal/registry/leader_leases_test.go
@@ -67,7 +67,7 @@
 	l.begin(1, 0, leases(4, time.Second))
 	batch, ok := l.checkExpired(time.Second)
 	if !ok || len(batch.due) != 4 || batch.change != suspensionUnchanged {
-		t.Fatalf("%+v, %v", batch, ok)
+		t.Fatalf("when all leases expire: %+v, %v, want 4 leases due", batch, ok)
 	}
 	l.expiryFailed(batch)
 	if _, ok := l.checkExpired(time.Second + expiryCheckInterval - 1); ok {
--- a/internal/registry/replication_test.go
+++ b/internal/registry/replication_test.go
@@ -22,7 +22,7 @@
 	all := []*Server{first, startReplica(t, dirs[1], first.Addr()), startReplica(t, dirs[2], first.Addr())}
 	for n := range 10 { // at each replica in turn
 		if status, text := call(t, "POST", "http://"+all[n%3].Addr()+"/registry/instances", registration(fmt.Sprint("s-", n), n+1, 1, 0)); status != 200 {
-			t.Fatalf("%d %s", status, text)
+			t.Fatalf("registration: %d %s", status, text)
 		}
 	}
 	followers := []*testWatch{startWatch(t, all[1].Addr(), 0), startWatch(t, all[2].Addr(), 0)}
--- a/internal/registry/restore_test.go
+++ b/internal/registry/restore_test.go
@@ -18,7 +18,7 @@
 	call(t, "POST", base+"instances", registration("s-a", 1, 7, time.Hour))
 	status, backup := call(t, "GET", base+"backup", "")
 	if status != http.StatusOK {
-		t.Fatalf("%d %s", status, backup)
+		t.Fatalf("backup: %d %s", status, backup)
 	}
 	call(t, "POST", base+"instances", registration("s-b", 2, 1, 0)) // not in the backup
 	old := s.fsm.generation()
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -45,7 +45,7 @@
 		c := Command{Kind: Register, Entry: entry("s-a", 1), Incarnation: 1}
 		change(&c)
 		if o := s.Apply(c); o.Code != Invalid || !strings.HasPrefix(o.Message, field+":") || s.Generation() != 0 {
-			t.Errorf("%s: %+v", field, o)
+			t.Errorf("invalid %s: %+v", field, o)
 		}
 	}
 	s := NewState(0)
