--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -6,18 +6,19 @@
 )
 
 const (
-	// retryAfterDivisor is the fraction 1/n of its latency objective after which a throttled client may
-	// retry.
+	// retryAfterDivisor sets when the client of a throttled request may retry: after the request's latency
+	// objective divided by this.
 	retryAfterDivisor = 4
-	// initialTimeoutSteps is the fraction 1/n of the latency objective by which the initial timeout of a
-	// class follows the requests' timeouts upwards.
-	initialTimeoutSteps = 20
-	// initialTimeoutDecayFactor is how much smaller a step downwards is, so that the longest tenth of the
-	// timeouts counts.
-	initialTimeoutDecayFactor = 10
+	// initialTimeoutStepDivisor sets the largest increase of a class's initial timeout per request: the
+	// latency objective divided by this.
+	initialTimeoutStepDivisor = 20
+	// initialTimeoutDecayDivisor is the ratio of the largest increase to the largest decrease. With a ratio
+	// of 10 the initial timeout follows the longest tenth of the requests' timeouts.
+	initialTimeoutDecayDivisor = 10
 )
 
-// RequestArrived is a new request of a client. It is forwarded, rejected, or waits for its quota's owner.
+// RequestArrived handles a new request of a client: it forwards or rejects the request, or asks the owner of
+// the tenant's quota to decide.
 func (b *Balancer) RequestArrived(now time.Duration, arrived Request, out Actions) {
 	b.now, b.actions = now, out
 	if b.requests.byID[arrived.ID] != nil {
@@ -29,7 +30,7 @@
 		return
 	}
 	late := b.arrivesTooLate(r.class, arrived.Timeout)
-	if b.hasNoHope(r, late) {
+	if b.shouldShed(r, late) {
 		b.reject(r.ID, b.settings.Classes[r.class].LatencyObjective/retryAfterDivisor)
 		return
 	}
@@ -55,7 +56,8 @@
 	b.decideOwnQuota(r, late)
 }
 
-// newRequest returns the state of a request that arrives, or nil where its class, plan or timeout cannot be.
+// newRequest returns the state of a new request. It returns nil if the class or plan is unknown, or if the
+// timeout is not positive.
 func (b *Balancer) newRequest(arrived Request) *request {
 	class, knownClass := b.classIndex[arrived.Class]
 	planIndex, knownPlan := b.planIndex[arrived.Plan]
@@ -76,8 +78,9 @@
 	}
 }
 
-// hasNoHope reports whether a request cannot be answered in time, or gives way to those that can.
-func (b *Balancer) hasNoHope(r *request, late bool) bool {
+// shouldShed reports whether a new request is rejected at once. Such a request is not expected to be answered
+// in time, or is late while the endpoints are overloaded.
+func (b *Balancer) shouldShed(r *request, late bool) bool {
 	if b.exceedsConcurrencyLimit(r.class) || late && b.overload.overloaded() {
 		return true
 	}
@@ -85,7 +88,8 @@
 	return latency.samples >= minBaselineSamples && r.Timeout.Seconds() < latency.mean
 }
 
-// decideOwnQuota admits a request by a quota that this node keeps itself.
+// decideOwnQuota decides on a request by a quota that this node keeps itself: one that is split between the
+// entry nodes, or one that this node owns.
 func (b *Balancer) decideOwnQuota(r *request, late bool) {
 	bucket := r.quota
 	bucket.owner.recordDemand(b.now, r.Units)
@@ -100,37 +104,39 @@
 	b.admit(r, inQuota, retryAfter)
 }
 
-// arrivesTooLate reports whether a request is known to miss its latency objective. The first request of a
-// client begins with the timeout of its class, and a retry has what is left of that. Where a response
-// would be worth little, the retry gives way to requests that can still be answered in time. A client
-// that gives each retry a timeout of its own looks as if it had just begun: it is not held back.
+// arrivesTooLate reports whether a new request is expected to miss its latency objective, and updates the
+// initial timeout of its class. A client's first request is assumed to have the initial timeout, and a retry
+// the part of it that remains. Late responses have little value, so late requests give way to those that
+// can still be answered in time. A retry with a full timeout of its own looks like a first request and is
+// not treated as late.
 func (b *Balancer) arrivesTooLate(class int, timeout time.Duration) bool {
 	objective := b.settings.Classes[class].LatencyObjective
 	latency := &b.latency.classes[class]
-	latency.followInitialTimeout(timeout, objective)
+	latency.updateInitialTimeout(timeout, objective)
 	elapsed := (latency.initialTimeout - timeout).Seconds()
 	return elapsed+latency.mean > objective.Seconds()
 }
 
-// followInitialTimeout moves the timeout that a client's first request is taken to have. It follows a
-// high quantile and not the maximum: a single client must not make all others look late.
-func (l *classLatency) followInitialTimeout(timeout, objective time.Duration) {
+// updateInitialTimeout moves the estimated timeout of a client's first request towards the timeout of a
+// request. The estimate follows a high quantile and not the maximum, so that a single client cannot make all
+// others look late.
+func (l *classLatency) updateInitialTimeout(timeout, objective time.Duration) {
 	if l.initialTimeout == 0 {
 		l.initialTimeout = timeout
 	}
-	step := objective / initialTimeoutSteps
+	step := objective / initialTimeoutStepDivisor
 	if timeout > l.initialTimeout {
 		l.initialTimeout += min(step, timeout-l.initialTimeout)
 	} else {
-		l.initialTimeout -= min(step/initialTimeoutDecayFactor, l.initialTimeout-timeout)
+		l.initialTimeout -= min(step/initialTimeoutDecayDivisor, l.initialTimeout-timeout)
 	}
 }
 
-// admit forwards a request whose quota is decided, or rejects it. The units of one inside its quota have
-// been acquired.
+// admit forwards or rejects a request after the decision on its quota. The units of a request within the
+// quota have already been acquired.
 func (b *Balancer) admit(r *request, inQuota bool, retryAfter time.Duration) {
 	r.inQuota = inQuota
-	endpoint, retryAfter := b.admittedTo(r, retryAfter)
+	endpoint, retryAfter := b.endpointIfAdmitted(r, retryAfter)
 	if endpoint == nil {
 		b.releaseQuota(r, r.Units)
 		b.reject(r.ID, retryAfter)
@@ -146,9 +152,10 @@
 	b.startAttempt(r, endpoint)
 }
 
-// admittedTo returns the endpoint for a request's first attempt, or nil and when the client may retry.
-// quotaRetryAfter is when its quota lets it retry.
-func (b *Balancer) admittedTo(r *request, quotaRetryAfter time.Duration) (*endpoint, time.Duration) {
+// endpointIfAdmitted returns the endpoint for a request's first attempt. If the request is not admitted, it
+// returns nil and the time after which the client may retry. quotaRetryAfter is that time if the quota is
+// exceeded.
+func (b *Balancer) endpointIfAdmitted(r *request, quotaRetryAfter time.Duration) (*endpoint, time.Duration) {
 	plan := r.quota.plan
 	if !r.inQuota && !b.servesBeyondQuota(plan) {
 		return nil, quotaRetryAfter
@@ -162,8 +169,8 @@
 	return b.selectEndpoint(r), assessmentIntervals * controlInterval
 }
 
-// servesBeyondQuota reports whether requests beyond the quota are served: where that has more value than
-// it costs, and the endpoints have capacity to spare.
+// servesBeyondQuota reports whether requests beyond the plan's quota are served. Such a response must have
+// more value than it costs, and the endpoints must have spare capacity.
 func (b *Balancer) servesBeyondQuota(plan *quotaPlan) bool {
 	return plan.OverQuotaValue > plan.OverQuotaCost && b.overload.underloaded()
 }
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A request whose client gives up before responses usually come is rejected at once.
+// A request is rejected at once if its timeout is shorter than the mean latency of its class.
 func TestShortTimeoutIsRejected(t *testing.T) {
 	b, r := newTestBalancer(t, testSettings(), equalEndpoints(4)...)
 	c := &b.latency.classes[b.classIndex["safe"]]
@@ -15,17 +15,18 @@
 	q.Timeout = 100 * ms
 	b.RequestArrived(testStart, q, r)
 	if r.count("reject") != 1 {
-		t.Errorf("%v", r.actions)
+		t.Errorf("got actions %q, want one rejection", r.actions)
 	}
 }
 
-// A request whose client has waited for longer than the latency objective gives way where its tenant is over its
-// quota, and only there: the units go to requests that can still be answered in time.
-func TestLateRequestsGiveWay(t *testing.T) {
+// Guards against late requests using up the quota of a congested tenant. A client that has waited for longer
+// than the latency objective is rejected there, so that the units go to requests that can still be answered
+// in time. It is admitted while the tenant is not congested.
+func TestLateRequestsYieldQuota(t *testing.T) {
 	b, r := newTestBalancer(t, testSettings(), equalEndpoints(9)...)
 	objective := b.settings.Classes[b.classIndex["safe"]].LatencyObjective
-	old := newRequest(0, "safe", "rate", 1)
-	old.Timeout -= objective + objective/10
+	late := newRequest(0, "safe", "rate", 1)
+	late.Timeout -= objective + objective/10
 	send := func(n int, q Request, at time.Duration) bool {
 		q.ID = fmt.Sprint("t", n)
 		r.actions = nil
@@ -38,8 +39,8 @@
 	}
 	fresh := newRequest(0, "safe", "rate", 1)
 	n, at := 0, testStart
-	if send(n, fresh, at); !send(n+1, old, at+ms) {
-		t.Error("a late request was rejected with capacity for all")
+	if send(n, fresh, at); !send(n+1, late, at+ms) {
+		t.Error("late request rejected although the quota covers it")
 	}
 	for n = 2; send(n, fresh, at+2*ms); n++ { // until the bucket is empty
 	}
@@ -48,24 +49,25 @@
 		send(n, fresh, at+2*ms) // rejected
 		at = b.now + refill
 		b.quotas.buckets[1].congestedUntil = at + time.Second
-		if send(n+1, old, at) {
-			t.Fatal("a late request took the units of a congested tenant")
+		if send(n+1, late, at) {
+			t.Fatal("late request of a congested tenant was sent")
 		}
 		if !send(n+2, fresh, at+ms) {
-			t.Fatal("a fresh request was rejected in its place")
+			t.Fatal("request in time was rejected after a late one")
 		}
 		send(n+3, fresh, at+2*ms)
 	}
 }
 
-// The initial timeout of a class follows what most clients have, not the longest that one has.
-func TestOneLongTimeoutMakesNobodyLate(t *testing.T) {
+// Guards against a single long timeout raising the initial timeout of a class, which would make all other
+// requests count as late.
+func TestOneLongTimeoutMakesNoOtherRequestLate(t *testing.T) {
 	b, _ := newTestBalancer(t, testSettings())
 	for range 1000 {
 		b.arrivesTooLate(0, time.Second)
 	}
 	b.arrivesTooLate(0, time.Hour)
 	if b.arrivesTooLate(0, time.Second) {
-		t.Error("all others count as late after one long timeout")
+		t.Error("request counts as late after one long timeout of another request")
 	}
 }
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,19 +1,20 @@
-// Package balancer decides, for one edge node of a fleet, what happens to each request: whether its
-// tenant's quota admits it, whether the endpoints have the capacity for it, which endpoint serves it, and
-// whether an attempt that ended badly is followed by another one.
+// Package balancer makes the decisions of one edge node of a fleet for each request: whether the tenant's
+// quota admits it, whether the endpoints have the capacity for it, which endpoint serves it, and whether a
+// failed attempt is retried.
 //
-// The host owns the network, the clock and the timers. It makes one [Balancer] with [New], calls
-// [Balancer.Start] once and then one method for each event, and carries out what the balancer asks for
-// through [Actions].
+// The host owns the network, the clock and the timers. It creates one [Balancer] with [New], calls
+// [Balancer.Start] once and then one method for each event. The balancer calls the methods of [Actions] to
+// send attempts, answer requests and set timers.
 //
-// A request passes, in this order: the concurrency limit (concurrency.go), its tenant's quota
-// (quota_*.go), the overload control (overload.go), the selection of an endpoint (selection.go), and after
-// each attempt the rules for retries (retry.go). admission.go has that way, request.go the life of a request.
+// A request passes these checks in order: the concurrency limit (concurrency.go), its tenant's quota
+// (quota_*.go), the overload control (overload.go) and the selection of an endpoint (selection.go). After
+// each attempt the retry rules apply (retry.go). The sequence is in admission.go, and the life cycle of a
+// request is in request.go.
 //
 // A Balancer is deterministic: the same settings, seed, events and times lead to the same actions. It is not
 // safe for concurrent use: the host makes one call at a time. Times are readings of one clock that never goes
-// backwards; its origin does not matter. Events that name an unknown or finished request, endpoint, timer or
-// attempt are ignored. The balancer keeps no reference to slices that it is given.
+// backwards. The clock's origin does not matter. Events for an unknown or finished request, endpoint, timer
+// or attempt are ignored. The balancer keeps no reference to slices that are passed to it.
 package balancer
 
 import (
@@ -23,22 +24,23 @@
 	"time"
 )
 
-// controlInterval is the time between two samples of the occupancy, as in the paper.
+// controlInterval is the time between two samples of the occupancy, as in the paper (see overload.go).
 const controlInterval = 100 * time.Millisecond
 
-// logInterval is the least time between two log lines.
+// logInterval is the minimum time between two log lines.
 const logInterval = time.Second
 
-// Balancer decides for one edge node. It routes events to its components and holds the requests.
+// Balancer makes the decisions of one edge node. It passes events to its components and holds the requests
+// in progress. Create one with [New].
 type Balancer struct {
 	settings Settings
 	rng      *rand.Rand
-	now      time.Duration
-	actions  Actions
+	now      time.Duration // time of the event being handled
+	actions  Actions       // host's actions during that event
 	started  time.Duration
 
-	classIndex map[string]int
-	planIndex  map[string]int
+	classIndex map[string]int // by class name
+	planIndex  map[string]int // by plan name
 
 	requests    requestTable
 	overload    overloadController
@@ -57,17 +59,18 @@
 	gossip    gossiper
 	inbox     peerInbox
 	codec     codec
-	piggyback piggyback // of the message being sent or received
+	piggyback piggyback // reports carried by the message being sent or received
 
 	lastLogged time.Duration
 }
 
-// New returns a balancer for the settings. An error wraps a *[SettingError].
+// New returns a balancer for the settings. The seed determines its random choices. If a setting is invalid,
+// the error wraps a *[SettingError].
 func New(s Settings, seed uint64) (*Balancer, error) {
 	if err := s.validate(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	g := &Balancer{
+	b := &Balancer{
 		settings: s, rng: rand.New(rand.NewPCG(seed, 0x5ea)), classIndex: map[string]int{},
 		planIndex: map[string]int{},
 		requests:  newRequestTable(),
@@ -80,32 +83,33 @@
 
 		quotaRequester: newQuotaRequester(s.NodeCount),
 	}
-	g.settings.Classes = append([]Class(nil), s.Classes...)
-	g.settings.Plans = append([]Plan(nil), s.Plans...)
+	b.settings.Classes = append([]Class(nil), s.Classes...)
+	b.settings.Plans = append([]Plan(nil), s.Plans...)
 	for i, c := range s.Classes {
-		g.classIndex[c.Name] = i
+		b.classIndex[c.Name] = i
 	}
 	for i, p := range s.Plans {
-		g.planIndex[p.Name] = i
+		b.planIndex[p.Name] = i
 	}
-	g.inbox.capacity = s.PeerMessagesPerSecond
-	g.quotas = newQuotaTable(&s, g.rng)
-	g.quotaOwner = newQuotaOwner(&s, g.latency.longestObjective)
-	if g.ownsQuotas() {
-		g.endpoints.enableSubset()
+	b.inbox.capacity = s.PeerMessagesPerSecond
+	b.quotas = newQuotaTable(&s, b.rng)
+	b.quotaOwner = newQuotaOwner(&s, b.latency.longestObjective)
+	if b.ownsQuotas() {
+		b.endpoints.enableSubset()
 	}
-	g.codec = codec{g.settings.Plans, s.NodeCount}
-	g.gossip = newGossiper(&s, uint64(g.rng.Uint32()>>16))
-	// so that answers to a balancer before its restart match nothing
-	g.requests.lastNumber = uint64(g.rng.Uint32() >> 12)
-	return g, nil
+	b.codec = codec{b.settings.Plans, s.NodeCount}
+	b.gossip = newGossiper(&s, uint64(b.rng.Uint32()>>16))
+	// Request numbers start at random, so that grants for requests from before a restart match none of these.
+	b.requests.lastNumber = uint64(b.rng.Uint32() >> 12)
+	return b, nil
 }
 
-// Start begins the balancer's work. Call it once, before any other event.
+// Start sets the first timers and, with [Settings.PollEndpoints], subscribes to the endpoint list. The host
+// calls it once, before any other event.
 func (b *Balancer) Start(now time.Duration, out Actions) {
 	b.now, b.actions, b.started = now, out, now
 	b.quotas.start(now)
-	// Nodes that are started together must not act in step.
+	// The first delays are random, so that nodes started together do not act in step.
 	b.actions.SetTimer(timerControlInterval, time.Duration(b.rng.Int64N(int64(controlInterval))))
 	if b.gossip.enabled {
 		b.actions.SetTimer(timerGossip, time.Duration(b.rng.Int64N(int64(b.gossip.interval))))
@@ -115,8 +119,8 @@
 	}
 }
 
-// Kinds of timers. They are the low timerBits bits of a token; the number of the request that a timer
-// belongs to, if any, is in the bits above.
+// Kinds of timers. A token holds the kind in its low timerBits bits. The bits above hold the number of the
+// request that the timer belongs to, or 0.
 const (
 	timerControlInterval = iota
 	timerGossip
@@ -127,7 +131,7 @@
 	timerBits = 3
 )
 
-// TimerFired is the end of a timer that was set with the token.
+// TimerFired handles the expiry of the timer that was set with the token.
 func (b *Balancer) TimerFired(now time.Duration, token uint64, out Actions) {
 	b.now, b.actions = now, out
 	r := b.requests.byNumber[token>>timerBits]
@@ -136,14 +140,15 @@
 		b.closeControlInterval()
 		b.actions.SetTimer(timerControlInterval, controlInterval)
 	case timerGossip:
-		// Each message takes an interval, so that a long backlog stays within the peers' limit too.
+		// The next round waits one interval per message, so that a long backlog also stays within the
+		// peers' limit on messages.
 		messages := max(b.sendGossip(), 1)
 		b.actions.SetTimer(timerGossip, b.gossip.interval*time.Duration(messages))
 	case timerPollEndpoints:
 		b.actions.WatchEndpoints(true)
 	case timerDeadline:
 		if r != nil && r.awaitsResponse() {
-			b.giveUp(r)
+			b.rejectOrFail(r)
 		}
 	case timerQuotaRequest:
 		if r != nil {
@@ -156,9 +161,9 @@
 	}
 }
 
-// closeControlInterval does the work of each control interval.
+// closeControlInterval does the periodic work at the end of a control interval.
 func (b *Balancer) closeControlInterval() {
-	b.controlOverload()
+	b.updateAdmittedFraction()
 	b.dropIdleQuotas()
 	if b.ownsQuotas() {
 		b.endpoints.dropUnused(b.now)
@@ -169,8 +174,8 @@
 	b.sendHealthCheck()
 }
 
-// controlOverload sets the admitted fraction anew, and logs when it begins to throttle.
-func (b *Balancer) controlOverload() {
+// updateAdmittedFraction updates the admitted fraction and logs when throttling begins.
+func (b *Balancer) updateAdmittedFraction() {
 	throttledBefore := b.overload.throttles()
 	b.overload.closeInterval(b.concurrency.responses, b.recentAttempts(recentAttemptFraction))
 	if !throttledBefore && b.overload.throttles() {
@@ -180,7 +185,7 @@
 	}
 }
 
-// logInfo passes a line on unless another was logged less than logInterval ago.
+// logInfo logs a line unless another one was logged less than logInterval ago.
 func (b *Balancer) logInfo(message string, attributes ...slog.Attr) {
 	if b.now-b.lastLogged < logInterval {
 		return
@@ -189,23 +194,23 @@
 	b.actions.Log(slog.LevelInfo, message, attributes...)
 }
 
-// oneIf returns 1 if the condition holds, else 0.
-func oneIf(b bool) float64 {
-	if b {
+// oneIf returns 1 if the condition is true, else 0.
+func oneIf(condition bool) float64 {
+	if condition {
 		return 1
 	}
 	return 0
 }
 
-// Stats says how much a balancer holds.
+// Stats counts the endpoints that a balancer knows.
 type Stats struct {
-	ListedEndpoints  int // in the endpoint list
-	SubsetEndpoints  int // of these, those in this node's subset
-	TrackedEndpoints int // of which more is kept than the list's entry
-	HashCollisions   int // of the subset, those that load gossip cannot name: they share a short hash
+	ListedEndpoints  int // endpoints in the endpoint list
+	SubsetEndpoints  int // listed endpoints in this node's subset
+	TrackedEndpoints int // endpoints with state beyond their entry in the list
+	HashCollisions   int // subset endpoints that load gossip cannot identify, as they share a short hash
 }
 
-// Stats returns how much the balancer holds now.
+// Stats returns the present counts.
 func (b *Balancer) Stats() Stats {
 	var stats Stats
 	b.endpoints.addStats(&stats)
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -10,10 +10,11 @@
 	"time"
 )
 
-// What may follow each result, by the idempotency of the class: rule 2.
-func TestResultDecidesWhatFollows(t *testing.T) {
-	mayRun := map[Result]bool{OK: true, ErrorResponse: true, TimedOut: true, Reset: true, Cancelled: true}
-	for res := OK; res <= NotSent; res++ {
+// Rule 2: the result of an attempt and the idempotency of the class decide whether the request is retried,
+// rejected or failed.
+func TestActionAfterResult(t *testing.T) {
+	mayHaveRun := map[Result]bool{OK: true, ErrorResponse: true, TimedOut: true, Reset: true, Cancelled: true}
+	for result := OK; result <= NotSent; result++ {
 		for _, class := range []string{"safe", "keyed", "unsafe"} {
 			for _, inScope := range []bool{true, false} {
 				first := Endpoint{ID: "s0", MachineType: "k", Zone: "a"}
@@ -24,34 +25,39 @@
 				b, r := newTestBalancer(t, testSettings(), first)
 				b.retries.tokens = 5
 				b.RequestArrived(testStart, newRequest(1, class, "rate", 1), r)
-				b.EndpointsUpdated(testStart, UpdateSnapshot, []Endpoint{{ID: "s0", State: Draining, MachineType: "k", Zone: "a"}, other}, r)
+				b.EndpointsUpdated(testStart, UpdateSnapshot, []Endpoint{
+					{ID: "s0", State: Draining, MachineType: "k", Zone: "a"}, other,
+				}, r)
 				r.actions = nil
-				b.AttemptFinished(testStart+ms, Outcome{ID: "r1", Result: res, EndpointID: "s0", Answered: res == OK}, r)
-				retries := res != OK && res != NotSent && (!mayRun[res] || class == "safe" || class == "keyed" && inScope)
+				b.AttemptFinished(testStart+ms, Outcome{
+					ID: "r1", Result: result, EndpointID: "s0", Answered: result == OK,
+				}, r)
+				retries := result != OK && result != NotSent &&
+					(!mayHaveRun[result] || class == "safe" || class == "keyed" && inScope)
 				want := "send r1 s1"
 				switch {
-				case res == OK:
+				case result == OK:
 					want = ""
-				case !retries && (class == "safe" || !mayRun[res]):
+				case !retries && (class == "safe" || !mayHaveRun[result]):
 					want = "reject r1"
 				case !retries:
 					want = "fail r1"
 				}
 				if got := r.last(); got != want {
-					t.Errorf("%s after result %d, same scope %v: %q, want %q", class, res, inScope, got, want)
+					t.Errorf("%s after %v, same scope %v: got %q, want %q", class, result, inScope, got, want)
 				}
 			}
 		}
 	}
 }
 
-func TestKeyedRequestIsNotRetriedAfterItsWindow(t *testing.T) {
+func TestKeyedRequestIsNotRetriedAfterDedupWindow(t *testing.T) {
 	b, r := newTestBalancer(t, testSettings(), equalEndpoints(3)...)
 	b.retries.tokens = 5
 	b.RequestArrived(testStart, newRequest(1, "keyed", "rate", 1), r)
 	b.AttemptFinished(testStart+300*ms, Outcome{ID: "r1", Result: Reset}, r)
 	if r.last() != "fail r1" {
-		t.Errorf("got %q", r.last())
+		t.Errorf("got %q, want \"fail r1\"", r.last())
 	}
 }
 
@@ -63,7 +69,9 @@
 		{"unknown class", newRequest(1, "none", "rate", 1)},
 		{"unknown plan", newRequest(1, "safe", "none", 1)},
 		{"no timeout", Request{ID: "r1", Class: "safe", Plan: "rate"}},
-		{"more than the burst", Request{ID: "r1", Class: "safe", Plan: "rate", Units: 41, Timeout: time.Second}},
+		{"more units than the burst", Request{
+			ID: "r1", Class: "safe", Plan: "rate", Units: 41, Timeout: time.Second,
+		}},
 		{"no endpoints", newRequest(1, "safe", "rate", 1)},
 	}
 	for _, tt := range tests {
@@ -74,13 +82,14 @@
 		b, r := newTestBalancer(t, testSettings(), list...)
 		b.RequestArrived(testStart, tt.q, r)
 		if len(r.actions) != 1 || r.actions[0] != "reject r1" {
-			t.Errorf("%s: %q", tt.name, r.actions)
+			t.Errorf("%s: got actions %q, want one rejection", tt.name, r.actions)
 		}
 	}
 }
 
-// A hedged attempt counts as in flight: it must not take the last places of a tenant with a concurrency limit.
-func TestNoHedgeNearTheConcurrencyLimit(t *testing.T) {
+// A hedged attempt counts as in flight. Guards against one that leaves a tenant near its concurrency limit
+// without an attempt for its next request.
+func TestNoHedgedAttemptNearConcurrencyLimit(t *testing.T) {
 	for plan, want := range map[string]int{"rate": 1, "open": 0} {
 		s := testSettings()
 		s.Hedging = true
@@ -96,21 +105,21 @@
 	}
 }
 
-// One attempt at a time where the settings say so.
-func TestHedgingCanBeForbidden(t *testing.T) {
+// Without hedging in the settings, a request has one attempt in flight at a time.
+func TestHedgingCanBeDisabled(t *testing.T) {
 	for _, hedging := range []bool{false, true} {
 		s := testSettings()
 		s.Hedging = hedging
 		b, r := newTestBalancer(t, s, equalEndpoints(2)...)
 		b.RequestArrived(testStart, newRequest(1, "safe", "rate", 1), r)
 		if got := b.mayAttempt(b.requests.byID["r1"], b.endpoints.tracked[0]); got != hedging {
-			t.Errorf("hedging %v: second attempt allowed %v", hedging, got)
+			t.Errorf("hedging %v: second attempt allowed: %v", hedging, got)
 		}
 	}
 }
 
-// A request without a response is answered in time by its own timer.
-func TestDeadlineTimerAnswers(t *testing.T) {
+// A request without a response is answered by its deadline timer, and its attempt is cancelled.
+func TestDeadlineTimerAnswersRequest(t *testing.T) {
 	for class, want := range map[string]string{"safe": "reject r1", "keyed": "fail r1", "unsafe": "fail r1"} {
 		b, r := newTestBalancer(t, testSettings(), equalEndpoints(2)...)
 		b.RequestArrived(testStart, newRequest(1, class, "rate", 1), r)
@@ -121,17 +130,18 @@
 			}
 		}
 		if due.after <= 0 || due.after >= 2*time.Second {
-			t.Fatalf("timer after %v", due.after)
+			t.Fatalf("deadline timer set to %v, want more than 0 and less than the timeout of 2s", due.after)
 		}
 		r.actions = nil
 		b.TimerFired(testStart+due.after, due.token, r)
 		if r.count(want) != 1 || r.count("cancel r1 0") != 1 {
-			t.Errorf("%s: %q", class, r.actions)
+			t.Errorf("%s: got actions %q, want %q and a cancellation", class, r.actions, want)
 		}
 		b.TimerFired(testStart+due.after, due.token, r)
 		b.AttemptFinished(testStart+due.after, Outcome{ID: "r1", Result: Cancelled}, r)
 		if len(r.actions) != 2 || len(b.requests.byID) != 0 {
-			t.Errorf("%s: %q, %d requests left", class, r.actions, len(b.requests.byID))
+			t.Errorf("%s: got actions %q and %d requests after the attempt ended, want no further ones",
+				class, r.actions, len(b.requests.byID))
 		}
 	}
 }
@@ -143,7 +153,7 @@
 	b.AttemptFinished(testStart, Outcome{ID: "r1", Attempt: 1, Result: ErrorResponse}, r)
 	b.AttemptFinished(testStart, Outcome{ID: "r1", Attempt: -1, Result: ErrorResponse}, r)
 	if b.requests.byID["r1"] == nil || b.requests.byID["r1"].inFlight != 1 {
-		t.Error("an attempt never made ended the request")
+		t.Error("outcome of an unknown attempt changed the request")
 	}
 	b.AttemptFinished(testStart, Outcome{ID: "r1", Result: OK, Answered: true, EndpointID: "s0"}, r)
 	r.actions = nil
@@ -157,11 +167,11 @@
 	b.HealthChecked(testStart, "none", OK, &LoadReport{Utilization: 1}, r)
 	b.EndpointsUpdated(testStart, UpdateFailed, nil, r)
 	if len(r.actions) != 0 {
-		t.Errorf("%q", r.actions)
+		t.Errorf("got actions %q, want none", r.actions)
 	}
 }
 
-// A streamed response that has begun is the client's: there is no deadline and no cancellation.
+// The deadline does not apply to a streamed response that has begun.
 func TestStartedStreamIsNotCancelled(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].Stream = true
@@ -171,22 +181,22 @@
 	r.actions = nil
 	b.TimerFired(testStart+2*time.Second, 1<<timerBits|timerDeadline, r)
 	if len(r.actions) != 0 {
-		t.Errorf("%q", r.actions)
+		t.Errorf("got actions %q, want none", r.actions)
 	}
 }
 
-func TestWatchIsRepeatedAfterAFailure(t *testing.T) {
+func TestWatchIsRetriedAfterFailure(t *testing.T) {
 	s := testSettings()
 	s.PollEndpoints = true
 	b, r := newTestBalancer(t, s)
 	if r.count("watch true") != 1 {
-		t.Fatalf("%q", r.actions)
+		t.Fatalf("got actions %q at the start, want one watch", r.actions)
 	}
 	b.EndpointsUpdated(testStart, UpdateFailed, nil, r)
 	last := r.timers[len(r.timers)-1]
 	b.TimerFired(testStart+last.after, last.token, r)
 	if r.count("watch true") != 2 {
-		t.Errorf("no new watch after a failure: %q", r.actions)
+		t.Errorf("got actions %q after a failure, want a second watch", r.actions)
 	}
 }
 
@@ -198,24 +208,25 @@
 		"Rate":           func(s *Settings) { s.Plans[0].Rate = -1 },
 		"OverloadFactor": func(s *Settings) { s.OverloadFactor = -1 },
 		"MaxAttempts":    func(s *Settings) { s.MaxAttempts = -1 },
-		"twice":          func(s *Settings) { s.Classes[1].Name = s.Classes[0].Name },
+		"unique name":    func(s *Settings) { s.Classes[1].Name = s.Classes[0].Name },
 	}
-	for field, spoil := range tests {
+	for want, invalidate := range tests {
 		s := testSettings()
-		spoil(&s)
-		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: %v", field, err)
+		invalidate(&s)
+		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("got error %v, want one that contains %q", err, want)
 		}
 	}
 }
 
-// Bounds on a source file of the package.
+// Limits for a source file of the package.
 const (
-	maxFileLines   = 400 // that are not blank
-	maxLineColumns = 110
+	maxFileLines   = 400 // lines that are not blank
+	maxLineColumns = 110 // a tab counts as 4 columns
 )
 
-// The deploy file names every file that decides, and each of them stays short.
+// The policy key of the deploy file must name every non-test file of the package, and the files must keep to
+// the size limits.
 func TestPolicyFilesAreCompleteAndShort(t *testing.T) {
 	named := policyFiles(t)
 	files, err := filepath.Glob("*.go")
@@ -227,13 +238,13 @@
 			continue
 		}
 		if !slices.Contains(named, "balancer/"+name) {
-			t.Errorf("policy lacks balancer/%s", name)
+			t.Errorf("policy key of the deploy file lacks balancer/%s", name)
 		}
 		checkFileSize(t, name)
 	}
 	for _, name := range named {
 		if _, err := os.Stat("../" + name); err != nil {
-			t.Errorf("policy: %v", err)
+			t.Errorf("policy key of the deploy file: %v", err)
 		}
 	}
 }
@@ -251,16 +262,16 @@
 			lines++
 		}
 		if n := len(strings.ReplaceAll(line, "\t", "    ")); n > maxLineColumns {
-			t.Errorf("%s: %d columns: %s", name, n, line)
+			t.Errorf("%s: got %d columns, at most %d allowed: %s", name, n, maxLineColumns, line)
 		}
 	}
 	if lines > maxFileLines {
-		t.Errorf("%s: %d lines, at most %d", name, lines, maxFileLines)
+		t.Errorf("%s: got %d lines, at most %d allowed", name, lines, maxFileLines)
 	}
 }
 
-// policyFiles returns the files that the deploy file names as the policy. The file states each of its keys once, a
-// key a line.
+// policyFiles returns the files listed under the policy key of the deploy file. It also checks that the file
+// has each key once, on a line of its own.
 func policyFiles(t *testing.T) (names []string) {
 	t.Helper()
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
@@ -275,11 +286,11 @@
 			continue
 		}
 		if err := json.Unmarshal([]byte(value), &names); err != nil {
-			t.Fatalf("policy: %v", err)
+			t.Fatalf("policy key of the deploy file: %v", err)
 		}
 	}
 	if want := []string{"build", "run", "sim", "policy", "node", "packages"}; !slices.Equal(keys, want) {
-		t.Fatalf("keys %q, want %q", keys, want)
+		t.Fatalf("deploy file has the keys %q, want %q", keys, want)
 	}
 	return names
 }
--- a/balancer/concurrency_test.go
+++ b/balancer/concurrency_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// The concurrency limit must not reject requests in the first second after a start.
+// Guards against rejections by the concurrency limit in the first second after a start, when the averaged
+// response rate would still be too low.
 func TestResponseRateIsKnownSoonAfterStart(t *testing.T) {
 	b, r := newTestBalancer(t, testSettings(), equalEndpoints(4)...)
 	for i := 0; i < 200; i++ {
@@ -18,12 +19,13 @@
 		}
 	}
 	if b.concurrency.responseRate < 500 {
-		t.Errorf("rate %v after 200 ms at 1000 a second", b.concurrency.responseRate)
+		t.Errorf("response rate %v after 200 ms with 1000 responses a second, want at least 500",
+			b.concurrency.responseRate)
 	}
 }
 
-// Work that piles up without responses is bounded before latencies show it.
-func TestPiledUpWorkIsRejected(t *testing.T) {
+// Guards against work that piles up at silent endpoints: without responses, no latency shows the overload.
+func TestRequestsAreRejectedWithoutResponses(t *testing.T) {
 	s := testSettings()
 	s.Plans[1].Burst = 1e6
 	b, r := newTestBalancer(t, s, equalEndpoints(4)...)
@@ -32,29 +34,29 @@
 		b.RequestArrived(testStart+time.Duration(i)*ms, newRequest(i, "safe", "rate", 1), r)
 	}
 	if sent = r.count("send"); sent == 0 || sent > 8 {
-		t.Errorf("%d sent to 4 silent endpoints, want 1 to 8", sent)
+		t.Errorf("%d requests sent to 4 silent endpoints, want 1 to 8", sent)
 	}
 	if r.count("reject") != 200-sent {
-		t.Errorf("%d rejected", r.count("reject"))
+		t.Errorf("%d requests rejected, want %d", r.count("reject"), 200-sent)
 	}
 }
 
-// Attempts that wait at one silent endpoint must not read as overload of all.
+// Guards against attempts that wait at one silent endpoint being counted as overload of all endpoints.
 func TestOldAttemptsAreNotRecent(t *testing.T) {
 	b, r := newTestBalancer(t, testSettings(), equalEndpoints(4)...)
 	b.RequestArrived(testStart, newRequest(1, "safe", "rate", 1), r)
 	objective := b.settings.Classes[b.classIndex["safe"]].LatencyObjective
 	if n := b.recentAttempts(recentAttemptFraction); n != 1 {
-		t.Errorf("%v recent attempts at once", n)
+		t.Errorf("%v recent attempts after the start of one, want 1", n)
 	}
 	b.now = testStart + objective
 	if n := b.recentAttempts(recentAttemptFraction); n != 0 {
-		t.Errorf("%v recent attempts after the objective", n)
+		t.Errorf("%v recent attempts after the latency objective, want 0", n)
 	}
 }
 
-// Attempts at unreachable endpoints do not wait for what the others work on.
-func TestUnreachableEndpointsDoNotReadAsOverload(t *testing.T) {
+// Attempts at unreachable endpoints do not load the other endpoints, so the concurrency limit ignores them.
+func TestUnreachableEndpointsDoNotCountAsOverload(t *testing.T) {
 	b, _ := newTestBalancer(t, healthCheckSettings(), equalEndpoints(2)...)
 	b.endpoints.trackedByID["s0"].inFlight, b.concurrency.inFlight = 9, 9
 	if !b.exceedsConcurrencyLimit(0) {
@@ -66,8 +68,8 @@
 	}
 }
 
-// The floor of the concurrency limit follows the endpoints that are reachable, each as warm as it is, and not
-// the list, which learns of a lost zone seconds late.
+// The floor of the concurrency limit depends on the reachable endpoints and their warm-up. It must not depend
+// on the endpoint list, which reports a lost zone only seconds later.
 func TestConcurrencyFloorFollowsReachableEndpoints(t *testing.T) {
 	const n = 12
 	b, _ := newTestBalancer(t, healthCheckSettings(), equalEndpoints(n)...)
@@ -77,13 +79,15 @@
 		return b.concurrency.inFlight
 	}
 	if got := highest(); got != minConcurrencyPerEndpoint*n {
-		t.Errorf("%d in flight with all endpoints up, want %v", got, minConcurrencyPerEndpoint*n)
+		t.Errorf("%d attempts allowed in flight with all endpoints up, want %v", got,
+			minConcurrencyPerEndpoint*n)
 	}
 	for i := range n / 2 {
 		b.endpoints.trackedByID[fmt.Sprintf("s%d", i)].health.unreachable = true
 	}
 	if got := highest(); got != minConcurrencyPerEndpoint*n/2 {
-		t.Errorf("%d in flight with half of the endpoints unreachable, want %v", got, minConcurrencyPerEndpoint*n/2)
+		t.Errorf("%d attempts allowed in flight with half of the endpoints unreachable, want %v", got,
+			minConcurrencyPerEndpoint*n/2)
 	}
 	b.now = testStart
 	for _, s := range b.endpoints.tracked {
@@ -93,13 +97,14 @@
 		}
 	}
 	if got := highest(); got >= minConcurrencyPerEndpoint*n {
-		t.Errorf("%d in flight with some endpoints cold, as many as with all warm", got)
+		t.Errorf("%d attempts allowed in flight with some endpoints cold, want less than %v", got,
+			minConcurrencyPerEndpoint*n)
 	}
 }
 
-// With few attempts in flight, the pooled means that tell chance from overload come seconds late: a burst that
-// cannot be chance does not wait for them.
-func TestBurstIsBoundedBeforeThePooledMeans(t *testing.T) {
+// With few attempts in flight, pooled means distinguish overload from chance, but they lag by seconds. Guards
+// against a burst that is sent in full before the pooled means show it.
+func TestBurstIsLimitedBeforePooledMeansShowIt(t *testing.T) {
 	const n = 4
 	b, r := newTestBalancer(t, testSettings(), equalEndpoints(n)...)
 	b.inbox.rate = 10
@@ -108,7 +113,9 @@
 		q.EntryNodes = 1
 		b.RequestArrived(testStart, q, r)
 	}
-	if got := r.count("send"); got <= minConcurrencyPerEndpoint*n || got > certainExcessFactor*minConcurrencyPerEndpoint*n {
-		t.Errorf("%d of a burst sent, want more than %v and at most %v", got, minConcurrencyPerEndpoint*n, certainExcessFactor*minConcurrencyPerEndpoint*n)
+	if got := r.count("send"); got <= minConcurrencyPerEndpoint*n ||
+		got > certainExcessFactor*minConcurrencyPerEndpoint*n {
+		t.Errorf("%d requests of a burst sent, want more than %v and at most %v", got,
+			minConcurrencyPerEndpoint*n, certainExcessFactor*minConcurrencyPerEndpoint*n)
 	}
 }
--- a/balancer/decisions_endpoints_test.go
+++ b/balancer/decisions_endpoints_test.go
@@ -9,67 +9,67 @@
 	"opalhook/balancer"
 )
 
-// The endpoints of the world, the weather that they have, and the list of them.
+// The simulated endpoints, the conditions that change their behaviour, and the endpoint list.
 
-// weather is what goes wrong for a while.
-type weather struct {
-	rush    float64 // factor on the clients' requests
-	slow    float64 // factor on the endpoints' latency
-	loss    float64 // share of the messages between nodes that is lost
-	refuse  float64 // share of the endpoints that refuse connections,
-	silent  float64 // that answer nothing,
-	fail    float64 // that answer with errors,
-	full    float64 // that reject all,
-	reset   float64 // and whose connections break
-	noLists bool    // the list can't be had
+// conditions are the load and the faults during a part of a scenario.
+type conditions struct {
+	requestFactor   float64 // factor on the rate of requests
+	latencyFactor   float64 // factor on the endpoints' latency
+	messageLoss     float64 // fraction of the messages between nodes that is lost
+	refusing        float64 // fraction of the endpoints that refuse connections
+	silent          float64 // fraction of the endpoints that do not respond
+	failing         float64 // fraction of the endpoints that respond with errors
+	overloaded      float64 // fraction of the endpoints that reject all requests
+	resetting       float64 // fraction of the endpoints whose connections break
+	listUnavailable bool    // a watch gets no endpoint list
 }
 
-var underloadedOccupancy = weather{rush: 1, slow: 1, loss: 0.02}
+var normalConditions = conditions{requestFactor: 1, latencyFactor: 1, messageLoss: 0.02}
 
-var weathers = []weather{
-	{rush: 6, slow: 1, loss: 0.02},
-	{rush: 2, slow: 8, loss: 0.02},
-	{rush: 4, slow: 3, loss: 0.3},
-	{rush: 1, slow: 1, loss: 1},
-	{rush: 3, slow: 1, loss: 1},
-	{rush: 1, slow: 1, loss: 0.3, refuse: 0.4},
-	{rush: 1, slow: 1, silent: 0.4, noLists: true},
-	{rush: 1, slow: 1, fail: 0.6},
-	{rush: 1, slow: 2, full: 0.5, reset: 0.3},
-	{rush: 2, slow: 1, refuse: 0.5, silent: 0.4},
-	{rush: 1, slow: 1, refuse: 0.2, silent: 0.7, fail: 0.1},
+var faultConditions = []conditions{
+	{requestFactor: 6, latencyFactor: 1, messageLoss: 0.02},
+	{requestFactor: 2, latencyFactor: 8, messageLoss: 0.02},
+	{requestFactor: 4, latencyFactor: 3, messageLoss: 0.3},
+	{requestFactor: 1, latencyFactor: 1, messageLoss: 1},
+	{requestFactor: 3, latencyFactor: 1, messageLoss: 1},
+	{requestFactor: 1, latencyFactor: 1, messageLoss: 0.3, refusing: 0.4},
+	{requestFactor: 1, latencyFactor: 1, silent: 0.4, listUnavailable: true},
+	{requestFactor: 1, latencyFactor: 1, failing: 0.6},
+	{requestFactor: 1, latencyFactor: 2, overloaded: 0.5, resetting: 0.3},
+	{requestFactor: 2, latencyFactor: 1, refusing: 0.5, silent: 0.4},
+	{requestFactor: 1, latencyFactor: 1, refusing: 0.2, silent: 0.7, failing: 0.1},
 }
 
-// changeWeather lets every other weather be calm.
-func (w *world) changeWeather() {
-	if w.ending {
+// changeConditions alternates between normal conditions and random faults, and schedules the next change.
+func (sim *simulation) changeConditions() {
+	if sim.finishing {
 		return
 	}
-	if w.weather == underloadedOccupancy {
-		w.weather = weathers[w.random.IntN(len(weathers))]
+	if sim.conditions == normalConditions {
+		sim.conditions = faultConditions[sim.random.IntN(len(faultConditions))]
 	} else {
-		w.weather = underloadedOccupancy
+		sim.conditions = normalConditions
 	}
-	w.endpoints.turn = w.random.Float64()
-	w.after(500*time.Millisecond+w.upTo(1500*time.Millisecond), w.changeWeather)
+	sim.endpoints.faultOffset = sim.random.Float64()
+	sim.after(500*time.Millisecond+sim.randomDuration(1500*time.Millisecond), sim.changeConditions)
 }
 
-// endpoint is an endpoint as it is, and what the list says of it.
+// endpoint is a simulated endpoint with its entry in the endpoint list.
 type endpoint struct {
 	listed    balancer.Endpoint
-	speed     float64
-	capacity  float64
+	speed     float64 // factor on the latency
+	capacity  float64 // number of requests that run at once; others queue
 	inFlight  float64
-	luck      float64       // tells which weathers hit it
-	downUntil time.Duration // it restarts
+	faultRank float64       // from 0 to 1; with endpoints.faultOffset it selects the faults of the endpoint
+	downUntil time.Duration // end of the restart; connections are refused before
 }
 
-// endpoints are all that there are, listed or not.
+// endpoints holds all simulated endpoints, including those that are not listed.
 type endpoints struct {
-	all  []*endpoint
-	byID map[string]*endpoint
-	turn float64 // tells whom the weather hits
-	old  []balancer.Endpoint
+	all         []*endpoint
+	byID        map[string]*endpoint
+	faultOffset float64             // determines which endpoints have faults
+	outdated    []balancer.Endpoint // an earlier list, for cached updates
 }
 
 func newEndpoints(random *rand.Rand, count int) endpoints {
@@ -77,24 +77,26 @@
 	for i := range count {
 		large := i%4 == 3
 		e := &endpoint{
-			listed: balancer.Endpoint{ID: fmt.Sprintf("e%d", i), MachineType: "small", Zone: zones[i%len(zones)], Cell: i % 7},
-			speed:  1, capacity: 8, luck: random.Float64(),
+			listed: balancer.Endpoint{
+				ID: fmt.Sprintf("e%d", i), MachineType: "small", Zone: zones[i%len(zones)], Cell: i % 7,
+			},
+			speed: 1, capacity: 8, faultRank: random.Float64(),
 		}
 		if large {
 			e.listed.MachineType, e.speed, e.capacity = "large", 0.7, 16
 		}
-		if large && count != 12 { // there all are listed as of one size
+		if large && count != 12 { // scenarios with 12 endpoints list no weights
 			e.listed.Weight = 2
 		}
 		es.all = append(es.all, e)
 		es.byID[e.listed.ID] = e
 	}
-	es.old = es.listed()
+	es.outdated = es.listedEntries()
 	return es
 }
 
-// listed returns the complete list.
-func (es *endpoints) listed() (list []balancer.Endpoint) {
+// listedEntries returns the complete list.
+func (es *endpoints) listedEntries() (list []balancer.Endpoint) {
 	for _, e := range es.all {
 		if e.listed.State != balancer.Removed {
 			list = append(list, e.listed)
@@ -103,151 +105,158 @@
 	return list
 }
 
-// answer is the result of one attempt or health check, and how long it took.
-type answer struct {
-	result balancer.Result
-	took   time.Duration
+// outcome is the result of an attempt or health check, and the time that it takes.
+type outcome struct {
+	result  balancer.Result
+	elapsed time.Duration
 }
 
-// answer draws how an endpoint answers something of a usual latency.
-func (w *world) answer(e *endpoint, usual, timeout time.Duration) answer {
+// randomOutcome returns a random outcome of an attempt or health check at an endpoint. usual is the median
+// latency of an idle endpoint of speed 1.
+func (sim *simulation) randomOutcome(e *endpoint, usual, timeout time.Duration) outcome {
 	const ms = time.Millisecond
-	hit := math.Mod(e.luck+w.endpoints.turn, 1)
-	below := func(share float64) bool {
-		hit -= share
-		return hit < 0 && hit >= -share
+	rank := math.Mod(e.faultRank+sim.endpoints.faultOffset, 1)
+	hasFault := func(fraction float64) bool {
+		rank -= fraction
+		return rank < 0 && rank >= -fraction
 	}
-	switch v := w.weather; {
-	case w.now < e.downUntil:
-		return answer{balancer.ConnectFailed, ms}
-	case below(v.refuse):
-		return answer{balancer.ConnectFailed, []time.Duration{ms, 100 * ms}[w.random.IntN(2)]}
-	case below(v.silent):
-		return answer{balancer.TimedOut, timeout}
-	case below(v.fail):
-		return answer{balancer.ErrorResponse, 5 * ms}
-	case below(v.full), e.inFlight > 4*e.capacity:
-		return answer{balancer.Overloaded, 2 * ms}
-	case below(v.reset):
-		return answer{balancer.Reset, 10 * ms}
+	switch c := sim.conditions; {
+	case sim.now < e.downUntil:
+		return outcome{balancer.ConnectFailed, ms}
+	case hasFault(c.refusing):
+		return outcome{balancer.ConnectFailed, []time.Duration{ms, 100 * ms}[sim.random.IntN(2)]}
+	case hasFault(c.silent):
+		return outcome{balancer.TimedOut, timeout}
+	case hasFault(c.failing):
+		return outcome{balancer.ErrorResponse, 5 * ms}
+	case hasFault(c.overloaded), e.inFlight > 4*e.capacity:
+		return outcome{balancer.Overloaded, 2 * ms}
+	case hasFault(c.resetting):
+		return outcome{balancer.Reset, 10 * ms}
 	}
 	load, deviation := 1+e.inFlight/e.capacity, 0.4
-	if w.scenario.variant.name == hedged.name { // what is slow there is seen soon
+	if sim.scenario.variant.name == hedged.name { // with a small deviation, slow attempts are hedged early
 		deviation = 0.05
 	}
-	took := time.Duration(float64(usual) * e.speed * w.weather.slow * load * math.Exp(deviation*w.random.NormFloat64()))
+	elapsed := time.Duration(float64(usual) * e.speed * sim.conditions.latencyFactor * load *
+		math.Exp(deviation*sim.random.NormFloat64()))
 	switch {
-	case took > timeout:
-		return answer{balancer.TimedOut, timeout}
-	case w.chance(0.01):
-		return answer{balancer.Result(w.random.IntN(int(balancer.NotSent) + 1)), took}
+	case elapsed > timeout:
+		return outcome{balancer.TimedOut, timeout}
+	case sim.chance(0.01):
+		return outcome{balancer.Result(sim.random.IntN(int(balancer.NotSent) + 1)), elapsed}
 	}
-	return answer{balancer.OK, took}
+	return outcome{balancer.OK, elapsed}
 }
 
-// load draws a report of an endpoint's load, of which parts may be missing.
-func (w *world) load(e *endpoint) *balancer.LoadReport {
-	if w.chance(0.1) {
+// randomLoadReport returns the load report of an endpoint. The report or some of its fields may be missing.
+func (sim *simulation) randomLoadReport(e *endpoint) *balancer.LoadReport {
+	if sim.chance(0.1) {
 		return nil
 	}
 	l := &balancer.LoadReport{
 		InFlight: e.inFlight, Queued: math.Max(e.inFlight-e.capacity, 0),
-		Utilization: math.Min((1+e.inFlight)/e.capacity*w.weather.slow, 1.1), // what is slow is busy, whoever keeps it so
+		// A slow endpoint counts as busy, whatever slows it down.
+		Utilization: math.Min((1+e.inFlight)/e.capacity*sim.conditions.latencyFactor, 1.1),
 	}
-	for _, part := range []*float64{&l.InFlight, &l.Queued, &l.Utilization} {
-		if w.chance(0.1) {
-			*part = -1
+	for _, field := range []*float64{&l.InFlight, &l.Queued, &l.Utilization} {
+		if sim.chance(0.1) {
+			*field = -1
 		}
 	}
 	return l
 }
 
-// probe answers a health check.
-func (w *world) probe(n *node, e *endpoint) {
-	a := w.answer(e, 5*time.Millisecond, 300*time.Millisecond)
-	w.after(a.took, func() {
+// runHealthCheck runs a health check of an endpoint and reports the result to the node.
+func (sim *simulation) runHealthCheck(n *node, e *endpoint) {
+	a := sim.randomOutcome(e, 5*time.Millisecond, 300*time.Millisecond)
+	sim.after(a.elapsed, func() {
 		var l *balancer.LoadReport
 		if a.result == balancer.OK {
-			l = w.load(e)
+			l = sim.randomLoadReport(e)
 		}
-		n.probed(e.listed.ID, a.result, l)
+		n.healthChecked(e.listed.ID, a.result, l)
 	})
 }
 
-// watch gives a node the list that it has subscribed to.
-func (w *world) watch(n *node) {
+// serveWatch sends a node the endpoint list that it has subscribed to, or a failure.
+func (sim *simulation) serveWatch(n *node) {
 	n.watching = true
-	w.after(20*time.Millisecond, func() {
-		if w.weather.noLists || w.chance(0.2) {
-			n.list(balancer.UpdateFailed, nil)
+	sim.after(20*time.Millisecond, func() {
+		if sim.conditions.listUnavailable || sim.chance(0.2) {
+			n.endpointsUpdated(balancer.UpdateFailed, nil)
 			return
 		}
-		n.list(balancer.UpdateSnapshot, w.endpoints.listed())
+		n.endpointsUpdated(balancer.UpdateSnapshot, sim.endpoints.listedEntries())
 	})
 }
 
-// changeList changes some endpoints and lets the nodes know, each a little later than the other.
-func (w *world) changeList() {
-	if w.ending {
+// updateList changes some endpoints, sends the nodes an update of the list, and schedules the next change.
+func (sim *simulation) updateList() {
+	if sim.finishing {
 		return
 	}
-	form, entries := balancer.UpdateDelta, w.changeEndpoints()
-	all := w.endpoints.listed()
-	switch draw := w.random.IntN(25); {
+	kind, entries := balancer.UpdateDelta, sim.changeEndpoints()
+	all := sim.endpoints.listedEntries()
+	switch draw := sim.random.IntN(25); {
 	case draw < 2:
-		form, entries = balancer.UpdateSnapshot, all
+		kind, entries = balancer.UpdateSnapshot, all
 	case draw == 2:
-		form, entries = balancer.UpdateCached, w.endpoints.old
-	case draw == 3: // most are missing, for a while
-		form, entries = balancer.UpdateCached, all[:len(all)/50]
-		w.after(300*time.Millisecond, func() { w.tellList(balancer.UpdateSnapshot, w.endpoints.listed()) })
+		kind, entries = balancer.UpdateCached, sim.endpoints.outdated
+	case draw == 3: // most endpoints are missing until the next snapshot
+		kind, entries = balancer.UpdateCached, all[:len(all)/50]
+		sim.after(300*time.Millisecond, func() {
+			sim.sendList(balancer.UpdateSnapshot, sim.endpoints.listedEntries())
+		})
 	case draw == 4:
-		form, entries = balancer.UpdateFailed, nil
+		kind, entries = balancer.UpdateFailed, nil
 	case draw == 5:
-		w.endpoints.old = all
+		sim.endpoints.outdated = all
 	}
-	w.tellList(form, entries)
-	wait := 200*time.Millisecond + w.upTo(600*time.Millisecond)
-	if len(w.endpoints.all) == 1 && len(w.endpoints.listed()) == 1 {
-		wait += 2 * time.Second // without it there is little to decide
+	sim.sendList(kind, entries)
+	wait := 200*time.Millisecond + sim.randomDuration(600*time.Millisecond)
+	if len(sim.endpoints.all) == 1 && len(sim.endpoints.listedEntries()) == 1 {
+		wait += 2 * time.Second // without its only endpoint, a balancer has little to decide
 	}
-	w.after(wait, w.changeList)
+	sim.after(wait, sim.updateList)
 }
 
-func (w *world) tellList(form balancer.UpdateKind, entries []balancer.Endpoint) {
-	for _, n := range w.nodes {
-		w.after(w.upTo(50*time.Millisecond), func() { n.list(form, entries) })
+// sendList sends the nodes an update of the endpoint list, with a random delay for each.
+func (sim *simulation) sendList(kind balancer.UpdateKind, entries []balancer.Endpoint) {
+	for _, n := range sim.nodes {
+		sim.after(sim.randomDuration(50*time.Millisecond), func() { n.endpointsUpdated(kind, entries) })
 	}
 }
 
 // changeEndpoints changes a few endpoints and returns their entries.
-func (w *world) changeEndpoints() (entries []balancer.Endpoint) {
-	for range 1 + w.random.IntN(1+min(len(w.endpoints.all)/25, 20)) {
-		e := w.endpoints.all[w.random.IntN(len(w.endpoints.all))]
-		w.changeEndpoint(e)
+func (sim *simulation) changeEndpoints() (entries []balancer.Endpoint) {
+	for range 1 + sim.random.IntN(1+min(len(sim.endpoints.all)/25, 20)) {
+		e := sim.endpoints.all[sim.random.IntN(len(sim.endpoints.all))]
+		sim.changeEndpoint(e)
 		entries = append(entries, e.listed)
 	}
-	if w.chance(0.1) {
+	if sim.chance(0.1) {
 		entries = append(entries, balancer.Endpoint{ID: "unknown", State: balancer.Removed})
 	}
 	return entries
 }
 
-// changeEndpoint drains, removes, restarts, resizes or moves one endpoint, or brings it back.
-func (w *world) changeEndpoint(e *endpoint) {
+// changeEndpoint drains, removes, restarts, resizes or moves an endpoint. An endpoint that does not accept
+// requests is removed or started again.
+func (sim *simulation) changeEndpoint(e *endpoint) {
 	restart := func() {
-		e.listed.State, e.listed.StartedAt = balancer.Up, w.now
-		e.downUntil = w.now + 100*time.Millisecond
+		e.listed.State, e.listed.StartedAt = balancer.Up, sim.now
+		e.downUntil = sim.now + 100*time.Millisecond
 	}
 	if e.listed.State != balancer.Up {
-		if e.listed.State == balancer.Draining && w.chance(0.5) {
+		if e.listed.State == balancer.Draining && sim.chance(0.5) {
 			e.listed.State = balancer.Removed
 			return
 		}
 		restart()
 		return
 	}
-	switch draw := w.random.IntN(10); {
+	switch draw := sim.random.IntN(10); {
 	case draw < 3:
 		e.listed.State = balancer.Draining
 	case draw < 5:
@@ -255,8 +264,9 @@
 	case draw < 8:
 		restart()
 	case draw == 8:
-		e.listed.Weight = float64(w.random.IntN(4))
+		e.listed.Weight = float64(sim.random.IntN(4))
 	default:
-		e.listed.Zone, e.listed.MachineType = zones[w.random.IntN(len(zones))], []string{"small", "large", "new"}[w.random.IntN(3)]
+		e.listed.Zone, e.listed.MachineType = zones[sim.random.IntN(len(zones))],
+			[]string{"small", "large", "new"}[sim.random.IntN(3)]
 	}
 }
--- a/balancer/decisions_faults_test.go
+++ b/balancer/decisions_faults_test.go
@@ -6,57 +6,60 @@
 	"opalhook/balancer"
 )
 
-// What a balancer must take without harm: events of nothing that it knows, bad requests, messages that are malformed,
-// late or from nobody, and restarts of the balancers themselves.
+// Faults that a balancer must tolerate: events for unknown requests, endpoints and timers, invalid requests,
+// messages that are malformed, late or from an unknown node, and restarts of the balancers.
 
-// disturb lets one odd thing happen, and the next one after it.
-func (w *world) disturb() {
-	if w.ending {
+// injectFault injects a random fault at a random node and schedules the next one.
+func (sim *simulation) injectFault() {
+	if sim.finishing {
 		return
 	}
-	n := w.anyNode()
-	switch w.random.IntN(12) {
+	n := sim.randomNode()
+	switch sim.random.IntN(12) {
 	case 0:
-		n.timer(w.random.Uint64N(1 << 26))
+		n.timerFired(sim.random.Uint64N(1 << 26))
 	case 1:
-		w.unknownOutcome(n)
+		sim.sendUnknownOutcome(n)
 	case 2:
-		n.probed("unknown", balancer.OK, nil)
+		n.healthChecked("unknown", balancer.OK, nil)
 	case 3:
-		n.begins("unknown", 0)
-		n.gone("unknown")
+		n.responseStarted("unknown", 0)
+		n.clientGone("unknown")
 	case 4:
-		w.badRequest(n)
+		sim.sendInvalidRequest(n)
 	case 5:
-		if w.chance(0.06) {
+		if sim.chance(0.06) {
 			n.restart()
 		}
 	default:
-		n.peer(w.malformedMessage())
+		n.peerMessage(sim.malformedMessage())
 	}
-	w.after(w.upTo(60*time.Millisecond), w.disturb)
+	sim.after(sim.randomDuration(60*time.Millisecond), sim.injectFault)
 }
 
-// unknownOutcome brings an outcome of a request or an attempt that there is not.
-func (w *world) unknownOutcome(n *node) {
+// sendUnknownOutcome reports an outcome for an unknown request, or for a recent one whose attempt may be
+// unknown or done.
+func (sim *simulation) sendUnknownOutcome(n *node) {
 	o := balancer.Outcome{ID: "unknown", Result: balancer.OK}
-	if q := n.requests[w.anyRequest()]; q != nil && len(q.attempts) > 0 {
-		o.ID, o.Attempt = q.ID, w.random.IntN(4)*10-10
-		n.begins(q.ID, o.Attempt-1)
+	if q := n.requests[sim.recentRequestID()]; q != nil && len(q.attempts) > 0 {
+		o.ID, o.Attempt = q.ID, sim.random.IntN(4)*10-10
+		n.responseStarted(q.ID, o.Attempt-1)
 	}
-	n.outcome(o)
+	n.attemptFinished(o)
 }
 
-// anyRequest draws the name of a request of late.
-func (w *world) anyRequest() string {
-	return requestID(max(w.requests-w.random.IntN(40), 1))
+// recentRequestID returns the ID of a random one of the last 40 requests.
+func (sim *simulation) recentRequestID() string {
+	return requestID(max(sim.requests-sim.random.IntN(40), 1))
 }
 
-// badRequest brings a request that can't be, or one that is there already.
-func (w *world) badRequest(n *node) {
-	w.requests++
-	q := balancer.Request{ID: requestID(w.requests), Class: "safe", Plan: "rate", Tenant: 1, Timeout: time.Second, Units: -1}
-	switch w.random.IntN(6) {
+// sendInvalidRequest sends an invalid request, or one whose ID is already known to the node.
+func (sim *simulation) sendInvalidRequest(n *node) {
+	sim.requests++
+	q := balancer.Request{
+		ID: requestID(sim.requests), Class: "safe", Plan: "rate", Tenant: 1, Timeout: time.Second, Units: -1,
+	}
+	switch sim.random.IntN(6) {
 	case 0:
 		q.Class = "unknown"
 	case 1:
@@ -66,35 +69,35 @@
 	case 3:
 		q.Plan, q.EntryNodes = "open", 1000
 	case 4:
-		q.ID = w.anyRequest()
+		q.ID = sim.recentRequestID()
 		if old := n.requests[q.ID]; old == nil || old.incarnation != n.incarnation {
-			return // it would be new to this balancer
+			return // this balancer does not know the request
 		}
-		n.request(q)
+		n.requestArrived(q)
 		return
 	}
-	w.try(n, q, 0, 3)
+	sim.sendRequest(n, q, 0, 3)
 }
 
-// malformedMessage returns a message that was sent before, as it was or malformed, with a sender of its own.
-func (w *world) malformedMessage() (from int, message []byte) {
-	from = w.nodes[0].number + w.random.IntN(len(w.nodes)+2) - 1
-	message = append(message, w.overheard[w.random.IntN(len(w.overheard))]...)
-	if w.chance(0.05) || len(message) == 0 {
+// malformedMessage returns a recently sent message, unchanged, malformed or empty, and a random sender.
+func (sim *simulation) malformedMessage() (from int, message []byte) {
+	from = sim.nodes[0].number + sim.random.IntN(len(sim.nodes)+2) - 1
+	message = append(message, sim.recentMessages[sim.random.IntN(len(sim.recentMessages))]...)
+	if sim.chance(0.05) || len(message) == 0 {
 		return from, nil
 	}
-	at := w.random.IntN(len(message))
-	switch w.random.IntN(6) {
+	at := sim.random.IntN(len(message))
+	switch sim.random.IntN(6) {
 	case 0:
-		message[at] ^= 1 << w.random.IntN(8)
+		message[at] ^= 1 << sim.random.IntN(8)
 	case 1:
 		message = message[:at]
 	case 2:
-		message = append(message, byte(w.random.IntN(256)))
+		message = append(message, byte(sim.random.IntN(256)))
 	case 3:
-		message[0] = byte(w.random.IntN(6))
+		message[0] = byte(sim.random.IntN(6))
 	case 4:
-		message[at] = byte(w.random.IntN(256))
+		message[at] = byte(sim.random.IntN(256))
 	}
 	return from, message
 }
--- a/balancer/decisions_test.go
+++ b/balancer/decisions_test.go
@@ -17,37 +17,38 @@
 	"opalhook/internal/golden"
 )
 
-// The regression check of decisions. Each scenario plays a script of events, drawn from a seed, to a few
-// balancers and hashes all that they ask for, in order. The hashes in testdata hold bit by bit: the same draws
-// from the random source, the same order of floating-point operations. Only the text of log lines is left out.
+// TestDecisions is the regression test for the balancer's decisions. Each scenario generates events from a
+// seed, passes them to a few balancers, and hashes all their actions in order. The hashes in testdata require
+// the same draws from the random source and the same order of floating-point operations. Log lines are not
+// hashed.
 //
-// A change that is to leave behaviour as it is must pass with the hashes as they are. One that changes
-// decisions records new hashes, and its commit says why:
+// A change that must not affect behaviour has to pass with the recorded hashes. A change of decisions records
+// new hashes, and its commit says why:
 //
 //	go test ./balancer -run TestDecisions -update
 //
-// To see where two versions part, let each write its trace and compare the files:
+// To find where two versions diverge, write a trace with each version and compare the files:
 //
 //	go test ./balancer -run TestDecisions -trace-decisions DIRECTORY
 
-var traceDecisions = flag.String("trace-decisions", "", "directory for a text of all events and actions")
+var traceDecisions = flag.String("trace-decisions", "", "directory for traces of all events and actions")
 
 const decisionsFile = "testdata/decisions.json"
 
-// recordedOn is the architecture on which the hashes were recorded. On others the compiler fuses
-// multiplications with additions, which changes the last bits. The same goes for GOAMD64=v3.
-const recordedOn = "amd64"
+// recordedArch is the architecture on which the hashes were recorded. On others the compiler fuses
+// multiplications with additions, which changes the last bits. GOAMD64=v3 has the same effect.
+const recordedArch = "amd64"
 
-// scenario is one play: a fleet, its settings and the length of the script.
+// scenario is a fleet with its settings, the number of events and the seed that they are drawn from.
 type scenario struct {
 	nodes     int
 	endpoints int
 	variant   variant
-	events    int
+	events    int // calls of balancers' methods, after which no new requests arrive
 	seed      uint64
 }
 
-// variant is a named change of the usual settings.
+// variant is a named change to the usual settings.
 type variant struct {
 	name  string
 	apply func(*balancer.Settings)
@@ -55,12 +56,12 @@
 
 var (
 	usual      = variant{"usual", func(*balancer.Settings) {}}
-	minimal    = variant{"minimal", settingsWithoutExtras}
-	hedged     = variant{"hedged", settingsWithHedges}
-	polling    = variant{"polling", settingsWithWatch}
-	smallInbox = variant{"small-inbox", settingsWithSmallInbox}
-	tinyInbox  = variant{"tiny-inbox", settingsWithTinyInbox}
-	largeUnits = variant{"large-units", settingsWithLargeUnits}
+	minimal    = variant{"minimal", disableOptionalFeatures}
+	hedged     = variant{"hedged", enableHedging}
+	polling    = variant{"polling", enablePolling}
+	smallInbox = variant{"small-inbox", setSmallInbox}
+	tinyInbox  = variant{"tiny-inbox", setTinyInbox}
+	largeUnits = variant{"large-units", setLargeUnits}
 )
 
 var scenarios = []scenario{
@@ -95,18 +96,25 @@
 	return fmt.Sprintf("%dx%d-%s", s.nodes, s.endpoints, s.variant.name)
 }
 
-// actionCounts tells how many actions of each kind a play has seen.
+// actionCounts counts the actions of a scenario by kind.
 type actionCounts struct {
-	Send, Refuse, Fail, Cancel, SetTimer, Probe, Tell, Watch int
+	Send        int
+	Reject      int `json:"Refuse"`
+	Fail        int
+	Cancel      int
+	SetTimer    int
+	HealthCheck int `json:"Probe"`
+	SendPeer    int `json:"Tell"`
+	Watch       int
 }
 
-// digest is the outcome of a play.
+// digest is the recorded result of a scenario.
 type digest struct {
 	Scenario    string
 	Events      int // calls of balancers' methods
 	Actions     actionCounts
 	Hash        string
-	Checkpoints string // first digits of the hash after each thousand events
+	Checkpoints string // first digits of the hash after every checkpointEvery events
 }
 
 func TestDecisions(t *testing.T) {
@@ -114,23 +122,23 @@
 	if golden.Updating() {
 		t.Cleanup(func() { writeDigests(t, got) })
 	}
-	want := wantedDigests(t)
+	want := readDigests(t)
 	for i, s := range scenarios {
 		t.Run(s.name(), func(t *testing.T) {
 			t.Parallel()
-			got[i] = playTraced(t, s)
+			got[i] = runTraced(t, s)
 			switch {
 			case golden.Updating():
-			case runtime.GOARCH == recordedOn:
+			case runtime.GOARCH == recordedArch:
 				compareDigests(t, got[i], want[i])
-			default: // the hashes hold for another machine: that a play repeats itself can be seen on all
-				compareDigests(t, got[i], play(s, io.Discard))
+			default: // the hashes differ on this architecture; check that a second run gives the same
+				compareDigests(t, got[i], runScenario(s, io.Discard))
 			}
 		})
 	}
 }
 
-// compareDigests reports a difference and about where it begins.
+// compareDigests reports a difference between digests, and the events between which it begins.
 func compareDigests(t *testing.T, got, want digest) {
 	t.Helper()
 	t.Logf("%s: %d events, %+v", got.Scenario, got.Events, got.Actions)
@@ -138,25 +146,26 @@
 		return
 	}
 	same := 0
-	for same < min(len(got.Checkpoints), len(want.Checkpoints)) && got.Checkpoints[same] == want.Checkpoints[same] {
+	for same < min(len(got.Checkpoints), len(want.Checkpoints)) &&
+		got.Checkpoints[same] == want.Checkpoints[same] {
 		same++
 	}
-	t.Errorf("%s: decisions have changed, first between the events %d and %d\n got %+v\nwant %+v", got.Scenario,
+	t.Errorf("%s: decisions have changed, first between events %d and %d\n got %+v\nwant %+v", got.Scenario,
 		same/checkpointLength*checkpointEvery, (same/checkpointLength+1)*checkpointEvery, got, want)
 }
 
-// playTraced plays a scenario and writes its trace where one is asked for.
-func playTraced(t *testing.T, s scenario) digest {
+// runTraced runs a scenario and writes its trace if the flag is set.
+func runTraced(t *testing.T, s scenario) digest {
 	t.Helper()
 	if *traceDecisions == "" {
-		return play(s, io.Discard)
+		return runScenario(s, io.Discard)
 	}
 	file, err := os.Create(filepath.Join(*traceDecisions, s.name()+".txt"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	trace := bufio.NewWriter(file)
-	d := play(s, trace)
+	d := runScenario(s, trace)
 	if err := trace.Flush(); err != nil {
 		t.Error(err)
 	}
@@ -166,8 +175,8 @@
 	return d
 }
 
-// wantedDigests returns what is recorded, a digest for each scenario.
-func wantedDigests(t *testing.T) (digests []digest) {
+// readDigests returns the recorded digests in the order of the scenarios, or nil when they are being updated.
+func readDigests(t *testing.T) (digests []digest) {
 	t.Helper()
 	if golden.Updating() {
 		return nil
@@ -180,16 +189,16 @@
 		t.Fatal(err)
 	}
 	if len(digests) != len(scenarios) {
-		t.Fatalf("%d scenarios, %d are recorded", len(scenarios), len(digests))
+		t.Fatalf("%s: got %d digests, want %d", decisionsFile, len(digests), len(scenarios))
 	}
 	return digests
 }
 
-// writeDigests records what has been played, if that is all.
+// writeDigests records the digests, provided that all scenarios have run without a failure.
 func writeDigests(t *testing.T, digests []digest) {
 	t.Helper()
 	if t.Failed() || slices.Contains(digests, digest{}) {
-		t.Error("nothing is recorded: not all scenarios were played")
+		t.Error("digests not recorded: a scenario failed or did not run")
 		return
 	}
 	text, err := json.MarshalIndent(digests, "", "\t")
@@ -201,27 +210,52 @@
 	}
 }
 
-// decisionClasses has a class of each effect and group, and one of streams.
+// decisionClasses has a class of each idempotency and deduplication scope, and one with streamed responses.
 func decisionClasses() []balancer.Class {
 	const ms = time.Millisecond
 	return []balancer.Class{
-		{Name: "safe", Idempotency: balancer.Idempotent, LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 1, LateWeightFraction: 0.3},
-		{Name: "zone", Idempotency: balancer.IdempotentWithKey, DedupScope: balancer.DedupZone, DedupWindow: 300 * ms, LatencyObjective: 300 * ms, Deadline: time.Second, PriorityWeight: 3},
-		{Name: "cell", Idempotency: balancer.IdempotentWithKey, DedupScope: balancer.DedupCell, DedupWindow: 500 * ms, LatencyObjective: 300 * ms, Deadline: time.Second, PriorityWeight: 2},
-		{Name: "any", Idempotency: balancer.IdempotentWithKey, DedupScope: balancer.DedupFleet, DedupWindow: 800 * ms, LatencyObjective: 400 * ms, Deadline: 2 * time.Second, PriorityWeight: 2},
-		{Name: "unsafe", Idempotency: balancer.NonIdempotent, LatencyObjective: 400 * ms, Deadline: time.Second, PriorityWeight: 4},
-		{Name: "stream", Idempotency: balancer.Idempotent, LatencyObjective: 500 * ms, Deadline: 2 * time.Second, PriorityWeight: 2, Stream: true},
+		{
+			Name: "safe", Idempotency: balancer.Idempotent, LatencyObjective: 200 * ms,
+			Deadline: time.Second, PriorityWeight: 1, LateWeightFraction: 0.3,
+		},
+		{
+			Name: "zone", Idempotency: balancer.IdempotentWithKey, DedupScope: balancer.DedupZone,
+			DedupWindow: 300 * ms, LatencyObjective: 300 * ms, Deadline: time.Second, PriorityWeight: 3,
+		},
+		{
+			Name: "cell", Idempotency: balancer.IdempotentWithKey, DedupScope: balancer.DedupCell,
+			DedupWindow: 500 * ms, LatencyObjective: 300 * ms, Deadline: time.Second, PriorityWeight: 2,
+		},
+		{
+			Name: "any", Idempotency: balancer.IdempotentWithKey, DedupScope: balancer.DedupFleet,
+			DedupWindow: 800 * ms, LatencyObjective: 400 * ms, Deadline: 2 * time.Second,
+			PriorityWeight: 2,
+		},
+		{
+			Name: "unsafe", Idempotency: balancer.NonIdempotent, LatencyObjective: 400 * ms,
+			Deadline: time.Second, PriorityWeight: 4,
+		},
+		{
+			Name: "stream", Idempotency: balancer.Idempotent, LatencyObjective: 500 * ms,
+			Deadline: 2 * time.Second, PriorityWeight: 2, Stream: true,
+		},
 	}
 }
 
-// decisionPlans has a plan of each kind of quota.
+// decisionPlans has a plan for each kind of quota.
 func decisionPlans() []balancer.Plan {
 	return []balancer.Plan{
 		{Name: "rate", Rate: 40, Burst: 40, WeightFactor: 1},
-		{Name: "hard", Rate: 20, Burst: 20, HardLimitRate: 25, HardLimitBurst: 24, HardLimitSlack: 1, WeightFactor: 1},
+		{
+			Name: "hard", Rate: 20, Burst: 20, HardLimitRate: 25, HardLimitBurst: 24, HardLimitSlack: 1,
+			WeightFactor: 1,
+		},
 		{Name: "open", MaxConcurrent: 4, WeightFactor: 1},
 		{Name: "both", Rate: 30, Burst: 30, MaxConcurrent: 3, WeightFactor: 2},
-		{Name: "over", Rate: 6, Burst: 6, HardLimitRate: 20, HardLimitBurst: 20, OverQuotaValue: 0.5, OverQuotaCost: 0.1, WeightFactor: 1},
+		{
+			Name: "over", Rate: 6, Burst: 6, HardLimitRate: 20, HardLimitBurst: 20, OverQuotaValue: 0.5,
+			OverQuotaCost: 0.1, WeightFactor: 1,
+		},
 		{Name: "large", Rate: 300, Burst: 100, WeightFactor: 1},
 		{Name: "bulk", Rate: 400_000, Burst: 800_000, WeightFactor: 1},
 		{Name: "free", WeightFactor: 1},
@@ -229,40 +263,47 @@
 }
 
 func (s scenario) settings(node int) balancer.Settings {
-	set := balancer.Settings{
-		NodeIndex: node, NodeCount: s.nodes, Zone: zones[0], Classes: decisionClasses(), Plans: decisionPlans(),
-		ResponseSlack: 10 * time.Millisecond, DrainTimeout: 200 * time.Millisecond, SlowStartInitialFraction: 0.2,
-		SlowStartDuration: 2 * time.Second, OverloadFactor: 2, OverloadWindow: time.Second,
-		MaxAttempts: 4, Cancellation: true, Gossip: true, HealthChecks: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
-		LoadReports: balancer.LoadReportsInResponses, PeerMessagesPerSecond: 60, PostPaid: true, Tick: time.Millisecond,
+	settings := balancer.Settings{
+		NodeIndex: node, NodeCount: s.nodes, Zone: zones[0],
+		Classes: decisionClasses(), Plans: decisionPlans(),
+		ResponseSlack: 10 * time.Millisecond, DrainTimeout: 200 * time.Millisecond,
+		SlowStartInitialFraction: 0.2, SlowStartDuration: 2 * time.Second, OverloadFactor: 2,
+		OverloadWindow: time.Second,
+		MaxAttempts:    4, Cancellation: true, Gossip: true, HealthChecks: true, RetryAfter: true,
+		MaxRetryAfter: 2 * time.Second,
+		LoadReports:   balancer.LoadReportsInResponses, PeerMessagesPerSecond: 60, PostPaid: true,
+		Tick:           time.Millisecond,
 		CrossZonePrice: 0.2, PeerMessagePrice: 0.1, HealthCheckPrice: 0.1, WastedWorkPrice: 1,
 	}
-	s.variant.apply(&set)
-	return set
+	s.variant.apply(&settings)
+	return settings
 }
 
-func settingsWithoutExtras(s *balancer.Settings) {
-	s.Gossip, s.HealthChecks, s.Hedging, s.Cancellation, s.RetryAfter, s.PostPaid = false, false, false, false, false, false
-	s.LoadReports, s.MaxAttempts, s.PeerMessagesPerSecond, s.SlowStartDuration, s.CrossZonePrice = balancer.NoLoadReports, 2, 0, 0, 0
+func disableOptionalFeatures(s *balancer.Settings) {
+	s.Gossip, s.HealthChecks, s.Hedging, s.Cancellation, s.RetryAfter, s.PostPaid =
+		false, false, false, false, false, false
+	s.LoadReports, s.MaxAttempts, s.PeerMessagesPerSecond, s.SlowStartDuration, s.CrossZonePrice =
+		balancer.NoLoadReports, 2, 0, 0, 0
 }
 
-func settingsWithHedges(s *balancer.Settings) {
+func enableHedging(s *balancer.Settings) {
 	s.Hedging, s.MaxAttempts, s.PeerMessagesPerSecond = true, 0, 1000
 	s.LoadReports = balancer.LoadReportsInHealthChecks
 }
 
-func settingsWithWatch(s *balancer.Settings) {
+func enablePolling(s *balancer.Settings) {
 	s.PollEndpoints, s.PollInterval, s.Hedging, s.PeerMessagesPerSecond = true, time.Second, true, 100
 	s.LoadReports, s.PostPaid = balancer.LoadReportsInHealthChecks, false
 }
 
-func settingsWithSmallInbox(s *balancer.Settings) {
-	s.PeerMessagesPerSecond, s.Cancellation, s.LoadReports, s.Tick = 4, false, balancer.NoLoadReports, 5*time.Millisecond
+func setSmallInbox(s *balancer.Settings) {
+	s.PeerMessagesPerSecond, s.Cancellation, s.LoadReports, s.Tick =
+		4, false, balancer.NoLoadReports, 5*time.Millisecond
 }
 
-// settingsWithTinyInbox are of a fleet so short of messages that even a few nodes ask owners and share news.
-func settingsWithTinyInbox(s *balancer.Settings) { s.PeerMessagesPerSecond = 3 }
+// setTinyInbox sets a limit on peer messages so low that quotas have owners even in a fleet of a few nodes.
+func setTinyInbox(s *balancer.Settings) { s.PeerMessagesPerSecond = 3 }
 
-func settingsWithLargeUnits(s *balancer.Settings) { s.MaxUnits, s.PeerMessagesPerSecond = 400_000, 40 }
+func setLargeUnits(s *balancer.Settings) { s.MaxUnits, s.PeerMessagesPerSecond = 400_000, 40 }
 
 var zones = []string{"a", "b", "c"}
--- a/balancer/decisions_world_test.go
+++ b/balancer/decisions_world_test.go
@@ -14,11 +14,12 @@
 	"opalhook/balancer"
 )
 
-// The world in which decisions are checked: a virtual clock, the nodes that run a balancer, and what these ask
-// for. Its endpoints, clients and faults stand in files of their own. All that happens by chance is drawn from
-// one source, in the order of events.
+// The simulation in which decisions are checked: a virtual clock, the nodes that run a balancer, and the
+// balancers' actions. The endpoints, clients and faults have files of their own. All random numbers are drawn
+// from one source, in the order of events.
 
-// event is something that is due at a time. Of events due together, the one entered first comes first.
+// event is a function that runs at a time. Events of the same time run in the order in which they were
+// scheduled.
 type event struct {
 	at       time.Duration
 	sequence int
@@ -46,293 +47,298 @@
 	return x
 }
 
-// The checkpoints of a play.
+// Checkpoints of the hash of a scenario.
 const (
-	checkpointEvery  = 1000 // events
-	checkpointDigits = 6
-	checkpointLength = checkpointDigits + 1 // with the blank between them
+	checkpointEvery  = 1000                 // events between checkpoints
+	checkpointDigits = 6                    // first digits of the hash
+	checkpointLength = checkpointDigits + 1 // with the space after it
 )
 
-// record hashes the actions of a play and counts them.
-type record struct {
+// recorder hashes and counts the actions of a scenario.
+type recorder struct {
 	hash        hash.Hash
 	trace       io.Writer
-	events      int
+	events      int // calls of balancers' methods
 	counts      actionCounts
 	checkpoints string
 }
 
-// event notes that a balancer is told of something. That goes to the trace alone.
-func (r *record) event(now time.Duration, node int, text string, arguments ...any) {
+// recordEvent counts a call of a balancer's method. The call is written to the trace but not hashed.
+func (r *recorder) recordEvent(now time.Duration, node int, text string, arguments ...any) {
 	if r.events++; r.events%checkpointEvery == 0 {
 		r.checkpoints += hex.EncodeToString(r.hash.Sum(nil))[:checkpointDigits] + " "
 	}
-	if r.trace != io.Discard { // a failed write shows when the trace is flushed
+	if r.trace != io.Discard { // runTraced reports write errors when it flushes the trace
 		_, _ = fmt.Fprintf(r.trace, "%d node %d: %s\n", now, node, fmt.Sprintf(text, arguments...))
 	}
 }
 
-// action notes something that a balancer has asked for.
-func (r *record) action(now time.Duration, node int, text string, arguments ...any) {
+// recordAction hashes an action of a balancer.
+func (r *recorder) recordAction(now time.Duration, node int, text string, arguments ...any) {
 	line := fmt.Sprintf("%d %d %s\n", now, node, fmt.Sprintf(text, arguments...))
-	_, _ = io.WriteString(r.hash, line) // a hash accepts everything
+	_, _ = io.WriteString(r.hash, line) // writes to a hash never fail
 	if r.trace != io.Discard {
 		_, _ = io.WriteString(r.trace, "\t"+line)
 	}
 }
 
-func (r *record) digest(scenario string) digest {
+func (r *recorder) digest(scenario string) digest {
 	return digest{
 		Scenario: scenario, Events: r.events, Actions: r.counts,
 		Hash: hex.EncodeToString(r.hash.Sum(nil)), Checkpoints: r.checkpoints,
 	}
 }
 
-// world is the fleet with all around it.
-type world struct {
-	scenario  scenario
-	random    *rand.Rand
-	now       time.Duration
-	queue     eventQueue
-	sequence  int
-	record    *record
-	nodes     []*node // those that run a balancer; the others are silent
-	endpoints endpoints
-	tenants   []tenant
-	weather   weather
-	requests  int
-	ending    bool
-	overheard [64][]byte // messages between nodes, to be sent again or malformed
-	heardNext int
-}
-
-// The nodes that run a balancer: in a large fleet some in a row, whose tenants ask each other.
+// simulation is a fleet with its clients and endpoints.
+type simulation struct {
+	scenario       scenario
+	random         *rand.Rand
+	now            time.Duration
+	queue          eventQueue
+	sequence       int
+	recorder       *recorder
+	nodes          []*node // nodes that run a balancer; the others send nothing
+	endpoints      endpoints
+	tenants        []tenant
+	conditions     conditions
+	requests       int
+	finishing      bool       // no more requests and faults are generated
+	recentMessages [64][]byte // recent messages between nodes, for malformedMessage
+	messageCount   int        // number of messages sent between nodes
+}
+
+// Only a few nodes of a large fleet run a balancer. Like a tenant's entry nodes they are consecutive, so that
+// they own quotas for each other.
 const (
-	realNodes     = 6
-	firstRealNode = 20
+	maxSimulatedNodes  = 6  // nodes that run a balancer, at most
+	firstSimulatedNode = 20 // index of the first such node in a large fleet
 )
 
-const drainTime = 5 * time.Second
+// settlingTime is the simulated time after the last new request, in which requests in progress end.
+const settlingTime = 5 * time.Second
 
-// play runs a scenario to its end.
-func play(s scenario, trace io.Writer) digest {
-	w := &world{
+// runScenario runs a scenario to its end and returns the digest of the balancers' actions.
+func runScenario(s scenario, trace io.Writer) digest {
+	sim := &simulation{
 		scenario: s, now: 100 * time.Second, random: rand.New(rand.NewPCG(s.seed, 1)),
-		record: &record{hash: sha256.New(), trace: trace}, weather: underloadedOccupancy,
+		recorder: &recorder{hash: sha256.New(), trace: trace}, conditions: normalConditions,
 	}
-	w.endpoints = newEndpoints(w.random, s.endpoints)
+	sim.endpoints = newEndpoints(sim.random, s.endpoints)
 	first := 0
-	if s.nodes > realNodes {
-		first = firstRealNode
+	if s.nodes > maxSimulatedNodes {
+		first = firstSimulatedNode
 	}
-	for number := range min(s.nodes, realNodes) {
-		n := &node{world: w, number: first + number, requests: map[string]*clientRequest{}}
-		w.nodes = append(w.nodes, n)
+	for number := range min(s.nodes, maxSimulatedNodes) {
+		n := &node{sim: sim, number: first + number, requests: map[string]*clientRequest{}}
+		sim.nodes = append(sim.nodes, n)
 		n.restart()
 	}
-	w.tenants = newTenants(w.random, s.nodes, first, len(w.nodes))
-	w.after(0, w.arrive)
-	w.after(3*time.Second, w.changeWeather)
-	w.after(time.Second, w.changeList)
-	w.after(time.Second, w.disturb)
-	for w.record.events < s.events {
-		w.step()
+	sim.tenants = newTenants(sim.random, s.nodes, first, len(sim.nodes))
+	sim.after(0, sim.generateRequest)
+	sim.after(3*time.Second, sim.changeConditions)
+	sim.after(time.Second, sim.updateList)
+	sim.after(time.Second, sim.injectFault)
+	for sim.recorder.events < s.events {
+		sim.step()
 	}
-	w.ending, w.weather = true, underloadedOccupancy
-	for end := w.now + drainTime; w.now < end; {
-		w.step()
+	sim.finishing, sim.conditions = true, normalConditions
+	for end := sim.now + settlingTime; sim.now < end; {
+		sim.step()
 	}
-	for _, n := range w.nodes {
-		n.noteStats()
+	for _, n := range sim.nodes {
+		n.recordStats()
 	}
-	return w.record.digest(s.name())
+	return sim.recorder.digest(s.name())
 }
 
-// step lets the next event happen.
-func (w *world) step() {
-	e := heap.Pop(&w.queue).(event)
-	w.now = e.at
+// step runs the next event.
+func (sim *simulation) step() {
+	e := heap.Pop(&sim.queue).(event)
+	sim.now = e.at
 	e.run()
 }
 
-// after enters an event.
-func (w *world) after(wait time.Duration, run func()) {
-	w.sequence++
-	heap.Push(&w.queue, event{w.now + wait, w.sequence, run})
+// after schedules an event.
+func (sim *simulation) after(wait time.Duration, run func()) {
+	sim.sequence++
+	heap.Push(&sim.queue, event{sim.now + wait, sim.sequence, run})
 }
 
-// chance is true with a probability.
-func (w *world) chance(probability float64) bool { return w.random.Float64() < probability }
+// chance returns true with the given probability.
+func (sim *simulation) chance(probability float64) bool { return sim.random.Float64() < probability }
 
-// upTo draws a time from 0 to below a limit.
-func (w *world) upTo(limit time.Duration) time.Duration {
-	return time.Duration(w.random.Int64N(int64(limit)))
+// randomDuration returns a random duration of at least 0 and less than the limit.
+func (sim *simulation) randomDuration(limit time.Duration) time.Duration {
+	return time.Duration(sim.random.Int64N(int64(limit)))
 }
 
-// anyNode draws one of the nodes that run a balancer.
-func (w *world) anyNode() *node { return w.nodes[w.random.IntN(len(w.nodes))] }
+// randomNode returns a random one of the nodes that run a balancer.
+func (sim *simulation) randomNode() *node { return sim.nodes[sim.random.IntN(len(sim.nodes))] }
 
-// deliver brings a message to a node, later, maybe not at all and maybe twice.
-func (w *world) deliver(from, to int, message []byte) {
-	w.overheard[w.heardNext%len(w.overheard)] = message
-	w.heardNext++
-	at := to - w.nodes[0].number
-	if at < 0 || at >= len(w.nodes) || w.chance(w.weather.loss) {
+// deliver delivers a message to a node after a random delay. The message may be lost or arrive several times.
+func (sim *simulation) deliver(from, to int, message []byte) {
+	sim.recentMessages[sim.messageCount%len(sim.recentMessages)] = message
+	sim.messageCount++
+	at := to - sim.nodes[0].number
+	if at < 0 || at >= len(sim.nodes) || sim.chance(sim.conditions.messageLoss) {
 		return
 	}
-	receiver := w.nodes[at]
+	receiver := sim.nodes[at]
 	for copies := 1; copies > 0; copies-- {
-		wait := time.Millisecond + w.upTo(4*time.Millisecond)
-		if w.chance(0.03) {
-			wait += w.upTo(1500 * time.Millisecond)
+		wait := time.Millisecond + sim.randomDuration(4*time.Millisecond)
+		if sim.chance(0.03) {
+			wait += sim.randomDuration(1500 * time.Millisecond)
 		}
-		w.after(wait, func() { receiver.peer(from, message) })
-		if w.chance(0.03) {
+		sim.after(wait, func() { receiver.peerMessage(from, message) })
+		if sim.chance(0.03) {
 			copies++
 		}
 	}
 }
 
-// node is a node that runs a balancer. It carries out what its balancer asks for.
+// node is the host of a balancer and implements its actions.
 type node struct {
-	world       *world
+	sim         *simulation
 	number      int
 	balancer    *balancer.Balancer
-	incarnation int // balancers before this one
+	incarnation int // number of balancers that the node has started
 	watching    bool
 	requests    map[string]*clientRequest
 }
 
-// restart begins with a new balancer. Timers of the one before are lost with it.
+// restart replaces the node's balancer by a new one. Timers of the previous balancer no longer fire.
 func (n *node) restart() {
-	w := n.world
-	g, err := balancer.New(w.scenario.settings(n.number), w.random.Uint64())
+	sim := n.sim
+	b, err := balancer.New(sim.scenario.settings(n.number), sim.random.Uint64())
 	if err != nil {
 		panic(err)
 	}
-	n.balancer, n.watching = g, false
+	n.balancer, n.watching = b, false
 	n.incarnation++
-	n.event("start")
-	g.Start(w.now, n)
-	form := balancer.UpdateSnapshot
-	if w.chance(0.5) {
-		form = balancer.UpdateCached
+	n.recordEvent("start")
+	b.Start(sim.now, n)
+	kind := balancer.UpdateSnapshot
+	if sim.chance(0.5) {
+		kind = balancer.UpdateCached
 	}
-	w.after(w.upTo(50*time.Millisecond), func() { n.list(form, w.endpoints.listed()) })
+	sim.after(sim.randomDuration(50*time.Millisecond), func() {
+		n.endpointsUpdated(kind, sim.endpoints.listedEntries())
+	})
 }
 
-func (n *node) event(text string, arguments ...any) {
-	n.world.record.event(n.world.now, n.number, text, arguments...)
-	if n.world.record.events%500 == 0 {
-		n.noteStats()
+func (n *node) recordEvent(text string, arguments ...any) {
+	n.sim.recorder.recordEvent(n.sim.now, n.number, text, arguments...)
+	if n.sim.recorder.events%500 == 0 {
+		n.recordStats()
 	}
 }
 
-func (n *node) noteStats() {
+func (n *node) recordStats() {
 	s := n.balancer.Stats()
-	n.action("stats %d %d %d %d", s.ListedEndpoints, s.SubsetEndpoints, s.TrackedEndpoints, s.HashCollisions)
+	n.recordAction("stats %d %d %d %d", s.ListedEndpoints, s.SubsetEndpoints, s.TrackedEndpoints,
+		s.HashCollisions)
 }
 
-func (n *node) action(text string, arguments ...any) {
-	n.world.record.action(n.world.now, n.number, text, arguments...)
+func (n *node) recordAction(text string, arguments ...any) {
+	n.sim.recorder.recordAction(n.sim.now, n.number, text, arguments...)
 }
 
-// What the balancer is told.
+// Events of the balancer.
 
-func (n *node) peer(from int, message []byte) {
-	n.event("message from %d: %x", from, message)
-	n.balancer.PeerMessage(n.world.now, from, message, n)
+func (n *node) peerMessage(from int, message []byte) {
+	n.recordEvent("message from %d: %x", from, message)
+	n.balancer.PeerMessage(n.sim.now, from, message, n)
 }
 
-func (n *node) list(form balancer.UpdateKind, entries []balancer.Endpoint) {
-	n.event("list of form %d with %d entries", form, len(entries))
-	n.balancer.EndpointsUpdated(n.world.now, form, entries, n)
+func (n *node) endpointsUpdated(kind balancer.UpdateKind, entries []balancer.Endpoint) {
+	n.recordEvent("list of kind %d with %d entries", kind, len(entries))
+	n.balancer.EndpointsUpdated(n.sim.now, kind, entries, n)
 }
 
-func (n *node) timer(token uint64) {
-	n.event("timer %d", token)
-	n.balancer.TimerFired(n.world.now, token, n)
+func (n *node) timerFired(token uint64) {
+	n.recordEvent("timer %d", token)
+	n.balancer.TimerFired(n.sim.now, token, n)
 }
 
-func (n *node) request(q balancer.Request) {
-	n.event("request %+v", q)
-	n.balancer.RequestArrived(n.world.now, q, n)
+func (n *node) requestArrived(q balancer.Request) {
+	n.recordEvent("request %+v", q)
+	n.balancer.RequestArrived(n.sim.now, q, n)
 }
 
-func (n *node) outcome(o balancer.Outcome) {
-	n.event("outcome %+v", o)
-	n.balancer.AttemptFinished(n.world.now, o, n)
+func (n *node) attemptFinished(o balancer.Outcome) {
+	n.recordEvent("outcome %+v", o)
+	n.balancer.AttemptFinished(n.sim.now, o, n)
 }
 
-func (n *node) probed(endpoint string, result balancer.Result, load *balancer.LoadReport) {
-	n.event("health check of %s: %d", endpoint, result)
-	n.balancer.HealthChecked(n.world.now, endpoint, result, load, n)
+func (n *node) healthChecked(endpoint string, result balancer.Result, load *balancer.LoadReport) {
+	n.recordEvent("health check of %s: %d", endpoint, result)
+	n.balancer.HealthChecked(n.sim.now, endpoint, result, load, n)
 }
 
-func (n *node) gone(id string) {
-	n.event("client of %s has left", id)
-	n.balancer.ClientGone(n.world.now, id, n)
+func (n *node) clientGone(id string) {
+	n.recordEvent("client of %s has disconnected", id)
+	n.balancer.ClientGone(n.sim.now, id, n)
 }
 
-func (n *node) begins(id string, attempt int) {
-	n.event("stream of attempt %d of %s begins", attempt, id)
-	n.balancer.ResponseStarted(n.world.now, id, attempt, n)
+func (n *node) responseStarted(id string, attempt int) {
+	n.recordEvent("stream of attempt %d of %s has started", attempt, id)
+	n.balancer.ResponseStarted(n.sim.now, id, attempt, n)
 }
 
-// What the balancer asks for.
+// Actions of the balancer.
 
-func (n *node) SendAttempt(id, endpoint string, timeout, by time.Duration) {
-	n.world.record.counts.Send++
-	n.action("send %s %s %d %d", id, endpoint, timeout, by)
-	n.world.send(n.requests[id], n.world.endpoints.byID[endpoint], timeout, by)
+func (n *node) SendAttempt(id, endpoint string, timeout, sendBy time.Duration) {
+	n.sim.recorder.counts.Send++
+	n.recordAction("send %s %s %d %d", id, endpoint, timeout, sendBy)
+	n.sim.startAttempt(n.requests[id], n.sim.endpoints.byID[endpoint], timeout, sendBy)
 }
 
 func (n *node) Reject(id string, retryAfter time.Duration) {
-	n.world.record.counts.Refuse++
-	n.action("refuse %s %d", id, retryAfter)
-	n.world.answered(n.requests[id], retryAfter)
+	n.sim.recorder.counts.Reject++
+	n.recordAction("refuse %s %d", id, retryAfter)
+	n.sim.requestFailed(n.requests[id], retryAfter)
 }
 
 func (n *node) Fail(id string) {
-	n.world.record.counts.Fail++
-	n.action("fail %s", id)
-	n.world.answered(n.requests[id], 0)
+	n.sim.recorder.counts.Fail++
+	n.recordAction("fail %s", id)
+	n.sim.requestFailed(n.requests[id], 0)
 }
 
 func (n *node) CancelAttempt(id string, attempt int) {
-	n.world.record.counts.Cancel++
-	n.action("cancel %s %d", id, attempt)
-	n.world.cancel(n.requests[id], attempt)
+	n.sim.recorder.counts.Cancel++
+	n.recordAction("cancel %s %d", id, attempt)
+	n.sim.cancelAttempt(n.requests[id], attempt)
 }
 
 func (n *node) SetTimer(token uint64, after time.Duration) {
-	n.world.record.counts.SetTimer++
-	n.action("timer %d %d", token, after)
+	n.sim.recorder.counts.SetTimer++
+	n.recordAction("timer %d %d", token, after)
 	incarnation := n.incarnation
-	n.world.after(after, func() {
+	n.sim.after(after, func() {
 		if n.incarnation == incarnation {
-			n.timer(token)
+			n.timerFired(token)
 		}
 	})
 }
 
 func (n *node) HealthCheck(endpoint string) {
-	n.world.record.counts.Probe++
-	n.action("probe %s", endpoint)
-	n.world.probe(n, n.world.endpoints.byID[endpoint])
+	n.sim.recorder.counts.HealthCheck++
+	n.recordAction("probe %s", endpoint)
+	n.sim.runHealthCheck(n, n.sim.endpoints.byID[endpoint])
 }
 
 func (n *node) SendPeer(peer int, message []byte) {
-	n.world.record.counts.Tell++
-	n.action("tell %d %x", peer, message)
-	n.world.deliver(n.number, peer, append([]byte(nil), message...))
+	n.sim.recorder.counts.SendPeer++
+	n.recordAction("tell %d %x", peer, message)
+	n.sim.deliver(n.number, peer, append([]byte(nil), message...))
 }
 
 func (n *node) WatchEndpoints(on bool) {
-	n.world.record.counts.Watch++
-	n.action("watch %v", on)
-	n.world.watch(n)
+	n.sim.recorder.counts.Watch++
+	n.recordAction("watch %v", on)
+	n.sim.serveWatch(n)
 }
 
-// Log is not hashed: the text may change.
+// Log is not hashed, so that the text of log lines may change.
 func (n *node) Log(slog.Level, string, ...slog.Attr) {}
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -8,10 +8,10 @@
 	"opalhook/balancer"
 )
 
-// printer is a host that only prints what it is asked to do.
+// printer is a host that prints the actions instead of carrying them out.
 type printer struct{}
 
-func (printer) SendAttempt(id, endpoint string, timeout, by time.Duration) {
+func (printer) SendAttempt(id, endpoint string, timeout, sendBy time.Duration) {
 	fmt.Println("send", id, "to", endpoint)
 }
 func (printer) Reject(id string, retryAfter time.Duration)       { fmt.Println("reject", id) }
@@ -26,25 +26,30 @@
 func Example() {
 	settings := balancer.Settings{
 		NodeCount: 1,
-		Classes:   []balancer.Class{{Name: "read", Idempotency: balancer.Idempotent, LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1}},
-		Plans:     []balancer.Plan{{Name: "basic", Rate: 1, Burst: 2, WeightFactor: 1}},
+		Classes: []balancer.Class{{
+			Name: "read", Idempotency: balancer.Idempotent, LatencyObjective: time.Second,
+			Deadline: 2 * time.Second, PriorityWeight: 1,
+		}},
+		Plans: []balancer.Plan{{Name: "basic", Rate: 1, Burst: 2, WeightFactor: 1}},
 	}
-	g, err := balancer.New(settings, 1)
+	b, err := balancer.New(settings, 1)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 	var host printer
 	now := time.Duration(0)
-	g.Start(now, host)
-	g.EndpointsUpdated(now, balancer.UpdateSnapshot, []balancer.Endpoint{{ID: "alpha"}}, host)
+	b.Start(now, host)
+	b.EndpointsUpdated(now, balancer.UpdateSnapshot, []balancer.Endpoint{{ID: "alpha"}}, host)
 	for _, id := range []string{"r1", "r2", "r3"} {
-		g.RequestArrived(now, balancer.Request{
+		b.RequestArrived(now, balancer.Request{
 			ID: id, Class: "read", Plan: "basic", Tenant: 7,
 			Timeout: time.Second, Units: 1, EntryNodes: 1,
 		}, host)
 	}
-	g.AttemptFinished(now, balancer.Outcome{ID: "r1", Result: balancer.OK, Answered: true, Elapsed: 20 * time.Millisecond}, host)
+	b.AttemptFinished(now, balancer.Outcome{
+		ID: "r1", Result: balancer.OK, Answered: true, Elapsed: 20 * time.Millisecond,
+	}, host)
 	// Output:
 	// send r1 to alpha
 	// send r2 to alpha
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -8,11 +8,11 @@
 const (
 	latencySmoothing   = 0.15 // weight of a new sample in an endpoint's latency ratio
 	meanSmoothing      = 0.05 // weight of a new sample in the means of classes and machine types
-	minBaselineSamples = 16   // samples in a batch whose mean may be the lowest latency
-	baselineGrowth     = 0.01 // fraction by which the lowest latency grows with each batch
-	minMeanLatency     = 1e-6 // seconds; keeps ratios to a mean finite
-	// unlearnedWorkDivisor gives the work of a class with no response yet, as a part of its latency
-	// objective.
+	minBaselineSamples = 16   // samples in a batch, and in a class mean that decisions rely on
+	baselineGrowth     = 0.01 // growth of the lowest batch mean with each batch, as a fraction
+	minMeanLatency     = 1e-6 // seconds; lower bound of the mean in ratios, which stay finite
+	// unlearnedWorkDivisor sets the work that is assumed of a class without a baseline: its latency
+	// objective divided by this.
 	unlearnedWorkDivisor = 4
 )
 
@@ -20,7 +20,7 @@
 type latencyTracker struct {
 	classes          []classLatency // by class index
 	machineTypes     []machineTypeLatency
-	machineTypeIndex map[string]int // of those that have responded
+	machineTypeIndex map[string]int // index in machineTypes; holds the types that have responded
 	longestObjective time.Duration  // longest latency objective of the classes
 }
 
@@ -39,10 +39,10 @@
 	mean, deviation float64 // seconds; mean 0: no response yet
 	samples         int
 	byMachineType   []baselineLatency // by machine type index
-	initialTimeout  time.Duration     // timeout that a client's first attempt has left
+	initialTimeout  time.Duration     // estimated timeout of a client's first request; 0: no request yet
 }
 
-// record adds a latency in seconds to the mean and deviation.
+// record adds a latency in seconds to the mean and the mean deviation.
 func (c *classLatency) record(latency float64) {
 	if c.mean == 0 {
 		c.mean, c.deviation = latency, latency/2
@@ -57,7 +57,7 @@
 	return latency / math.Max(c.mean, minMeanLatency)
 }
 
-// baseline returns the class's lowest latency on a machine type.
+// baseline returns the baseline latency of the class on a machine type, given by its index.
 func (c *classLatency) baseline(machineType int) *baselineLatency {
 	for len(c.byMachineType) <= machineType {
 		c.byMachineType = append(c.byMachineType, baselineLatency{})
@@ -65,21 +65,22 @@
 	return &c.byMachineType[machineType]
 }
 
-// machineTypeLatency is the latency of a machine type as a multiple of the classes' means.
+// machineTypeLatency is the average latency of a machine type as a multiple of the classes' means.
 type machineTypeLatency struct{ meanRatio, samples float64 }
 
-// record adds a latency as a multiple of its class's mean.
+// record adds a latency, given as a multiple of its class's mean.
 func (m *machineTypeLatency) record(ratio float64) {
 	m.samples++
 	m.meanRatio += math.Max(1/(m.samples+1), meanSmoothing) * (ratio - m.meanRatio)
 }
 
-// baselineLatency finds the latency of a class on an idle endpoint of one machine type: the lowest mean of
-// a batch of samples, which grows slowly so that it can follow. The zero value has none yet.
+// baselineLatency estimates the latency of a class on an idle endpoint of one machine type. The estimate is
+// the lowest mean of a batch of samples. It grows slowly with each batch, so that it can follow a rise. The
+// zero value has no estimate yet.
 type baselineLatency struct {
-	sum     float64 // seconds, of the batch
-	samples int     // in the batch
-	lowest  float64 // seconds; 0: no batch is complete
+	sum     float64 // sum of the samples in the current batch, in seconds
+	samples int     // samples in the current batch
+	lowest  float64 // lowest batch mean in seconds; 0: no batch is complete
 }
 
 // record adds a latency in seconds.
@@ -95,8 +96,8 @@
 	l.sum, l.samples = 0, 0
 }
 
-// record learns from a response. It returns the latency as a multiple of the class's mean and as a multiple
-// of the lowest on that machine type, 1 as long as that is unknown.
+// record records the latency of a response. It returns the latency as a multiple of the class's mean, and as
+// a multiple of the class's baseline on the machine type. The latter is 1 while the baseline is unknown.
 func (t *latencyTracker) record(class int, machineType string, elapsed time.Duration) (
 	ratio, baselineRatio float64,
 ) {
@@ -113,7 +114,7 @@
 	return ratio, latency / baseline.lowest
 }
 
-// indexOf returns the index of a machine type, a new one for one not seen before.
+// indexOf returns the index of a machine type. An unknown type gets the next index.
 func (t *latencyTracker) indexOf(machineType string) int {
 	index, known := t.machineTypeIndex[machineType]
 	if !known {
@@ -124,10 +125,10 @@
 	return index
 }
 
-// classMean returns the mean latency of a class in seconds, 0 as long as that is unknown.
+// classMean returns the mean latency of a class in seconds, or 0 while it is unknown.
 func (t *latencyTracker) classMean(class int) float64 { return t.classes[class].mean }
 
-// mean returns the mean latency over the classes that have one, in seconds.
+// mean returns the mean of the known class means in seconds, or 0 if none is known.
 func (t *latencyTracker) mean() float64 {
 	var sum, classes float64
 	for i := range t.classes {
@@ -138,8 +139,8 @@
 	return sum / math.Max(classes, 1)
 }
 
-// learnedWork returns the work of a request of a class, as its lowest latency in seconds; 0 as long as that
-// is unknown.
+// learnedWork returns the work of a request of a class in seconds: the lowest of the class's baselines. It
+// returns 0 while no baseline is known.
 func (t *latencyTracker) learnedWork(class int) float64 {
 	work := 0.0
 	for i := range t.classes[class].byMachineType {
@@ -151,7 +152,8 @@
 	return work
 }
 
-// work returns the work of a request of a class in seconds, a guess as long as it is unknown.
+// work returns the work of a request of a class in seconds. While it is unknown, work estimates it from the
+// class's latency objective.
 func (t *latencyTracker) work(class int) float64 {
 	if work := t.learnedWork(class); work > 0 {
 		return work
@@ -159,7 +161,7 @@
 	return t.classes[class].objective.Seconds() / unlearnedWorkDivisor
 }
 
-// longestWork returns the work of a request of the class that takes most, in seconds.
+// longestWork returns the work in seconds of a request of the class with the most work.
 func (t *latencyTracker) longestWork() float64 {
 	work := 0.0
 	for class := range t.classes {
@@ -168,7 +170,8 @@
 	return work
 }
 
-// relativeSpeed returns the speed of a machine type as a fraction of the usual one, at most 1.
+// relativeSpeed returns the speed of a machine type as a fraction of the mean speed, at most 1. The speed of
+// an unknown type is 1.
 func (t *latencyTracker) relativeSpeed(machineType string) float64 {
 	index, known := t.machineTypeIndex[machineType]
 	if !known {
@@ -177,20 +180,20 @@
 	return math.Min(1/t.machineTypes[index].meanRatio, 1)
 }
 
-// recordLatency learns from a response of the endpoint. Where no endpoint's utilization is reported, the
-// occupancy is inferred from the latency.
+// recordLatency records the latency of an endpoint's response. If the endpoint does not report its
+// utilization, the occupancy is estimated from the latency.
 func (b *Balancer) recordLatency(class int, e *endpoint, elapsed time.Duration) {
 	ratio, baselineRatio := b.latency.record(class, e.MachineType, elapsed)
 	e.recordLatencyRatio(ratio)
 	if b.settings.LoadReports == NoLoadReports || e.load.utilizationReportedAt == 0 {
-		// Each latency counts as often as it is long, which makes the mean over an assessment 1 -
-		// lowest/mean.
+		// The latency is also the weight of its sample, so that the mean over an assessment is
+		// 1 - baseline/mean.
 		b.overload.addOccupancy(baselineRatio-1, baselineRatio)
 	}
 }
 
-// relativeCapacity returns the endpoint's size: as listed or, where all are listed alike, by the speed of its
-// machine type.
+// relativeCapacity returns the endpoint's capacity relative to other endpoints. It is the listed weight. If
+// all listed weights are equal, the weight is multiplied by the relative speed of the machine type.
 func (b *Balancer) relativeCapacity(e *endpoint) float64 {
 	if b.endpoints.list.activeWeights.differ() {
 		return e.weight()
--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -7,20 +7,25 @@
 )
 
 const (
-	timeoutError   = 0.5                    // a timeout as a part of an error: the endpoint may only be slow
-	slowConnect    = 100 * time.Millisecond // connections that fail sooner were refused: no silence
-	minTimeoutMean = 1e-3                   // seconds; least mean latency that timeouts are held against
-
-	// unresponsiveAfterMeans is the silence of an endpoint with attempts in flight after which it counts as
-	// unresponsive, in mean latencies. It is at most the time for which an attempt counts as recent, and at
-	// least that divided by minSilenceDivisor.
+	// timeoutErrorWeight is the weight of a timeout in the error rate. It is less than that of an error, as
+	// the endpoint may only be slow.
+	timeoutErrorWeight = 0.5
+	// slowConnect is the time from which a failed connection counts as silence. One that fails sooner was
+	// refused.
+	slowConnect = 100 * time.Millisecond
+	// minTimeoutMean is the minimum mean latency, in seconds, that a timeout is compared with.
+	minTimeoutMean = 1e-3
+
+	// unresponsiveAfterMeans is the time without a response, in mean latencies, after which an endpoint with
+	// attempts in flight counts as unresponsive. The time is at most the age up to which an attempt counts
+	// as recent, and at least that age divided by minSilenceDivisor.
 	unresponsiveAfterMeans = 3.0
 	minSilenceDivisor      = 4
 )
 
-// recordOutcome learns from the end of an attempt at an endpoint.
+// recordOutcome updates the state of an endpoint, and the balancer's averages, at the end of an attempt.
 func (b *Balancer) recordOutcome(r *request, e *endpoint, o Outcome) {
-	if b.settings.LoadReports == LoadReportsInResponses { // elsewhere a response has none to give
+	if b.settings.LoadReports == LoadReportsInResponses { // otherwise responses have none
 		b.recordLoadReport(e, o.LoadReport)
 	}
 	b.recordResponsiveness(e, o)
@@ -43,7 +48,7 @@
 	b.recordError(e, o.Result)
 }
 
-// recordResponsiveness records whether the endpoint has responded.
+// recordResponsiveness records whether the endpoint responded to an attempt.
 func (b *Balancer) recordResponsiveness(e *endpoint, o Outcome) {
 	switch o.Result {
 	case OK, Overloaded, ErrorResponse:
@@ -60,39 +65,43 @@
 	}
 }
 
-// recordSuccess records an OK.
+// recordSuccess records an OK response.
 func (b *Balancer) recordSuccess(class int, e *endpoint, elapsed time.Duration) {
 	e.recordProgress(b.now)
 	e.health.recordSuccess()
 	b.concurrency.recordResponse()
 	b.recordLatency(class, e, elapsed)
-	// Only endpoints that count in the mean and only work that is known: responses of draining endpoints,
-	// or a guess that proves too high, would inflate what cold ones may be sent.
+	// Only the endpoints that [endpointSet.warmWeight] counts, and only work that is known: responses of
+	// draining endpoints, or an estimate that is too high, would inflate the budgets of cold endpoints.
 	if b.warmUpFraction(e) >= 1 && e.acceptsRequests() && e.inSubset {
 		b.slowStart.recordWork(b.latency.learnedWork(class))
 	}
 }
 
-// recordOverloaded records a rejection by an endpoint that had no capacity left: it gets none for a short
-// time.
+// recordOverloaded records that an endpoint rejected a request for lack of capacity. The endpoint is ejected
+// for one control interval.
 func (b *Balancer) recordOverloaded(e *endpoint) {
 	e.recordProgress(b.now)
 	b.overload.sampleOccupancy(1)
 	e.health.ejectFor(b.now, controlInterval)
 }
 
-// recordTimeout records an attempt that was given up; its latency is at least the time that it had.
+// recordTimeout records an attempt that timed out. Its elapsed time counts as its latency, which would have
+// been at least as long.
 func (b *Balancer) recordTimeout(class int, e *endpoint, elapsed time.Duration) {
 	b.overload.sampleOccupancy(1)
 	e.recordLatencyRatio(elapsed.Seconds() / math.Max(b.latency.classMean(class), minTimeoutMean))
 }
 
-// recordConnectFailed records that no connection came up. The process may have restarted and be cold, long
-// before the list says so; the same holds for one that comes back after a cut. A connection that breaks is
-// no sign: where they break one by one all endpoints would count as cold, and a process that dies refuses
-// new connections as well. Single connections fail at processes that live too, so a health check is sent at
-// once: its response, or one on an older connection, withdraws the suspicion, as no process could have
-// started in between.
+// recordConnectFailed records a connection that could not be made. The process may have restarted and be
+// cold, long before the list reports that. The same holds for a process that is reachable again after a
+// network partition. An established connection that breaks does not count as a sign of a restart: where
+// connections break one by one, all endpoints would count as cold, and a crashed process also refuses new
+// connections.
+//
+// Single connections also fail at running processes, so a health check is sent at once. A response to it, or
+// a response on a connection older than the failure, shows that the process was not replaced in between and
+// withdraws the suspicion.
 func (b *Balancer) recordConnectFailed(e *endpoint) {
 	e.restarts.suspect(b.now)
 	e.load.recordRefusal(b.now)
@@ -102,10 +111,10 @@
 	}
 }
 
-// recordError adds a result to the error rate, which may eject the endpoint; a failed connection does at
-// once.
+// recordError adds a result to the endpoint's error rate. A high rate ejects the endpoint. A failed
+// connection ejects it at once.
 func (b *Balancer) recordError(e *endpoint, result Result) {
-	e.health.recordError(errorAmount(result))
+	e.health.recordError(errorWeight(result))
 	if !e.health.ejected(b.now) &&
 		(e.health.errorRate > ejectionErrorRate || result == ConnectFailed) {
 		e.health.eject(b.now)
@@ -114,18 +123,18 @@
 	}
 }
 
-// errorAmount returns a result as a part of an error.
-func errorAmount(result Result) float64 {
+// errorWeight returns the weight of a result in the error rate, from 0 for OK to 1 for an error.
+func errorWeight(result Result) float64 {
 	switch result {
 	case OK:
 		return 0
 	case TimedOut:
-		return timeoutError
+		return timeoutErrorWeight
 	}
 	return 1
 }
 
-// recordLoadReport takes in a load report, nil where none came.
+// recordLoadReport records a load report. The report is nil if the endpoint sent none.
 func (b *Balancer) recordLoadReport(e *endpoint, report *LoadReport) {
 	if report == nil {
 		return
@@ -136,15 +145,15 @@
 	}
 }
 
-// recordResponse records a response of any kind.
+// recordResponse records a response with any result, to an attempt or a health check.
 func (b *Balancer) recordResponse(e *endpoint) {
 	if e.health.recordResponse(b.now) {
 		b.logInfo("endpoint responds again", slog.String("endpoint", e.ID))
 	}
 }
 
-// recordNoResponse records that something sent at a time came to nothing. Without health checks, an
-// endpoint that is held unreachable could not show that it responds again.
+// recordNoResponse records that an attempt or a health check sent at sentAt got no response. Without health
+// checks it does nothing: an endpoint marked as unreachable could then not show that it responds again.
 func (b *Balancer) recordNoResponse(e *endpoint, sentAt time.Duration) {
 	if b.health.enabled && e.health.recordNoResponse(sentAt) {
 		b.logInfo("endpoint unreachable until a health check succeeds",
@@ -152,23 +161,26 @@
 	}
 }
 
-// ejectUnresponsive ejects an endpoint at which an attempt came to nothing, unless a node has reported it
-// since that was sent. To try such an endpoint costs a request, and load gossip ends the ejection sooner
-// than a try would.
+// ejectUnresponsive ejects an endpoint that did not respond to an attempt sent at sentAt, unless it has
+// responded to this node since, or another node has reported its load. It applies to large fleets only.
+// Trying the endpoint again would cost a request, and load gossip ends the ejection sooner than a trial
+// would.
 func (b *Balancer) ejectUnresponsive(e *endpoint, sentAt time.Duration) {
 	if b.ownsQuotas() && max(e.health.lastResponse, e.load.reportedAt) <= sentAt {
 		e.health.ejectAsUnresponsive(b.now)
 	}
 }
 
-// HealthChecked brings the result of a health check.
-func (b *Balancer) HealthChecked(now time.Duration, id string, res Result, report *LoadReport, out Actions) {
+// HealthChecked handles the result of a health check. The report is nil if the endpoint sent none.
+func (b *Balancer) HealthChecked(
+	now time.Duration, endpointID string, result Result, report *LoadReport, out Actions,
+) {
 	b.now, b.actions = now, out
-	e := b.endpoints.trackedByID[id]
+	e := b.endpoints.trackedByID[endpointID]
 	if e == nil {
 		return
 	}
-	switch res {
+	switch result {
 	case OK:
 		b.recordLoadReport(e, report)
 		b.recordCheckResponse(e)
@@ -196,7 +208,7 @@
 	}
 }
 
-// healthCriteria returns what endpoints are judged by now.
+// healthCriteria returns the present criteria for the health of endpoints.
 func (b *Balancer) healthCriteria() healthCriteria {
 	if !b.ownsQuotas() {
 		return healthCriteria{}
@@ -206,5 +218,5 @@
 	return healthCriteria{largeFleet: true, maxSilence: math.Min(silence, longest)}
 }
 
-// deprioritized reports whether the endpoint gets requests only where no other is left.
+// deprioritized reports whether the endpoint gets requests only if no other endpoint is left.
 func (b *Balancer) deprioritized(e *endpoint) bool { return e.deprioritized(b.now, b.healthCriteria()) }
--- a/balancer/overload.go
+++ b/balancer/overload.go
@@ -2,17 +2,17 @@
 
 import "math"
 
-// Parameters of the overload control. The paper's figures are those of "Fast and Robust Signaling
-// Overload Control".
+// Parameters of the overload control. The paper is "Fast and Robust Signaling Overload Control".
 const (
-	// assessmentIntervals is the number k of control intervals in an assessment: half a second follows
-	// short bursts.
+	// assessmentIntervals is the paper's k, the number of control intervals in an assessment. Half a second
+	// is short enough to follow bursts.
 	assessmentIntervals = 5
 	// targetOccupancy is the paper's rho_targ.
 	targetOccupancy = 0.95
-	// maxGrowthFactor is the paper's phi_max: the growth of the admitted fraction in one assessment.
+	// maxGrowthFactor is the paper's phi_max: the largest growth of the admitted fraction per assessment.
 	maxGrowthFactor = 1.3
-	// minAdmittedFraction is the paper's f_min, so that a recovery is always seen.
+	// minAdmittedFraction is the paper's f_min. Some requests are always admitted, so that a recovery of the
+	// endpoints is noticed.
 	minAdmittedFraction = 0.1
 	// maxAcceptRateSmoothing is the weight of a new sample in the slow average of the maximum accept rate.
 	maxAcceptRateSmoothing = 0.1
@@ -22,12 +22,13 @@
 	underloadedOccupancy = 0.5
 	// minOccupancyToLearn is the occupancy from which the maximum accept rate is sampled.
 	minOccupancyToLearn = 0.1
-	// minOwnSamples is the number of samples with which a node relies on its own alone.
+	// minOwnSamples is the number of samples from which a node relies on its own samples alone.
 	minOwnSamples = 10
-	// ownPoolSmoothing is the weight of a control interval in the pooled means: about two seconds.
+	// ownPoolSmoothing is the weight of a control interval in the pooled means, which cover about two
+	// seconds.
 	ownPoolSmoothing = 0.05
-	// minPooledSamples is the number of samples below which the occupancy counts as 0: less is what has faded
-	// of earlier ones in the pooled means.
+	// minPooledSamples is the number of samples up to which the occupancy counts as 0. A smaller number in
+	// the pooled means is only the remainder of older samples.
 	minPooledSamples = minOwnSamples * ownPoolSmoothing / 4
 	// peerPoolSmoothing is the weight of a peer's means in the pooled means.
 	peerPoolSmoothing = 0.3
@@ -36,18 +37,18 @@
 // Indexes of [pooledMeans].
 const (
 	poolOccupancySum     = iota // sum of the occupancy samples
-	poolOccupancySamples        // their number
+	poolOccupancySamples        // number of occupancy samples
 	poolSent                    // requests forwarded
-	poolResponses
-	poolInFlight
-	poolSize
+	poolResponses               // OK responses
+	poolInFlight                // recent attempts in flight
+	poolSize                    // number of means
 )
 
-// pooledMeans are means per control interval over this node and the peers that it hears from. Nodes
-// exchange them, since in a large fleet each has too few samples of its own.
+// pooledMeans are means per control interval over this node and the peers whose messages it receives. Nodes
+// exchange them because in a large fleet a single node has too few samples of its own.
 type pooledMeans [poolSize]float64
 
-// intervalSample is what one control interval adds to an assessment.
+// intervalSample holds the samples of one control interval.
 type intervalSample struct {
 	occupancySum     float64
 	occupancySamples float64
@@ -58,12 +59,12 @@
 // Robust Signaling Overload Control": of the requests that the quotas admit, a fraction f = min(fA, fO)
 // is forwarded, by a deterministic throttle.
 //
-// Each control interval samples the occupancy rho of the endpoints and the accept rate alpha, the
-// requests forwarded per interval. An assessment of k intervals sets fO, which moves rho towards its
-// target, and fA, which moves alpha towards the target times mu_max, the slow average of alpha/rho. fA
-// acts only while the endpoints are overloaded, and once mu_max has a sample.
+// Each control interval samples the occupancy rho of the endpoints and the accept rate alpha, which is the
+// number of requests forwarded per interval. An assessment of k intervals sets fO, which moves rho towards
+// its target. It also sets fA, which moves alpha towards the target times mu_max, the slow average of
+// alpha/rho. fA has an effect only while the endpoints are overloaded and mu_max has a sample.
 //
-// Make one with newOverloadController.
+// Create one with newOverloadController.
 type overloadController struct {
 	admittedFraction    float64 // the paper's f
 	throttleAccumulator float64 // the paper's r
@@ -71,13 +72,14 @@
 	acceptRate          float64 // the paper's alpha, at the last assessment
 	maxAcceptRate       float64 // the paper's mu_max; 0: no sample yet
 	samples             [assessmentIntervals]intervalSample
-	intervals           int // control intervals since the start
+	intervals           int // number of control intervals since the start
 	pooled              pooledMeans
 }
 
 func newOverloadController() overloadController { return overloadController{admittedFraction: 1} }
 
-// admit runs the deterministic throttle for one request: it admits the admitted fraction of them, evenly.
+// admit reports whether the deterministic throttle admits a request. It spreads the admitted fraction evenly
+// over the requests.
 func (c *overloadController) admit() bool {
 	c.throttleAccumulator += c.admittedFraction
 	if c.throttleAccumulator < 1 {
@@ -95,7 +97,7 @@
 	c.addOccupancy(occupancy, 1)
 }
 
-// addOccupancy records samples of the occupancy by their sum and number.
+// addOccupancy records several samples of the occupancy, given by their sum and number.
 func (c *overloadController) addOccupancy(sum, samples float64) {
 	current := c.current()
 	current.occupancySum += sum
@@ -113,8 +115,9 @@
 // throttles reports whether a fraction of the requests is rejected.
 func (c *overloadController) throttles() bool { return c.admittedFraction < 1 }
 
-// closeInterval ends a control interval in which responses came, with attempts in flight at its end. Every
-// assessmentIntervals intervals it sets the admitted fraction anew.
+// closeInterval ends a control interval. responses is the number of OK responses in it, and inFlight the
+// number of recent attempts in flight at its end. After every assessmentIntervals intervals, closeInterval
+// updates the admitted fraction.
 func (c *overloadController) closeInterval(responses, inFlight float64) {
 	sample := c.current()
 	c.mixIntoPool(ownPoolSmoothing, &pooledMeans{
@@ -143,8 +146,8 @@
 	c.learnMaxAcceptRate()
 }
 
-// assessedSamples returns the sums over the intervals and the accept rate: this node's own or, where
-// these are too few, the pooled means.
+// assessedSamples returns the samples of an assessment and the accept rate per control interval. They are
+// this node's own, summed over the intervals. If these are too few, the pooled means take their place.
 func (c *overloadController) assessedSamples() (total intervalSample, acceptRate float64) {
 	for _, sample := range c.samples {
 		total.occupancySum += sample.occupancySum
@@ -159,13 +162,13 @@
 	return total, c.pooled[poolSent]
 }
 
-// fractionByOccupancy is the paper's fO.
+// fractionByOccupancy returns the paper's fO.
 func (c *overloadController) fractionByOccupancy() float64 {
 	growth := math.Min(targetOccupancy/math.Max(c.occupancy, 1e-9), maxGrowthFactor)
 	return clampAdmittedFraction(growth * c.admittedFraction)
 }
 
-// fractionByAcceptRate is the paper's fA, or 1 where it does not act.
+// fractionByAcceptRate returns the paper's fA, or 1 where fA has no effect.
 func (c *overloadController) fractionByAcceptRate() float64 {
 	if c.maxAcceptRate <= 0 || !c.overloaded() || c.acceptRate <= 0 {
 		return 1
@@ -173,7 +176,7 @@
 	return clampAdmittedFraction(targetOccupancy * c.maxAcceptRate / c.acceptRate * c.admittedFraction)
 }
 
-// learnMaxAcceptRate samples the paper's mu_max.
+// learnMaxAcceptRate adds a sample to the paper's mu_max, unless the occupancy is too low for one.
 func (c *overloadController) learnMaxAcceptRate() {
 	if c.occupancy < minOccupancyToLearn {
 		return
@@ -186,14 +189,14 @@
 	c.maxAcceptRate += maxAcceptRateSmoothing * (sample - c.maxAcceptRate)
 }
 
-// mixIntoPool averages means of this node or of a peer into the pooled ones.
+// mixIntoPool averages the means of this node or of a peer into the pooled means, with the given weight.
 func (c *overloadController) mixIntoPool(weight float64, means *pooledMeans) {
 	for i := range means {
 		c.pooled[i] += weight * (means[i] - c.pooled[i])
 	}
 }
 
-// current is the sample of the interval that is open.
+// current returns the samples of the present control interval.
 func (c *overloadController) current() *intervalSample {
 	return &c.samples[c.intervals%assessmentIntervals]
 }
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// assess runs assessments of an interval each with so many requests sent and the occupancy sampled once.
+// assess runs a number of assessments. Each control interval has the given number of sent requests and one
+// sample of the occupancy.
 func assess(c *overloadController, assessments int, sent, occupancy float64) {
 	for range assessments * assessmentIntervals {
 		c.current().sent = sent
@@ -19,12 +20,18 @@
 	tests := []struct {
 		name      string
 		occupancy float64
-		from      float64 // admitted fraction before
+		from      float64 // admitted fraction at the start
 		want      func(fraction float64) bool
 	}{
-		{"overload reduces it", 1, 1, func(f float64) bool { return f < 0.9 && f >= minAdmittedFraction }},
-		{"it never falls below the minimum", 1, minAdmittedFraction, func(f float64) bool { return f == minAdmittedFraction }},
-		{"spare capacity restores it", 0.3, minAdmittedFraction, func(f float64) bool { return f == 1 }},
+		{"overload reduces the fraction", 1, 1, func(f float64) bool {
+			return f < 0.9 && f >= minAdmittedFraction
+		}},
+		{"the fraction never falls below its minimum", 1, minAdmittedFraction, func(f float64) bool {
+			return f == minAdmittedFraction
+		}},
+		{"spare capacity restores the fraction", 0.3, minAdmittedFraction, func(f float64) bool {
+			return f == 1
+		}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -32,13 +39,13 @@
 			c.admittedFraction = test.from
 			assess(&c, 10, fewSamples, test.occupancy)
 			if !test.want(c.admittedFraction) {
-				t.Errorf("admitted fraction %v", c.admittedFraction)
+				t.Errorf("unexpected admitted fraction %v", c.admittedFraction)
 			}
 		})
 	}
 }
 
-// Occupancy 1 for five seconds drives the admitted fraction down, five quiet seconds restore it.
+// Five seconds at occupancy 1 reduce the admitted fraction, and five seconds at occupancy 0.3 restore it.
 func TestAdmittedFractionRecovers(t *testing.T) {
 	c := newOverloadController()
 	for range 50 {
@@ -48,18 +55,18 @@
 	}
 	low := c.admittedFraction
 	if low > 0.9 || low < minAdmittedFraction {
-		t.Errorf("admitted fraction %v after 5 s at occupancy 1", low)
+		t.Errorf("admitted fraction %v after 5 s at occupancy 1, want %v to 0.9", low, minAdmittedFraction)
 	}
 	for range 50 {
 		c.sampleOccupancy(0.3)
 		c.closeInterval(0, 0)
 	}
 	if c.admittedFraction != 1 {
-		t.Errorf("admitted fraction %v after 5 s of occupancy 0.3", c.admittedFraction)
+		t.Errorf("admitted fraction %v after 5 s at occupancy 0.3, want 1", c.admittedFraction)
 	}
 }
 
-// The throttle admits its fraction of any run of requests, to within one.
+// After any number of requests, the admitted ones differ from the admitted fraction by at most one request.
 func TestThrottleIsEven(t *testing.T) {
 	c := newOverloadController()
 	c.admittedFraction = 0.3
@@ -69,19 +76,20 @@
 			admitted++
 		}
 		if math.Abs(float64(admitted)-0.3*float64(n)) > 1 {
-			t.Fatalf("%d of %d requests admitted", admitted, n)
+			t.Fatalf("%d of %d requests admitted, want 30%% of them to within one", admitted, n)
 		}
 	}
 }
 
-// A node with too few samples goes by the pooled means.
-func TestFewSamplesUseThePool(t *testing.T) {
+// A node with too few samples of its own uses the pooled means.
+func TestPooledMeansReplaceFewOwnSamples(t *testing.T) {
 	c := newOverloadController()
 	c.mixIntoPool(1, &pooledMeans{poolOccupancySum: 10, poolOccupancySamples: 10, poolSent: 10})
 	for range assessmentIntervals {
 		c.closeInterval(0, 0)
 	}
 	if c.occupancy < 0.99 || c.admittedFraction >= 1 {
-		t.Errorf("occupancy %v and admitted fraction %v, though all peers report 1", c.occupancy, c.admittedFraction)
+		t.Errorf("occupancy %v and admitted fraction %v with a pooled occupancy of 1, want 1 and less than 1",
+			c.occupancy, c.admittedFraction)
 	}
 }
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -6,39 +6,40 @@
 type attempt struct {
 	endpoint *endpoint
 	sentAt   time.Duration
-	zone     string // of the endpoint when the attempt began
-	cell     int    // likewise
+	zone     string // zone of the endpoint at the start of the attempt
+	cell     int    // cell of the endpoint at the start of the attempt
 	done     bool
-	neverRan bool   // it is known that the request did not run
-	result   Result // once done
+	neverRan bool   // the result proves that the request did not run
+	result   Result // valid when done
 }
 
-// request is the state of a client's request until it is answered and its attempts have ended.
+// request is the state of a client's request. It is kept until the request is answered and its attempts have
+// ended.
 type request struct {
 	Request
-	number   uint64 // in this node's order of arrival
-	class    int    // index
+	number   uint64 // sequence number at this node
+	class    int    // index in the settings
 	quota    *quotaBucket
-	deadline time.Duration // when a final answer is due
+	deadline time.Duration // time by which a final answer is due
 	attempts []attempt
-	inFlight int // attempts that have not ended
+	inFlight int // number of attempts that have not ended
 
-	inQuota         bool
-	quotaOwner      int // the node that decides on its quota
+	inQuota         bool // the quota admits the request
+	quotaOwner      int  // node that decides on the quota
 	quotaState      quotaRequestState
-	reconciled      bool // the units really used are settled
-	answered        bool // the client has its final answer, or has gone
+	reconciled      bool // the quota is corrected by the units actually used
+	answered        bool // the client has its final answer or has disconnected
 	responseStarted bool // a streamed response has begun
 }
 
-// awaitsResponse reports whether the client still waits for the beginning of a response.
+// awaitsResponse reports whether the client is still waiting for the start of a response.
 func (r *request) awaitsResponse() bool { return !r.answered && !r.responseStarted }
 
 // requestTable holds the requests that have no final answer yet or have attempts in flight.
 type requestTable struct {
 	byID       map[string]*request
-	byNumber   map[uint64]*request // those without a final answer
-	lastNumber uint64
+	byNumber   map[uint64]*request // requests without a final answer
+	lastNumber uint64              // number of the latest request
 }
 
 func newRequestTable() requestTable {
@@ -50,7 +51,8 @@
 	t.byNumber[r.number] = r
 }
 
-// AttemptFinished is the end of an attempt.
+// AttemptFinished handles the end of an attempt. If the client has no answer yet and no other attempt is in
+// flight, the balancer retries or answers the request.
 func (b *Balancer) AttemptFinished(now time.Duration, o Outcome, out Actions) {
 	b.now, b.actions = now, out
 	r := b.requests.byID[o.ID]
@@ -64,18 +66,18 @@
 		b.finishRequest(r)
 	}
 	if r.answered {
-		b.finishRequest(r) // its last attempt may have ended now
+		b.finishRequest(r) // removes the request if this was its last attempt
 		return
 	}
 	if r.inFlight > 0 {
 		return
 	}
 	if o.Result == NotSent || !b.retry(r) {
-		b.giveUp(r)
+		b.rejectOrFail(r)
 	}
 }
 
-// endAttempt marks an attempt as done, and returns its endpoint.
+// endAttempt marks an attempt as done and returns its endpoint.
 func (b *Balancer) endAttempt(r *request, o Outcome) *endpoint {
 	a := &r.attempts[o.Attempt]
 	a.done = true
@@ -89,7 +91,7 @@
 	return a.endpoint
 }
 
-// reconcileUsedUnits settles the units of a request by what it really used, once.
+// reconcileUsedUnits corrects the quota by the units that a request actually used, once per request.
 func (b *Balancer) reconcileUsedUnits(r *request, o Outcome) {
 	if o.Result != OK || !b.settings.PostPaid || o.Units <= 0 || !r.inQuota || r.reconciled {
 		return
@@ -98,8 +100,8 @@
 	b.reconcileUnits(r, r.Units-o.Units)
 }
 
-// ResponseStarted reports that a streamed response has begun: the client has it, and no other attempt can
-// replace it.
+// ResponseStarted handles the start of a streamed response. From then on the client receives this response,
+// and no other attempt can replace it.
 func (b *Balancer) ResponseStarted(now time.Duration, requestID string, attempt int, out Actions) {
 	b.now, b.actions = now, out
 	r := b.requests.byID[requestID]
@@ -110,7 +112,8 @@
 	r.attempts[attempt].endpoint.recordProgress(now)
 }
 
-// ClientGone reports that the client no longer waits for the request.
+// ClientGone handles a client that no longer waits for the response. The request's attempts are cancelled,
+// unless a streamed response has begun.
 func (b *Balancer) ClientGone(now time.Duration, requestID string, out Actions) {
 	b.now, b.actions = now, out
 	r := b.requests.byID[requestID]
@@ -123,8 +126,9 @@
 	}
 }
 
-// giveUp answers a request that gets no further attempt: with a rejection where what that promises holds.
-func (b *Balancer) giveUp(r *request) {
+// rejectOrFail answers a request that gets no further attempt. It rejects the request if the promise of
+// [Actions.Reject] holds, and fails it otherwise.
+func (b *Balancer) rejectOrFail(r *request) {
 	if b.mayReject(r) {
 		b.reject(r.ID, assessmentIntervals*controlInterval)
 	} else {
@@ -134,7 +138,7 @@
 	b.cancelAttempts(r)
 }
 
-// reject answers a request with a rejection.
+// reject answers a request with a rejection. The settings may limit retryAfter, or drop it.
 func (b *Balancer) reject(requestID string, retryAfter time.Duration) {
 	if !b.settings.RetryAfter {
 		retryAfter = 0
@@ -142,7 +146,7 @@
 	b.actions.Reject(requestID, min(retryAfter, b.settings.MaxRetryAfter))
 }
 
-// finishRequest marks a request as answered. It is kept until its attempts have ended.
+// finishRequest marks a request as answered. The request is kept until its attempts have ended.
 func (b *Balancer) finishRequest(r *request) {
 	r.answered = true
 	delete(b.requests.byNumber, r.number)
@@ -155,7 +159,7 @@
 	}
 }
 
-// cancelAttempts cancels the attempts that are in flight.
+// cancelAttempts cancels the request's attempts in flight, if the settings allow that.
 func (b *Balancer) cancelAttempts(r *request) {
 	if !b.settings.Cancellation {
 		return
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -6,37 +6,39 @@
 )
 
 const (
-	// slowAttemptDeviations is how many mean deviations over the mean latency make an attempt slow.
+	// slowAttemptDeviations is the number of mean deviations above the mean latency from which an attempt is
+	// slow.
 	slowAttemptDeviations = 10
-	// slowAttemptDivisor is the fraction 1/n of the latency objective before which no attempt is slow.
+	// slowAttemptDivisor sets the time before which no attempt is slow: the latency objective divided by
+	// this.
 	slowAttemptDivisor = 4
 )
 
-// Limits of a [retryBudget].
+// Parameters of [retryBudget].
 const (
-	retryTokensPerRequest = 0.2
-	maxRetryTokens        = 20
+	retryTokensPerRequest = 0.2 // retries earned by each first attempt
+	maxRetryTokens        = 20  // retries that may be saved up
 )
 
-// retryBudget bounds retries to a fraction of the first attempts, so that retries cannot multiply the
-// load of endpoints that are already failing. The zero value is an empty budget.
+// retryBudget limits retries to a fraction of the first attempts, so that retries cannot multiply the load on
+// endpoints that are already failing. The zero value is an empty budget.
 type retryBudget struct {
-	tokens float64
+	tokens float64 // retries that may be started now
 }
 
-// deposit credits the budget for one first attempt.
+// deposit adds the tokens earned by one first attempt.
 func (r *retryBudget) deposit() {
 	r.tokens = math.Min(r.tokens+retryTokensPerRequest, maxRetryTokens)
 }
 
-// empty reports whether there is no token for a retry.
+// empty reports whether the budget allows no retry.
 func (r *retryBudget) empty() bool { return r.tokens < 1 }
 
-// withdraw takes the token of a retry.
+// withdraw takes the token for one retry.
 func (r *retryBudget) withdraw() { r.tokens-- }
 
-// mayAttempt reports whether the request may be sent to the endpoint: an attempt that may have run allows
-// another one only where the endpoint drops a repeat.
+// mayAttempt reports whether the request may be sent to the endpoint. If an earlier attempt may have run, the
+// request must be idempotent, or the endpoint must recognize and drop a repeat by its key.
 func (b *Balancer) mayAttempt(r *request, to *endpoint) bool {
 	if !r.awaitsResponse() || r.inFlight > 0 && !b.settings.Hedging || !b.hasAttemptLeft(r) {
 		return false
@@ -57,12 +59,12 @@
 	return true
 }
 
-// hasAttemptLeft reports whether the request has had less than the maximum of attempts.
+// hasAttemptLeft reports whether the request has had fewer attempts than the maximum.
 func (b *Balancer) hasAttemptLeft(r *request) bool {
 	return b.settings.MaxAttempts == 0 || len(r.attempts) < b.settings.MaxAttempts
 }
 
-// dedups reports whether an endpoint knows the keys of requests that an earlier attempt has brought.
+// dedups reports whether an endpoint recognizes the idempotency key of a request after an earlier attempt.
 func (c *Class) dedups(earlier *attempt, to *endpoint) bool {
 	switch c.DedupScope {
 	case DedupZone:
@@ -73,8 +75,8 @@
 	return true
 }
 
-// retryDeadline is until when a request with a key may be sent again, since an attempt may have run; 0 if
-// none has.
+// retryDeadline returns the time until which a request with an idempotency key may be sent again. It returns
+// 0 if there is no such limit: the class has no keys, or no attempt of the request can have run.
 func (b *Balancer) retryDeadline(r *request) time.Duration {
 	class := &b.settings.Classes[r.class]
 	if class.Idempotency != IdempotentWithKey {
@@ -88,8 +90,8 @@
 	return 0
 }
 
-// mayReject reports whether what a rejection promises holds: that the request did not run, or may be
-// repeated anywhere.
+// mayReject reports whether the promise of [Actions.Reject] holds: the request did not run, or may be
+// repeated at any endpoint.
 func (b *Balancer) mayReject(r *request) bool {
 	class := &b.settings.Classes[r.class]
 	switch {
@@ -122,8 +124,8 @@
 	b.actions.SendAttempt(r.ID, to.ID, timeout, sendBy)
 }
 
-// attemptTimeout returns the timeout of the next attempt. Where a slow attempt can be followed by another
-// one, it sets the timer of a hedged attempt or, without hedging, ends the attempt early.
+// attemptTimeout returns the timeout of the next attempt. If another attempt may follow a slow one, it sets
+// the timer of a hedged attempt or, without hedging, may return a shorter timeout.
 func (b *Balancer) attemptTimeout(r *request) time.Duration {
 	timeout := max(r.deadline-b.now, b.settings.Tick)
 	class := &b.settings.Classes[r.class]
@@ -145,12 +147,12 @@
 	return timeout
 }
 
-// hedge starts a second attempt beside one that is slow.
+// hedge starts a hedged attempt while a slow one is in flight.
 func (b *Balancer) hedge(r *request) {
 	if !r.awaitsResponse() || r.inFlight != 1 || b.overload.overloaded() {
 		return
 	}
-	// The second attempt counts as in flight: it must not push the tenant's next request over the limit.
+	// The hedged attempt counts as in flight and must not push the tenant's next request over the limit.
 	limited := r.quota.plan.MaxConcurrent > 0
 	if limited && r.quota.concurrencyHeadroom(b.now, b.gossip.interval) <= r.quota.entryNodes.count {
 		return
@@ -158,8 +160,8 @@
 	b.retry(r)
 }
 
-// retry starts a further attempt if one is allowed, affordable and can be answered in time. It reports
-// whether it did.
+// retry starts a further attempt if the retry budget and the retry rules allow one and if it can be answered
+// before the deadline. It reports whether it started one.
 func (b *Balancer) retry(r *request) bool {
 	meanLatency := time.Duration(b.latency.classes[r.class].mean * float64(time.Second))
 	if b.retries.empty() || b.now+meanLatency > r.deadline {
--- a/balancer/rules_checker_test.go
+++ b/balancer/rules_checker_test.go
@@ -11,37 +11,38 @@
 	"time"
 )
 
-// maxDatagram is the longest message that a node may send to a peer, in bytes.
+// maxDatagram is the maximum size of a message to a peer, in bytes.
 const maxDatagram = 256
 
-// endpointRate is the number of requests a second that a warm endpoint answers. It rejects more as Overloaded.
+// endpointRate is the number of requests per second that an endpoint answers. It rejects more as Overloaded.
 const endpointRate = 40
 
-// attemptRecord is what the checker knows of an attempt.
+// attemptRecord is the checker's record of an attempt.
 type attemptRecord struct {
 	endpoint string
-	at       time.Duration
+	at       time.Duration // time of the start
 	done     bool
-	neverRan bool
+	neverRan bool // the result proves that the request did not run
 }
 
-// requestRecord is what the checker knows of a request.
+// requestRecord is the checker's record of a request.
 type requestRecord struct {
 	request       Request
 	node          int
 	arrivedAt     time.Duration
 	attempts      []attemptRecord
-	answers       int  // final answers, of which there must be one
-	nodeRestarted bool // before the answer: none can come
+	answers       int  // number of final answers; must be one at the end
+	nodeRestarted bool // the node restarted before the answer, so that no answer can come
 }
 
+// scheduledEvent is a function that runs at a time.
 type scheduledEvent struct {
 	at       time.Duration
 	sequence int
 	run      func()
 }
 
-// eventQueue is a heap of events by time and then by the order in which they were scheduled.
+// eventQueue is a heap of events, ordered by time and then by the order in which they were scheduled.
 type eventQueue []scheduledEvent
 
 func (q eventQueue) Len() int { return len(q) }
@@ -61,14 +62,23 @@
 	return x
 }
 
-// hardLimitBucket is the checker's own bucket of a tenant's hard limit.
+// hardLimitBucket is the checker's bucket for the hard limit of a tenant.
 type hardLimitBucket struct {
-	tokens float64
-	at     time.Duration
+	tokens float64       // units
+	at     time.Duration // time of the last refill
 }
 
-// ruleChecker drives balancers with seeded random sequences of legal events, and checks what they do against the
-// platform's five rules. Outcomes are random; there is no model of how endpoints perform.
+// ruleChecker passes random sequences of valid events, drawn from a seed, to balancers and checks the actions
+// against five rules:
+//
+//  1. Each request gets exactly one final answer in time, and no attempt after it.
+//  2. A request that may have run is repeated only where that is harmless.
+//  3. An endpoint that drains or is removed gets no attempt from a node that has known this for longer than
+//     the drain timeout.
+//  4. All nodes together do not overload a cold endpoint.
+//  5. All nodes together do not exceed the hard limit of a tenant.
+//
+// The outcomes of attempts are random and do not model the performance of endpoints.
 type ruleChecker struct {
 	t            *testing.T
 	rng          *rand.Rand
@@ -77,18 +87,18 @@
 	queue        eventQueue
 	sequence     int
 	balancers    []*Balancer
-	incarnations []int // of the balancers
+	incarnations []int // by node: number of starts
 	requests     map[string]*requestRecord
 	endpoints    map[string]Endpoint
 	endpointIDs  []string
-	drainSeen    []map[string]time.Duration // by node: when it learned that an endpoint accepts no more requests
-	startedAt    map[string]time.Duration
-	sentTo       map[string][]time.Duration
-	responses    map[string][]time.Duration
-	hardLimits   map[uint64]*hardLimitBucket
-	loss         float64 // fraction of the messages between nodes
-	actions      []string
-	served       int
+	drainSeen    []map[string]time.Duration  // by node: when it learned that an endpoint accepts no requests
+	startedAt    map[string]time.Duration    // by endpoint: its last restart
+	sentTo       map[string][]time.Duration  // by endpoint: starts of attempts
+	responses    map[string][]time.Duration  // by endpoint: ends of attempts with an OK
+	hardLimits   map[uint64]*hardLimitBucket // by tenant
+	loss         float64                     // fraction of the messages between nodes that is lost
+	actions      []string                    // actions of all balancers as text
+	served       int                         // number of requests answered with an OK
 }
 
 // checkedNode is the host of one incarnation of a balancer.
@@ -98,20 +108,24 @@
 	incarnation int
 }
 
+// node returns the host of the present incarnation of a node.
 func (c *ruleChecker) node(index int) checkedNode {
 	return checkedNode{c, index, c.incarnations[index]}
 }
 
+// after schedules an event after a delay, which is at least a millisecond.
 func (c *ruleChecker) after(delay time.Duration, run func()) {
 	c.sequence++
 	heap.Push(&c.queue, scheduledEvent{c.now + max(delay, ms), c.sequence, run})
 }
 
+// fail reports a broken rule.
 func (c *ruleChecker) fail(format string, args ...any) {
 	c.t.Helper()
 	c.t.Errorf("at %v: %s", c.now, fmt.Sprintf(format, args...))
 }
 
+// record records an action of the node's balancer.
 func (n checkedNode) record(format string, args ...any) {
 	n.actions = append(n.actions, fmt.Sprintf("%v %d ", n.now, n.index)+fmt.Sprintf(format, args...))
 }
@@ -120,7 +134,7 @@
 	n.record("send %s %s %v", id, endpoint, timeout)
 	r := n.requests[id]
 	if r == nil || r.node != n.index {
-		n.fail("attempt of unknown request %s", id)
+		n.fail("attempt for unknown request %s", id)
 		return
 	}
 	if r.answers > 0 {
@@ -128,7 +142,8 @@
 	}
 	n.checkRepeat(r, endpoint)
 	if at, seen := n.drainSeen[n.index][endpoint]; seen && n.now-at > n.settings.DrainTimeout {
-		n.fail("rule 3: attempt at %s %v after its drain was known", endpoint, n.now-at)
+		n.fail("rule 3: attempt at %s %v after its drain was known, at most %v allowed", endpoint, n.now-at,
+			n.settings.DrainTimeout)
 	}
 	if len(r.attempts) == 0 {
 		n.checkHardLimit(&r.request)
@@ -150,7 +165,7 @@
 	return c.settings.Classes[0]
 }
 
-// checkRepeat is rule 2 for an attempt: what may have run is repeated only where that is harmless.
+// checkRepeat checks rule 2 for an attempt.
 func (c *ruleChecker) checkRepeat(r *requestRecord, endpoint string) {
 	class, id := c.classOf(r), r.request.ID
 	inFlight := 0
@@ -161,25 +176,28 @@
 		if a.neverRan {
 			continue
 		}
-		was, is := c.endpoints[a.endpoint], c.endpoints[endpoint]
+		earlier, present := c.endpoints[a.endpoint], c.endpoints[endpoint]
 		keyed := class.Idempotency == IdempotentWithKey
 		switch {
 		case class.Idempotency == NonIdempotent:
-			c.fail("rule 2: unsafe %s sent again", id)
+			c.fail("rule 2: non-idempotent %s sent again", id)
 		case keyed && c.now-a.at > class.DedupWindow:
-			c.fail("rule 2: keyed %s sent again after %v", id, c.now-a.at)
-		case keyed && class.DedupScope == DedupZone && was.Zone != is.Zone,
-			keyed && class.DedupScope == DedupCell && was.Cell != is.Cell:
-			c.fail("rule 2: keyed %s sent outside its scope", id)
+			c.fail("rule 2: keyed %s sent again after %v, at most %v allowed", id, c.now-a.at,
+				class.DedupWindow)
+		case keyed && class.DedupScope == DedupZone && earlier.Zone != present.Zone,
+			keyed && class.DedupScope == DedupCell && earlier.Cell != present.Cell:
+			c.fail("rule 2: keyed %s sent again outside its deduplication scope", id)
 		}
 	}
 	if inFlight > 0 && !c.settings.Hedging {
-		c.fail("rule 2: %s has two attempts in flight", id)
+		c.fail("rule 2: %s has two attempts in flight without hedging", id)
 	}
 }
 
-// randomOutcome draws how an attempt ends, and when.
-func (c *ruleChecker) randomOutcome(r *requestRecord, endpoint string, timeout time.Duration) (Result, time.Duration) {
+// randomOutcome returns a random result of an attempt and the time after which the attempt ends.
+func (c *ruleChecker) randomOutcome(
+	r *requestRecord, endpoint string, timeout time.Duration,
+) (Result, time.Duration) {
 	elapsed := time.Duration(c.rng.ExpFloat64() * float64(60*ms))
 	result := OK
 	switch c.rng.IntN(24) {
@@ -207,7 +225,7 @@
 	return result, elapsed
 }
 
-// overloaded reports whether an endpoint has answered as many requests in the last second as it can.
+// overloaded reports whether an endpoint has reached its rate within the last second.
 func (c *ruleChecker) overloaded(endpoint string) bool {
 	recent := 0
 	for _, at := range c.responses[endpoint] {
@@ -218,7 +236,7 @@
 	return recent >= endpointRate
 }
 
-// finish ends an attempt.
+// finish ends an attempt and reports its outcome to the balancer, unless the node has restarted since.
 func (n checkedNode) finish(r *requestRecord, attempt int, result Result) {
 	a := &r.attempts[attempt]
 	if a.done {
@@ -242,7 +260,7 @@
 	}, n)
 }
 
-// checkHardLimit is rule 5: the first attempt of a request draws its units from its tenant's hard limit.
+// checkHardLimit checks rule 5. The first attempt of a request uses units of its tenant's hard limit.
 func (c *ruleChecker) checkHardLimit(request *Request) {
 	plan := c.settings.Plans[0]
 	if request.Plan != plan.Name {
@@ -257,11 +275,13 @@
 	bucket.tokens = math.Min(plan.HardLimitBurst, refilled) - request.Units
 	bucket.at = c.now
 	if bucket.tokens < -plan.HardLimitSlack-1e-6 {
-		c.fail("rule 5: hard limit of tenant %d at %.2f", request.Tenant, bucket.tokens)
+		c.fail("rule 5: hard limit of tenant %d at %.2f units, at least %v allowed", request.Tenant,
+			bucket.tokens, -plan.HardLimitSlack)
 	}
 }
 
-// checkSlowStart is rule 4: what all nodes together send to a cold endpoint in any window.
+// checkSlowStart checks rule 4: the number of attempts that all nodes together send to a cold endpoint within
+// the overload window.
 func (c *ruleChecker) checkSlowStart(endpoint string) {
 	c.sentTo[endpoint] = append(c.sentTo[endpoint], c.now)
 	startedAt, started := c.startedAt[endpoint]
@@ -278,11 +298,12 @@
 		}
 	}
 	if sent > c.settings.OverloadFactor*fraction*endpointRate*c.settings.OverloadWindow.Seconds() {
-		c.fail("rule 4: %v attempts in %v at cold %s at %.2f", sent, c.settings.OverloadWindow, endpoint, fraction)
+		c.fail("rule 4: %v attempts within %v at cold endpoint %s, which has %.2f of its capacity", sent,
+			c.settings.OverloadWindow, endpoint, fraction)
 	}
 }
 
-// answer is a final answer: rule 1.
+// answer checks rule 1 for a final answer and returns the request, or nil if it is unknown.
 func (n checkedNode) answer(id, how string) *requestRecord {
 	r := n.requests[id]
 	n.record("%s %s", how, id)
@@ -294,20 +315,22 @@
 		n.fail("rule 1: second answer to %s", id)
 	}
 	if n.now > r.arrivedAt+r.request.Timeout+n.settings.ResponseSlack {
-		n.fail("rule 1: late answer to %s", id)
+		n.fail("rule 1: answer to %s %v after its arrival, timeout %v", id, n.now-r.arrivedAt,
+			r.request.Timeout)
 	}
 	r.answers++
 	return r
 }
 
-// Reject is rule 2 for a rejection: it promises that a repeat is harmless.
+// Reject checks rule 2 for a rejection, which promises that a repeat is harmless.
 func (n checkedNode) Reject(id string, _ time.Duration) {
 	r := n.answer(id, "reject")
 	if r == nil {
 		return
 	}
 	class := n.classOf(r)
-	if class.Idempotency == Idempotent || class.Idempotency == IdempotentWithKey && class.DedupScope == DedupFleet {
+	if class.Idempotency == Idempotent ||
+		class.Idempotency == IdempotentWithKey && class.DedupScope == DedupFleet {
 		return
 	}
 	for _, a := range r.attempts {
@@ -337,11 +360,11 @@
 
 func (n checkedNode) SendPeer(to int, message []byte) {
 	if len(message) > maxDatagram {
-		n.fail("message of %d bytes", len(message))
+		n.fail("peer message has %d bytes, at most %d allowed", len(message), maxDatagram)
 	}
 	sent := bytes.Clone(message)
 	n.record("peer %d %x", to, sent)
-	for copies := n.rng.IntN(2); copies >= 0; copies-- { // some arrive twice
+	for copies := n.rng.IntN(2); copies >= 0; copies-- { // two copies half of the time
 		if n.rng.Float64() < n.loss {
 			continue
 		}
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -11,19 +11,19 @@
 
 const ms = time.Millisecond
 
-// checkedRun is one random sequence of events.
+// checkedRun describes a random sequence of events.
 type checkedRun struct {
 	seed       uint64
 	hedging    bool
-	dedupScope DedupScope // of the class with keys
-	loss       float64    // fraction of the messages between nodes
+	dedupScope DedupScope // scope of the class with idempotency keys
+	loss       float64    // fraction of the messages between nodes that is lost
 	nodes      int
 }
 
-// arrivalPeriod is the time for which requests arrive.
+// arrivalPeriod is the time during which requests arrive.
 const arrivalPeriod = 12 * time.Second
 
-// checkRules plays a run and checks the rules in it.
+// checkRules runs a sequence of events and checks the rules of [ruleChecker].
 func checkRules(t *testing.T, run checkedRun) *ruleChecker {
 	t.Helper()
 	c := &ruleChecker{
@@ -42,22 +42,22 @@
 	}
 	for i := range c.balancers {
 		c.drainSeen = append(c.drainSeen, map[string]time.Duration{})
-		c.start(i)
+		c.startNode(i)
 	}
-	c.after(0, c.arrive)
+	c.after(0, c.generateRequest)
 	for range 14 {
-		c.after(time.Duration(c.rng.Int64N(int64(arrivalPeriod))), c.disturb)
+		c.after(time.Duration(c.rng.Int64N(int64(arrivalPeriod))), c.injectFault)
 	}
 	c.runEvents(arrivalPeriod + 5*time.Second)
 	for id, r := range c.requests {
 		if r.answers != 1 && !r.nodeRestarted {
-			c.fail("rule 1: %s has %d final answers", id, r.answers)
+			c.fail("rule 1: %s has %d final answers, want 1", id, r.answers)
 		}
 	}
 	return c
 }
 
-// runEvents runs the scheduled events, and those that come of them, up to a time.
+// runEvents runs the scheduled events, including those scheduled meanwhile, up to a time.
 func (c *ruleChecker) runEvents(until time.Duration) {
 	for c.queue.Len() > 0 && c.now < until {
 		event := heap.Pop(&c.queue).(scheduledEvent)
@@ -66,8 +66,8 @@
 	}
 }
 
-// start starts a node, again if it runs.
-func (c *ruleChecker) start(node int) {
+// startNode starts a node, or restarts it with a new balancer.
+func (c *ruleChecker) startNode(node int) {
 	c.incarnations[node]++
 	for _, r := range c.requests {
 		if r.node == node && r.answers == 0 {
@@ -85,7 +85,7 @@
 	c.updateEndpoints(node, UpdateCached, c.endpointIDs...)
 }
 
-// updateEndpoints tells a node of endpoints as they are now.
+// updateEndpoints sends a node the present entries of endpoints.
 func (c *ruleChecker) updateEndpoints(node int, kind UpdateKind, ids ...string) {
 	var entries []Endpoint
 	for _, id := range ids {
@@ -100,12 +100,12 @@
 	c.balancers[node].EndpointsUpdated(c.now, kind, entries, c.node(node))
 }
 
-// arrive brings a request, and schedules the next one.
-func (c *ruleChecker) arrive() {
+// generateRequest passes a random request to a random entry node and schedules the next one.
+func (c *ruleChecker) generateRequest() {
 	if c.now > arrivalPeriod {
 		return
 	}
-	c.after(time.Duration(c.rng.ExpFloat64()*float64(5*ms)), c.arrive)
+	c.after(time.Duration(c.rng.ExpFloat64()*float64(5*ms)), c.generateRequest)
 	nodes := len(c.balancers)
 	request := Request{
 		ID: fmt.Sprintf("r%d", c.sequence), Class: c.settings.Classes[c.rng.IntN(3)].Name,
@@ -125,13 +125,13 @@
 	c.balancers[node].RequestArrived(c.now, request, c.node(node))
 }
 
-// disturb restarts a node, or drains, removes or starts an endpoint.
-func (c *ruleChecker) disturb() {
+// injectFault restarts a node, or drains, removes or restarts an endpoint.
+func (c *ruleChecker) injectFault() {
 	id := c.endpointIDs[c.rng.IntN(len(c.endpointIDs))]
 	endpoint := c.endpoints[id]
 	switch c.rng.IntN(4) {
 	case 0:
-		c.start(c.rng.IntN(len(c.balancers)))
+		c.startNode(c.rng.IntN(len(c.balancers)))
 		return
 	case 1:
 		endpoint.State = Draining
@@ -147,7 +147,7 @@
 	}
 }
 
-// testSettings are settings with a class of each idempotency, and a plan of each kind of limit.
+// testSettings returns settings with a class of each idempotency and a plan of each kind of limit.
 func testSettings() Settings {
 	return Settings{
 		NodeCount: 1, Zone: "a",
@@ -161,8 +161,8 @@
 				LatencyObjective: 800 * ms, Deadline: 2 * time.Second, PriorityWeight: 3,
 			},
 			{
-				Name: "unsafe", Idempotency: NonIdempotent, DedupWindow: time.Second, LatencyObjective: 800 * ms,
-				Deadline: 2 * time.Second, PriorityWeight: 3,
+				Name: "unsafe", Idempotency: NonIdempotent, DedupWindow: time.Second,
+				LatencyObjective: 800 * ms, Deadline: 2 * time.Second, PriorityWeight: 3,
 			},
 		},
 		Plans: []Plan{
@@ -185,30 +185,32 @@
 	served, total := 0, 0
 	for seed := uint64(1); seed <= 48; seed++ {
 		run := checkedRun{
-			seed: seed, hedging: seed%2 == 0, dedupScope: DedupScope(seed % 3), loss: losses[seed%3], nodes: 3,
+			seed: seed, hedging: seed%2 == 0, dedupScope: DedupScope(seed % 3),
+			loss: losses[seed%3], nodes: 3,
 		}
-		// Every sixth has hundreds of nodes around the same few endpoints, where quotas have owners.
+		// Every sixth run has hundreds of nodes with the same few endpoints, so that quotas have owners.
 		if seed%6 == 0 {
 			run.nodes, run.loss = 300, losses[seed/6%3]
 		}
 		c := checkRules(t, run)
 		served, total = served+c.served, total+len(c.requests)
 		if t.Failed() {
-			t.Fatalf("seed %d", seed)
+			t.Fatalf("rules broken with seed %d", seed)
 		}
 	}
 	if served < total/4 {
-		t.Errorf("%d of %d requests served: the sequences exercise too little", served, total)
+		t.Errorf("%d of %d requests served, want at least a quarter for a meaningful test", served, total)
 	}
 }
 
-func TestSameEventsSameActions(t *testing.T) {
+// A balancer is deterministic: the same seed and events lead to the same actions.
+func TestSameEventsCauseSameActions(t *testing.T) {
 	run := checkedRun{seed: 7, hedging: true, dedupScope: DedupCell, loss: 0.1, nodes: 3}
 	first, second := checkRules(t, run).actions, checkRules(t, run).actions
 	if len(first) < 1000 {
-		t.Fatalf("only %d actions", len(first))
+		t.Fatalf("got %d actions, want at least 1000 for a meaningful test", len(first))
 	}
 	if !slices.Equal(first, second) {
-		t.Fatalf("%d and %d actions, not the same", len(first), len(second))
+		t.Fatalf("two runs with the same seed differ: %d and %d actions", len(first), len(second))
 	}
 }
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -10,12 +10,12 @@
 
 // Kinds of idempotency.
 const (
-	Idempotent        Idempotency = iota // it may be repeated freely
-	IdempotentWithKey                    // endpoints drop a repeat by its key, within a scope and for a while
-	NonIdempotent                        // it must not run twice
+	Idempotent        Idempotency = iota // the request may be repeated freely
+	IdempotentWithKey                    // endpoints drop repeats by key, within DedupScope and DedupWindow
+	NonIdempotent                        // the request must not run twice
 )
 
-// DedupScope says which endpoints share the memory of keys of a class that is [IdempotentWithKey].
+// DedupScope says which endpoints share the known keys of an [IdempotentWithKey] class.
 type DedupScope int
 
 // Scopes of deduplication.
@@ -29,15 +29,15 @@
 type Class struct {
 	Name        string
 	Idempotency Idempotency
-	DedupScope  DedupScope // with IdempotentWithKey
+	DedupScope  DedupScope // for IdempotentWithKey
 
 	// DedupWindow is how long endpoints remember a key, from the first attempt that may have run.
 	DedupWindow time.Duration
 
 	LatencyObjective   time.Duration // a response within this time has its full value
-	Deadline           time.Duration // the client's whole wait, over all its retries
+	Deadline           time.Duration // longest time that the client waits, over all its retries
 	PriorityWeight     float64       // value of one response
-	LateWeightFraction float64       // of that value, what a response past the objective still has
+	LateWeightFraction float64       // fraction of the value that a response after the objective still has
 	Stream             bool          // responses are streamed: see [Balancer.ResponseStarted]
 }
 
@@ -45,14 +45,14 @@
 type Plan struct {
 	Name           string
 	Rate           float64 // units per second; 0: unlimited
-	Burst          float64 // units that the quota's bucket holds
-	MaxConcurrent  int     // attempts in flight at once; 0: unlimited
-	HardLimitRate  float64 // units per second that must never be exceeded; 0: none
-	HardLimitBurst float64 // units that the hard limit's bucket holds
+	Burst          float64 // capacity of the quota's bucket, in units
+	MaxConcurrent  int     // maximum number of attempts in flight; 0: unlimited
+	HardLimitRate  float64 // units per second that must never be exceeded; 0: no hard limit
+	HardLimitBurst float64 // capacity of the hard limit's bucket, in units
 	HardLimitSlack float64 // units by which the hard limit may be exceeded at any time
-	WeightFactor   float64 // factor on the priority weight of its requests
-	OverQuotaValue float64 // fraction of its value that a response beyond the quota has
-	OverQuotaCost  float64 // fraction of its value that a request sent beyond the quota costs
+	WeightFactor   float64 // factor on the priority weight of the plan's requests
+	OverQuotaValue float64 // value of a response beyond the quota, as a fraction of its value within it
+	OverQuotaCost  float64 // cost of sending a request beyond the quota, as a fraction of its value
 }
 
 // LoadReportMode says where endpoints report their load.
@@ -65,57 +65,57 @@
 	LoadReportsInHealthChecks                       // in health checks only
 )
 
-// Settings is all that a [Balancer] is told at its start. The zero value of a field means that the
-// feature is absent, unless the field says otherwise.
+// Settings is the configuration of a [Balancer]. A field's zero value means that the feature is absent,
+// unless the field's comment says otherwise.
 type Settings struct {
-	NodeIndex int    // of this node, from 0
-	NodeCount int    // at least 1
-	Zone      string // of this node
+	NodeIndex int    // index of this node, from 0
+	NodeCount int    // number of nodes in the fleet, at least 1
+	Zone      string // zone of this node
 	Classes   []Class
 	Plans     []Plan
 
-	ResponseSlack time.Duration // a response this late past the deadline still counts
-	DrainTimeout  time.Duration // after which a draining endpoint must get no more requests
+	ResponseSlack time.Duration // longest delay past the deadline with which a response still counts
+	DrainTimeout  time.Duration // time after which a draining endpoint must get no more requests
 
-	// A started endpoint has at least SlowStartInitialFraction of its capacity, and all of it after
-	// SlowStartDuration. Until then it falls over when it gets more than OverloadFactor times its present
+	// An endpoint has at least SlowStartInitialFraction of its capacity when it starts, and full capacity
+	// after SlowStartDuration. Until then it fails if it gets more than OverloadFactor times its present
 	// capacity over OverloadWindow.
 	SlowStartInitialFraction float64
 	SlowStartDuration        time.Duration
 	OverloadFactor           float64
 	OverloadWindow           time.Duration
 
-	MaxAttempts   int           // per request; 0: unlimited
+	MaxAttempts   int           // maximum number of attempts per request; 0: unlimited
 	Hedging       bool          // two attempts of a request may be in flight at once
 	Cancellation  bool          // [Actions.CancelAttempt] is allowed
 	Gossip        bool          // [Actions.SendPeer] is allowed
 	HealthChecks  bool          // [Actions.HealthCheck] is allowed
-	RetryAfter    bool          // clients receive the retry-after of a rejection
-	MaxRetryAfter time.Duration // longest that they receive
+	RetryAfter    bool          // rejections tell clients when to retry
+	MaxRetryAfter time.Duration // longest time to wait that a rejection may give
 
 	LoadReports           LoadReportMode
 	PollEndpoints         bool          // the endpoint list has to be watched: see [Actions.WatchEndpoints]
-	PollInterval          time.Duration // with PollEndpoints: how often a node without a watch has to poll
-	PeerMessagesPerSecond float64       // that a node can receive; 0: unlimited
-	PostPaid              bool          // a request's units are a guess until its first OK
-	MaxUnits              float64       // of one request; 0: unknown
+	PollInterval          time.Duration // with PollEndpoints: interval of polls by a node without a watch
+	PeerMessagesPerSecond float64       // messages that a node can receive per second; 0: unlimited
+	PostPaid              bool          // a request's units are an estimate until its first OK
+	MaxUnits              float64       // maximum units of one request; 0: unknown
 	Tick                  time.Duration // shortest time between two events
 
-	CrossZonePrice   float64 // of an attempt to another zone, as a fraction of a request's value
-	PeerMessagePrice float64 // of a full datagram per request
-	HealthCheckPrice float64 // of a health check per request
-	WastedWorkPrice  float64 // of work whose response nobody uses
+	CrossZonePrice   float64 // price of an attempt to another zone, as a fraction of a request's value
+	PeerMessagePrice float64 // price of one full datagram per request
+	HealthCheckPrice float64 // price of one health check per request
+	WastedWorkPrice  float64 // price of work whose response is not used
 }
 
-// SettingError reports a setting that cannot be used. The host maps the field to the name under which it was
-// configured.
+// SettingError reports an invalid setting. The host maps the field to the name under which operators
+// configure it.
 type SettingError struct {
-	Field   string // of [Settings], [Class] or [Plan]
-	Owner   string // name of the class or plan whose field it is; "": a field of Settings
-	Problem string // what is wrong and what is expected
+	Field   string // field of [Settings], [Class] or [Plan]
+	Owner   string // name of the class or plan that has the field; "" for a field of Settings
+	Problem string // received value and accepted values
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *SettingError) Error() string {
 	if e.Owner != "" {
 		return fmt.Sprintf("%q: %s %s", e.Owner, e.Field, e.Problem)
@@ -123,7 +123,7 @@
 	return e.Field + " " + e.Problem
 }
 
-// validate returns a *[SettingError] for the first field that cannot be used.
+// validate returns a *[SettingError] for the first invalid field.
 func (s *Settings) validate() error {
 	if s.NodeCount < 1 {
 		return &SettingError{
@@ -169,7 +169,9 @@
 	for i := range s.Classes {
 		c := &s.Classes[i]
 		if names[c.Name] {
-			return &SettingError{Field: "Name", Owner: c.Name, Problem: "of a class occurs twice"}
+			return &SettingError{
+				Field: "Name", Owner: c.Name, Problem: "is used by two classes, a unique name is expected",
+			}
 		}
 		names[c.Name] = true
 		if err := checkNotNegative(c.Name, []namedNumber{
@@ -189,7 +191,9 @@
 	for i := range s.Plans {
 		p := &s.Plans[i]
 		if names[p.Name] {
-			return &SettingError{Field: "Name", Owner: p.Name, Problem: "of a plan occurs twice"}
+			return &SettingError{
+				Field: "Name", Owner: p.Name, Problem: "is used by two plans, a unique name is expected",
+			}
 		}
 		names[p.Name] = true
 		if err := checkNotNegative(p.Name, []namedNumber{
@@ -211,7 +215,7 @@
 	number float64
 }
 
-// checkNotNegative returns an error for the first number below 0.
+// checkNotNegative returns a *[SettingError] for the first negative number.
 func checkNotNegative(owner string, numbers []namedNumber) error {
 	for _, n := range numbers {
 		if n.number < 0 {
