--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -6,7 +6,7 @@
 // [Balancer.Start] once and then one method for each event. The balancer calls the methods of [Actions] to
 // send attempts, answer requests and set timers.
 //
-// A request passes these checks in order: the concurrency limit (concurrency.go), its tenant's quota
+// A request passes these steps in order: the concurrency limit (concurrency.go), its tenant's quota
 // (quota_*.go), the overload control (overload.go) and the selection of an endpoint (selection.go). After
 // each attempt the retry rules apply (retry.go). The sequence is in admission.go, and the life cycle of a
 // request is in request.go.
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -79,7 +79,7 @@
 
 // allowedDelay returns the longest delay, in seconds, that the attempts in flight may cause for a request of
 // the class. The class with the most value per unit of work is allowed twice the delay of a class with almost
-// no value.
+// none.
 func (b *Balancer) allowedDelay(class int) float64 {
 	maxValuePerWork := 0.0
 	for i := range b.settings.Classes {
--- a/balancer/decisions_test.go
+++ b/balancer/decisions_test.go
@@ -96,7 +96,7 @@
 	return fmt.Sprintf("%dx%d-%s", s.nodes, s.endpoints, s.variant.name)
 }
 
-// actionCounts counts the actions of a scenario by kind.
+// actionCounts counts the actions of a scenario by kind. The tags are the names in the recorded file.
 type actionCounts struct {
 	Send        int
 	Reject      int `json:"Refuse"`
--- a/balancer/decisions_world_test.go
+++ b/balancer/decisions_world_test.go
@@ -285,7 +285,7 @@
 	n.balancer.ResponseStarted(n.sim.now, id, attempt, n)
 }
 
-// Actions of the balancer.
+// Actions of the balancer. Their texts are hashed and must not change.
 
 func (n *node) SendAttempt(id, endpoint string, timeout, sendBy time.Duration) {
 	n.sim.recorder.counts.Send++
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -110,7 +110,7 @@
 	for i := 0; i < n; i++ {
 		q.ID = fmt.Sprintf("%s-%d-%v-%d", q.Class, q.Tenant, now, i)
 		q.Units = max(q.Units, 1)
-		b.concurrency.inFlight = 0 // so that the concurrency limit rejects none
+		b.concurrency.inFlight = 0 // no rejection by the concurrency limit: the quota decides
 		b.RequestArrived(now, q, r)
 	}
 	return r.count("send") - before
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -10,7 +10,7 @@
 	meanSmoothing      = 0.05 // weight of a new sample in the means of classes and machine types
 	minBaselineSamples = 16   // samples in a batch, and in a class mean that decisions rely on
 	baselineGrowth     = 0.01 // growth of the lowest batch mean with each batch, as a fraction
-	minMeanLatency     = 1e-6 // seconds; lower bound of the mean in ratios, which stay finite
+	minMeanLatency     = 1e-6 // lower bound of a mean in seconds; keeps ratios to the mean finite
 	// unlearnedWorkDivisor sets the work that is assumed of a class without a baseline: its latency
 	// objective divided by this.
 	unlearnedWorkDivisor = 4
