--- a/cmd/edge-node/main.go
+++ b/cmd/edge-node/main.go
@@ -1,5 +1,6 @@
-// Command edge-node is one edge node on real sockets. The environment variable PROXY_CONFIG names its
-// configuration; SIGHUP has it read again, SIGTERM drains the node and ends it.
+// Command edge-node runs one edge node. The environment variable PROXY_CONFIG names its configuration file.
+// On SIGHUP the program reads the file again. On SIGTERM or SIGINT it drains the node and exits with status
+// 0. If the configuration is invalid or the node fails, it exits with status 1.
 package main
 
 import (
@@ -14,18 +15,19 @@
 	"opalhook/internal/edgenode"
 )
 
-// Garbage collection. The heap is a few megabytes, so that letting it grow fivefold between collections costs little
-// memory; the limit, a fraction of what the node may use, makes collections more frequent before that runs out.
+// Settings of the garbage collector. The heap has a few megabytes, so that letting it grow fivefold between
+// collections costs little memory. The memory limit makes collections more frequent before the node uses up
+// its memory.
 const (
-	gcPercent      = 400
-	memoryFraction = 0.6
+	gcPercent      = 400 // heap growth between collections, in percent of the live heap
+	memoryFraction = 0.6 // Go memory limit, as a fraction of the memory that the node may use
 )
 
 func main() {
 	logger := slog.New(slog.NewTextHandler(os.Stderr, nil))
-	// Before anything else: SIGHUP ends a program that does not handle it. One that comes during a reload is kept,
-	// and the file is read once more. One that comes before this line is ignored by the deploy file's command, and
-	// the file has not been read yet.
+	// The handler must be installed before anything else, because SIGHUP ends a program that does not handle
+	// it. The command in the deploy file ignores SIGHUP until then; nothing is lost, because the file has not
+	// been read yet. A SIGHUP during a reload stays in the channel, and the file is read once more.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
@@ -35,7 +37,7 @@
 		logger.Error("invalid configuration", "err", err)
 		os.Exit(1)
 	}
-	runtime.GOMAXPROCS(1) // the node has one core
+	runtime.GOMAXPROCS(1) // an edge node has one core
 	debug.SetGCPercent(gcPercent)
 	if cfg.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(memoryFraction * float64(cfg.MemoryMB) * (1 << 20)))
--- a/cmd/edge-node/main_test.go
+++ b/cmd/edge-node/main_test.go
@@ -16,7 +16,7 @@
 	"opalhook/internal/testnet"
 )
 
-// TestMain lets the test binary stand in for the program.
+// TestMain runs the tests. If OPALHOOK_TEST_PROGRAM is set, the test binary runs as the program instead.
 func TestMain(m *testing.M) {
 	if os.Getenv("OPALHOOK_TEST_PROGRAM") != "" {
 		main()
@@ -25,8 +25,8 @@
 	os.Exit(m.Run())
 }
 
-// program is the program with a configuration, and what it has logged so far; it is
-// ended with the test.
+// program returns a command that runs the program with a configuration, and a function that returns its log
+// so far. The process is killed when the test ends.
 func program(t *testing.T, config string) (*exec.Cmd, func() string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -50,16 +50,16 @@
 	}
 }
 
-// An invalid configuration ends the program with a code and the field's name.
+// With an invalid configuration the program exits with status 1 and logs the name of the field.
 func TestBadConfigExits(t *testing.T) {
 	cmd, logs := program(t, `{"name":"n0","listen":"nowhere"}`)
 	if err := cmd.Run(); cmd.ProcessState.ExitCode() != 1 || !strings.Contains(logs(), "listen") {
-		t.Errorf("%v, logged %q", err, logs())
+		t.Errorf("run: %v, logged %q", err, logs())
 	}
 }
 
-// deployedCommand is the command by which the deploy file starts the node, and a folder in which it starts this test
-// binary.
+// deployedCommand returns the command that starts an edge node according to the deploy file, and a directory
+// in which that command starts the test binary instead.
 func deployedCommand(t *testing.T) (command, dir string) {
 	t.Helper()
 	text, err := os.ReadFile("../../deploy/balancer.toml")
@@ -68,7 +68,7 @@
 	}
 	match := regexp.MustCompile(`(?m)^run = "(.*)"$`).FindSubmatch(text)
 	if match == nil {
-		t.Fatal("the deploy file has no run command")
+		t.Fatal("deploy/balancer.toml has no run command")
 	}
 	self, err := os.Executable()
 	if err != nil {
@@ -84,13 +84,14 @@
 	return string(match[1]), dir
 }
 
-// awaitExec waits until the shell has become the program, without a pause: a signal is to come early.
+// awaitExec waits until the shell in the process has executed the program. It polls without pauses, so that a
+// test can send a signal as early as possible.
 func awaitExec(t *testing.T, pid int) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); ; {
 		name, err := os.ReadFile(fmt.Sprintf("/proc/%d/comm", pid))
 		if err != nil || time.Now().After(end) {
-			t.Fatalf("the program has not begun: %v", err)
+			t.Fatalf("the program did not start: %v", err)
 		}
 		if strings.TrimSpace(string(name)) == "edge-node" {
 			return
@@ -98,7 +99,8 @@
 	}
 }
 
-// acceptOnce listens on a port until the test ends. The channel is closed once somebody has connected.
+// acceptOnce listens on a port until the test ends and accepts one connection. The channel is closed after
+// that.
 func acceptOnce(t *testing.T) (addr string, called <-chan struct{}) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -116,8 +118,9 @@
 	return ln.Addr().String(), accepted
 }
 
-// A SIGHUP that comes with the process's first instruction, under the deploy file's command, neither ends it
-// nor loses the configuration that it announces.
+// Guards against a SIGHUP that ends the process, or has no effect, because it arrives before the program
+// handles the signal. The deploy file's command starts the program, and the signal arrives with its first
+// instruction. The program must then use the configuration that the signal announced.
 func TestHangupFromTheFirstInstruction(t *testing.T) {
 	command, dir := deployedCommand(t)
 	config := func(discovery string) string {
@@ -145,19 +148,18 @@
 		select {
 		case <-called:
 		case <-time.After(30 * time.Second):
-			t.Fatalf("the new discovery is never called, logged %q", logs())
+			t.Fatalf("the new discovery address was not called, logged %q", logs())
 		}
 		if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 			t.Fatal(err)
 		}
 		if err := cmd.Wait(); err != nil {
-			t.Errorf("%v, logged %q", err, logs())
+			t.Errorf("exit: %v, logged %q", err, logs())
 		}
 	}
 }
 
-// SIGHUP reads the configuration again and ends nothing; a planned restart's SIGTERM ends
-// the program with 0.
+// On SIGHUP the program reads its configuration again and keeps running. On SIGTERM it exits with status 0.
 func TestSignals(t *testing.T) {
 	addr := testnet.FreeAddr(t)
 	cmd, logs := program(t, fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":"127.0.0.1:1","seed":"1",
@@ -175,20 +177,20 @@
 		}
 	}
 	if !ready {
-		t.Error("never ready")
+		t.Error("the node did not become ready in time")
 	}
 	if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
 	for end := time.Now().Add(30 * time.Second); !strings.Contains(logs(), "msg=reloaded"); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("SIGHUP was not heeded, logged %q", logs())
+			t.Fatalf("SIGHUP had no effect, logged %q", logs())
 		}
 	}
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("%v, logged %q", err, logs())
+		t.Errorf("exit: %v, logged %q", err, logs())
 	}
 }
--- a/internal/edgenode/bench_test.go
+++ b/internal/edgenode/bench_test.go
@@ -7,8 +7,8 @@
 	"opalhook/internal/edgenode/nodetest"
 )
 
-// BenchmarkRequest is one request through the node and back, with the client and the
-// app server in the same process.
+// BenchmarkRequest measures one request through the node and its response. Client, node and app server run in
+// the same process.
 func BenchmarkRequest(b *testing.B) {
 	s := nodetest.NewAppServer(b, nodetest.Say(nodetest.OKResponse))
 	n := run(b, testConfig(s.Endpoint("a")))
--- a/internal/edgenode/client_conn.go
+++ b/internal/edgenode/client_conn.go
@@ -12,33 +12,37 @@
 	"time"
 )
 
-// lingerPeriod is how long a connection stays open for the client to receive what was written last.
+// lingerPeriod is how long a connection stays open after its sending side was closed, so that the client can
+// receive the last response.
 const lingerPeriod = 500 * time.Millisecond
 
-// What is read ahead of a connection's requests, in bytes.
+// Sizes of the read-ahead buffer, which holds the bytes received while a request is in flight.
 const (
-	maxReadAhead   = 16 << 10
-	readAheadChunk = 512
+	maxReadAhead   = 16 << 10 // bytes buffered before reading fails with errReadAheadFull
+	readAheadChunk = 512      // bytes per read from the socket
 )
 
-var errReadAheadFull = errors.New("more behind a request in flight than is read ahead")
+// errReadAheadFull ends a connection whose client sends more than maxReadAhead bytes while its request is in
+// flight.
+var errReadAheadFull = errors.New("too many bytes received while a request is in flight")
 
-// clientConn is a client's connection, in the table until it is closed.
+// clientConn is a client's connection. It is in the table until it is closed. It replaces the Read and Close
+// of the [net.Conn] that it wraps.
 type clientConn struct {
 	net.Conn
 	raw        syscall.RawConn
 	table      *connTable
-	state      connState // guarded by table.mu, as are the next two
-	stateSince time.Time
-	err        error // how the client's side has ended
+	state      connState // guarded by table.mu, as are stateSince and err
+	stateSince time.Time // time of the latest change of state
+	err        error     // error that ended reading, returned by every later read; nil: none
 
-	readAhead []byte // what has come behind the request in flight; owned by the goroutine that reads
+	readAhead []byte // bytes received while a request is in flight; used only by the reading goroutine
 }
 
 func newClientConn(nc net.Conn, t *connTable) (*clientConn, error) {
 	tcp, ok := nc.(*net.TCPConn)
 	if !ok {
-		return nil, fmt.Errorf("accept: %T is no TCP connection", nc)
+		return nil, fmt.Errorf("accept: must be a *net.TCPConn, got %T", nc)
 	}
 	raw, err := tcp.SyscallConn()
 	if err != nil {
@@ -47,9 +51,12 @@
 	return &clientConn{Conn: tcp, raw: raw, table: t}, nil
 }
 
-// Read returns what has come. While a request is in flight the HTTP library reads a single byte, to learn that the
-// client has left, and stops watching once one has come; nothing else reads so little. There whatever comes is put by,
-// so that the watching lasts until the client leaves or the library ends it.
+// Read returns bytes received from the client, first those in the read-ahead buffer.
+//
+// A read of a single byte is special. net/http makes such a read, and no other one, while a request is in
+// flight, to detect that the client has closed the connection; it stops detecting that once it has received a
+// byte. Such a read therefore moves all received bytes to the read-ahead buffer and returns only when the
+// client closes its side, net/http ends the read by a deadline, or the buffer is full.
 func (c *clientConn) Read(p []byte) (n int, err error) {
 	if len(p) == 1 {
 		return 0, c.watchForClose()
@@ -65,7 +72,9 @@
 	return c.receive(p, true)
 }
 
-// watchForClose reads ahead until the client's side ends, or the deadline that the library sets to end it.
+// watchForClose reads into the read-ahead buffer until a read fails, which includes the client's close and
+// the deadline by which net/http ends the read. It returns errReadAheadFull once the buffer exceeds
+// maxReadAhead.
 func (c *clientConn) watchForClose() error {
 	var chunk [readAheadChunk]byte
 	for len(c.readAhead) <= maxReadAhead {
@@ -80,8 +89,10 @@
 	return c.err
 }
 
-// receive reads from the socket, and nothing from a connection that was closed or evicted. The error that it returns
-// there is one to which the HTTP library gives no response. nextRequest tells that the next request is waited for.
+// receive waits for bytes and reads them from the socket. It reads nothing from a connection that was closed
+// or evicted, and returns an error there that net/http does not answer with a response. nextRequest means
+// that the caller is waiting for the next request, so that a connection whose response was written becomes
+// idle.
 func (c *clientConn) receive(p []byte, nextRequest bool) (n int, err error) {
 	failed := c.raw.Read(func(fd uintptr) (done bool) {
 		c.table.mu.Lock()
@@ -95,7 +106,8 @@
 	return n, err
 }
 
-// receiveOnce reads without waiting; done is false if there is nothing to read yet. Called under the mutex.
+// receiveOnce reads from the socket without waiting. done is false if there is nothing to read yet. The
+// caller holds table.mu.
 func (c *clientConn) receiveOnce(fd uintptr, p []byte, nextRequest bool) (n int, err error, done bool) {
 	switch {
 	case c.state >= connLingering:
@@ -119,7 +131,7 @@
 	return n, c.err, true
 }
 
-// readOnce reads what a socket has.
+// readOnce calls read(2), again if a signal interrupts it.
 func readOnce(fd uintptr, p []byte) (n int, err error) {
 	for {
 		if n, err = syscall.Read(int(fd), p); err != syscall.EINTR {
@@ -128,7 +140,8 @@
 	}
 }
 
-// hasUnread tells whether something has come that was not read. It does not wait for the goroutine that reads.
+// hasUnread reports whether the socket holds received bytes that were not read. It does not wait for the
+// reading goroutine.
 func (c *clientConn) hasUnread() bool {
 	unread := false
 	var b [1]byte
@@ -139,8 +152,8 @@
 	return err == nil && unread
 }
 
-// transition changes the state; it is false once the connection has ended. What comes while a request is in flight, or
-// while a header is being read, changes nothing.
+// transition changes the state and returns true, or returns false if the connection is lingering or closed. A
+// change to connReading has no effect while a request is being read or is in flight.
 func (c *clientConn) transition(to connState) bool {
 	c.table.mu.Lock()
 	defer c.table.mu.Unlock()
@@ -153,14 +166,14 @@
 	return true
 }
 
-// setState changes the state of a connection in the table, from now on. Called under the mutex.
+// setState changes the state and records the time of the change. The caller holds table.mu.
 func (c *clientConn) setState(to connState) {
 	c.table.changeState(c, to)
 	c.stateSince = time.Now()
 }
 
-// Close ends the connection, at once or, where that would reset it, once its client has had the time to receive what
-// was written.
+// Close closes the connection. If unread bytes would turn the close into a reset, it closes only the sending
+// side first and the connection after lingerPeriod, so that the client can receive the last response.
 func (c *clientConn) Close() error {
 	c.table.mu.Lock()
 	switch {
@@ -178,7 +191,8 @@
 	return nil
 }
 
-// mustLinger tells whether something unread may stand behind a response. Called under the mutex.
+// mustLinger reports whether a close would reset the connection while the client may not have received all of
+// its response. The caller holds table.mu.
 func (c *clientConn) mustLinger() bool {
 	switch c.state {
 	case connClosed, connIdle, connNew:
@@ -187,7 +201,7 @@
 	return c.err == nil && c.hasUnread()
 }
 
-// CloseWrite closes the sending side.
+// CloseWrite closes the sending side of the connection.
 func (c *clientConn) CloseWrite() error { return c.Conn.(interface{ CloseWrite() error }).CloseWrite() }
 
 // closeNow closes the connection and removes it from the table.
@@ -197,18 +211,18 @@
 		c.table.remove(c)
 	}
 	c.table.mu.Unlock()
-	_ = c.Conn.Close() // also of one that was evicted, and is closed already
+	_ = c.Conn.Close() // fails if the connection was evicted and is already closed
 }
 
-// connKey is the key of a request's connection in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
-// withConn lets a request find its connection.
+// withConn returns the context of a connection's requests, from which connOf returns the connection.
 func withConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// connOf returns the connection of a request.
+// connOf returns the connection on which a request was received.
 func connOf(r *http.Request) *clientConn {
 	return r.Context().Value(connKey{}).(*clientConn)
 }
--- a/internal/edgenode/client_listener.go
+++ b/internal/edgenode/client_listener.go
@@ -8,32 +8,36 @@
 	"time"
 )
 
-// How a listener closes: once its queue has been empty for queueEmptyFor, or after maxQueueWait.
+// Timing of closeWhenQueueEmpty.
 const (
-	queueEmptyFor = 20 * time.Millisecond
-	maxQueueWait  = 200 * time.Millisecond
-	maxAcceptWait = time.Second // the HTTP library waits as long after an Accept that failed
+	queueEmptyFor = 20 * time.Millisecond  // time without a connection that marks the queue as empty
+	maxQueueWait  = 200 * time.Millisecond // limit of the wait if connections keep coming
+	maxAcceptWait = time.Second            // longest time for which net/http pauses after a failed Accept
 )
 
-// clientListener adds the connections that it accepts to a table.
+// clientListener is a listener that adds the connections that it accepts to a table.
 type clientListener struct {
 	*net.TCPListener
 	table        *connTable
-	closingSince atomic.Pointer[time.Time] // nil: it is not to close
-	closed       chan struct{}             // closed once it has
+	closingSince atomic.Pointer[time.Time] // time of the call of closeWhenQueueEmpty; nil before it
+	closed       chan struct{}             // closed once Accept has closed the listener
 }
 
 func newClientListener(ln *net.TCPListener, t *connTable) *clientListener {
 	return &clientListener{TCPListener: ln, table: t, closed: make(chan struct{})}
 }
 
-// closeWhenQueueEmpty closes the listener with nothing in its queue: the system resets connections that were made and
-// not accepted by then, with the requests on them. Those that come between the last look and the close have no
-// response; nothing of theirs was read.
+// closeWhenQueueEmpty closes the listener once its accept queue is empty, or after maxQueueWait. The system
+// resets the connections that are in the queue when the listener closes, together with the requests sent on
+// them. A connection that arrives between the last check of the queue and the close is still reset; none of
+// its bytes were read.
+//
+// The goroutine that calls Accept does the closing. If it does not, closeWhenQueueEmpty closes the listener
+// itself after maxQueueWait + maxAcceptWait.
 func (l *clientListener) closeWhenQueueEmpty() {
 	now := time.Now()
 	l.closingSince.Store(&now)
-	_ = l.SetDeadline(now) // wakes Accept; fails if the listener is closed, as it should be
+	_ = l.SetDeadline(now) // wakes Accept; fails only if the listener is already closed
 	select {
 	case <-l.closed:
 	case <-time.After(maxQueueWait + maxAcceptWait):
@@ -41,7 +45,8 @@
 	}
 }
 
-// Accept accepts the next connection that the table has room for.
+// Accept returns the next connection that the table has room for. It closes the connection that the table
+// evicts in its favor, or the new connection if the table can evict no other.
 func (l *clientListener) Accept() (net.Conn, error) {
 	for {
 		nc, err := l.accept()
@@ -50,7 +55,7 @@
 		}
 		c, err := newClientConn(nc, l.table)
 		if err != nil {
-			_ = nc.Close() // nothing was read on it
+			_ = nc.Close() // no request was read from it
 			continue
 		}
 		evicted := l.table.add(c)
@@ -63,12 +68,13 @@
 	}
 }
 
-// accept accepts the next connection, or closes the listener where that is due.
+// accept returns the next connection. Once closeWhenQueueEmpty was called, it closes the listener when the
+// queue is empty or maxQueueWait is over.
 func (l *clientListener) accept() (net.Conn, error) {
 	for {
 		closingSince, now := l.closingSince.Load(), time.Now()
 		if closingSince != nil {
-			_ = l.SetDeadline(now.Add(queueEmptyFor)) // fails if the listener is closed, which Accept reports
+			_ = l.SetDeadline(now.Add(queueEmptyFor)) // fails if the listener is closed; Accept reports that
 		}
 		if closingSince == nil || now.Sub(*closingSince) <= maxQueueWait {
 			nc, err := l.TCPListener.Accept()
@@ -76,10 +82,10 @@
 				return nc, err
 			}
 			if closingSince == nil || time.Since(now) >= 2*queueEmptyFor {
-				continue // so much later it may have met its deadline before it looked
+				continue // resumed so late that the deadline may have passed before Accept checked the queue
 			}
 		}
-		_ = l.Close() // nothing more is accepted, whatever the close meets
+		_ = l.Close() // an error changes nothing: no further connection is accepted
 		close(l.closed)
 		return nil, net.ErrClosed
 	}
--- a/internal/edgenode/client_request.go
+++ b/internal/edgenode/client_request.go
@@ -15,35 +15,39 @@
 	"opalhook/internal/edgenode/upstream"
 )
 
-// Bounds of a request.
+// Limits of a request.
 const (
-	maxBody         = 64 << 10 // bytes (protocol: a body holds at most 64 KiB)
-	maxIDLength     = 64       // characters of X-Trace-Id
-	tenantDigits    = 16       // hex digits of a tenant
-	maxTenant       = 1 << 33  // a tenant is a smaller number
-	defaultMaxUnits = 1e6      // units of one request, where the settings have no limit
+	maxBody         = 64 << 10 // largest body, in bytes; the protocol allows 64 KiB
+	maxIDLength     = 64       // longest X-Trace-Id, in characters
+	tenantDigits    = 16       // number of hexadecimal digits of a tenant
+	maxTenant       = 1 << 33  // exclusive upper bound of a tenant
+	defaultMaxUnits = 1e6      // most units of one request if the settings give no limit
 )
 
-// transitAllowance is taken off the wait in X-Expires-In, which counts from the moment the client sent the request.
+// transitAllowance is subtracted from the time in X-Expires-In, which counts from the moment the client sent
+// the request, to account for the request's time on the network.
 const transitAllowance = 10 * time.Millisecond
 
-// badRequest is an error in what a client sent. None is worded as a rejection that invites a retry.
+// badRequest is the error for a request that is malformed or invalid. Its text is the body of the response,
+// and must not read like a rejection after which the client may retry.
 type badRequest struct {
-	status int
-	text   string
-	allow  string // the method that the class wants
+	status int    // HTTP status of the response
+	text   string // body of the response
+	allow  string // method that the class requires, for the Allow header; "": no such header
 }
 
 // Error implements error.
 func (e *badRequest) Error() string { return e.text }
 
+// badRequestf returns a badRequest with status 400.
 func badRequestf(format string, args ...any) error {
 	return &badRequest{status: http.StatusBadRequest, text: fmt.Sprintf(format, args...)}
 }
 
-// checkFraming rejects what does not state its length in the one way that clients use. A request with a
-// Transfer-Encoding as well as a Content-Length can hide another one in its body; the library lets the first win and
-// hides the second, and ignores the first below HTTP/1.1.
+// checkFraming accepts only HTTP/1.1 requests without a Transfer-Encoding, the framing that clients use. A
+// request with both a Transfer-Encoding and a Content-Length can smuggle a second request in its body.
+// net/http does not reveal that both were present: it drops the Content-Length, and below HTTP/1.1 it ignores
+// the Transfer-Encoding.
 func checkFraming(r *http.Request) error {
 	if r.ProtoMajor != 1 || r.ProtoMinor != 1 {
 		return &badRequest{status: http.StatusHTTPVersionNotSupported, text: "HTTP/1.1 is spoken here"}
@@ -54,9 +58,10 @@
 	return nil
 }
 
-// The headers that every request has, and their indexes in what requiredHeaders returns.
-var requiredNames = [...]string{"X-Trace-Id", "X-Qos", "X-Contract", "X-Expires-In", "X-Metering"}
+// requiredHeaderNames lists the headers that every request must have.
+var requiredHeaderNames = [...]string{"X-Trace-Id", "X-Qos", "X-Contract", "X-Expires-In", "X-Metering"}
 
+// Indexes in requiredHeaderNames and in the result of requiredHeaders.
 const (
 	headerID = iota
 	headerClass
@@ -65,7 +70,8 @@
 	headerMetering
 )
 
-// parseRequest parses the head of a request: what the balancer is to know of it, and what is passed on.
+// parseRequest parses and validates the head of a request. It returns the request for the balancer, and the
+// message for the app server, still without its body.
 func (f *frontend) parseRequest(r *http.Request) (q balancer.Request, m upstream.Message, err error) {
 	headers, err := requiredHeaders(r)
 	if err != nil {
@@ -89,9 +95,9 @@
 	return q, m, err
 }
 
-// requiredHeaders returns the values of requiredNames.
-func requiredHeaders(r *http.Request) (values [len(requiredNames)]string, err error) {
-	for i, name := range requiredNames {
+// requiredHeaders returns the values of the headers in requiredHeaderNames, in that order.
+func requiredHeaders(r *http.Request) (values [len(requiredHeaderNames)]string, err error) {
+	for i, name := range requiredHeaderNames {
 		if values[i], err = requiredHeader(r, name); err != nil {
 			return values, err
 		}
@@ -99,7 +105,7 @@
 	return values, nil
 }
 
-// requiredHeader returns a header that must stand once.
+// requiredHeader returns the value of a header that must occur exactly once and must not be empty.
 func requiredHeader(r *http.Request, name string) (string, error) {
 	values := r.Header[name]
 	if len(values) != 1 || values[0] == "" {
@@ -108,7 +114,8 @@
 	return values[0], nil
 }
 
-// checkNames checks the id, the class and the plan.
+// checkNames checks that the id is well-formed, that the class and the plan exist, and that the path begins
+// with the class.
 func (f *frontend) checkNames(r *http.Request, q balancer.Request) error {
 	_, known := f.classes[q.Class]
 	first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
@@ -125,8 +132,8 @@
 	return nil
 }
 
-// parseTimeout returns how long the client still waits: no longer than the class's clients do, since requests must not
-// pile up.
+// parseTimeout returns how long the client still waits for the response. The deadline of the class caps it,
+// so that requests cannot pile up.
 func parseTimeout(expiresIn string, class balancer.Class) (time.Duration, error) {
 	seconds, ok := decimal.Parse(expiresIn)
 	if !ok || seconds <= 0 {
@@ -136,7 +143,8 @@
 	return time.Duration(seconds*float64(time.Second)) - transitAllowance, nil
 }
 
-// newMessage returns what is passed on of a request, without its body.
+// newMessage returns the message for the app server, without its body. The method, the body and the
+// Idempotency-Key of the request must fit the idempotency of its class.
 func newMessage(r *http.Request, id string, class balancer.Class) (upstream.Message, error) {
 	m := upstream.Message{Target: r.RequestURI, Host: r.Host, ID: id, ContentType: r.Header.Get("Content-Type")}
 	m.Method = http.MethodPost
@@ -158,7 +166,8 @@
 	return m, err
 }
 
-// validID tells whether an id is one word of ordinary characters.
+// validID reports whether an id has 1 to maxIDLength characters, all of them ASCII letters, digits, '-', '_'
+// or '.'.
 func validID(id string) bool {
 	for i := range len(id) {
 		switch c := id[i]; {
@@ -170,7 +179,7 @@
 	return len(id) > 0 && len(id) <= maxIDLength
 }
 
-// parseTenant returns the tenant in the query, where the protocol calls it the customer.
+// parseTenant returns the tenant in the query of a request. The protocol calls the tenant "customer".
 func parseTenant(query string) (uint64, error) {
 	values, err := url.ParseQuery(query)
 	if err != nil || len(values["customer"]) != 1 {
@@ -184,8 +193,9 @@
 	return tenant, nil
 }
 
-// parseMetering reads units, spread and first from X-Metering. What can't be of a usual client must not reach the
-// balancer: it would count against the tenant's quota on every node.
+// parseMetering parses units, spread and first from X-Metering and ignores other names. It rejects values
+// that no conforming client sends, because the balancer would count them against the tenant's quota on every
+// edge node.
 func (f *frontend) parseMetering(text string, q *balancer.Request) error {
 	settings := f.settings
 	seen := map[string]bool{}
@@ -217,7 +227,8 @@
 	return nil
 }
 
-// parseUnits parses the units of a request, at most maxUnits; 0: defaultMaxUnits.
+// parseUnits parses the units of a request. ok is false unless they are positive and at most maxUnits. A
+// maxUnits of 0 means defaultMaxUnits.
 func parseUnits(text string, maxUnits float64) (units float64, ok bool) {
 	if maxUnits <= 0 {
 		maxUnits = defaultMaxUnits
@@ -226,13 +237,14 @@
 	return units, ok && units > 0 && units <= maxUnits
 }
 
-// parseInt parses a whole number within bounds.
+// parseInt parses an integer. It returns false unless the integer is between minimum and maximum, inclusive.
 func parseInt(text string, minimum, maximum int) (int, bool) {
 	x, ok := decimal.Parse(text)
 	return int(x), ok && x == math.Trunc(x) && x >= float64(minimum) && x <= float64(maximum)
 }
 
-// readBody reads the whole body, within a time so that one sent in part holds no socket for ever.
+// readBody reads the whole body. It fails after bodyTimeout, so that a client that sends only part of a body
+// cannot hold the socket indefinitely.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	if r.ContentLength == 0 {
 		return nil, nil
--- a/internal/edgenode/client_response.go
+++ b/internal/edgenode/client_response.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// writeResponse writes a final response. A client that is gone by now has nothing to be told, so errors of the write
-// are dropped.
+// writeResponse writes the final response of a request. It ignores write errors: they mean that the client
+// has disconnected.
 func (f *frontend) writeResponse(w http.ResponseWriter, response clientResponse) {
 	h := w.Header()
-	if f.draining.Load() { // also where the request came before the drain
+	if f.draining.Load() { // the drain may have begun after the request arrived
 		h.Set("Connection", "close")
 	}
 	switch response.kind {
@@ -20,7 +20,7 @@
 		if response.server.ContentType != "" {
 			h["Content-Type"] = []string{response.server.ContentType}
 		} else {
-			h["Content-Type"] = nil // or the library guesses one
+			h["Content-Type"] = nil // keeps net/http from guessing a type
 		}
 		h["Content-Length"] = []string{strconv.Itoa(len(response.server.Body))}
 		w.WriteHeader(http.StatusOK)
@@ -35,7 +35,8 @@
 	}
 }
 
-// writeText writes a response of one line. A client that is gone by now has nothing to be told.
+// writeText writes a response whose body is one line of plain text. It ignores write errors: they mean that
+// the client has disconnected.
 func writeText(w http.ResponseWriter, status int, text string) {
 	h := w.Header()
 	h["Content-Type"] = []string{"text/plain; charset=utf-8"}
@@ -44,8 +45,9 @@
 	_, _ = io.WriteString(w, text+"\n")
 }
 
-// rejectMalformed answers a request that is the client's mistake. A body that was not read is not waited for: what is
-// left of it would be read as the next request.
+// rejectMalformed answers a request that is malformed or invalid. err is a *badRequest, or an error that is
+// answered with status 400. A request with a body has its connection closed, because the unread rest of the
+// body would be taken for the next request.
 func (f *frontend) rejectMalformed(w http.ResponseWriter, r *http.Request, err error) {
 	malformed := &badRequest{status: http.StatusBadRequest}
 	if errors.As(err, &malformed); malformed.allow != "" {
@@ -53,8 +55,9 @@
 	}
 	if r.ContentLength != 0 {
 		w.Header().Set("Connection", "close")
-		// The library reads a short rest before it closes, or the client could miss the response. Half a body would keep
-		// it reading for ever. The deadline can't be set on a closed connection only.
+		// Before net/http closes the connection it reads a short rest of the body, since the client could
+		// miss the response otherwise. The deadline ends that read if the client never sends the rest.
+		// Setting the deadline fails only on a closed connection.
 		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(unreadBodyTimeout))
 	}
 	writeText(w, malformed.status, err.Error())
--- a/internal/edgenode/config.go
+++ b/internal/edgenode/config.go
@@ -15,55 +15,57 @@
 	"opalhook/internal/settings"
 )
 
-// Config is what an edge node is told at its start.
+// Config is the configuration of an edge node. [LoadConfig] returns it.
 type Config struct {
 	Name      string
-	Listen    netip.AddrPort // where clients connect
-	Discovery netip.AddrPort // the discovery agent or list service
-	Seed      uint64         // of every random choice
-	MemoryMB  int            // memory the node may use, in MiB; 0: no limit given
-	Sockets   int            // file descriptors the process may hold
+	Listen    netip.AddrPort // address on which clients connect
+	Discovery netip.AddrPort // address of the discovery agent or list service
+	Seed      uint64         // seed of the balancer's and the follower's random choices
+	MemoryMB  int            // memory that the node may use, in MiB; 0: no limit
+	Sockets   int            // number of file descriptors that the process may open
 
-	PeerListen netip.AddrPort   // invalid where edge nodes may not message each other
-	Peers      []netip.AddrPort // by node index, this node's own included
-	PeersAll   netip.AddrPort   // reaches every edge node of the tier
+	PeerListen netip.AddrPort   // UDP address for messages of peers; invalid if edge nodes exchange none
+	Peers      []netip.AddrPort // UDP addresses of all edge nodes, including this one, by node index
+	PeersAll   netip.AddrPort   // UDP address that reaches every edge node
 
-	CachedList endpointlist.List // the endpoints as this node last knew them
+	CachedList endpointlist.List // endpoint list that the node last received, used until discovery sends one
 	Settings   balancer.Settings
 	Transport  settings.Transport
 
-	reload           func() (*Config, error) // reads the configuration again
-	cachedListErrors []error                 // the malformed fields of CachedList
-	drainPeriod      time.Duration           // how long the listener stays open in a drain
-	listWait         time.Duration           // how long a new process waits for its first list
+	reload           func() (*Config, error) // reads the configuration file again
+	cachedListErrors []error                 // errors in single entries of CachedList
+	drainPeriod      time.Duration           // time for which the listener stays open in a drain
+	listWait         time.Duration           // longest wait for the first list from discovery
 }
 
-// How long a new process waits for its first list before it accepts clients. An agent answers within
-// milliseconds, and one that is down must not keep the node from serving. A list service that is polled
-// may have nothing new to report.
+// How long a new process waits for its first list from discovery before it accepts clients. An agent, which
+// pushes lists, answers within milliseconds; the wait is bounded because an agent that is down must not keep
+// the node from serving. The wait for a polled list service is shorter, because the service may have nothing
+// new to report.
 const (
 	pushedListWait = time.Second
 	polledListWait = 250 * time.Millisecond
 )
 
-// Descriptor budget: what holds where the configuration gives none, and its bounds.
+// Default and bounds of limits.sockets, the number of file descriptors.
 const (
 	defaultSockets = 1024
-	minSockets     = 64 // leaves room for clients and app servers
+	minSockets     = 64 // leaves descriptors for both clients and app servers
 	maxSockets     = 1 << 20
 )
 
-// maxMemoryMB is the largest memory limit accepted, in MiB.
+// maxMemoryMB is the largest value accepted for limits.memory_mb, in MiB.
 const maxMemoryMB = 1 << 20
 
-// Transport defaults, where the settings are silent.
+// Transport defaults, used where the settings give no positive value.
 const (
 	defaultConnIdle       = 30 * time.Second
 	defaultConnectTimeout = 250 * time.Millisecond
 )
 
-// LoadConfig reads the file that PROXY_CONFIG names. PROXY_NAME, PROXY_LISTEN and PROXY_DISCOVERY, where set,
-// override the file. getenv is os.Getenv, except in tests.
+// LoadConfig reads the configuration file that the environment variable PROXY_CONFIG names. The variables
+// PROXY_NAME, PROXY_LISTEN and PROXY_DISCOVERY, if set, override fields of the file. getenv is [os.Getenv],
+// except in tests.
 func LoadConfig(getenv func(string) string) (*Config, error) {
 	path := getenv("PROXY_CONFIG")
 	if path == "" {
@@ -79,8 +81,8 @@
 	return c, nil
 }
 
-// withoutDiscovery hides PROXY_DISCOVERY: the environment is that of the process's start, and would hide the
-// address in a file that was replaced since.
+// withoutDiscovery returns getenv without PROXY_DISCOVERY. A reload must not apply that variable: it has kept
+// its value since the process started, and would override the address in a file that was replaced since then.
 func withoutDiscovery(getenv func(string) string) func(string) string {
 	return func(name string) string {
 		if name == "PROXY_DISCOVERY" {
@@ -98,7 +100,7 @@
 	return parseConfig(text, getenv)
 }
 
-// configFile is the configuration file as it is written.
+// configFile is the JSON form of the configuration file.
 type configFile struct {
 	Name, Listen, Discovery, Seed string
 	Limits                        struct {
@@ -112,7 +114,7 @@
 	Settings   json.RawMessage
 }
 
-// parseConfig parses and validates the configuration; an error names the field at fault.
+// parseConfig parses and validates the text of a configuration file. Its errors name the invalid field.
 func parseConfig(text []byte, getenv func(string) string) (*Config, error) {
 	var file configFile
 	if err := json.Unmarshal(text, &file); err != nil {
@@ -130,7 +132,7 @@
 	return c, nil
 }
 
-// override replaces fields by the environment's values, where it has any.
+// override replaces fields by the values of environment variables that are set.
 func (file *configFile) override(getenv func(string) string) {
 	for _, o := range []struct {
 		variable string
@@ -148,16 +150,16 @@
 
 func (file *configFile) parseIdentity(c *Config) (err error) {
 	if c.Name = file.Name; c.Name == "" {
-		return errors.New("name: is empty")
+		return errors.New("name: must not be empty")
 	}
-	if c.Listen, err = address("listen", file.Listen); err != nil {
+	if c.Listen, err = parseAddrPort("listen", file.Listen); err != nil {
 		return err
 	}
-	if c.Discovery, err = address("discovery", file.Discovery); err != nil {
+	if c.Discovery, err = parseAddrPort("discovery", file.Discovery); err != nil {
 		return err
 	}
 	if c.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
-		return fmt.Errorf("seed: %q is not a 64-bit hex number", file.Seed)
+		return fmt.Errorf("seed: must be a 64-bit hexadecimal number, got %q", file.Seed)
 	}
 	return nil
 }
@@ -165,21 +167,21 @@
 func (file *configFile) parseLimits(c *Config) error {
 	memory := file.Limits.MemoryMB
 	if memory < 0 || memory > maxMemoryMB || math.IsNaN(memory) {
-		return fmt.Errorf("limits.memory_mb: %v is out of range", memory)
+		return fmt.Errorf("limits.memory_mb: must be between 0 and %d, got %v", maxMemoryMB, memory)
 	}
 	c.MemoryMB = int(memory)
 	if c.Sockets = int(file.Limits.Sockets); c.Sockets == 0 {
 		c.Sockets = defaultSockets
 	}
 	if c.Sockets < minSockets || c.Sockets > maxSockets {
-		return fmt.Errorf("limits.sockets: %v is out of range", file.Limits.Sockets)
+		return fmt.Errorf("limits.sockets: must be between %d and %d, got %v", minSockets, maxSockets, file.Limits.Sockets)
 	}
 	return nil
 }
 
 func (file *configFile) parseSettings(c *Config) (err error) {
 	if len(file.Settings) == 0 {
-		return errors.New("settings: is missing")
+		return errors.New("settings: must be present")
 	}
 	if c.Settings, c.Transport, err = settings.Parse(file.Settings); err != nil {
 		return fmt.Errorf("settings: %w", err)
@@ -197,25 +199,26 @@
 	return nil
 }
 
-// parsePeers needs the settings.
+// parsePeers parses the addresses of peers if the settings let edge nodes exchange messages. It runs after
+// parseSettings.
 func (file *configFile) parsePeers(c *Config) (err error) {
 	if !c.Settings.Gossip || c.Settings.NodeCount <= 1 {
 		return nil
 	}
-	if c.PeerListen, err = address("peer_listen", file.PeerListen); err != nil {
+	if c.PeerListen, err = parseAddrPort("peer_listen", file.PeerListen); err != nil {
 		return err
 	}
 	if len(file.Peers) != c.Settings.NodeCount {
-		return fmt.Errorf("peers: %d addresses for %d instances", len(file.Peers), c.Settings.NodeCount)
+		return fmt.Errorf("peers: must be one address per edge node (%d), got %d", c.Settings.NodeCount, len(file.Peers))
 	}
 	for i, text := range file.Peers {
-		peer, err := address(fmt.Sprintf("peers[%d]", i), text)
+		peer, err := parseAddrPort(fmt.Sprintf("peers[%d]", i), text)
 		if err != nil {
 			return err
 		}
 		c.Peers = append(c.Peers, peer)
 	}
-	c.PeersAll, err = address("peers_all", file.PeersAll)
+	c.PeersAll, err = parseAddrPort("peers_all", file.PeersAll)
 	return err
 }
 
@@ -229,11 +232,11 @@
 	return nil
 }
 
-// address parses an address and port; an error names the field.
-func address(field, v string) (netip.AddrPort, error) {
-	a, err := netip.ParseAddrPort(v)
+// parseAddrPort parses an IP address and port. Its errors name the field and contain the value.
+func parseAddrPort(field, value string) (netip.AddrPort, error) {
+	addr, err := netip.ParseAddrPort(value)
 	if err != nil {
-		return a, fmt.Errorf("%s: %w", field, err)
+		return addr, fmt.Errorf("%s: must be an IP address and port, got %q: %w", field, value, err)
 	}
-	return netip.AddrPortFrom(a.Addr().Unmap(), a.Port()), nil
+	return netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port()), nil
 }
--- a/internal/edgenode/conn_cross_test.go
+++ b/internal/edgenode/conn_cross_test.go
@@ -16,69 +16,72 @@
 	"opalhook/internal/edgenode/nodetest"
 )
 
-// Events that cross: each test holds one side until the other has acted.
+// The tests of this file cover races between the node and a client. Each test stops one side until the other
+// has acted.
 
-// hookedWrites runs a function before the first write on a client's connection, or once the HTTP library has
-// ended its look at the client behind it.
-type hookedWrites struct {
+// hookedWriteConn is a client's connection that calls hooks around the first write, that is around the first
+// response. Each hook may be nil.
+type hookedWriteConn struct {
 	*net.TCPConn
-	before, behind func()
-	written        atomic.Bool
+	beforeWrite func()      // called before the first write
+	afterWatch  func()      // called after the first write, once net/http stops watching for a close
+	written     atomic.Bool // the first write is done
 }
 
-func (w *hookedWrites) Write(p []byte) (int, error) {
-	if before := w.before; before != nil {
-		w.before = nil
-		before()
+func (w *hookedWriteConn) Write(p []byte) (int, error) {
+	if hook := w.beforeWrite; hook != nil {
+		w.beforeWrite = nil
+		hook()
 	}
 	defer w.written.Store(true)
 	return w.TCPConn.Write(p)
 }
 
-func (w *hookedWrites) SetReadDeadline(t time.Time) error {
-	if behind := w.behind; behind != nil && t.IsZero() && w.written.Load() {
-		w.behind = nil
-		behind()
+func (w *hookedWriteConn) SetReadDeadline(t time.Time) error {
+	if hook := w.afterWatch; hook != nil && t.IsZero() && w.written.Load() {
+		w.afterWatch = nil
+		hook()
 	}
 	return w.TCPConn.SetReadDeadline(t)
 }
 
-// hookedListener is a listener whose connections a test may change before they are served.
+// hookedListener is a listener that passes each accepted connection to prepare before it is served.
 type hookedListener struct {
 	*clientListener
-	change func(*clientConn)
+	prepare func(*clientConn)
 }
 
 func (h hookedListener) Accept() (net.Conn, error) {
 	c, err := h.clientListener.Accept()
 	if err == nil {
-		h.change(c.(*clientConn))
+		h.prepare(c.(*clientConn))
 	}
 	return c, err
 }
 
-// serveHooked serves clients whose connections change may change before they are served.
-func serveHooked(t *testing.T, cfg *Config, change func(f *frontend, c *clientConn)) (*frontend, string) {
+// serveHooked starts a frontend that passes each accepted connection to prepare before it serves the
+// connection. It returns the frontend and its address.
+func serveHooked(t *testing.T, cfg *Config, prepare func(f *frontend, c *clientConn)) (*frontend, string) {
 	t.Helper()
 	f := idleFrontend(t, cfg)
 	ln := nodetest.Listen(t)
-	serveClients(t, f, hookedListener{newClientListener(ln, f.conns), func(c *clientConn) { change(f, c) }})
+	serveClients(t, f, hookedListener{newClientListener(ln, f.conns), func(c *clientConn) { prepare(f, c) }})
 	return f, ln.Addr().String()
 }
 
-// all returns the connections of clients.
-func (s *connTable) all() (all []*clientConn) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for c := range s.conns {
+// all returns all connections in the table.
+func (t *connTable) all() (all []*clientConn) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for c := range t.conns {
 		all = append(all, c)
 	}
 	return all
 }
 
-// allRead tells whether all that has come from clients was read.
-func (s *connTable) allRead() bool {
-	for _, c := range s.all() {
+// allRead reports whether no connection in the table has unread bytes.
+func (t *connTable) allRead() bool {
+	for _, c := range t.all() {
 		if c.hasUnread() {
 			return false
 		}
@@ -86,11 +89,11 @@
 	return true
 }
 
-// count returns how many connections are in a state.
-func (s *connTable) count(state connState) (n int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for c := range s.conns {
+// count returns the number of connections in a state.
+func (t *connTable) count(state connState) (n int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for c := range t.conns {
 		if c.state == state {
 			n++
 		}
@@ -98,45 +101,46 @@
 	return n
 }
 
-// The look that decides on an idle connection's close comes in the moment before its next request is
-// read, or in the moment after: both times the request is answered.
+// Guards against the loss of a request that arrives while the node closes idle connections. The check for
+// idle connections runs just before the request is read, or just after it. The request must be answered in
+// both cases.
 func TestRequestCrossesTheClosingOfIdleConnections(t *testing.T) {
 	for _, before := range []bool{true, false} {
 		s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
-		var looks atomic.Bool
+		var checking atomic.Bool
 		_, addr := serveHooked(t, testConfig(s.Endpoint("a")), func(f *frontend, c *clientConn) {
-			look := func() {
-				if looks.Load() && (c.hasUnread() || !before) {
+			check := func() {
+				if checking.Load() && (c.hasUnread() || !before) {
 					f.conns.closeIdle()
 				}
 			}
-			hook := nodetest.HookedRawConn{RawConn: c.raw, AfterRead: look}
+			hook := nodetest.HookedRawConn{RawConn: c.raw, AfterRead: check}
 			if before {
-				hook = nodetest.HookedRawConn{RawConn: c.raw, BeforeRead: look}
+				hook = nodetest.HookedRawConn{RawConn: c.raw, BeforeRead: check}
 			}
 			c.raw = hook
 		})
 		c := nodetest.Dial(t, addr)
 		c.Ask(request("check", "t1"))
-		looks.Store(true)
+		checking.Store(true)
 		if a := c.Ask(request("check", "t2")); a.Status != http.StatusOK {
-			t.Errorf("looked at before the read %v: %+v", before, a)
+			t.Errorf("check before the read %v: response %+v", before, a)
 		}
 	}
 }
 
-// What comes on an evicted connection stays unread and has no answer, by which its client can
-// tell that it may send it again.
+// Guards against reading a request from a connection that was evicted just before. The request must stay
+// unread and unanswered, so that its client can tell that it may send the request again.
 func TestRequestAfterTheCloseStaysUnread(t *testing.T) {
 	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 	unread := make(chan bool, 1)
-	var asks atomic.Bool
+	var evicting atomic.Bool
 	_, addr := serveHooked(t, testConfig(s.Endpoint("a")), func(f *frontend, c *clientConn) {
 		c.raw = nodetest.HookedRawConn{RawConn: c.raw, BeforeRead: func() {
-			if !asks.Load() {
+			if !evicting.Load() {
 				return
 			}
-			nodetest.Eventually(t, "the next request has come", c.hasUnread) // or it could come behind the close
+			nodetest.Eventually(t, "next request received", c.hasUnread) // before the connection is closed
 			f.conns.mu.Lock()
 			defer f.conns.mu.Unlock()
 			if c.state != connClosed {
@@ -144,33 +148,33 @@
 				delete(f.conns.conns, c)
 			}
 		}, AfterRead: func() {
-			if asks.Load() {
+			if evicting.Load() {
 				unread <- c.hasUnread()
 			}
 		}}
 	})
 	c := nodetest.Dial(t, addr)
 	c.Ask(request("check", "t1"))
-	asks.Store(true)
+	evicting.Store(true)
 	c.Send(request("check", "t2"))
-	if !nodetest.Await(t, "the read", unread) {
-		t.Error("a request was taken in on an evicted connection")
+	if !nodetest.Await(t, "end of the read", unread) {
+		t.Error("a request was read from an evicted connection")
 	}
 	if _, err := c.Reader.ReadByte(); err == nil {
-		t.Error("something was answered on it")
+		t.Error("a response was sent on an evicted connection")
 	}
 	if n := len(s.Requests()); n != 1 {
-		t.Errorf("%d requests were passed on", n)
+		t.Errorf("%d requests were passed on, want 1", n)
 	}
 }
 
-// A request that becomes whole on a connection that is evicted for another one is answered by nobody:
-// an empty 200 is no answer of a server.
+// Guards against an empty response with status 200 for a request whose connection is evicted just as the
+// request becomes complete. Such a request must not be answered at all.
 func TestRequestOnAnEvictedConnectionIsNotAnswered(t *testing.T) {
-	var last atomic.Bool
+	var evicting atomic.Bool
 	f, addr := serveHooked(t, testConfig(), func(f *frontend, c *clientConn) {
 		c.raw = nodetest.HookedRawConn{RawConn: c.raw, AfterRead: func() {
-			if !last.Load() {
+			if !evicting.Load() {
 				return
 			}
 			f.conns.mu.Lock()
@@ -182,26 +186,27 @@
 	c := nodetest.Dial(t, addr)
 	text := request("book", "t1")
 	c.Send(text[:len(text)-2])
-	nodetest.Eventually(t, "the rest is waited for", func() bool { return f.conns.count(connReading) == 1 && f.conns.allRead() })
-	last.Store(true)
+	nodetest.Eventually(t, "first part of the request read", func() bool { return f.conns.count(connReading) == 1 && f.conns.allRead() })
+	evicting.Store(true)
 	c.Send(text[len(text)-2:])
 	if b, err := c.Reader.ReadByte(); err == nil {
-		t.Errorf("answered with %q...", b)
+		t.Errorf("response begins with %q, want none", b)
 	}
 }
 
-// While an answer is on its way its connection is not taken for an idle one.
+// Guards against closing a connection as idle just before its response is written.
 func TestConnectionIsNotIdleWhileItsResponseIsWritten(t *testing.T) {
 	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 	_, addr := serveHooked(t, testConfig(s.Endpoint("a")), func(f *frontend, c *clientConn) {
-		c.Conn = &hookedWrites{TCPConn: c.Conn.(*net.TCPConn), before: func() { f.conns.closeIdle() }}
+		c.Conn = &hookedWriteConn{TCPConn: c.Conn.(*net.TCPConn), beforeWrite: func() { f.conns.closeIdle() }}
 	})
 	if a := nodetest.Dial(t, addr).Ask(request("check", "t1")); a.Status != http.StatusOK {
-		t.Errorf("answer %+v", a)
+		t.Errorf("response %+v", a)
 	}
 }
 
-// The look at the client that goes on under its response does not take the connection for an idle one.
+// Guards against treating a connection as idle while its response is being written. The read by which
+// net/http watches for the client's close is still running then, and must not change the state.
 func TestConnectionIsNotIdleWhileItsClientIsWatched(t *testing.T) {
 	ln := nodetest.Listen(t)
 	client := nodetest.Dial(t, ln.Addr().String())
@@ -209,15 +214,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := newConnTable(1)
-	c, err := newClientConn(nc, s)
+	table := newConnTable(1)
+	c, err := newClientConn(nc, table)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(c.closeNow)
-	s.add(c)
-	looks := make(chan struct{}, 10)
-	c.raw = nodetest.HookedRawConn{RawConn: c.raw, AfterTry: func() { looks <- struct{}{} }}
+	table.add(c)
+	tries := make(chan struct{}, 10)
+	c.raw = nodetest.HookedRawConn{RawConn: c.raw, AfterTry: func() { tries <- struct{}{} }}
 	c.transition(connActive)
 	c.transition(connResponding)
 	ended := make(chan error, 1)
@@ -226,44 +231,46 @@
 		_, err := c.Read(b[:])
 		ended <- err
 	}()
-	nodetest.Await(t, "the look", looks)
-	if n := s.count(connResponding); n != 1 {
-		t.Error("the connection does not count as one whose response is being written")
+	nodetest.Await(t, "try to read", tries)
+	if n := table.count(connResponding); n != 1 {
+		t.Errorf("%d connections in the state connResponding, want 1", n)
 	}
 	_ = client.Close()
-	if err := nodetest.Await(t, "the look's end", ended); !errors.Is(err, io.EOF) {
-		t.Errorf("error %v", err)
+	if err := nodetest.Await(t, "end of the read", ended); !errors.Is(err, io.EOF) {
+		t.Errorf("read error %v, want %v", err, io.EOF)
 	}
 }
 
-// Bytes that come behind a request, too late to be read, don't reset the connection under the response.
+// Guards against a reset that destroys a response. Closing a connection with unread bytes resets it, which
+// happens when bytes arrive after a request too late to be read.
 func TestUnreadBytesDoNotResetTheResponse(t *testing.T) {
 	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 	var c *nodetest.Client
 	f, addr := serveHooked(t, testConfig(s.Endpoint("a")), func(f *frontend, conn *clientConn) {
-		conn.Conn = &hookedWrites{TCPConn: conn.Conn.(*net.TCPConn), behind: func() {
+		conn.Conn = &hookedWriteConn{TCPConn: conn.Conn.(*net.TCPConn), afterWatch: func() {
 			c.Send("bytes that nobody reads")
-			nodetest.Eventually(t, "they have come", conn.hasUnread)
+			nodetest.Eventually(t, "unread bytes received", conn.hasUnread)
 		}}
 	})
-	f.draining.Store(true) // so that the answer is the connection's last
+	f.draining.Store(true) // so that the connection closes after the response
 	c = nodetest.Dial(t, addr)
 	if a := c.Ask(request("check", "t1")); a.Status != http.StatusOK || !a.Close {
-		t.Errorf("answer %+v", a)
+		t.Errorf("response %+v", a)
 	}
 	if _, err := c.Reader.ReadByte(); err != io.EOF {
-		t.Errorf("after the response: %v, want an orderly end", err)
+		t.Errorf("after the response: %v, want %v", err, io.EOF)
 	}
-	nodetest.Eventually(t, "it has left the table", func() bool { return len(f.conns.all()) == 0 })
+	nodetest.Eventually(t, "connection removed from the table", func() bool { return len(f.conns.all()) == 0 })
 }
 
-// A client that leaves while its request waits for the first attempt takes it along, however it leaves and
-// whatever it has sent behind it.
+// Guards against requests that stay in flight after their client disconnected. The request waits for the
+// connection of its first attempt, while the client closes or resets its connection or closes only the
+// sending side. Bytes that the client sent after the request must not hide that.
 func TestClientLeavesBeforeTheFirstAttempt(t *testing.T) {
-	at := nodetest.Blocked(t)
+	blocked := nodetest.Blocked(t)
 	var servers []endpointlist.Endpoint
-	for i := range 300 { // so many that no request is refused for those that are out
-		servers = append(servers, endpointlist.Endpoint{Endpoint: balancer.Endpoint{ID: fmt.Sprint("s", i), Weight: 1, MachineType: "k", Zone: "z"}, Addr: at})
+	for i := range 300 { // enough endpoints that no request is rejected because of the attempts in progress
+		servers = append(servers, endpointlist.Endpoint{Endpoint: balancer.Endpoint{ID: fmt.Sprint("s", i), Weight: 1, MachineType: "k", Zone: "z"}, Addr: blocked})
 	}
 	cfg := testConfig(servers...)
 	cfg.Transport.ConnectTimeout = time.Hour
@@ -272,50 +279,51 @@
 	}
 	cfg.Sockets = 2048
 	f, addr := serveHooked(t, cfg, func(*frontend, *clientConn) {})
-	open := func() int {
+	inFlight := func() int {
 		n := nodeOf(f)
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		return len(n.inflight)
 	}
-	ways := map[string]func(*nodetest.Client){
-		"closes": func(c *nodetest.Client) { _ = c.Close() },
-		"resets": func(c *nodetest.Client) { nodetest.ResetConn(c.Conn) },
-		"closes its sending side": func(c *nodetest.Client) {
+	disconnects := map[string]func(*nodetest.Client){
+		"close": func(c *nodetest.Client) { _ = c.Close() },
+		"reset": func(c *nodetest.Client) { nodetest.ResetConn(c.Conn) },
+		"close of the sending side": func(c *nodetest.Client) {
 			_ = c.Conn.(*net.TCPConn).CloseWrite()
 			if a := c.Receive(); a.Status != http.StatusBadGateway {
-				t.Errorf("a client that still reads has %+v, want that it failed", a)
+				t.Errorf("response to a client that closed its sending side: %+v, want status %d", a, http.StatusBadGateway)
 			}
 		},
 	}
-	ask := func(id, behind string) *nodetest.Client {
+	send := func(id, trailing string) *nodetest.Client {
 		c := nodetest.Dial(t, addr)
 		c.Send(request("check", id, "X-Expires-In", "3600"))
-		nodetest.Eventually(t, "the request waits", func() bool { return open() > 0 && f.conns.count(connReading) == 0 })
-		c.Send(behind)
+		nodetest.Eventually(t, "request in flight", func() bool { return inFlight() > 0 && f.conns.count(connReading) == 0 })
+		c.Send(trailing)
 		return c
 	}
-	for name, leave := range ways {
-		for _, behind := range []string{"", "x", request("check", "next")} {
-			c := ask("t1", behind)
-			nodetest.Eventually(t, "it is read", f.conns.allRead)
-			leave(c)
-			nodetest.Eventually(t, fmt.Sprintf("a client that has sent %d bytes more and %s is noticed", len(behind), name),
-				func() bool { return open() == 0 })
+	for name, disconnect := range disconnects {
+		for _, trailing := range []string{"", "x", request("check", "next")} {
+			c := send("t1", trailing)
+			nodetest.Eventually(t, "trailing bytes read", f.conns.allRead)
+			disconnect(c)
+			nodetest.Eventually(t, fmt.Sprintf("request ended by %s after %d trailing bytes", name, len(trailing)),
+				func() bool { return inFlight() == 0 })
 		}
 	}
 	var burst []*nodetest.Client
 	for i := range 300 {
-		burst = append(burst, ask(fmt.Sprint("b", i), "more"))
+		burst = append(burst, send(fmt.Sprint("b", i), "more"))
 	}
-	nodetest.Eventually(t, "all wait", func() bool { return open() == len(burst) && f.conns.allRead() })
+	nodetest.Eventually(t, "all requests in flight", func() bool { return inFlight() == len(burst) && f.conns.allRead() })
 	for _, c := range burst {
 		_ = c.Close()
 	}
-	nodetest.Eventually(t, "all are noticed", func() bool { return open() == 0 })
+	nodetest.Eventually(t, "all requests ended", func() bool { return inFlight() == 0 })
 }
 
-// What a client sends behind a request in flight is its next request, up to a bound.
+// Bytes that a client sends while its request is in flight are kept as its next request, up to maxReadAhead.
+// A client that sends more has its request failed.
 func TestBytesBehindARequest(t *testing.T) {
 	hold := make(chan struct{})
 	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
@@ -325,26 +333,26 @@
 	f, addr := serveHooked(t, testConfig(s.Endpoint("a")), func(*frontend, *clientConn) {})
 	c, flood := nodetest.Dial(t, addr), nodetest.Dial(t, addr)
 	c.Send(request("book", "t1"))
-	nodetest.Eventually(t, "request out", func() bool { return len(s.Requests()) == 1 })
+	nodetest.Eventually(t, "first request at the app server", func() bool { return len(s.Requests()) == 1 })
 	c.Send(request("book", "t2"))
-	nodetest.Eventually(t, "what stands behind it is read", f.conns.allRead)
+	nodetest.Eventually(t, "second request read ahead", f.conns.allRead)
 	flood.Send(request("check", "t3"))
-	nodetest.Eventually(t, "requests out", func() bool { return len(s.Requests()) == 2 })
+	nodetest.Eventually(t, "both first requests at the app server", func() bool { return len(s.Requests()) == 2 })
 	flood.Send(strings.Repeat("x", 2*maxReadAhead))
 	if a := flood.Receive(); a.Status != http.StatusBadGateway {
-		t.Errorf("answer to a flood %+v", a)
+		t.Errorf("response to a client that sent too much: %+v, want status %d", a, http.StatusBadGateway)
 	}
 	close(hold)
 	for i := range 2 {
 		if a := c.Receive(); a.Status != http.StatusOK {
-			t.Errorf("request %d: %+v", i, a)
+			t.Errorf("request %d: response %+v", i, a)
 		}
 	}
 }
 
-// A request that comes a byte at a time is one, wherever it is cut; a body that ends early and one whose
-// client goes in its middle are none.
-func TestByteAtATime(t *testing.T) {
+// A request that arrives byte by byte is served like any other. A request whose client disconnects before it
+// is complete is not passed on.
+func TestRequestSentByteByByte(t *testing.T) {
 	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 	n := run(t, testConfig(s.Endpoint("a")))
 	c := nodetest.Dial(t, n.addr)
@@ -353,17 +361,17 @@
 			c.Send(string(b))
 		}
 		if a := c.Receive(); a.Status != http.StatusOK {
-			t.Errorf("%s: %+v", class, a)
+			t.Errorf("class %s: response %+v", class, a)
 		}
 	}
 	text := request("book", "gone")
 	for i := 1; i < len(text); i += 7 {
-		half := nodetest.Dial(t, n.addr)
-		half.Send(text[:i])
-		_ = half.Close()
+		partial := nodetest.Dial(t, n.addr)
+		partial.Send(text[:i])
+		_ = partial.Close()
 	}
 	if a := c.Ask(request("check", "last")); a.Status != http.StatusOK {
-		t.Errorf("behind those who went: %+v", a)
+		t.Errorf("after the incomplete requests: response %+v", a)
 	}
 	if got := len(s.Requests()); got != 3 {
 		t.Errorf("%d requests were passed on, want 3", got)
--- a/internal/edgenode/conn_table.go
+++ b/internal/edgenode/conn_table.go
@@ -5,86 +5,91 @@
 	"time"
 )
 
-// connTable bounds the connections of clients, so that descriptors never run out. A new connection is accepted first;
-// if it is one too many, the one that is easiest to spare is evicted, and never one with a request in flight.
+// connTable limits the number of client connections, so that the process never runs out of file descriptors.
+// A new connection is always accepted. If that exceeds the limit, the table evicts the connection with the
+// highest eviction rank, but never one with a request in flight. If no other connection can be evicted, the
+// new one is closed. Its methods are safe for concurrent use, except those whose caller holds the mutex.
 //
-// How the states of connections guard a request against a close that crosses it:
+// The states of connections keep a request from being lost when the node closes a connection just as the
+// request arrives:
 //
-//   - What has come is taken in, and the state changed, in one step under the mutex ([clientConn.receive]). So a
-//     connection that is closed was looked at with nothing read in between, and what comes later stays unread, by
-//     which its client can tell that it may send again.
-//   - A connection is idle once the HTTP library asks for the next request, that is once the response before it was
-//     written to its end; a response being written closes nothing.
-//   - One that ends with something unread behind its response lingers: a close would reset it, and the reset takes what
-//     its client has not received.
+//   - Reading bytes and changing the state are one step under the mutex ([clientConn.receiveOnce]). No bytes
+//     can therefore be read between the check of a connection and its close. Bytes that arrive later stay
+//     unread, which tells the client that it may send the request again.
+//   - A connection becomes idle only when net/http starts to read the next request, which is after the
+//     response was written completely. A connection whose response is being written is not closed as idle.
+//   - A connection that ends with unread bytes after its response lingers: an immediate close would reset it,
+//     and a reset discards the part of the response that the client has not received yet.
 type connTable struct {
-	max int
+	max int // largest number of connections
 
 	mu       sync.Mutex
 	conns    map[*clientConn]struct{}
-	newConns int // of them, those on which nothing has come
+	newConns int // number of connections in the state connNew
 }
 
 // connState is the state of a client's connection.
 type connState int
 
 const (
-	connNew        connState = iota // nothing has come on it
-	connReading                     // something has come, but no whole request
-	connActive                      // a request is in flight
-	connResponding                  // its response is known, and on its way
-	connIdle                        // the response has gone out, and the next request is waited for
-	connLingering                   // the sending side is closed: what was written last is on its way
-	connClosed
+	connNew        connState = iota // no bytes received yet
+	connReading                     // part of a request received
+	connActive                      // request in flight
+	connResponding                  // response being written
+	connIdle                        // response written, waiting for the next request
+	connLingering                   // sending side closed, last response perhaps not received yet
+	connClosed                      // removed from the table
 )
 
-// Ages past which a connection is evicted more easily.
+// Times in a state after which the eviction rank of a connection rises.
 const (
-	newConnGrace = 100 * time.Millisecond // clients that mean to send do so as soon as they have connected
-	idleGrace    = 2 * time.Second
-	readingGrace = 500 * time.Millisecond // a header comes in one piece
-	writtenGrace = 100 * time.Millisecond // a response may take this long through the network
+	newConnGrace     = 100 * time.Millisecond // clients with a request send it as soon as they have connected
+	idleGrace        = 2 * time.Second        // for idle connections, and for responses being written
+	readingGrace     = 500 * time.Millisecond // clients send a header in one piece
+	justWrittenGrace = 100 * time.Millisecond // a response may need this long to reach the client
 )
 
-// Order of eviction: a higher rank goes first, rankNever never goes.
+// Eviction ranks. The connection with the highest rank is evicted first, one with rankNever is never evicted.
 const (
-	rankNever = iota
-	rankIdle
-	rankNew
-	rankSlow // slow to send a header or to read a response
-	rankIdleLong
-	rankSilent // new for long
-	rankLingering
+	rankNever     = iota // request being received or in flight, or response on its way
+	rankIdle             // idle for at least justWrittenGrace
+	rankNew              // new for less than newConnGrace
+	rankSlow             // slow to send a header or to read a response
+	rankIdleLong         // idle for at least idleGrace
+	rankSilent           // new for at least newConnGrace
+	rankLingering        // lingering
 )
 
-func newConnTable(n int) *connTable {
-	return &connTable{max: n, conns: map[*clientConn]struct{}{}}
+// newConnTable returns a table for at most maxConns connections.
+func newConnTable(maxConns int) *connTable {
+	return &connTable{max: maxConns, conns: map[*clientConn]struct{}{}}
 }
 
-// nearlyFull tells whether responses should close their connections. To evict one that has been idle for a moment costs
-// its client the next request, and a new connection, for which another would be evicted; one that is told of the close
-// with its response loses nothing. New connections don't count: they are evicted at no cost.
+// nearlyFull reports whether responses should announce the close of their connections, which is the case from
+// three quarters of the limit on. A client whose idle connection is evicted can lose its next request, and
+// has to open a new connection, for which yet another one is evicted. A client that is told of the close in
+// its response loses nothing. New connections do not count, because their eviction costs nothing.
 func (t *connTable) nearlyFull() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return (len(t.conns)-t.newConns)*4 >= t.max*3
 }
 
-// add adds a new connection and returns the one that it evicts, if any, which the caller has to close. It is the new
-// one where no other can be spared.
+// add adds a new connection. It returns the connection that was evicted, or nil; the caller must close it. If
+// no other connection can be evicted, add returns c itself and does not add it.
 func (t *connTable) add(c *clientConn) (evicted *clientConn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
 	c.stateSince = now
 	for evicted == nil && len(t.conns) >= t.max {
-		candidate := t.easiestToSpare(now)
+		candidate := t.evictionCandidate(now)
 		switch {
 		case candidate == nil:
 			c.state = connClosed
 			return c
 		case (candidate.state == connNew || candidate.state == connIdle) && candidate.hasUnread():
-			// A request has come that was not read yet.
+			// Received bytes have not been read yet: a request is coming.
 			t.changeState(candidate, connReading)
 			candidate.stateSince = now
 		default:
@@ -97,9 +102,9 @@
 	return evicted
 }
 
-// easiestToSpare returns the connection of the highest rank, among equals the longest in its state; nil if all ranks
-// are rankNever. Called under the mutex.
-func (t *connTable) easiestToSpare(now time.Time) (candidate *clientConn) {
+// evictionCandidate returns the connection with the highest eviction rank, and among those the one that has
+// been in its state for longest. It returns nil if all ranks are rankNever. The caller holds the mutex.
+func (t *connTable) evictionCandidate(now time.Time) (candidate *clientConn) {
 	highest := rankNever
 	for c := range t.conns {
 		rank := c.evictionRank(now)
@@ -110,17 +115,19 @@
 	return candidate
 }
 
-// closeIdle closes the connections on which no request is in flight or coming, and returns how many are left. What
-// comes on a closed one is not read, so that its client may send it again.
-func (t *connTable) closeIdle() (left int) {
-	idle, left := t.removeIdle()
+// closeIdle closes the idle and the new connections that have no unread bytes, and returns the number of the
+// others. A request that arrives on a closed connection is not read, so that its client may send it again.
+func (t *connTable) closeIdle() (remaining int) {
+	idle, remaining := t.removeIdle()
 	for _, c := range idle {
-		_ = c.Conn.Close() // nothing is in flight on it
+		_ = c.Conn.Close() // no request is in flight on it
 	}
-	return left
+	return remaining
 }
 
-func (t *connTable) removeIdle() (idle []*clientConn, left int) {
+// removeIdle removes the connections that closeIdle closes from the table. It returns them and the number of
+// the others.
+func (t *connTable) removeIdle() (idle []*clientConn, remaining int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for c := range t.conns {
@@ -132,13 +139,13 @@
 	return idle, len(t.conns)
 }
 
-// remove removes a connection, which is closed from then on. Called under the mutex.
+// remove removes a connection from the table and marks it as closed. The caller holds the mutex.
 func (t *connTable) remove(c *clientConn) {
 	t.changeState(c, connClosed)
 	delete(t.conns, c)
 }
 
-// changeState changes the state of a connection in the table. Called under the mutex.
+// changeState changes the state of a connection and keeps newConns up to date. The caller holds the mutex.
 func (t *connTable) changeState(c *clientConn, to connState) {
 	if c.state == connNew {
 		t.newConns--
@@ -146,8 +153,10 @@
 	c.state = to
 }
 
-// evictionRank tells how easily a connection is spared. New ones that came by hundreds and say nothing go first, then
-// what has been idle for long or is slow, and only then the rest. Called under the mutex.
+// evictionRank returns the eviction rank of a connection. Connections that are lingering or have sent nothing
+// for newConnGrace are evicted first, because clients may open hundreds of them without sending anything.
+// Connections that have been idle for long or are slow follow, then the other new and idle ones. The caller
+// holds table.mu.
 func (c *clientConn) evictionRank(now time.Time) int {
 	age := now.Sub(c.stateSince)
 	switch {
@@ -161,7 +170,7 @@
 		return rankSlow
 	case c.state == connNew:
 		return rankNew
-	case c.state == connIdle && age >= writtenGrace:
+	case c.state == connIdle && age >= justWrittenGrace:
 		return rankIdle
 	}
 	return rankNever
--- a/internal/edgenode/crowd_test.go
+++ b/internal/edgenode/crowd_test.go
@@ -23,26 +23,28 @@
 	"opalhook/internal/edgenode/nodetest"
 )
 
-// The environment of a test binary that stands in for an edge node's process.
+// How runLimited starts the test binary as an edge node.
 const (
-	processLimit  = "NODE_TEST_DESCRIPTORS" // descriptors that it may hold; PROXY_CONFIG names its configuration
-	processListen = 3                       // the descriptor of its listener
+	limitVariable      = "NODE_TEST_DESCRIPTORS" // environment variable with the limit on file descriptors
+	listenerDescriptor = 3                       // file descriptor of the inherited listener
 )
 
-// TestMain lets the test binary stand in for an edge node in a process of its own, held to its limit on
-// descriptors by the system.
+// TestMain runs the tests. If limitVariable is set, the test binary runs as an edge node instead, in a
+// process whose file descriptors the system limits.
 func TestMain(m *testing.M) {
-	limit, err := strconv.ParseUint(os.Getenv(processLimit), 10, 32)
+	limit, err := strconv.ParseUint(os.Getenv(limitVariable), 10, 32)
 	if err != nil {
 		os.Exit(m.Run())
 	}
 	logger := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	if err := serveLimited(limit, logger); err != nil {
-		logger.Error("the node ended", "err", err)
+		logger.Error("edge node failed", "err", err)
 		os.Exit(1)
 	}
 }
 
+// serveLimited sets the limit on file descriptors and runs an edge node on the inherited listener until
+// SIGTERM.
 func serveLimited(limit uint64, logger *slog.Logger) error {
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: limit, Max: limit}); err != nil {
 		return err
@@ -54,7 +56,7 @@
 		return err
 	}
 	return runWithListener(ctx, cfg, nil, logger, func() (*net.TCPListener, error) {
-		file := os.NewFile(processListen, "listener")
+		file := os.NewFile(listenerDescriptor, "listener")
 		defer func() { _ = file.Close() }()
 		ln, err := net.FileListener(file)
 		if err != nil {
@@ -64,7 +66,8 @@
 	})
 }
 
-// runLimited runs an edge node in a process that may hold so many descriptors.
+// runLimited runs an edge node in a process with a limit on file descriptors until the test ends. known is
+// its cached list. It returns the address for clients and the log.
 func runLimited(t *testing.T, descriptors int, discovery string, known ...endpointlist.Endpoint) (addr string, logs *nodetest.Buffer) {
 	t.Helper()
 	ln := nodetest.Listen(t)
@@ -90,7 +93,7 @@
 	}
 	logs = &nodetest.Buffer{}
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), fmt.Sprintf("%s=%d", processLimit, descriptors), "PROXY_CONFIG="+path)
+	cmd.Env = append(os.Environ(), fmt.Sprintf("%s=%d", limitVariable, descriptors), "PROXY_CONFIG="+path)
 	cmd.Stderr, cmd.ExtraFiles = logs, []*os.File{file}
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -99,49 +102,51 @@
 	done := make(chan error, 1)
 	go func() { done <- cmd.Wait() }()
 	t.Cleanup(func() {
-		_ = cmd.Process.Signal(syscall.SIGTERM) // a process that has ended is found below
+		_ = cmd.Process.Signal(syscall.SIGTERM) // fails if the process has ended, which Wait reports
 		select {
 		case err := <-done:
 			if err != nil {
-				t.Errorf("the node's process: %v, logged %s", err, logs)
+				t.Errorf("edge node process: %v, logged %s", err, logs)
 			}
 		case <-time.After(nodetest.Patience):
 			_ = cmd.Process.Kill()
-			t.Errorf("the node's process does not end, logged %s", logs)
+			t.Errorf("edge node process did not end in time, logged %s", logs)
 		}
 	})
-	nodetest.Eventually(t, "ready", func() bool { return strings.Contains(logs.String(), "msg=ready") })
+	nodetest.Eventually(t, "edge node ready", func() bool { return strings.Contains(logs.String(), "msg=ready") })
 	return ln.Addr().String(), logs
 }
 
-// outageDiscovery is an agent whose list can be changed, and that can go down: then its watches end, and calls get no
-// answer, not even later.
+// outageDiscovery is an agent with a replaceable list that can have one outage. When the outage begins, all
+// watches end. Calls during the outage are never answered.
 type outageDiscovery struct {
 	addr netip.AddrPort
 	list atomic.Pointer[string]
 	down atomic.Bool
-	out  chan struct{} // closed as it goes down
-	hung chan struct{} // takes each call that gets no answer
+	out  chan struct{} // closed when the outage begins
+	hung chan struct{} // receives a value for each unanswered call
 
-	forever chan struct{}
+	testEnd chan struct{} // closed when the test ends, which releases the unanswered calls
 }
 
 func newOutageDiscovery(t *testing.T, list string) *outageDiscovery {
 	t.Helper()
-	d := &outageDiscovery{out: make(chan struct{}), hung: make(chan struct{}, 1000), forever: make(chan struct{})}
+	d := &outageDiscovery{out: make(chan struct{}), hung: make(chan struct{}, 1000), testEnd: make(chan struct{})}
 	d.list.Store(&list)
 	d.addr = serveDiscovery(t, func() string { d.hang(); return *d.list.Load() }, d.watch)
-	t.Cleanup(func() { close(d.forever) }) // before discovery ends, which waits for its calls
+	t.Cleanup(func() { close(d.testEnd) }) // runs before the server's own clean-up, which waits for its calls
 	return d
 }
 
+// hang blocks until the test ends if the outage has begun.
 func (d *outageDiscovery) hang() {
 	if d.down.Load() {
 		d.hung <- struct{}{}
-		<-d.forever
+		<-d.testEnd
 	}
 }
 
+// watch writes the list, then empty lines until the watch ends or the outage begins.
 func (d *outageDiscovery) watch(_ int, _ string, w io.Writer, ctx context.Context) {
 	d.hang()
 	_, _ = io.WriteString(w, *d.list.Load()+"\n")
@@ -154,35 +159,35 @@
 		}
 		end()
 	}()
-	beat(ctx, w)
+	sendHeartbeats(ctx, w)
 }
 
-// goDown begins the outage, and waits until a call has met it.
+// goDown begins the outage and waits for the first call that stays unanswered.
 func (d *outageDiscovery) goDown(t *testing.T) {
 	t.Helper()
 	d.down.Store(true)
 	close(d.out)
-	nodetest.Await(t, "a call of the outage", d.hung)
+	nodetest.Await(t, "call during the outage", d.hung)
 }
 
-// comeBack ends the outage, with another list.
+// comeBack ends the outage and replaces the list.
 func (d *outageDiscovery) comeBack(list string) {
 	d.list.Store(&list)
 	d.down.Store(false)
 }
 
-// fillWithIdleClients connects a crowd of clients that send nothing, half a header or one request, and waits until all
-// but so many were closed.
-func fillWithIdleClients(t *testing.T, addr string, crowd, left int) {
+// fillWithIdleClients opens the given number of connections that send nothing, part of a header or one
+// request, and waits until the node has closed all but remaining of them.
+func fillWithIdleClients(t *testing.T, addr string, clients, remaining int) {
 	t.Helper()
-	closed := make(chan struct{}, crowd)
-	for i := range crowd {
+	closed := make(chan struct{}, clients)
+	for i := range clients {
 		c := nodetest.Dial(t, addr)
 		switch i % 3 {
 		case 0: // sends nothing
-		case 1: // does not end its header
+		case 1: // sends part of a header
 			c.Send("GET /check")
-		case 2: // has sent one request; in a crowd it may have been closed unread
+		case 2: // sends one request; that fails if the node has already evicted the connection
 			_, _ = c.Write([]byte(readyRequest))
 		}
 		go func() {
@@ -190,12 +195,13 @@
 			closed <- struct{}{}
 		}()
 	}
-	for range crowd - left {
-		nodetest.Await(t, "the crowd is more than there is room for", closed)
+	for range clients - remaining {
+		nodetest.Await(t, "connections over the limit closed", closed)
 	}
 }
 
-// tryRequest sends a request on a new connection, which may be closed unread, and tells whether it was served.
+// tryRequest sends a request on a new connection and reports whether it was served. The node may evict the
+// connection before it reads the request.
 func tryRequest(t *testing.T, addr, id string) bool {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -210,37 +216,38 @@
 	return string(text) == "HTTP/1.1 200"
 }
 
-// Idle clients may fill the descriptors while discovery is down. The node still has its calls, its
-// connections to servers and clients who ask, and follows the list once discovery is back.
+// Guards against idle clients using up the file descriptors while discovery is down. The node must still be
+// able to call discovery, connect to app servers and accept clients with requests, and must follow the list
+// once discovery is back.
 func TestIdleClientsLeaveRoomForDiscoveryAndServers(t *testing.T) {
-	const descriptors, crowd = 128, 300
-	old, young := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse)), nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
-	agent := newOutageDiscovery(t, nodetest.ListJSON(8, true, old.Endpoint("a")))
-	addr, logs := runLimited(t, descriptors, agent.addr.String(), old.Endpoint("a"))
+	const descriptors, clients = 128, 300
+	oldServer, newServer := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse)), nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	agent := newOutageDiscovery(t, nodetest.ListJSON(8, true, oldServer.Endpoint("a")))
+	addr, logs := runLimited(t, descriptors, agent.addr.String(), oldServer.Endpoint("a"))
 	if a := nodetest.Dial(t, addr).Ask(request("check", "before")); a.Status != http.StatusOK {
-		t.Fatalf("before: %+v", a)
+		t.Fatalf("before the outage: response %+v", a)
 	}
 	agent.goDown(t)
-	fillWithIdleClients(t, addr, crowd, maxClientConns(descriptors))
+	fillWithIdleClients(t, addr, clients, maxClientConns(descriptors))
 	sent := 0
-	served := func(what string) {
+	awaitServed := func(what string) {
 		nodetest.Eventually(t, what, func() bool {
 			sent++
 			return tryRequest(t, addr, fmt.Sprint("t", sent))
 		})
 	}
-	served("a response in the outage")
-	agent.comeBack(nodetest.ListJSON(9, true, young.Endpoint("b")))
-	nodetest.Eventually(t, "the new server is used", func() bool {
-		served("a response after the outage")
-		return len(young.Requests()) > 0
+	awaitServed("request served during the outage")
+	agent.comeBack(nodetest.ListJSON(9, true, newServer.Endpoint("b")))
+	nodetest.Eventually(t, "new app server used", func() bool {
+		awaitServed("request served after the outage")
+		return len(newServer.Requests()) > 0
 	})
-	before := len(old.Requests())
-	served("a response by the new list")
-	if got := len(old.Requests()); got != before {
-		t.Errorf("%d requests to a server that has gone", got-before)
+	before := len(oldServer.Requests())
+	awaitServed("request served with the new list")
+	if got := len(oldServer.Requests()); got != before {
+		t.Errorf("%d requests to an app server that left the list, want 0", got-before)
 	}
 	if text := logs.String(); strings.Contains(text, "too many open files") {
-		t.Errorf("the node ran out of descriptors: %s", text)
+		t.Errorf("the node ran out of file descriptors: %s", text)
 	}
 }
--- a/internal/edgenode/drain_test.go
+++ b/internal/edgenode/drain_test.go
@@ -11,8 +11,8 @@
 	"opalhook/internal/edgenode/nodetest"
 )
 
-// A planned restart: not ready, but whatever still comes is answered, on connections
-// that then close; what is out is finished; then the process ends.
+// In a drain the node is not ready, but still answers new requests, on connections that close after the
+// response. It finishes the requests in flight, then the process ends.
 func TestDrain(t *testing.T) {
 	hold := make(chan struct{})
 	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
@@ -24,22 +24,22 @@
 	cfg := testConfig(s.Endpoint("a"))
 	cfg.drainPeriod = 4 * time.Second
 	n := run(t, cfg)
-	idle, held := nodetest.Dial(t, n.addr), nodetest.Dial(t, n.addr)
+	idle, pending := nodetest.Dial(t, n.addr), nodetest.Dial(t, n.addr)
 	if a := idle.Ask("GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n"); a.Status != 200 || a.Close {
-		t.Errorf("before: %+v", a)
+		t.Errorf("before the drain: response %+v", a)
 	}
-	held.Send(request("book", "t1"))
-	nodetest.Eventually(t, "request out", func() bool { return len(s.Requests()) == 1 })
+	pending.Send(request("book", "t1"))
+	nodetest.Eventually(t, "request at the app server", func() bool { return len(s.Requests()) == 1 })
 	n.stop()
 	nodetest.Eventually(t, "draining", func() bool { return strings.Contains(n.logs.String(), "draining") })
 	if a := idle.Ask(request("check", "t2")); a.Status != 200 || !a.Close {
-		t.Errorf("on a kept connection: %+v", a)
+		t.Errorf("on an old connection: response %+v", a)
 	}
 	if a := nodetest.Dial(t, n.addr).Ask(request("check", "t3")); a.Status != 200 || !a.Close {
-		t.Errorf("on a new connection: %+v", a)
+		t.Errorf("on a new connection: response %+v", a)
 	}
 	if a := nodetest.Dial(t, n.addr).Ask("GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n"); a.Status != 503 {
-		t.Errorf("readiness: %+v", a)
+		t.Errorf("readiness check: response %+v", a)
 	}
 	nodetest.Eventually(t, "listener closed", func() bool {
 		c, err := net.Dial("tcp", n.addr)
@@ -49,40 +49,40 @@
 		return err != nil
 	})
 	close(hold)
-	if a := held.Receive(); a.Status != 200 || !a.Close {
-		t.Errorf("taken before: %+v", a)
+	if a := pending.Receive(); a.Status != 200 || !a.Close {
+		t.Errorf("request from before the drain: response %+v", a)
 	}
 	select {
 	case err := <-n.done:
-		if n.done <- nil; err != nil { // for the clean-up
+		if n.done <- nil; err != nil { // the clean-up of the test receives it
 			t.Error(err)
 		}
 	case <-time.After(nodetest.Patience):
-		t.Error("the node does not end")
+		t.Error("the node did not end in time")
 	}
 }
 
-// A request whose head is on its way as the listener closes is taken and answered; a connection on which
-// nothing comes is closed.
+// A request whose header arrives partly before and partly after the listener closes is answered. A connection
+// that is idle then is closed.
 func TestRequestThatComesAsTheDrainEndsIsAnswered(t *testing.T) {
 	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 	n := run(t, testConfig(s.Endpoint("a")))
-	kept, quiet := nodetest.Dial(t, n.addr), nodetest.Dial(t, n.addr)
-	kept.Ask(request("check", "t1"))
-	quiet.Ask(request("check", "t2"))
+	sending, idle := nodetest.Dial(t, n.addr), nodetest.Dial(t, n.addr)
+	sending.Ask(request("check", "t1"))
+	idle.Ask(request("check", "t2"))
 	text := request("check", "t3")
-	kept.Send(text[:20])
+	sending.Send(text[:20])
 	n.stop()
-	if _, err := quiet.Reader.ReadByte(); err != io.EOF {
-		t.Errorf("an idle connection at the drain's end: %v", err)
+	if _, err := idle.Reader.ReadByte(); err != io.EOF {
+		t.Errorf("idle connection at the end of the drain: %v, want %v", err, io.EOF)
 	}
-	kept.Send(text[20:])
-	if a := kept.Receive(); a.Status != http.StatusOK || !a.Close {
-		t.Errorf("answer %+v", a)
+	sending.Send(text[20:])
+	if a := sending.Receive(); a.Status != http.StatusOK || !a.Close {
+		t.Errorf("response %+v", a)
 	}
 }
 
-// Connections that stand in the listener's queue when it is to close are taken and answered.
+// Connections that are in the listener's accept queue when it is about to close are accepted and answered.
 func TestQueueIsEmptiedBeforeTheListenerCloses(t *testing.T) {
 	f := idleFrontend(t, testConfig())
 	f.ready.Store(true)
@@ -95,37 +95,39 @@
 	}
 	closed := make(chan struct{})
 	go func() { ln.closeWhenQueueEmpty(); close(closed) }()
-	nodetest.Eventually(t, "the listener is told", func() bool { return ln.closingSince.Load() != nil })
-	serveClients(t, f, ln) // nobody accepted until now
+	nodetest.Eventually(t, "close of the listener requested", func() bool { return ln.closingSince.Load() != nil })
+	serveClients(t, f, ln) // accepts the first connection only now
 	for i, c := range clients {
 		if a := c.Receive(); a.Status != http.StatusOK {
-			t.Errorf("client %d: %+v", i, a)
+			t.Errorf("client %d: response %+v", i, a)
 		}
 	}
-	nodetest.Await(t, "the listener's close", closed)
+	nodetest.Await(t, "listener closed", closed)
 	if c, err := net.Dial("tcp", ln.Addr().String()); err == nil {
 		_ = c.Close()
 		t.Error("the listener is still open")
 	}
 }
 
-// The drain may have closed all before the library sees that its listener is closed: that is no failure.
-func TestDrainOvertakesTheListener(t *testing.T) {
+// serve must not return an error if the drain closes the server before net/http notices that the listener is
+// closed.
+func TestServeReturnsNilWhenDrainClosesServerFirst(t *testing.T) {
 	f := idleFrontend(t, testConfig())
 	ln := newClientListener(nodetest.Listen(t), f.conns)
 	f.draining.Store(true)
 	_ = f.server.Close()
 	if err := f.serve(ln); err != nil {
-		t.Errorf("error %v", err)
+		t.Errorf("serve: %v", err)
 	}
 }
 
-// Requests that come as the drain ends are due before the process may be killed, whatever wait they ask for.
+// Requests that arrive at the end of a drain must be answered before the process may be killed, however long
+// their clients would wait.
 func TestLateRequestOfADrainIsDue(t *testing.T) {
 	f, addr := serveHooked(t, testConfig(nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse)).Endpoint("a")), func(*frontend, *clientConn) {})
 	past := time.Now()
-	f.answerBy.Store(&past)
+	f.drainDeadline.Store(&past)
 	if a := nodetest.Dial(t, addr).Ask(request("check", "t1")); a.Status != http.StatusTooManyRequests {
-		t.Errorf("answer %+v, want a rejection at once", a)
+		t.Errorf("response %+v, want a rejection", a)
 	}
 }
--- a/internal/edgenode/frontend.go
+++ b/internal/edgenode/frontend.go
@@ -15,61 +15,65 @@
 	"opalhook/internal/edgenode/upstream"
 )
 
-// readyPath answers whether the node is ready for requests (protocol, "Clients to edge nodes").
+// readyPath is the path of the readiness check, which reports whether the node accepts requests (protocol,
+// "Clients to edge nodes").
 const readyPath = "/health/ready"
 
 // Time limits of a client's connection.
 const (
-	headerTimeout     = 1500 * time.Millisecond // for a request's header, from the connection's start or the first byte
-	bodyTimeout       = time.Second             // for its body
-	unreadBodyTimeout = 250 * time.Millisecond  // for the rest of a body that is of no use
-	writeTimeout      = 10 * time.Second        // for the writing of a response, after the longest wait for it
-	idleTimeout       = 30 * time.Second        // between requests
+	headerTimeout     = 1500 * time.Millisecond // for a header, from the connection or the first byte on
+	bodyTimeout       = time.Second             // for the body
+	unreadBodyTimeout = 250 * time.Millisecond  // for the rest of the body of a malformed request
+	writeTimeout      = 10 * time.Second        // for writing a response, in addition to maxWait
+	idleTimeout       = 30 * time.Second        // between two requests
 )
 
-// maxHeaderBytes bounds a request's header.
+// maxHeaderBytes is the largest header of a request, in bytes.
 const maxHeaderBytes = 16 << 10
 
-// Timing of a drain. The protocol ("Figures") says how long connections still come, and when the process may be killed.
+// Timing of a drain. The protocol ("Figures") defines for how long clients still connect, and when the
+// process may be killed: min(maxWait, maxKillDelay) + killDelayMargin after the start of the drain, at the
+// earliest.
 const (
-	drainListenPeriod = 500 * time.Millisecond // in which the listener stays open; connections come for up to 0.4 s
-	drainPollInterval = 5 * time.Millisecond   // from one look at idle connections to the next
-	maxKillDelay      = 3 * time.Second        // the kill comes no sooner than this, or the longest wait if that is less,
-	killDelayMargin   = 600 * time.Millisecond // and this
+	drainListenPeriod = 500 * time.Millisecond // listener stays open; clients may connect for up to 0.4 s
+	drainPollInterval = 5 * time.Millisecond   // between two checks for idle connections
+	maxKillDelay      = 3 * time.Second
+	killDelayMargin   = 600 * time.Millisecond
 )
 
-// reservedDescriptors are neither a client's nor an app server's.
+// reservedDescriptors is the number of file descriptors kept for everything but client and app server
+// connections, such as the listener, the calls to discovery and the peer socket.
 const reservedDescriptors = 48
 
-// maxServerConns and maxClientConns divide the descriptors. A request has at most one attempt out, so as many
-// connections to app servers as to clients are enough.
+// maxServerConns and maxClientConns divide the file descriptors equally between connections to app servers
+// and to clients. That is enough for the app servers, because a request has at most one attempt in progress.
 func maxServerConns(sockets int) int { return (sockets - reservedDescriptors) / 2 }
 func maxClientConns(sockets int) int { return (sockets - reservedDescriptors) / 2 }
 
-// requestHandler decides on the requests of clients; it is a [Node].
+// requestHandler produces the responses to clients' requests. [Node] implements it.
 type requestHandler interface {
-	// handleRequest returns the final response to a request: always by the deadline, and soon once ctx ends, which
-	// means that the client has gone. The only error is errIDInUse.
+	// handleRequest returns the final response to a request. It returns by the deadline, and promptly once
+	// ctx ends, which means that the client has disconnected. The only error is errIDInUse.
 	handleRequest(ctx context.Context, q balancer.Request, m upstream.Message, deadline time.Time) (clientResponse, error)
 }
 
-// frontend serves the clients' connections. It knows of the node no more than the handler of requests.
+// frontend is the HTTP server for clients. It depends on the node only as its requestHandler.
 type frontend struct {
 	handler     requestHandler
 	settings    *balancer.Settings
-	drainPeriod time.Duration // how long the listener stays open in a drain
+	drainPeriod time.Duration // time for which the listener stays open in a drain
 	log         *slog.Logger
 
-	server   *http.Server
-	conns    *connTable
-	ready    atomic.Bool
-	draining atomic.Bool
-	answerBy atomic.Pointer[time.Time] // once the listener is closed: when each new request has to be answered
-	classes  map[string]balancer.Class // by name
-	plans    map[string]bool           // by name
+	server        *http.Server
+	conns         *connTable
+	ready         atomic.Bool
+	draining      atomic.Bool
+	drainDeadline atomic.Pointer[time.Time] // for new requests; nil until the listener closes
+	classes       map[string]balancer.Class // by name
+	plans         map[string]bool           // names of all plans
 }
 
-// newFrontend returns the frontend of a node, which serves once serve is called.
+// newFrontend returns the frontend of a node. It does not serve before serve is called.
 func newFrontend(n *Node) *frontend {
 	f := &frontend{
 		handler:     n,
@@ -89,7 +93,7 @@
 	f.server = &http.Server{
 		Handler:           f,
 		ReadHeaderTimeout: headerTimeout,
-		WriteTimeout:      f.maxWait() + writeTimeout, // counts from a request's header
+		WriteTimeout:      f.maxWait() + writeTimeout, // starts when the request's header was read
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 		ConnContext:       withConn,
@@ -98,35 +102,37 @@
 	return f
 }
 
-// serve answers clients until drain closes the listener.
+// serve accepts and serves clients' connections until drain closes the listener. It returns nil after a
+// drain.
 func (f *frontend) serve(ln *clientListener) error {
 	err := f.server.Serve(ln)
 	if f.draining.Load() && (errors.Is(err, net.ErrClosed) || errors.Is(err, http.ErrServerClosed)) {
-		return nil // the latter where the drain has ended before the library sees the former
+		return nil // ErrServerClosed if the drain ended before net/http noticed that the listener is closed
 	}
 	return fmt.Errorf("listen: %w", err)
 }
 
-// drain ends serving. Clients still come for a while and are still answered, on connections that close after the
-// response; then the listener closes, and the requests in flight are finished. Closing at once would lose what
-// crosses the close.
+// drain stops serving and returns once all requests have been answered. For drainPeriod it still accepts
+// connections, whose requests are answered and which close after the response. Then it closes the listener
+// and waits for the requests in flight. Closing the listener at once would lose the requests of clients that
+// are just connecting.
 //
-// The library's own Shutdown is not used: from its start it drops, with no response, each request whose head it has
-// just read.
+// drain does not use [http.Server.Shutdown], which drops without a response each request whose header was
+// read just as Shutdown begins.
 func (f *frontend) drain(ln *clientListener) {
 	f.ready.Store(false)
 	f.draining.Store(true)
 	began := time.Now()
 	time.Sleep(f.drainPeriod)
 	ln.closeWhenQueueEmpty()
-	answerBy := began.Add(min(f.maxWait(), maxKillDelay) + killDelayMargin)
-	f.answerBy.Store(&answerBy)
+	drainDeadline := began.Add(min(f.maxWait(), maxKillDelay) + killDelayMargin)
+	f.drainDeadline.Store(&drainDeadline)
 	f.closeIdleConns(time.Now().Add(f.maxWait() + lingerPeriod))
-	// Only connections that never sent a whole request are left: the deadlines of all requests are past.
+	// The deadlines of all requests have passed, so the remaining connections never sent a complete request.
 	_ = f.server.Close() // the listener is closed already
 }
 
-// closeIdleConns closes connections as they become idle, until there are none or a time is reached.
+// closeIdleConns closes connections as they become idle. It returns once none is left, or at the time end.
 func (f *frontend) closeIdleConns(end time.Time) {
 	poll := time.NewTicker(drainPollInterval)
 	defer poll.Stop()
@@ -135,7 +141,7 @@
 	}
 }
 
-// maxWait is how long after a request's arrival its final response may be due.
+// maxWait returns the longest time from a request's arrival to the deadline of its final response.
 func (f *frontend) maxWait() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range f.settings.Classes {
@@ -144,7 +150,7 @@
 	return longest + f.settings.ResponseSlack
 }
 
-// ServeHTTP answers one request of a client.
+// ServeHTTP answers one request of a client. It implements [http.Handler].
 func (f *frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	defer f.recoverPanic(w)
 	if f.draining.Load() || f.conns.nearlyFull() {
@@ -163,7 +169,8 @@
 	f.handleRequest(w, r, conn)
 }
 
-// recoverPanic answers a request whose handler has panicked. It is to be deferred.
+// recoverPanic answers a request whose handler panicked, and logs the panic with its stack. It must be
+// deferred. It passes [http.ErrAbortHandler] on, by which net/http closes the connection without a response.
 func (f *frontend) recoverPanic(w http.ResponseWriter) {
 	switch cause := recover(); cause {
 	case nil:
@@ -175,7 +182,7 @@
 	}
 }
 
-// handleRequest has a request decided on and answers it.
+// handleRequest parses a request, passes it to the requestHandler and writes the response.
 func (f *frontend) handleRequest(w http.ResponseWriter, r *http.Request, conn *clientConn) {
 	began := time.Now()
 	q, m, err := f.parseRequest(r)
@@ -187,12 +194,13 @@
 		return
 	}
 	if !conn.transition(connActive) {
-		// The connection was evicted; nothing was passed on. The library would take a return for an empty 200.
+		// The connection was evicted before the request was passed on. If the handler just returned, net/http
+		// would send an empty response with status 200.
 		panic(http.ErrAbortHandler)
 	}
 	q.Timeout -= time.Since(began)
-	if answerBy := f.answerBy.Load(); answerBy != nil {
-		q.Timeout = min(q.Timeout, time.Until(*answerBy))
+	if drainDeadline := f.drainDeadline.Load(); drainDeadline != nil {
+		q.Timeout = min(q.Timeout, time.Until(*drainDeadline))
 	}
 	deadline := time.Now().Add(q.Timeout + f.settings.ResponseSlack)
 	response, err := f.handler.handleRequest(r.Context(), q, m, deadline)
@@ -203,6 +211,7 @@
 	f.writeResponse(w, response)
 }
 
+// serveReadiness answers a readiness check: 200 if the node accepts requests, 503 before that and in a drain.
 func (f *frontend) serveReadiness(w http.ResponseWriter) {
 	if f.ready.Load() {
 		writeText(w, http.StatusOK, "ready")
--- a/internal/edgenode/gone_test.go
+++ b/internal/edgenode/gone_test.go
@@ -13,38 +13,41 @@
 	"opalhook/internal/edgenode/nodetest"
 )
 
-// wantServed waits until a test's app server is through with a connection: what came on it has been taken down.
-func wantServed(t *testing.T, c net.Conn) {
+// awaitServerDone waits until a test's app server has closed its end of a connection. It has recorded all
+// requests on the connection by then.
+func awaitServerDone(t *testing.T, c net.Conn) {
 	t.Helper()
-	nodetest.Eventually(t, "the app server is through with its connection", func() bool {
+	nodetest.Eventually(t, "app server done with its connection", func() bool {
 		raw, err := c.(*net.TCPConn).SyscallConn()
 		return err != nil || raw.Control(func(uintptr) {}) != nil
 	})
 }
 
-// leaveAtTheWrite has a node run leave in the moment in which the first byte of an attempt on the next connection that
-// it makes would go out.
-func leaveAtTheWrite(n *Node, leave func()) {
+// hookWrites makes a node call hook just before each write of an attempt to a connection that it opens from now
+// on.
+func hookWrites(n *Node, hook func()) {
 	dial := n.upstream.DialContext
 	n.upstream.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
 		if err != nil {
 			return nil, err
 		}
-		return nodetest.HookedConn{TCPConn: c.(*net.TCPConn), Hook: nodetest.HookedRawConn{BeforeWrite: leave}}, nil
+		return nodetest.HookedConn{TCPConn: c.(*net.TCPConn), Hook: nodetest.HookedRawConn{BeforeWrite: hook}}, nil
 	}
 }
 
-// No attempt begins once its client has closed: not the first one, and not a further one either, which is decided
-// on when the one before fails and may get its connection when nobody waits any more.
+// Guards against attempts that begin after their client has disconnected. It covers the first attempt and a
+// retry. The balancer starts a retry when the attempt before fails, and its connection may open only after
+// the client has disconnected.
 func TestNoAttemptBeginsForAClientThatHasClosed(t *testing.T) {
 	for _, class := range []string{"check", "book"} {
-		for _, further := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s, further attempt: %v", class, further), func(t *testing.T) {
-				var fails atomic.Pointer[func()] // runs as the first server fails
+		for _, retry := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s, retry: %v", class, retry), func(t *testing.T) {
+				// If set, the first app server calls it and fails the attempt.
+				var onFailure atomic.Pointer[func()]
 				first := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
-					if fail := fails.Load(); fail != nil {
-						(*fail)()
+					if hook := onFailure.Load(); hook != nil {
+						(*hook)()
 						return false
 					}
 					return nodetest.Say(nodetest.OKResponse)(c, r, body)
@@ -52,47 +55,47 @@
 				second := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 				f, addr := serveHooked(t, testConfig(first.Endpoint("a")), func(*frontend, *clientConn) {})
 				n := nodeOf(f)
-				for i := range 20 { // by which further attempts are earned
+				for i := range 20 { // first attempts earn the budget for retries
 					nodetest.Dial(t, addr).Ask(request("check", fmt.Sprint("t", i)))
 				}
 				c := nodetest.Dial(t, addr)
-				left, noticed := make(chan struct{}), make(chan struct{})
-				leave := func() {
+				closed, noticed := make(chan struct{}), make(chan struct{})
+				disconnect := func() {
 					_ = c.Close()
-					close(left)
+					close(closed)
 					<-noticed
 				}
-				secondOnly := func() {
-					leaveAtTheWrite(n, leave)
-					old := first.Endpoint("a")
-					old.State = balancer.Draining
-					n.updateEndpoints(endpointlist.List{Endpoints: []endpointlist.Endpoint{old, second.Endpoint("b")}}, balancer.UpdateDelta)
+				useSecondOnly := func() {
+					hookWrites(n, disconnect)
+					drained := first.Endpoint("a")
+					drained.State = balancer.Draining
+					n.updateEndpoints(endpointlist.List{Endpoints: []endpointlist.Endpoint{drained, second.Endpoint("b")}}, balancer.UpdateDelta)
 				}
-				if further {
-					fails.Store(&secondOnly)
+				if retry {
+					onFailure.Store(&useSecondOnly)
 				} else {
-					secondOnly()
+					useSecondOnly()
 				}
 				before := len(first.Requests())
 				c.Send(request(class, "gone"))
-				nodetest.Await(t, "the client's leaving", left)
-				nodetest.Eventually(t, "the node has noticed", func() bool {
+				nodetest.Await(t, "client disconnected", closed)
+				nodetest.Eventually(t, "node has noticed the disconnect", func() bool {
 					n.mu.Lock()
 					defer n.mu.Unlock()
 					return n.inflight["gone"].answered
 				})
 				close(noticed)
-				nodetest.Eventually(t, "the request is over", func() bool {
+				nodetest.Eventually(t, "request ended", func() bool {
 					n.mu.Lock()
 					defer n.mu.Unlock()
 					return len(n.inflight) == 0
 				})
-				wantServed(t, nodetest.Await(t, "the connection to the second server", second.Conns))
+				awaitServerDone(t, nodetest.Await(t, "connection to the second app server", second.Conns))
 				if got := second.Requests(); len(got) != 0 {
-					t.Errorf("sent on behind the close: %q", got)
+					t.Errorf("requests sent after the client disconnected: %q", got)
 				}
-				if got := len(first.Requests()) - before; further != (got == 1) {
-					t.Errorf("%d attempts before the close", got)
+				if got := len(first.Requests()) - before; retry != (got == 1) {
+					t.Errorf("%d attempts before the client disconnected", got)
 				}
 			})
 		}
--- a/internal/edgenode/harness_test.go
+++ b/internal/edgenode/harness_test.go
@@ -16,8 +16,9 @@
 	"opalhook/internal/settings"
 )
 
-// testConfig is a tier of one edge node, with an idempotent class, one with keys and a plan
-// whose second request within seconds is beyond its quota.
+// testConfig returns the configuration of a fleet of one edge node. Class "check" is idempotent, class "book"
+// requires idempotency keys. Plan "wide" has a quota that no test exhausts. Plan "tight" allows one request
+// within 10 s.
 func testConfig(servers ...endpointlist.Endpoint) *Config {
 	return &Config{
 		Name: "n0", Listen: netip.MustParseAddrPort("127.0.0.1:0"), Discovery: netip.MustParseAddrPort("127.0.0.1:1"),
@@ -38,20 +39,22 @@
 	}
 }
 
-// runningNode is a node that runs in this process.
+// runningNode is an edge node that runs in the test's process.
 type runningNode struct {
-	addr   string
-	stop   context.CancelFunc // a planned restart's SIGTERM
-	reload chan os.Signal     // takes SIGHUP
-	done   chan error
+	addr   string             // address for clients
+	stop   context.CancelFunc // has the effect of SIGTERM
+	reload chan os.Signal     // a value has the effect of SIGHUP
+	done   chan error         // receives the result of the run
 	logs   *nodetest.Buffer
 }
 
+// run runs an edge node on a loopback port until the test ends.
 func run(t testing.TB, cfg *Config) *runningNode {
 	t.Helper()
 	return runListening(t, cfg, nodetest.Listen(t))
 }
 
+// runListening runs an edge node on the listener ln until the test ends.
 func runListening(t testing.TB, cfg *Config, ln *net.TCPListener) *runningNode {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
@@ -67,19 +70,19 @@
 				t.Errorf("run: %v", err)
 			}
 		case <-time.After(nodetest.Patience):
-			t.Error("the node does not end")
+			t.Error("the node did not end in time")
 		}
 	})
 	return r
 }
 
-// serveClients serves the connections that come to a listener until the test ends.
+// serveClients serves the connections that a listener accepts until the test ends.
 func serveClients(t testing.TB, f *frontend, ln net.Listener) {
 	t.Helper()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = f.server.Serve(ln) // ends with an error always
+		_ = f.server.Serve(ln) // always returns an error
 	}()
 	t.Cleanup(func() {
 		_ = f.server.Close()
@@ -87,33 +90,34 @@
 	})
 }
 
-// request is the text of a valid request, some of whose lines may be replaced: "" as
-// the value of a header leaves it out, "" as its name replaces the first line.
+// request returns the text of a valid request of a class. replace has pairs of a header's name and the value
+// that it gets instead. A value of "" removes the header. The name "" replaces the request line, the name
+// "body" the body.
 func request(class, id string, replace ...string) string {
-	lines := map[string]string{
+	headers := map[string]string{
 		"Host": "app.svc", "X-Trace-Id": id, "X-Qos": class, "X-Contract": "wide",
 		"X-Expires-In": "20", "X-Metering": "units=1,spread=1,first=0",
 	}
-	first, body := "GET /"+class+"/a%2fb?customer=00000000b4d65521&x=%41+ HTTP/1.1", ""
+	requestLine, body := "GET /"+class+"/a%2fb?customer=00000000b4d65521&x=%41+ HTTP/1.1", ""
 	if class == "book" {
-		first, body = strings.Replace(first, "GET", "POST", 1), "slot"
-		lines["Idempotency-Key"], lines["Content-Length"] = "key-"+id, "4"
+		requestLine, body = strings.Replace(requestLine, "GET", "POST", 1), "slot"
+		headers["Idempotency-Key"], headers["Content-Length"] = "key-"+id, "4"
 	}
 	for i := 0; i < len(replace); i += 2 {
 		switch {
 		case replace[i] == "":
-			first = replace[i+1]
+			requestLine = replace[i+1]
 		case replace[i] == "body":
 			body = replace[i+1]
 		case replace[i+1] == "":
-			delete(lines, replace[i])
+			delete(headers, replace[i])
 		default:
-			lines[replace[i]] = replace[i+1]
+			headers[replace[i]] = replace[i+1]
 		}
 	}
-	text := first + "\r\n"
-	for name, val := range lines {
-		text += name + ": " + val + "\r\n"
+	text := requestLine + "\r\n"
+	for name, value := range headers {
+		text += name + ": " + value + "\r\n"
 	}
 	return text + "\r\n" + body
 }
--- a/internal/edgenode/inflight.go
+++ b/internal/edgenode/inflight.go
@@ -9,67 +9,69 @@
 	"opalhook/internal/edgenode/upstream"
 )
 
-// inflightRequest is a request of a client until it is answered and its attempts have ended. Its fields are
-// guarded by the node's mutex.
+// inflightRequest is the state of a client's request from its arrival until it is answered and all of its
+// attempts have ended. The node's mutex guards its fields.
 type inflightRequest struct {
-	id          string
-	message     upstream.Message
-	deadline    time.Time
-	response    chan clientResponse // takes the one final response
-	answered    bool
-	attempts    []*attempt
-	attemptsOut int // attempts that have not ended
+	id           string
+	message      upstream.Message
+	deadline     time.Time
+	response     chan clientResponse // receives the final response; buffered, so that sending never blocks
+	answered     bool                // the final response was sent to the channel
+	attempts     []*attempt          // all attempts, by their number
+	openAttempts int                 // number of attempts that have not ended
 }
 
 // attempt is one attempt of a request in flight.
 type attempt struct {
 	number     int
 	endpointID string
-	sentAt     time.Duration // by the node's clock
+	sentAt     time.Duration // start of the attempt, by the node's clock
 	limits     upstream.WriteLimits
 	cancel     context.CancelFunc
 }
 
-// clientResponse is a final response.
+// clientResponse is the final response to a client's request.
 type clientResponse struct {
 	kind       responseKind
-	retryAfter time.Duration     // of a rejection
-	server     upstream.Response // of a served request
+	retryAfter time.Duration     // set if the request was rejected; 0: no Retry-After header
+	server     upstream.Response // set if the request was served
 }
 
+// responseKind is the kind of a final response.
 type responseKind int
 
 const (
-	responseServed responseKind = iota
-	responseRejected
-	responseFailed
+	responseServed   responseKind = iota // response of an app server
+	responseRejected                     // rejection: the client may retry safely
+	responseFailed                       // failure: the request may have taken effect
 )
 
-// errIDInUse means that a request with the same id is in flight.
+// errIDInUse is the error for a request whose id is that of a request in flight.
 var errIDInUse = errors.New("request id is in use")
 
-// handleRequest has the balancer decide on a request of a client and returns its final response. A request whose client
-// goes, or that is not answered by the deadline, is aborted. A client that has closed only its sending side
-// still gets its response.
+// handleRequest passes a client's request to the balancer and returns the final response. It aborts a request
+// whose client disconnects or that is not answered by the deadline. A client that closed only its sending
+// side still receives the response. The only error is errIDInUse.
 func (n *Node) handleRequest(ctx context.Context, q balancer.Request, m upstream.Message, deadline time.Time) (clientResponse, error) {
 	request := n.startRequest(q, m, deadline)
 	if request == nil {
 		return clientResponse{}, errIDInUse
 	}
-	late := time.NewTimer(time.Until(deadline))
-	defer late.Stop()
+	timeout := time.NewTimer(time.Until(deadline))
+	defer timeout.Stop()
 	select {
 	case response := <-request.response:
 		return response, nil
 	case <-ctx.Done():
-	case <-late.C:
+	case <-timeout.C:
 	}
 	n.abortRequest(request)
 	return <-request.response, nil
 }
 
-// startRequest starts a request of a client. It returns nil if its id is in use. The final response comes on the
-// returned request's channel, also where the balancer gives none in time.
+// startRequest passes a client's request to the balancer. It returns nil if the id is in use. The final
+// response is sent to the channel of the returned request. If the balancer panics or the node is closed,
+// startRequest sends a failure itself.
 func (n *Node) startRequest(q balancer.Request, m upstream.Message, deadline time.Time) *inflightRequest {
 	request := &inflightRequest{id: q.ID, message: m, deadline: deadline, response: make(chan clientResponse, 1)}
 	inUse := false
@@ -83,14 +85,14 @@
 	if inUse {
 		return nil
 	}
-	if !ok { // the balancer panicked or the node is closed: no other response will come
+	if !ok { // the balancer panicked or the node is closed, so nothing else will answer the request
 		n.abortRequest(request)
 	}
 	return request
 }
 
-// abortRequest ends a request whose client has gone or that was not answered in time. The request has its response
-// then, also where the node is closed and takes no more events.
+// abortRequest ends a request whose client has disconnected or that was not answered in time. When it
+// returns, the request has a final response, even if the node is closed and handles no more events.
 func (n *Node) abortRequest(request *inflightRequest) {
 	ok := n.handleEvent(func(now time.Duration, out balancer.Actions) {
 		n.finishRequest(request, clientResponse{kind: responseFailed})
@@ -103,25 +105,29 @@
 	}
 }
 
-// finishRequest gives a request its final response unless it has one. Called under the mutex.
+// finishRequest sends the final response of a request, unless one was sent before. The caller holds the
+// mutex.
 func (n *Node) finishRequest(request *inflightRequest, response clientResponse) {
 	if request.answered {
 		return
 	}
 	request.answered = true
-	n.upstream.Withdraw(&request.message) // first: an attempt whose connection comes up late must not be sent after it
+	// Withdrawn first: an attempt whose connection opens late must not write the request after the response.
+	n.upstream.Withdraw(&request.message)
 	request.response <- response
 	n.releaseRequest(request)
 }
 
-// releaseRequest drops a request once it is answered and has no attempt out. Called under the mutex.
+// releaseRequest forgets a request if it is answered and all of its attempts have ended. The caller holds the
+// mutex.
 func (n *Node) releaseRequest(request *inflightRequest) {
-	if request.answered && request.attemptsOut == 0 && n.inflight[request.id] == request {
+	if request.answered && request.openAttempts == 0 && n.inflight[request.id] == request {
 		delete(n.inflight, request.id)
 	}
 }
 
-// runAttempt carries out one attempt and reports its outcome to the balancer.
+// runAttempt executes one attempt and reports its outcome to the balancer. A successful attempt answers the
+// request.
 func (n *Node) runAttempt(ctx context.Context, request *inflightRequest, a *attempt) {
 	response, result := n.upstream.Exchange(ctx, a.endpointID, &request.message, a.limits)
 	a.cancel()
@@ -130,7 +136,7 @@
 		if result == balancer.OK {
 			n.finishRequest(request, clientResponse{kind: responseServed, server: response})
 		}
-		request.attemptsOut--
+		request.openAttempts--
 		n.balancer.AttemptFinished(now, balancer.Outcome{
 			ID:          request.id,
 			Attempt:     a.number,
@@ -146,7 +152,8 @@
 	})
 }
 
-// connectedAt is when the connection that a response came on was made, by the node's clock; 0 without a response.
+// connectedAt returns the time at which the connection of a response was opened, by the node's clock, or 0 if
+// there is no response.
 func (n *Node) connectedAt(response upstream.Response) time.Duration {
 	if response.ConnectedAt.IsZero() {
 		return 0
@@ -154,7 +161,7 @@
 	return time.Duration(n.startedAt.UnixNano()) + response.ConnectedAt.Sub(n.startedAt)
 }
 
-// runHealthCheck asks an endpoint for its load and reports it to the balancer.
+// runHealthCheck requests the load report of an endpoint and passes the result to the balancer.
 func (n *Node) runHealthCheck(endpointID string) {
 	report, result := n.upstream.CheckHealth(n.ctx, endpointID)
 	n.handleEvent(func(now time.Duration, out balancer.Actions) {
--- a/internal/edgenode/inflight_test.go
+++ b/internal/edgenode/inflight_test.go
@@ -12,7 +12,8 @@
 	"opalhook/internal/edgenode/upstream"
 )
 
-// A request that is in flight when its node closes, or that comes after, keeps no handler waiting.
+// Guards against HTTP handlers that never return. The handler of a request must return both if its node
+// closes while the request is in flight and if the request arrives after the close.
 func TestHandlersEndWithTheNode(t *testing.T) {
 	s := nodetest.NewAppServer(t, func(net.Conn, *http.Request, []byte) bool { select {} })
 	ctx, stop := context.WithCancel(t.Context())
@@ -30,29 +31,29 @@
 	})
 	ln := nodetest.Listen(t)
 	serveClients(t, f, newClientListener(ln, f.conns))
-	open := nodetest.Dial(t, ln.Addr().String())
-	open.Send(request("check", "open"))
-	nodetest.Eventually(t, "request out", func() bool { return len(s.Requests()) == 1 })
+	client := nodetest.Dial(t, ln.Addr().String())
+	client.Send(request("check", "open"))
+	nodetest.Eventually(t, "request at the app server", func() bool { return len(s.Requests()) == 1 })
 	stop()
 	n.close()
-	_ = open.Close()
-	nodetest.Await(t, "the end of the handler whose request was open", handled)
+	_ = client.Close()
+	nodetest.Await(t, "handler of the request in flight returned", handled)
 	if a := nodetest.Dial(t, ln.Addr().String()).Ask(request("check", "late")); a.Status != http.StatusBadGateway {
-		t.Errorf("a request to a closed node has %+v, want that it failed", a)
+		t.Errorf("request to a closed node: response %+v, want status %d", a, http.StatusBadGateway)
 	}
-	nodetest.Await(t, "the end of the handler whose request came after", handled)
+	nodetest.Await(t, "handler of the late request returned", handled)
 }
 
-// A request that has its final answer is not sent any more, also where its attempt has its connection and nobody has
-// told it.
+// A request that has its final response must not be sent any more, even if its attempt was not cancelled and
+// has a connection.
 func TestNothingIsSentAfterTheFinalResponse(t *testing.T) {
-	srv := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
-	n, err := newNode(t.Context(), testConfig(srv.Endpoint("a")), slog.New(slog.DiscardHandler))
+	server := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	n, err := newNode(t.Context(), testConfig(server.Endpoint("a")), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	n.startBalancer()
-	for _, kept := range []bool{false, true} { // of the connection
+	for _, reused := range []bool{false, true} { // whether the attempt finds an idle connection
 		request := &inflightRequest{
 			id: "t1", message: upstream.Message{Method: "GET", Target: "/late"},
 			response: make(chan clientResponse, 1),
@@ -61,36 +62,37 @@
 		n.finishRequest(request, clientResponse{kind: responseFailed})
 		n.mu.Unlock()
 		if _, result := n.upstream.Exchange(t.Context(), "a", &request.message, upstream.WriteLimits{}); result != balancer.NotSent {
-			t.Errorf("kept %v: result %v", kept, result)
+			t.Errorf("connection reused %v: result %v, want NotSent", reused, result)
 		}
 		if _, result := n.upstream.Exchange(t.Context(), "a", &upstream.Message{Method: "GET", Target: "/other"}, upstream.WriteLimits{}); result != balancer.OK {
-			t.Errorf("kept %v: another request: result %v", kept, result)
+			t.Errorf("connection reused %v, other request: result %v, want OK", reused, result)
 		}
 	}
-	if got := srv.Requests(); len(got) != 2 || got[0] != "GET /other " || got[1] != "GET /other " {
-		t.Errorf("sent %q", got)
+	if got := server.Requests(); len(got) != 2 || got[0] != "GET /other " || got[1] != "GET /other " {
+		t.Errorf("app server received %q, want only the other request, twice", got)
 	}
 	n.close()
 }
 
-// A request that the balancer does not answer gets its response from the host all the same.
+// A request that the balancer does not answer is failed by the node, with exactly one response.
 func TestAbortedRequestIsAnswered(t *testing.T) {
 	cfg := testConfig()
 	n, request := nodeOf(idleFrontend(t, cfg)), &inflightRequest{id: "t1", response: make(chan clientResponse, 1)}
 	n.inflight["t1"] = request
 	n.abortRequest(request)
-	if a := nodetest.Await(t, "an answer", request.response); a.kind != responseFailed {
-		t.Errorf("answer %+v", a)
+	if a := nodetest.Await(t, "response", request.response); a.kind != responseFailed {
+		t.Errorf("response %+v, want a failure", a)
 	}
 	if len(n.inflight) != 0 {
 		t.Error("the request is still in flight")
 	}
 	if n.abortRequest(request); len(request.response) != 0 {
-		t.Error("a second final answer")
+		t.Error("the request has a second response")
 	}
 }
 
-// Two requests in flight with one id could not be told apart by the balancer.
+// A request whose id is in flight is answered with a conflict, because the balancer could not tell the two
+// apart.
 func TestIDInUse(t *testing.T) {
 	hold := make(chan struct{})
 	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
@@ -100,12 +102,12 @@
 	n := run(t, testConfig(s.Endpoint("a")))
 	c := nodetest.Dial(t, n.addr)
 	c.Send(request("check", "t1"))
-	nodetest.Eventually(t, "request out", func() bool { return len(s.Requests()) == 1 })
+	nodetest.Eventually(t, "first request at the app server", func() bool { return len(s.Requests()) == 1 })
 	if a := nodetest.Dial(t, n.addr).Ask(request("check", "t1")); a.Status != 409 {
 		t.Errorf("status %d, want 409", a.Status)
 	}
 	close(hold)
 	if a := c.Receive(); a.Status != 200 {
-		t.Errorf("the first: status %d", a.Status)
+		t.Errorf("first request: status %d, want 200", a.Status)
 	}
 }
--- a/internal/edgenode/list_bench_test.go
+++ b/internal/edgenode/list_bench_test.go
@@ -14,19 +14,19 @@
 	"opalhook/internal/edgenode/nodetest"
 )
 
-// BenchmarkList takes whole lists in, from the bytes of a watch to the balancer: on one line, indented
-// over many, and in pieces of 48 bytes.
+// BenchmarkList measures the processing of complete lists, from the bytes of a watch to the balancer. A list
+// arrives on one line, indented on many lines, or in pieces of 48 bytes.
 func BenchmarkList(b *testing.B) {
 	for _, size := range []int{60, 350, 1024} {
-		var all []endpointlist.Endpoint
+		var endpoints []endpointlist.Endpoint
 		for i := range size {
-			all = append(all, endpointlist.Endpoint{
+			endpoints = append(endpoints, endpointlist.Endpoint{
 				Endpoint: balancer.Endpoint{ID: fmt.Sprintf("s-%08x", i*7919), Zone: "z", MachineType: "k", Cell: i / 6, Weight: 1},
 				Addr:     netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 2, byte(i / 250), byte(i % 250)}), 8080),
 			})
 		}
-		last := all[size-1].ID
-		line := []byte(nodetest.ListJSON(9, true, all...))
+		last := endpoints[size-1].ID
+		line := []byte(nodetest.ListJSON(9, true, endpoints...))
 		var indented bytes.Buffer
 		if err := json.Indent(&indented, line, "", "  "); err != nil {
 			b.Fatal(err)
@@ -59,7 +59,7 @@
 						}
 					}
 					if n.upstream.Lookup(last) == nil {
-						b.Fatalf("%s of %d servers is missing", last, size)
+						b.Fatalf("endpoint %s of a list of %d is missing", last, size)
 					}
 				}
 			})
--- a/internal/edgenode/node.go
+++ b/internal/edgenode/node.go
@@ -1,12 +1,17 @@
-// Package edgenode is the edge node: the host of a [balancer.Balancer] on sockets. It moves bytes, keeps the
-// clock and enforces what the balancer relies on; where a request is sent, and whether it is rejected or retried,
-// is decided in package balancer alone.
+// Package edgenode implements the edge node: it hosts a [balancer.Balancer] and connects it to clients, app
+// servers, discovery and peers over sockets. The package does the I/O, provides the clock and timers, and
+// enforces the limits that the balancer relies on, such as deadlines. Package balancer alone decides which
+// endpoint receives a request, and whether the request is rejected or retried.
 //
-// A request passes through it as follows: a connection is accepted by the client listener and counted in the
-// connection table; the frontend parses the request and starts it at the [Node], which hands it to the balancer;
-// the balancer's actions start attempts, each of which is one exchange of the upstream; the first good response,
-// or the balancer's rejection, goes back through the frontend. The discovery client keeps the list of endpoints
-// current beside that.
+// A request passes through the package in these steps:
+//
+//   - The client listener accepts the connection and adds it to the connection table.
+//   - The frontend parses the request and passes it to the [Node], which passes it to the balancer.
+//   - The balancer starts attempts through its actions. Each attempt is one exchange of the upstream pool.
+//   - The frontend writes the final response to the client: the first successful response of an app server,
+//     or the rejection or failure that the balancer decided on.
+//
+// Meanwhile a discovery client keeps the endpoint list up to date.
 package edgenode
 
 import (
@@ -22,26 +27,27 @@
 	"opalhook/internal/settings"
 )
 
-// Node hosts the balancer of one edge node. Its events come from many goroutines; one mutex makes them one
-// sequence. The balancer's actions change the node's state under the mutex; what does I/O runs after it is
-// released, or in a goroutine of its own.
+// Node hosts the balancer of one edge node. Many goroutines send events to the balancer; a mutex serializes
+// them. The balancer's actions change the state of the node with the mutex held. Actions that do I/O run
+// after the mutex is released, or in goroutines of their own.
 type Node struct {
 	cfg       *Config
 	log       *slog.Logger
-	startedAt time.Time // the clock reads Unix time at the start plus the monotonic time since
+	startedAt time.Time // origin of the node's clock, see now
 	ctx       context.Context
 	upstream  *upstream.Pool
-	peers     *peerSocket // nil where edge nodes don't message each other
+	peers     *peerSocket // nil if edge nodes exchange no messages
 
 	mu         sync.Mutex
 	balancer   *balancer.Balancer
 	inflight   map[string]*inflightRequest // by request id
-	deferred   []func()                    // what the current event leaves to do without the mutex
-	closed     bool                        // no more events
-	background sync.WaitGroup              // attempts and health checks
+	deferred   []func()                    // work of the current event to run once the mutex is released
+	closed     bool                        // the node handles no more events
+	background sync.WaitGroup              // goroutines of attempts and health checks
 }
 
-// newNode makes a node whose goroutines end with ctx.
+// newNode returns a node whose attempts and health checks end when ctx ends. It fails if the settings are
+// invalid.
 func newNode(ctx context.Context, cfg *Config, logger *slog.Logger) (*Node, error) {
 	b, err := balancer.New(cfg.Settings, cfg.Seed)
 	if err != nil {
@@ -58,16 +64,19 @@
 	}, nil
 }
 
-// now reads the clock: Unix time, so that the start times in lists compare to it, that never goes back.
+// now returns the time of the node's clock, as the time since the Unix epoch, so that it compares to the
+// start times in endpoint lists. The clock is monotonic: it adds the monotonic time since startedAt to
+// startedAt.
 func (n *Node) now() time.Duration {
 	return time.Duration(n.startedAt.UnixNano()) + time.Since(n.startedAt)
 }
 
-// handleEvent runs one event of the balancer, then what its actions deferred. It reports whether the event was
-// handled: a panic in the balancer is logged, with its stack, and costs this event only.
+// handleEvent runs one event of the balancer with the mutex held, then the work that its actions deferred. It
+// returns false if the node is closed or the balancer panicked. It logs a panic with its stack; later events
+// are still handled.
 func (n *Node) handleEvent(event func(now time.Duration, out balancer.Actions)) bool {
 	n.mu.Lock()
-	ok := !n.closed && n.runGuarded(event)
+	ok := !n.closed && n.runWithRecover(event)
 	deferred := n.deferred
 	n.deferred = nil
 	n.mu.Unlock()
@@ -77,7 +86,9 @@
 	return ok
 }
 
-func (n *Node) runGuarded(event func(now time.Duration, out balancer.Actions)) (ok bool) {
+// runWithRecover runs an event. If it panics, runWithRecover logs the panic and returns false. The caller
+// holds the mutex.
+func (n *Node) runWithRecover(event func(now time.Duration, out balancer.Actions)) (ok bool) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			stack := string(debug.Stack())
@@ -88,12 +99,13 @@
 	return true
 }
 
-// logDeferred logs once the mutex is released. Called under the mutex.
+// logDeferred writes a log record once the mutex is released. The caller holds the mutex.
 func (n *Node) logDeferred(level slog.Level, message string, attributes ...any) {
 	n.deferred = append(n.deferred, func() { n.log.Log(n.ctx, level, message, attributes...) })
 }
 
-// close ends the node's events, then waits for its attempts and health checks, whose context has ended.
+// close stops the handling of events, waits for the attempts and health checks to end, and closes the idle
+// connections to app servers. The context of the node must have ended before.
 func (n *Node) close() {
 	n.mu.Lock()
 	n.closed = true
@@ -102,13 +114,13 @@
 	n.upstream.Close()
 }
 
-// startBalancer starts the balancer with the cached list.
+// startBalancer starts the balancer and gives it the cached list.
 func (n *Node) startBalancer() {
 	n.handleEvent(func(now time.Duration, out balancer.Actions) { n.balancer.Start(now, out) })
 	n.updateEndpoints(n.cfg.CachedList, balancer.UpdateCached)
 }
 
-// updateEndpoints applies a list to the upstream's connections and to the balancer, as one event.
+// updateEndpoints passes a list to the upstream pool and to the balancer in one event.
 func (n *Node) updateEndpoints(l endpointlist.List, kind balancer.UpdateKind) {
 	endpoints := make([]balancer.Endpoint, len(l.Endpoints))
 	for i, s := range l.Endpoints {
@@ -120,7 +132,7 @@
 	})
 }
 
-// receiveList applies a message of discovery.
+// receiveList applies a list received from discovery.
 func (n *Node) receiveList(l endpointlist.List) {
 	kind := balancer.UpdateDelta
 	if l.Snapshot {
@@ -129,7 +141,7 @@
 	n.updateEndpoints(l, kind)
 }
 
-// receivePeerMessage passes a message of a peer on.
+// receivePeerMessage passes a message of the peer with index from to the balancer.
 func (n *Node) receivePeerMessage(from int, message []byte) {
 	n.handleEvent(func(now time.Duration, out balancer.Actions) { n.balancer.PeerMessage(now, from, message, out) })
 }
--- a/internal/edgenode/nodetest/blocked.go
+++ b/internal/edgenode/nodetest/blocked.go
@@ -8,7 +8,9 @@
 	"time"
 )
 
-// Blocked is the address of a server whose machine gives no sign: connections to it don't come up.
+// Blocked returns the address of a server whose machine does not respond: connections to it are never
+// established. It is a listener with a full accept queue, for which the kernel drops further connection
+// attempts.
 func Blocked(t *testing.T) netip.AddrPort {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -22,12 +24,12 @@
 	if err := syscall.Listen(fd, 0); err != nil {
 		t.Fatal(err)
 	}
-	at, err := syscall.Getsockname(fd)
+	name, err := syscall.Getsockname(fd)
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(at.(*syscall.SockaddrInet4).Port))
-	for range 3 { // fill its queue: what comes then is dropped
+	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(name.(*syscall.SockaddrInet4).Port))
+	for range 3 { // fills the accept queue
 		if c, err := net.DialTimeout("tcp", addr.String(), 100*time.Millisecond); err == nil {
 			t.Cleanup(func() { _ = c.Close() })
 		}
--- a/internal/edgenode/nodetest/close.go
+++ b/internal/edgenode/nodetest/close.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// WantClosed waits until the peer has closed its end.
+// WantClosed waits until the peer of a connection has closed or reset it. It fails the test after [Patience].
 func WantClosed(t *testing.T, c net.Conn) {
 	t.Helper()
 	Eventually(t, "connection closed by the node", func() bool {
--- a/internal/edgenode/nodetest/hook.go
+++ b/internal/edgenode/nodetest/hook.go
@@ -5,13 +5,14 @@
 	"syscall"
 )
 
-// HookedRawConn runs functions in the middle of a socket's read or write. Each may be nil.
+// HookedRawConn is a raw connection that calls hooks around the system calls of a read or write. A read may
+// try several times until the socket has something to read. Each hook may be nil.
 type HookedRawConn struct {
 	syscall.RawConn
-	BeforeRead  func()
-	BeforeWrite func()
-	AfterTry    func() // after each try to read
-	AfterRead   func() // after the one that ends the read
+	BeforeRead  func() // called before each try to read
+	BeforeWrite func() // called before each try to write
+	AfterTry    func() // called after each try to read
+	AfterRead   func() // called after the last try of a read
 }
 
 // Read implements syscall.RawConn.
@@ -41,10 +42,10 @@
 	})
 }
 
-// HookedConn is a connection whose raw connection is hooked.
+// HookedConn is a TCP connection whose raw connection calls the hooks in Hook.
 type HookedConn struct {
 	*net.TCPConn
-	Hook HookedRawConn // RawConn is the connection's own
+	Hook HookedRawConn // SyscallConn sets its RawConn
 }
 
 // SyscallConn implements syscall.Conn.
--- a/internal/edgenode/nodetest/nodetest.go
+++ b/internal/edgenode/nodetest/nodetest.go
@@ -1,5 +1,5 @@
-// Package nodetest holds what the tests of the edge node's packages share: app servers and clients on loopback sockets,
-// and waits that are bounded.
+// Package nodetest has helpers for the tests of the edge node's packages: app servers and clients on loopback
+// sockets, and waits with a time limit.
 package nodetest
 
 import (
@@ -21,23 +21,25 @@
 	"opalhook/internal/edgenode/endpointlist"
 )
 
-// Patience bounds every wait of a test; none is expected to come near it.
+// Patience is the time limit of every wait in a test. It is far longer than any wait should take, so that a
+// busy machine does not fail a test.
 const Patience = 30 * time.Second
 
-// ServeFunc answers one request that has come whole. It returns false to have the connection closed.
+// ServeFunc answers one request, whose body has been read completely. If it returns false, the app server
+// closes the connection.
 type ServeFunc func(c net.Conn, r *http.Request, body []byte) bool
 
 // AppServer is an app server on a loopback socket.
 type AppServer struct {
 	Listener net.Listener
 	serve    ServeFunc
-	Conns    chan net.Conn // every connection accepted
+	Conns    chan net.Conn // receives each accepted connection
 
-	mu   sync.Mutex
-	seen []string // the first line and the body of each request
+	mu       sync.Mutex
+	requests []string // method, target and body of each request
 }
 
-// NewAppServer starts an app server, which ends with the test.
+// NewAppServer starts an app server, which stops when the test ends.
 func NewAppServer(t testing.TB, serve ServeFunc) *AppServer {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -64,13 +66,14 @@
 	return s
 }
 
-// ServeConn starts an app server on one connection, until that ends.
+// ServeConn starts an app server that serves only the connection c, until it ends.
 func ServeConn(c net.Conn, serve ServeFunc) *AppServer {
 	s := &AppServer{serve: serve}
 	go s.loop(c)
 	return s
 }
 
+// loop serves the requests on one connection.
 func (s *AppServer) loop(c net.Conn) {
 	defer func() { _ = c.Close() }()
 	br := bufio.NewReader(c)
@@ -84,7 +87,7 @@
 			return
 		}
 		s.mu.Lock()
-		s.seen = append(s.seen, r.Method+" "+r.RequestURI+" "+string(body))
+		s.requests = append(s.requests, r.Method+" "+r.RequestURI+" "+string(body))
 		s.mu.Unlock()
 		if !s.serve(c, r, body) {
 			return
@@ -92,14 +95,14 @@
 	}
 }
 
-// Requests returns the first line and the body of each request so far.
+// Requests returns method, target and body of each request received so far, separated by spaces.
 func (s *AppServer) Requests() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]string(nil), s.seen...)
+	return append([]string(nil), s.requests...)
 }
 
-// Endpoint returns the server as an endpoint of the list.
+// Endpoint returns the server as an entry of the endpoint list.
 func (s *AppServer) Endpoint(id string) endpointlist.Endpoint {
 	return endpointlist.Endpoint{Endpoint: balancer.Endpoint{ID: id, Weight: 1, MachineType: "k", Zone: "z"}, Addr: AddrOf(s.Listener)}
 }
@@ -107,7 +110,7 @@
 // AddrOf returns the address of a listener.
 func AddrOf(ln net.Listener) netip.AddrPort { return ln.Addr().(*net.TCPAddr).AddrPort() }
 
-// Say returns a ServeFunc that writes the text and keeps the connection.
+// Say returns a ServeFunc that answers with the text and keeps the connection open.
 func Say(text string) ServeFunc {
 	return func(c net.Conn, _ *http.Request, _ []byte) bool {
 		_, err := io.WriteString(c, text)
@@ -115,10 +118,10 @@
 	}
 }
 
-// OKResponse is a good response of an app server.
+// OKResponse is a successful response of an app server.
 const OKResponse = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody"
 
-// Listen opens a port for clients.
+// Listen opens a listener on a loopback port. It is closed when the test ends.
 func Listen(t testing.TB) *net.TCPListener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -129,7 +132,7 @@
 	return ln.(*net.TCPListener)
 }
 
-// Buffer takes what many goroutines write.
+// Buffer collects the text written to it. It is safe for concurrent use.
 type Buffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -142,21 +145,21 @@
 	return s.b.Write(p)
 }
 
-// String returns what was written so far.
+// String returns the text written so far.
 func (s *Buffer) String() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.b.String()
 }
 
-// Client is one connection of a client.
+// Client is a client with one connection. Its methods fail the test on errors.
 type Client struct {
 	net.Conn
-	Reader *bufio.Reader
+	Reader *bufio.Reader // reads from the connection
 	t      testing.TB
 }
 
-// Dial connects a client.
+// Dial connects a client to addr. The connection is closed when the test ends.
 func Dial(t testing.TB, addr string) *Client {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -168,15 +171,15 @@
 	return &Client{Conn: c, Reader: bufio.NewReader(c), t: t}
 }
 
-// SetDeadline ends all reading and writing on a connection once the test has waited for too long.
+// SetDeadline makes reads and writes on a connection fail after [Patience].
 func SetDeadline(t testing.TB, c net.Conn) {
 	t.Helper()
 	if err := c.SetDeadline(time.Now().Add(Patience)); err != nil {
-		t.Errorf("deadline of a connection: %v", err)
+		t.Errorf("set deadline of a connection: %v", err)
 	}
 }
 
-// ResetOnClose has the close of a connection reset it.
+// ResetOnClose makes a later Close of the connection reset it.
 func ResetOnClose(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0) }
 
 // ResetConn resets a connection.
@@ -185,15 +188,15 @@
 	_ = c.Close()
 }
 
-// Response is a response as a client reads it.
+// Response is a response that a client has read.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   string
-	Close  bool
+	Close  bool // the server announced that it closes the connection
 }
 
-// Send writes a request.
+// Send writes a text, usually a request.
 func (c *Client) Send(text string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
@@ -206,11 +209,11 @@
 	c.t.Helper()
 	resp, err := http.ReadResponse(c.Reader, nil)
 	if err != nil {
-		c.t.Fatalf("reading the answer: %v", err)
+		c.t.Fatalf("read response: %v", err)
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		c.t.Fatalf("reading the answer's body: %v", err)
+		c.t.Fatalf("read response body: %v", err)
 	}
 	return Response{resp.StatusCode, resp.Header, string(body), resp.Close}
 }
@@ -222,32 +225,32 @@
 	return c.Receive()
 }
 
-// Eventually waits for a condition that other goroutines bring about.
+// Eventually waits until cond returns true. It fails the test after [Patience]. what names the condition.
 func Eventually(t *testing.T, what string, cond func() bool) {
 	t.Helper()
 	for end := time.Now().Add(Patience); !cond(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
-// Await receives what another goroutine sends, or fails the test.
+// Await receives a value from a channel. It fails the test after [Patience]. what names the awaited event.
 func Await[T any](t testing.TB, what string, from <-chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-from:
 	case <-time.After(Patience):
-		t.Fatalf("never: %s", what)
+		t.Fatalf("timed out waiting for: %s", what)
 	}
 	return v
 }
 
-// EndingContext is a context that ends when the test says so, for the reason that the test gives.
+// EndingContext is a context that the test ends by [EndingContext.End], with an error of its choice.
 type EndingContext struct {
 	context.Context
 	done chan struct{}
-	err  error // set before done is closed
+	err  error // result of Err; set before done is closed
 }
 
 // NewEndingContext returns a context that has not ended.
@@ -268,13 +271,13 @@
 	}
 }
 
-// End ends the context for a reason.
+// End ends the context. Err returns err from then on. End must be called only once.
 func (e *EndingContext) End(err error) {
 	e.err = err
 	close(e.done)
 }
 
-// Drained tells whether all that has come on a connection was read.
+// Drained reports whether the socket of a connection holds no unread bytes.
 func Drained(t testing.TB, c net.Conn) bool {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -291,20 +294,20 @@
 	return empty
 }
 
-// ListJSON returns a message of discovery.
+// ListJSON returns a message of discovery with the servers as entries. full marks it as the complete list.
 func ListJSON(generation int, full bool, servers ...endpointlist.Endpoint) string {
 	type entry map[string]any
 	list := []entry{}
-	words := map[balancer.EndpointState]string{balancer.Up: "up", balancer.Draining: "draining", balancer.Removed: "removed"}
+	lifecycles := map[balancer.EndpointState]string{balancer.Up: "up", balancer.Draining: "draining", balancer.Removed: "removed"}
 	for _, s := range servers {
 		list = append(list, entry{
 			"instanceId": s.ID, "hostPort": s.Addr.String(), "zone": s.Zone, "machineType": s.MachineType,
-			"cell": s.Cell, "lifecycle": words[s.State], "weight": s.Weight, "startedAtMs": s.StartedAt.Milliseconds(),
+			"cell": s.Cell, "lifecycle": lifecycles[s.State], "weight": s.Weight, "startedAtMs": s.StartedAt.Milliseconds(),
 		})
 	}
 	b, err := json.Marshal(map[string]any{"generation": generation, "reset": full, "instances": list})
 	if err != nil {
-		panic(fmt.Sprint("test list: ", err))
+		panic(fmt.Sprint("marshal test list: ", err))
 	}
 	return string(b)
 }
--- a/internal/edgenode/nodetest/record.go
+++ b/internal/edgenode/nodetest/record.go
@@ -10,13 +10,14 @@
 	"testing"
 )
 
-// RecordRequests serves connections of one request each until the test ends. It hands on the bytes of each request,
-// with HOST in place of the address, and answers with a text.
-func RecordRequests(t *testing.T, answer string) (addr netip.AddrPort, heard <-chan string) {
+// RecordRequests starts a server that accepts one request per connection and answers it with the text
+// response. It sends the bytes of each request to the channel, with HOST in place of the server's address.
+// The server stops when the test ends.
+func RecordRequests(t *testing.T, response string) (addr netip.AddrPort, requests <-chan string) {
 	t.Helper()
 	ln := Listen(t)
 	t.Cleanup(func() { _ = ln.Close() })
-	requests := make(chan string, 1000)
+	recorded := make(chan string, 1000)
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -26,16 +27,17 @@
 			go func() {
 				defer func() { _ = c.Close() }()
 				if text, ok := readRequest(c); ok {
-					requests <- strings.ReplaceAll(text, ln.Addr().String(), "HOST")
-					_, _ = io.WriteString(c, answer)
+					recorded <- strings.ReplaceAll(text, ln.Addr().String(), "HOST")
+					_, _ = io.WriteString(c, response)
 				}
 			}()
 		}
 	}()
-	return AddrOf(ln), requests
+	return AddrOf(ln), recorded
 }
 
-// readRequest reads a request's bytes: its head and, where its length is told, its body.
+// readRequest reads the bytes of one request: its head and, if there is a Content-Length, its body. ok is
+// false if the connection ends before.
 func readRequest(c net.Conn) (text string, ok bool) {
 	in := bufio.NewReader(c)
 	var length int
--- a/internal/edgenode/process_test.go
+++ b/internal/edgenode/process_test.go
@@ -15,12 +15,12 @@
 	"opalhook/internal/edgenode/nodetest"
 )
 
-// A SIGTERM that comes before the node is ready ends it, with no listener opened.
+// A SIGTERM before the node is ready ends it, without opening the listener.
 func TestEndBeforeReady(t *testing.T) {
 	cfg := testConfig()
 	cfg.listWait = nodetest.Patience
-	var asked chan struct{}
-	cfg.Discovery, asked = silentAgent(t)
+	var called chan struct{}
+	cfg.Discovery, called = silentAgent(t)
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() {
@@ -28,14 +28,14 @@
 			return nil, errors.New("the listener was opened")
 		})
 	}()
-	nodetest.Await(t, "the agent is asked", asked)
+	nodetest.Await(t, "call of the agent", called)
 	stop()
-	if err := nodetest.Await(t, "the node's end", done); err != nil {
+	if err := nodetest.Await(t, "end of the node", done); err != nil {
 		t.Error(err)
 	}
 }
 
-// silentAgent takes calls and answers none. called tells of each.
+// silentAgent starts an agent that accepts calls and never answers. called receives a value for each call.
 func silentAgent(t *testing.T) (addr netip.AddrPort, called chan struct{}) {
 	called = make(chan struct{}, 1000)
 	ln := nodetest.Listen(t)
@@ -52,7 +52,7 @@
 	return nodetest.AddrOf(ln), called
 }
 
-// A new configuration holds whenever its signal comes: before the node is ready, and while it drains.
+// A reload takes effect at any time, also before the node is ready and while it drains.
 func TestReloadAtAnyMoment(t *testing.T) {
 	t.Run("before it is ready", func(t *testing.T) {
 		s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
@@ -62,13 +62,13 @@
 		cfg.Discovery, called = silentAgent(t)
 		moved := *cfg
 		moved.Discovery = serveDiscovery(t, func() string { return nodetest.ListJSON(8, true, s.Endpoint("a")) },
-			func(_ int, _ string, w io.Writer, ctx context.Context) { beat(ctx, w) })
+			func(_ int, _ string, w io.Writer, ctx context.Context) { sendHeartbeats(ctx, w) })
 		cfg.reload = func() (*Config, error) { return &moved, nil }
 		n := run(t, cfg)
-		nodetest.Await(t, "the first agent is asked", called)
+		nodetest.Await(t, "call of the first agent", called)
 		n.reload <- syscall.SIGHUP
 		if a := nodetest.Dial(t, n.addr).Ask(request("check", "t1")); a.Status != http.StatusOK {
-			t.Errorf("answer %+v", a)
+			t.Errorf("response %+v", a)
 		}
 	})
 	t.Run("while it drains", func(t *testing.T) {
@@ -85,19 +85,19 @@
 		n := run(t, cfg)
 		c := nodetest.Dial(t, n.addr)
 		c.Send(request("check", "t1"))
-		nodetest.Eventually(t, "request out", func() bool { return len(s.Requests()) == 1 })
+		nodetest.Eventually(t, "request at the app server", func() bool { return len(s.Requests()) == 1 })
 		n.stop()
 		nodetest.Eventually(t, "draining", func() bool { return strings.Contains(n.logs.String(), "draining") })
 		n.reload <- syscall.SIGHUP
-		nodetest.Await(t, "the new agent is asked", called)
+		nodetest.Await(t, "call of the new agent", called)
 		close(hold)
 		if a := c.Receive(); a.Status != http.StatusOK {
-			t.Errorf("answer %+v", a)
+			t.Errorf("response %+v", a)
 		}
 	})
 }
 
-// A discovery that takes calls and answers none does not keep a node from serving with its cached list.
+// An agent that accepts calls and never answers does not keep a node from serving with its cached list.
 func TestSilentDiscoveryKeepsNobodyWaiting(t *testing.T) {
 	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 	cfg := testConfig(s.Endpoint("a"))
@@ -105,15 +105,15 @@
 	cfg.listWait = polledListWait
 	n := run(t, cfg)
 	if a := nodetest.Dial(t, n.addr).Ask(request("check", "t1")); a.Status != http.StatusOK {
-		t.Errorf("answer %+v", a)
+		t.Errorf("response %+v", a)
 	}
 }
 
-// The cached list serves while discovery is down.
-func TestCachedListServes(t *testing.T) {
+// A node serves requests with its cached list while discovery is down.
+func TestNodeServesFromCachedList(t *testing.T) {
 	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
-	n := run(t, testConfig(s.Endpoint("a"))) // its discovery refuses connections
-	nodetest.Eventually(t, "discovery found down", func() bool { return strings.Contains(n.logs.String(), `msg="discovery watch lost"`) })
+	n := run(t, testConfig(s.Endpoint("a"))) // nothing listens on the address of discovery
+	nodetest.Eventually(t, "failure of discovery logged", func() bool { return strings.Contains(n.logs.String(), `msg="discovery watch lost"`) })
 	if a := nodetest.Dial(t, n.addr).Ask(request("check", "t1")); a.Status != 200 {
 		t.Errorf("status %d", a.Status)
 	}
--- a/internal/edgenode/ready_test.go
+++ b/internal/edgenode/ready_test.go
@@ -22,11 +22,11 @@
 	"opalhook/internal/edgenode/nodetest"
 )
 
-// Nine in ten restarted nodes have to be ready within this time.
+// readyWithin is the time within which nine of ten restarted nodes must be ready.
 const readyWithin = 10 * time.Second
 
-// discoveryAnswering is a discovery that answers each call with a text, after a time.
-func discoveryAnswering(after time.Duration, text string) func(ctx context.Context, network, addr string) (net.Conn, error) {
+// dialDiscovery returns a dial function for a discovery that answers each call with a text after a time.
+func dialDiscovery(after time.Duration, text string) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	return func(context.Context, string, string) (net.Conn, error) {
 		client, server := net.Pipe()
 		go func() {
@@ -41,29 +41,29 @@
 	}
 }
 
-// A restarted node is ready in time whatever discovery does, also where reloads come all the while. The clock is
-// the test's own.
+// A restarted node is ready in time whatever discovery does, even if it is reloaded continuously. The test
+// runs on the clock of [synctest].
 func TestRestartedNodesAreReadyInTime(t *testing.T) {
 	const nodes, hour = 20, time.Hour
-	whole := nodetest.ListJSON(8, true)
-	body := func(text string) string {
+	list := nodetest.ListJSON(8, true)
+	response := func(text string) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 	}
 	for name, dial := range map[string]func(ctx context.Context, network, addr string) (net.Conn, error){
-		"answers at once":  discoveryAnswering(0, body(whole)),
-		"answers late":     discoveryAnswering(700*time.Millisecond, body(whole)),
-		"answers too late": discoveryAnswering(hour, body(whole)),
-		"refuses": func(context.Context, string, string) (net.Conn, error) {
+		"answers at once":  dialDiscovery(0, response(list)),
+		"answers late":     dialDiscovery(700*time.Millisecond, response(list)),
+		"answers too late": dialDiscovery(hour, response(list)),
+		"refuses connections": func(context.Context, string, string) (net.Conn, error) {
 			return nil, errors.New("refused")
 		},
-		"gives no sign": func(context.Context, string, string) (net.Conn, error) {
+		"does not respond": func(context.Context, string, string) (net.Conn, error) {
 			time.Sleep(follower.MaxCallDuration)
 			return nil, errors.New("no answer")
 		},
-		"closes":           discoveryAnswering(0, ""),
-		"turns away":       discoveryAnswering(0, "HTTP/1.1 503 Full\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n"),
-		"says noise":       discoveryAnswering(0, body("\x00\x01")),
-		"breaks in a list": discoveryAnswering(0, body(whole)[:40]),
+		"closes connections":   dialDiscovery(0, ""),
+		"rejects calls":        dialDiscovery(0, "HTTP/1.1 503 Full\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n"),
+		"sends malformed data": dialDiscovery(0, response("\x00\x01")),
+		"truncates the list":   dialDiscovery(0, response(list)[:40]),
 	} {
 		for _, mode := range []string{"push", "subscribe"} {
 			for _, reloads := range []bool{false, true} {
@@ -74,15 +74,15 @@
 					t.Fatal(err)
 				}
 				synctest.Test(t, func(t *testing.T) {
-					defer time.Sleep(2 * hour) // by then every answer has been given
+					defer time.Sleep(2 * hour) // until the slowest answer was given
 					late := 0
 					for i := range nodes {
-						if took := timeToList(t, cfg, uint64(i), dial, reloads); took > readyWithin {
+						if took := timeToListen(t, cfg, uint64(i), dial, reloads); took > readyWithin {
 							late++
 						}
 					}
 					if late > nodes/10 {
-						t.Errorf("discovery %s, %s, reloads %v: %d of %d nodes are not ready within %v", name, mode, reloads, late, nodes, readyWithin)
+						t.Errorf("discovery %s, mode %s, reloads %v: %d of %d nodes not ready within %v", name, mode, reloads, late, nodes, readyWithin)
 					}
 				})
 			}
@@ -90,9 +90,9 @@
 	}
 }
 
-// timeToList is how long a new process waits before it opens its listener.
-func timeToList(t *testing.T, cfg *Config, seed uint64, dial func(ctx context.Context, network, addr string) (net.Conn, error), reloads bool) time.Duration {
-	ctx, stop := context.WithTimeout(t.Context(), 6*readyWithin) // a node that is not ready by then never is
+// timeToListen returns how long a new process waits before it opens its listener.
+func timeToListen(t *testing.T, cfg *Config, seed uint64, dial func(ctx context.Context, network, addr string) (net.Conn, error), reloads bool) time.Duration {
+	ctx, stop := context.WithTimeout(t.Context(), 6*readyWithin) // limit for a node that never becomes ready
 	client := follower.NewClient(cfg.Discovery, follower.New(follower.Config{
 		Pushed: !cfg.Settings.PollEndpoints, FleetSize: cfg.Settings.NodeCount,
 		Rand: rand.New(rand.NewPCG(seed, 1)),
@@ -120,7 +120,7 @@
 		moved.Discovery = netip.AddrPortFrom(cfg.Discovery.Addr(), port)
 		return &moved, nil
 	}
-	p := &process{ctx: ctx, cfg: cfg, log: slog.New(slog.DiscardHandler), discovery: client, following: cfg.Discovery, reload: reload}
+	p := &process{ctx: ctx, cfg: cfg, log: slog.New(slog.DiscardHandler), discovery: client, discoveryAddr: cfg.Discovery, reload: reload}
 	began := time.Now()
 	p.waitForList(ctx)
 	return time.Since(began)
--- a/internal/edgenode/repeat_test.go
+++ b/internal/edgenode/repeat_test.go
@@ -12,7 +12,8 @@
 	"opalhook/internal/edgenode/upstream"
 )
 
-// The bound of a retry comes from the request's first attempt that may have run, and reaches the write.
+// A retry of a request with an idempotency key must be written completely before the endpoints forget the
+// key. This bound counts from the first attempt that may have run, and must reach the write of the retry.
 func TestRetryCarriesItsDeadline(t *testing.T) {
 	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if r.Method == "POST" {
@@ -21,28 +22,28 @@
 		return nodetest.Say(nodetest.OKResponse)(c, r, body)
 	})
 	n := nodeOf(idleFrontend(t, testConfig(s.Endpoint("a"), s.Endpoint("b"))))
-	ask := func(id, class, method string) *inflightRequest {
+	handle := func(id, class, method string) *inflightRequest {
 		q := balancer.Request{ID: id, Class: class, Plan: "wide", Timeout: 10 * time.Second, Units: 1, EntryNodes: 1}
 		request := n.startRequest(q, upstream.Message{Method: method, Target: "/" + class, ID: id}, time.Now().Add(nodetest.Patience))
-		nodetest.Await(t, "an answer", request.response)
+		nodetest.Await(t, "response", request.response)
 		return request
 	}
-	for i := range 10 { // by which retries are earned
-		ask(fmt.Sprint("c", i), "check", "GET")
+	for i := range 10 { // first attempts earn the budget for retries
+		handle(fmt.Sprint("c", i), "check", "GET")
 	}
-	request := ask("t1", "book", "POST")
+	request := handle("t1", "book", "POST")
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if len(request.attempts) < 2 {
-		t.Fatalf("%d attempts, want a retry", len(request.attempts))
+		t.Fatalf("%d attempts, want at least 2", len(request.attempts))
 	}
 	if at := request.attempts[0]; !at.limits.CompleteBefore.IsZero() {
-		t.Errorf("the first attempt is bound to %v", at.limits.CompleteBefore)
+		t.Errorf("first attempt must complete before %v, want no bound", at.limits.CompleteBefore)
 	}
 	window := n.cfg.Settings.Classes[1].DedupWindow - 2*n.cfg.Settings.Tick
 	for _, at := range request.attempts[1:] {
 		if got := at.limits.CompleteBefore.Sub(n.startedAt) + time.Duration(n.startedAt.UnixNano()) - request.attempts[0].sentAt; got > window || got < window-time.Millisecond {
-			t.Errorf("a retry is bound to %v after the first send, want %v", got, window)
+			t.Errorf("retry must complete within %v of the first attempt, want %v", got, window)
 		}
 	}
 }
--- a/internal/edgenode/run.go
+++ b/internal/edgenode/run.go
@@ -14,29 +14,30 @@
 	"opalhook/internal/edgenode/follower"
 )
 
-// Run runs an edge node until ctx ends, then drains it. At each signal on reload it reads its configuration
-// again.
+// Run runs an edge node until ctx ends, then drains it and returns nil. It returns an error if the node
+// cannot start or its listener fails. On each signal from reload it reads the configuration file again, and
+// follows the discovery address in it.
 func Run(ctx context.Context, cfg *Config, reload <-chan os.Signal, logger *slog.Logger) error {
 	return runWithListener(ctx, cfg, reload, logger, func() (*net.TCPListener, error) {
 		return net.ListenTCP("tcp", net.TCPAddrFromAddrPort(cfg.Listen))
 	})
 }
 
-// process is an edge node that runs: its parts, and the goroutines that it awaits at its end.
+// process is a running edge node: its components and its goroutines.
 type process struct {
-	ctx       context.Context // ends with the node: later than the one that Run was given, by the drain
-	stop      context.CancelFunc
-	cfg       *Config
-	log       *slog.Logger
-	node      *Node
-	discovery *follower.Client
-	following netip.AddrPort // the address of discovery in force
-	reload    <-chan os.Signal
+	ctx           context.Context    // ends after the drain, which begins when the context given to Run ends
+	stop          context.CancelFunc // ends ctx
+	cfg           *Config            // configuration read at the start
+	log           *slog.Logger
+	node          *Node
+	discovery     *follower.Client
+	discoveryAddr netip.AddrPort // discovery address in use; a reload changes it
+	reload        <-chan os.Signal
 
-	background sync.WaitGroup
+	background sync.WaitGroup // goroutines that must end before Run returns
 }
 
-// runWithListener is Run on the listener that listen opens.
+// runWithListener does what [Run] does, on the listener that listen returns.
 func runWithListener(ctx context.Context, cfg *Config, reload <-chan os.Signal, logger *slog.Logger, listen func() (*net.TCPListener, error)) error {
 	logger = logger.With("node", cfg.Name)
 	nodeCtx, stop := context.WithCancel(context.Background())
@@ -45,16 +46,16 @@
 	if err != nil {
 		return err
 	}
-	p := &process{ctx: nodeCtx, stop: stop, cfg: cfg, log: logger, node: node, following: cfg.Discovery, reload: reload}
+	p := &process{ctx: nodeCtx, stop: stop, cfg: cfg, log: logger, node: node, discoveryAddr: cfg.Discovery, reload: reload}
 	defer p.background.Wait()
 	if cfg.PeerListen.IsValid() {
 		if node.peers, err = listenPeers(cfg); err != nil {
 			return err
 		}
-		defer node.peers.close() // ends its receiving goroutine, which is awaited after
+		defer node.peers.close() // ends the receiving goroutine, for which background.Wait waits
 	}
 	p.start()
-	defer stop() // before the wait for the goroutines that end with it
+	defer stop() // runs before background.Wait, whose goroutines end with this context
 
 	if !p.waitForList(ctx) {
 		logger.Info("stopped before ready")
@@ -65,7 +66,8 @@
 	return p.serve(ctx, listen)
 }
 
-// start begins with the cached list, and starts the goroutines that end with the node or with the peers' socket.
+// start starts the balancer with the cached list, and the goroutines that end when p.ctx ends or the peer
+// socket is closed.
 func (p *process) start() {
 	if errs := p.cfg.cachedListErrors; len(errs) > 0 {
 		p.log.Warn("cached list has malformed entries", "count", len(errs), "err", errs[0])
@@ -79,7 +81,7 @@
 	p.background.Go(func() { p.node.upstream.ReapIdle(p.ctx) })
 }
 
-// newFollower returns the follower of the configured discovery, from the cached list on.
+// newFollower returns a follower that begins at the generation of the cached list.
 func (p *process) newFollower() *follower.Follower {
 	return follower.New(follower.Config{
 		Pushed:       !p.cfg.Settings.PollEndpoints,
@@ -90,10 +92,10 @@
 	})
 }
 
-// waitForList waits until discovery has reported what it has, for the configured time at most: the cached list
-// may be old, and what discovery has counts from the first moment. The listener opens after it, since time that
-// a request spends in the listener's queue cannot be seen. A reload does not extend the wait. It returns false if
-// ctx has ended.
+// waitForList waits for the first response of discovery, for at most cfg.listWait. The cached list may be out
+// of date, and the node must use the list of discovery from its first request on. The listener opens only
+// after the wait: a request in the listener's queue would use up its deadline unnoticed. A reload does not
+// extend the wait. waitForList returns false if ctx ended before the wait was over.
 func (p *process) waitForList(ctx context.Context) bool {
 	timeout := time.NewTimer(p.cfg.listWait)
 	defer timeout.Stop()
@@ -113,13 +115,14 @@
 	}
 }
 
-// serve answers clients until ctx ends, then drains and ends the node.
+// serve opens the listener and serves clients until ctx ends. Then it drains and closes the node. It returns
+// early with an error if the listener fails.
 func (p *process) serve(ctx context.Context, listen func() (*net.TCPListener, error)) error {
 	tcp, err := listen()
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	defer func() { _ = tcp.Close() }() // a drain has closed it already
+	defer func() { _ = tcp.Close() }() // fails after a drain, which has already closed it
 	f := newFrontend(p.node)
 	listener := newClientListener(tcp, f.conns)
 	served := make(chan error, 1)
@@ -136,7 +139,7 @@
 			if err != nil {
 				return err
 			}
-		case <-p.reload: // also in a drain, in which endpoints are still selected
+		case <-p.reload: // also during a drain, because the requests in flight still need the current list
 			p.reloadConfig()
 		case <-ending:
 			ending = nil
@@ -154,15 +157,15 @@
 	}
 }
 
-// reloadConfig reads the configuration again and follows the list at the discovery address that it names; the
-// rest of it takes effect at the next start. If it is invalid, the one in force stays.
+// reloadConfig reads the configuration file again and moves the discovery client to the address in it. All
+// other changes take effect at the next start. If the file is invalid, nothing changes.
 func (p *process) reloadConfig() {
 	cfg, err := p.cfg.reload()
 	if err != nil {
-		p.log.Error("reload failed, configuration in force stays", "err", err)
+		p.log.Error("reload failed, keeping the current configuration", "err", err)
 		return
 	}
-	p.log.Info("reloaded", "discovery", cfg.Discovery, "previous", p.following)
+	p.log.Info("reloaded", "discovery", cfg.Discovery, "previous", p.discoveryAddr)
 	p.discovery.Move(p.ctx, cfg.Discovery)
-	p.following = cfg.Discovery
+	p.discoveryAddr = cfg.Discovery
 }
--- a/internal/edgenode/side_test.go
+++ b/internal/edgenode/side_test.go
@@ -22,32 +22,33 @@
 	"opalhook/internal/edgenode/nodetest"
 )
 
-// serveDiscovery is an agent that answers each watch with what script gives for it, and a call for
-// the whole list with what whole gives.
-func serveDiscovery(t *testing.T, whole func() string, script func(n int, from string, w io.Writer, ctx context.Context)) netip.AddrPort {
+// serveDiscovery starts an agent that stops when the test ends. It answers a call for the complete list with
+// the result of list. It lets watch answer the n-th watch, counted from 1, which asks for changes after the
+// generation from.
+func serveDiscovery(t *testing.T, list func() string, watch func(n int, from string, w io.Writer, ctx context.Context)) netip.AddrPort {
 	t.Helper()
 	var calls atomic.Int32
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/registry/instances" {
-			t.Errorf("call of %s", r.URL)
+			t.Errorf("unexpected call of %s", r.URL)
 		}
 		if r.URL.Query().Get("watch") == "" {
-			_, _ = io.WriteString(w, whole())
+			_, _ = io.WriteString(w, list())
 			return
 		}
 		w.WriteHeader(200)
 		w.(http.Flusher).Flush()
-		script(int(calls.Add(1)), r.URL.Query().Get("from"), flushing{w}, r.Context())
+		watch(int(calls.Add(1)), r.URL.Query().Get("from"), flushWriter{w}, r.Context())
 	}))
 	t.Cleanup(func() {
-		srv.CloseClientConnections() // Close waits for the scripts, which wait for their clients
+		srv.CloseClientConnections() // ends the watches, for which Close waits
 		srv.Close()
 	})
 	return netip.MustParseAddrPort(srv.Listener.Addr().String())
 }
 
-// beat writes the agent's empty lines until the watch ends, so that it is not taken for dead.
-func beat(ctx context.Context, w io.Writer) {
+// sendHeartbeats writes empty lines until the watch ends, as an agent does to show that it is alive.
+func sendHeartbeats(ctx context.Context, w io.Writer) {
 	for tick := time.NewTicker(100 * time.Millisecond); ; {
 		select {
 		case <-ctx.Done():
@@ -59,50 +60,51 @@
 	}
 }
 
-type flushing struct{ http.ResponseWriter }
+// flushWriter flushes after each write, so that the client receives it at once.
+type flushWriter struct{ http.ResponseWriter }
 
-func (f flushing) Write(p []byte) (int, error) {
+func (f flushWriter) Write(p []byte) (int, error) {
 	n, err := f.ResponseWriter.Write(p)
 	f.ResponseWriter.(http.Flusher).Flush()
 	return n, err
 }
 
-// What discovery tells reaches the choice of a server.
+// After a new list arrives on the watch, requests go only to the app server in it.
 func TestWatchMovesTraffic(t *testing.T) {
-	old, young := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse)), nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
-	cfg := testConfig(old.Endpoint("a"))
-	cfg.Discovery = serveDiscovery(t, func() string { return nodetest.ListJSON(8, true, young.Endpoint("b")) }, func(n int, _ string, w io.Writer, ctx context.Context) {
-		_, _ = fmt.Fprintf(w, "%s\n", nodetest.ListJSON(8, true, young.Endpoint("b")))
+	oldServer, newServer := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse)), nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	cfg := testConfig(oldServer.Endpoint("a"))
+	cfg.Discovery = serveDiscovery(t, func() string { return nodetest.ListJSON(8, true, newServer.Endpoint("b")) }, func(n int, _ string, w io.Writer, ctx context.Context) {
+		_, _ = fmt.Fprintf(w, "%s\n", nodetest.ListJSON(8, true, newServer.Endpoint("b")))
 		<-ctx.Done()
 	})
 	n := run(t, cfg)
 	c := nodetest.Dial(t, n.addr)
 	i := 0
-	nodetest.Eventually(t, "new server used", func() bool {
+	nodetest.Eventually(t, "new app server used", func() bool {
 		i++
 		c.Ask(request("check", fmt.Sprint("t", i)))
-		return len(young.Requests()) > 0
+		return len(newServer.Requests()) > 0
 	})
-	before := len(old.Requests())
+	before := len(oldServer.Requests())
 	c.Ask(request("check", "last"))
-	if len(old.Requests()) != before {
-		t.Error("a server that is gone is still used")
+	if len(oldServer.Requests()) != before {
+		t.Error("an app server that left the list was still used")
 	}
 }
 
-// What the agent has counts from a new process's first moment: no client is taken before it has
-// told, so that the cached list, which may be old, sends nobody to a server that has left.
-func TestNewProcessStartsFromWhatTheAgentHas(t *testing.T) {
-	old, young := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse)), nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
-	tells, opened := make(chan struct{}), make(chan bool, 1)
-	cfg := testConfig(old.Endpoint("a"))
+// A new process accepts no client before the agent has sent its list. The cached list may be out of date, and
+// its use would send requests to app servers that have left.
+func TestNewProcessWaitsForTheAgentsList(t *testing.T) {
+	oldServer, newServer := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse)), nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	answer, opened := make(chan struct{}), make(chan bool, 1) // answer: closed to let the agent answer
+	cfg := testConfig(oldServer.Endpoint("a"))
 	cfg.listWait = nodetest.Patience
-	whole := nodetest.ListJSON(8, true, young.Endpoint("b"))
-	asked := make(chan struct{}, 100)
-	cfg.Discovery = serveDiscovery(t, func() string { asked <- struct{}{}; <-tells; return whole }, func(n int, _ string, w io.Writer, ctx context.Context) {
-		<-tells
-		_, _ = fmt.Fprintf(w, "%s\n", whole)
-		beat(ctx, w)
+	list := nodetest.ListJSON(8, true, newServer.Endpoint("b"))
+	called := make(chan struct{}, 100)
+	cfg.Discovery = serveDiscovery(t, func() string { called <- struct{}{}; <-answer; return list }, func(n int, _ string, w io.Writer, ctx context.Context) {
+		<-answer
+		_, _ = fmt.Fprintf(w, "%s\n", list)
+		sendHeartbeats(ctx, w)
 	})
 	ln := nodetest.Listen(t)
 	ctx, stop := context.WithCancel(context.Background())
@@ -110,85 +112,86 @@
 	go func() {
 		done <- runWithListener(ctx, cfg, nil, slog.New(slog.DiscardHandler), func() (*net.TCPListener, error) {
 			select {
-			case <-tells:
+			case <-answer:
 				opened <- true
-			default: // a client that connects now would wait for a list that may not come
+			default: // too early: clients would wait for a list that may never arrive
 				opened <- false
 			}
 			return ln, nil
 		})
 	}()
-	nodetest.Await(t, "the agent is asked", asked)
-	close(tells)
-	if !nodetest.Await(t, "the listener", opened) {
-		t.Error("clients are taken before the agent has told what it has")
+	nodetest.Await(t, "call of the agent", called)
+	close(answer)
+	if !nodetest.Await(t, "listener opened", opened) {
+		t.Error("the listener was opened before the agent sent its list")
 	}
 	c := nodetest.Dial(t, ln.Addr().String())
 	if a := c.Ask(request("check", "t1")); a.Status != http.StatusOK {
-		t.Errorf("answer %+v", a)
+		t.Errorf("response %+v", a)
 	}
-	if len(old.Requests()) > 0 || len(young.Requests()) != 1 {
-		t.Errorf("%d requests to the server of the cached list, %d to the agent's", len(old.Requests()), len(young.Requests()))
+	if len(oldServer.Requests()) > 0 || len(newServer.Requests()) != 1 {
+		t.Errorf("%d requests to the app server of the cached list, want 0; %d to that of the agent's list, want 1", len(oldServer.Requests()), len(newServer.Requests()))
 	}
 	stop()
-	if err := nodetest.Await(t, "the node's end", done); err != nil {
+	if err := nodetest.Await(t, "end of the node", done); err != nil {
 		t.Error(err)
 	}
 }
 
-// A reload moves the watch at once and asks the new agent for the whole list: its versions
-// are its own. A configuration that can't be changes nothing.
+// A reload moves the watch to the new agent at once. The node does not ask that agent for the changes after a
+// generation of the old agent, because generations of different agents do not compare. An invalid
+// configuration changes nothing.
 func TestReloadMovesTheWatch(t *testing.T) {
-	old, young := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse)), nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
-	watched, left := make(chan struct{}, 100), make(chan struct{}, 100)
-	first := serveDiscovery(t, func() string { return nodetest.ListJSON(900, true, old.Endpoint("a")) }, func(_ int, _ string, w io.Writer, ctx context.Context) {
-		_, _ = fmt.Fprintf(w, "%s\n", nodetest.ListJSON(900, true, old.Endpoint("a")))
+	oldServer, newServer := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse)), nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	watched, ended := make(chan struct{}, 100), make(chan struct{}, 100) // watches of the first agent
+	first := serveDiscovery(t, func() string { return nodetest.ListJSON(900, true, oldServer.Endpoint("a")) }, func(_ int, _ string, w io.Writer, ctx context.Context) {
+		_, _ = fmt.Fprintf(w, "%s\n", nodetest.ListJSON(900, true, oldServer.Endpoint("a")))
 		watched <- struct{}{}
-		beat(ctx, w)
-		left <- struct{}{}
+		sendHeartbeats(ctx, w)
+		ended <- struct{}{}
 	})
 	froms := make(chan string, 100)
-	second := serveDiscovery(t, func() string { return nodetest.ListJSON(3, true, young.Endpoint("b")) }, func(_ int, from string, w io.Writer, ctx context.Context) {
+	second := serveDiscovery(t, func() string { return nodetest.ListJSON(3, true, newServer.Endpoint("b")) }, func(_ int, from string, w io.Writer, ctx context.Context) {
 		froms <- from
-		_, _ = fmt.Fprintf(w, "%s\n", nodetest.ListJSON(3, true, young.Endpoint("b")))
-		beat(ctx, w)
+		_, _ = fmt.Fprintf(w, "%s\n", nodetest.ListJSON(3, true, newServer.Endpoint("b")))
+		sendHeartbeats(ctx, w)
 	})
-	cfg := testConfig(old.Endpoint("a"))
+	cfg := testConfig(oldServer.Endpoint("a"))
 	cfg.Discovery = first
-	next := make(chan error, 1)
+	reloadErrors := make(chan error, 1)
 	cfg.reload = func() (*Config, error) {
 		moved := *cfg
 		moved.Discovery = second
-		return &moved, <-next
+		return &moved, <-reloadErrors
 	}
 	n := run(t, cfg)
-	nodetest.Await(t, "the first agent is watched", watched) // a watch that has not begun can't be left
-	next <- errors.New("discovery: no port")
+	nodetest.Await(t, "watch of the first agent", watched) // only a watch that has begun can end
+	reloadErrors <- errors.New("discovery: no port")
 	n.reload <- syscall.SIGHUP
-	nodetest.Eventually(t, "bad configuration logged", func() bool { return strings.Contains(n.logs.String(), "discovery: no port") })
+	nodetest.Eventually(t, "invalid configuration logged", func() bool { return strings.Contains(n.logs.String(), "discovery: no port") })
 	select {
-	case <-left:
-		t.Fatal("the watch was left for a configuration that can't be")
+	case <-ended:
+		t.Fatal("an invalid configuration ended the watch")
 	default:
 	}
-	next <- nil
+	reloadErrors <- nil
 	n.reload <- syscall.SIGHUP
-	nodetest.Await(t, "the first agent is left", left)
-	if from := nodetest.Await(t, "the second agent is watched", froms); from != "0" && from != "3" {
-		t.Errorf("the new agent is watched from version %s of the old one's", from)
+	nodetest.Await(t, "end of the watch of the first agent", ended)
+	if from := nodetest.Await(t, "watch of the second agent", froms); from != "0" && from != "3" {
+		t.Errorf("watch of the new agent from generation %s, want 0 or 3", from)
 	}
 	c := nodetest.Dial(t, n.addr)
 	i := 0
-	nodetest.Eventually(t, "new agent's server used", func() bool {
+	nodetest.Eventually(t, "app server of the new agent's list used", func() bool {
 		i++
 		c.Ask(request("check", fmt.Sprint("t", i)))
-		return len(young.Requests()) > 0
+		return len(newServer.Requests()) > 0
 	})
 }
 
-// The environment's address is that of the start: on a reload the file's counts, or no
-// reload could ever move the watch.
-func TestReloadTakesTheFilesDiscovery(t *testing.T) {
+// A reload uses the discovery address in the file, not PROXY_DISCOVERY. The variable keeps its value from the
+// start of the process, so that no reload could move the watch otherwise.
+func TestReloadIgnoresDiscoveryVariable(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	write := func(discovery string) {
 		t.Helper()
@@ -205,17 +208,18 @@
 		t.Fatal(err)
 	}
 	write("127.0.0.1:3")
-	again, err := cfg.reload()
-	if err != nil || again.Discovery != netip.MustParseAddrPort("127.0.0.1:3") || again.Name != "n1" {
-		t.Errorf("read again: %+v, %v", again, err)
+	reloaded, err := cfg.reload()
+	if err != nil || reloaded.Discovery != netip.MustParseAddrPort("127.0.0.1:3") || reloaded.Name != "n1" {
+		t.Errorf("reloaded: %+v, error %v", reloaded, err)
 	}
 	write("nowhere")
 	if _, err := cfg.reload(); err == nil || !strings.Contains(err.Error(), "discovery") {
-		t.Errorf("error %v does not name the field", err)
+		t.Errorf("error %v, want one that names discovery", err)
 	}
 }
 
-// Only whole datagrams of known peers are heard, under the sender's number.
+// Only datagrams of known peers that are within the size limit are delivered, with the index of the sender. A
+// change between failing and succeeding sends is logged once.
 func TestPeers(t *testing.T) {
 	socket := func() *net.UDPConn {
 		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -226,31 +230,31 @@
 		return c
 	}
 	addr := func(c *net.UDPConn) netip.AddrPort { return c.LocalAddr().(*net.UDPAddr).AddrPort() }
-	other, stranger, all := socket(), socket(), socket()
+	peerConn, unknown, broadcast := socket(), socket(), socket()
 	cfg := &Config{
-		PeerListen: netip.MustParseAddrPort("127.0.0.1:0"), PeersAll: addr(all),
-		Peers: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), addr(other)},
+		PeerListen: netip.MustParseAddrPort("127.0.0.1:0"), PeersAll: addr(broadcast),
+		Peers: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), addr(peerConn)},
 	}
 	p, err := listenPeers(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = p.conn.Close() })
-	heard := make(chan string, 10)
-	go p.receive(func(from int, message []byte) { heard <- fmt.Sprintf("%d %s", from, message) })
+	received := make(chan string, 10)
+	go p.receive(func(from int, message []byte) { received <- fmt.Sprintf("%d %s", from, message) })
 	for _, d := range []struct {
 		c    *net.UDPConn
 		text []byte
-	}{{stranger, []byte("stranger")}, {other, make([]byte, maxPeerMessage+1)}, {other, []byte("hi")}} {
+	}{{unknown, []byte("stranger")}, {peerConn, make([]byte, maxPeerMessage+1)}, {peerConn, []byte("hi")}} {
 		if _, err := d.c.WriteToUDPAddrPort(d.text, addr(p.conn)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if got := nodetest.Await(t, "a datagram", heard); got != "1 hi" {
-		t.Errorf("heard %q, want the peer's message alone", got)
+	if got := nodetest.Await(t, "datagram", received); got != "1 hi" {
+		t.Errorf("received %q, want only the message of the known peer", got)
 	}
 
-	for peer, c := range map[int]*net.UDPConn{1: other, balancer.AllPeers: all} {
+	for peer, c := range map[int]*net.UDPConn{1: peerConn, balancer.AllPeers: broadcast} {
 		if err := p.write(peer, []byte("hello")); err != nil {
 			t.Fatal(err)
 		}
@@ -258,28 +262,29 @@
 		nodetest.SetDeadline(t, c)
 		n, from, err := c.ReadFromUDPAddrPort(buf)
 		if err != nil || string(buf[:n]) != "hello" || from != addr(p.conn) {
-			t.Errorf("to %d: %q from %v, error %v", peer, buf[:n], from, err)
+			t.Errorf("message to peer %d: received %q from %v, error %v", peer, buf[:n], from, err)
 		}
 	}
-	var lines nodetest.Buffer
-	log := slog.New(slog.NewTextHandler(&lines, nil))
+	var logs nodetest.Buffer
+	log := slog.New(slog.NewTextHandler(&logs, nil))
 	for _, peer := range []int{2, 2, 1, 1} {
 		p.sendMessage(peer, []byte("hello"), log)
 	}
-	if strings.Count(lines.String(), "\n") != 2 { // one for each change of state
-		t.Errorf("logged %q", lines.String())
+	if strings.Count(logs.String(), "\n") != 2 { // one line for the first failure, one for the first success
+		t.Errorf("logged %q, want 2 lines", logs.String())
 	}
 	if p.write(1, make([]byte, maxPeerMessage+1)) == nil || p.write(2, []byte("hello")) == nil {
-		t.Error("a message too long or to nobody was sent")
+		t.Error("a message over the size limit or to an unknown peer was sent")
 	}
 }
 
-// The clock is Unix time, so that a server's start compares to it.
+// The node's clock reads Unix time, so that it compares to the start times of app servers, and never goes
+// back.
 func TestClock(t *testing.T) {
 	n := nodeOf(idleFrontend(t, testConfig()))
 	before := time.Duration(time.Now().UnixNano())
 	now := n.now()
 	if d := now - before; d < -time.Second || d > nodetest.Patience || n.now() < now {
-		t.Errorf("the clock reads %v past Unix time", d)
+		t.Errorf("the clock differs from Unix time by %v, or went back", d)
 	}
 }
--- a/internal/edgenode/silent_server_test.go
+++ b/internal/edgenode/silent_server_test.go
@@ -14,60 +14,61 @@
 	"opalhook/internal/edgenode/nodetest"
 )
 
-// loadPath is where app servers are asked for their load.
+// loadPath is the path of the health check of an app server, which reports its load.
 const loadPath = "/stats"
 
-// A machine that has vanished leaves its connections open and silent, and the list says so
-// late. The probe that finds it must keep clients' requests away until it answers again.
+// Guards against sending requests to an app server whose machine has failed. Its connections stay open and
+// silent, and the list reports the failure late. Once a health check has failed, the app server must get no
+// request until it responds again.
 func TestSilentServerGetsNoRequest(t *testing.T) {
-	const warmUp, leastMet, whileSilent = 300, 100, 30 // requests
-	var gone atomic.Bool
-	var met atomic.Int32 // requests of clients that the preferred server has read
+	const warmUp, minServed, whileSilent = 300, 100, 30 // numbers of requests
+	var silent atomic.Bool
+	var served atomic.Int32 // requests of clients that the preferred app server has read
 	preferred := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, _ []byte) bool {
 		if r.RequestURI != loadPath {
-			met.Add(1)
+			served.Add(1)
 		}
-		return gone.Load() || answerWithQueue(c, r, 0)
+		return silent.Load() || respondWithQueue(c, r, 0)
 	})
-	// A queue this long outweighs any difference in latency, whatever the machine is busy with.
-	other := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, _ []byte) bool { return answerWithQueue(c, r, 10000) })
+	// A queue of this length outweighs any difference in latency, even on a busy machine.
+	other := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, _ []byte) bool { return respondWithQueue(c, r, 10000) })
 	cfg := testConfig(preferred.Endpoint("preferred"), other.Endpoint("other"))
 	cfg.Settings.HealthChecks, cfg.Settings.LoadReports = true, balancer.LoadReportsInHealthChecks
 	r := run(t, cfg)
 	c, n := nodetest.Dial(t, r.addr), 0
-	ask := func() (byPreferred bool) {
+	sendNext := func() (byPreferred bool) {
 		n++
-		before := met.Load()
+		before := served.Load()
 		if a := c.Ask(request("check", fmt.Sprint("q", n))); a.Status != http.StatusOK {
-			t.Fatalf("request %d: %d", n, a.Status)
+			t.Fatalf("request %d: status %d", n, a.Status)
 		}
-		return met.Load() > before
+		return served.Load() > before
 	}
-	// The last one has its answer from the preferred server, which is known to live by that.
-	for byPreferred := false; n < warmUp || met.Load() < leastMet || !byPreferred; {
-		byPreferred = ask()
+	// The preferred app server answers the last request, so that the node knows it as reachable.
+	for byPreferred := false; n < warmUp || served.Load() < minServed || !byPreferred; {
+		byPreferred = sendNext()
 	}
-	before, logged := met.Load(), len(r.logs.String())
-	gone.Store(true)
-	nodetest.Eventually(t, "a probe finds the silent server", func() bool {
+	before, logged := served.Load(), len(r.logs.String())
+	silent.Store(true)
+	nodetest.Eventually(t, "silent app server found unreachable", func() bool {
 		return strings.Contains(r.logs.String()[logged:], `msg="endpoint unreachable until a health check succeeds" node=n0 endpoint=preferred`)
 	})
 	for range whileSilent {
-		ask()
+		sendNext()
 	}
-	if got := met.Load() - before; got != 0 {
-		t.Errorf("%d requests went to a silent server", got)
+	if got := served.Load() - before; got != 0 {
+		t.Errorf("%d requests to a silent app server, want 0", got)
 	}
-	gone.Store(false)
-	for end := time.Now().Add(nodetest.Patience); met.Load() == before; ask() {
+	silent.Store(false)
+	for end := time.Now().Add(nodetest.Patience); served.Load() == before; sendNext() {
 		if time.Now().After(end) {
-			t.Fatal("the server answers again and gets no request")
+			t.Fatal("the app server responds again but gets no request")
 		}
 	}
 }
 
-// answerWithQueue answers a request or, where that is a probe, reports a queue of this length.
-func answerWithQueue(c net.Conn, r *http.Request, queue int) bool {
+// respondWithQueue answers a request. The response to a health check reports a queue of the given length.
+func respondWithQueue(c net.Conn, r *http.Request, queue int) bool {
 	body := "body"
 	if r.RequestURI == loadPath {
 		body = fmt.Sprintf("TEXT util=0.1, queue=%d", queue)
@@ -76,13 +77,13 @@
 	return err == nil
 }
 
-// A server that refuses a new connection and goes on answering on an old one has not
-// restarted: it must not count as cold, which would keep most requests from it.
-func TestRefusedConnectionAtALiveServer(t *testing.T) {
-	held, release := make(chan struct{}), make(chan struct{})
+// Guards against treating an app server as restarted because it refuses a new connection, while it still
+// responds on an old one. A restarted app server counts as cold and gets only a fraction of the requests.
+func TestRefusedConnectionIsNoRestart(t *testing.T) {
+	arrived, release := make(chan struct{}), make(chan struct{})
 	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, _ []byte) bool {
 		if r.Header.Get("X-Trace-Id") == "held" {
-			close(held)
+			close(arrived)
 			<-release
 		}
 		_, err := io.WriteString(c, nodetest.OKResponse)
@@ -93,19 +94,19 @@
 	cfg.Settings.OverloadFactor, cfg.Settings.OverloadWindow = 2, time.Second
 	r := run(t, cfg)
 	c, other := nodetest.Dial(t, r.addr), nodetest.Dial(t, r.addr)
-	c.Send(request("check", "held")) // on the server's one connection
-	nodetest.Await(t, "the held request is out", held)
+	c.Send(request("check", "held")) // on the only connection to the app server
+	nodetest.Await(t, "first request at the app server", arrived)
 	_ = s.Listener.Close()
 	if a := other.Ask(request("check", "refused")); a.Status != http.StatusTooManyRequests {
-		t.Fatalf("with no connection to be had: %d", a.Status)
+		t.Fatalf("request without a connection: status %d, want 429", a.Status)
 	}
 	close(release)
 	if a := c.Receive(); a.Status != http.StatusOK {
-		t.Fatalf("the request held: %d", a.Status)
+		t.Fatalf("first request: status %d", a.Status)
 	}
 	for i := range 20 {
 		if a := c.Ask(request("check", fmt.Sprint("next", i))); a.Status != http.StatusOK {
-			t.Fatalf("request %d after the old connection's answer: %d", i, a.Status)
+			t.Fatalf("request %d after the response on the old connection: status %d", i, a.Status)
 		}
 	}
 }
