--- a/internal/edgenode/client_conn.go
+++ b/internal/edgenode/client_conn.go
@@ -39,6 +39,8 @@
 	readAhead []byte // bytes received while a request is in flight; used only by the reading goroutine
 }
 
+// newClientConn returns the client connection on nc, which must be a *net.TCPConn. The caller adds it to the
+// table.
 func newClientConn(nc net.Conn, t *connTable) (*clientConn, error) {
 	tcp, ok := nc.(*net.TCPConn)
 	if !ok {
@@ -72,9 +74,9 @@
 	return c.receive(p, true)
 }
 
-// watchForClose reads into the read-ahead buffer until a read fails, which includes the client's close and
-// the deadline by which net/http ends the read. It returns errReadAheadFull once the buffer exceeds
-// maxReadAhead.
+// watchForClose reads into the read-ahead buffer until a read fails: because the client closed its side,
+// because net/http set a deadline to stop the read, or because of a socket error. It returns errReadAheadFull
+// once the buffer exceeds maxReadAhead.
 func (c *clientConn) watchForClose() error {
 	var chunk [readAheadChunk]byte
 	for len(c.readAhead) <= maxReadAhead {
--- a/internal/edgenode/client_listener.go
+++ b/internal/edgenode/client_listener.go
@@ -11,7 +11,7 @@
 // Timing of closeWhenQueueEmpty.
 const (
 	queueEmptyFor = 20 * time.Millisecond  // time without a connection that marks the queue as empty
-	maxQueueWait  = 200 * time.Millisecond // limit of the wait if connections keep coming
+	maxQueueWait  = 200 * time.Millisecond // longest wait, even if connections still arrive
 	maxAcceptWait = time.Second            // longest time for which net/http pauses after a failed Accept
 )
 
--- a/internal/edgenode/conn_cross_test.go
+++ b/internal/edgenode/conn_cross_test.go
@@ -205,8 +205,8 @@
 	}
 }
 
-// Guards against treating a connection as idle while its response is being written. The read by which
-// net/http watches for the client's close is still running then, and must not change the state.
+// Guards against treating a connection as idle while its response is being written. The read that
+// net/http uses to watch for the client's close is still running then, and must not change the state.
 func TestConnectionIsNotIdleWhileItsClientIsWatched(t *testing.T) {
 	ln := nodetest.Listen(t)
 	client := nodetest.Dial(t, ln.Addr().String())
--- a/internal/edgenode/conn_table.go
+++ b/internal/edgenode/conn_table.go
@@ -10,7 +10,7 @@
 // highest eviction rank, but never one with a request in flight. If no other connection can be evicted, the
 // new one is closed. Its methods are safe for concurrent use, except those whose caller holds the mutex.
 //
-// The states of connections keep a request from being lost when the node closes a connection just as the
+// The states of connections ensure that no request is lost when the node closes a connection just as the
 // request arrives:
 //
 //   - Reading bytes and changing the state are one step under the mutex ([clientConn.receiveOnce]). No bytes
@@ -65,10 +65,11 @@
 	return &connTable{max: maxConns, conns: map[*clientConn]struct{}{}}
 }
 
-// nearlyFull reports whether responses should announce the close of their connections, which is the case from
-// three quarters of the limit on. A client whose idle connection is evicted can lose its next request, and
-// has to open a new connection, for which yet another one is evicted. A client that is told of the close in
-// its response loses nothing. New connections do not count, because their eviction costs nothing.
+// nearlyFull reports whether the connections that are not new reach three quarters of the limit. Responses
+// then announce the close of their connections. A client whose idle connection is evicted can lose its next
+// request, and has to open a new connection, for which yet another one is evicted. A client that learns of
+// the close from its response loses nothing. New connections do not count, because their eviction costs
+// nothing.
 func (t *connTable) nearlyFull() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/edgenode/frontend.go
+++ b/internal/edgenode/frontend.go
@@ -170,7 +170,8 @@
 }
 
 // recoverPanic answers a request whose handler panicked, and logs the panic with its stack. It must be
-// deferred. It passes [http.ErrAbortHandler] on, by which net/http closes the connection without a response.
+// deferred. It panics again with [http.ErrAbortHandler], which makes net/http close the connection without a
+// response.
 func (f *frontend) recoverPanic(w http.ResponseWriter) {
 	switch cause := recover(); cause {
 	case nil:
--- a/internal/edgenode/frontend_test.go
+++ b/internal/edgenode/frontend_test.go
@@ -209,7 +209,7 @@
 
 // A request at an app server that never responds ends at the client's deadline. It fails instead of being
 // rejected, since it has an idempotency key and may have taken effect.
-func TestSilentServer(t *testing.T) {
+func TestUnresponsiveServer(t *testing.T) {
 	s := nodetest.NewAppServer(t, func(net.Conn, *http.Request, []byte) bool { select {} })
 	n := run(t, testConfig(s.Endpoint("a")))
 	a := nodetest.Dial(t, n.addr).Ask(request("book", "t1", "X-Expires-In", "2"))
--- a/internal/edgenode/gone_test.go
+++ b/internal/edgenode/gone_test.go
@@ -23,8 +23,8 @@
 	})
 }
 
-// hookWrites makes a node call hook just before each write of an attempt to a connection that it opens from now
-// on.
+// hookWrites makes a node call hook just before each write of an attempt to a connection that it opens from
+// now on.
 func hookWrites(n *Node, hook func()) {
 	dial := n.upstream.DialContext
 	n.upstream.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
--- a/internal/edgenode/harness_test.go
+++ b/internal/edgenode/harness_test.go
@@ -51,11 +51,11 @@
 // run runs an edge node on a loopback port until the test ends.
 func run(t testing.TB, cfg *Config) *runningNode {
 	t.Helper()
-	return runListening(t, cfg, nodetest.Listen(t))
+	return runOnListener(t, cfg, nodetest.Listen(t))
 }
 
-// runListening runs an edge node on the listener ln until the test ends.
-func runListening(t testing.TB, cfg *Config, ln *net.TCPListener) *runningNode {
+// runOnListener runs an edge node on the listener ln until the test ends.
+func runOnListener(t testing.TB, cfg *Config, ln *net.TCPListener) *runningNode {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
 	r := &runningNode{addr: ln.Addr().String(), stop: stop, done: make(chan error, 1), logs: &nodetest.Buffer{}, reload: make(chan os.Signal, 1)}
--- a/internal/edgenode/side_test.go
+++ b/internal/edgenode/side_test.go
@@ -23,8 +23,8 @@
 )
 
 // serveDiscovery starts an agent that stops when the test ends. It answers a call for the complete list with
-// the result of list. It lets watch answer the n-th watch, counted from 1, which asks for changes after the
-// generation from.
+// the result of list. It calls watch to answer a watch: n is the number of the watch, from 1, and from is the
+// generation in its query.
 func serveDiscovery(t *testing.T, list func() string, watch func(n int, from string, w io.Writer, ctx context.Context)) netip.AddrPort {
 	t.Helper()
 	var calls atomic.Int32
--- a/internal/edgenode/silent_server_test.go
+++ b/internal/edgenode/silent_server_test.go
@@ -17,18 +17,18 @@
 // loadPath is the path of the health check of an app server, which reports its load.
 const loadPath = "/stats"
 
-// Guards against sending requests to an app server whose machine has failed. Its connections stay open and
-// silent, and the list reports the failure late. Once a health check has failed, the app server must get no
-// request until it responds again.
-func TestSilentServerGetsNoRequest(t *testing.T) {
-	const warmUp, minServed, whileSilent = 300, 100, 30 // numbers of requests
-	var silent atomic.Bool
+// Guards against sending requests to an app server whose machine has failed. Its connections stay open but
+// carry no responses, and the list reports the failure late. Once a health check has failed, the app server
+// must get no request until it responds again.
+func TestUnresponsiveServerGetsNoRequest(t *testing.T) {
+	const warmUp, minServed, whileUnresponsive = 300, 100, 30 // numbers of requests
+	var unresponsive atomic.Bool
 	var served atomic.Int32 // requests of clients that the preferred app server has read
 	preferred := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, _ []byte) bool {
 		if r.RequestURI != loadPath {
 			served.Add(1)
 		}
-		return silent.Load() || respondWithQueue(c, r, 0)
+		return unresponsive.Load() || respondWithQueue(c, r, 0)
 	})
 	// A queue of this length outweighs any difference in latency, even on a busy machine.
 	other := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, _ []byte) bool { return respondWithQueue(c, r, 10000) })
@@ -49,17 +49,17 @@
 		byPreferred = sendNext()
 	}
 	before, logged := served.Load(), len(r.logs.String())
-	silent.Store(true)
-	nodetest.Eventually(t, "silent app server found unreachable", func() bool {
+	unresponsive.Store(true)
+	nodetest.Eventually(t, "unresponsive app server found unreachable", func() bool {
 		return strings.Contains(r.logs.String()[logged:], `msg="endpoint unreachable until a health check succeeds" node=n0 endpoint=preferred`)
 	})
-	for range whileSilent {
+	for range whileUnresponsive {
 		sendNext()
 	}
 	if got := served.Load() - before; got != 0 {
-		t.Errorf("%d requests to a silent app server, want 0", got)
+		t.Errorf("%d requests to an unresponsive app server, want 0", got)
 	}
-	silent.Store(false)
+	unresponsive.Store(false)
 	for end := time.Now().Add(nodetest.Patience); served.Load() == before; sendNext() {
 		if time.Now().After(end) {
 			t.Fatal("the app server responds again but gets no request")
