--- a/internal/edgenode/actions.go
+++ b/internal/edgenode/actions.go
@@ -10,12 +10,13 @@
 )
 
 // actions implements [balancer.Actions] for a [Node]. The balancer calls all methods with the node's mutex
-// held. A call for a request that is no longer in flight has no effect.
+// held. A call for a request that is not in flight changes nothing.
 type actions Node
 
 // SendAttempt starts an attempt in a goroutine of its own. The attempt ends after timeout, unless that is 0,
 // and at the client's deadline at the latest. If sendBy is not 0, the last byte of the request must be
-// written before the node's clock reads sendBy.
+// written before the node's clock reads sendBy. If the request is not in flight or is already answered,
+// SendAttempt only logs an error.
 func (a *actions) SendAttempt(id, endpointID string, timeout, sendBy time.Duration) {
 	n := (*Node)(a)
 	request := n.inflight[id]
--- a/internal/edgenode/config.go
+++ b/internal/edgenode/config.go
@@ -174,7 +174,8 @@
 		c.Sockets = defaultSockets
 	}
 	if c.Sockets < minSockets || c.Sockets > maxSockets {
-		return fmt.Errorf("limits.sockets: must be between %d and %d, got %v", minSockets, maxSockets, file.Limits.Sockets)
+		return fmt.Errorf("limits.sockets: must be between %d and %d, got %v",
+			minSockets, maxSockets, file.Limits.Sockets)
 	}
 	return nil
 }
@@ -209,7 +210,8 @@
 		return err
 	}
 	if len(file.Peers) != c.Settings.NodeCount {
-		return fmt.Errorf("peers: must be one address per edge node (%d), got %d", c.Settings.NodeCount, len(file.Peers))
+		return fmt.Errorf("peers: must have one address per edge node (%d), got %d",
+			c.Settings.NodeCount, len(file.Peers))
 	}
 	for i, text := range file.Peers {
 		peer, err := parseAddrPort(fmt.Sprintf("peers[%d]", i), text)
--- a/internal/edgenode/crowd_test.go
+++ b/internal/edgenode/crowd_test.go
@@ -120,18 +120,18 @@
 // outageDiscovery is an agent with a replaceable list that can have one outage. When the outage begins, all
 // watches end. Calls during the outage are never answered.
 type outageDiscovery struct {
-	addr netip.AddrPort
-	list atomic.Pointer[string]
-	down atomic.Bool
-	out  chan struct{} // closed when the outage begins
-	hung chan struct{} // receives a value for each unanswered call
+	addr       netip.AddrPort
+	list       atomic.Pointer[string]
+	down       atomic.Bool
+	outage     chan struct{} // closed when the outage begins
+	unanswered chan struct{} // receives a value for each unanswered call
 
 	testEnd chan struct{} // closed when the test ends, which releases the unanswered calls
 }
 
 func newOutageDiscovery(t *testing.T, list string) *outageDiscovery {
 	t.Helper()
-	d := &outageDiscovery{out: make(chan struct{}), hung: make(chan struct{}, 1000), testEnd: make(chan struct{})}
+	d := &outageDiscovery{outage: make(chan struct{}), unanswered: make(chan struct{}, 1000), testEnd: make(chan struct{})}
 	d.list.Store(&list)
 	d.addr = serveDiscovery(t, func() string { d.hang(); return *d.list.Load() }, d.watch)
 	t.Cleanup(func() { close(d.testEnd) }) // runs before the server's own clean-up, which waits for its calls
@@ -141,7 +141,7 @@
 // hang blocks until the test ends if the outage has begun.
 func (d *outageDiscovery) hang() {
 	if d.down.Load() {
-		d.hung <- struct{}{}
+		d.unanswered <- struct{}{}
 		<-d.testEnd
 	}
 }
@@ -154,7 +154,7 @@
 	defer end()
 	go func() {
 		select {
-		case <-d.out:
+		case <-d.outage:
 		case <-ctx.Done():
 		}
 		end()
@@ -166,8 +166,8 @@
 func (d *outageDiscovery) goDown(t *testing.T) {
 	t.Helper()
 	d.down.Store(true)
-	close(d.out)
-	nodetest.Await(t, "call during the outage", d.hung)
+	close(d.outage)
+	nodetest.Await(t, "call during the outage", d.unanswered)
 }
 
 // comeBack ends the outage and replaces the list.
--- a/internal/edgenode/peers.go
+++ b/internal/edgenode/peers.go
@@ -70,7 +70,8 @@
 		to = p.addrs[peer]
 	}
 	if len(message) > maxPeerMessage {
-		return fmt.Errorf("message to peer %d: must be at most %d bytes, got %d", peer, maxPeerMessage, len(message))
+		return fmt.Errorf("message to peer %d: must be at most %d bytes, got %d",
+			peer, maxPeerMessage, len(message))
 	}
 	_, err := p.conn.WriteToUDPAddrPort(message, to)
 	return err
--- a/internal/edgenode/run.go
+++ b/internal/edgenode/run.go
@@ -46,7 +46,10 @@
 	if err != nil {
 		return err
 	}
-	p := &process{ctx: nodeCtx, stop: stop, cfg: cfg, log: logger, node: node, discoveryAddr: cfg.Discovery, reload: reload}
+	p := &process{
+		ctx: nodeCtx, stop: stop, cfg: cfg, log: logger, node: node,
+		discoveryAddr: cfg.Discovery, reload: reload,
+	}
 	defer p.background.Wait()
 	if cfg.PeerListen.IsValid() {
 		if node.peers, err = listenPeers(cfg); err != nil {
