--- a/internal/edgenode/decimal/decimal.go
+++ b/internal/edgenode/decimal/decimal.go
@@ -1,4 +1,5 @@
-// Package decimal parses the numbers in headers, which come from other programs and may be malformed.
+// Package decimal parses decimal numbers in headers and load reports. These come from other programs and may
+// be malformed.
 package decimal
 
 import (
@@ -6,10 +7,11 @@
 	"strings"
 )
 
-// maxLength bounds the digits that [Parse] reads.
+// maxLength is the length of the longest text that [Parse] accepts, in bytes.
 const maxLength = 20
 
-// Parse parses a plain decimal number from 0: no sign, exponent, hex or infinity. It reports whether the text is one.
+// Parse parses a non-negative decimal number. It accepts digits and a decimal point, but no sign, exponent,
+// hexadecimal digits or infinity. ok reports whether the text is such a number.
 func Parse(text string) (x float64, ok bool) {
 	if text == "" || len(text) > maxLength || strings.Trim(text, "0123456789.") != "" {
 		return 0, false
--- a/internal/edgenode/endpointlist/endpointlist.go
+++ b/internal/edgenode/endpointlist/endpointlist.go
@@ -1,4 +1,4 @@
-// Package endpointlist is the list of app servers as an edge node has it from discovery.
+// Package endpointlist parses the list of app servers that an edge node receives from discovery.
 package endpointlist
 
 import (
@@ -8,31 +8,36 @@
 	"opalhook/internal/discovery"
 )
 
-// List is one message of discovery.
+// List is one message of discovery: the complete list of app servers, or changes to it.
 type List struct {
 	Generation uint64
 	Snapshot   bool // the complete list: an endpoint missing from it is gone
 	Endpoints  []Endpoint
 }
 
-// Endpoint is one app server and where it listens.
+// Endpoint is one app server with the address at which it listens.
 type Endpoint struct {
 	balancer.Endpoint
-	Addr netip.AddrPort // invalid for one that is not up and whose address can't be read
+	Addr netip.AddrPort // may be invalid, but only if the endpoint is not up
 }
 
-// Parse parses one message of discovery by the rules of [discovery.ParseLenient]: faults are the malformed fields; a
-// non-nil err means that the text is no message at all.
-func Parse(text []byte) (l List, faults []error, err error) {
-	m, faults, err := discovery.ParseLenient(text)
+// Parse parses one message of discovery by the rules of [discovery.ParseLenient]. fieldErrors has one error
+// for each malformed field of an otherwise usable message. A non-nil err means that the text is not a
+// message at all.
+func Parse(text []byte) (l List, fieldErrors []error, err error) {
+	m, fieldErrors, err := discovery.ParseLenient(text)
 	if err != nil {
 		return List{}, nil, err
 	}
-	return List{Generation: m.Generation, Snapshot: m.Snapshot, Endpoints: fromEntries(m.Entries)}, faults, nil
+	return List{
+		Generation: m.Generation,
+		Snapshot:   m.Snapshot,
+		Endpoints:  fromEntries(m.Entries),
+	}, fieldErrors, nil
 }
 
-// ParsePartial returns the endpoints that leave or are gone from a text that is no complete message; see
-// [discovery.ParsePartial].
+// ParsePartial returns the endpoints that an incomplete or malformed message reports as draining or removed.
+// See [discovery.ParsePartial].
 func ParsePartial(text []byte) []Endpoint { return fromEntries(discovery.ParsePartial(text)) }
 
 func fromEntries(entries []discovery.ParsedEntry) []Endpoint {
@@ -54,7 +59,8 @@
 	return endpoints
 }
 
-// endpointState returns the balancer's state for a lifecycle of discovery.
+// endpointState converts a lifecycle of discovery to the balancer's state. An unknown lifecycle counts as
+// draining.
 func endpointState(lifecycle string) balancer.EndpointState {
 	switch lifecycle {
 	case discovery.Up:
--- a/internal/edgenode/follower/client.go
+++ b/internal/edgenode/follower/client.go
@@ -16,57 +16,58 @@
 	"opalhook/internal/edgenode/endpointlist"
 )
 
-// errSilence is the cause of an outage in which nothing came, not even an error.
-var errSilence = errors.New("silent for too long")
+// errNoData is the logged cause of an outage that a timeout revealed, without an error from any call.
+var errNoData = errors.New("no data from discovery within the timeout")
 
-// Bounds of what a call reads.
+// Limits on the data that a call reads.
 const (
 	readBufferSize = 16 << 10 // bytes
 	maxRetryAfter  = 1e6      // seconds; a larger Retry-After is ignored
 )
 
-// Client keeps a node's list of endpoints current: it is the host of a [Follower], with its clock and
-// its calls. One goroutine, Run, owns the follower; each call has a goroutine that reads it.
+// Client keeps a node's list of endpoints current. It is the host of a [Follower]: it supplies the clock and
+// makes the calls. The goroutine of Run owns the follower. Each call has a goroutine of its own that reads
+// the response.
 type Client struct {
 	addr     netip.AddrPort
 	follower *Follower
 	apply    func(endpointlist.List)
 	log      *slog.Logger
-	// DialContext makes the connections of calls; it is not to be changed once Run is called.
+	// DialContext opens the connections of calls. It must not be changed after Run has been called.
 	DialContext func(ctx context.Context, network, addr string) (net.Conn, error)
 
-	moves     chan netip.AddrPort // where to follow the list from now on
-	events    chan callEvent
-	responded chan struct{} // closed once a list, or that nothing has changed, has come
+	addresses chan netip.AddrPort // new address of discovery, from Move to Run
+	events    chan callEvent      // from the goroutines of the calls to Run
+	responded chan struct{}       // closed after the first list or heartbeat
 
 	calls         map[uint64]context.CancelFunc // by call id
-	previousCalls map[uint64]context.CancelFunc // to the previous address, open until the new one answers
+	previousCalls map[uint64]context.CancelFunc // to the previous address, open until the new one responds
 }
 
-// callEvent is what a call brings.
+// callEvent is one event of a call: data that was received, or the end of the call.
 type callEvent struct {
-	id          uint64
+	id          uint64 // of the call
 	kind        callEventKind
-	list        endpointlist.List // of a message; of what is malformed: what could be read of it
-	entryErrors []error           // the malformed entries of a message
-	err         error
-	retryAfter  time.Duration // of a rejection
+	list        endpointlist.List // a message, or the draining and removed endpoints of a malformed one
+	fieldErrors []error           // one for each malformed field of a message
+	err         error             // why the call ended
+	retryAfter  time.Duration     // of a rejection; 0: not given
 }
 
 type callEventKind int
 
 const (
-	eventHead      callEventKind = iota // a response has begun
-	eventPartial                        // part of a message has come
-	eventEmptyLine                      // nothing has changed
-	eventMessage                        // a whole message
-	eventEnd                            // the call has ended
-	eventRejected                       // the call has ended: discovery has no room for it
-	eventMalformed                      // the call has ended: what comes is no message
+	eventResponseStarted callEventKind = iota // the headers of a response with status 200
+	eventPartial                              // part of a message
+	eventHeartbeat                            // an empty line: the list has not changed
+	eventMessage                              // a complete message
+	eventEnd                                  // the call has ended
+	eventRejected                             // the call has ended: discovery has no capacity for it
+	eventMalformed                            // the call has ended: the data is not a valid message
 )
 
-// NewClient returns a client of the discovery at an address. It calls apply with each message that is to be applied,
-// from the goroutine that calls Run.
+// NewClient returns a client of the discovery server at an address. It calls apply with each message that is
+// to be applied, from the goroutine that calls Run.
 func NewClient(addr netip.AddrPort, f *Follower, apply func(endpointlist.List), log *slog.Logger) *Client {
 	return &Client{
 		addr:          addr,
@@ -74,7 +75,7 @@
 		apply:         apply,
 		log:           log,
 		DialContext:   (&net.Dialer{Timeout: MaxCallDuration}).DialContext,
-		moves:         make(chan netip.AddrPort),
+		addresses:     make(chan netip.AddrPort),
 		events:        make(chan callEvent),
 		responded:     make(chan struct{}),
 		calls:         map[uint64]context.CancelFunc{},
@@ -82,38 +83,40 @@
 	}
 }
 
-// Responded is closed once discovery has reported a list, or that nothing has changed.
+// Responded returns a channel that is closed once discovery has sent a list, or a heartbeat which says that
+// the list has not changed.
 func (d *Client) Responded() <-chan struct{} { return d.responded }
 
-// Move follows the list at another address from now on, or reads it again at the same one. It returns once Run has
-// taken that over, or ctx has ended.
+// Move makes the client follow the list at another address. If the address is the current one, the list is
+// read again where that costs other nodes nothing. Move returns when Run has received the address or ctx has
+// ended.
 func (d *Client) Move(ctx context.Context, to netip.AddrPort) {
 	select {
-	case d.moves <- to:
+	case d.addresses <- to:
 	case <-ctx.Done():
 	}
 }
 
-// Run follows the list until ctx ends. Nothing is applied after it has returned.
+// Run follows the list until ctx ends. It calls apply no more after it has returned.
 func (d *Client) Run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
-	var reading sync.WaitGroup
-	defer reading.Wait()
+	var readers sync.WaitGroup
+	defer readers.Wait()
 	defer cancel()
 	client := &http.Client{Transport: &http.Transport{DialContext: d.DialContext, DisableKeepAlives: true}}
-	began := time.Now()
-	now := func() time.Duration { return time.Since(began) }
+	start := time.Now()
+	now := func() time.Duration { return time.Since(start) }
 	d.follower.Start(0)
-	wake := time.NewTimer(0)
-	defer wake.Stop()
+	timer := time.NewTimer(0)
+	defer timer.Stop()
 	for {
-		before, cause := d.follower.reachability, errSilence
+		previous, cause := d.follower.reachability, errNoData
 		select {
 		case <-ctx.Done():
 			return
-		case <-wake.C:
-		case to := <-d.moves:
-			d.moveTo(now(), to)
+		case <-timer.C:
+		case to := <-d.addresses:
+			d.setAddress(now(), to)
 		case e := <-d.events:
 			d.handleEvent(now(), e)
 			if e.err != nil {
@@ -126,56 +129,57 @@
 				closeCall(d.calls, c.ID)
 				continue
 			}
-			callCtx, end := context.WithCancel(ctx)
-			d.calls[c.ID] = end
+			callCtx, cancelCall := context.WithCancel(ctx)
+			d.calls[c.ID] = cancelCall
 			addr := d.addr
-			reading.Go(func() { d.runCall(callCtx, client, addr, c) })
+			readers.Go(func() { d.runCall(callCtx, client, addr, c) })
 		}
-		wake.Reset(next - now())
-		d.logTransition(before, cause)
+		timer.Reset(next - now())
+		d.logTransition(previous, cause)
 	}
 }
 
-// logTransition logs one line for an outage, however often calls fail in it, and one for its end.
-func (d *Client) logTransition(before reachability, cause error) {
-	now := d.follower.reachability
-	if now == before {
+// logTransition logs a change of discovery's reachability: one line for an outage, however many calls fail
+// during it, and one for its end.
+func (d *Client) logTransition(previous reachability, cause error) {
+	current := d.follower.reachability
+	if current == previous {
 		return
 	}
-	switch now {
-	case discoveryThrottled:
+	switch current {
+	case discoveryThrottling:
 		d.log.Warn("discovery rejects calls", "err", cause)
-	case discoveryDown:
+	case discoveryUnreachable:
 		d.log.Warn("discovery watch lost", "err", cause)
-	case discoveryUp:
-		d.log.Info("discovery watch restored", "generation", d.follower.version)
+	case discoveryReachable:
+		d.log.Info("discovery watch restored", "generation", d.follower.generation)
 	}
 }
 
-// closeCall closes one of the calls.
+// closeCall closes a call and removes it from calls. A call that is not in the map is ignored.
 func closeCall(calls map[uint64]context.CancelFunc, id uint64) {
-	if end := calls[id]; end != nil {
-		end()
+	if cancel := calls[id]; cancel != nil {
+		cancel()
 		delete(calls, id)
 	}
 }
 
-// moveTo changes the address. The watches at the previous one stay open until the new one answers: it may be late,
-// and they still bring changes.
-func (d *Client) moveTo(now time.Duration, to netip.AddrPort) {
+// setAddress changes the address of discovery. Calls to the previous address stay open until the new one
+// responds, because it may respond late and the previous watch still delivers changes.
+func (d *Client) setAddress(now time.Duration, to netip.AddrPort) {
 	if to == d.addr {
 		d.follower.Refresh()
 		return
 	}
-	for id, end := range d.calls {
-		d.previousCalls[id] = end
+	for id, cancel := range d.calls {
+		d.previousCalls[id] = cancel
 	}
 	clear(d.calls)
 	d.addr = to
 	d.follower.AddressChanged(now)
 }
 
-// handleEvent applies what a call has brought.
+// handleEvent passes an event of a call to the follower and applies its message.
 func (d *Client) handleEvent(now time.Duration, e callEvent) {
 	if _, previous := d.previousCalls[e.id]; previous {
 		d.handlePreviousEvent(e)
@@ -183,12 +187,12 @@
 	}
 	f := d.follower
 	switch e.kind {
-	case eventHead:
+	case eventResponseStarted:
 		f.Received(now, e.id, false)
 	case eventPartial:
 		f.Received(now, e.id, true)
-	case eventEmptyLine:
-		f.EmptyLine(now, e.id)
+	case eventHeartbeat:
+		f.Heartbeat(now, e.id)
 	case eventMessage:
 		d.handleMessage(now, e)
 	case eventMalformed:
@@ -201,15 +205,16 @@
 	case eventRejected:
 		f.Rejected(now, e.id, e.retryAfter)
 	}
-	if f.callByID(e.id) == nil { // a fetch is over with its message
+	if f.callByID(e.id) == nil { // also after the only message of a fetch
 		closeCall(d.calls, e.id)
 	}
-	if (e.kind == eventMessage || e.kind == eventEmptyLine) && f.lastHeard == now {
+	// The follower has set lastContact to now if the event belongs to an open call.
+	if (e.kind == eventMessage || e.kind == eventHeartbeat) && f.lastContact == now {
 		d.markResponded()
 	}
 }
 
-// handlePreviousEvent applies what a call to the previous address has brought.
+// handlePreviousEvent handles an event of a call to the previous address. Messages are still applied.
 func (d *Client) handlePreviousEvent(e callEvent) {
 	switch e.kind {
 	case eventMessage:
@@ -219,18 +224,25 @@
 	}
 }
 
+// handleMessage applies a complete message, unless the call is closed or the follower has a newer list.
 func (d *Client) handleMessage(now time.Duration, e callEvent) {
-	malformed := len(e.entryErrors) > 0
-	if !d.follower.Message(now, e.id, Update{Version: e.list.Generation, Snapshot: e.list.Snapshot, Malformed: malformed}) {
+	malformed := len(e.fieldErrors) > 0
+	if !d.follower.Message(now, e.id, Update{
+		Version:   e.list.Generation,
+		Snapshot:  e.list.Snapshot,
+		Malformed: malformed,
+	}) {
 		return
 	}
-	if malformed { // one line for a list, however many entries
-		d.log.Warn("list has malformed entries", "generation", e.list.Generation, "count", len(e.entryErrors), "err", e.entryErrors[0])
+	if malformed { // one line per list, however many entries are malformed
+		d.log.Warn("list has malformed entries",
+			"generation", e.list.Generation, "count", len(e.fieldErrors), "err", e.fieldErrors[0])
 	}
 	d.apply(e.list)
 }
 
-// markResponded notes that discovery, at the address in force, has reported what it has.
+// markResponded records that discovery has responded at the current address. Calls to the previous address
+// are no longer needed and are closed.
 func (d *Client) markResponded() {
 	select {
 	case <-d.responded:
@@ -242,7 +254,7 @@
 	}
 }
 
-// runCall makes one call and reports what it brings, until it ends or ctx does.
+// runCall makes one call and sends its events to Run until the call or ctx ends.
 func (d *Client) runCall(ctx context.Context, client *http.Client, addr netip.AddrPort, c Command) {
 	report := func(e callEvent) {
 		e.id = c.ID
@@ -256,12 +268,12 @@
 		report(callEvent{kind: eventEnd, err: err})
 		return
 	}
-	defer func() { _ = resp.Body.Close() }() // the connection is not used again
+	defer func() { _ = resp.Body.Close() }() // the connection is not reused, so an error does not matter
 	if resp.StatusCode != http.StatusOK {
-		report(unsuccessful(resp))
+		report(failureEvent(resp))
 		return
 	}
-	report(callEvent{kind: eventHead})
+	report(callEvent{kind: eventResponseStarted})
 	var messages messageReader
 	buf := make([]byte, readBufferSize)
 	for !messages.done {
@@ -272,8 +284,10 @@
 	}
 }
 
-// requestList sends the request of a call and returns the head of its response.
-func requestList(ctx context.Context, client *http.Client, addr netip.AddrPort, c Command) (*http.Response, error) {
+// requestList sends the request of a call. It returns the response with its body unread.
+func requestList(
+	ctx context.Context, client *http.Client, addr netip.AddrPort, c Command,
+) (*http.Response, error) {
 	url := discovery.SnapshotURL(addr.String())
 	if c.Watch {
 		url = discovery.WatchURL(addr.String(), c.From)
@@ -285,8 +299,9 @@
 	return client.Do(req)
 }
 
-// unsuccessful is the event of a response whose status is not 200.
-func unsuccessful(resp *http.Response) callEvent {
+// failureEvent returns the event for a response whose status is not 200. The statuses 503 and 429 are
+// rejections.
+func failureEvent(resp *http.Response) callEvent {
 	e := callEvent{kind: eventEnd, err: fmt.Errorf("status %s", resp.Status)}
 	if resp.StatusCode != http.StatusServiceUnavailable && resp.StatusCode != http.StatusTooManyRequests {
 		return e
--- a/internal/edgenode/follower/follower.go
+++ b/internal/edgenode/follower/follower.go
@@ -1,5 +1,6 @@
-// Package follower keeps an edge node's list of endpoints current. [Follower] decides which calls of discovery are open:
-// a pure state machine, events in, commands out. [Client] is its host, with clock and sockets.
+// Package follower keeps an edge node's list of endpoints current. [Follower] is a pure state machine that
+// decides which calls of discovery are open: it takes events and returns commands. [Client] is its host and
+// supplies the clock and the sockets.
 package follower
 
 import (
@@ -7,70 +8,72 @@
 	"time"
 )
 
-// Follower is the state machine that keeps an edge node on the endpoint list: what its calls of discovery bring
-// goes in, the calls to be made come out. It has no clock, no socket and no source of chance but what it is given;
-// [Client] is its host in an edge node. Times count from any origin.
+// Follower is the state machine that keeps an edge node's endpoint list current. Its host reports the events
+// of discovery calls to it and carries out the commands that [Follower.Advance] returns. It has no clock, no
+// socket and no source of randomness other than those that it is given. [Client] is its host in an edge
+// node. Times are durations since an arbitrary origin. A Follower must not be used concurrently.
 //
-// There are two kinds of calls. A watch stays open and brings changes. A fetch brings the whole list, at once or
-// not at all. There are two kinds of discovery as well, by the settings:
+// There are two kinds of calls. A watch stays open and delivers changes. A fetch returns the complete list,
+// either at once or not at all. There are also two kinds of discovery, which the settings choose:
 //
-//   - Lists are pushed: the address is an agent on the edge node's own machine. It answers at once and at no cost,
-//     and what it has counts as reported, whether or not a watch is open. So any suspicion that the node lacks
-//     what the agent has is met at once by a fetch, and by another each maxFetchInterval until one is answered,
-//     whatever the size of the fleet. Meanwhile one watch stays open with more patience, for an agent that
-//     answers late.
-//   - Lists are polled: one service answers the calls of the whole fleet in turn, and has a short queue. Nodes that
-//     it drops all at once must not return all at once, and those that it rejects must call the less often the
-//     more they are. There is one call at a time, after a random time within a backoff window that grows with the
-//     fleet; but what a watch misses counts as reported reportedAfter its silence began, so the first new call
-//     comes before that.
+//   - Lists are pushed. The address is that of an agent on the edge node's own machine, which answers at
+//     once and at no cost. A change that the agent has counts as delivered to the node, whether or not a
+//     watch is open. Whenever the node may lack a change that the agent has, it therefore sends a fetch at
+//     once, and further ones at intervals of at most maxFetchInterval until one is answered, whatever the
+//     size of the fleet. Meanwhile one watch stays open with a longer timeout, for an agent that answers
+//     late.
+//   - Lists are polled. One service answers the calls of the whole fleet one after the other and has a short
+//     queue. Nodes whose watches it drops all at once must not return all at once, and nodes that it rejects
+//     must call less often the more of them there are. A node makes one call at a time, at a random time
+//     within a backoff window that grows with the fleet. A change that a watch misses counts as delivered
+//     once the watch has been silent for deliveryLimit, so the first new call is made before that.
 //
-// An agent that rejects calls has a queue after all: then it is called as a service is.
+// An agent that rejects calls evidently has a queue, so the node then calls it like a service.
 type Follower struct {
 	config Config
 
-	version      uint64 // of the list that is held
+	generation   uint64 // of the list that the node has
 	freshness    freshness
 	reachability reachability
-	reopenWatch  bool // the watch is to be opened anew, from the version that a fetch has brought
+	reopenWatch  bool // replace the open watch by one from the current generation or from 0
 
 	watch, fetch     call
-	watchAt, fetchAt time.Duration // not before
-	lastHeard        time.Duration // when discovery last answered
-	backoffWindow    time.Duration // in which the next call is drawn; 0: the first window
+	watchAt, fetchAt time.Duration // earliest time at which the next watch or fetch is opened
+	lastContact      time.Duration // time of the latest message or heartbeat, at first that of Start
+	backoffWindow    time.Duration // random window of the next call; 0: the first window
 	rereadAt         time.Duration // when a malformed list is read again; 0: never
-	rereadInterval   time.Duration // from one such reading to the next; 0: the first
-	lastID           uint64        // of the calls so far
+	rereadInterval   time.Duration // from this reading of a malformed list to the next; 0: the first
+	lastID           uint64        // id of the latest call
 }
 
-// Config is what a follower is told.
+// Config configures a [Follower].
 type Config struct {
-	Pushed       bool          // lists are pushed by an agent on the node's machine, not polled from a service
-	FleetSize    int           // edge nodes
-	PollInterval time.Duration // lists polled: how often a node without a watch has to call; 0: not told
-	Version      uint64        // of the list that the node holds at the start; 0: none
-	Rand         *rand.Rand    // of the times drawn; used by the follower alone
+	Pushed       bool          // an agent on the node's machine pushes the list; false: it is polled
+	FleetSize    int           // number of edge nodes
+	PollInterval time.Duration // how often a node without a watch must poll the service; 0: not set
+	Version      uint64        // generation of the list that the node has at the start; 0: none
+	Rand         *rand.Rand    // source of the random times; not shared with others
 }
 
-// freshness is what the node knows of its list.
+// freshness says whether the node's list may be outdated.
 type freshness int
 
 const (
 	listCurrent    freshness = iota
-	listSuspect              // it may lack what discovery has
-	snapshotNeeded           // and only a complete list can mend that
+	listSuspect              // discovery may have changes that the node lacks
+	snapshotNeeded           // the same, and the node needs the complete list
 )
 
-// reachability is what the latest calls say of discovery.
+// reachability is the state of discovery as the latest calls show it.
 type reachability int
 
 const (
-	discoveryUp        reachability = iota
-	discoveryDown                   // no answer since the latest call ended
-	discoveryThrottled              // it rejects calls
+	discoveryReachable   reachability = iota
+	discoveryUnreachable              // a call failed or a watch was silent since the last contact
+	discoveryThrottling               // a call was rejected since the last contact
 )
 
-// callKind is what a call asks for.
+// callKind is the kind of a call.
 type callKind int
 
 const (
@@ -78,70 +81,71 @@
 	fetchCall
 )
 
-// call is a call of discovery that is open.
+// call is an open call of discovery. The zero value stands for no call.
 type call struct {
-	id             uint64 // 0: there is none
+	id             uint64 // 0: no call
 	kind           callKind
-	from           uint64 // of a watch: the version that it went on from
+	from           uint64 // generation from which a watch continues; 0: the complete list
 	opened         time.Duration
-	answered       bool          // its response has begun, with status 200
-	confirmed      bool          // a whole message or an empty line has come
-	lastActivity   time.Duration // when anything came last, or when it was opened
-	partial        bool          // part of a message has come
-	messageStarted time.Duration // when the first part of it did
+	answered       bool          // a response with status 200 has begun
+	confirmed      bool          // a complete message or a heartbeat was received
+	lastActivity   time.Duration // when data was last received, or when the call was opened
+	partial        bool          // part of a message was received
+	messageStarted time.Duration // when the first part of that message was received
 }
 
-// Command is what the host has to do: open a call, or close one.
+// Command tells the host to open or close a call.
 type Command struct {
-	Open  bool
-	Watch bool // of one to be opened: a watch, not a fetch of the complete list
-	ID    uint64
-	From  uint64 // of a watch: the version that it goes on from, 0 for the complete list
+	Open  bool   // open the call; false: close it
+	Watch bool   // open a watch; false: fetch the complete list
+	ID    uint64 // id of the call
+	From  uint64 // generation from which a watch continues; 0: the complete list
 }
 
-// Update describes a message that has come whole.
+// Update describes a complete message.
 type Update struct {
-	Version   uint64
-	Snapshot  bool // the complete list
-	Malformed bool // some of its entries could not be read
+	Version   uint64 // generation of the list after the message
+	Snapshot  bool   // the message is the complete list
+	Malformed bool   // some of its fields could not be read
 }
 
-// New returns a follower, which is to be started.
-func New(c Config) *Follower { return &Follower{config: c, version: c.Version} }
+// New returns a follower. It does nothing until [Follower.Start] is called.
+func New(c Config) *Follower { return &Follower{config: c, generation: c.Version} }
 
-// Start begins with a list that may be old.
+// Start starts the follower. The list that the node has may be outdated.
 func (f *Follower) Start(now time.Duration) {
-	f.lastHeard = now
+	f.lastContact = now
 	f.suspect(listSuspect)
 	if !f.rateLimited() {
-		f.watchAt = now + pushedMessageTimeout // the fetch brings the version to go on from
+		f.watchAt = now + pushedMessageTimeout // leaves time for the fetch, from which the watch continues
 	}
 }
 
-// AddressChanged reports that another agent or service is followed from now on, which counts its versions in its
-// own way. The host closes the calls to the previous one.
+// AddressChanged makes the follower follow another agent or service. Its generations are unrelated to those
+// of the previous one, so the complete list is read. The host closes the calls to the previous address.
 func (f *Follower) AddressChanged(now time.Duration) {
 	*f = Follower{config: f.config, lastID: f.lastID}
 	f.Start(now)
 	f.suspect(snapshotNeeded)
 }
 
-// Refresh has the list read again where that costs nothing.
+// Refresh requests the complete list again if calls cost other nodes nothing.
 func (f *Follower) Refresh() {
 	if !f.rateLimited() {
 		f.suspect(snapshotNeeded)
 	}
 }
 
-// rateLimited tells whether calls cost other nodes theirs.
+// rateLimited reports whether the node has to limit its calls because they take up capacity that other nodes
+// need. That is the case for a polled service, and for an agent that rejects calls.
 func (f *Follower) rateLimited() bool {
-	return !f.config.Pushed || f.reachability == discoveryThrottled
+	return !f.config.Pushed || f.reachability == discoveryThrottling
 }
 
-// suspect notes that the list may be outdated.
+// suspect records that the list may be outdated. A worse state that was recorded earlier stays.
 func (f *Follower) suspect(by freshness) { f.freshness = max(f.freshness, by) }
 
-// callByID returns an open call, or nil if it is no longer open.
+// callByID returns the open call with an id, or nil if there is none.
 func (f *Follower) callByID(id uint64) *call {
 	switch id {
 	case 0:
@@ -153,9 +157,11 @@
 	return nil
 }
 
-// What the host reports of the calls, by their ids. Reports on a call that is no longer open are ignored.
+// With the following methods the host reports the events of calls. Events of calls that are no longer open
+// are ignored.
 
-// Received reports that something has come on a call: the head of its response, or part of a message.
+// Received reports that data was received on a call: the headers of its response or, if partial is set, part
+// of a message.
 func (f *Follower) Received(now time.Duration, id uint64, partial bool) {
 	c := f.callByID(id)
 	if c == nil {
@@ -167,31 +173,34 @@
 	}
 }
 
-// EmptyLine reports that an empty line has come on a call.
-func (f *Follower) EmptyLine(now time.Duration, id uint64) {
+// Heartbeat reports that an empty line was received on a call. On a fetch it has no
+// meaning and is ignored.
+func (f *Follower) Heartbeat(now time.Duration, id uint64) {
 	if c := f.callByID(id); c != nil && c.kind == watchCall {
 		f.confirmWatch(now, c)
 	}
 }
 
-// confirmWatch notes that a watch works: the node has what it brings.
+// confirmWatch records that a watch works: the node has all changes that discovery has sent on it. The list
+// is current, unless the complete list is needed and this watch did not begin with it.
 func (f *Follower) confirmWatch(now time.Duration, w *call) {
 	w.answered, w.confirmed, w.lastActivity, w.partial = true, true, now, false
-	f.markUp(now)
-	if f.freshness != snapshotNeeded || w.from == 0 { // changes from the beginning on are the complete list
+	f.markReachable(now)
+	if f.freshness != snapshotNeeded || w.from == 0 { // a watch from 0 begins with the complete list
 		f.freshness = listCurrent
 	}
 }
 
-// markUp notes that discovery answers.
-func (f *Follower) markUp(now time.Duration) {
-	f.lastHeard, f.reachability, f.backoffWindow = now, discoveryUp, 0
+// markReachable records that discovery responds, and ends the backoff.
+func (f *Follower) markReachable(now time.Duration) {
+	f.lastContact, f.reachability, f.backoffWindow = now, discoveryReachable, 0
 }
 
-// markDown notes that discovery does not answer.
-func (f *Follower) markDown() { f.reachability = max(f.reachability, discoveryDown) }
+// markUnreachable records that discovery does not respond. A rejecting discovery stays recorded as rejecting.
+func (f *Follower) markUnreachable() { f.reachability = max(f.reachability, discoveryUnreachable) }
 
-// Message reports that a whole message has come on a call. It returns whether the message is to be applied.
+// Message reports that a complete message was received on a call. It returns whether the host is to apply the
+// message.
 func (f *Follower) Message(now time.Duration, id uint64, u Update) (apply bool) {
 	c := f.callByID(id)
 	if c == nil {
@@ -199,7 +208,7 @@
 	}
 	if c.kind == fetchCall {
 		u.Snapshot = true
-		if !f.fetched(now, u.Version) {
+		if !f.completeFetch(now, u.Version) {
 			return false
 		}
 	} else {
@@ -208,24 +217,26 @@
 	if u.Snapshot {
 		f.freshness = listCurrent
 	}
-	f.version = u.Version
+	f.generation = u.Version
 	f.scheduleReread(now, u)
 	return true
 }
 
-// fetched notes that the fetch is answered by a version. It returns false if the watch has brought more since.
-func (f *Follower) fetched(now time.Duration, version uint64) bool {
-	asked := f.fetch.opened
+// completeFetch ends the fetch, to which discovery has responded with a generation of the list. It returns
+// false if the watch has delivered a later generation since the fetch was opened.
+func (f *Follower) completeFetch(now time.Duration, generation uint64) bool {
+	openedAt := f.fetch.opened
 	f.fetch = call{}
-	f.markUp(now)
-	if f.watch.confirmed && f.watch.lastActivity >= asked && version < f.version {
+	f.markReachable(now)
+	if f.watch.confirmed && f.watch.lastActivity >= openedAt && generation < f.generation {
 		return false
 	}
-	f.reopenWatch, f.watchAt = true, now // a watch that goes on from this version replaces the open one
+	f.reopenWatch, f.watchAt = true, now // a watch from this generation replaces the open one
 	return true
 }
 
-// Malformed reports that what comes on a call can't be read any further: some of the list may be lost with it.
+// Malformed reports that a call has ended because its data is not a valid message. Changes may have been
+// lost, so the complete list is needed.
 func (f *Follower) Malformed(now time.Duration, id uint64) {
 	if f.callByID(id) != nil {
 		f.suspect(snapshotNeeded)
@@ -233,7 +244,7 @@
 	}
 }
 
-// Ended reports that a call has ended by itself.
+// Ended reports that a call has ended without a command to close it: its response is complete, or it failed.
 func (f *Follower) Ended(now time.Duration, id uint64) {
 	c := f.callByID(id)
 	if c == nil {
@@ -246,13 +257,14 @@
 	}
 }
 
-// Rejected reports that discovery has rejected a call, by 503 or 429, and asks to be left alone for retryAfter.
+// Rejected reports that discovery has rejected a call with status 503 or 429. No call is to be made for
+// retryAfter, which is 0 if the response did not give it.
 func (f *Follower) Rejected(now time.Duration, id uint64, retryAfter time.Duration) {
 	c := f.callByID(id)
 	if c == nil {
 		return
 	}
 	*c = call{}
-	f.reachability = discoveryThrottled
+	f.reachability = discoveryThrottling
 	f.scheduleReopenAfterRejection(now, retryAfter)
 }
--- a/internal/edgenode/follower/follower_test.go
+++ b/internal/edgenode/follower/follower_test.go
@@ -12,126 +12,128 @@
 	"opalhook/internal/edgenode/endpointlist"
 )
 
-// inTime is what the rule on drains leaves from the moment that counts as reported: its grace and
-// slack are 550 ms.
-const inTime = 400 * time.Millisecond
+// maxDrainDelay is the longest time from when a drain counts as delivered to when the node learns of it. The
+// protocol allows 550 ms, grace and slack together, so this limit is stricter.
+const maxDrainDelay = 400 * time.Millisecond
 
-// Where lists are pushed, what the agent has is with the node within the rule's time, whatever
-// has become of the watch, in a fleet of any size.
+// A change that an agent has must reach the node within maxDrainDelay, whatever has happened to the watch
+// and whatever the size of the fleet.
 func TestPushedListArrivesInTime(t *testing.T) {
-	// Each watch says it badly; the whole list is good.
-	spoil := func(how func(message string) []chunk) func(s *simulation) {
+	// spoilChanges encodes the messages of watches with encode. Complete lists are well-formed.
+	spoilChanges := func(encode func(message string) []chunk) func(s *simulation) {
 		return func(s *simulation) {
-			s.wording = func(m string, whole bool) []chunk {
-				if whole {
+			s.encode = func(m string, snapshot bool) []chunk {
+				if snapshot {
 					return []chunk{{0, m + "\n"}}
 				}
-				return how(m)
+				return encode(m)
 			}
-			s.drain()
+			s.startDrain()
 		}
 	}
-	line := func(how func(message string) string) func(s *simulation) {
-		return spoil(func(m string) []chunk { return []chunk{{0, how(m) + "\n"}} })
+	spoilLine := func(spoil func(message string) string) func(s *simulation) {
+		return spoilChanges(func(m string) []chunk { return []chunk{{0, spoil(m) + "\n"}} })
 	}
-	mute := func(d time.Duration, deaf bool) func(s *simulation) {
+	// silentFor makes the agent silent for d. With loseCalls, the calls of that time stay silent afterwards.
+	silentFor := func(d time.Duration, loseCalls bool) func(s *simulation) {
 		return func(s *simulation) {
 			s.silent = true
-			s.run(d)
-			if deaf {
-				s.silence()
+			s.advance(d)
+			if loseCalls {
+				s.silenceCalls()
 			}
 			s.silent = false
-			s.drain()
+			s.startDrain()
 		}
 	}
 	for _, c := range []struct {
-		name string
-		do   func(s *simulation) // until the agent has the news
-		late time.Duration       // that may pass besides inTime
+		name  string
+		run   func(s *simulation) // until the agent has the drain
+		extra time.Duration       // permitted delay in addition to maxDrainDelay
 	}{
-		{"open watch", (*simulation).drain, 0},
-		{"reset as it drains", func(s *simulation) { s.reset(); s.drain() }, 0},
-		{"reset before", func(s *simulation) { s.reset(); s.run(time.Second); s.drain() }, 0},
-		{"watches silent", func(s *simulation) { s.silence(); s.drain() }, reportedAfter},
-		{"watches long silent", func(s *simulation) { s.silence(); s.run(reportedAfter); s.drain() }, 0},
-		{"agent mute for 8 s", mute(8*time.Second, false), 0},
-		{"agent mute for 8 s, and for ever on the calls of that time", mute(8*time.Second, true), 0},
-		{"agent mute for 61 s", mute(61*time.Second, false), 0},
-		{"agent gone for 20 s", func(s *simulation) {
-			s.refuse = errors.New("refused")
-			s.reset()
-			s.run(20 * time.Second)
-			s.refuse = nil
-			s.drain()
+		{"open watch", (*simulation).startDrain, 0},
+		{"reset at the drain", func(s *simulation) { s.resetCalls(); s.startDrain() }, 0},
+		{"reset before the drain", func(s *simulation) { s.resetCalls(); s.advance(time.Second); s.startDrain() }, 0},
+		{"watches silent at the drain", func(s *simulation) { s.silenceCalls(); s.startDrain() }, deliveryLimit},
+		{"watches silent long before the drain", func(s *simulation) { s.silenceCalls(); s.advance(deliveryLimit); s.startDrain() }, 0},
+		{"agent silent for 8 s", silentFor(8*time.Second, false), 0},
+		{"agent silent for 8 s, and for ever on the calls of that time", silentFor(8*time.Second, true), 0},
+		{"agent silent for 61 s", silentFor(61*time.Second, false), 0},
+		{"agent refuses connections for 20 s", func(s *simulation) {
+			s.dialErr = errors.New("refused")
+			s.resetCalls()
+			s.advance(20 * time.Second)
+			s.dialErr = nil
+			s.startDrain()
 		}, 0},
-		{"message not ended", line(func(m string) string { return m[:len(m)-2] }), 0},
-		{"message cut in a name", line(func(m string) string { return m[:len(m)/2] }), 0},
-		{"noise", line(func(m string) string { return "\x00\x01" + m }), 0},
-		{"entry without an id", line(func(m string) string { return strings.Replace(m, `"a"`, `7`, 1) }), 0},
-		{"state that can't be read", line(func(m string) string { return strings.Replace(m, `"draining"`, `[`, 1) }), 0},
+		{"message truncated at its end", spoilLine(func(m string) string { return m[:len(m)-2] }), 0},
+		{"message truncated in a name", spoilLine(func(m string) string { return m[:len(m)/2] }), 0},
+		{"binary data", spoilLine(func(m string) string { return "\x00\x01" + m }), 0},
+		{"malformed id", spoilLine(func(m string) string { return strings.Replace(m, `"a"`, `7`, 1) }), 0},
+		{"malformed lifecycle", spoilLine(func(m string) string { return strings.Replace(m, `"draining"`, `[`, 1) }), 0},
 		{"indented", func(s *simulation) {
-			s.wording = func(m string, _ bool) []chunk {
+			s.encode = func(m string, _ bool) []chunk {
 				return []chunk{{0, strings.NewReplacer("{", "{\r\n  ", ",", ",\r\n  ", "}", "\r\n}").Replace(m) + "\r\n"}}
 			}
-			s.drain()
+			s.startDrain()
 		}, 0},
-		{"a byte at a time", func(s *simulation) {
-			s.wording = func(m string, _ bool) (all []chunk) {
+		{"one byte at a time", func(s *simulation) {
+			s.encode = func(m string, _ bool) (parts []chunk) {
 				for i := range m {
-					all = append(all, chunk{0, m[i : i+1]})
+					parts = append(parts, chunk{0, m[i : i+1]})
 				}
-				return append(all, chunk{0, "\n"})
+				return append(parts, chunk{0, "\n"})
 			}
-			s.drain()
+			s.startDrain()
 		}, 0},
-		{"halting in the middle", spoil(func(m string) []chunk { return []chunk{{0, m[:20]}, {2 * time.Second, m[20:] + "\n"}} }), 0},
+		{"pause within the message", spoilChanges(func(m string) []chunk { return []chunk{{0, m[:20]}, {2 * time.Second, m[20:] + "\n"}} }), 0},
 	} {
 		for _, fleet := range []int{1, 350} {
-			s := newSim(min(fleet, 4), fleet, true) // each node has an agent of its own
-			s.run(5500 * time.Millisecond)
-			if s.latest(0) != -1 {
-				t.Fatal("told of a drain that has not begun")
+			s := newSim(min(fleet, 4), fleet, true) // nodes do not affect each other: each has its own agent
+			s.advance(5500 * time.Millisecond)
+			if s.drainDelay(0) != -1 {
+				t.Fatal("a node learned of a drain that has not begun")
 			}
-			c.do(s)
-			told := s.now
-			s.run(c.late + time.Minute)
-			if late := s.latest(told); late < 0 || late > inTime+c.late {
-				t.Errorf("%s, fleet of %d: the last node has it after %v", c.name, fleet, late)
+			c.run(s)
+			available := s.now
+			s.advance(c.extra + time.Minute)
+			if delay := s.drainDelay(available); delay < 0 || delay > maxDrainDelay+c.extra {
+				t.Errorf("%s, fleet of %d: last node learned of the drain after %v, want at most %v",
+					c.name, fleet, delay, maxDrainDelay+c.extra)
 			}
 		}
 	}
 }
 
-// A new process has what the agent has before it takes clients, also where the cached list is of
-// the same version, and then makes no calls while nothing is wrong.
-func TestFirstListComesAtOnce(t *testing.T) {
-	for version := 1; version <= 2; version++ {
+// A new process gets the agent's list at once, even if its cached list has the same generation, because it
+// accepts clients only after that. It then makes no further calls as long as there is no fault.
+func TestFirstListArrivesAtOnce(t *testing.T) {
+	for generation := 1; generation <= 2; generation++ {
 		s := newSim(1, 350, true)
-		s.version = version
-		s.run(10 * time.Millisecond)
+		s.generation = generation
+		s.advance(10 * time.Millisecond)
 		select {
 		case <-s.nodes[0].client.responded:
 		default:
-			t.Errorf("version %d: no list after 10 ms", version)
+			t.Errorf("generation %d: no list after 10 ms", generation)
 		}
-		s.run(time.Hour)
-		if n := len(s.calledAt); n != 2 {
-			t.Errorf("version %d: %d calls in an hour without a fault, want a fetch and a watch", version, n)
+		s.advance(time.Hour)
+		if n := len(s.callTimes); n != 2 {
+			t.Errorf("generation %d: %d calls in an hour without a fault, want 2: a fetch and a watch", generation, n)
 		}
 	}
 }
 
-// Where lists are asked for, all nodes of a fleet come back within the platform's time after
-// their watches broke, and spread over it.
-func TestPolledListArrivesInTimeWithoutAStorm(t *testing.T) {
+// After the watches of a whole fleet have broken, all nodes must get the changes from the service in time,
+// and their calls must be spread over that time.
+func TestPolledListArrivesInTimeWithoutCallStorm(t *testing.T) {
 	for _, fleet := range []int{1, 4, 350, 1024} {
-		for fault, do := range map[string]func(s *simulation){
-			"reset":   (*simulation).reset,
-			"silence": (*simulation).silence,
+		for fault, begin := range map[string]func(s *simulation){
+			"reset":   (*simulation).resetCalls,
+			"silence": (*simulation).silenceCalls,
 			"malformed": func(s *simulation) {
-				s.wording = func(m string, whole bool) []chunk {
-					if !whole {
+				s.encode = func(m string, snapshot bool) []chunk {
+					if !snapshot {
 						m = m[:30] + "\n"
 					}
 					return []chunk{{0, m + "\n"}}
@@ -139,104 +141,111 @@
 			},
 		} {
 			s := newSim(fleet, fleet, false)
-			s.run(5500 * time.Millisecond)
-			before := len(s.calledAt)
+			s.advance(5500 * time.Millisecond)
+			before := len(s.callTimes)
 			if before != fleet {
-				t.Errorf("%d calls of %d nodes whose watches work", before, fleet)
+				t.Errorf("%d calls of %d nodes with working watches, want one of each node", before, fleet)
 			}
-			do(s)
-			s.drain()
+			begin(s)
+			s.startDrain()
 			broke := s.now
-			s.run(20 * time.Second)
-			if late := s.latest(broke); late < 0 || late > reportedAfter+inTime {
-				t.Errorf("%s, fleet of %d: the last node has it %v after its watch broke", fault, fleet, late)
+			s.advance(20 * time.Second)
+			if delay := s.drainDelay(broke); delay < 0 || delay > deliveryLimit+maxDrainDelay {
+				t.Errorf("%s, fleet of %d: last node learned of the drain %v after its watch broke, want at most %v",
+					fault, fleet, delay, deliveryLimit+maxDrainDelay)
 			}
-			most, tenths := 0, map[time.Duration]int{}
-			for _, at := range s.calledAt[before:] {
+			most, callsPerTenth := 0, map[time.Duration]int{}
+			for _, at := range s.callTimes[before:] {
 				tenth := (at - broke) / (100 * time.Millisecond)
-				tenths[tenth]++
-				most = max(most, tenths[tenth])
+				callsPerTenth[tenth]++
+				most = max(most, callsPerTenth[tenth])
 			}
-			if again := len(s.calledAt) - before; most > 5+fleet/7 || again > fleet {
-				t.Errorf("%s, fleet of %d: %d calls, %d in the worst tenth of a second", fault, fleet, again, most)
+			if calls := len(s.callTimes) - before; most > 5+fleet/7 || calls > fleet {
+				t.Errorf("%s, fleet of %d: %d calls, want at most %d; %d within 100 ms, want at most %d",
+					fault, fleet, calls, fleet, most, 5+fleet/7)
 			}
 		}
 	}
 }
 
-// Those that are rejected come again the more seldom the more they are, also where the
-// settings say that an agent answers free: it has a line after all.
-func TestRejectedNodesSpread(t *testing.T) {
+// Nodes that are rejected call less often the larger the fleet is. This also holds if the settings say that
+// an agent pushes the list: an agent that rejects calls evidently has a queue.
+func TestRejectedNodesSpreadTheirCalls(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
 		for _, fleet := range []int{1, 4, 80, 350} {
 			s := newSim(fleet, fleet, pushed)
-			s.run(time.Second)
+			s.advance(time.Second)
 			s.rejects = true
-			s.reset()
-			s.run(10 * time.Second)
-			before := len(s.calledAt)
-			s.run(time.Minute)
-			// Half a second between the calls of few nodes, ten seconds between those of a node of many.
-			calls := len(s.calledAt) - before
+			s.resetCalls()
+			s.advance(10 * time.Second)
+			before := len(s.callTimes)
+			s.advance(time.Minute)
+			// The mean interval of a node's calls is 0.5 s in a small fleet and 10 s in a large one. The
+			// limits leave a margin.
+			calls := len(s.callTimes) - before
 			if perS := float64(calls) / 60; perS > max(3*float64(min(fleet, 10)), float64(fleet)/8) || calls < fleet {
-				t.Errorf("%d nodes, pushed %v: %.1f calls a second", fleet, pushed, perS)
+				t.Errorf("%d nodes, pushed %v: %d calls in a minute, %.1f a second", fleet, pushed, calls, perS)
 			}
 			s.rejects = false
-			s.drain()
-			back := s.now
-			s.run(time.Minute)
-			if late := s.latest(back); late < 0 || late > 2*defaultPollInterval+MaxCallDuration {
-				t.Errorf("%d nodes, pushed %v: the last one has it %v after there is room", fleet, pushed, late)
+			s.startDrain()
+			accepting := s.now
+			s.advance(time.Minute)
+			if delay := s.drainDelay(accepting); delay < 0 || delay > 2*defaultPollInterval+MaxCallDuration {
+				t.Errorf("%d nodes, pushed %v: last node learned of the drain %v after calls were accepted again, want at most %v",
+					fleet, pushed, delay, 2*defaultPollInterval+MaxCallDuration)
 			}
 		}
 	}
 }
 
-// Where the watch moves, the one before is heard until the new discovery answers.
-func TestPreviousWatchIsReadUntilTheNewAddressAnswers(t *testing.T) {
+// When the address of discovery changes, changes from the previous watch are applied until the new address
+// responds.
+func TestPreviousWatchIsReadUntilTheNewAddressResponds(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
 		s := newSim(1, 350, pushed)
 		n := s.nodes[0]
-		s.run(5 * time.Second)
+		s.advance(5 * time.Second)
 		old := s.calls[len(s.calls)-1]
-		s.silent = true // what is called from now on
-		n.client.moveTo(s.now, netip.MustParseAddrPort("127.0.0.1:2"))
+		s.silent = true // the new address does not respond
+		n.client.setAddress(s.now, netip.MustParseAddrPort("127.0.0.1:2"))
 		n.step()
-		s.run(time.Second)
-		old.tell(callEvent{kind: eventMessage, list: endpointlist.List{Generation: 900, Endpoints: []endpointlist.Endpoint{{Endpoint: balancer.Endpoint{ID: "a", State: balancer.Draining}}}}})
-		if n.toldAt == 0 || n.client.follower.version == 900 {
-			t.Errorf("pushed %v: a change from the previous discovery: told %v, version %d", pushed, n.toldAt, n.client.follower.version)
+		s.advance(time.Second)
+		old.deliver(callEvent{kind: eventMessage, list: endpointlist.List{Generation: 900, Endpoints: []endpointlist.Endpoint{{Endpoint: balancer.Endpoint{ID: "a", State: balancer.Draining}}}}})
+		if n.drainSeenAt == 0 || n.client.follower.generation == 900 {
+			t.Errorf("pushed %v: drain from the previous address applied at %v, generation %d", pushed, n.drainSeenAt, n.client.follower.generation)
 		}
 		s.silent = false
-		s.each(s.serve)
-		s.run(time.Second)
-		if !old.over || n.client.follower.version != 1 {
-			t.Errorf("pushed %v: the previous discovery is watched on: %v, version %d", pushed, !old.over, n.client.follower.version)
+		s.forEachCall(s.respond)
+		s.advance(time.Second)
+		if !old.closed || n.client.follower.generation != 1 {
+			t.Errorf("pushed %v: previous watch is open: %v, generation %d; want closed, 1", pushed, !old.closed, n.client.follower.generation)
 		}
 	}
 }
 
-// SIGHUP with the same address has the list read again where that is free, and costs nothing elsewhere.
+// A reload with the same address reads the list again from an agent, where that costs nothing, but not from
+// a service.
 func TestReloadOfTheSameAddressReadsTheListAgain(t *testing.T) {
 	for _, pushed := range []bool{true, false} {
 		s := newSim(1, 350, pushed)
 		n := s.nodes[0]
-		s.run(5 * time.Second)
-		before, want := len(s.calledAt), 0
+		s.advance(5 * time.Second)
+		before, want := len(s.callTimes), 0
 		if pushed {
-			want = 2 // a fetch, and a watch that goes on from it
+			want = 2 // a fetch, and a watch from its generation
 		}
-		n.client.moveTo(s.now, n.client.addr)
+		n.client.setAddress(s.now, n.client.addr)
 		n.step()
-		s.run(time.Minute)
-		if calls := len(s.calledAt) - before; calls != want {
+		s.advance(time.Minute)
+		if calls := len(s.callTimes) - before; calls != want {
 			t.Errorf("pushed %v: %d calls, want %d", pushed, calls, want)
 		}
 	}
 }
 
-// A fetch may be overtaken: what a watch has told since must not be taken back.
-func TestOvertakenFetchIsNotApplied(t *testing.T) {
+// Guards against a stale list: a watch may deliver a newer generation while a fetch is open. The fetch's
+// older list must not replace it.
+func TestStaleFetchIsNotApplied(t *testing.T) {
 	f := New(Config{Pushed: true, FleetSize: 1, Rand: rand.New(rand.NewPCG(1, 1)), Version: 4})
 	f.Start(0)
 	f.Advance(0)
@@ -246,31 +255,31 @@
 	f.Advance(pushedMessageTimeout)
 	watch := f.watch.id
 	if fetch == 0 || watch == 0 || f.fetch.id != fetch {
-		t.Fatalf("fetch %d, watch %d are not both out", fetch, watch)
+		t.Fatalf("fetch %d and watch %d, want both open", fetch, watch)
 	}
 	if !f.Message(pushedMessageTimeout+1, watch, Update{Version: 6}) {
-		t.Error("the watch's message is not taken")
+		t.Error("the watch's message is not applied")
 	}
-	if f.Message(pushedMessageTimeout+2, fetch, Update{Version: 5, Snapshot: true}) || f.version != 6 || f.watch.id != watch {
-		t.Errorf("an older list is taken: version %d", f.version)
+	if f.Message(pushedMessageTimeout+2, fetch, Update{Version: 5, Snapshot: true}) || f.generation != 6 || f.watch.id != watch {
+		t.Errorf("an older list is applied: generation %d, want 6", f.generation)
 	}
 	if f.Message(pushedMessageTimeout+3, fetch, Update{Version: 9, Snapshot: true}) {
-		t.Error("a call that is over is heard")
+		t.Error("a message of a closed call is applied")
 	}
 }
 
-// A list of which some stays malformed is read again, but not for ever at the same pace.
+// A list that stays malformed is read again, but at growing intervals.
 func TestMalformedListIsReadAgain(t *testing.T) {
 	for _, pushed := range []bool{true, false} {
 		s := newSim(1, 1, pushed)
-		s.wording = func(m string, _ bool) []chunk {
+		s.encode = func(m string, _ bool) []chunk {
 			return []chunk{{0, strings.Replace(m, `"weight":1`, `"weight":"x"`, 1) + "\n"}}
 		}
-		s.run(time.Second)
-		s.drain()
-		s.run(time.Hour)
-		if n := len(s.calledAt); n < 10 || n > 200 {
-			t.Errorf("pushed %v: %d calls in an hour", pushed, n)
+		s.advance(time.Second)
+		s.startDrain()
+		s.advance(time.Hour)
+		if n := len(s.callTimes); n < 10 || n > 200 {
+			t.Errorf("pushed %v: %d calls in an hour, want 10 to 200", pushed, n)
 		}
 	}
 }
--- a/internal/edgenode/follower/golden_test.go
+++ b/internal/edgenode/follower/golden_test.go
@@ -16,41 +16,42 @@
 	"opalhook/internal/golden"
 )
 
-// followRequests hands the requests on by which a node follows the list, until take has what it wants.
-func followRequests(t *testing.T, pushed bool, take func(heard <-chan string)) {
+// recordRequests runs a client and passes its requests to collect. It stops the client when collect returns.
+func recordRequests(t *testing.T, pushed bool, collect func(requests <-chan string)) {
 	t.Helper()
 	const list = `{"generation":41,"reset":true,"instances":[]}`
-	addr, heard := nodetest.RecordRequests(t, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s\n", len(list)+1, list))
-	r := NewClient(addr, New(Config{Pushed: pushed, FleetSize: 1, PollInterval: defaultPollInterval, Rand: rand.New(rand.NewPCG(1, 1))}), func(endpointlist.List) {}, slog.New(slog.DiscardHandler))
+	addr, requests := nodetest.RecordRequests(t, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s\n", len(list)+1, list))
+	client := NewClient(addr, New(Config{Pushed: pushed, FleetSize: 1, PollInterval: defaultPollInterval, Rand: rand.New(rand.NewPCG(1, 1))}), func(endpointlist.List) {}, slog.New(slog.DiscardHandler))
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		r.Run(ctx)
+		client.Run(ctx)
 	}()
 	defer func() { stop(); <-done }()
-	take(heard)
+	collect(requests)
 }
 
-// A node asks discovery for the list with the recorded requests: watches one after the other where it asks a service,
-// and first of all a fetch where lists are pushed.
+// A client calls discovery with the recorded requests: one watch after the other if the list is polled, and
+// a fetch first if it is pushed.
 func TestGoldenDiscoveryRequests(t *testing.T) {
-	var requests string
-	followRequests(t, false, func(heard <-chan string) {
-		requests += nodetest.Await(t, "the first watch", heard) + nodetest.Await(t, "the next watch", heard)
+	var recorded string
+	recordRequests(t, false, func(requests <-chan string) {
+		recorded += nodetest.Await(t, "the first watch", requests) + nodetest.Await(t, "the next watch", requests)
 	})
-	followRequests(t, true, func(heard <-chan string) {
-		fetch := nodetest.Await(t, "a request", heard)
-		for tries := 0; strings.Contains(fetch, "watch=") && tries < 5; tries++ { // on its way at the same time
-			fetch = nodetest.Await(t, "the fetch", heard)
+	recordRequests(t, true, func(requests <-chan string) {
+		fetch := nodetest.Await(t, "a request", requests)
+		for tries := 0; strings.Contains(fetch, "watch=") && tries < 5; tries++ { // a concurrent watch
+			fetch = nodetest.Await(t, "the fetch", requests)
 		}
-		requests += fetch
+		recorded += fetch
 	})
-	golden.Check(t, "golden/discovery-requests.txt", []byte(requests))
+	golden.Check(t, "golden/discovery-requests.txt", []byte(recorded))
 }
 
-// What comes on a call of discovery is read as recorded: beats, whole lists, changes, malformed entries and, at the end of
-// a file, what is cut or no message. Of what is no message only the piece at hand is searched for servers that leave.
+// A response body of discovery is parsed as recorded: heartbeats, complete lists, changes, malformed entries
+// and, at the end of a file, a truncated message or garbage. Garbage is searched for servers that drain or
+// are removed only as far as it has been received, so it is not read in small pieces here.
 func TestGoldenDiscoveryMessages(t *testing.T) {
 	for _, name := range []string{"stream", "cut", "garbage"} {
 		text := golden.Read(t, "golden/"+name+".txt")
@@ -62,17 +63,18 @@
 	}
 }
 
-// readStream describes the events of a stream that comes in pieces, but for those that a message has begun.
-func readStream(text []byte, piece int) string {
+// readStream parses a stream that arrives in pieces and describes its events, without those for partial
+// messages.
+func readStream(text []byte, pieceSize int) string {
 	var described strings.Builder
-	var in messageReader
-	for len(text) > 0 && !in.done {
-		n := min(piece, len(text))
+	var messages messageReader
+	for len(text) > 0 && !messages.done {
+		n := min(pieceSize, len(text))
 		var end error
 		if n == len(text) {
 			end = io.EOF
 		}
-		for _, e := range in.read(text[:n], end) {
+		for _, e := range messages.read(text[:n], end) {
 			described.WriteString(describeEvent(e))
 		}
 		text = text[n:]
@@ -80,20 +82,20 @@
 	return described.String()
 }
 
-// describeEvent words an event by the values that the node gets, whatever the names of its fields are.
+// describeEvent describes an event by its values. The description does not depend on the names of fields.
 func describeEvent(e callEvent) string {
 	var text string
 	switch e.kind {
 	case eventPartial:
 		return ""
-	case eventEmptyLine:
+	case eventHeartbeat:
 		return "beat\n"
 	case eventEnd:
 		return fmt.Sprintf("end: %v\n", e.err)
 	case eventMalformed:
 		text = fmt.Sprintf("malformed %t %t %t\n", errors.Is(e.err, discovery.ErrTruncated), errors.Is(e.err, discovery.ErrNoMessage), errors.Is(e.err, discovery.ErrTooLong))
 	case eventMessage:
-		text = fmt.Sprintf("list %d whole %t, %d spoilt\n", e.list.Generation, e.list.Snapshot, len(e.entryErrors))
+		text = fmt.Sprintf("list %d whole %t, %d spoilt\n", e.list.Generation, e.list.Snapshot, len(e.fieldErrors))
 	}
 	for _, s := range e.list.Endpoints {
 		text += fmt.Sprintf("  %q at %v state %d weight %v kind %q zone %q cell %d boot %v\n", s.ID, s.Addr, int(s.State), s.Weight, s.MachineType, s.Zone, s.Cell, s.StartedAt)
--- a/internal/edgenode/follower/message_reader.go
+++ b/internal/edgenode/follower/message_reader.go
@@ -7,31 +7,32 @@
 	"opalhook/internal/edgenode/endpointlist"
 )
 
-// messageReader turns what comes on a call into events.
+// messageReader turns the response body of a call into events.
 type messageReader struct {
 	split discovery.Splitter
-	done  bool // the call has ended, or is to be closed
+	done  bool // an event that ends the call was returned
 }
 
-// read reads what has come, and the error that ended the call, if any.
+// read returns the events for the next bytes of the body. A non-nil end is the error with which the body
+// ended, io.EOF included.
 func (r *messageReader) read(text []byte, end error) (events []callEvent) {
 	message := func(text []byte) {
 		if r.done {
 			return
 		}
-		l, entryErrors, err := endpointlist.Parse(text)
+		l, fieldErrors, err := endpointlist.Parse(text)
 		if err != nil {
 			events = append(events, r.malformed(err, text))
 			return
 		}
-		events = append(events, callEvent{kind: eventMessage, list: l, entryErrors: entryErrors})
+		events = append(events, callEvent{kind: eventMessage, list: l, fieldErrors: fieldErrors})
 	}
-	emptyLine := func() {
+	heartbeat := func() {
 		if !r.done {
-			events = append(events, callEvent{kind: eventEmptyLine})
+			events = append(events, callEvent{kind: eventHeartbeat})
 		}
 	}
-	err := r.split.Feed(text, message, emptyLine)
+	err := r.split.Feed(text, message, heartbeat)
 	if err == nil && end != nil && r.split.Incomplete() {
 		err = discovery.ErrTruncated
 	}
@@ -48,7 +49,8 @@
 	return events
 }
 
-// malformed ends the reading of a text that is no message. What could be read of it is in the event's list.
+// malformed stops the reader and returns the event for a text that is not a valid message. The event's list
+// contains the endpoints that the text reports as draining or removed.
 func (r *messageReader) malformed(err error, text []byte) callEvent {
 	r.done = true
 	return callEvent{
--- a/internal/edgenode/follower/schedule.go
+++ b/internal/edgenode/follower/schedule.go
@@ -2,38 +2,46 @@
 
 import "time"
 
-// Figures of the protocol (section "Discovery" and the rules on sockets).
+// Times that the discovery protocol sets.
 const (
-	emptyLineInterval = 2 * time.Second // an idle watch that works brings an empty line this often
-	reportedAfter     = 6 * time.Second // what a watch misses counts as reported this long after it fell silent
+	// heartbeatInterval is the interval of the empty lines that an idle watch receives.
+	heartbeatInterval = 2 * time.Second
+	// deliveryLimit is how long after a watch went silent the changes that it misses count as delivered.
+	deliveryLimit = 6 * time.Second
 )
 
-// MaxCallDuration is the time after which a call without an answer, or a suspect watch, is given up.
+// MaxCallDuration is the time after which an unanswered call, or a silent watch of an agent, is closed. It
+// is also the time limit for connecting.
 const MaxCallDuration = 3 * time.Second
 
-// Timing of the calls.
+// Timing of the calls. Pushed stands for the calls of an agent, polled for those of the service.
 const (
-	pushedSilenceLimit   = emptyLineInterval + 300*time.Millisecond // silence after which a watch of an agent is suspect
-	polledSilenceLimit   = emptyLineInterval + time.Second          // silence after which a watch of the service is broken
-	pushedMessageTimeout = 200 * time.Millisecond                   // in which an agent writes a message, or answers a call
-	polledMessageTimeout = 3 * time.Second                          // in which the service does
-	maxFetchInterval     = 150 * time.Millisecond                   // from one fetch to the next; half of it at least
-	responseReserve      = time.Second                              // of reportedAfter that is left for a call's answer
-	fleetCallInterval    = 100 * time.Millisecond                   // from one edge node's call to the next one's, over the fleet
-	smallFleetMaxWindow  = time.Second                              // largest backoff window of a small fleet
-	maxWindowFactor      = 2                                        // largest backoff window of a large fleet, over its first
-	maxRereadInterval    = time.Minute                              // from one reading of a malformed list to the next
-	defaultPollInterval  = 10 * time.Second                         // where the settings don't give one
+	// Silence after which a pushed watch is suspect and a polled watch is closed.
+	pushedIdleTimeout = heartbeatInterval + 300*time.Millisecond
+	polledIdleTimeout = heartbeatInterval + time.Second
+
+	// Time limits for the first byte of a response, and for each message once it has begun. The first one is
+	// also the longest silence on a fetch.
+	pushedMessageTimeout = 200 * time.Millisecond
+	polledMessageTimeout = 3 * time.Second
+
+	maxFetchInterval    = 150 * time.Millisecond // between fetches; the smallest interval is half of it
+	responseAllowance   = time.Second            // part of deliveryLimit left for a call's response
+	fleetCallInterval   = 100 * time.Millisecond // mean interval between calls over the whole fleet
+	smallFleetMaxWindow = time.Second            // largest backoff window of a small fleet
+	maxWindowFactor     = 2                      // a large fleet's largest backoff window / its first
+	maxRereadInterval   = time.Minute            // between readings of a list that stays malformed
+	defaultPollInterval = 10 * time.Second       // used if the settings give none
 )
 
-// schedule collects what one call of Advance decides.
+// schedule collects the decisions of one call of Advance.
 type schedule struct {
 	now      time.Duration
 	commands []Command
-	next     time.Duration // when Advance has to be called again
+	next     time.Duration // latest time of the next call of Advance
 }
 
-// due tells whether a time has come; if it has not, Advance is called again by then.
+// due reports whether a time has been reached. If not, Advance must be called again by then.
 func (s *schedule) due(at time.Duration) bool {
 	if at > s.now {
 		s.next = min(s.next, at)
@@ -41,7 +49,7 @@
 	return at <= s.now
 }
 
-// Advance returns the commands that are due and the time by which it has to be called again.
+// Advance returns the commands that are due and the latest time at which it must be called again.
 func (f *Follower) Advance(now time.Duration) (commands []Command, next time.Duration) {
 	s := &schedule{now: now, next: now + MaxCallDuration}
 	f.rereadIfDue(s)
@@ -55,7 +63,7 @@
 	return s.commands, s.next
 }
 
-// rereadIfDue has a list of which some was malformed read again.
+// rereadIfDue requests the complete list again after one with malformed entries.
 func (f *Follower) rereadIfDue(s *schedule) {
 	if f.rereadAt != 0 && s.due(f.rereadAt) {
 		f.rereadAt = 0
@@ -64,7 +72,7 @@
 	}
 }
 
-// closeWatchIfDue closes a watch that is to be opened anew, or that has been silent for too long.
+// closeWatchIfDue closes the watch if it is to be reopened or has been silent for too long.
 func (f *Follower) closeWatchIfDue(s *schedule) {
 	if f.reopenWatch && f.watch.id != 0 {
 		f.close(s, &f.watch)
@@ -79,23 +87,26 @@
 	}
 }
 
+// closePolledWatchIfDue closes a watch of the service that is silent or takes too long for one message.
 func (f *Follower) closePolledWatchIfDue(s *schedule) {
 	w := &f.watch
 	silent := w.lastActivity + polledMessageTimeout
 	if w.confirmed {
-		silent = w.lastActivity + polledSilenceLimit
+		silent = w.lastActivity + polledIdleTimeout
 	}
 	if s.due(silent) || w.partial && s.due(w.messageStarted+polledMessageTimeout) {
 		f.abandonWatch(s)
 	}
 }
 
+// closePushedWatchIfDue suspects the list when the watch of an agent becomes suspect, so that a fetch
+// begins. It closes the watch only after MaxCallDuration, for an agent that answers late.
 func (f *Follower) closePushedWatchIfDue(s *schedule) {
 	w := &f.watch
 	if s.due(w.suspectDeadline()) {
 		f.suspect(listSuspect)
 		if w.confirmed {
-			f.markDown()
+			f.markUnreachable()
 		}
 	}
 	if s.due(w.lastActivity+MaxCallDuration) || w.partial && s.due(w.messageStarted+MaxCallDuration) {
@@ -103,7 +114,7 @@
 	}
 }
 
-// abandonWatch closes a watch that is silent and schedules the next one.
+// abandonWatch closes a silent watch and schedules the next one.
 func (f *Follower) abandonWatch(s *schedule) {
 	opened := f.watch.opened
 	f.close(s, &f.watch)
@@ -112,7 +123,8 @@
 
 func (f *Follower) closeFetchIfDue(s *schedule) {
 	c := &f.fetch
-	if c.id != 0 && (s.due(c.lastActivity+pushedMessageTimeout) || s.due(c.opened+MaxCallDuration) || f.rateLimited()) {
+	if c.id != 0 &&
+		(s.due(c.lastActivity+pushedMessageTimeout) || s.due(c.opened+MaxCallDuration) || f.rateLimited()) {
 		f.close(s, c)
 	}
 }
@@ -128,7 +140,7 @@
 	if f.watch.id != 0 || !s.due(f.watchAt) {
 		return
 	}
-	from := f.version
+	from := f.generation
 	if f.freshness == snapshotNeeded {
 		from = 0
 	}
@@ -138,7 +150,7 @@
 	}
 }
 
-// suspectDeadline is when a watch of an agent becomes suspect unless something comes.
+// suspectDeadline returns the time at which a watch of an agent becomes suspect if it receives nothing more.
 func (w *call) suspectDeadline() time.Duration {
 	switch {
 	case w.partial:
@@ -146,7 +158,7 @@
 	case !w.answered:
 		return w.opened + pushedMessageTimeout
 	}
-	return w.lastActivity + pushedSilenceLimit
+	return w.lastActivity + pushedIdleTimeout
 }
 
 func (f *Follower) open(s *schedule, kind callKind, from uint64) call {
@@ -160,55 +172,60 @@
 	*c = call{}
 }
 
-// scheduleReopen decides when the watch is opened anew after a call, opened at that time, has ended or been silent
-// for too long. The call after it begins soon enough for its answer to come within reportedAfter of the moment in
-// which discovery could be reached again, which may be any since that call was opened or discovery was heard.
+// scheduleReopen sets the time at which the watch is reopened after a call has ended or timed out. opened is
+// when that call was opened. Discovery may have become reachable again at any time after that, or after the
+// last contact if that is later. A polled watch is reopened early enough for the response to arrive within
+// deliveryLimit of that time.
 func (f *Follower) scheduleReopen(now, opened time.Duration) {
-	f.markDown()
+	f.markUnreachable()
 	f.suspect(listSuspect)
 	if !f.rateLimited() {
 		f.watchAt = now + f.fetchInterval()
 		return
 	}
-	latest := max(opened, f.lastHeard) + reportedAfter - responseReserve
+	latest := max(opened, f.lastContact) + deliveryLimit - responseAllowance
 	f.watchAt = now + f.randomDuration(min(f.nextBackoffWindow(now), max(latest-now, smallFleetMaxWindow)))
 }
 
-// scheduleReopenAfterRejection decides when the watch is opened anew after a call that discovery has rejected.
+// scheduleReopenAfterRejection sets the time at which the watch is reopened after discovery has rejected a
+// call. The wait is at least retryAfter, up to the longest backoff.
 func (f *Follower) scheduleReopenAfterRejection(now, retryAfter time.Duration) {
 	f.suspect(listSuspect)
 	f.watchAt = now + max(f.randomDuration(f.nextBackoffWindow(now)), min(retryAfter, f.maxBackoff()))
 }
 
-// scheduleReread has a malformed list read again, the less often the longer it stays malformed.
+// scheduleReread sets the time at which a list with malformed entries is read again. A pushed list is first
+// read again at once. The interval then doubles with each malformed message, from maxFetchInterval up to
+// maxRereadInterval.
 func (f *Follower) scheduleReread(now time.Duration, u Update) {
 	switch {
 	case u.Malformed:
 		wait := f.rereadInterval
-		if f.rateLimited() { // all edge nodes may have had the same message
-			wait = max(wait, f.randomDuration(min(f.firstBackoffWindow(), reportedAfter-responseReserve)))
+		if f.rateLimited() { // the whole fleet may have received the message, so the calls are spread
+			wait = max(wait, f.randomDuration(min(f.firstBackoffWindow(), deliveryLimit-responseAllowance)))
 		}
-		f.rereadAt = now + wait + 1
+		f.rereadAt = now + wait + 1 // never 0, which means that no reread is scheduled
 		f.rereadInterval = min(max(2*wait, maxFetchInterval), maxRereadInterval)
 	case u.Snapshot:
 		f.rereadAt, f.rereadInterval = 0, 0
 	}
 }
 
-// nextBackoffWindow is the time from now in which the next call is drawn. It grows with the fleet and with each
-// call that is not answered.
+// nextBackoffWindow returns the window from now in which the next call is made at a random time. It grows
+// with the size of the fleet and with each failed call.
 func (f *Follower) nextBackoffWindow(now time.Duration) time.Duration {
 	first := f.firstBackoffWindow()
 	largest := min(max(smallFleetMaxWindow, maxWindowFactor*first), f.maxBackoff())
 	window := f.backoffWindow
-	if window == 0 { // the first after a watch that worked
-		window = min(first, max(f.lastHeard+reportedAfter-responseReserve-now, smallFleetMaxWindow))
+	if window == 0 { // first failure since the last contact: the response is still due within deliveryLimit
+		window = min(first, max(f.lastContact+deliveryLimit-responseAllowance-now, smallFleetMaxWindow))
 	}
 	f.backoffWindow = min(max(2*window, min(first, largest)), largest)
 	return window
 }
 
-// maxBackoff is the longest backoff: the one after it is over within four poll intervals of a failed call.
+// maxBackoff returns the longest backoff: two poll intervals. If the call after a backoff fails too, the
+// next one follows within four poll intervals of the first failure.
 func (f *Follower) maxBackoff() time.Duration {
 	if f.config.PollInterval <= 0 {
 		return 2 * defaultPollInterval
@@ -216,17 +233,18 @@
 	return 2 * f.config.PollInterval
 }
 
-// firstBackoffWindow is the first window where calls are rate-limited.
+// firstBackoffWindow returns the first backoff window of rate-limited calls. It is proportional to the fleet
+// size, so that the fleet as a whole makes one call each fleetCallInterval on average.
 func (f *Follower) firstBackoffWindow() time.Duration {
 	return time.Duration(f.config.FleetSize) * fleetCallInterval
 }
 
-// fetchInterval draws the time from one call of an agent to the next.
+// fetchInterval returns a random interval between two calls of an agent.
 func (f *Follower) fetchInterval() time.Duration {
 	return f.randomDuration(maxFetchInterval/2) + maxFetchInterval/2
 }
 
-// randomDuration draws a time from 0 up to a limit.
+// randomDuration returns a random duration from 0 up to, but not including, limit.
 func (f *Follower) randomDuration(limit time.Duration) time.Duration {
 	if limit <= 0 {
 		return 0
--- a/internal/edgenode/upstream/attempt_test.go
+++ b/internal/edgenode/upstream/attempt_test.go
@@ -16,138 +16,140 @@
 	"opalhook/internal/edgenode/nodetest"
 )
 
-// rest makes the idle connections old enough to be used again.
-func (u *Pool) rest() {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	for _, b := range u.backends {
+// ageIdle makes the idle connections reusable at once, as if they had been idle for reuseDelay longer.
+func (p *Pool) ageIdle() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, b := range p.backends {
 		for _, c := range b.idle {
-			c.idleSince = c.idleSince.Add(-minRest)
+			c.idleSince = c.idleSince.Add(-reuseDelay)
 		}
 	}
 }
 
-// quiet tells whether an idle connection is as it was left: open, with nothing to read.
-func (c *conn) quiet() bool {
-	quiet := false
-	err := c.raw.Control(func(fd uintptr) { quiet = socketQuiet(fd) })
-	return err == nil && quiet
+// isIdle reports whether a connection is open and has no data to read.
+func (c *conn) isIdle() bool {
+	isIdle := false
+	err := c.raw.Control(func(fd uintptr) { isIdle = socketIdle(fd) })
+	return err == nil && isIdle
 }
 
-// A request whose server says something, or ends the connection, between the look at it and the write goes
-// out once, on another connection: nothing that came before it is its answer.
-func TestIdleConnectionChangesBeforeTheWrite(t *testing.T) {
+// Guards against a request on a stale connection: the server sends unsolicited data or closes the connection
+// after a request has acquired it and before the request is written. The request must be sent once, on
+// another connection, and the earlier data must not be taken for its response.
+func TestIdleConnectionGoesStaleBeforeTheWrite(t *testing.T) {
 	for name, change := range map[string]func(net.Conn){
-		"half a line":        func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nConte") },
-		"the answer again":   func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother") },
-		"closed":             func(c net.Conn) { _ = c.Close() },
-		"reset":              func(c net.Conn) { nodetest.ResetConn(c) },
-		"sending side ended": func(c net.Conn) { _ = c.(*net.TCPConn).CloseWrite() },
+		"partial header":  func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nConte") },
+		"second response": func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother") },
+		"closed":          func(c net.Conn) { _ = c.Close() },
+		"reset":           func(c net.Conn) { nodetest.ResetConn(c) },
+		"half-closed":     func(c net.Conn) { _ = c.(*net.TCPConn).CloseWrite() },
 	} {
 		s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
-		u := testUpstream(s.Endpoint("a"))
-		exchange(t, u, "a")
-		u.rest()
-		c := u.backends["a"].idle[0]
+		pool := newTestPool(s.Endpoint("a"))
+		exchange(t, pool, "a")
+		pool.ageIdle()
+		c := pool.backends["a"].idle[0]
 		server := nodetest.Await(t, "a connection", s.Conns)
 		c.raw = nodetest.HookedRawConn{RawConn: c.raw, BeforeWrite: func() {
 			change(server)
-			nodetest.Eventually(t, "it has come", func() bool { return !c.quiet() })
+			nodetest.Eventually(t, "change seen by the client", func() bool { return !c.isIdle() })
 		}}
-		rep, res := exchange(t, u, "a")
+		rep, res := exchange(t, pool, "a")
 		if res != balancer.OK || string(rep.Body) != "body" {
-			t.Errorf("%s: result %v, body %q", name, res, rep.Body)
+			t.Errorf("%s: result %v, body %q; want %v, %q", name, res, rep.Body, balancer.OK, "body")
 		}
-		if n := len(s.Requests()); n != 2 || u.open != 1 {
-			t.Errorf("%s: %d copies of 2 requests, %d connections counted", name, n, u.open)
+		if n := len(s.Requests()); n != 2 || pool.open != 1 {
+			t.Errorf("%s: server got %d requests, %d connections open; want 2 and 1", name, n, pool.open)
 		}
 	}
 }
 
-// A connection is not used again for as long as a second answer may still come on it.
-func TestConnectionRestsBeforeItsNextRequest(t *testing.T) {
+// Guards against the reuse of a connection on which an erroneous second response may still arrive.
+func TestReuseDelayAfterResponse(t *testing.T) {
 	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
-	u := testUpstream(s.Endpoint("a"))
-	exchange(t, u, "a")
-	b := u.backends["a"]
+	pool := newTestPool(s.Endpoint("a"))
+	exchange(t, pool, "a")
+	b := pool.backends["a"]
 	used := b.idle[0]
 	now := used.idleSince
 	for _, at := range []struct {
 		after time.Duration
 		want  int
-	}{{0, 0}, {minRest - 1, 0}, {minRest, 1}} {
-		if n := b.restedCount(now.Add(at.after)); n != at.want {
-			t.Errorf("%v after its answer %d connections may be used, want %d", at.after, n, at.want)
+	}{{0, 0}, {reuseDelay - 1, 0}, {reuseDelay, 1}} {
+		if n := b.countReusable(now.Add(at.after)); n != at.want {
+			t.Errorf("%v after the response %d connections are reusable, want %d", at.after, n, at.want)
 		}
 	}
 }
 
-// What an attempt is held to holds at its first byte: nothing goes out late, nor to a server that has
-// become another one.
-func TestLimitsHoldAtTheWrite(t *testing.T) {
-	past, later := time.Now(), time.Now().Add(time.Hour)
-	as := func(change func(*endpointlist.Endpoint)) func(*Pool, endpointlist.Endpoint) {
-		return func(u *Pool, in endpointlist.Endpoint) {
-			change(&in)
-			closeAll(u.update([]endpointlist.Endpoint{in}, false))
+// Guards against a request that is written although its time limits have passed, or its server has been
+// replaced, since the connection was acquired. The limits are checked at the first byte.
+func TestWriteLimitsAreCheckedAtTheWrite(t *testing.T) {
+	past, future := time.Now(), time.Now().Add(time.Hour)
+	updateEntry := func(change func(*endpointlist.Endpoint)) func(*Pool, endpointlist.Endpoint) {
+		return func(pool *Pool, entry endpointlist.Endpoint) {
+			change(&entry)
+			closeAll(pool.update([]endpointlist.Endpoint{entry}, false))
 		}
 	}
 	for name, c := range map[string]struct {
-		to      WriteLimits
-		happens func(*Pool, endpointlist.Endpoint)
-		want    error
+		limits WriteLimits
+		change func(*Pool, endpointlist.Endpoint)
+		want   error
 	}{
-		"in time":                   {to: WriteLimits{startBefore: later, CompleteBefore: later}},
-		"no bounds":                 {},
-		"its time is over":          {to: WriteLimits{startBefore: past}, want: errTooLate},
-		"its repeat is too late":    {to: WriteLimits{startBefore: later, CompleteBefore: past}, want: errTooLate},
-		"the server restarted":      {happens: as(func(in *endpointlist.Endpoint) { in.StartedAt = time.Hour }), want: errNotUp},
-		"it is in another zone":     {happens: as(func(in *endpointlist.Endpoint) { in.Zone = "other" }), want: errNotUp},
-		"it is in another cell":     {happens: as(func(in *endpointlist.Endpoint) { in.Cell++ }), want: errNotUp},
-		"it is at another address":  {happens: as(func(in *endpointlist.Endpoint) { in.Addr = netip.MustParseAddrPort("127.0.0.1:1") }), want: errNotUp},
-		"the list says nothing new": {happens: as(func(*endpointlist.Endpoint) {})},
+		"before both limits":        {limits: WriteLimits{startBefore: future, CompleteBefore: future}},
+		"no limits":                 {},
+		"start limit passed":        {limits: WriteLimits{startBefore: past}, want: errTooLate},
+		"completion limit passed":   {limits: WriteLimits{startBefore: future, CompleteBefore: past}, want: errTooLate},
+		"server restarted":          {change: updateEntry(func(entry *endpointlist.Endpoint) { entry.StartedAt = time.Hour }), want: errNotUp},
+		"server in another zone":    {change: updateEntry(func(entry *endpointlist.Endpoint) { entry.Zone = "other" }), want: errNotUp},
+		"server in another cell":    {change: updateEntry(func(entry *endpointlist.Endpoint) { entry.Cell++ }), want: errNotUp},
+		"server at another address": {change: updateEntry(func(entry *endpointlist.Endpoint) { entry.Addr = netip.MustParseAddrPort("127.0.0.1:1") }), want: errNotUp},
+		"entry unchanged":           {change: updateEntry(func(*endpointlist.Endpoint) {})},
 	} {
 		s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
-		u := testUpstream(s.Endpoint("a"))
-		conn, err := u.acquire(t.Context(), "a", nil)
+		pool := newTestPool(s.Endpoint("a"))
+		conn, err := pool.acquire(t.Context(), "a", nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if c.happens != nil {
-			c.happens(u, s.Endpoint("a"))
+		if c.change != nil {
+			c.change(pool, s.Endpoint("a"))
 		}
-		if err := u.writeRequest(t.Context(), conn, &Message{}, c.to, []byte("GET /x HTTP/1.1\r\nHost: a\r\n\r\n")); !errors.Is(err, c.want) {
+		if err := pool.writeRequest(t.Context(), conn, &Message{}, c.limits, []byte("GET /x HTTP/1.1\r\nHost: a\r\n\r\n")); !errors.Is(err, c.want) {
 			t.Errorf("%s: error %v, want %v", name, err, c.want)
 		}
 		_ = conn.Conn.(*net.TCPConn).CloseWrite()
 		nodetest.SetDeadline(t, conn)
-		_, _ = io.Copy(io.Discard, conn) // the server ends once it has read all
+		_, _ = io.Copy(io.Discard, conn) // returns when the server has read everything and closed
 		if n := len(s.Requests()); (n == 1) != (c.want == nil) {
-			t.Errorf("%s: %d requests arrived", name, n)
+			t.Errorf("%s: %d requests arrived, want one only if there is no error", name, n)
 		}
 	}
 }
 
-// A retry goes to the server as it was when it was chosen: not to one that has restarted since, or that
-// is in another zone by now.
+// Guards against a retry to a server that has restarted since the retry was decided on: WriteLimits.Backend
+// is no longer current then.
 func TestRetryGoesToTheSelectedServer(t *testing.T) {
 	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
-	u := testUpstream(s.Endpoint("a"))
-	to := WriteLimits{Backend: u.Lookup("a")}
+	pool := newTestPool(s.Endpoint("a"))
+	limits := WriteLimits{Backend: pool.Lookup("a")}
 	restarted := s.Endpoint("a")
 	restarted.StartedAt = time.Hour
-	closeAll(u.update([]endpointlist.Endpoint{restarted}, false))
-	_, res := u.Exchange(t.Context(), "a", &get, to)
+	closeAll(pool.update([]endpointlist.Endpoint{restarted}, false))
+	_, res := pool.Exchange(t.Context(), "a", &getRequest, limits)
 	wantResult(t, res, balancer.ConnectFailed)
-	_, res = u.Exchange(t.Context(), "a", &get, WriteLimits{Backend: u.Lookup("a")})
+	_, res = pool.Exchange(t.Context(), "a", &getRequest, WriteLimits{Backend: pool.Lookup("a")})
 	wantResult(t, res, balancer.OK)
 	if n := len(s.Requests()); n != 1 {
-		t.Errorf("%d requests arrived", n)
+		t.Errorf("%d requests arrived, want 1", n)
 	}
 }
 
-// slowReader is an app server that takes little of a request in at once.
-func slowReader(t *testing.T) (in endpointlist.Endpoint, conns chan net.Conn) {
+// newSlowServer starts an app server with a small receive buffer. It accepts connections but does not read,
+// so that a long request blocks in the middle of its write.
+func newSlowServer(t *testing.T) (entry endpointlist.Endpoint, conns chan net.Conn) {
 	t.Helper()
 	conns = make(chan net.Conn, 10)
 	lc := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
@@ -171,41 +173,43 @@
 	return endpointlist.Endpoint{Endpoint: balancer.Endpoint{ID: "a"}, Addr: nodetest.AddrOf(ln)}, conns
 }
 
-// long is a request that no socket takes at once.
-var long = Message{Method: "POST", Target: "/check", ID: "long", Body: make([]byte, 8<<20)}
+// longRequest is larger than the buffers of any socket, so it cannot be written at once.
+var longRequest = Message{Method: "POST", Target: "/check", ID: "long", Body: make([]byte, 8<<20)}
 
-// A retry whose last byte would be written too late is given up before it: it never runs.
-func TestLongRetryEndsBeforeItsLastByte(t *testing.T) {
-	in, conns := slowReader(t)
-	u := testUpstream(in)
-	conn, err := u.acquire(t.Context(), "a", nil)
+// Guards against a retry whose last byte is written after CompleteBefore. The write must stop before the
+// last byte, so that the request never runs.
+func TestLongRequestStopsAtItsTimeLimit(t *testing.T) {
+	entry, conns := newSlowServer(t)
+	pool := newTestPool(entry)
+	conn, err := pool.acquire(t.Context(), "a", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), nodetest.Patience)
 	defer cancel()
-	if err := conn.writeRemainder(ctx, WriteLimits{CompleteBefore: time.Now().Add(50 * time.Millisecond)}, long.Body); !errors.Is(err, errTooLate) || ctx.Err() != nil {
-		t.Errorf("error %v, want %v; the attempt's own time: %v", err, errTooLate, ctx.Err())
+	if err := conn.writeRemainder(ctx, WriteLimits{CompleteBefore: time.Now().Add(50 * time.Millisecond)}, longRequest.Body); !errors.Is(err, errTooLate) || ctx.Err() != nil {
+		t.Errorf("error %v, context error %v; want %v, nil", err, ctx.Err(), errTooLate)
 	}
-	u.discard(conn)
+	pool.discard(conn)
 	c := nodetest.Await(t, "a connection", conns)
 	nodetest.SetDeadline(t, c)
-	if n, _ := io.Copy(io.Discard, c); n >= int64(len(long.Body)) {
-		t.Errorf("%d bytes arrived: all of it", n)
+	if n, _ := io.Copy(io.Discard, c); n >= int64(len(longRequest.Body)) {
+		t.Errorf("%d bytes arrived, want fewer than the request has", n)
 	}
-	// What the first byte is too late for does not begin.
-	_, res := u.Exchange(ctx, "a", &get, WriteLimits{CompleteBefore: time.Now()})
+	// After the limit no request begins.
+	_, res := pool.Exchange(ctx, "a", &getRequest, WriteLimits{CompleteBefore: time.Now()})
 	wantResult(t, res, balancer.NotSent)
 }
 
-// An answer to a request that is not written yet is no answer to it: the attempt ends, and has never run.
+// A response that arrives before the request is completely written cannot belong to it. The attempt must end
+// with a result that says the request did not run.
 func TestResponseBeforeTheRequestIsWritten(t *testing.T) {
 	for _, text := range []string{nodetest.OKResponse, "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 503 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"} {
-		in, conns := slowReader(t)
-		u := testUpstream(in)
+		entry, conns := newSlowServer(t)
+		pool := newTestPool(entry)
 		result := make(chan balancer.Result, 1)
 		go func() {
-			_, res := u.Exchange(context.Background(), "a", &long, WriteLimits{})
+			_, res := pool.Exchange(context.Background(), "a", &longRequest, WriteLimits{})
 			result <- res
 		}()
 		c := nodetest.Await(t, "a connection", conns)
@@ -215,52 +219,52 @@
 	}
 }
 
-// A long request that is taken in bit by bit is written whole and answered.
+// A request that the server reads in small pieces is written completely, and its connection is reused.
 func TestLongRequest(t *testing.T) {
-	in, conns := slowReader(t)
-	u := testUpstream(in)
+	entry, conns := newSlowServer(t)
+	pool := newTestPool(entry)
 	result := make(chan balancer.Result, 1)
 	go func() {
-		_, res := u.Exchange(context.Background(), "a", &long, WriteLimits{CompleteBefore: time.Now().Add(time.Hour)})
+		_, res := pool.Exchange(context.Background(), "a", &longRequest, WriteLimits{CompleteBefore: time.Now().Add(time.Hour)})
 		result <- res
 	}()
 	c := nodetest.Await(t, "a connection", conns)
 	s := nodetest.ServeConn(c, nodetest.Say(nodetest.OKResponse))
 	wantResult(t, nodetest.Await(t, "a result", result), balancer.OK)
-	u.rest()
+	pool.ageIdle()
 	go func() {
-		_, res := u.Exchange(context.Background(), "a", &get, WriteLimits{})
+		_, res := pool.Exchange(context.Background(), "a", &getRequest, WriteLimits{})
 		result <- res
 	}()
 	wantResult(t, nodetest.Await(t, "a result on the same connection", result), balancer.OK)
 	if n := len(s.Requests()); n != 2 {
-		t.Errorf("%d requests on the connection", n)
+		t.Errorf("%d requests on the connection, want 2", n)
 	}
 }
 
-// An answer without a length is whole where its connection ends in order, and not where it is reset.
+// A response without a length is complete if its connection is closed, but not if it is reset.
 func TestResponseWithoutALength(t *testing.T) {
 	for name, c := range map[string]struct {
 		text  string
 		reset bool
 		want  balancer.Result
 	}{
-		"orderly end":            {"HTTP/1.1 200 OK\r\n\r\nbody", false, balancer.OK},
-		"below HTTP/1.1":         {"HTTP/1.0 200 OK\r\n\r\nbody", false, balancer.OK},
-		"reset":                  {"HTTP/1.1 200 OK\r\n\r\nbody", true, balancer.Reset},
-		"turned away":            {"HTTP/1.1 503 F\r\nX-Never-Ran: 1\r\n\r\n", false, balancer.Overloaded},
-		"turned away, but reset": {"HTTP/1.1 503 F\r\nX-Never-Ran: 1\r\n\r\n", true, balancer.Reset},
-		"too long":               {"HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", maxResponseBody+1), false, balancer.ErrorResponse},
+		"closed":           {"HTTP/1.1 200 OK\r\n\r\nbody", false, balancer.OK},
+		"HTTP/1.0":         {"HTTP/1.0 200 OK\r\n\r\nbody", false, balancer.OK},
+		"reset":            {"HTTP/1.1 200 OK\r\n\r\nbody", true, balancer.Reset},
+		"rejection":        {"HTTP/1.1 503 F\r\nX-Never-Ran: 1\r\n\r\n", false, balancer.Overloaded},
+		"rejection, reset": {"HTTP/1.1 503 F\r\nX-Never-Ran: 1\r\n\r\n", true, balancer.Reset},
+		"too long":         {"HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", maxResponseBody+1), false, balancer.ErrorResponse},
 	} {
 		ln := nodetest.Listen(t)
-		u := testUpstream(endpointlist.Endpoint{Endpoint: balancer.Endpoint{ID: "a"}, Addr: nodetest.AddrOf(ln)})
+		pool := newTestPool(endpointlist.Endpoint{Endpoint: balancer.Endpoint{ID: "a"}, Addr: nodetest.AddrOf(ln)})
 		type outcome struct {
 			Response
 			balancer.Result
 		}
 		done := make(chan outcome, 1)
 		go func() {
-			rep, res := u.Exchange(context.Background(), "a", &get, WriteLimits{})
+			rep, res := pool.Exchange(context.Background(), "a", &getRequest, WriteLimits{})
 			done <- outcome{rep, res}
 		}()
 		server, err := ln.Accept()
@@ -275,10 +279,10 @@
 		_ = server.Close()
 		o := nodetest.Await(t, "a result", done)
 		if o.Result != c.want || c.want == balancer.OK && string(o.Body) != "body" {
-			t.Errorf("%s: result %v, body %q", name, o.Result, o.Body)
+			t.Errorf("%s: result %v, body %q; want result %v", name, o.Result, o.Body, c.want)
 		}
-		if len(u.backends["a"].idle) != 0 || u.open != 0 {
-			t.Errorf("%s: its connection is kept", name)
+		if len(pool.backends["a"].idle) != 0 || pool.open != 0 {
+			t.Errorf("%s: connection is still open or idle", name)
 		}
 	}
 }
--- a/internal/edgenode/upstream/golden_test.go
+++ b/internal/edgenode/upstream/golden_test.go
@@ -16,30 +16,30 @@
 	"opalhook/internal/settings"
 )
 
-// A node sends a server the recorded bytes: a probe for its load and requests of clients.
+// A health check and the requests of clients are sent to an app server with the recorded bytes.
 func TestGoldenServerRequests(t *testing.T) {
 	addr, heard := nodetest.RecordRequests(t, nodetest.OKResponse)
-	u := New(settings.Transport{ConnectTimeout: nodetest.Patience}, 10)
-	u.update([]endpointlist.Endpoint{{Endpoint: balancer.Endpoint{ID: "s"}, Addr: addr}}, true)
+	pool := New(settings.Transport{ConnectTimeout: nodetest.Patience}, 10)
+	pool.update([]endpointlist.Endpoint{{Endpoint: balancer.Endpoint{ID: "s"}, Addr: addr}}, true)
 	ctx, cancel := context.WithTimeout(t.Context(), nodetest.Patience)
 	defer cancel()
-	left := regexp.MustCompile(`X-Expires-In: \d+\.\d{3}\r\n`)
+	expiresIn := regexp.MustCompile(`X-Expires-In: \d+\.\d{3}\r\n`)
 	var transcript strings.Builder
 	for _, m := range []Message{
 		{Method: "GET", Target: loadPath},
 		{Method: "POST", Target: "/a%2fb?c=%20d", Host: "app.example", ID: "rq-1", Key: "key-1", ContentType: "text/plain", Body: []byte("body")},
 		{Method: "GET", Target: "/a?"},
 	} {
-		rep, result := u.Exchange(ctx, "s", &m, WriteLimits{})
+		rep, result := pool.Exchange(ctx, "s", &m, WriteLimits{})
 		if result != balancer.OK || string(rep.Body) != "body" {
 			t.Errorf("%s: result %d, body %q", m.Target, result, rep.Body)
 		}
-		transcript.WriteString(left.ReplaceAllString(nodetest.Await(t, "request of "+m.Target, heard), "X-Expires-In: SECONDS\r\n") + "\n")
+		transcript.WriteString(expiresIn.ReplaceAllString(nodetest.Await(t, "request for "+m.Target, heard), "X-Expires-In: SECONDS\r\n") + "\n")
 	}
 	golden.Check(t, "golden/server-requests.txt", []byte(transcript.String()))
 }
 
-// Load reports are read as recorded, from a body and from an answer's header.
+// Load reports are parsed as recorded, from a text and from a response's header.
 func TestGoldenLoadReports(t *testing.T) {
 	var described bytes.Buffer
 	for line := range strings.Lines(string(golden.Read(t, "golden/load-reports.txt"))) {
@@ -53,9 +53,9 @@
 	}
 	golden.Check(t, "golden/load-reports-read.txt", described.Bytes())
 	s := nodetest.NewAppServer(t, nodetest.Say("HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT inflight=7, queue=2, util=0.61\r\nX-Settled: 2.5\r\nContent-Length: 0\r\n\r\n"))
-	u := New(settings.Transport{ConnectTimeout: time.Minute}, 10)
-	u.update([]endpointlist.Endpoint{s.Endpoint("s")}, true)
-	rep, result := u.Exchange(t.Context(), "s", &Message{Method: "GET", Target: loadPath}, WriteLimits{})
+	pool := New(settings.Transport{ConnectTimeout: time.Minute}, 10)
+	pool.update([]endpointlist.Endpoint{s.Endpoint("s")}, true)
+	rep, result := pool.Exchange(t.Context(), "s", &Message{Method: "GET", Target: loadPath}, WriteLimits{})
 	if result != balancer.OK || rep.Units != 2.5 || rep.LoadReport == nil || *rep.LoadReport != (balancer.LoadReport{InFlight: 7, Queued: 2, Utilization: 0.61}) {
 		t.Errorf("result %d, units %v, load %v", result, rep.Units, rep.LoadReport)
 	}
--- a/internal/edgenode/upstream/load_report.go
+++ b/internal/edgenode/upstream/load_report.go
@@ -10,33 +10,34 @@
 	"opalhook/internal/edgenode/decimal"
 )
 
-// How an app server is asked for its load.
+// Parameters of a health check, which requests an app server's load report.
 const (
-	loadPath           = "/stats"               // where it reports its load
-	healthCheckTimeout = 500 * time.Millisecond // a later report tells nothing of the present
+	loadPath           = "/stats"               // path of the load report
+	healthCheckTimeout = 500 * time.Millisecond // a later report would be outdated
 )
 
-// The largest plausible figures of a load report: a core can't be busy several times over, nor can a server hold more
-// requests than it has connections.
+// The largest plausible values of a load report. A core cannot be busy several times over, and a server
+// cannot hold more requests than it has connections.
 const (
 	maxUtilization = 2
-	maxCount       = 1e5
+	maxRequests    = 1e5 // in flight, or queued
 )
 
-// CheckHealth asks a server for its load, which it reports in its response's header or body. It returns nil where there
-// is no report.
-func (u *Pool) CheckHealth(ctx context.Context, endpointID string) (*balancer.LoadReport, balancer.Result) {
+// CheckHealth requests the load report of an app server, which the response contains in a header or in its
+// body. It returns a nil report if the response has none.
+func (p *Pool) CheckHealth(ctx context.Context, endpointID string) (*balancer.LoadReport, balancer.Result) {
 	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
 	defer cancel()
-	response, result := u.Exchange(ctx, endpointID, &Message{Method: http.MethodGet, Target: loadPath}, WriteLimits{})
+	response, result := p.Exchange(ctx, endpointID,
+		&Message{Method: http.MethodGet, Target: loadPath}, WriteLimits{})
 	if response.LoadReport != nil {
 		return response.LoadReport, result
 	}
 	return parseLoadReport(string(response.Body)), result
 }
 
-// parseLoadReport parses a load report such as "TEXT inflight=7, queue=2, util=0.61". Unknown names and implausible
-// figures are skipped; nil means that the text holds no report.
+// parseLoadReport parses a load report such as "TEXT inflight=7, queue=2, util=0.61". It skips unknown names
+// and implausible values, and returns nil if the text is not a load report.
 func parseLoadReport(text string) *balancer.LoadReport {
 	text, ok := strings.CutPrefix(strings.TrimSpace(text), "TEXT")
 	if !ok {
@@ -50,7 +51,7 @@
 			continue
 		}
 		switch {
-		case x > maxCount:
+		case x > maxRequests:
 		case name == "inflight" || name == "outstanding":
 			report.InFlight = x
 		case name == "queue" || name == "backlog":
--- a/internal/edgenode/upstream/pool.go
+++ b/internal/edgenode/upstream/pool.go
@@ -10,25 +10,31 @@
 	"time"
 )
 
-// How long idle connections rest, and are kept.
+// Limits on the idle time of connections.
 const (
-	idleFraction       = 0.8                   // of the settings' idle time, after which a connection is not used again
-	minKeepIdle        = 50 * time.Millisecond // a connection idle for less is not reset for that
-	minRest            = 20 * time.Millisecond // from a response to the next request: a second response may come that late
-	keepDoublingPeriod = 10 * time.Second      // after which idle connections are kept for twice as long again
-	maxKeepDoublings   = 20
+	// idleFraction is the part of the configured idle time after which a connection is not used any more.
+	idleFraction = 0.8
+	// minIdleLimit is the smallest idle limit that a backend gets after a reset. A connection that was idle
+	// for less is not reset because of its idle time.
+	minIdleLimit = 50 * time.Millisecond
+	// reuseDelay is the shortest time between a response on a connection and the next request on it. A
+	// server's erroneous second response to the same request may arrive this late.
+	reuseDelay = 20 * time.Millisecond
+	// idleLimitDoublingPeriod is the time after which a reduced idle limit doubles, again and again.
+	idleLimitDoublingPeriod = 10 * time.Second
+	maxIdleLimitDoublings   = 20
 )
 
-// Idle connections are reaped this often.
+// Frequency at which expired idle connections are closed.
 const (
 	reapsPerMaxIdle = 8
 	minReapInterval = 10 * time.Millisecond
 )
 
-// Why there is no connection to a server.
+// Reasons why there is no connection to an app server.
 var (
-	errNotUp        = errors.New("server is not up in the list")
-	errNoDescriptor = errors.New("no descriptor left for a connection")
+	errNotUp     = errors.New("server is not up in the endpoint list")
+	errConnLimit = errors.New("connection limit reached, and no connection is idle")
 )
 
 // conn is a connection to a backend. It carries one request at a time.
@@ -36,87 +42,90 @@
 	net.Conn
 	raw         syscall.RawConn
 	reader      *responseReader
-	buffered    *bufio.Reader // over reader
-	backend     *Backend      // to which it returns, unless the server has moved or restarted
+	buffered    *bufio.Reader // reads from reader
+	backend     *Backend      // to which the connection is released while the server is up
 	idleSince   time.Time
 	connectedAt time.Time
 
-	idleFor time.Duration // how long it was idle before the current exchange; 0 for a new one
+	idleFor time.Duration // idle time before the current exchange; 0 for a new connection
 }
 
-// acquire returns a connection to the server: of the idle ones that have rested, or will have in a moment, the one used
-// last, or else a new one. Whether it still lives, writeRequest tells. A server that is no longer what it was when it
-// was selected gets none.
-func (u *Pool) acquire(ctx context.Context, endpointID string, selected *Backend) (*conn, error) {
+// acquire returns a connection to an app server. It takes the most recently used idle connection that is
+// reusable, and waits up to reuseDelay for one. Otherwise it opens a new one. An idle connection may be
+// broken, which writeRequest checks. acquire fails if the server is not up, or if selected is not nil and
+// the server has become another [Backend] since it was selected.
+func (p *Pool) acquire(ctx context.Context, endpointID string, selected *Backend) (*conn, error) {
 	for waited := false; ; {
-		u.mu.Lock()
-		b := u.backends[endpointID]
+		p.mu.Lock()
+		b := p.backends[endpointID]
 		if b == nil || !b.up || selected != nil && b != selected {
-			u.mu.Unlock()
+			p.mu.Unlock()
 			return nil, errNotUp
 		}
-		if c := b.takeRested(time.Now()); c != nil {
-			keep := u.keepIdleFor(b)
-			u.mu.Unlock()
-			if c.idleFor = time.Since(c.idleSince); c.idleFor < keep {
+		if c := b.takeReusable(time.Now()); c != nil {
+			limit := p.idleLimitFor(b)
+			p.mu.Unlock()
+			if c.idleFor = time.Since(c.idleSince); c.idleFor < limit {
 				return c, nil
 			}
-			u.discard(c)
+			p.discard(c)
 			continue
 		}
-		if len(b.idle) > 0 && !waited { // a moment's rest costs less than a new connection
-			u.mu.Unlock()
+		if len(b.idle) > 0 && !waited { // a wait of at most reuseDelay costs less than a new connection
+			p.mu.Unlock()
 			waited = true
-			u.awaitRested(ctx, b)
+			p.awaitReusable(ctx, b)
 			continue
 		}
-		evicted, err := u.reserve()
-		u.mu.Unlock()
+		evicted, err := p.reserveSlot()
+		p.mu.Unlock()
 		if err != nil {
 			return nil, err
 		}
 		if evicted != nil {
-			_ = evicted.Close() // it is not used again, whatever the close meets
+			_ = evicted.Close() // not used again, so an error does not matter
 		}
-		c, err := u.dial(ctx, b)
-		// A server that takes no new connection may still answer on one that rests for a moment.
-		if err == nil || !u.awaitRested(ctx, b) {
+		c, err := p.dial(ctx, b)
+		// A server that accepts no new connection may still respond on an idle one that becomes reusable.
+		if err == nil || !p.awaitReusable(ctx, b) {
 			return c, err
 		}
 	}
 }
 
-// awaitRested waits until an idle connection of the backend has rested, and tells whether there is one.
-func (u *Pool) awaitRested(ctx context.Context, b *Backend) bool {
-	u.mu.Lock()
+// awaitReusable waits until the connection of the backend that has been idle for longest is reusable. It
+// reports whether there is a reusable one then.
+func (p *Pool) awaitReusable(ctx context.Context, b *Backend) bool {
+	p.mu.Lock()
 	if len(b.idle) == 0 {
-		u.mu.Unlock()
+		p.mu.Unlock()
 		return false
 	}
-	wait := time.NewTimer(minRest - time.Since(b.idle[0].idleSince))
-	u.mu.Unlock()
-	defer wait.Stop()
+	timer := time.NewTimer(reuseDelay - time.Since(b.idle[0].idleSince))
+	p.mu.Unlock()
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return false
-	case <-wait.C:
+	case <-timer.C:
 	}
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return b.restedCount(time.Now()) > 0
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return b.countReusable(time.Now()) > 0
 }
 
-// restedCount counts the idle connections that were not used a moment ago. They are the first ones. Called under the
-// mutex.
-func (b *Backend) restedCount(now time.Time) (n int) {
-	for n = len(b.idle); n > 0 && now.Sub(b.idle[n-1].idleSince) < minRest; n-- {
+// countReusable returns the number of idle connections whose last response is at least reuseDelay ago. They
+// are the first ones in b.idle. The caller must hold the pool's mutex.
+func (b *Backend) countReusable(now time.Time) (n int) {
+	for n = len(b.idle); n > 0 && now.Sub(b.idle[n-1].idleSince) < reuseDelay; n-- {
 	}
 	return n
 }
 
-// takeRested takes the rested idle connection that was used last, nil if there is none. Called under the mutex.
-func (b *Backend) takeRested(now time.Time) *conn {
-	n := b.restedCount(now)
+// takeReusable removes and returns the most recently used of the reusable idle connections, nil if there is
+// none. The caller must hold the pool's mutex.
+func (b *Backend) takeReusable(now time.Time) *conn {
+	n := b.countReusable(now)
 	if n == 0 {
 		return nil
 	}
@@ -125,24 +134,24 @@
 	return c
 }
 
-// reserve counts a connection that is to be made. Where no more may be open it returns the idle one that is to be
-// closed for it. Called under the mutex.
-func (u *Pool) reserve() (evicted *conn, err error) {
-	if u.open >= u.maxOpen {
-		if evicted = u.takeLongestIdle(); evicted == nil {
-			return nil, errNoDescriptor
+// reserveSlot counts a connection that is to be opened. If the connection limit is reached, it evicts an idle
+// connection, which the caller must close. The caller must hold the mutex.
+func (p *Pool) reserveSlot() (evicted *conn, err error) {
+	if p.open >= p.maxOpen {
+		if evicted = p.takeLongestIdle(); evicted == nil {
+			return nil, errConnLimit
 		}
-		u.open--
+		p.open--
 	}
-	u.open++
+	p.open++
 	return evicted, nil
 }
 
-// takeLongestIdle takes the connection that has been idle for longest out of its pool, nil if there is none. Called
-// under the mutex.
-func (u *Pool) takeLongestIdle() *conn {
+// takeLongestIdle removes and returns the connection that has been idle for longest, nil if none is idle.
+// The caller must hold the mutex.
+func (p *Pool) takeLongestIdle() *conn {
 	var owner *Backend
-	for _, b := range u.backends {
+	for _, b := range p.backends {
 		if len(b.idle) > 0 && (owner == nil || b.idle[0].idleSince.Before(owner.idle[0].idleSince)) {
 			owner = b
 		}
@@ -155,124 +164,131 @@
 	return c
 }
 
-// dial makes a connection, which is already counted.
-func (u *Pool) dial(ctx context.Context, b *Backend) (*conn, error) {
-	nc, err := u.DialContext(ctx, "tcp", b.addr.String())
+// dial opens a connection for which the caller has reserved a slot.
+func (p *Pool) dial(ctx context.Context, b *Backend) (*conn, error) {
+	nc, err := p.DialContext(ctx, "tcp", b.addr.String())
 	if err != nil {
-		u.uncount()
+		p.freeSlot()
 		return nil, err
 	}
 	reader := &responseReader{conn: nc}
-	c := &conn{Conn: nc, reader: reader, buffered: bufio.NewReader(reader), backend: b, connectedAt: time.Now()}
+	c := &conn{
+		Conn: nc, reader: reader, buffered: bufio.NewReader(reader), backend: b, connectedAt: time.Now(),
+	}
 	if c.raw, err = nc.(syscall.Conn).SyscallConn(); err != nil {
-		u.discard(c)
+		p.discard(c)
 		return nil, err
 	}
-	u.mu.Lock()
+	p.mu.Lock()
 	up := b.up
-	u.mu.Unlock()
+	p.mu.Unlock()
 	if !up {
-		// The list changed while the connection came up: nothing new may go there.
-		u.discard(c)
+		// The list changed while the connection was being opened: the server must get no new requests.
+		p.discard(c)
 		return nil, errNotUp
 	}
 	return c, nil
 }
 
-// uncount takes a connection that was not made, or is closed, out of the count of the open ones.
-func (u *Pool) uncount() {
-	u.mu.Lock()
-	u.open--
-	u.mu.Unlock()
+// freeSlot frees the slot of a connection that could not be opened or is closed.
+func (p *Pool) freeSlot() {
+	p.mu.Lock()
+	p.open--
+	p.mu.Unlock()
 }
 
-// discard closes a connection that is in no pool.
-func (u *Pool) discard(c *conn) {
-	_ = c.Close() // it is not used again, whatever the close meets
-	u.uncount()
+// discard closes a connection that is not idle, and frees its slot.
+func (p *Pool) discard(c *conn) {
+	_ = c.Close() // not used again, so an error does not matter
+	p.freeSlot()
 }
 
-// release returns a connection whose exchange is over to its pool.
-func (u *Pool) release(c *conn) {
-	u.mu.Lock()
+// release makes a connection idle after its exchange. If its server is no longer up, it closes the
+// connection.
+func (p *Pool) release(c *conn) {
+	p.mu.Lock()
 	if c.backend.up {
 		c.idleSince = time.Now()
 		c.backend.idle = append(c.backend.idle, c)
-		u.mu.Unlock()
+		p.mu.Unlock()
 		return
 	}
-	u.mu.Unlock()
-	u.discard(c)
+	p.mu.Unlock()
+	p.discard(c)
 }
 
-// ReapIdle closes what has been idle for too long, at intervals until ctx ends.
-func (u *Pool) ReapIdle(ctx context.Context) {
-	tick := time.NewTicker(max(u.maxIdle/reapsPerMaxIdle, minReapInterval))
-	defer tick.Stop()
+// ReapIdle periodically closes connections that have been idle for too long. It returns when ctx ends.
+func (p *Pool) ReapIdle(ctx context.Context) {
+	ticker := time.NewTicker(max(p.maxIdle/reapsPerMaxIdle, minReapInterval))
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
-			closeAll(u.takeExpired())
+		case <-ticker.C:
+			closeAll(p.takeExpired())
 		}
 	}
 }
 
-// takeExpired takes the connections out of their pools that have been idle for too long.
-func (u *Pool) takeExpired() (expired []*conn) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	for _, b := range u.backends {
+// takeExpired removes and returns the connections that have been idle for too long.
+func (p *Pool) takeExpired() (expired []*conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, b := range p.backends {
 		n := 0
-		for n < len(b.idle) && time.Since(b.idle[n].idleSince) >= u.maxIdle {
+		for n < len(b.idle) && time.Since(b.idle[n].idleSince) >= p.maxIdle {
 			n++
 		}
 		expired = append(expired, b.idle[:n]...)
 		b.idle = append([]*conn(nil), b.idle[n:]...)
 	}
-	u.open -= len(expired)
+	p.open -= len(expired)
 	return expired
 }
 
-// shortenKeepIdle learns from a kept connection that was reset as soon as it was written to: the server, or something
-// on the way, gives idle connections up sooner than the settings say. A request that meets one may have run. From then
-// on the server's connections are kept for half as long as this one was idle, which doubles again in time.
-func (u *Pool) shortenKeepIdle(c *conn) {
-	u.mu.Lock()
+// shortenIdleLimit reduces the idle limit of a backend after a reused connection was reset as soon as a
+// request was written to it. Such a reset means that the server, or a device in between, drops idle
+// connections earlier than the settings say. The request may have run, so it may not be freely retried. The
+// new limit is half the idle time of the connection. It doubles each idleLimitDoublingPeriod, up to the
+// configured one. All idle connections of the backend are closed.
+func (p *Pool) shortenIdleLimit(c *conn) {
+	p.mu.Lock()
 	b := c.backend
-	b.keepIdle, b.keepIdleSetAt = max(c.idleFor/2, minKeepIdle), time.Now()
-	u.mu.Unlock()
-	u.closeIdle(b)
+	b.idleLimit, b.idleLimitSetAt = max(c.idleFor/2, minIdleLimit), time.Now()
+	p.mu.Unlock()
+	p.closeIdle(b)
 }
 
-// keepIdleFor is how long an idle connection of the backend may be used again. Called under the mutex.
-func (u *Pool) keepIdleFor(b *Backend) time.Duration {
-	if b.keepIdle == 0 {
-		return u.maxIdle
+// idleLimitFor returns how long a connection of the backend may be idle and still be used again. The caller
+// must hold the mutex.
+func (p *Pool) idleLimitFor(b *Backend) time.Duration {
+	if b.idleLimit == 0 {
+		return p.maxIdle
 	}
-	doublings := time.Since(b.keepIdleSetAt) / keepDoublingPeriod
-	if doublings > maxKeepDoublings || b.keepIdle<<doublings >= u.maxIdle {
-		b.keepIdle = 0
-		return u.maxIdle
+	doublings := time.Since(b.idleLimitSetAt) / idleLimitDoublingPeriod
+	if doublings > maxIdleLimitDoublings || b.idleLimit<<doublings >= p.maxIdle {
+		b.idleLimit = 0
+		return p.maxIdle
 	}
-	return b.keepIdle << doublings
+	return b.idleLimit << doublings
 }
 
-// closeIdle closes a backend's idle connections after silence on one. A machine that vanished or is cut off leaves all
-// of them open and silent; a request written to one more would time out as well and might have run, while a new
-// connection that does not come up proves that it has not.
-func (u *Pool) closeIdle(b *Backend) {
-	u.mu.Lock()
+// closeIdle closes a backend's idle connections, in particular after a timeout on one connection. If the
+// machine has crashed or is cut off from the network, all of its connections are open but silent. A request
+// written to another of them would time out as well and might have run. A new connection that cannot be
+// opened proves that the request has not run.
+func (p *Pool) closeIdle(b *Backend) {
+	p.mu.Lock()
 	idle := b.idle
 	b.idle = nil
-	u.open -= len(idle)
-	u.mu.Unlock()
+	p.open -= len(idle)
+	p.mu.Unlock()
 	closeAll(idle)
 }
 
-// closeAll closes connections that are in no pool. The error of a close says nothing more of a connection that is not
-// used again.
+// closeAll closes connections that were removed from the idle ones and from the count of open ones. Their
+// errors do not matter, because the connections are not used again.
 func closeAll(conns []*conn) {
 	for _, c := range conns {
 		_ = c.Close()
--- a/internal/edgenode/upstream/pool_test.go
+++ b/internal/edgenode/upstream/pool_test.go
@@ -15,192 +15,194 @@
 	"opalhook/internal/settings"
 )
 
-// A server that gives idle connections up sooner than it tells shows only when one is
-// written to, which may have run: from the first on they are kept for less. A reset under
-// a request that the server was at, or on a connection just used, teaches nothing.
-func TestStaleConnections(t *testing.T) {
+// A server may drop idle connections earlier than the settings say. The client notices that only when it
+// writes a request that may then have run, so it must shorten the idle limit after the first such reset. A
+// reset while the server executes a request, or on a connection that was idle only briefly, must not shorten
+// the limit.
+func TestStaleResetShortensTheIdleLimit(t *testing.T) {
 	for name, c := range map[string]struct {
-		rested, answer time.Duration
-		learns         bool
+		idleFor, delay time.Duration
+		shortens       bool
 	}{
-		"stale":           {10 * minKeepIdle, 0, true},
-		"just used":       {minRest, 0, false},
-		"at the work":     {10 * minKeepIdle, 2 * staleResetWindow, false},
-		"not much rested": {minKeepIdle / 2, 0, false},
+		"stale":        {10 * minIdleLimit, 0, true},
+		"just used":    {reuseDelay, 0, false},
+		"executing":    {10 * minIdleLimit, 2 * staleResetWindow, false},
+		"briefly idle": {minIdleLimit / 2, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := nodetest.NewAppServer(t, func(conn net.Conn, r *http.Request, body []byte) bool {
 				if r.Header.Get("X-Trace-Id") == "fine" {
 					return nodetest.Say(nodetest.OKResponse)(conn, r, body)
 				}
-				time.Sleep(c.answer) // the server at work
+				time.Sleep(c.delay) // the server executes the request
 				nodetest.ResetOnClose(conn)
 				return false
 			})
-			u := testUpstream(s.Endpoint("a"))
-			b := u.backends["a"]
-			fine := &Message{Method: "GET", Target: "/check", ID: "fine"}
+			pool := newTestPool(s.Endpoint("a"))
+			b := pool.backends["a"]
+			okRequest := &Message{Method: "GET", Target: "/check", ID: "fine"}
 			ctx, cancel := context.WithTimeout(context.Background(), nodetest.Patience)
 			defer cancel()
-			rest := func(d time.Duration) {
-				u.Exchange(ctx, "a", fine, WriteLimits{})
+			idleAfterExchange := func(d time.Duration) {
+				pool.Exchange(ctx, "a", okRequest, WriteLimits{})
 				b.idle[0].idleSince = time.Now().Add(-d)
 			}
-			rest(c.rested)
-			_, res := exchange(t, u, "a")
+			idleAfterExchange(c.idleFor)
+			_, res := exchange(t, pool, "a")
 			wantResult(t, res, balancer.Reset)
-			if got := b.keepIdle != 0; got != c.learns {
-				t.Fatalf("kept for %v, learned: %v, want %v", b.keepIdle, got, c.learns)
+			if got := b.idleLimit != 0; got != c.shortens {
+				t.Fatalf("idle limit %v, shortened: %v, want %v", b.idleLimit, got, c.shortens)
 			}
-			rest(c.rested)
+			idleAfterExchange(c.idleFor)
 			old := b.idle[0]
-			u.Exchange(ctx, "a", fine, WriteLimits{})
-			if again := b.idle[0] == old; again == c.learns {
-				t.Errorf("used again: %v", again)
+			pool.Exchange(ctx, "a", okRequest, WriteLimits{})
+			if reused := b.idle[0] == old; reused == c.shortens {
+				t.Errorf("connection reused: %v, want %v", reused, !c.shortens)
 			}
-			b.keepIdleSetAt = time.Now().Add(-12 * keepDoublingPeriod)
-			if keep := u.keepIdleFor(b); keep != u.maxIdle {
-				t.Errorf("kept for %v long after, want %v", keep, u.maxIdle)
+			b.idleLimitSetAt = time.Now().Add(-12 * idleLimitDoublingPeriod)
+			if limit := pool.idleLimitFor(b); limit != pool.maxIdle {
+				t.Errorf("idle limit %v after 12 doublings, want %v", limit, pool.maxIdle)
 			}
 		})
 	}
 }
 
-// The connection used last is used next, so that a quiet spell lets the others go.
+// The most recently used connection is used next, so that the others expire when the load is low.
 func TestPoolIsLIFO(t *testing.T) {
 	hold := make(chan struct{})
 	s := nodetest.NewAppServer(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
 		<-hold
 		return nodetest.Say(nodetest.OKResponse)(c, nil, nil)
 	})
-	u := testUpstream(s.Endpoint("a"))
+	pool := newTestPool(s.Endpoint("a"))
 	done := make(chan balancer.Result, 2)
 	for range 2 {
 		go func() {
-			_, res := u.Exchange(context.Background(), "a", &get, WriteLimits{})
+			_, res := pool.Exchange(context.Background(), "a", &getRequest, WriteLimits{})
 			done <- res
 		}()
 	}
-	nodetest.Eventually(t, "two requests out", func() bool { return len(s.Requests()) == 2 })
+	nodetest.Eventually(t, "two requests at the server", func() bool { return len(s.Requests()) == 2 })
 	close(hold)
 	wantResult(t, nodetest.Await(t, "a result", done), balancer.OK)
 	wantResult(t, nodetest.Await(t, "a result", done), balancer.OK)
-	idle := u.backends["a"].idle
+	idle := pool.backends["a"].idle
 	if len(idle) != 2 {
-		t.Fatalf("%d idle connections for two requests at once", len(idle))
+		t.Fatalf("%d idle connections after two concurrent requests, want 2", len(idle))
 	}
 	older, last := idle[0], idle[1]
-	u.rest()
-	exchange(t, u, "a")
-	if idle = u.backends["a"].idle; len(idle) != 2 || idle[0] != older || idle[1] != last {
-		t.Error("another connection was used than the last")
+	pool.ageIdle()
+	exchange(t, pool, "a")
+	if idle = pool.backends["a"].idle; len(idle) != 2 || idle[0] != older || idle[1] != last {
+		t.Error("the request did not use the most recently used connection")
 	}
 }
 
-// One that the server has closed meanwhile is noticed: a request written to it
-// would end as a reset, which a keyed request may not freely repeat.
+// Guards against a request on an idle connection that the server has closed. It would end with a reset,
+// after which a request with an idempotency key may not be freely retried.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
-	u := testUpstream(s.Endpoint("a"))
-	exchange(t, u, "a")
+	pool := newTestPool(s.Endpoint("a"))
+	exchange(t, pool, "a")
 	_ = (<-s.Conns).Close()
-	c := u.backends["a"].idle[0]
-	nodetest.Eventually(t, "close arrived", func() bool { return !c.quiet() })
-	u.rest()
-	_, res := exchange(t, u, "a")
+	c := pool.backends["a"].idle[0]
+	nodetest.Eventually(t, "close seen by the client", func() bool { return !c.isIdle() })
+	pool.ageIdle()
+	_, res := exchange(t, pool, "a")
 	wantResult(t, res, balancer.OK)
-	if u.open != 1 {
-		t.Errorf("%d connections counted, 1 open", u.open)
+	if pool.open != 1 {
+		t.Errorf("%d connections open, want 1", pool.open)
 	}
 }
 
-// A connection near the age at which servers close is retired, in use and at rest.
-func TestIdleConnectionsRetire(t *testing.T) {
+// A connection that has been idle for almost as long as servers allow is closed, both when a request would
+// use it and by ReapIdle.
+func TestExpiredConnectionsAreClosed(t *testing.T) {
 	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
-	u := testUpstream(s.Endpoint("a"))
-	exchange(t, u, "a")
-	u.backends["a"].idle[0].idleSince = time.Now().Add(-u.maxIdle)
-	exchange(t, u, "a")
+	pool := newTestPool(s.Endpoint("a"))
+	exchange(t, pool, "a")
+	pool.backends["a"].idle[0].idleSince = time.Now().Add(-pool.maxIdle)
+	exchange(t, pool, "a")
 	nodetest.WantClosed(t, nodetest.Await(t, "a connection", s.Conns))
-	u.backends["a"].idle[0].idleSince = time.Now().Add(-u.maxIdle)
-	u.maxIdle = 50 * time.Millisecond // sets the reaper's pace
+	pool.backends["a"].idle[0].idleSince = time.Now().Add(-pool.maxIdle)
+	pool.maxIdle = 50 * time.Millisecond // sets the interval of ReapIdle
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go u.ReapIdle(ctx)
+	go pool.ReapIdle(ctx)
 	nodetest.WantClosed(t, nodetest.Await(t, "a connection", s.Conns))
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.open != 0 {
-		t.Errorf("%d connections counted, none open", u.open)
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	if pool.open != 0 {
+		t.Errorf("%d connections open, want 0", pool.open)
 	}
 }
 
-// A server whose machine is gone says nothing: the dial has a bound of its own, and
-// what it ends has never run.
-func TestDialIsBounded(t *testing.T) {
-	u := New(settings.Transport{ConnIdle: time.Minute, ConnectTimeout: 50 * time.Millisecond}, 100)
-	u.update([]endpointlist.Endpoint{{Endpoint: balancer.Endpoint{ID: "a"}, Addr: nodetest.Blocked(t)}}, true)
+// Guards against waiting for a crashed machine, which does not answer a connection attempt at all: dialing
+// has a timeout of its own, after which the request has not run.
+func TestDialTimeout(t *testing.T) {
+	pool := New(settings.Transport{ConnIdle: time.Minute, ConnectTimeout: 50 * time.Millisecond}, 100)
+	pool.update([]endpointlist.Endpoint{{Endpoint: balancer.Endpoint{ID: "a"}, Addr: nodetest.Blocked(t)}}, true)
 	ctx, cancel := context.WithTimeout(context.Background(), nodetest.Patience)
 	defer cancel()
-	_, res := u.Exchange(ctx, "a", &get, WriteLimits{})
+	_, res := pool.Exchange(ctx, "a", &getRequest, WriteLimits{})
 	wantResult(t, res, balancer.ConnectFailed)
-	if ctx.Err() != nil || u.open != 0 {
-		t.Errorf("context %v, %d connections counted", ctx.Err(), u.open)
+	if ctx.Err() != nil || pool.open != 0 {
+		t.Errorf("context error %v, %d connections open; want nil, 0", ctx.Err(), pool.open)
 	}
 }
 
-// After silence on one connection the others of that server are not used again: where
-// its machine is gone they are silent too, and each would cost a request its time.
-func TestSilenceDropsIdleConnections(t *testing.T) {
+// After a timeout on one connection, the other connections to that server are not used again. If its machine
+// has crashed they are silent too, and each would make one more request time out.
+func TestTimeoutClosesIdleConnections(t *testing.T) {
 	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if r.Header.Get("X-Trace-Id") == "silent" {
 			select {}
 		}
 		return nodetest.Say(nodetest.OKResponse)(c, r, body)
 	})
-	u := testUpstream(s.Endpoint("a"))
-	c, err := u.acquire(context.Background(), "a", nil)
+	pool := newTestPool(s.Endpoint("a"))
+	c, err := pool.acquire(context.Background(), "a", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	exchange(t, u, "a")
-	u.release(c)
+	exchange(t, pool, "a")
+	pool.release(c)
 	ctx, result := nodetest.NewEndingContext(), make(chan balancer.Result, 1)
 	go func() {
-		_, res := u.Exchange(ctx, "a", &Message{Method: "GET", Target: "/check", ID: "silent"}, WriteLimits{})
+		_, res := pool.Exchange(ctx, "a", &Message{Method: "GET", Target: "/check", ID: "silent"}, WriteLimits{})
 		result <- res
 	}()
-	nodetest.Eventually(t, "request out", func() bool { return len(s.Requests()) == 2 })
+	nodetest.Eventually(t, "request at the server", func() bool { return len(s.Requests()) == 2 })
 	ctx.End(context.DeadlineExceeded)
 	wantResult(t, nodetest.Await(t, "a result", result), balancer.TimedOut)
 	nodetest.WantClosed(t, nodetest.Await(t, "a connection", s.Conns))
 	nodetest.WantClosed(t, nodetest.Await(t, "a second connection", s.Conns))
-	if u.open != 0 {
-		t.Errorf("%d connections counted, none open", u.open)
+	if pool.open != 0 {
+		t.Errorf("%d connections open, want 0", pool.open)
 	}
 }
 
-// A server that moved, restarted, drains or is gone keeps no connection, neither an
-// idle one nor one that was busy when the list changed.
-func TestListDropsConnections(t *testing.T) {
+// If a server moves, restarts, drains or is removed, all connections to it are closed: the idle ones, and
+// the busy ones after their exchange.
+func TestListUpdateClosesConnections(t *testing.T) {
 	for name, change := range map[string]func(endpointlist.Endpoint) ([]endpointlist.Endpoint, bool){
-		"moved": func(i endpointlist.Endpoint) ([]endpointlist.Endpoint, bool) {
-			i.Addr = netip.MustParseAddrPort("127.0.0.1:1")
-			return []endpointlist.Endpoint{i}, false
+		"moved": func(entry endpointlist.Endpoint) ([]endpointlist.Endpoint, bool) {
+			entry.Addr = netip.MustParseAddrPort("127.0.0.1:1")
+			return []endpointlist.Endpoint{entry}, false
 		},
-		"restarted": func(i endpointlist.Endpoint) ([]endpointlist.Endpoint, bool) {
-			i.StartedAt = time.Hour
-			return []endpointlist.Endpoint{i}, false
+		"restarted": func(entry endpointlist.Endpoint) ([]endpointlist.Endpoint, bool) {
+			entry.StartedAt = time.Hour
+			return []endpointlist.Endpoint{entry}, false
 		},
-		"draining": func(i endpointlist.Endpoint) ([]endpointlist.Endpoint, bool) {
-			i.State = balancer.Draining
-			return []endpointlist.Endpoint{i}, false
+		"draining": func(entry endpointlist.Endpoint) ([]endpointlist.Endpoint, bool) {
+			entry.State = balancer.Draining
+			return []endpointlist.Endpoint{entry}, false
 		},
-		"removed": func(i endpointlist.Endpoint) ([]endpointlist.Endpoint, bool) {
-			i.State = balancer.Removed
-			return []endpointlist.Endpoint{i}, false
+		"removed": func(entry endpointlist.Endpoint) ([]endpointlist.Endpoint, bool) {
+			entry.State = balancer.Removed
+			return []endpointlist.Endpoint{entry}, false
 		},
-		"vanished": func(endpointlist.Endpoint) ([]endpointlist.Endpoint, bool) { return nil, true },
+		"not listed": func(endpointlist.Endpoint) ([]endpointlist.Endpoint, bool) { return nil, true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			hold := make(chan struct{})
@@ -212,62 +214,62 @@
 				first = false
 				return nodetest.Say(nodetest.OKResponse)(c, nil, nil)
 			})
-			u := testUpstream(s.Endpoint("a"))
-			exchange(t, u, "a") // leaves one idle
+			pool := newTestPool(s.Endpoint("a"))
+			exchange(t, pool, "a") // leaves one idle connection
 			done := make(chan balancer.Result)
 			go func() {
-				_, res := u.Exchange(context.Background(), "a", &get, WriteLimits{})
+				_, res := pool.Exchange(context.Background(), "a", &getRequest, WriteLimits{})
 				done <- res
 			}()
-			nodetest.Eventually(t, "second request out", func() bool { return len(s.Requests()) == 2 })
-			closeAll(u.update(change(s.Endpoint("a"))))
+			nodetest.Eventually(t, "second request at the server", func() bool { return len(s.Requests()) == 2 })
+			closeAll(pool.update(change(s.Endpoint("a"))))
 			close(hold)
 			wantResult(t, nodetest.Await(t, "a result", done), balancer.OK)
 			nodetest.WantClosed(t, nodetest.Await(t, "a connection", s.Conns))
-			if u.open != 0 {
-				t.Errorf("%d connections counted, none open", u.open)
+			if pool.open != 0 {
+				t.Errorf("%d connections open, want 0", pool.open)
 			}
 		})
 	}
 }
 
-// Nothing new goes to a server that came to drain while the connection was made.
+// Guards against a request to a server that began to drain while the connection to it was being opened.
 func TestDrainDuringDial(t *testing.T) {
 	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
-	u := testUpstream(s.Endpoint("a"))
-	b := u.backends["a"]
-	drains := s.Endpoint("a")
-	drains.State = balancer.Draining
-	u.update([]endpointlist.Endpoint{drains}, false)
-	u.open++
-	if _, err := u.dial(context.Background(), b); !errors.Is(err, errNotUp) {
+	pool := newTestPool(s.Endpoint("a"))
+	b := pool.backends["a"]
+	draining := s.Endpoint("a")
+	draining.State = balancer.Draining
+	pool.update([]endpointlist.Endpoint{draining}, false)
+	pool.open++
+	if _, err := pool.dial(context.Background(), b); !errors.Is(err, errNotUp) {
 		t.Errorf("error %v, want %v", err, errNotUp)
 	}
-	_, res := exchange(t, u, "a")
+	_, res := exchange(t, pool, "a")
 	wantResult(t, res, balancer.ConnectFailed)
-	if len(s.Requests()) != 0 || u.open != 0 {
-		t.Errorf("requests %q, %d connections counted", s.Requests(), u.open)
+	if len(s.Requests()) != 0 || pool.open != 0 {
+		t.Errorf("requests %q, %d connections open; want none", s.Requests(), pool.open)
 	}
 }
 
-// At the limit on descriptors an idle connection is evicted; with none idle the
-// attempt is moot, which is held against no server.
-func TestDescriptorsAreBudgeted(t *testing.T) {
+// At the connection limit an idle connection is evicted. If none is idle, the attempt is not sent, and its
+// result does not count against the server.
+func TestConnectionLimit(t *testing.T) {
 	a, b := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse)), nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
-	u := testUpstream(a.Endpoint("a"), b.Endpoint("b"))
-	u.maxOpen = 1
-	exchange(t, u, "a")
-	_, res := exchange(t, u, "b")
+	pool := newTestPool(a.Endpoint("a"), b.Endpoint("b"))
+	pool.maxOpen = 1
+	exchange(t, pool, "a")
+	_, res := exchange(t, pool, "b")
 	wantResult(t, res, balancer.OK)
 	nodetest.WantClosed(t, nodetest.Await(t, "a connection", a.Conns))
-	busy, err := u.acquire(context.Background(), "b", nil)
+	busy, err := pool.acquire(context.Background(), "b", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, res = exchange(t, u, "a")
+	_, res = exchange(t, pool, "a")
 	wantResult(t, res, balancer.NotSent)
-	u.release(busy)
-	if u.open != 1 {
-		t.Errorf("%d connections counted, 1 open", u.open)
+	pool.release(busy)
+	if pool.open != 1 {
+		t.Errorf("%d connections open, want 1", pool.open)
 	}
 }
--- a/internal/edgenode/upstream/request.go
+++ b/internal/edgenode/upstream/request.go
@@ -14,21 +14,21 @@
 	"time"
 )
 
-// Why a request is not written, or not to its end.
+// Reasons why a request is not written, or not completely.
 var (
-	errAnswered      = errors.New("request has its final response")
-	errTooLate       = errors.New("too late to be sent")
-	errConnStale     = errors.New("connection was closed, or brought something unasked")
-	errEarlyResponse = errors.New("server responds before it has the request")
+	errAnswered      = errors.New("request already has its final response")
+	errTooLate       = errors.New("time limit for sending has passed")
+	errConnStale     = errors.New("connection was closed or received unsolicited data")
+	errEarlyResponse = errors.New("server responded before the request was completely written")
 )
 
-// minExpiresIn is the shortest wait that X-Expires-In states, in seconds.
+// minExpiresIn is the smallest value of X-Expires-In, in seconds.
 const minExpiresIn = 0.001
 
-// longAgo is a deadline that ends all reading or writing at once.
-var longAgo = time.Unix(1, 0)
+// expiredDeadline is a time in the past. Set as a deadline, it ends all reads or writes at once.
+var expiredDeadline = time.Unix(1, 0)
 
-// Message is what is passed on to an app server.
+// Message is a request to an app server. Headers whose field is empty are not sent.
 type Message struct {
 	Method      string
 	Target      string // path and query, byte for byte as the client sent them
@@ -37,11 +37,11 @@
 	Key         string // Idempotency-Key
 	ContentType string
 	Body        []byte
-	withdrawn   bool // nothing of it may be sent any more; guarded by the pool's mutex
+	withdrawn   bool // must not be sent any more; guarded by the pool's mutex
 }
 
-// httpRequest returns the message as a request. The target is passed on as it came: as the opaque part of a URL it is
-// not encoded anew.
+// httpRequest converts the message to an HTTP request. The target becomes the opaque part of the URL, because
+// net/http would encode a path again. An empty host becomes app.svc.
 func (m *Message) httpRequest(ctx context.Context) *http.Request {
 	path, query, force := strings.Cut(m.Target, "?")
 	req := &http.Request{
@@ -60,7 +60,7 @@
 }
 
 func (m *Message) header(ctx context.Context) http.Header {
-	h := http.Header{"User-Agent": {""}} // none, rather than the library's own
+	h := http.Header{"User-Agent": {""}} // suppresses the default of net/http
 	if m.ID != "" {
 		h["X-Trace-Id"] = []string{m.ID}
 	}
@@ -71,36 +71,38 @@
 		h["Content-Type"] = []string{m.ContentType}
 	}
 	if deadline, ok := ctx.Deadline(); ok {
-		left := math.Max(time.Until(deadline).Seconds(), minExpiresIn)
-		h["X-Expires-In"] = []string{strconv.FormatFloat(left, 'f', 3, 64)}
+		remaining := math.Max(time.Until(deadline).Seconds(), minExpiresIn)
+		h["X-Expires-In"] = []string{strconv.FormatFloat(remaining, 'f', 3, 64)}
 	}
 	return h
 }
 
-// WriteLimits is what an attempt is held to as it is written, however long ago it was decided on.
+// WriteLimits are conditions that an attempt must meet when it is written. Much time may have passed since
+// the balancer decided on it.
 type WriteLimits struct {
-	Backend        *Backend  // the server as it was when it was selected; nil: as it is
-	startBefore    time.Time // an attempt that has not begun by then must not begin: the end of its context
-	CompleteBefore time.Time // by when its last byte has to be written; zero: no limit
+	Backend        *Backend  // server as it was when selected; nil: the current one
+	startBefore    time.Time // time limit for its first byte: the deadline of its context; zero: no limit
+	CompleteBefore time.Time // time limit for its last byte; zero: no limit
 }
 
-// writeRequest writes a request, unless by the time its first byte would go out it must not begin any more: see
-// mayWrite.
-func (u *Pool) writeRequest(ctx context.Context, c *conn, m *Message, limits WriteLimits, text []byte) error {
+// writeRequest writes a request. It checks immediately before the first byte that the request may still be
+// sent; see mayWrite.
+func (p *Pool) writeRequest(ctx context.Context, c *conn, m *Message, limits WriteLimits, text []byte) error {
 	var n int
 	var err error
-	failed := c.raw.Write(func(fd uintptr) bool {
-		// For two system calls that do not wait: what Update, Withdraw and Cancel have done holds from here on.
-		u.mu.Lock()
-		defer u.mu.Unlock()
+	rawErr := c.raw.Write(func(fd uintptr) bool {
+		// The mutex makes the check and the write atomic with respect to Update, Withdraw and Cancel. It is
+		// held for two system calls, neither of which blocks.
+		p.mu.Lock()
+		defer p.mu.Unlock()
 		if err = mayWrite(ctx, c, m, limits, fd); err != nil {
 			return true
 		}
 		n, err = writeOnce(fd, text)
 		return !errors.Is(err, syscall.EAGAIN)
 	})
-	if failed != nil {
-		return failed
+	if rawErr != nil {
+		return rawErr
 	}
 	if err != nil {
 		return err
@@ -111,8 +113,9 @@
 	return nil
 }
 
-// mayWrite returns why a request must not begin any more: it has its final response, its server has left the list,
-// its attempt was given up, its time is over, or something has come on the connection. Called under the mutex.
+// mayWrite returns an error if a request must not be sent any more: the message was withdrawn, its server is
+// not up any more, its attempt was cancelled, a time limit has passed, or the connection was closed or has
+// received data. The caller must hold the mutex.
 func mayWrite(ctx context.Context, c *conn, m *Message, limits WriteLimits, fd uintptr) error {
 	cancelled := ctx.Err()
 	now := time.Now()
@@ -125,13 +128,13 @@
 		return cancelled
 	case isPast(limits.startBefore, now), isPast(limits.CompleteBefore, now):
 		return errTooLate
-	case !socketQuiet(fd):
+	case !socketIdle(fd):
 		return errConnStale
 	}
 	return nil
 }
 
-// writeOnce writes what the socket takes without waiting.
+// writeOnce writes as much as the socket accepts without blocking.
 func writeOnce(fd uintptr, text []byte) (n int, err error) {
 	for {
 		if n, err = syscall.Write(int(fd), text); err != syscall.EINTR {
@@ -140,29 +143,30 @@
 	}
 }
 
-// writeRemainder writes what the socket did not take at once. It ends early if the server responds, which can't be to
-// a request that it does not have, or if the last byte would come too late. Deadlines that can't be set mean that the
-// connection is closed, which the write reports.
+// writeRemainder writes the bytes that the socket did not accept at once. It stops early if the server
+// responds, since that cannot be the response to an incomplete request, or if the time limit for the last
+// byte passes. Errors of setting a deadline are ignored: they mean that the connection is closed, which the
+// write reports.
 func (c *conn) writeRemainder(ctx context.Context, limits WriteLimits, text []byte) error {
 	if !limits.CompleteBefore.IsZero() {
 		_ = c.SetWriteDeadline(limits.CompleteBefore)
 	}
 	early := false
-	watched := make(chan struct{})
+	watchDone := make(chan struct{})
 	go func() {
-		defer close(watched)
-		_ = c.raw.Read(func(fd uintptr) bool { // fails at the deadline set below
-			early = !socketQuiet(fd)
+		defer close(watchDone)
+		_ = c.raw.Read(func(fd uintptr) bool { // returns an error at the read deadline set below
+			early = !socketIdle(fd)
 			return early
 		})
-		_ = c.SetWriteDeadline(longAgo) // also after the last byte, where it changes nothing
+		_ = c.SetWriteDeadline(expiredDeadline) // has no effect after the last byte
 	}()
-	if ctx.Err() != nil { // its end may have set deadlines that these have replaced
+	if ctx.Err() != nil { // the deadlines above may have replaced those of interrupt
 		c.interrupt()
 	}
 	_, err := c.Write(text)
-	_ = c.SetReadDeadline(longAgo) // ends the watching
-	<-watched
+	_ = c.SetReadDeadline(expiredDeadline) // ends the goroutine's read
+	<-watchDone
 	_ = c.SetDeadline(time.Time{})
 	if ctx.Err() != nil {
 		c.interrupt()
@@ -178,30 +182,34 @@
 	return err
 }
 
-// interrupt ends all reading and writing on the connection. It fails on a closed one only, where they end anyway.
-func (c *conn) interrupt() { _ = c.SetDeadline(longAgo) }
+// interrupt ends all reads and writes on the connection. Setting the deadline fails only if the connection is
+// closed, in which case they end anyway.
+func (c *conn) interrupt() { _ = c.SetDeadline(expiredDeadline) }
 
-// isPast tells whether a time that was set is over.
+// isPast reports whether t has passed. The zero time never passes.
 func isPast(t, now time.Time) bool { return !t.IsZero() && !now.Before(t) }
 
-// socketQuiet tells whether a socket is open with nothing to read. An idle connection that the server has closed, or
-// on which something came unasked, would end a request written to it as a reset, which may not be retried freely.
-func socketQuiet(fd uintptr) bool {
+// socketIdle reports whether a socket is open and has no data to read. If the server has closed a
+// connection, or has sent unsolicited data on it, a request written to it would end with a reset. Such a
+// request may have run, so it may not be freely retried.
+func socketIdle(fd uintptr) bool {
 	var b [1]byte
 	_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return err == syscall.EAGAIN
 }
 
-// Withdraw has nothing of a message sent from now on; what has begun goes on.
-func (u *Pool) Withdraw(m *Message) {
-	u.mu.Lock()
+// Withdraw prevents further attempts of a message whose request has its final response. None begins after
+// Withdraw has returned. Attempts that have begun continue.
+func (p *Pool) Withdraw(m *Message) {
+	p.mu.Lock()
 	m.withdrawn = true
-	u.mu.Unlock()
+	p.mu.Unlock()
 }
 
-// Cancel gives an attempt up. Under the mutex, so that none is written once it has returned.
-func (u *Pool) Cancel(attempt context.CancelFunc) {
-	u.mu.Lock()
+// Cancel cancels an attempt by calling its cancel function. It does so under the mutex, so that an attempt
+// that has not begun is not written after Cancel has returned.
+func (p *Pool) Cancel(attempt context.CancelFunc) {
+	p.mu.Lock()
 	attempt()
-	u.mu.Unlock()
+	p.mu.Unlock()
 }
--- a/internal/edgenode/upstream/response.go
+++ b/internal/edgenode/upstream/response.go
@@ -13,25 +13,26 @@
 	"opalhook/internal/edgenode/decimal"
 )
 
-// Bounds of a response.
+// Limits on a response.
 const (
-	maxResponseBody     = 64 << 10                 // bytes (protocol: a body holds at most 64 KiB)
-	maxResponse         = maxResponseBody + 32<<10 // bytes of a whole response: heads, chunk sizes, 1xx responses before it
-	responseRestTimeout = 250 * time.Millisecond   // from a response's first bytes to its end: servers write it in one piece
+	maxResponseBody     = 64 << 10                 // bytes; the protocol's limit on a body
+	maxResponse         = maxResponseBody + 32<<10 // bytes, with headers, chunk sizes and 1xx responses
+	responseRestTimeout = 250 * time.Millisecond   // from first byte to last; servers write them at once
 )
 
-var errResponseTooLong = errors.New("response is too long")
+var errResponseTooLong = errors.New("response exceeds the size limit")
 
-// Response is the whole response of an app server.
+// Response is a complete response of an app server.
 type Response struct {
 	Body        []byte
 	ContentType string
-	LoadReport  *balancer.LoadReport // nil: it carried none
-	Units       float64              // that the request counted in the end; 0: not given
-	ConnectedAt time.Time            // when the connection that it came on was made; zero: there was no response
+	LoadReport  *balancer.LoadReport // nil: the response has none
+	Units       float64              // actual units of the request; 0: not reported
+	ConnectedAt time.Time            // when its connection was opened; zero: no response was received
 }
 
-// SettledUnits is the true units of a request, 0 where they are not given or exceed what any request counts.
+// SettledUnits returns the actual units of a request. It returns 0 if the server did not report them, or
+// reported more than maxUnits, the most that any request can use. A maxUnits of 0 means no limit.
 func (r *Response) SettledUnits(maxUnits float64) float64 {
 	if maxUnits > 0 && r.Units > maxUnits {
 		return 0
@@ -39,101 +40,103 @@
 	return r.Units
 }
 
-// responseReader reads what comes in on a connection, bounded for each response: in bytes, against heads and bodies
-// without end, and in time, against half a response.
+// responseReader reads from a connection and limits each response: in size, against endless headers and
+// bodies, and in time, against incomplete responses.
 type responseReader struct {
 	conn        net.Conn
 	ctx         context.Context // of the exchange
-	remaining   int             // bytes that the response may still take
-	started     bool            // some of the response has come
-	hasDeadline bool            // the rest of the response has a deadline of its own
-	err         error           // how the connection failed
+	remaining   int             // bytes left of the response's size limit
+	started     bool            // part of the response was received
+	hasDeadline bool            // the deadline for the rest of the response is set
+	err         error           // read error of the connection; nil: none
 }
 
-// reset prepares for a response.
-func (in *responseReader) reset(ctx context.Context) {
-	in.ctx, in.remaining, in.started = ctx, maxResponse, false
+// reset prepares the reader for the next response.
+func (r *responseReader) reset(ctx context.Context) {
+	r.ctx, r.remaining, r.started = ctx, maxResponse, false
 }
 
-// Read reads from the connection within the bounds of the response.
-func (in *responseReader) Read(p []byte) (int, error) {
-	if in.remaining <= 0 {
+// Read implements io.Reader. It returns errResponseTooLong once the response has reached its size limit.
+func (r *responseReader) Read(p []byte) (int, error) {
+	if r.remaining <= 0 {
 		return 0, errResponseTooLong
 	}
-	if in.started && !in.hasDeadline { // most responses come whole in the first read
-		in.setRestDeadline()
+	if r.started && !r.hasDeadline { // most responses arrive completely in the first read
+		r.setRestDeadline()
 	}
-	n, err := in.conn.Read(p[:min(len(p), in.remaining)])
-	in.remaining -= n
-	in.started = in.started || n > 0
+	n, err := r.conn.Read(p[:min(len(p), r.remaining)])
+	r.remaining -= n
+	r.started = r.started || n > 0
 	if err != nil {
-		in.err = err
+		r.err = err
 	}
 	return n, err
 }
 
-// setRestDeadline bounds the time for the rest of the response. That a deadline can't be set means that the
+// setRestDeadline sets the deadline for the rest of the response. An error is ignored: it means that the
 // connection is closed, which the read reports.
-func (in *responseReader) setRestDeadline() {
-	in.hasDeadline = true
-	_ = in.conn.SetReadDeadline(time.Now().Add(responseRestTimeout))
-	if in.ctx.Err() != nil { // the end of ctx set a deadline that this one has replaced
-		_ = in.conn.SetReadDeadline(longAgo)
+func (r *responseReader) setRestDeadline() {
+	r.hasDeadline = true
+	_ = r.conn.SetReadDeadline(time.Now().Add(responseRestTimeout))
+	if r.ctx.Err() != nil { // this deadline may have replaced that of interrupt
+		_ = r.conn.SetReadDeadline(expiredDeadline)
 	}
 }
 
-// clearDeadline removes the deadline of the rest.
-func (in *responseReader) clearDeadline() {
-	if in.hasDeadline {
-		in.hasDeadline = false
-		_ = in.conn.SetReadDeadline(time.Time{}) // fails on a closed connection only
+// clearDeadline removes the deadline for the rest of the response.
+func (r *responseReader) clearDeadline() {
+	if r.hasDeadline {
+		r.hasDeadline = false
+		_ = r.conn.SetReadDeadline(time.Time{}) // fails only if the connection is closed
 	}
 }
 
-// failed tells how the reading of a response failed. One that came and can't be read is an error response: only a
-// connection that broke is a reset, which hints at a server that has restarted.
-func (in *responseReader) failed() balancer.Result {
-	if in.err == nil || in.hasDeadline && errors.Is(in.err, os.ErrDeadlineExceeded) {
+// failureResult returns the result of an attempt whose response could not be read. A response that is
+// malformed, too long or not complete in time is an error response. Only a broken connection is a reset,
+// which suggests that the server has restarted.
+func (r *responseReader) failureResult() balancer.Result {
+	if r.err == nil || r.hasDeadline && errors.Is(r.err, os.ErrDeadlineExceeded) {
 		return balancer.ErrorResponse
 	}
 	return balancer.Reset
 }
 
-// readResponse reads a whole response and tells whether the connection can be used again. A malformed response is not
-// read to its end: its connection is closed instead.
+// readResponse reads a complete response. reuse reports whether the connection can be used again. A malformed
+// response is not read to its end, and its connection must be closed.
 func (c *conn) readResponse(req *http.Request) (r Response, result balancer.Result, reuse bool) {
-	resp, err := c.readHead(req)
+	resp, err := c.readHeaders(req)
 	if err != nil {
-		return Response{}, c.reader.failed(), false
+		return Response{}, c.reader.failureResult(), false
 	}
 	if resp.ContentLength > maxResponseBody {
 		return Response{}, balancer.ErrorResponse, false
 	}
 	body, err := readResponseBody(resp)
 	if err != nil {
-		return Response{}, c.reader.failed(), false
+		return Response{}, c.reader.failureResult(), false
 	}
 	if len(body) > maxResponseBody {
 		return Response{}, balancer.ErrorResponse, false
 	}
 	c.reader.clearDeadline()
-	// What follows the response belongs to no request: the next one would take it for its own.
+	// Data after the response belongs to no request. The next request would take it for its response.
 	reuse = !resp.Close && c.buffered.Buffered() == 0
 	return newResponse(resp, body), resultOf(resp), reuse
 }
 
-// readHead reads the head of the final response.
-func (c *conn) readHead(req *http.Request) (*http.Response, error) {
+// readHeaders reads the headers of the final response and skips 1xx responses before it.
+func (c *conn) readHeaders(req *http.Request) (*http.Response, error) {
 	resp, err := http.ReadResponse(c.buffered, req)
 	for err == nil && resp.StatusCode < 200 && resp.StatusCode != http.StatusSwitchingProtocols {
 		c.reader.clearDeadline()
-		c.reader.started = c.buffered.Buffered() > 0 // the final response may come later
+		c.reader.started = c.buffered.Buffered() > 0 // the final response may begin much later
 		resp, err = http.ReadResponse(c.buffered, req)
 	}
 	return resp, err
 }
 
-// readResponseBody reads a body to its end: its length, its last chunk or the end of its connection. A reset is none.
+// readResponseBody reads a body to its end, which its length, its last chunk or the orderly end of the
+// connection marks. A reset is an error.
 func readResponseBody(resp *http.Response) ([]byte, error) {
 	if resp.ContentLength < 0 {
 		return io.ReadAll(io.LimitReader(resp.Body, maxResponseBody+1))
@@ -154,7 +157,8 @@
 	return r
 }
 
-// resultOf is the result that a response's status stands for (protocol, "Edge nodes to app servers").
+// resultOf returns the result that the protocol assigns to a response's status. A 503 or 504 proves that the
+// request did not run only if X-Never-Ran is 1.
 func resultOf(resp *http.Response) balancer.Result {
 	switch resp.StatusCode {
 	case http.StatusOK:
--- a/internal/edgenode/upstream/upstream.go
+++ b/internal/edgenode/upstream/upstream.go
@@ -1,5 +1,6 @@
-// Package upstream is an edge node's side towards the app servers: a [Pool] of connections, and on them exchanges of one
-// request and its response each. It says of each attempt what came of it, and above all whether it may have run.
+// Package upstream is an edge node's client of the app servers. A [Pool] holds connections and exchanges one
+// request and its response at a time on each. It reports the result of each attempt, in particular whether
+// the request may have run.
 package upstream
 
 import (
@@ -18,41 +19,45 @@
 	"opalhook/internal/settings"
 )
 
-// staleResetWindow is the time from the write of a request to the reset of a connection that the server had given up
-// before.
+// staleResetWindow is the longest time from the write of a request to a reset that is attributed to the idle
+// time of the connection: the server had dropped it before the request.
 const staleResetWindow = 20 * time.Millisecond
 
-// Pool holds the connections to app servers. The client of net/http is not used: it silently sends a request again when
-// a kept connection turns out dead, which would be a second copy. Here one call of Exchange writes a request once at
-// most. Its methods may be called from many goroutines.
+// Pool holds the connections to app servers. It does not use the client of net/http, which silently sends a
+// request again if a reused connection is broken. The request could then run twice. One call of
+// [Pool.Exchange] writes a request at most once. The methods are safe for concurrent use.
 type Pool struct {
-	// DialContext makes the connections, which have to be [syscall.Conn]; it is not to be changed once they are made.
+	// DialContext opens the connections, which must implement [syscall.Conn]. It must not be changed after
+	// the first use of the pool.
 	DialContext func(ctx context.Context, network, addr string) (net.Conn, error)
 
-	maxIdle time.Duration
-	maxOpen int // connections, idle or not, as descriptors are limited
+	maxIdle time.Duration // idle time after which a connection is not used any more
+	maxOpen int           // limit on open connections, idle or not, because file descriptors are limited
 
 	mu       sync.Mutex
 	backends map[string]*Backend // by endpoint id
-	open     int
+	open     int                 // number of open connections, idle or not, and of those being opened
 }
 
-// Backend is an app server, as the list describes it, and its idle connections, the latest used last. What makes it
-// another server to a request that was decided on makes it another Backend. Its fields are guarded by the pool's mutex.
+// Backend is an app server as the endpoint list describes it, with its idle connections. If the server's
+// address, start time, zone or cell changes, it becomes another Backend, because a selection of the server
+// no longer applies. The fields are guarded by the pool's mutex.
 type Backend struct {
 	addr      netip.AddrPort
 	startedAt time.Duration
 	zone      string
 	cell      int
 	up        bool
-	idle      []*conn
+	idle      []*conn // ordered by idleSince; the last one was used most recently
 
-	keepIdle      time.Duration // for which idle connections were found good, at keepIdleSetAt; 0: maxIdle
-	keepIdleSetAt time.Time
+	// idleLimit is a reduced limit on the idle time of connections. It has doubled each
+	// idleLimitDoublingPeriod since idleLimitSetAt. 0 means that maxIdle applies.
+	idleLimit      time.Duration
+	idleLimitSetAt time.Time
 }
 
-// New returns a pool without servers that opens at most maxOpen connections. Connections to an app server are kept for a
-// part of the idle time of the settings.
+// New returns a pool without servers. It opens at most maxOpen connections. Idle connections are kept for a
+// fraction of t.ConnIdle.
 func New(t settings.Transport, maxOpen int) *Pool {
 	return &Pool{
 		DialContext: (&net.Dialer{Timeout: t.ConnectTimeout, KeepAlive: -1}).DialContext,
@@ -62,49 +67,52 @@
 	}
 }
 
-// Update applies entries of the list, all there are if it is complete. A server that drains, moved, restarted or left the
-// list gets nothing new from then on. The returned function closes its idle connections.
-func (u *Pool) Update(entries []endpointlist.Endpoint, complete bool) (closeUnused func()) {
-	unused := u.update(entries, complete)
+// Update applies entries of the endpoint list. If complete is set, servers that are not among the entries
+// are removed. After Update has returned, no new request is written to a server that drains or was removed,
+// nor to the previous process or address of one that has restarted or moved. The returned function closes
+// the idle connections to these; the caller must call it.
+func (p *Pool) Update(entries []endpointlist.Endpoint, complete bool) (closeUnused func()) {
+	unused := p.update(entries, complete)
 	return func() { closeAll(unused) }
 }
 
-// update applies entries of the list, all there are if it is complete, and returns the idle connections that are of no
-// more use, for the caller to close. A server that drains, moved, restarted or left the list keeps none.
-func (u *Pool) update(entries []endpointlist.Endpoint, complete bool) (unused []*conn) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	listed := map[string]bool{}
+// update does the work of [Pool.Update]. It returns the idle connections that are no longer used, which the
+// caller must close.
+func (p *Pool) update(entries []endpointlist.Endpoint, complete bool) (unused []*conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	listed := map[string]bool{} // by endpoint id
 	for _, e := range entries {
 		if e.State != balancer.Removed {
 			listed[e.ID] = true
 		}
-		unused = append(unused, u.updateBackend(e)...)
+		unused = append(unused, p.updateBackend(e)...)
 	}
 	if complete {
-		for id := range u.backends {
+		for id := range p.backends {
 			if !listed[id] {
-				unused = append(unused, u.remove(id)...)
+				unused = append(unused, p.remove(id)...)
 			}
 		}
 	}
-	u.open -= len(unused)
+	p.open -= len(unused)
 	return unused
 }
 
-// updateBackend applies one entry and returns the idle connections that are of no more use. Called under the mutex.
-func (u *Pool) updateBackend(e endpointlist.Endpoint) (unused []*conn) {
+// updateBackend applies one entry and returns the idle connections that are no longer used. The caller must
+// hold the mutex.
+func (p *Pool) updateBackend(e endpointlist.Endpoint) (unused []*conn) {
 	if e.State == balancer.Removed {
-		return u.remove(e.ID)
+		return p.remove(e.ID)
 	}
-	b := u.backends[e.ID]
-	if b != nil && !b.describes(e) {
-		unused = u.remove(e.ID)
+	b := p.backends[e.ID]
+	if b != nil && !b.matches(e) {
+		unused = p.remove(e.ID)
 		b = nil
 	}
 	if b == nil {
 		b = &Backend{addr: e.Addr, startedAt: e.StartedAt, zone: e.Zone, cell: e.Cell}
-		u.backends[e.ID] = b
+		p.backends[e.ID] = b
 	}
 	if b.up = e.State == balancer.Up; !b.up {
 		unused, b.idle = append(unused, b.idle...), nil
@@ -112,55 +120,61 @@
 	return unused
 }
 
-// describes tells whether an entry means the same server.
-func (b *Backend) describes(e endpointlist.Endpoint) bool {
+// matches reports whether an entry describes the same server process in the same place.
+func (b *Backend) matches(e endpointlist.Endpoint) bool {
 	return b.addr == e.Addr && b.startedAt == e.StartedAt && b.zone == e.Zone && b.cell == e.Cell
 }
 
-// remove removes a backend, if it is there, and returns its idle connections. Called under the mutex.
-func (u *Pool) remove(id string) []*conn {
-	b := u.backends[id]
+// remove removes a backend, if it exists, and returns its idle connections. The caller must hold the mutex.
+func (p *Pool) remove(id string) []*conn {
+	b := p.backends[id]
 	if b == nil {
 		return nil
 	}
 	idle := b.idle
 	b.up, b.idle = false, nil
-	delete(u.backends, id)
+	delete(p.backends, id)
 	return idle
 }
 
-// Lookup returns the server as it is now, nil if it is not listed.
-func (u *Pool) Lookup(endpointID string) *Backend {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return u.backends[endpointID]
+// Lookup returns the current Backend of an endpoint, nil if it is not in the list.
+func (p *Pool) Lookup(endpointID string) *Backend {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.backends[endpointID]
 }
 
-// Exchange writes the message to the server, once at most, and reads the whole response. It gives up when ctx ends, by
-// closing the connection before it returns.
-func (u *Pool) Exchange(ctx context.Context, endpointID string, m *Message, limits WriteLimits) (Response, balancer.Result) {
+// Exchange writes a message to an app server, at most once, and reads the complete response. If ctx ends
+// first, it closes the connection before it returns. A response that could not be read is empty, except that
+// ConnectedAt is set if the result is ErrorResponse.
+func (p *Pool) Exchange(
+	ctx context.Context, endpointID string, m *Message, limits WriteLimits,
+) (Response, balancer.Result) {
 	if deadline, ok := ctx.Deadline(); ok {
 		limits.startBefore = deadline
 	}
-	sent, err := u.send(ctx, endpointID, m, limits)
+	sent, err := p.send(ctx, endpointID, m, limits)
 	if err != nil {
 		return Response{}, unsentResult(ctx, err)
 	}
-	return u.receive(ctx, sent)
+	return p.receive(ctx, sent)
 }
 
-// sentRequest is a request whose last byte was written.
+// sentRequest is a request that was completely written.
 type sentRequest struct {
-	conn        *conn
-	request     *http.Request
-	writtenAt   time.Time
-	keepRunning func() bool // the end of the exchange's context has no effect any more; false: it has had
+	conn          *conn
+	request       *http.Request
+	writtenAt     time.Time
+	stopInterrupt func() bool // detaches the connection from the context; false: the context has ended before
 }
 
-// send writes a request on a connection, or on another one where an idle connection was closed before the first byte.
-func (u *Pool) send(ctx context.Context, endpointID string, m *Message, limits WriteLimits) (sentRequest, error) {
+// send writes a request on an idle or new connection. If an idle connection turns out to be closed before
+// the first byte, it uses another one.
+func (p *Pool) send(
+	ctx context.Context, endpointID string, m *Message, limits WriteLimits,
+) (sentRequest, error) {
 	for {
-		c, err := u.acquire(ctx, endpointID, limits.Backend)
+		c, err := p.acquire(ctx, endpointID, limits.Backend)
 		if err != nil {
 			return sentRequest{}, err
 		}
@@ -169,60 +183,62 @@
 		request := m.httpRequest(ctx)
 		var text bytes.Buffer
 		if err = request.Write(&text); err == nil {
-			err = u.writeRequest(ctx, c, m, limits, text.Bytes())
+			err = p.writeRequest(ctx, c, m, limits, text.Bytes())
 		}
 		if err == nil {
-			return sentRequest{conn: c, request: request, writtenAt: time.Now(), keepRunning: stop}, nil
+			return sentRequest{conn: c, request: request, writtenAt: time.Now(), stopInterrupt: stop}, nil
 		}
-		// A server begins a request when its last byte has come, and that was not written.
+		// The request has not run: a server begins it after its last byte, which was not written.
 		stop()
-		u.discard(c)
+		p.discard(c)
 		if !errors.Is(err, errConnStale) || c.idleFor == 0 {
 			return sentRequest{}, err
 		}
 	}
 }
 
-// receive reads the response to a request and gives its connection back or closes it.
-func (u *Pool) receive(ctx context.Context, sent sentRequest) (Response, balancer.Result) {
+// receive reads the response to a request. It releases the connection or closes it.
+func (p *Pool) receive(ctx context.Context, sent sentRequest) (Response, balancer.Result) {
 	c := sent.conn
 	response, result, reuse := c.readResponse(sent.request)
-	if result == balancer.Reset && !c.reader.started && c.idleFor >= minKeepIdle && time.Since(sent.writtenAt) < staleResetWindow {
-		u.shortenKeepIdle(c)
+	if result == balancer.Reset && !c.reader.started && c.idleFor >= minIdleLimit &&
+		time.Since(sent.writtenAt) < staleResetWindow {
+		p.shortenIdleLimit(c)
 	}
-	if sent.keepRunning() && reuse {
-		u.release(c)
+	if sent.stopInterrupt() && reuse {
+		p.release(c)
 	} else {
-		u.discard(c)
+		p.discard(c)
 	}
 	if result == balancer.Reset && ctx.Err() != nil {
-		result = gaveUp(ctx, c)
+		result = contextEndResult(ctx, c)
 	}
 	switch result {
 	case balancer.TimedOut:
-		u.closeIdle(c.backend)
+		p.closeIdle(c.backend)
 	case balancer.OK, balancer.Overloaded, balancer.ErrorResponse:
 		response.ConnectedAt = c.connectedAt
 	}
 	return response, result
 }
 
-// gaveUp is the result of an exchange that its context ended.
-func gaveUp(ctx context.Context, c *conn) balancer.Result {
+// contextEndResult returns the result of an exchange that the end of its context interrupted.
+func contextEndResult(ctx context.Context, c *conn) balancer.Result {
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
 		return balancer.Cancelled
-	case c.reader.started: // half a response is no silence
+	case c.reader.started: // part of a response was received, so the server is not silent
 		return balancer.ErrorResponse
 	}
 	return balancer.TimedOut
 }
 
-// unsentResult is the result of an attempt whose last byte was not written. Where that was no fault of the server's,
-// or the attempt's own time ended first, it says nothing of the server.
+// unsentResult returns the result of an attempt whose last byte was not written. It is ConnectFailed only if
+// the server may be the cause. For local causes, and if the attempt's own time ended first, it is NotSent or
+// Cancelled.
 func unsentResult(ctx context.Context, err error) balancer.Result {
 	switch {
-	case errors.Is(err, errNoDescriptor), errors.Is(err, syscall.EMFILE), errors.Is(err, syscall.ENFILE):
+	case errors.Is(err, errConnLimit), errors.Is(err, syscall.EMFILE), errors.Is(err, syscall.ENFILE):
 		return balancer.NotSent
 	case errors.Is(err, errAnswered), errors.Is(err, errTooLate):
 		return balancer.NotSent
@@ -234,5 +250,5 @@
 	return balancer.ConnectFailed
 }
 
-// Close closes all idle connections.
-func (u *Pool) Close() { closeAll(u.update(nil, true)) }
+// Close removes all servers and closes their idle connections.
+func (p *Pool) Close() { closeAll(p.update(nil, true)) }
--- a/internal/edgenode/upstream/upstream_test.go
+++ b/internal/edgenode/upstream/upstream_test.go
@@ -15,41 +15,41 @@
 	"opalhook/internal/settings"
 )
 
-func testUpstream(servers ...endpointlist.Endpoint) *Pool {
-	u := New(settings.Transport{ConnIdle: time.Minute, ConnectTimeout: 5 * time.Second}, 100)
-	u.update(servers, true)
-	return u
+func newTestPool(servers ...endpointlist.Endpoint) *Pool {
+	pool := New(settings.Transport{ConnIdle: time.Minute, ConnectTimeout: 5 * time.Second}, 100)
+	pool.update(servers, true)
+	return pool
 }
 
-var get = Message{Method: "GET", Target: "/check?customer=1", ID: "t1"}
+var getRequest = Message{Method: "GET", Target: "/check?customer=1", ID: "t1"}
 
-func exchange(t *testing.T, u *Pool, server string) (Response, balancer.Result) {
+func exchange(t *testing.T, pool *Pool, server string) (Response, balancer.Result) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), nodetest.Patience)
 	defer cancel()
-	return u.Exchange(ctx, server, &get, WriteLimits{})
+	return pool.Exchange(ctx, server, &getRequest, WriteLimits{})
 }
 
 func wantResult(t *testing.T, got, want balancer.Result) {
 	t.Helper()
 	if got != want {
-		t.Errorf("result %d, want %d", got, want)
+		t.Errorf("result %v, want %v", got, want)
 	}
 }
 
-// An attempt whose own time ends before it is written says nothing of its server.
-func TestOwnDeadlineSaysNothingOfTheServer(t *testing.T) {
+// An attempt whose deadline passes before it is written must not count against its server.
+func TestExpiredDeadlineIsNotSent(t *testing.T) {
 	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
-	u := testUpstream(s.Endpoint("a"))
+	pool := newTestPool(s.Endpoint("a"))
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(-time.Second))
 	defer cancel()
-	_, res := u.Exchange(ctx, "a", &get, WriteLimits{})
+	_, res := pool.Exchange(ctx, "a", &getRequest, WriteLimits{})
 	wantResult(t, res, balancer.NotSent)
 }
 
-// A kept connection that breaks under a request ends it as a reset. A client that
-// resends by itself would make a second copy.
-func TestNothingIsResent(t *testing.T) {
+// Guards against a silent second transmission: a request on a reused connection that breaks must end as a
+// reset.
+func TestRequestIsNotResent(t *testing.T) {
 	first := true
 	s := nodetest.NewAppServer(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
 		if first {
@@ -59,107 +59,107 @@
 		}
 		return false
 	})
-	u := testUpstream(s.Endpoint("a"))
-	_, res := exchange(t, u, "a")
+	pool := newTestPool(s.Endpoint("a"))
+	_, res := exchange(t, pool, "a")
 	wantResult(t, res, balancer.OK)
-	u.rest()
-	_, res = exchange(t, u, "a")
+	pool.ageIdle()
+	_, res = exchange(t, pool, "a")
 	wantResult(t, res, balancer.Reset)
 	if n := len(s.Requests()); n != 2 {
-		t.Errorf("%d copies arrived of 2 requests", n)
+		t.Errorf("%d requests arrived, want 2", n)
 	}
 }
 
-// Giving up closes the connection before the outcome is known, or the next attempt
-// would be a second copy.
-func TestGivingUpClosesTheConnection(t *testing.T) {
+// When an attempt ends early, its connection is closed before its result is reported. Otherwise the next
+// attempt could run at the same time.
+func TestCancelledExchangeClosesTheConnection(t *testing.T) {
 	for want, reason := range map[balancer.Result]error{
 		balancer.TimedOut: context.DeadlineExceeded, balancer.Cancelled: context.Canceled,
 	} {
 		s := nodetest.NewAppServer(t, func(net.Conn, *http.Request, []byte) bool { select {} })
-		u := testUpstream(s.Endpoint("a"))
+		pool := newTestPool(s.Endpoint("a"))
 		ctx, result := nodetest.NewEndingContext(), make(chan balancer.Result, 1)
 		go func() {
-			_, res := u.Exchange(ctx, "a", &get, WriteLimits{})
+			_, res := pool.Exchange(ctx, "a", &getRequest, WriteLimits{})
 			result <- res
 		}()
-		nodetest.Eventually(t, "request out", func() bool { return len(s.Requests()) == 1 })
+		nodetest.Eventually(t, "request at the server", func() bool { return len(s.Requests()) == 1 })
 		ctx.End(reason)
 		wantResult(t, nodetest.Await(t, "a result", result), want)
 		nodetest.WantClosed(t, nodetest.Await(t, "a connection", s.Conns))
-		if u.open != 0 {
-			t.Errorf("%d connections counted, none open", u.open)
+		if pool.open != 0 {
+			t.Errorf("%d connections open, want 0", pool.open)
 		}
 	}
 }
 
-// A message that was withdrawn is not sent any more, also where it has its connection, nor is an attempt that was given
-// up, and nobody has told either.
-func TestNothingIsSentOfWhatWasWithdrawn(t *testing.T) {
+// A withdrawn message and a cancelled attempt are not written any more, even if their connection is already
+// acquired. Other requests are still sent.
+func TestWithdrawnMessageIsNotSent(t *testing.T) {
 	srv := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
-	u := testUpstream(srv.Endpoint("a"))
-	c, err := u.acquire(t.Context(), "a", nil)
+	pool := newTestPool(srv.Endpoint("a"))
+	c, err := pool.acquire(t.Context(), "a", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	withdrawn := get
-	u.Withdraw(&withdrawn)
-	u.release(c)
-	if _, result := u.Exchange(t.Context(), "a", &withdrawn, WriteLimits{}); result != balancer.NotSent {
-		t.Errorf("result %v", result)
+	withdrawn := getRequest
+	pool.Withdraw(&withdrawn)
+	pool.release(c)
+	if _, result := pool.Exchange(t.Context(), "a", &withdrawn, WriteLimits{}); result != balancer.NotSent {
+		t.Errorf("withdrawn message: result %v, want %v", result, balancer.NotSent)
 	}
-	c, err = u.acquire(t.Context(), "a", nil)
+	c, err = pool.acquire(t.Context(), "a", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, giveUp := context.WithCancel(t.Context())
-	u.Cancel(giveUp)
-	if err := u.writeRequest(ctx, c, &Message{}, WriteLimits{}, []byte("GET /givenup HTTP/1.1\r\nHost: a\r\n\r\n")); !errors.Is(err, context.Canceled) {
-		t.Errorf("an attempt that was given up is written: %v", err)
+	ctx, cancel := context.WithCancel(t.Context())
+	pool.Cancel(cancel)
+	if err := pool.writeRequest(ctx, c, &Message{}, WriteLimits{}, []byte("GET /givenup HTTP/1.1\r\nHost: a\r\n\r\n")); !errors.Is(err, context.Canceled) {
+		t.Errorf("cancelled attempt: error %v, want %v", err, context.Canceled)
 	}
-	u.release(c)
-	if _, result := u.Exchange(t.Context(), "a", &Message{Method: "GET", Target: "/other"}, WriteLimits{}); result != balancer.OK {
-		t.Errorf("another request: result %v", result)
+	pool.release(c)
+	if _, result := pool.Exchange(t.Context(), "a", &Message{Method: "GET", Target: "/other"}, WriteLimits{}); result != balancer.OK {
+		t.Errorf("another request: result %v, want %v", result, balancer.OK)
 	}
 	if got := srv.Requests(); len(got) != 1 || got[0] != "GET /other " {
-		t.Errorf("sent %q", got)
+		t.Errorf("server got %q, want only the other request", got)
 	}
-	u.Close()
+	pool.Close()
 }
 
-// A request that was decided on and has its connection, but whose first byte has not gone out
-// when the drain is applied, stays here: on a kept connection as on a new one.
+// Guards against a request to a draining server: if the server begins to drain after the request has
+// acquired its connection, idle or new, and before the first byte, the request must not be written.
 func TestDrainBeforeTheFirstByte(t *testing.T) {
 	srv := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
-	for _, kept := range []bool{false, true} {
-		in := srv.Endpoint("a")
-		u := New(settings.Transport{ConnIdle: time.Minute, ConnectTimeout: nodetest.Patience}, 10)
-		u.update([]endpointlist.Endpoint{in}, true)
-		if kept {
-			if _, result := u.Exchange(t.Context(), "a", &Message{Method: "GET", Target: "/first"}, WriteLimits{}); result != balancer.OK {
-				t.Fatalf("first request: %v", result)
+	for _, reused := range []bool{false, true} {
+		entry := srv.Endpoint("a")
+		pool := New(settings.Transport{ConnIdle: time.Minute, ConnectTimeout: nodetest.Patience}, 10)
+		pool.update([]endpointlist.Endpoint{entry}, true)
+		if reused {
+			if _, result := pool.Exchange(t.Context(), "a", &Message{Method: "GET", Target: "/first"}, WriteLimits{}); result != balancer.OK {
+				t.Fatalf("first request: result %v, want %v", result, balancer.OK)
 			}
-			u.rest()
+			pool.ageIdle()
 		}
-		c, err := u.acquire(t.Context(), "a", nil)
+		c, err := pool.acquire(t.Context(), "a", nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		before := len(srv.Requests())
-		in.State = balancer.Draining
-		closeAll(u.update([]endpointlist.Endpoint{in}, false))
-		if err := u.writeRequest(t.Context(), c, &Message{}, WriteLimits{}, []byte("GET /late HTTP/1.1\r\nHost: a\r\n\r\n")); !errors.Is(err, errNotUp) {
-			t.Errorf("kept %v: written with error %v", kept, err)
+		entry.State = balancer.Draining
+		closeAll(pool.update([]endpointlist.Endpoint{entry}, false))
+		if err := pool.writeRequest(t.Context(), c, &Message{}, WriteLimits{}, []byte("GET /late HTTP/1.1\r\nHost: a\r\n\r\n")); !errors.Is(err, errNotUp) {
+			t.Errorf("reused %v: error %v, want %v", reused, err, errNotUp)
 		}
 		nodetest.SetDeadline(t, c)
 		_ = c.Conn.(*net.TCPConn).CloseWrite()
-		if n, err := io.Copy(io.Discard, c); n != 0 || err != nil { // the server closes what it has read to its end
-			t.Errorf("kept %v: %d bytes came back, error %v", kept, n, err)
+		if n, err := io.Copy(io.Discard, c); n != 0 || err != nil { // the server closes the connection after the end of its input
+			t.Errorf("reused %v: %d bytes received, error %v; want 0, nil", reused, n, err)
 		}
-		u.discard(c)
+		pool.discard(c)
 		if n := len(srv.Requests()) - before; n != 0 {
-			t.Errorf("kept %v: %d requests came in after it", kept, n)
+			t.Errorf("reused %v: %d requests arrived after the drain, want 0", reused, n)
 		}
-		u.Close()
+		pool.Close()
 	}
 }
--- a/internal/testbed/mutant.go
+++ b/internal/testbed/mutant.go
@@ -29,9 +29,9 @@
 			"			e.list.Endpoints[i].State = 0\n		}\n	}\n	if malformed { // one line"},
 	}},
 	"late-watch": {"a watch that broke is opened anew a minute later, and nothing else is asked", "internal/edgenode/follower/schedule.go", [][2]string{
-		{"	f.markDown()\n	f.suspect(listSuspect)\n	if !f.rateLimited() {\n", "	f.markDown()\n	f.watchAt = now + time.Minute\n	return\n	if !f.rateLimited() {\n"},
+		{"	f.markUnreachable()\n	f.suspect(listSuspect)\n	if !f.rateLimited() {\n", "	f.markUnreachable()\n	f.watchAt = now + time.Minute\n	return\n	if !f.rateLimited() {\n"},
 		{"	f.suspect(listSuspect)\n	f.watchAt = now + max(", "	f.watchAt = now + time.Minute\n	return\n	f.watchAt = now + max("},
-		{"	if f.freshness != listCurrent && f.fetch.id == 0 && ", "	if f.freshness != listCurrent && f.version == 0 && f.fetch.id == 0 && "},
+		{"	if f.freshness != listCurrent && f.fetch.id == 0 && ", "	if f.freshness != listCurrent && f.generation == 0 && f.fetch.id == 0 && "},
 	}},
 	"cap-128": {"no more than 128 entries of a message are read", "internal/discovery/lenient.go", [][2]string{
 		{"	for i, text := range raw.Instances {\n", "	for i, text := range raw.Instances {\n		if i >= 128 {\n			break\n		}\n"},
