--- a/internal/edgenode/endpointlist/endpointlist.go
+++ b/internal/edgenode/endpointlist/endpointlist.go
@@ -11,7 +11,7 @@
 // List is one message of discovery: the complete list of app servers, or changes to it.
 type List struct {
 	Generation uint64
-	Snapshot   bool // the complete list: an endpoint missing from it is gone
+	Snapshot   bool // the complete list: other endpoints have been removed
 	Endpoints  []Endpoint
 }
 
--- a/internal/edgenode/follower/client_test.go
+++ b/internal/edgenode/follower/client_test.go
@@ -23,7 +23,7 @@
 	initial, drained string // complete lists
 	lastText         string
 	breakWatch       func(net.Conn)
-	moves            bool          // the client moves to a second address; the first one does not get the drain
+	moves            bool          // the client moves to a second address; the first one lacks the drain
 	broken           chan struct{} // closed when the first watch fails
 }
 
@@ -80,7 +80,8 @@
 func (s *brokenWatchServer) awaitDrain(t *testing.T, pushed bool) {
 	t.Helper()
 	applied := make(chan endpointlist.List, 100)
-	client := NewClient(s.serve(t, true), New(Config{Pushed: pushed, FleetSize: 1, Rand: rand.New(rand.NewPCG(1, 1))}),
+	client := NewClient(s.serve(t, true),
+		New(Config{Pushed: pushed, FleetSize: 1, Rand: rand.New(rand.NewPCG(1, 1))}),
 		func(l endpointlist.List) { applied <- l }, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -131,7 +132,8 @@
 					t.Parallel()
 					s := &brokenWatchServer{
 						initial: initial, drained: nodetest.ListJSON(2, true, draining),
-						lastText: c.lastText, breakWatch: c.breakWatch, moves: moves, broken: make(chan struct{}),
+						lastText: c.lastText, breakWatch: c.breakWatch,
+						moves: moves, broken: make(chan struct{}),
 					}
 					s.awaitDrain(t, pushed)
 				})
--- a/internal/edgenode/follower/follower_test.go
+++ b/internal/edgenode/follower/follower_test.go
@@ -53,9 +53,20 @@
 	}{
 		{"open watch", (*simulation).startDrain, 0},
 		{"reset at the drain", func(s *simulation) { s.resetCalls(); s.startDrain() }, 0},
-		{"reset before the drain", func(s *simulation) { s.resetCalls(); s.advance(time.Second); s.startDrain() }, 0},
-		{"watches silent at the drain", func(s *simulation) { s.silenceCalls(); s.startDrain() }, deliveryLimit},
-		{"watches silent long before the drain", func(s *simulation) { s.silenceCalls(); s.advance(deliveryLimit); s.startDrain() }, 0},
+		{"reset before the drain", func(s *simulation) {
+			s.resetCalls()
+			s.advance(time.Second)
+			s.startDrain()
+		}, 0},
+		{"watches silent at the drain", func(s *simulation) {
+			s.silenceCalls()
+			s.startDrain()
+		}, deliveryLimit},
+		{"watches silent long before the drain", func(s *simulation) {
+			s.silenceCalls()
+			s.advance(deliveryLimit)
+			s.startDrain()
+		}, 0},
 		{"agent silent for 8 s", silentFor(8*time.Second, false), 0},
 		{"agent silent for 8 s, and for ever on the calls of that time", silentFor(8*time.Second, true), 0},
 		{"agent silent for 61 s", silentFor(61*time.Second, false), 0},
@@ -86,7 +97,9 @@
 			}
 			s.startDrain()
 		}, 0},
-		{"pause within the message", spoilChanges(func(m string) []chunk { return []chunk{{0, m[:20]}, {2 * time.Second, m[20:] + "\n"}} }), 0},
+		{"pause within the message", spoilChanges(func(m string) []chunk {
+			return []chunk{{0, m[:20]}, {2 * time.Second, m[20:] + "\n"}}
+		}), 0},
 	} {
 		for _, fleet := range []int{1, 350} {
 			s := newSim(min(fleet, 4), fleet, true) // nodes do not affect each other: each has its own agent
@@ -119,7 +132,8 @@
 		}
 		s.advance(time.Hour)
 		if n := len(s.callTimes); n != 2 {
-			t.Errorf("generation %d: %d calls in an hour without a fault, want 2: a fetch and a watch", generation, n)
+			t.Errorf("generation %d: %d calls in an hour without a fault, want 2: a fetch and a watch",
+				generation, n)
 		}
 	}
 }
@@ -151,7 +165,7 @@
 			broke := s.now
 			s.advance(20 * time.Second)
 			if delay := s.drainDelay(broke); delay < 0 || delay > deliveryLimit+maxDrainDelay {
-				t.Errorf("%s, fleet of %d: last node learned of the drain %v after its watch broke, want at most %v",
+				t.Errorf("%s, fleet of %d: last node learned of the drain %v after the fault, want at most %v",
 					fault, fleet, delay, deliveryLimit+maxDrainDelay)
 			}
 			most, callsPerTenth := 0, map[time.Duration]int{}
@@ -184,14 +198,15 @@
 			// limits leave a margin.
 			calls := len(s.callTimes) - before
 			if perS := float64(calls) / 60; perS > max(3*float64(min(fleet, 10)), float64(fleet)/8) || calls < fleet {
-				t.Errorf("%d nodes, pushed %v: %d calls in a minute, %.1f a second", fleet, pushed, calls, perS)
+				t.Errorf("%d nodes, pushed %v: %d calls in a minute, %.1f a second",
+					fleet, pushed, calls, perS)
 			}
 			s.rejects = false
 			s.startDrain()
 			accepting := s.now
 			s.advance(time.Minute)
 			if delay := s.drainDelay(accepting); delay < 0 || delay > 2*defaultPollInterval+MaxCallDuration {
-				t.Errorf("%d nodes, pushed %v: last node learned of the drain %v after calls were accepted again, want at most %v",
+				t.Errorf("%d nodes, pushed %v: last node learned of the drain %v after the rejections, want at most %v",
 					fleet, pushed, delay, 2*defaultPollInterval+MaxCallDuration)
 			}
 		}
@@ -210,15 +225,20 @@
 		n.client.setAddress(s.now, netip.MustParseAddrPort("127.0.0.1:2"))
 		n.step()
 		s.advance(time.Second)
-		old.deliver(callEvent{kind: eventMessage, list: endpointlist.List{Generation: 900, Endpoints: []endpointlist.Endpoint{{Endpoint: balancer.Endpoint{ID: "a", State: balancer.Draining}}}}})
+		old.deliver(callEvent{kind: eventMessage, list: endpointlist.List{
+			Generation: 900,
+			Endpoints:  []endpointlist.Endpoint{{Endpoint: balancer.Endpoint{ID: "a", State: balancer.Draining}}},
+		}})
 		if n.drainSeenAt == 0 || n.client.follower.generation == 900 {
-			t.Errorf("pushed %v: drain from the previous address applied at %v, generation %d", pushed, n.drainSeenAt, n.client.follower.generation)
+			t.Errorf("pushed %v: drain from the previous address applied at %v, generation %d",
+				pushed, n.drainSeenAt, n.client.follower.generation)
 		}
 		s.silent = false
 		s.forEachCall(s.respond)
 		s.advance(time.Second)
 		if !old.closed || n.client.follower.generation != 1 {
-			t.Errorf("pushed %v: previous watch is open: %v, generation %d; want closed, 1", pushed, !old.closed, n.client.follower.generation)
+			t.Errorf("pushed %v: previous watch is open: %v, generation %d; want closed, 1",
+				pushed, !old.closed, n.client.follower.generation)
 		}
 	}
 }
@@ -260,7 +280,8 @@
 	if !f.Message(pushedMessageTimeout+1, watch, Update{Version: 6}) {
 		t.Error("the watch's message is not applied")
 	}
-	if f.Message(pushedMessageTimeout+2, fetch, Update{Version: 5, Snapshot: true}) || f.generation != 6 || f.watch.id != watch {
+	if f.Message(pushedMessageTimeout+2, fetch, Update{Version: 5, Snapshot: true}) ||
+		f.generation != 6 || f.watch.id != watch {
 		t.Errorf("an older list is applied: generation %d, want 6", f.generation)
 	}
 	if f.Message(pushedMessageTimeout+3, fetch, Update{Version: 9, Snapshot: true}) {
--- a/internal/edgenode/follower/golden_test.go
+++ b/internal/edgenode/follower/golden_test.go
@@ -20,8 +20,11 @@
 func recordRequests(t *testing.T, pushed bool, collect func(requests <-chan string)) {
 	t.Helper()
 	const list = `{"generation":41,"reset":true,"instances":[]}`
-	addr, requests := nodetest.RecordRequests(t, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s\n", len(list)+1, list))
-	client := NewClient(addr, New(Config{Pushed: pushed, FleetSize: 1, PollInterval: defaultPollInterval, Rand: rand.New(rand.NewPCG(1, 1))}), func(endpointlist.List) {}, slog.New(slog.DiscardHandler))
+	addr, requests := nodetest.RecordRequests(t,
+		fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s\n", len(list)+1, list))
+	client := NewClient(addr, New(Config{
+		Pushed: pushed, FleetSize: 1, PollInterval: defaultPollInterval, Rand: rand.New(rand.NewPCG(1, 1)),
+	}), func(endpointlist.List) {}, slog.New(slog.DiscardHandler))
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
@@ -37,7 +40,8 @@
 func TestGoldenDiscoveryRequests(t *testing.T) {
 	var recorded string
 	recordRequests(t, false, func(requests <-chan string) {
-		recorded += nodetest.Await(t, "the first watch", requests) + nodetest.Await(t, "the next watch", requests)
+		recorded += nodetest.Await(t, "the first watch", requests) +
+			nodetest.Await(t, "the next watch", requests)
 	})
 	recordRequests(t, true, func(requests <-chan string) {
 		fetch := nodetest.Await(t, "a request", requests)
@@ -93,12 +97,14 @@
 	case eventEnd:
 		return fmt.Sprintf("end: %v\n", e.err)
 	case eventMalformed:
-		text = fmt.Sprintf("malformed %t %t %t\n", errors.Is(e.err, discovery.ErrTruncated), errors.Is(e.err, discovery.ErrNoMessage), errors.Is(e.err, discovery.ErrTooLong))
+		text = fmt.Sprintf("malformed %t %t %t\n", errors.Is(e.err, discovery.ErrTruncated),
+			errors.Is(e.err, discovery.ErrNoMessage), errors.Is(e.err, discovery.ErrTooLong))
 	case eventMessage:
 		text = fmt.Sprintf("list %d whole %t, %d spoilt\n", e.list.Generation, e.list.Snapshot, len(e.fieldErrors))
 	}
 	for _, s := range e.list.Endpoints {
-		text += fmt.Sprintf("  %q at %v state %d weight %v kind %q zone %q cell %d boot %v\n", s.ID, s.Addr, int(s.State), s.Weight, s.MachineType, s.Zone, s.Cell, s.StartedAt)
+		text += fmt.Sprintf("  %q at %v state %d weight %v kind %q zone %q cell %d boot %v\n",
+			s.ID, s.Addr, int(s.State), s.Weight, s.MachineType, s.Zone, s.Cell, s.StartedAt)
 	}
 	return text
 }
--- a/internal/edgenode/follower/schedule.go
+++ b/internal/edgenode/follower/schedule.go
@@ -14,9 +14,10 @@
 // is also the time limit for connecting.
 const MaxCallDuration = 3 * time.Second
 
-// Timing of the calls. Pushed stands for the calls of an agent, polled for those of the service.
+// Timing of the calls. Pushed stands for the calls of an agent, polled for those of the service or of an
+// agent that rejects calls.
 const (
-	// Silence after which a pushed watch is suspect and a polled watch is closed.
+	// Silence after which a pushed watch is suspect, and a polled watch is closed.
 	pushedIdleTimeout = heartbeatInterval + 300*time.Millisecond
 	polledIdleTimeout = heartbeatInterval + time.Second
 
@@ -87,7 +88,7 @@
 	}
 }
 
-// closePolledWatchIfDue closes a watch of the service that is silent or takes too long for one message.
+// closePolledWatchIfDue closes a polled watch that is silent or takes too long for one message.
 func (f *Follower) closePolledWatchIfDue(s *schedule) {
 	w := &f.watch
 	silent := w.lastActivity + polledMessageTimeout
@@ -99,8 +100,8 @@
 	}
 }
 
-// closePushedWatchIfDue suspects the list when the watch of an agent becomes suspect, so that a fetch
-// begins. It closes the watch only after MaxCallDuration, for an agent that answers late.
+// closePushedWatchIfDue marks the list as suspect when the watch of an agent becomes suspect, so that a fetch
+// begins. It closes the watch only after MaxCallDuration, because the agent may merely be late.
 func (f *Follower) closePushedWatchIfDue(s *schedule) {
 	w := &f.watch
 	if s.due(w.suspectDeadline()) {
--- a/internal/edgenode/follower/sim_test.go
+++ b/internal/edgenode/follower/sim_test.go
@@ -70,7 +70,9 @@
 const latency = time.Millisecond
 
 func newSim(nodes, fleet int, pushed bool) *simulation {
-	s := &simulation{generation: 1, encode: func(message string, _ bool) []chunk { return []chunk{{0, message + "\n"}} }}
+	s := &simulation{generation: 1, encode: func(message string, _ bool) []chunk {
+		return []chunk{{0, message + "\n"}}
+	}}
 	for i := range nodes {
 		n := &simNode{sim: s}
 		n.client = NewClient(netip.MustParseAddrPort("127.0.0.1:1"), New(Config{
@@ -87,7 +89,9 @@
 func (s *simulation) after(d time.Duration, run func()) {
 	s.seq++
 	e := simEvent{s.now + d, s.seq, run}
-	at, _ := slices.BinarySearchFunc(s.queue, e, func(a, b simEvent) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.seq, b.seq)) })
+	at, _ := slices.BinarySearchFunc(s.queue, e, func(a, b simEvent) int {
+		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.seq, b.seq))
+	})
 	s.queue = slices.Insert(s.queue, at, e)
 }
 
--- a/internal/edgenode/upstream/attempt_test.go
+++ b/internal/edgenode/upstream/attempt_test.go
@@ -117,7 +117,8 @@
 		if c.change != nil {
 			c.change(pool, s.Endpoint("a"))
 		}
-		if err := pool.writeRequest(t.Context(), conn, &Message{}, c.limits, []byte("GET /x HTTP/1.1\r\nHost: a\r\n\r\n")); !errors.Is(err, c.want) {
+		if err := pool.writeRequest(t.Context(), conn, &Message{}, c.limits,
+			[]byte("GET /x HTTP/1.1\r\nHost: a\r\n\r\n")); !errors.Is(err, c.want) {
 			t.Errorf("%s: error %v, want %v", name, err, c.want)
 		}
 		_ = conn.Conn.(*net.TCPConn).CloseWrite()
@@ -129,8 +130,8 @@
 	}
 }
 
-// Guards against a retry to a server that has restarted since the retry was decided on: WriteLimits.Backend
-// is no longer current then.
+// Guards against a retry to a server that has restarted, or is in another zone, since the retry was decided
+// on: WriteLimits.Backend is no longer current then.
 func TestRetryGoesToTheSelectedServer(t *testing.T) {
 	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 	pool := newTestPool(s.Endpoint("a"))
@@ -147,13 +148,15 @@
 	}
 }
 
-// newSlowServer starts an app server with a small receive buffer. It accepts connections but does not read,
-// so that a long request blocks in the middle of its write.
+// newSlowServer starts an app server with a small receive buffer. It accepts connections but does not read
+// from them, so that a long request blocks in the middle of its write.
 func newSlowServer(t *testing.T) (entry endpointlist.Endpoint, conns chan net.Conn) {
 	t.Helper()
 	conns = make(chan net.Conn, 10)
 	lc := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
-		return raw.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
+		return raw.Control(func(fd uintptr) {
+			_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096)
+		})
 	}}
 	ln, err := lc.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -187,7 +190,8 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), nodetest.Patience)
 	defer cancel()
-	if err := conn.writeRemainder(ctx, WriteLimits{CompleteBefore: time.Now().Add(50 * time.Millisecond)}, longRequest.Body); !errors.Is(err, errTooLate) || ctx.Err() != nil {
+	if err := conn.writeRemainder(ctx, WriteLimits{CompleteBefore: time.Now().Add(50 * time.Millisecond)},
+		longRequest.Body); !errors.Is(err, errTooLate) || ctx.Err() != nil {
 		t.Errorf("error %v, context error %v; want %v, nil", err, ctx.Err(), errTooLate)
 	}
 	pool.discard(conn)
@@ -204,7 +208,11 @@
 // A response that arrives before the request is completely written cannot belong to it. The attempt must end
 // with a result that says the request did not run.
 func TestResponseBeforeTheRequestIsWritten(t *testing.T) {
-	for _, text := range []string{nodetest.OKResponse, "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 503 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"} {
+	for _, text := range []string{
+		nodetest.OKResponse,
+		"HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n",
+		"HTTP/1.1 503 F\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n",
+	} {
 		entry, conns := newSlowServer(t)
 		pool := newTestPool(entry)
 		result := make(chan balancer.Result, 1)
@@ -225,7 +233,8 @@
 	pool := newTestPool(entry)
 	result := make(chan balancer.Result, 1)
 	go func() {
-		_, res := pool.Exchange(context.Background(), "a", &longRequest, WriteLimits{CompleteBefore: time.Now().Add(time.Hour)})
+		_, res := pool.Exchange(context.Background(), "a", &longRequest,
+			WriteLimits{CompleteBefore: time.Now().Add(time.Hour)})
 		result <- res
 	}()
 	c := nodetest.Await(t, "a connection", conns)
--- a/internal/edgenode/upstream/golden_test.go
+++ b/internal/edgenode/upstream/golden_test.go
@@ -34,7 +34,8 @@
 		if result != balancer.OK || string(rep.Body) != "body" {
 			t.Errorf("%s: result %d, body %q", m.Target, result, rep.Body)
 		}
-		transcript.WriteString(expiresIn.ReplaceAllString(nodetest.Await(t, "request for "+m.Target, heard), "X-Expires-In: SECONDS\r\n") + "\n")
+		transcript.WriteString(expiresIn.ReplaceAllString(nodetest.Await(t, "request for "+m.Target, heard),
+			"X-Expires-In: SECONDS\r\n") + "\n")
 	}
 	golden.Check(t, "golden/server-requests.txt", []byte(transcript.String()))
 }
@@ -49,14 +50,16 @@
 			fmt.Fprintf(&described, "%q: none\n", text)
 			continue
 		}
-		fmt.Fprintf(&described, "%q: in flight %v queue %v util %v\n", text, load.InFlight, load.Queued, load.Utilization)
+		fmt.Fprintf(&described, "%q: in flight %v queue %v util %v\n",
+			text, load.InFlight, load.Queued, load.Utilization)
 	}
 	golden.Check(t, "golden/load-reports-read.txt", described.Bytes())
 	s := nodetest.NewAppServer(t, nodetest.Say("HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT inflight=7, queue=2, util=0.61\r\nX-Settled: 2.5\r\nContent-Length: 0\r\n\r\n"))
 	pool := New(settings.Transport{ConnectTimeout: time.Minute}, 10)
 	pool.update([]endpointlist.Endpoint{s.Endpoint("s")}, true)
 	rep, result := pool.Exchange(t.Context(), "s", &Message{Method: "GET", Target: loadPath}, WriteLimits{})
-	if result != balancer.OK || rep.Units != 2.5 || rep.LoadReport == nil || *rep.LoadReport != (balancer.LoadReport{InFlight: 7, Queued: 2, Utilization: 0.61}) {
+	if result != balancer.OK || rep.Units != 2.5 || rep.LoadReport == nil ||
+		*rep.LoadReport != (balancer.LoadReport{InFlight: 7, Queued: 2, Utilization: 0.61}) {
 		t.Errorf("result %d, units %v, load %v", result, rep.Units, rep.LoadReport)
 	}
 }
--- a/internal/edgenode/upstream/pool_test.go
+++ b/internal/edgenode/upstream/pool_test.go
@@ -255,7 +255,8 @@
 // At the connection limit an idle connection is evicted. If none is idle, the attempt is not sent, and its
 // result does not count against the server.
 func TestConnectionLimit(t *testing.T) {
-	a, b := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse)), nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	a, b := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse)),
+		nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
 	pool := newTestPool(a.Endpoint("a"), b.Endpoint("b"))
 	pool.maxOpen = 1
 	exchange(t, pool, "a")
--- a/internal/edgenode/upstream/upstream_test.go
+++ b/internal/edgenode/upstream/upstream_test.go
@@ -114,11 +114,13 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	pool.Cancel(cancel)
-	if err := pool.writeRequest(ctx, c, &Message{}, WriteLimits{}, []byte("GET /givenup HTTP/1.1\r\nHost: a\r\n\r\n")); !errors.Is(err, context.Canceled) {
+	if err := pool.writeRequest(ctx, c, &Message{}, WriteLimits{},
+		[]byte("GET /givenup HTTP/1.1\r\nHost: a\r\n\r\n")); !errors.Is(err, context.Canceled) {
 		t.Errorf("cancelled attempt: error %v, want %v", err, context.Canceled)
 	}
 	pool.release(c)
-	if _, result := pool.Exchange(t.Context(), "a", &Message{Method: "GET", Target: "/other"}, WriteLimits{}); result != balancer.OK {
+	if _, result := pool.Exchange(t.Context(), "a",
+		&Message{Method: "GET", Target: "/other"}, WriteLimits{}); result != balancer.OK {
 		t.Errorf("another request: result %v, want %v", result, balancer.OK)
 	}
 	if got := srv.Requests(); len(got) != 1 || got[0] != "GET /other " {
@@ -136,7 +138,8 @@
 		pool := New(settings.Transport{ConnIdle: time.Minute, ConnectTimeout: nodetest.Patience}, 10)
 		pool.update([]endpointlist.Endpoint{entry}, true)
 		if reused {
-			if _, result := pool.Exchange(t.Context(), "a", &Message{Method: "GET", Target: "/first"}, WriteLimits{}); result != balancer.OK {
+			if _, result := pool.Exchange(t.Context(), "a",
+				&Message{Method: "GET", Target: "/first"}, WriteLimits{}); result != balancer.OK {
 				t.Fatalf("first request: result %v, want %v", result, balancer.OK)
 			}
 			pool.ageIdle()
@@ -148,12 +151,14 @@
 		before := len(srv.Requests())
 		entry.State = balancer.Draining
 		closeAll(pool.update([]endpointlist.Endpoint{entry}, false))
-		if err := pool.writeRequest(t.Context(), c, &Message{}, WriteLimits{}, []byte("GET /late HTTP/1.1\r\nHost: a\r\n\r\n")); !errors.Is(err, errNotUp) {
+		if err := pool.writeRequest(t.Context(), c, &Message{}, WriteLimits{},
+			[]byte("GET /late HTTP/1.1\r\nHost: a\r\n\r\n")); !errors.Is(err, errNotUp) {
 			t.Errorf("reused %v: error %v, want %v", reused, err, errNotUp)
 		}
 		nodetest.SetDeadline(t, c)
 		_ = c.Conn.(*net.TCPConn).CloseWrite()
-		if n, err := io.Copy(io.Discard, c); n != 0 || err != nil { // the server closes the connection after the end of its input
+		// The server closes the connection after the end of its input.
+		if n, err := io.Copy(io.Discard, c); n != 0 || err != nil {
 			t.Errorf("reused %v: %d bytes received, error %v; want 0, nil", reused, n, err)
 		}
 		pool.discard(c)
