--- a/internal/edgenode/follower/client.go
+++ b/internal/edgenode/follower/client.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// Run follows the list until ctx ends. It calls apply no more after it has returned.
+// Run follows the list until ctx ends. It does not call apply after it has returned.
 func (d *Client) Run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	var readers sync.WaitGroup
