--- a/balancer/cold_fleet_test.go
+++ b/balancer/cold_fleet_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// coldStartFleet is a fleet of nodes before endpoints that start cold under load, on a clock of its own.
+// coldStartFleet simulates a fleet of nodes whose endpoints start cold under load, on a simulated clock.
 type coldStartFleet struct {
 	settings   Settings
 	rng        *rand.Rand
@@ -18,21 +18,21 @@
 	queue      eventQueue
 	events     int
 	nodes      []*Balancer
-	inboxes    [][]time.Duration // when each node took in its latest messages
+	inboxes    [][]time.Duration // times at which each node received its messages of the last second
 	endpoints  map[string]*coldStartEndpoint
-	attempts   map[string]int // of each request
-	offered    float64        // requests a second of the whole fleet
-	sent       int            // requests to cold endpoints
-	worstRatio float64        // of a cold endpoint: work of a window over what it bears
-	detail     string
+	attempts   map[string]int // number of attempts by request id
+	offered    float64        // requests per second offered to the whole fleet
+	sent       int            // attempts at cold endpoints
+	worstRatio float64        // highest ratio of a cold endpoint's work in the overload window to its limit
+	detail     string         // description of the attempt that caused worstRatio
 }
 
-// coldStartEndpoint is an endpoint with a queue before its cores.
+// coldStartEndpoint is a simulated endpoint: some cores with a queue.
 type coldStartEndpoint struct {
 	Endpoint
 	queue    []coldStartJob
-	busy     int
-	attempts []coldStartAttempt // since its last start
+	busy     int                // number of cores in use
+	attempts []coldStartAttempt // attempts since its last start
 }
 
 type coldStartAttempt struct {
@@ -41,28 +41,28 @@
 }
 
 type coldStartJob struct {
-	work   float64 // in seconds of a core of a warm endpoint
+	work   float64 // seconds on one core of a warm endpoint
 	answer func(res Result, load *LoadReport)
 }
 
-// coldStartListDelay is the time within which each node learns of a change of the list.
+// coldStartListDelay is the maximum time until a node receives a change of the list.
 const coldStartListDelay = 1500 * ms
 
-// Sizes of the app endpoints.
+// Capacity of an endpoint.
 const (
 	coldStartCores    = 4
-	coldStartQueue    = 40
-	coldStartMeanWork = 0.06 // seconds of a core for a mean request
+	coldStartQueue    = 40   // maximum number of queued requests
+	coldStartMeanWork = 0.06 // mean work of a request, in seconds on one core
 )
 
-// Capacity of an endpoint at its start, and the time until it is warm. That is more than the settings say: it
-// serves well beyond the slow-start budget, so that nothing but the budget holds a node back.
+// The actual warm-up of an endpoint. It is faster than the settings say. An endpoint can therefore serve
+// much more than the slow-start budget, and only the budget limits what the nodes send.
 const (
-	coldStartInitialFraction = 0.45
+	coldStartInitialFraction = 0.45 // fraction of the capacity at the start
 	coldStartDuration        = 6 * time.Second
 )
 
-// coldStartHost is a node's way to the fleet.
+// coldStartHost connects a node to the simulated fleet.
 type coldStartHost struct {
 	fleet *coldStartFleet
 	node  int
@@ -108,7 +108,7 @@
 	heap.Push(&f.queue, scheduledEvent{f.now + max(d, 0), f.events, run})
 }
 
-// run lets a time pass.
+// run advances the simulated clock by d and runs the events that are due.
 func (f *coldStartFleet) run(d time.Duration) {
 	for end := f.now + d; ; {
 		if len(f.queue) == 0 || f.queue[0].at > end {
@@ -121,7 +121,8 @@
 	}
 }
 
-// arrive is the arrival of a request. Some nodes get several times the mean.
+// arrive sends a request to a random node and schedules the next one. Some nodes get several times the mean
+// rate.
 func (f *coldStartFleet) arrive() {
 	if f.offered == 0 {
 		f.after(ms, f.arrive)
@@ -133,7 +134,7 @@
 	f.nodes[me].RequestArrived(f.now, q, coldStartHost{f, me})
 }
 
-// startEndpoints starts endpoints, new or come back; each node learns of it within a time.
+// startEndpoints starts or restarts endpoints. Each node receives the change within coldStartListDelay.
 func (f *coldStartFleet) startEndpoints(ids ...string) {
 	var list []Endpoint
 	for _, id := range ids {
@@ -148,7 +149,7 @@
 	}
 }
 
-// stopEndpoints ends endpoints; each node learns of it within a time.
+// stopEndpoints removes endpoints. Each node receives the change within the given time.
 func (f *coldStartFleet) stopEndpoints(within time.Duration, ids ...string) {
 	var list []Endpoint
 	for _, id := range ids {
@@ -164,22 +165,24 @@
 	}
 }
 
-// warmUpFraction is the fraction of its capacity that an endpoint has by now, if it has an initial one at
-// its start and is warm within a time.
-func (f *coldStartFleet) warmUpFraction(s *coldStartEndpoint, from float64, within time.Duration) float64 {
+// warmUpFraction returns the fraction of its capacity that an endpoint has now, if it starts with the
+// initial fraction and is warm after the given duration.
+func (f *coldStartFleet) warmUpFraction(
+	s *coldStartEndpoint, initial float64, duration time.Duration,
+) float64 {
 	age := f.now - s.StartedAt
-	if s.StartedAt == 0 || age >= within {
+	if s.StartedAt == 0 || age >= duration {
 		return 1
 	}
-	return from + (1-from)*age.Seconds()/within.Seconds()
+	return initial + (1-initial)*age.Seconds()/duration.Seconds()
 }
 
-// recordAttempt holds an attempt at a cold endpoint against what the settings allow: N requests of mean
-// work in the overload window, and 2 x root of N + 2 for chance.
+// recordAttempt compares the work sent to a cold endpoint with the limit that the settings give: N requests
+// of mean work in the overload window, plus 2*sqrt(N) + 2 for random variation.
 func (f *coldStartFleet) recordAttempt(s *coldStartEndpoint, work float64) {
 	s.attempts = append(s.attempts, coldStartAttempt{f.now, work})
-	warmth := f.warmUpFraction(s, f.settings.SlowStartInitialFraction, f.settings.SlowStartDuration)
-	if warmth >= 1 {
+	fraction := f.warmUpFraction(s, f.settings.SlowStartInitialFraction, f.settings.SlowStartDuration)
+	if fraction >= 1 {
 		return
 	}
 	f.sent++
@@ -189,11 +192,11 @@
 			sum += a.work / coldStartMeanWork
 		}
 	}
-	n := f.settings.OverloadFactor * warmth * coldStartCores / coldStartMeanWork *
+	n := f.settings.OverloadFactor * fraction * coldStartCores / coldStartMeanWork *
 		f.settings.OverloadWindow.Seconds()
-	if share := sum / (n + 2*math.Sqrt(n) + 2); share > f.worstRatio {
-		f.worstRatio = share
-		f.detail = fmt.Sprintf("%s, %v after its start: %.1f requests of mean work in %v, N %.1f", s.ID,
+	if ratio := sum / (n + 2*math.Sqrt(n) + 2); ratio > f.worstRatio {
+		f.worstRatio = ratio
+		f.detail = fmt.Sprintf("%s, %v after its start: %.1f requests of mean work in %v, N = %.1f", s.ID,
 			f.now-s.StartedAt, sum, f.settings.OverloadWindow, n)
 	}
 }
@@ -202,30 +205,30 @@
 	f := p.fleet
 	b := f.nodes[p.node]
 	r := b.requests.byID[id]
-	number, at, end := f.attempts[id], f.now, r.deadline
+	number, sentAt, end := f.attempts[id], f.now, r.deadline
 	f.attempts[id]++
 	if timeout > 0 {
 		end = min(end, f.now+timeout)
 	}
-	over := false
-	outcome := func(res Result, load *LoadReport) {
-		if over {
+	finished := false
+	finish := func(res Result, load *LoadReport) {
+		if finished {
 			return
 		}
-		over = true
+		finished = true
 		b.AttemptFinished(f.now, Outcome{
 			ID: id, Attempt: number, Answered: res == OK, Result: res,
-			EndpointID: endpoint, Elapsed: f.now - at, LoadReport: load,
+			EndpointID: endpoint, Elapsed: f.now - sentAt, LoadReport: load,
 		}, p)
 	}
-	f.after(end-f.now, func() { outcome(TimedOut, nil) })
+	f.after(end-f.now, func() { finish(TimedOut, nil) })
 	f.after(ms, func() {
 		s := f.endpoints[endpoint]
 		if s == nil {
-			outcome(ConnectFailed, nil)
+			finish(ConnectFailed, nil)
 			return
 		}
-		job := coldStartJob{work: f.rng.ExpFloat64() * coldStartMeanWork, answer: outcome}
+		job := coldStartJob{work: f.rng.ExpFloat64() * coldStartMeanWork, answer: finish}
 		f.recordAttempt(s, job.work)
 		s.start(f, job)
 	})
@@ -262,12 +265,12 @@
 			continue
 		}
 		f.after(6*ms, func() {
-			latest := f.inboxes[peer]
-			for len(latest) > 0 && f.now-latest[0] >= time.Second {
-				latest = latest[1:]
+			inbox := f.inboxes[peer]
+			for len(inbox) > 0 && f.now-inbox[0] >= time.Second {
+				inbox = inbox[1:]
 			}
-			if f.inboxes[peer] = latest; float64(len(latest)) < f.settings.PeerMessagesPerSecond {
-				f.inboxes[peer] = append(latest, f.now)
+			if f.inboxes[peer] = inbox; float64(len(inbox)) < f.settings.PeerMessagesPerSecond {
+				f.inboxes[peer] = append(inbox, f.now)
 				f.nodes[peer].PeerMessage(f.now, p.node, message, coldStartHost{f, peer})
 			}
 		})
@@ -285,9 +288,10 @@
 func (coldStartHost) WatchEndpoints(bool)                  {}
 func (coldStartHost) Log(slog.Level, string, ...slog.Attr) {}
 
-// In fleets of twenty to thirty nodes, what all of them send together leaves each cold endpoint standing,
-// also where new ones join and others come back cold under a burst.
-func TestColdEndpointsStandUnderSumOfNodes(t *testing.T) {
+// Guards against cold endpoints that are overloaded by the requests of all nodes together, in fleets of 20
+// to 30 nodes. That may happen when endpoints join or restart during a burst, because each node decides
+// alone.
+func TestNodesTogetherDoNotOverloadColdEndpoints(t *testing.T) {
 	const warm = 12
 	ids := func(from, to int) (ids []string) {
 		for i := from; i < to; i++ {
@@ -295,9 +299,9 @@
 		}
 		return ids
 	}
-	capacity := float64(warm) * coldStartCores / coldStartMeanWork // requests a second
-	days := map[string]func(f *coldStartFleet){
-		"joined under a burst": func(f *coldStartFleet) {
+	capacity := float64(warm) * coldStartCores / coldStartMeanWork // requests per second
+	workloads := map[string]func(f *coldStartFleet){
+		"added during a burst": func(f *coldStartFleet) {
 			f.offered = 0.5 * capacity
 			f.run(2 * time.Second)
 			f.startEndpoints(ids(warm, warm+4)...)
@@ -305,7 +309,7 @@
 			f.offered *= 1.3
 			f.run(8 * time.Second)
 		},
-		"back cold under a burst": func(f *coldStartFleet) {
+		"restarted during a burst": func(f *coldStartFleet) {
 			f.offered = 0.5 * capacity
 			f.run(2 * time.Second)
 			f.offered *= 1.5
@@ -314,13 +318,13 @@
 			f.startEndpoints(ids(2, 6)...)
 			f.run(8 * time.Second)
 		},
-		"rested before the burst": func(f *coldStartFleet) {
+		"idle before the burst": func(f *coldStartFleet) {
 			f.offered = 0.5 * capacity
 			f.run(2 * time.Second)
 			f.offered = 0
 			f.startEndpoints(ids(warm, warm+4)...)
 			f.run(4 * time.Second)
-			f.stopEndpoints(ms, ids(0, 10)...) // so that few warm ones are left
+			f.stopEndpoints(ms, ids(0, 10)...) // leaves only two warm endpoints
 			f.offered = capacity
 			f.run(4 * time.Second)
 		},
@@ -331,18 +335,19 @@
 			f.run(6 * time.Second)
 		},
 	}
-	for name, day := range days {
+	for name, run := range workloads {
 		for _, nodes := range []int{20, 24, 30} {
 			for seed := uint64(1); seed <= 2; seed++ {
 				f := newColdStartFleet(t, nodes, warm, seed)
-				day(f)
-				t.Logf("%s, %d nodes, seed %d: %d requests to cold endpoints, worst %.2f of the bound (%s)",
+				run(f)
+				t.Logf("%s, %d nodes, seed %d: %d requests to cold endpoints, at most %.2f of the limit (%s)",
 					name, nodes, seed, f.sent, f.worstRatio, f.detail)
 				if f.sent == 0 {
 					t.Errorf("%s, %d nodes, seed %d: no request to a cold endpoint", name, nodes, seed)
 				}
 				if f.worstRatio > 1 {
-					t.Errorf("%s, %d nodes, seed %d: a cold endpoint falls: %s", name, nodes, seed, f.detail)
+					t.Errorf("%s, %d nodes, seed %d: a cold endpoint is overloaded: %s", name, nodes, seed,
+						f.detail)
 				}
 			}
 		}
--- a/balancer/endpoint_list.go
+++ b/balancer/endpoint_list.go
@@ -5,82 +5,84 @@
 	"time"
 )
 
-// slotIndex is the index of a listed endpoint. One that is removed leaves its slot to the next that is added.
+// slotIndex is the index of a listed endpoint in [endpointList.entries]. The slot of a removed endpoint is
+// reused for the next one added.
 type slotIndex int32
 
-// listedEndpoint is an entry of the list. Weight, zone, cell and machine type are indices in the list's
-// tables.
+// listedEndpoint is an entry of the list. Weight, zone, cell and machine type are indexes into the list's
+// intern tables.
 type listedEndpoint struct {
-	id            string
-	startedAt     time.Duration
-	entersAt      float64 // see [subsetSizing.entersAt]
-	weight        int32
-	zone          int32
-	cell          int32
-	machineType   int32
-	poolPositions [poolsPerEndpoint]int32 // in each of its pools of the reserve
-	state         listedState
-	inReserve     bool
-	snapshotMark  bool // that of the list when it last named the endpoint
-	tracked       bool // [endpointSet.trackedByID] has it
+	id                  string
+	startedAt           time.Duration
+	membershipThreshold float64 // see [subsetSizing.membershipThreshold]
+	weight              int32
+	zone                int32
+	cell                int32
+	machineType         int32
+	poolPositions       [poolsPerEndpoint]int32 // position in each of its pools of the reserve
+	state               listedState
+	inReserve           bool
+	snapshotMark        bool // equals [endpointList.snapshotMark] if in the last snapshot or updated since
+	tracked             bool // contained in [endpointSet.trackedByID]
 }
 
-// listedState is an [EndpointState] in a byte. A free slot is [Removed].
+// listedState is an [EndpointState] stored in one byte. A free slot has the state [Removed].
 type listedState int8
 
-// valueTable numbers values that many endpoints share.
-type valueTable[T comparable] struct {
+// internTable interns values that many endpoints share: it assigns an index to each distinct value.
+type internTable[T comparable] struct {
 	values  []T
-	numbers map[T]int32
+	indexes map[T]int32 // index of each value in values
 }
 
-// number returns the number of a value, a new one for a new value. The number that an endpoint had before
-// is a guess that saves a look-up.
-func (t *valueTable[T]) number(value T, guess int32) int32 {
-	if int(guess) < len(t.values) && t.values[guess] == value {
-		return guess
+// intern returns the index of a value, and adds the value if it is new. The hint is the index of the
+// endpoint's previous value: if the value is the same, the map lookup is skipped.
+func (t *internTable[T]) intern(value T, hint int32) int32 {
+	if int(hint) < len(t.values) && t.values[hint] == value {
+		return hint
 	}
-	number, known := t.numbers[value]
+	index, known := t.indexes[value]
 	if !known {
-		if t.numbers == nil {
-			t.numbers = map[T]int32{}
+		if t.indexes == nil {
+			t.indexes = map[T]int32{}
 		}
-		number = int32(len(t.values))
-		t.numbers[value] = number
+		index = int32(len(t.values))
+		t.indexes[value] = index
 		t.values = append(t.values, value)
 	}
-	return number
+	return index
 }
 
-// endpointList is the endpoint list as last received, held compactly: most of its endpoints are never sent
-// to by this node.
+// endpointList is the endpoint list as last received. It is stored compactly, because this node never sends
+// a request to most of the endpoints.
 type endpointList struct {
 	entries       []listedEndpoint
 	free          []slotIndex
 	slotByID      map[string]slotIndex
-	expectedSlot  slotIndex    // the slot behind the one found last
-	activeWeights weightCounts // of the endpoints that accept requests
-	weights       valueTable[float64]
-	zones         valueTable[string]
-	cells         valueTable[int]
-	machineTypes  valueTable[string]
+	expectedSlot  slotIndex    // slot after the one that find returned last
+	activeWeights weightCounts // weights of the endpoints that accept requests
+	weights       internTable[float64]
+	zones         internTable[string]
+	cells         internTable[int]
+	machineTypes  internTable[string]
 	reserve       reserve
 
-	// subsetCandidates are the slots of endpoints that can enter this node's subset. Some may be free or
-	// twice in it, up to maxSubsetCandidates in all.
+	// subsetCandidates are the slots of all endpoints that can be in this node's subset. It may also contain
+	// free slots and duplicates, which are removed when it reaches maxSubsetCandidates.
 	subsetCandidates    []slotIndex
 	maxSubsetCandidates int
 
-	snapshotMark    bool // changes with each snapshot
-	namedInSnapshot int  // listed endpoints that the last snapshot and the changes since have named
-	entryReads      int  // entries read out one by one
-	lookups         int  // entries that were looked up by their id
+	snapshotMark     bool // flipped by each snapshot
+	markedInSnapshot int  // number of listed endpoints whose mark equals snapshotMark
+	entryReads       int  // number of calls of endpointAt
+	lookups          int  // number of map lookups by id in find
 }
 
 const (
-	// staleSlack is the number of values or slots left behind by endpoints long gone that any list may hold.
-	staleSlack = 1024
-	// minSubsetCandidates is half the number of candidates that are kept before free slots are looked for.
+	// oversizeAllowance is added to the number of listed endpoints before the list is judged oversized, so
+	// that short lists are not rebuilt again and again.
+	oversizeAllowance = 1024
+	// minSubsetCandidates is half the minimum number of candidates at which they are compacted.
 	minSubsetCandidates = 64
 )
 
@@ -94,7 +96,7 @@
 // length returns the number of listed endpoints.
 func (l *endpointList) length() int { return len(l.slotByID) }
 
-// slotOf returns the slot of an endpoint.
+// slotOf returns the slot of an endpoint, if it is listed.
 func (l *endpointList) slotOf(id string) (slot slotIndex, listed bool) {
 	slot, listed = l.slotByID[id]
 	return slot, listed
@@ -103,16 +105,20 @@
 // isTracked reports whether this node tracks a listed endpoint.
 func (l *endpointList) isTracked(slot slotIndex) bool { return l.entries[slot].tracked }
 
-// setTracked notes whether this node tracks a listed endpoint.
+// setTracked sets whether this node tracks a listed endpoint.
 func (l *endpointList) setTracked(slot slotIndex, tracked bool) { l.entries[slot].tracked = tracked }
 
 // idOf returns the id of a listed endpoint.
 func (l *endpointList) idOf(slot slotIndex) string { return l.entries[slot].id }
 
-// entersAt returns the number of subsets for each endpoint from which on this one is in this node's subset.
-func (l *endpointList) entersAt(slot slotIndex) float64 { return l.entries[slot].entersAt }
+// membershipThreshold returns the number of subsets per endpoint from which on the endpoint belongs to this
+// node's subset.
+func (l *endpointList) membershipThreshold(slot slotIndex) float64 {
+	return l.entries[slot].membershipThreshold
+}
 
-// find returns the slot of an endpoint. Lists mostly come in the same order: the next slot is tried first.
+// find returns the slot of an endpoint, if it is listed. Snapshots mostly keep their order, so the slot
+// after the previous result is tried before the map.
 func (l *endpointList) find(id string) (slot slotIndex, listed bool) {
 	slot = l.expectedSlot
 	if int(slot) >= len(l.entries) || l.isFree(slot) || l.entries[slot].id != id {
@@ -125,7 +131,7 @@
 	return slot, true
 }
 
-// add lists an endpoint, as yet without an entry: [endpointList.update] follows.
+// add assigns a slot to a new endpoint. The caller then fills the entry by [endpointList.update].
 func (l *endpointList) add(id string) slotIndex {
 	slot := l.newSlot()
 	l.slotByID[id] = slot
@@ -134,39 +140,41 @@
 	return slot
 }
 
-// update changes the entry of an endpoint, which leaves the reserve.
+// update replaces the entry of an endpoint and removes the endpoint from the reserve. The caller restores
+// its membership by [endpointList.updateReserve].
 func (l *endpointList) update(slot slotIndex, e Endpoint) {
 	l.removeFromReserve(slot)
 	l.countActive(slot, -1)
 	entry := &l.entries[slot]
 	entry.startedAt, entry.state = e.StartedAt, listedState(e.State)
-	l.markNamedInSnapshot(slot)
-	entry.weight = l.weights.number(weightOr1(e.Weight), entry.weight)
-	entry.zone = l.zones.number(e.Zone, entry.zone)
-	entry.cell = l.cells.number(e.Cell, entry.cell)
-	entry.machineType = l.machineTypes.number(e.MachineType, entry.machineType)
+	l.markInSnapshot(slot)
+	entry.weight = l.weights.intern(weightOr1(e.Weight), entry.weight)
+	entry.zone = l.zones.intern(e.Zone, entry.zone)
+	entry.cell = l.cells.intern(e.Cell, entry.cell)
+	entry.machineType = l.machineTypes.intern(e.MachineType, entry.machineType)
 	l.reserve.grow(len(l.zones.values), len(l.cells.values))
 	l.countActive(slot, 1)
 }
 
-// confirm reports whether a snapshot's entry is the one that is listed, and notes that it was named.
-func (l *endpointList) confirm(slot slotIndex, e *Endpoint) bool {
+// confirmUnchanged reports whether a received entry equals the listed one. If so, it marks the endpoint as
+// part of the last snapshot.
+func (l *endpointList) confirmUnchanged(slot slotIndex, e *Endpoint) bool {
 	if !l.hasSameEntry(slot, e) {
 		return false
 	}
-	l.markNamedInSnapshot(slot)
+	l.markInSnapshot(slot)
 	return true
 }
 
-// markNamedInSnapshot notes that the present snapshot names a listed endpoint.
-func (l *endpointList) markNamedInSnapshot(slot slotIndex) {
+// markInSnapshot marks a listed endpoint as part of the last snapshot.
+func (l *endpointList) markInSnapshot(slot slotIndex) {
 	if entry := &l.entries[slot]; entry.snapshotMark != l.snapshotMark {
 		entry.snapshotMark = l.snapshotMark
-		l.namedInSnapshot++
+		l.markedInSnapshot++
 	}
 }
 
-// hasSameEntry reports whether the entry is the one that is listed.
+// hasSameEntry reports whether a received entry equals the listed one.
 func (l *endpointList) hasSameEntry(slot slotIndex, e *Endpoint) bool {
 	entry := &l.entries[slot]
 	return entry.startedAt == e.StartedAt && entry.state == listedState(e.State) &&
@@ -175,11 +183,11 @@
 		l.weight(slot) == weightOr1(e.Weight)
 }
 
-// setEntersAt sets the number of subsets for each endpoint from which on this one is in this node's subset,
-// see [subsetSizing.entersAt].
-func (l *endpointList) setEntersAt(slot slotIndex, subsets float64) {
-	l.entries[slot].entersAt = subsets
-	if subsets == notRanked {
+// setMembershipThreshold sets the membership threshold of an endpoint, see
+// [subsetSizing.membershipThreshold]. An endpoint with a finite threshold becomes a subset candidate.
+func (l *endpointList) setMembershipThreshold(slot slotIndex, threshold float64) {
+	l.entries[slot].membershipThreshold = threshold
+	if threshold == notRanked {
 		return
 	}
 	if len(l.subsetCandidates) >= l.maxSubsetCandidates {
@@ -188,23 +196,24 @@
 	l.subsetCandidates = append(l.subsetCandidates, slot)
 }
 
-// resetEntersAt sets that number anew for all endpoints.
-func (l *endpointList) resetEntersAt(subsets func(id string) float64) {
+// recomputeMembershipThresholds recomputes the membership thresholds and the candidates from all listed
+// endpoints.
+func (l *endpointList) recomputeMembershipThresholds(thresholdOf func(id string) float64) {
 	l.subsetCandidates = l.subsetCandidates[:0]
 	for i := range l.entries {
 		if slot := slotIndex(i); !l.isFree(slot) {
-			l.setEntersAt(slot, subsets(l.entries[slot].id))
+			l.setMembershipThreshold(slot, thresholdOf(l.entries[slot].id))
 		}
 	}
 }
 
-// compactSubsetCandidates drops the candidates that are gone or present twice. It lets as many again be added
-// before the next time, so that the cost of an addition stays constant on average.
+// compactSubsetCandidates removes duplicates and slots that no longer hold a candidate. The next compaction
+// happens at twice the remaining number, so that an addition takes amortized constant time.
 func (l *endpointList) compactSubsetCandidates() {
 	slices.Sort(l.subsetCandidates)
 	l.subsetCandidates = slices.Compact(l.subsetCandidates)
 	l.subsetCandidates = slices.DeleteFunc(l.subsetCandidates,
-		func(slot slotIndex) bool { return l.entries[slot].entersAt == notRanked })
+		func(slot slotIndex) bool { return l.entries[slot].membershipThreshold == notRanked })
 	l.maxSubsetCandidates = 2 * max(len(l.subsetCandidates), minSubsetCandidates)
 }
 
@@ -218,32 +227,33 @@
 	return slotIndex(len(l.entries) - 1)
 }
 
-// isFree reports whether no endpoint is listed at a slot.
+// isFree reports whether a slot holds no endpoint.
 func (l *endpointList) isFree(slot slotIndex) bool {
 	return EndpointState(l.entries[slot].state) == Removed
 }
 
-// remove takes an endpoint off the list.
+// remove removes an endpoint from the list and frees its slot.
 func (l *endpointList) remove(slot slotIndex) {
 	l.removeFromReserve(slot)
 	l.countActive(slot, -1)
 	delete(l.slotByID, l.entries[slot].id)
 	if l.entries[slot].snapshotMark == l.snapshotMark {
-		l.namedInSnapshot--
+		l.markedInSnapshot--
 	}
-	l.entries[slot] = listedEndpoint{state: listedState(Removed), entersAt: notRanked}
+	l.entries[slot] = listedEndpoint{state: listedState(Removed), membershipThreshold: notRanked}
 	l.free = append(l.free, slot)
 }
 
-// beginSnapshot begins a snapshot: what it doesn't name until [endpointList.endSnapshot] is no longer listed.
+// beginSnapshot starts a snapshot. Endpoints that are not marked by the time of [endpointList.endSnapshot]
+// are removed then.
 func (l *endpointList) beginSnapshot() {
-	l.snapshotMark, l.namedInSnapshot, l.expectedSlot = !l.snapshotMark, 0, 0
+	l.snapshotMark, l.markedInSnapshot, l.expectedSlot = !l.snapshotMark, 0, 0
 }
 
-// endSnapshot removes what the snapshot has not named. After one that named all endpoints, as most do,
-// there is nothing to look for.
+// endSnapshot removes the endpoints that the snapshot does not contain. It scans the entries only if some
+// endpoint is missing, which is rare.
 func (l *endpointList) endSnapshot() {
-	if l.namedInSnapshot == l.length() {
+	if l.markedInSnapshot == l.length() {
 		return
 	}
 	for i := range l.entries {
@@ -254,20 +264,21 @@
 	}
 }
 
-// stale reports whether most of the list's slots or values are of endpoints long gone.
-func (l *endpointList) stale() bool {
+// oversized reports whether most of the slots or of the interned values belong to removed endpoints.
+// Interned values are never released, so only a new list frees them.
+func (l *endpointList) oversized() bool {
 	values := len(l.weights.values) + len(l.zones.values) + len(l.cells.values) + len(l.machineTypes.values)
-	return max(values, len(l.entries)) > 4*(l.length()+staleSlack)
+	return max(values, len(l.entries)) > 4*(l.length()+oversizeAllowance)
 }
 
-// countActive changes the count of the weight of an endpoint that accepts requests.
+// countActive changes the count of the endpoint's weight in activeWeights, if the endpoint accepts requests.
 func (l *endpointList) countActive(slot slotIndex, change int) {
 	if EndpointState(l.entries[slot].state) == Up {
 		l.activeWeights.add(l.weight(slot), change)
 	}
 }
 
-// endpointAt returns an entry in the form in which it was received.
+// endpointAt returns the entry of a slot as an [Endpoint]. An unknown weight is returned as 1.
 func (l *endpointList) endpointAt(slot slotIndex) Endpoint {
 	l.entryReads++
 	entry := &l.entries[slot]
@@ -282,7 +293,7 @@
 	}
 }
 
-// weight returns an endpoint's weight, 1 where none is given.
+// weight returns the weight of a listed endpoint, 1 if the list gives none.
 func (l *endpointList) weight(slot slotIndex) float64 {
 	return l.weights.values[l.entries[slot].weight]
 }
--- a/balancer/endpoint_list_test.go
+++ b/balancer/endpoint_list_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// A list that is replaced over and over, or was long once, leaves nothing behind for ever.
+// Guards against a memory leak: slots and interned values of removed endpoints must be released, both after
+// a long list has become short and after every endpoint of a list has been replaced many times.
 func TestReplacedListsAreReleased(t *testing.T) {
 	node, r := newTestBalancer(t, subsetSettings(100), testEndpoints(20_000)...)
 	for n := range 2000 {
@@ -24,20 +25,21 @@
 		"slots": len(l.entries), "zones": len(l.zones.values), "machine types": len(l.machineTypes.values),
 		"cells": len(l.cells.values), "weights": len(l.weights.values), "pools": len(l.reserve.byZone),
 	} {
-		if n > 4*(10+staleSlack)+10 {
-			t.Errorf("%d %s for a list of ten endpoints", n, what)
+		if n > 4*(10+oversizeAllowance)+10 {
+			t.Errorf("%d %s for a list of 10 endpoints", n, what)
 		}
 	}
 	if len(l.slotByID) != 10 || node.Stats().TrackedEndpoints > 10 {
-		t.Errorf("%d listed, %+v", len(l.slotByID), node.Stats())
+		t.Errorf("%d listed, want 10, of which at most 10 are tracked: %+v", len(l.slotByID), node.Stats())
 	}
 }
 
-// A snapshot removes what it does not name, whatever else it says, and however its endpoints were listed
-// before.
-func TestSnapshotRemovesWhatItDoesNotName(t *testing.T) {
+// A snapshot removes the endpoints that it does not contain. Guards against wrong counts of the endpoints it
+// contains, for example if it has duplicates, since the removal is skipped if the count equals the list
+// length.
+func TestSnapshotRemovesMissingEndpoints(t *testing.T) {
 	a, b, c := Endpoint{ID: "a"}, Endpoint{ID: "b"}, Endpoint{ID: "c"}
-	gone := func(e Endpoint) Endpoint {
+	removed := func(e Endpoint) Endpoint {
 		e.State = Removed
 		return e
 	}
@@ -47,30 +49,30 @@
 		list    entries
 		removed []string
 	}{
-		"all named":                    {[]entries{{a, b, c}}, entries{a, b, c}, nil},
-		"one missing":                  {[]entries{{a, b, c}}, entries{a, b}, []string{"c"}},
-		"one named twice, one missing": {[]entries{{a, b, c}}, entries{a, a, b}, []string{"c"}},
-		"a new one for a missing one":  {[]entries{{a, b}}, entries{a, c}, []string{"b"}},
-		"named, then removed":          {[]entries{{a, b, c}}, entries{a, b, gone(b)}, []string{"b", "c"}},
-		"removed unnamed":              {[]entries{{a, b, c}}, entries{gone(a), b}, []string{"a", "c"}},
-		"listed by a delta":            {[]entries{{a}, {b, c}}, entries{a, b}, []string{"c"}},
-		"changed to as it was":         {[]entries{{a, b}, {gone(b)}, {b, c}}, entries{a, b}, []string{"c"}},
-		"removed by a delta":           {[]entries{{a, b, c}, {gone(c)}}, entries{a}, []string{"b", "c"}},
-		"another named twice":          {[]entries{{a}}, entries{b, b}, []string{"a"}},
-		"another named, then removed":  {[]entries{{a}}, entries{b, b, gone(b)}, []string{"a", "b"}},
+		"none missing":               {[]entries{{a, b, c}}, entries{a, b, c}, nil},
+		"one missing":                {[]entries{{a, b, c}}, entries{a, b}, []string{"c"}},
+		"one duplicate, one missing": {[]entries{{a, b, c}}, entries{a, a, b}, []string{"c"}},
+		"one new, one missing":       {[]entries{{a, b}}, entries{a, c}, []string{"b"}},
+		"up, then removed":           {[]entries{{a, b, c}}, entries{a, b, removed(b)}, []string{"b", "c"}},
+		"only removed":               {[]entries{{a, b, c}}, entries{removed(a), b}, []string{"a", "c"}},
+		"added by a delta":           {[]entries{{a}, {b, c}}, entries{a, b}, []string{"c"}},
+		"removed and added":          {[]entries{{a, b}, {removed(b)}, {b, c}}, entries{a, b}, []string{"c"}},
+		"removed by a delta":         {[]entries{{a, b, c}, {removed(c)}}, entries{a}, []string{"b", "c"}},
+		"new duplicate":              {[]entries{{a}}, entries{b, b}, []string{"a"}},
+		"new duplicate, removed":     {[]entries{{a}}, entries{b, b, removed(b)}, []string{"a", "b"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			node, r := newTestBalancer(t, subsetSettings(100), test.before[0]...)
 			for _, changes := range test.before[1:] {
 				node.EndpointsUpdated(testStart, UpdateDelta, changes, r)
 			}
-			for round := range 2 { // a snapshot that comes again changes nothing
+			for round := range 2 { // a repeated snapshot changes nothing
 				node.EndpointsUpdated(testStart, UpdateSnapshot, test.list, r)
 				for _, id := range []string{"a", "b", "c"} {
 					wanted := !slices.Contains(test.removed, id) && slices.ContainsFunc(test.list,
 						func(e Endpoint) bool { return e.ID == id })
 					if _, listed := node.endpoints.list.slotByID[id]; listed != wanted {
-						t.Errorf("snapshot %d: %s is listed: %v", round+1, id, listed)
+						t.Errorf("snapshot %d: %s is listed: %v, want %v", round+1, id, listed, wanted)
 					}
 				}
 			}
@@ -78,8 +80,8 @@
 	}
 }
 
-// A snapshot in the order of the one before is taken in without a look-up of each entry, also behind
-// entries that are removed or new.
+// A snapshot in the same order as the previous one is applied without a map lookup for each entry, even if
+// some entries are missing or new.
 func TestSnapshotInSameOrderNeedsNoLookups(t *testing.T) {
 	const endpoints = 20_000
 	list := testEndpoints(endpoints)
@@ -90,38 +92,41 @@
 		return node.endpoints.list.lookups - before
 	}
 	if n := lookups(UpdateSnapshot, list); n != 0 {
-		t.Errorf("%d lookups for the same list", n)
+		t.Errorf("%d lookups for the same list, want none", n)
 	}
 	fewer := slices.Delete(slices.Clone(list), endpoints/2, endpoints/2+3)
 	if n := lookups(UpdateSnapshot, fewer); n != 1 {
-		t.Errorf("%d lookups for a list with a gap", n)
+		t.Errorf("%d lookups for a list with three entries missing, want 1", n)
 	}
 	more := slices.Insert(slices.Clone(fewer), 7, Endpoint{ID: "new", MachineType: "k", Zone: "a", Weight: 1})
 	if n := lookups(UpdateSnapshot, more); n > 4 {
-		t.Errorf("%d lookups for a list with an entry more", n)
+		t.Errorf("%d lookups for a list with one more entry, want at most 4", n)
 	}
 	if listed := node.Stats().ListedEndpoints; listed != len(more) {
-		t.Errorf("%d listed of %d", listed, len(more))
+		t.Errorf("%d endpoints listed, want %d", listed, len(more))
 	}
 	slices.Reverse(more)
 	if n := lookups(UpdateSnapshot, more); n < endpoints/2 || node.Stats().ListedEndpoints != len(more) {
-		t.Errorf("%d lookups for a list in another order, %d listed", n, node.Stats().ListedEndpoints)
+		t.Errorf("reversed list: %d lookups, want at least %d; %d endpoints listed, want %d", n, endpoints/2,
+			node.Stats().ListedEndpoints, len(more))
 	}
 }
 
-// A free slot is not taken for that of an endpoint without an id.
+// Guards against an endpoint with an empty id being found in a free slot, whose id is empty too.
 func TestEndpointWithoutIDIsListed(t *testing.T) {
 	list := testEndpoints(4)
 	node, r := newTestBalancer(t, subsetSettings(100), list...)
-	gone := list[1]
-	gone.State = Removed
-	node.EndpointsUpdated(testStart, UpdateDelta, []Endpoint{list[0], gone}, r)
+	removed := list[1]
+	removed.State = Removed
+	node.EndpointsUpdated(testStart, UpdateDelta, []Endpoint{list[0], removed}, r)
 	node.EndpointsUpdated(testStart, UpdateDelta, []Endpoint{list[0], {MachineType: "k", Zone: "a"}}, r)
 	if st := node.Stats(); st.ListedEndpoints != 4 || node.endpoints.list.activeWeights.total != 4 {
-		t.Errorf("%d listed, %d up, want 4", st.ListedEndpoints, node.endpoints.list.activeWeights.total)
+		t.Errorf("%d listed, %d accepting requests, want 4 each", st.ListedEndpoints,
+			node.endpoints.list.activeWeights.total)
 	}
 	node.EndpointsUpdated(testStart, UpdateSnapshot, list, r)
 	if st := node.Stats(); st.ListedEndpoints != 4 || node.endpoints.trackedByID[""] != nil {
-		t.Errorf("%d listed, want 4; without an id: %v", st.ListedEndpoints, node.endpoints.trackedByID[""])
+		t.Errorf("%d listed, want 4; tracked with an empty id: %v, want none", st.ListedEndpoints,
+			node.endpoints.trackedByID[""])
 	}
 }
--- a/balancer/endpoint_load.go
+++ b/balancer/endpoint_load.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// unreported stands for a figure of the load that no report has given.
+// unreported marks a load value that has not been reported.
 const unreported = -1
 
-// loadGossipDecay is the time constant with which a reported load loses its meaning.
+// loadGossipDecay is the time constant with which a reported load decays toward the mean load.
 const loadGossipDecay = 3 * time.Second
 
-// endpointLoad is the load of an endpoint as reported to this node or, by load gossip, to another.
+// endpointLoad is the load of an endpoint as last reported to this node or, through load gossip, to another
+// node.
 type endpointLoad struct {
-	requests              float64       // requests that it held; below 0: unreported
-	otherNodes            float64       // of these, the ones that were not this node's
-	queued                float64       // requests that waited; below 0: unreported
-	reportedAt            time.Duration // when the requests were reported, or an error or refusal met
-	refusesConnections    bool          // the latest report is that it refuses connections
-	lastResponseFailed    bool          // or that its last response was an error
-	utilizationReportedAt time.Duration // 0: never
+	requests              float64       // requests executing or queued; below 0: unreported
+	otherNodes            float64       // part of requests that other nodes sent
+	queued                float64       // requests queued; below 0: unreported
+	reportedAt            time.Duration // time of the last load report, error response or refused connection
+	refusesConnections    bool          // a connection was refused since the last load report
+	lastResponseFailed    bool          // the last response was an error
+	utilizationReportedAt time.Duration // time of the last report with a utilization; 0: never
 }
 
-// expectedOtherNodes returns the requests of other nodes that are to be expected now, from those reported
-// and from the mean over the endpoints, toward which a report loses its meaning. It is 0 where no node has
-// had a response.
+// expectedOtherNodes returns the expected number of requests that other nodes have at the endpoint now. The
+// reported number decays toward the mean over the endpoints. The result is 0 if no load has been reported.
 func (l *endpointLoad) expectedOtherNodes(now time.Duration, mean float64) float64 {
 	if l.requests < 0 {
 		return 0
@@ -33,7 +33,8 @@
 	return mean + (l.otherNodes-mean)*math.Exp(-age.Seconds()/loadGossipDecay.Seconds())
 }
 
-// record takes a report of the requests held at a time, of which some are this node's.
+// record stores the number of requests that the endpoint held at the given time. ownInFlight is the number
+// of this node's attempts among them.
 func (l *endpointLoad) record(requests, ownInFlight float64, at time.Duration) {
 	l.requests, l.otherNodes, l.reportedAt = requests, math.Max(requests-ownInFlight, 0), at
 	l.refusesConnections, l.lastResponseFailed = false, false
@@ -45,10 +46,10 @@
 // recordRefusal records that a connection was refused.
 func (l *endpointLoad) recordRefusal(at time.Duration) { l.refusesConnections, l.reportedAt = true, at }
 
-// known reports whether the load was reported and nothing since has shown the endpoint down.
+// known reports whether the load was reported and no connection has been refused since.
 func (l *endpointLoad) known() bool { return l.requests >= 0 && !l.refusesConnections }
 
-// reset forgets the load of a process that is gone.
+// reset discards the load of a process that has been replaced.
 func (l *endpointLoad) reset() {
 	l.queued, l.requests, l.reportedAt = unreported, unreported, 0
 	l.refusesConnections, l.lastResponseFailed = false, false
--- a/balancer/endpoint_load_test.go
+++ b/balancer/endpoint_load_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A report loses its meaning with its age, toward the mean over the endpoints.
+// The expected load decays with the age of the report toward the mean over the endpoints.
 func TestExpectedLoadOfOtherNodes(t *testing.T) {
 	reported := endpointLoad{}
 	reported.record(9, 2, testStart)
@@ -50,8 +50,8 @@
 	}
 }
 
-// A load report has only some of its figures.
-func TestLoadReportFigures(t *testing.T) {
+// A load report may contain only some of its fields. The others keep their value.
+func TestLoadReportFields(t *testing.T) {
 	e := newEndpoint(Endpoint{ID: "s0"})
 	e.recordLoadReport(&LoadReport{InFlight: -1, Queued: 2, Utilization: -1}, testStart)
 	if e.load.queued != 2 || e.load.known() || e.load.utilizationReportedAt != 0 {
@@ -63,7 +63,8 @@
 	}
 }
 
-// What a peer reports counts like a response of its own, and a refusal ejects once.
+// A load or error reported by a peer counts like a response to this node. A refused connection reported by a
+// peer ejects the endpoint, unless it is ejected already.
 func TestPeerLoad(t *testing.T) {
 	e := newEndpoint(Endpoint{ID: "s0"})
 	e.recordPeerLoad(4, true, testStart)
@@ -75,6 +76,6 @@
 		t.Errorf("after a peer's refused connection: %+v", e.health)
 	}
 	if e.recordPeerRefusal(testStart+2*ms, testStart+ms); e.health.consecutiveEjections != 1 {
-		t.Errorf("%d ejections, want one while it lasts", e.health.consecutiveEjections)
+		t.Errorf("%d ejections, want no further one during the first", e.health.consecutiveEjections)
 	}
 }
--- a/balancer/endpoint_set.go
+++ b/balancer/endpoint_set.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// endpointSet holds the endpoint list, this node's subset of it, and what is known of the endpoints in use.
+// endpointSet holds the endpoint list, this node's subset of it, and the state of the tracked endpoints.
 type endpointSet struct {
 	warmUp warmUpCurve
 	list   *endpointList
 	sizing subsetSizing
 	index  subsetIndex
 
-	tracked       []*endpoint // those of the subset, and others while they are in use
+	tracked       []*endpoint // endpoints of the subset, and others while they are in use
 	trackedByID   map[string]*endpoint
-	hasUnlisted   bool         // a tracked endpoint is no longer listed
-	subsetWeights weightCounts // of the subset's endpoints that accept requests
-	meanLoad      float64      // requests of other nodes at an endpoint, mean over those that report
+	hasUnlisted   bool         // tracked may contain endpoints that are not listed any more
+	subsetWeights weightCounts // weights of the subset's endpoints that accept requests
+	meanLoad      float64      // mean number of other nodes' requests at an endpoint with a known load
 }
 
 func newEndpointSet(settings *Settings) endpointSet {
@@ -26,7 +26,7 @@
 	}
 }
 
-// EndpointsUpdated brings the endpoint list or changes of it.
+// EndpointsUpdated handles an update of the endpoint list, or a failure to receive one ([UpdateFailed]).
 func (b *Balancer) EndpointsUpdated(now time.Duration, kind UpdateKind, entries []Endpoint, out Actions) {
 	b.now, b.actions = now, out
 	if kind == UpdateFailed {
@@ -36,14 +36,15 @@
 	b.endpoints.apply(now, kind, entries)
 }
 
-// schedulePoll sets the timer for another request for the list, after a time that spreads those of the nodes.
+// schedulePoll sets the timer after which the list is requested again: a random time between one and two
+// seconds, so that the nodes do not all ask at once.
 func (b *Balancer) schedulePoll() {
 	if b.settings.PollEndpoints {
 		b.actions.SetTimer(timerPollEndpoints, time.Second+time.Duration(b.rng.Int64N(int64(time.Second))))
 	}
 }
 
-// apply takes in a list or changes of it.
+// apply applies a snapshot of the list or a delta to it.
 func (s *endpointSet) apply(now time.Duration, kind UpdateKind, entries []Endpoint) {
 	if kind != UpdateDelta {
 		s.beginSnapshot(len(entries))
@@ -62,9 +63,10 @@
 	s.index.rebuild(s.tracked, &s.sizing)
 }
 
-// beginSnapshot begins a snapshot: endpoints that it doesn't name are gone.
+// beginSnapshot starts a snapshot. Endpoints that it does not contain are no longer listed after
+// [endpointSet.endSnapshot].
 func (s *endpointSet) beginSnapshot(length int) {
-	if s.list.stale() || s.list.length() == 0 {
+	if s.list.oversized() || s.list.length() == 0 {
 		s.list = newEndpointList(length)
 	}
 	s.list.beginSnapshot()
@@ -73,7 +75,7 @@
 	}
 }
 
-// endSnapshot ends a snapshot.
+// endSnapshot removes the endpoints that the snapshot did not contain.
 func (s *endpointSet) endSnapshot() {
 	s.list.endSnapshot()
 	s.hasUnlisted = true
@@ -82,11 +84,11 @@
 	}
 }
 
-// applyEntry takes in one entry.
+// applyEntry applies one entry of an update.
 func (s *endpointSet) applyEntry(now time.Duration, entry *Endpoint) {
 	slot, listed := s.list.find(entry.ID)
 	switch {
-	case listed && !s.list.isTracked(slot) && s.list.confirm(slot, entry):
+	case listed && !s.list.isTracked(slot) && s.list.confirmUnchanged(slot, entry):
 		return
 	case entry.State != Removed:
 		s.listEndpoint(now, slot, listed, *entry)
@@ -98,11 +100,11 @@
 	}
 }
 
-// listEndpoint enters an endpoint into the list, at its slot if it was listed before.
+// listEndpoint adds an endpoint to the list, or updates its entry at the given slot if it was listed before.
 func (s *endpointSet) listEndpoint(now time.Duration, slot slotIndex, listedBefore bool, entry Endpoint) {
 	if !listedBefore {
 		slot = s.list.add(entry.ID)
-		s.list.setEntersAt(slot, s.sizing.entryThreshold(entry.ID))
+		s.list.setMembershipThreshold(slot, s.sizing.membershipThreshold(entry.ID))
 		s.list.setTracked(slot, s.trackedByID[entry.ID] != nil)
 	}
 	s.list.update(slot, entry)
@@ -110,25 +112,25 @@
 	s.updateReserve(now, slot)
 }
 
-// resizeSubset has the subset follow the length of the list.
+// resizeSubset adapts the subset to the length of the list.
 func (s *endpointSet) resizeSubset(now time.Duration, listLength int) {
-	change := s.sizing.follow(listLength)
-	if change == subsetStays {
+	change := s.sizing.resize(listLength)
+	if change == subsetUnchanged {
 		return
 	}
 	s.index.invalidate()
-	if change == subsetBeyondRanks {
-		s.list.resetEntersAt(s.sizing.entryThreshold)
+	if change == subsetThresholdsOutdated {
+		s.list.recomputeMembershipThresholds(s.sizing.membershipThreshold)
 	}
 	for _, slot := range s.list.subsetCandidates {
 		s.updateMembership(now, slot, true)
 	}
 }
 
-// updateMembership has a listed endpoint enter the subset or leave it, where the number of subsets asks for
-// that.
+// updateMembership adds a listed endpoint to the subset or removes it, if its membership has changed. An
+// endpoint that was listed before it enters the subset begins without slow-start tokens.
 func (s *endpointSet) updateMembership(now time.Duration, slot slotIndex, listedBefore bool) {
-	member := !s.list.isFree(slot) && s.sizing.contains(s.list.entersAt(slot))
+	member := !s.list.isFree(slot) && s.sizing.contains(s.list.membershipThreshold(slot))
 	e := s.trackedAt(slot)
 	if e == nil && !member || e != nil && e.inSubset == member {
 		return
@@ -145,21 +147,21 @@
 	s.updateReserve(now, slot)
 }
 
-// updateReserve adds an endpoint to the reserve or takes it out.
+// updateReserve adds an endpoint to the reserve or removes it, as its state requires.
 func (s *endpointSet) updateReserve(now time.Duration, slot slotIndex) {
 	s.list.updateReserve(slot, now, s.warmUp.duration)
 }
 
-// moveWarmedUpToReserve adds the endpoints to the reserve that have become warm.
+// moveWarmedUpToReserve adds the endpoints that have become warm to the reserve.
 func (s *endpointSet) moveWarmedUpToReserve(now time.Duration) {
 	s.list.moveWarmedUpToReserve(now, s.warmUp.duration)
 }
 
-// enableSubset has the subset hold a part of the list only, as in a large fleet.
+// enableSubset limits the subset to a part of the list, as large fleets need.
 func (s *endpointSet) enableSubset() { s.sizing.enable() }
 
-// subsetsPerEndpoint returns the number of nodes whose subsets hold each endpoint.
+// subsetsPerEndpoint returns the mean number of nodes whose subsets contain an endpoint.
 func (s *endpointSet) subsetsPerEndpoint() float64 { return s.sizing.subsetsPerEndpoint }
 
-// subsetSize returns the number of endpoints in a subset, on average and at least one.
+// subsetSize returns the mean number of endpoints in a subset, at least 1.
 func (s *endpointSet) subsetSize() int { return s.sizing.size(s.list.length()) }
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -4,57 +4,62 @@
 
 const (
 	errorSmoothing    = 0.2  // weight of a new outcome in an endpoint's error rate
-	ejectionErrorRate = 0.35 // error rate that ejects: about three failures in a row
+	ejectionErrorRate = 0.35 // error rate above which an endpoint is ejected: about three failures in a row
 
-	baseEjection         = 500 * time.Millisecond // the first ejection; each in a row lasts twice as long
-	maxEjection          = 8 * time.Second
-	maxEjectionDoublings = 10
-	unresponsiveEjection = 4 * time.Second // of an endpoint that let an attempt come to nothing
+	baseEjection         = 500 * time.Millisecond // first ejection; each further one lasts twice as long
+	maxEjection          = 8 * time.Second        // longest ejection
+	maxEjectionDoublings = 10                     // bounds the shift that doubles the duration
+	unresponsiveEjection = 4 * time.Second        // ejection after an attempt without a response
 )
 
-// endpointHealth is whether an endpoint responds, and how well. The zero value is a healthy endpoint.
+// endpointHealth tracks whether an endpoint responds and how often it fails. The zero value is a healthy
+// endpoint.
 type endpointHealth struct {
-	errorRate            float64       // fraction of failed attempts, averaged
-	ejectedUntil         time.Duration // it gets requests before that only where no other endpoint is left
-	consecutiveEjections int
-	// ejectedAsUnresponsive says that an attempt came to nothing, and that no node has reported the
-	// endpoint since.
+	errorRate            float64       // moving average of the fraction of failed attempts
+	ejectedUntil         time.Duration // until then, requests only if no other endpoint is left
+	consecutiveEjections int           // number of ejections since the last success or recovery
+	// ejectedAsUnresponsive is set when an attempt gets no response, until the endpoint responds or another
+	// node reports its load.
 	ejectedAsUnresponsive bool
-	// unreachable says that all that was sent lately came to nothing: no request until it responds.
+	// unreachable is set when an attempt or a health check got no response, and the endpoint has not
+	// responded to anything since that was sent. It is cleared by the next response.
 	unreachable  bool
-	lastResponse time.Duration // of any kind, to an attempt or a health check
-	lastCheck    time.Duration // when the last health check was sent
+	lastResponse time.Duration // time of the last response of any kind, to an attempt or a health check
+	lastCheck    time.Duration // time at which the last health check was sent
 }
 
 // ejected reports whether the endpoint is ejected.
 func (h *endpointHealth) ejected(now time.Duration) bool { return now < h.ejectedUntil }
 
-// eject ejects the endpoint, for twice as long as the time before.
+// eject ejects the endpoint, for twice as long as the consecutive ejection before, up to maxEjection. It
+// lowers the error rate so that the next error does not eject the endpoint again.
 func (h *endpointHealth) eject(now time.Duration) {
 	h.ejectedUntil = now + min(baseEjection<<min(h.consecutiveEjections, maxEjectionDoublings), maxEjection)
 	h.consecutiveEjections++
 	h.errorRate = ejectionErrorRate / 2
 }
 
-// ejectFor ejects the endpoint for a time at least.
+// ejectFor ejects the endpoint for at least the given duration.
 func (h *endpointHealth) ejectFor(now, duration time.Duration) {
 	h.ejectedUntil = max(h.ejectedUntil, now+duration)
 }
 
-// ejectAsUnresponsive ejects the endpoint until a time has passed or a node reports it.
+// ejectAsUnresponsive ejects the endpoint for unresponsiveEjection, or until it responds or a node reports
+// its load.
 func (h *endpointHealth) ejectAsUnresponsive(now time.Duration) {
 	h.ejectedAsUnresponsive = true
 	h.ejectFor(now, unresponsiveEjection)
 }
 
-// endUnresponsiveEjection ends such an ejection.
+// endUnresponsiveEjection ends an ejection by ejectAsUnresponsive.
 func (h *endpointHealth) endUnresponsiveEjection() {
 	if h.ejectedAsUnresponsive {
 		h.ejectedAsUnresponsive, h.ejectedUntil = false, 0
 	}
 }
 
-// recordResponse records a response of any kind. It reports whether the endpoint was unreachable until now.
+// recordResponse records a response of any kind, which makes an unreachable endpoint reachable. It reports
+// whether the endpoint was unreachable.
 func (h *endpointHealth) recordResponse(now time.Duration) (recovered bool) {
 	h.endUnresponsiveEjection()
 	if recovered = h.unreachable; recovered {
@@ -64,14 +69,16 @@
 	return recovered
 }
 
-// recordNoResponse records that something that was sent at a time came to nothing. Where nothing has come
-// back since then either, the endpoint is unreachable: the machine has died or is cut off, long before the
-// list says so. It reports whether that is new.
+// recordNoResponse records that an attempt or a health check sent at the given time got no response. If the
+// endpoint has not responded to anything since then, it becomes unreachable: its machine has failed or is
+// cut off, and the list will show that only much later. recordNoResponse reports whether the endpoint has
+// become unreachable by this call.
 //
-// An unreachable endpoint gets no request until it responds. Health checks find that out, where the end of
-// an ejection would risk a request, or several at once, each time. It covers lost zones, single machines
-// and cut links; it harms where endpoints don't respond at all for as long as a health check waits and then
-// go on: until the next round of health checks the others carry their load.
+// Until it responds, an unreachable endpoint gets no retries, and first attempts only if no other endpoint
+// is left. Health checks detect its recovery. A timed ejection would risk one or more requests at each end
+// instead. This handles lost zones, failed machines and cut links. It does harm if endpoints stall for
+// longer than the timeout of a health check and then recover: the others carry their load until the next
+// round of health checks.
 func (h *endpointHealth) recordNoResponse(sentAt time.Duration) (isNew bool) {
 	if h.lastResponse >= sentAt || h.unreachable {
 		return false
@@ -80,35 +87,35 @@
 	return true
 }
 
-// recordError adds an outcome to the error rate: 0 for a good one, 1 for an error.
+// recordError adds an outcome to the error rate: 0 for a success, 1 for an error, or a value in between.
 func (h *endpointHealth) recordError(amount float64) {
 	h.errorRate += errorSmoothing * (amount - h.errorRate)
 }
 
-// decay lets the error rate fade; a fraction is retained.
+// decay multiplies the error rate by the retained fraction.
 func (h *endpointHealth) decay(retained float64) { h.errorRate *= retained }
 
-// recordSuccess records an OK, after which ejections are short again.
+// recordSuccess records an OK. The next ejection lasts baseEjection again.
 func (h *endpointHealth) recordSuccess() { h.consecutiveEjections = 0 }
 
-// recordCheck records that a health check is sent.
+// recordCheck records that a health check is being sent.
 func (h *endpointHealth) recordCheck(now time.Duration) { h.lastCheck = now }
 
-// reset forgets the health of a process that another has replaced.
+// reset discards the health of a process that has been replaced.
 func (h *endpointHealth) reset() {
 	h.errorRate, h.consecutiveEjections, h.ejectedUntil, h.unreachable = 0, 0, 0, false
 }
 
-// healthCriteria is what endpoints are judged by at one moment.
+// healthCriteria are the criteria for unresponsive and deprioritized endpoints at one time.
 type healthCriteria struct {
-	largeFleet bool    // load gossip brings what other nodes see
-	maxSilence float64 // seconds without a response or report, with attempts in flight
+	largeFleet bool    // load gossip reports what other nodes observe
+	maxSilence float64 // longest time without response or report while attempts are in flight, in seconds
 }
 
-// unresponsive reports whether the endpoint is known not to respond: it was silent to health checks or, in
-// a large fleet, no node has reported a response since this node's attempts there have been in flight for
-// several times the mean. Silence to one node may be chance, but an endpoint that lives answers some node
-// many times a second.
+// unresponsive reports whether the endpoint is known not to respond. That is so if it is unreachable. In a
+// large fleet it is also so if the endpoint is ejected as unresponsive, or if this node has attempts in
+// flight there and neither a response nor another node's report has arrived for maxSilence. A missing
+// response to one node may be chance, but an endpoint that works answers some node many times a second.
 func (e *endpoint) unresponsive(now time.Duration, criteria healthCriteria) bool {
 	switch {
 	case e.health.unreachable:
@@ -123,28 +130,27 @@
 	return (now - max(e.lastProgress, e.load.reportedAt)).Seconds() > criteria.maxSilence
 }
 
-// deprioritized reports whether the endpoint gets requests only where no other is left. An ejection ends
-// too soon for a fleet in which load gossip brings the endpoint's errors from all nodes: there it lasts
-// while the error rate is high.
+// deprioritized reports whether the endpoint gets requests only if no other is left. In a large fleet that
+// holds as long as its error rate is high: load gossip reports its errors at all nodes, and an ejection
+// alone would end too soon.
 func (e *endpoint) deprioritized(now time.Duration, criteria healthCriteria) bool {
 	return e.health.ejected(now) ||
 		e.health.errorRate > ejectionErrorRate && criteria.largeFleet ||
 		e.unresponsive(now, criteria)
 }
 
-// healthChecker paces health checks: a node sends at most half as many as it sends attempts. The zero value
-// sends none.
+// healthChecker limits the rate of health checks to half the rate of attempts. The zero value sends none.
 type healthChecker struct {
 	enabled bool
-	tokens  float64 // health checks earned by attempts since the last one; what is over one is forfeited
+	tokens  float64 // health checks earned by attempts since the last one; sending one spends all
 }
 
 func newHealthChecker(settings *Settings) healthChecker {
 	return healthChecker{enabled: settings.HealthChecks && settings.LoadReports != NoLoadReports}
 }
 
-// next returns the endpoint to check now, the one checked least lately, or nil. Attempts is their number in a
-// control interval.
+// next returns the endpoint to check now, which is the one checked least recently, or nil if no check is
+// due. It is called once per control interval; attempts is the number of attempts sent in one.
 func (c *healthChecker) next(now time.Duration, tracked []*endpoint, attempts float64) *endpoint {
 	c.tokens += attempts / 2
 	if !c.enabled || len(tracked) == 0 || c.tokens < 1 {
--- a/balancer/health_test.go
+++ b/balancer/health_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// A refused connection ejects at once, for longer each time, and a success ends that.
-func TestEjectionsGrow(t *testing.T) {
+// Each failed connection ejects the endpoint at once and for longer than the time before. A success resets
+// the duration.
+func TestFailedConnectionsEjectForLonger(t *testing.T) {
 	b, r := newTestBalancer(t, testSettings(), equalEndpoints(2)...)
 	e := b.endpoints.trackedByID["s0"]
 	q := &request{}
@@ -20,15 +21,15 @@
 		}
 		b.actions = r
 		b.recordOutcome(q, e, Outcome{Result: ConnectFailed})
-		span := e.health.ejectedUntil - b.now
-		if span <= last && span != maxEjection {
-			t.Errorf("ejection %d lasts %v after %v", i, span, last)
+		duration := e.health.ejectedUntil - b.now
+		if duration <= last && duration != maxEjection {
+			t.Errorf("ejection %d lasts %v, the one before lasted %v", i, duration, last)
 		}
-		last = span
+		last = duration
 	}
 	b.recordOutcome(q, e, Outcome{Result: OK, Elapsed: ms})
 	if e.health.consecutiveEjections != 0 {
-		t.Errorf("%d ejections in a row after a success", e.health.consecutiveEjections)
+		t.Errorf("%d consecutive ejections after a success, want 0", e.health.consecutiveEjections)
 	}
 }
 
@@ -42,18 +43,19 @@
 	}
 	for _, a := range r.actions {
 		if strings.HasSuffix(a, " s0") {
-			t.Fatalf("%q", a)
+			t.Fatalf("%q: attempt at a draining endpoint", a)
 		}
 	}
 	b.EndpointsUpdated(testStart, UpdateSnapshot, nil, r)
 	r.actions = nil
 	if n := sendBurst(b, r, testStart, 5, q); n != 0 {
-		t.Errorf("%d sent to endpoints that are no longer listed", n)
+		t.Errorf("%d requests sent to endpoints that are not listed any more", n)
 	}
 }
 
-// An endpoint that is silent to a health check and to all else since gets no request until it responds to
-// one; a response in between shows that it lives.
+// An endpoint that does not respond to a health check, nor to anything sent since, gets no requests until it
+// responds to a later health check. A response that arrives after the health check was sent keeps it
+// reachable.
 func TestUnreachableEndpointGetsNoRequestUntilItResponds(t *testing.T) {
 	b, r := newTestBalancer(t, healthCheckSettings(), equalEndpoints(2)...)
 	s, now := b.endpoints.trackedByID["s0"], testStart
@@ -70,29 +72,29 @@
 	s.health.lastCheck = now
 	b.HealthChecked(now+ms, "s0", TimedOut, nil, r)
 	if n := sentTo("s0"); n != 0 {
-		t.Errorf("%d requests sent to an endpoint that is silent to health checks", n)
+		t.Errorf("%d requests sent to an endpoint that does not respond to health checks", n)
 	}
 	b.HealthChecked(now, "s0", OK, nil, r)
 	if n := sentTo("s0"); n == 0 {
-		t.Error("no request sent to an endpoint that responds again")
+		t.Error("no request sent to an endpoint that has recovered")
 	}
 	b.RequestArrived(now+ms, newRequest(1, "safe", "rate", 9), r)
 	s.health.lastCheck, s.health.lastResponse = now, now+ms
 	b.HealthChecked(now+2*ms, "s0", TimedOut, nil, r)
 	if s.health.unreachable {
-		t.Error("an endpoint that has responded since the health check counts as unreachable")
+		t.Error("an endpoint that has responded since the health check was sent is unreachable")
 	}
-	// Nor does one that was restarted count as unreachable.
+	// A restart makes an unreachable endpoint reachable.
 	s.health.unreachable = true
 	b.EndpointsUpdated(now, UpdateDelta, []Endpoint{
 		{ID: "s0", MachineType: "k", Zone: "a", StartedAt: now},
 	}, r)
 	if s.health.unreachable {
-		t.Error("a restarted endpoint counts as unreachable")
+		t.Error("a restarted endpoint is unreachable")
 	}
 }
 
-// Health checks reach all endpoints in turn, though selections shuffle them.
+// Health checks are sent to all endpoints in turn, although selections shuffle the tracked endpoints.
 func TestHealthChecksReachAllInTurn(t *testing.T) {
 	b, r := newTestBalancer(t, healthCheckSettings(), equalEndpoints(10)...)
 	checks := map[string]int{}
@@ -111,18 +113,18 @@
 	}
 	for id := range b.endpoints.trackedByID {
 		if checks[id] != 2 {
-			t.Errorf("%d health checks of %s, want 2 of each in 20", checks[id], id)
+			t.Errorf("%d of 20 health checks sent to %s, want 2", checks[id], id)
 		}
 	}
 }
 
-// Each ejection in a row lasts twice as long as the one before, up to a limit.
+// Each consecutive ejection lasts twice as long as the one before, up to maxEjection.
 func TestEjectionDurations(t *testing.T) {
 	var health endpointHealth
 	durations := []time.Duration{
 		500 * ms, time.Second, 2 * time.Second, 4 * time.Second, 8 * time.Second, 8 * time.Second,
 	}
-	for range 20 { // long after the doublings have ended
+	for range 20 { // more than maxEjectionDoublings
 		durations = append(durations, 8*time.Second)
 	}
 	for n, want := range durations {
@@ -132,46 +134,46 @@
 			t.Errorf("ejection %d lasts %v, want %v", n+1, got, want)
 		}
 		if health.ejected(testStart+want) || !health.ejected(testStart+want-1) {
-			t.Errorf("ejection %d does not end at its end", n+1)
+			t.Errorf("ejection %d does not end after %v", n+1, want)
 		}
 		if health.errorRate >= ejectionErrorRate {
-			t.Errorf("error rate %v after an ejection would eject again at once", health.errorRate)
+			t.Errorf("error rate %v after an ejection: the next error would eject again", health.errorRate)
 		}
 	}
 	health.recordSuccess()
 	if health.eject(testStart); health.ejectedUntil != testStart+500*ms {
-		t.Errorf("ejection after a success lasts %v", health.ejectedUntil-testStart)
+		t.Errorf("ejection after a success lasts %v, want 500ms", health.ejectedUntil-testStart)
 	}
 }
 
-// An endpoint is unreachable only if nothing has come back since something came to nothing, and until it
-// responds.
+// An endpoint becomes unreachable if it has not responded to anything since an unanswered attempt was sent.
+// The next response makes it reachable.
 func TestUnreachable(t *testing.T) {
 	health := endpointHealth{lastResponse: testStart, consecutiveEjections: 3, ejectedUntil: testStart + time.Hour}
 	if health.recordNoResponse(testStart) || health.unreachable {
-		t.Error("unreachable though it has responded since")
+		t.Error("unreachable, although the endpoint has responded since")
 	}
 	if !health.recordNoResponse(testStart+ms) || !health.unreachable {
-		t.Error("reachable though nothing has come back")
+		t.Error("reachable, although the endpoint has not responded since")
 	}
 	if health.recordNoResponse(testStart + 2*ms) {
-		t.Error("unreachable anew")
+		t.Error("an unreachable endpoint became unreachable again")
 	}
 	if health.consecutiveEjections != 3 {
-		t.Errorf("%d ejections in a row after silence, want 3 as before", health.consecutiveEjections)
+		t.Errorf("%d consecutive ejections without a response, want 3 as before", health.consecutiveEjections)
 	}
 	if !health.recordResponse(testStart+3*ms) || health.unreachable || health.ejected(testStart+4*ms) ||
 		health.consecutiveEjections != 0 {
 		t.Errorf("after a response: %+v", health)
 	}
 	if health.recordResponse(testStart + 5*ms) {
-		t.Error("reachable anew")
+		t.Error("a reachable endpoint became reachable again")
 	}
 }
 
-// A response or a reported load ends an ejection for silence, but no other.
-func TestUnresponsiveEjectionEndsWithNews(t *testing.T) {
-	for name, news := range map[string]func(e *endpoint){
+// A response or a reported load ends an ejection for unresponsiveness, but no other ejection.
+func TestResponseEndsUnresponsiveEjection(t *testing.T) {
+	for name, respond := range map[string]func(e *endpoint){
 		"response": func(e *endpoint) { e.health.recordResponse(testStart) },
 		"load":     func(e *endpoint) { e.recordLoad(1, testStart) },
 	} {
@@ -181,16 +183,15 @@
 		if got := silent.health.ejectedUntil - testStart; got != unresponsiveEjection {
 			t.Errorf("%s: ejected for %v, want %v", name, got, unresponsiveEjection)
 		}
-		news(silent)
-		news(failing)
+		respond(silent)
+		respond(failing)
 		if silent.health.ejected(testStart) || !failing.health.ejected(testStart) {
-			t.Errorf("%s: silent endpoint ejected: %v, failing one: %v", name, silent.health.ejected(testStart),
-				failing.health.ejected(testStart))
+			t.Errorf("%s: silent endpoint ejected: %v, want false; failing one: %v, want true", name,
+				silent.health.ejected(testStart), failing.health.ejected(testStart))
 		}
 	}
 }
 
-// What makes an endpoint unresponsive, and what deprioritizes it.
 func TestHealthCriteria(t *testing.T) {
 	large, small := healthCriteria{largeFleet: true, maxSilence: 0.1}, healthCriteria{}
 	busySince := func(lastProgress time.Duration) func(*endpoint) {
@@ -226,26 +227,26 @@
 		e.lastProgress = testStart
 		test.change(e)
 		if got := e.unresponsive(testStart, test.criteria); got != test.unresponsive {
-			t.Errorf("%s: unresponsive %v", test.name, got)
+			t.Errorf("%s: unresponsive is %v, want %v", test.name, got, test.unresponsive)
 		}
 		if got := e.deprioritized(testStart, test.criteria); got != test.deprioritized {
-			t.Errorf("%s: deprioritized %v", test.name, got)
+			t.Errorf("%s: deprioritized is %v, want %v", test.name, got, test.deprioritized)
 		}
 	}
 }
 
-// A node sends one health check for two attempts, and saves none up.
+// A node sends at most one health check for every two attempts, and accumulates none for later.
 func TestHealthChecksArePaced(t *testing.T) {
 	e := newEndpoint(Endpoint{ID: "s0"})
 	for _, test := range []struct {
 		name     string
 		checker  healthChecker
 		tracked  []*endpoint
-		attempts []float64 // in each control interval
+		attempts []float64 // attempts in each control interval
 		want     int
 	}{
-		{"one for two", healthChecker{enabled: true}, []*endpoint{e}, []float64{1, 1, 1, 1}, 2},
-		{"none saved up", healthChecker{enabled: true}, []*endpoint{e}, []float64{100, 0, 0}, 1},
+		{"one per two attempts", healthChecker{enabled: true}, []*endpoint{e}, []float64{1, 1, 1, 1}, 2},
+		{"none accumulated", healthChecker{enabled: true}, []*endpoint{e}, []float64{100, 0, 0}, 1},
 		{"disabled", healthChecker{}, []*endpoint{e}, []float64{100, 100}, 0},
 		{"no endpoints", healthChecker{enabled: true}, nil, []float64{100}, 0},
 	} {
--- a/balancer/rendezvous.go
+++ b/balancer/rendezvous.go
@@ -6,8 +6,9 @@
 	"slices"
 )
 
-// Rendezvous hashing: every endpoint orders the nodes by their rank under the endpoint's key, and the first
-// nodes of that order have it in their subsets. All nodes work out the same order without talking.
+// Rendezvous hashing: each endpoint orders the nodes by their rank under the endpoint's key, and the subsets
+// of the first nodes in that order contain the endpoint. All nodes compute the same order without
+// communicating.
 
 // endpointKey returns an endpoint's key in rendezvous hashing.
 func endpointKey(id string) uint64 {
@@ -16,33 +17,34 @@
 	return h.Sum64()
 }
 
-// rank returns a node's rank in an endpoint's order; the lowest is first, and no two are equal.
-func rank(key uint64, node int) uint64 {
+// nodeRank returns a node's rank under an endpoint's key. The endpoint orders the nodes by ascending rank.
+// Ranks under one key are distinct.
+func nodeRank(key uint64, node int) uint64 {
 	x := (key + uint64(node+1)*0x9e3779b97f4a7c15) * 0xd6e8feb86659fd93
 	return (x ^ x>>32) * 0xd6e8feb86659fd93
 }
 
-// position counts the nodes before one in an endpoint's order, up to a limit. Only where few nodes come
-// before it does it rank them all: of n nodes it ranks limit x (1 + ln(n / limit)) on average.
-func position(key uint64, node, nodeCount, limit int) (before int) {
-	own := rank(key, node)
+// nodePosition returns the number of nodes before the given node in an endpoint's order, but at most limit.
+// It stops at the limit, and so ranks limit x (1 + ln(nodeCount / limit)) nodes on average.
+func nodePosition(key uint64, node, nodeCount, limit int) (before int) {
+	own := nodeRank(key, node)
 	for other := 0; other < nodeCount && before < limit; other++ {
-		if rank(key, other) < own {
+		if nodeRank(key, other) < own {
 			before++
 		}
 	}
 	return before
 }
 
-// lastRank returns the rank of the last of the first nodes in an endpoint's order, above all ranks if these
-// are all nodes.
+// lastRank returns the highest rank among the first nodes in an endpoint's order, where first is their
+// number. If these are all nodes, it returns the largest uint64, which no rank exceeds.
 func lastRank(key uint64, nodeCount, first int) uint64 {
 	if first >= nodeCount {
 		return math.MaxUint64
 	}
 	lowest := make([]uint64, 0, first+1)
 	for node := range nodeCount {
-		own := rank(key, node)
+		own := nodeRank(key, node)
 		if len(lowest) == first && own >= lowest[first-1] {
 			continue
 		}
@@ -53,7 +55,8 @@
 	return lowest[first-1]
 }
 
-// fraction returns an endpoint's own number in [0, 1), evenly distributed over the endpoints.
-func fraction(key uint64) float64 {
-	return float64(rank(key, -1)>>11) / (1 << 53)
+// keyFraction returns a number in [0, 1) that depends on the key only and is evenly distributed over keys. It
+// is derived from the rank of the index -1, which no node has.
+func keyFraction(key uint64) float64 {
+	return float64(nodeRank(key, -1)>>11) / (1 << 53)
 }
--- a/balancer/reserve.go
+++ b/balancer/reserve.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// maxReserveSamples is the number of samples until an endpoint is taken whatever its weight.
+// maxReserveSamples is the maximum number of endpoints sampled; the last one is taken whatever its weight.
 const maxReserveSamples = 4
 
-// pool is a set of slots from which one can be sampled. Its order has no meaning.
+// pool is an unordered set of slots to sample from.
 type pool []slotIndex
 
-// poolsPerEndpoint is the number of pools that an endpoint of the reserve is in: of all, of its zone and of
-// its cell.
+// poolsPerEndpoint is the number of pools that contain an endpoint of the reserve: the pool of all
+// endpoints, of its zone and of its cell.
 const poolsPerEndpoint = 3
 
-// reserve holds the listed endpoints that may be sent to although this node doesn't track them: they are up
-// and warm. They serve where the subset can't. The zero value is empty.
+// reserve holds the listed endpoints that are up, warm and not tracked. They serve requests that the subset
+// cannot serve. The zero value is empty.
 type reserve struct {
 	all     pool
-	byZone  []pool // by the zone's number in the list
-	byCell  []pool // by the cell's
-	warmUps warmUpQueue
+	byZone  []pool      // indexed like the zones of the list
+	byCell  []pool      // indexed like the cells of the list
+	warmUps warmUpQueue // cold endpoints that join the reserve once they are warm
 }
 
-// grow makes pools for a number of zones and cells.
+// grow adds empty pools until there is one for each zone and cell.
 func (r *reserve) grow(zones, cells int) {
 	for len(r.byZone) < zones {
 		r.byZone = append(r.byZone, nil)
@@ -35,12 +35,12 @@
 	}
 }
 
-// poolsOf returns the pools that an endpoint belongs to.
+// poolsOf returns the pools that contain an endpoint while it is in the reserve.
 func (r *reserve) poolsOf(entry *listedEndpoint) [poolsPerEndpoint]*pool {
 	return [poolsPerEndpoint]*pool{&r.all, &r.byZone[entry.zone], &r.byCell[entry.cell]}
 }
 
-// addToReserve adds an endpoint to the reserve.
+// addToReserve adds an endpoint to the reserve, unless it is there already.
 func (l *endpointList) addToReserve(slot slotIndex) {
 	entry := &l.entries[slot]
 	if entry.inReserve {
@@ -53,7 +53,8 @@
 	entry.inReserve = true
 }
 
-// removeFromReserve takes an endpoint out of the reserve. The last of each pool moves to its position.
+// removeFromReserve removes an endpoint from the reserve, if it is there. In each pool the last endpoint
+// takes its position.
 func (l *endpointList) removeFromReserve(slot slotIndex) {
 	entry := &l.entries[slot]
 	if !entry.inReserve {
@@ -69,8 +70,8 @@
 	entry.inReserve = false
 }
 
-// updateReserve adds an endpoint to the reserve or takes it out, after its entry has changed or it is
-// tracked or no longer. A cold one is added once it is warm.
+// updateReserve adds an endpoint to the reserve or removes it. It must be called when the entry changes and
+// when tracking of the endpoint starts or stops. A cold endpoint is queued and added once it is warm.
 func (l *endpointList) updateReserve(slot slotIndex, now, warmUp time.Duration) {
 	entry := &l.entries[slot]
 	warmAt := entry.startedAt + warmUp
@@ -85,7 +86,7 @@
 	}
 }
 
-// moveWarmedUpToReserve adds the endpoints to the reserve that have become warm.
+// moveWarmedUpToReserve adds the endpoints that have become warm to the reserve.
 func (l *endpointList) moveWarmedUpToReserve(now, warmUp time.Duration) {
 	for {
 		slot, ok := l.reserve.warmUps.next(now)
@@ -96,24 +97,24 @@
 	}
 }
 
-// reserveInZone returns the reserve in a zone.
+// reserveInZone returns the endpoints of the reserve in a zone.
 func (l *endpointList) reserveInZone(zone string) pool {
-	if number, known := l.zones.numbers[zone]; known {
-		return l.reserve.byZone[number]
+	if index, known := l.zones.indexes[zone]; known {
+		return l.reserve.byZone[index]
 	}
 	return nil
 }
 
-// reserveInCell returns the reserve in a cell.
+// reserveInCell returns the endpoints of the reserve in a cell.
 func (l *endpointList) reserveInCell(cell int) pool {
-	if number, known := l.cells.numbers[cell]; known {
-		return l.reserve.byCell[number]
+	if index, known := l.cells.indexes[cell]; known {
+		return l.reserve.byCell[index]
 	}
 	return nil
 }
 
-// sampleByWeight samples an endpoint from a part of the reserve that isn't empty, by weight as far as a few
-// samples can.
+// sampleByWeight returns a random candidate, approximately with a probability proportional to its weight.
+// The candidates must not be empty.
 func (l *endpointList) sampleByWeight(candidates pool, rng *rand.Rand) slotIndex {
 	slot := candidates[rng.IntN(len(candidates))]
 	for n := 1; n < maxReserveSamples && rng.Float64()*l.activeWeights.largest > l.weight(slot); n++ {
@@ -122,17 +123,18 @@
 	return slot
 }
 
-// warmUpEnd is when a started endpoint is warm.
+// warmUpEnd is the time at which the warm-up of an endpoint ends.
 type warmUpEnd struct {
 	at   time.Duration
 	slot slotIndex
 }
 
-// warmUpQueue is a heap of cold endpoints by when they are warm. An endpoint may be in it more than once,
-// or have left the list: what comes out of it is checked again.
+// warmUpQueue is a heap of cold endpoints, ordered by the end of their warm-up. It may contain an endpoint
+// more than once, or a slot whose endpoint has left the list or was restarted. The caller checks each slot
+// again.
 type warmUpQueue []warmUpEnd
 
-// next removes and returns a slot whose endpoint may be warm by now; ok is false where there is none.
+// next removes and returns a slot whose endpoint may be warm by now; ok is false if there is none.
 func (q *warmUpQueue) next(now time.Duration) (slot slotIndex, ok bool) {
 	if len(*q) == 0 || (*q)[0].at > now {
 		return 0, false
@@ -140,19 +142,19 @@
 	return heap.Pop(q).(warmUpEnd).slot, true
 }
 
-// Len is part of [heap.Interface].
+// Len implements [heap.Interface].
 func (q warmUpQueue) Len() int { return len(q) }
 
-// Less is part of [heap.Interface].
+// Less implements [heap.Interface].
 func (q warmUpQueue) Less(i, j int) bool { return q[i].at < q[j].at }
 
-// Swap is part of [heap.Interface].
+// Swap implements [heap.Interface].
 func (q warmUpQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push is part of [heap.Interface].
+// Push implements [heap.Interface].
 func (q *warmUpQueue) Push(x any) { *q = append(*q, x.(warmUpEnd)) }
 
-// Pop is part of [heap.Interface].
+// Pop implements [heap.Interface].
 func (q *warmUpQueue) Pop() any {
 	last := len(*q) - 1
 	x := (*q)[last]
--- a/balancer/reserve_test.go
+++ b/balancer/reserve_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// waysToLose makes an endpoint of the subset useless, in each of the ways in which that happens.
-var waysToLose = map[string]func(b *Balancer, s *endpoint, r *hostRecorder){
+// endpointLosses are the ways in which an endpoint of the subset goes out of service.
+var endpointLosses = map[string]func(b *Balancer, s *endpoint, r *hostRecorder){
 	"draining": func(b *Balancer, s *endpoint, r *hostRecorder) {
 		e := s.Endpoint
 		e.State = Draining
 		b.EndpointsUpdated(b.now, UpdateDelta, []Endpoint{e}, r)
 	},
-	"gone": func(b *Balancer, s *endpoint, r *hostRecorder) {
+	"removed": func(b *Balancer, s *endpoint, r *hostRecorder) {
 		e := s.Endpoint
 		e.State = Removed
 		b.EndpointsUpdated(b.now, UpdateDelta, []Endpoint{e}, r)
@@ -24,66 +24,68 @@
 		e := s.Endpoint
 		e.StartedAt = b.now
 		b.EndpointsUpdated(b.now, UpdateDelta, []Endpoint{e}, r)
-		s.slowStart.tokens, s.slowStart.accruedAt = 0, b.now // no tokens yet
+		s.slowStart.tokens, s.slowStart.accruedAt = 0, b.now // so that it gets no request yet
 	},
 	"unreachable": func(b *Balancer, s *endpoint, r *hostRecorder) { b.recordNoResponse(s, b.now) },
 	"errors":      func(b *Balancer, s *endpoint, r *hostRecorder) { s.health.eject(b.now) },
 }
 
-// Where a whole subset is useless, the same selection finds another endpoint, and the nodes that have lost
-// theirs don't crowd the same ones.
+// Guards against requests that fail because the whole subset is out of service. The selection must find an
+// endpoint of the reserve instead, and nodes that have all lost their subsets must not overload the same
+// few.
 func TestReserveServesWhenSubsetIsLost(t *testing.T) {
 	const nodes, endpoints, each, more = 100, 400, 5, 60
 	list := testEndpoints(endpoints)
-	for way, loseOne := range waysToLose {
+	for name, lose := range endpointLosses {
 		balancers := newFleet(t, nodes, list)
-		to, heavy := map[string]int{}, 0
+		requestsTo, toLarge := map[string]int{}, 0
 		for _, b := range balancers {
 			r := &hostRecorder{}
 			b.now, b.actions = testStart, r
 			members := slices.Clone(b.endpoints.tracked)
 			for _, e := range members {
-				loseOne(b, e, r)
+				lose(b, e, r)
 			}
 			for n := range each {
 				q := newRequest(n, "safe", "rate", uint64(n))
 				b.RequestArrived(testStart, q, r)
 				if req := b.requests.byID[q.ID]; req == nil || req.attempts[0].endpoint.inSubset {
-					t.Fatalf("%s: not sent to the reserve: %v", way, r.actions)
+					t.Fatalf("%s: not sent to the reserve: %v", name, r.actions)
 				}
 				e := b.requests.byID[q.ID].attempts[0].endpoint
-				to[e.ID]++
-				heavy += int(oneIf(e.Weight > 1))
+				requestsTo[e.ID]++
+				toLarge += int(oneIf(e.Weight > 1))
 			}
 			for n := each; n < each+more; n++ {
 				q := newRequest(n, "safe", "rate", uint64(n))
 				b.RequestArrived(testStart, q, r)
 				b.AttemptFinished(testStart, Outcome{ID: q.ID, Result: OK, Answered: true, Elapsed: ms}, r)
 			}
-			// As many as a subset holds stand in for it, and one may have been sampled besides.
-			if known := b.Stats().TrackedEndpoints; known > len(members)+b.endpoints.subsetSize()+1 {
-				t.Errorf("%s: %d endpoints tracked, %d of them in the subset", way, known, len(members))
+			// The reserve is sampled until as many of its endpoints are tracked as a subset contains, and
+			// one more sample may have been taken before that was found.
+			if tracked := b.Stats().TrackedEndpoints; tracked > len(members)+b.endpoints.subsetSize()+1 {
+				t.Errorf("%s: %d endpoints tracked, %d of them in the subset", name, tracked, len(members))
 			}
 		}
 		most := 0
-		for _, n := range to {
+		for _, n := range requestsTo {
 			most = max(most, n)
 		}
-		// Half of the 400 weigh ten times as much as the others and get nearly all, some of them several by
-		// chance.
-		if len(to) < endpoints/3 || most > 15 || heavy < nodes*each*3/4 {
-			t.Errorf("%s: %d endpoints used, one by %d of %d requests, %d to large ones", way, len(to),
-				most, nodes*each, heavy)
+		// Half of the 400 endpoints have ten times the weight of the others. These get nearly all requests,
+		// and some of them get several by chance.
+		if len(requestsTo) < endpoints/3 || most > 15 || toLarge < nodes*each*3/4 {
+			t.Errorf("%s: %d endpoints used, at most %d of %d requests to one, %d to large ones", name,
+				len(requestsTo), most, nodes*each, toLarge)
 		}
 	}
 }
 
-// Where a zone is lost, every node goes on with the same selection, and those that have lost most of their
-// subset don't crowd the endpoints that are left.
-func TestLostZoneIsServedByOthers(t *testing.T) {
+// Guards against failed requests after the loss of a zone, and against nodes that have lost most of their
+// subset overloading the few endpoints left in it.
+func TestLostZoneIsServedByOtherZones(t *testing.T) {
 	const nodes, endpoints, each = 100, 400, 10
 	list := testEndpoints(endpoints)
-	to, left := map[string]int{}, 0
+	requestsTo, left := map[string]int{}, 0
 	var lost []Endpoint
 	for _, e := range list {
 		if e.Zone == "a" {
@@ -100,34 +102,37 @@
 			q := newRequest(n, "safe", "rate", uint64(n))
 			b.RequestArrived(testStart, q, r)
 			if req := b.requests.byID[q.ID]; req == nil || req.attempts[0].endpoint.Zone == "a" {
-				t.Fatalf("node %d: %v", b.settings.NodeIndex, r.actions)
+				t.Fatalf("node %d: not sent to another zone: %v", b.settings.NodeIndex, r.actions)
 			}
-			to[b.requests.byID[q.ID].attempts[0].endpoint.ID]++
+			requestsTo[b.requests.byID[q.ID].attempts[0].endpoint.ID]++
 			b.AttemptFinished(testStart, Outcome{ID: q.ID, Result: OK, Answered: true, Elapsed: ms}, r)
 		}
 	}
 	most := 0
-	for _, n := range to {
+	for _, n := range requestsTo {
 		most = max(most, n)
 	}
-	if mean := nodes * each / float64(left); len(to) < left/2 || float64(most) > 10*mean {
-		t.Errorf("%d of %d endpoints used, one by %d requests where the mean is %.1f", len(to), left, most,
-			mean)
+	if mean := nodes * each / float64(left); len(requestsTo) < left/2 || float64(most) > 10*mean {
+		t.Errorf("%d of %d endpoints used, at most %d requests to one, %.1f on average", len(requestsTo),
+			left, most, mean)
 	}
-	t.Logf("%d of %d endpoints used, one by %d of %d requests", len(to), left, most, nodes*each)
+	t.Logf("%d of %d endpoints used, at most %d of %d requests to one", len(requestsTo), left, most,
+		nodes*each)
 }
 
-// What was used of the reserve is dropped once the subset is back, and returns to the reserve.
+// An endpoint of the reserve is no longer tracked some time after its use, and returns to the reserve. It
+// stays tracked while an attempt is in flight there.
 func TestReserveEndpointsAreDroppedAfterUse(t *testing.T) {
 	b, r := newTestBalancer(t, subsetSettings(100), testEndpoints(400)...)
-	members, waiting := b.Stats().TrackedEndpoints, len(b.endpoints.list.reserve.all)
+	members, inReserve := b.Stats().TrackedEndpoints, len(b.endpoints.list.reserve.all)
 	for _, e := range b.endpoints.tracked {
 		e.health.eject(b.now)
 	}
 	b.RequestArrived(testStart, newRequest(1, "safe", "rate", 1), r)
-	if known := b.Stats().TrackedEndpoints; known != members+1 ||
-		len(b.endpoints.list.reserve.all) != waiting-1 {
-		t.Fatalf("%d tracked, %d in the reserve", known, len(b.endpoints.list.reserve.all))
+	if tracked := b.Stats().TrackedEndpoints; tracked != members+1 ||
+		len(b.endpoints.list.reserve.all) != inReserve-1 {
+		t.Fatalf("%d tracked, %d in the reserve, want %d and %d", tracked, len(b.endpoints.list.reserve.all),
+			members+1, inReserve-1)
 	}
 	b.TimerFired(testStart+time.Minute, timerControlInterval, r)
 	if b.Stats().TrackedEndpoints != members+1 {
@@ -135,45 +140,48 @@
 	}
 	b.AttemptFinished(testStart+time.Minute, Outcome{ID: "r1", Result: OK, Answered: true, Elapsed: ms}, r)
 	b.TimerFired(testStart+2*time.Minute, timerControlInterval, r)
-	if known := b.Stats().TrackedEndpoints; known != members || len(b.endpoints.list.reserve.all) != waiting {
-		t.Errorf("%d tracked, %d in the reserve, want %d and %d", known, len(b.endpoints.list.reserve.all),
-			members, waiting)
+	if tracked := b.Stats().TrackedEndpoints; tracked != members ||
+		len(b.endpoints.list.reserve.all) != inReserve {
+		t.Errorf("%d tracked, %d in the reserve, want %d and %d", tracked, len(b.endpoints.list.reserve.all),
+			members, inReserve)
 	}
 }
 
-// entryReadsOf counts the entries of the list that are read to find an endpoint outside the subset.
-func entryReadsOf(b *Balancer, draw func(*request) *endpoint) int {
+// entryReadsOf counts the list entries that find reads to find an endpoint outside the subset.
+func entryReadsOf(b *Balancer, find func(*request) *endpoint) int {
 	before := b.endpoints.list.entryReads
-	draw(&request{Request: newRequest(1, "safe", "rate", 1)})
+	find(&request{Request: newRequest(1, "safe", "rate", 1)})
 	return b.endpoints.list.entryReads - before
 }
 
-// An endpoint of the reserve is found without a scan of the list.
+// Guards against a scan of the whole list for an endpoint of the reserve. The test also checks that it would
+// detect one.
 func TestReserveIsNotScanned(t *testing.T) {
 	b, _ := newTestBalancer(t, subsetSettings(100), testEndpoints(20_000)...)
 	if n := entryReadsOf(b, b.sampleReserve); n < 1 || n > maxReserveSamples {
-		t.Errorf("%d entries read", n)
+		t.Errorf("%d entries read, want 1 to %d", n, maxReserveSamples)
 	}
 	scan := func(r *request) (found *endpoint) {
-		var fit []slotIndex
+		var usable []slotIndex
 		for at := range b.endpoints.list.entries {
 			if s := (&endpoint{Endpoint: b.endpoints.list.endpointAt(slotIndex(at))}); s.State == Up &&
 				b.mayAttempt(r, s) {
-				fit = append(fit, slotIndex(at))
+				usable = append(usable, slotIndex(at))
 			}
 		}
-		return b.endpoints.track(fit[b.rng.IntN(len(fit))])
+		return b.endpoints.track(usable[b.rng.IntN(len(usable))])
 	}
 	if n := entryReadsOf(b, scan); n <= maxReserveSamples {
-		t.Errorf("a scan passes: %d entries read", n)
+		t.Errorf("a scan is not detected: %d entries read", n)
 	}
 }
 
-// A request whose repeats are dropped in one zone or cell only stays there, in the reserve too.
+// Guards against a request with an idempotency key that is executed twice: if keys are deduplicated within a
+// zone or cell, a retry must stay there, even if it goes to the reserve.
 func TestRetryStaysInDedupScopeInReserve(t *testing.T) {
-	for _, group := range []DedupScope{DedupZone, DedupCell} {
+	for _, scope := range []DedupScope{DedupZone, DedupCell} {
 		s := subsetSettings(100)
-		s.Classes[1].DedupScope = group
+		s.Classes[1].DedupScope = scope
 		for seed := range 20 {
 			b, r := newTestBalancer(t, s, testEndpoints(400)...)
 			b.rng = rand.New(rand.NewPCG(uint64(seed), 1))
@@ -186,19 +194,20 @@
 			b.AttemptFinished(testStart+ms, Outcome{ID: "r1", Result: Reset, Elapsed: ms}, r)
 			req := b.requests.byID["r1"]
 			if req == nil || len(req.attempts) != 2 {
-				t.Fatalf("no repeat: %v", r.actions)
+				t.Fatalf("not retried: %v", r.actions)
 			}
-			again := req.attempts[1]
-			if again.endpoint.inSubset || group == DedupZone && again.zone != first.zone ||
-				group == DedupCell && again.cell != first.cell {
-				t.Errorf("scope %d: first %s/%d, then %s/%d, in the subset %v", group, first.zone,
-					first.cell, again.zone, again.cell, again.endpoint.inSubset)
+			retry := req.attempts[1]
+			if retry.endpoint.inSubset || scope == DedupZone && retry.zone != first.zone ||
+				scope == DedupCell && retry.cell != first.cell {
+				t.Errorf("scope %d: first attempt in %s/%d, retry in %s/%d, retry in the subset: %v", scope,
+					first.zone, first.cell, retry.zone, retry.cell, retry.endpoint.inSubset)
 			}
 		}
 	}
 }
 
-// The reserve holds what is up, warm and not tracked, in the pools of its zone and cell.
+// The reserve contains the endpoints that are up, warm and not tracked, each also in the pools of its zone
+// and cell.
 func TestReserveMembership(t *testing.T) {
 	const warmUp = 10 * time.Second
 	list := newEndpointList(0)
@@ -235,20 +244,20 @@
 			}
 			slices.Sort(ids)
 			if got := strings.Join(ids, " "); got != part.want {
-				t.Errorf("%s, %s: %s, want %s", when, part.name, got, part.want)
+				t.Errorf("%s, %s: %q, want %q", when, part.name, got, part.want)
 			}
 		}
 	}
-	check("at first", "a1 a2 b1", "a1 a2", "a1 b1")
+	check("initially", "a1 a2 b1", "a1 a2", "a1 b1")
 	list.moveWarmedUpToReserve(testStart+warmUp-time.Second-1, warmUp)
 	check("before the end of the warm-up", "a1 a2 b1", "a1 a2", "a1 b1")
 	list.moveWarmedUpToReserve(testStart+warmUp-time.Second, warmUp)
-	check("warmed up", "a1 a2 b1 cold", "a1 a2 cold", "a1 b1 cold")
+	check("after the warm-up", "a1 a2 b1 cold", "a1 a2 cold", "a1 b1 cold")
 	list.setTracked(slots["a1"], true)
 	list.updateReserve(slots["a1"], testStart+warmUp, warmUp)
 	list.remove(slots["cold"])
-	check("tracked and removed", "a2 b1", "a2", "b1")
+	check("after one was tracked and one removed", "a2 b1", "a2", "b1")
 	if list.reserveInZone("none") != nil || list.reserveInCell(9) != nil {
-		t.Error("endpoints in a zone or cell that has none")
+		t.Error("found endpoints in an unknown zone or cell")
 	}
 }
--- a/balancer/restart_evidence.go
+++ b/balancer/restart_evidence.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// maxSuspectedRestarts is the number of failed connections that are remembered of an endpoint.
+// maxSuspectedRestarts is the maximum number of suspected restarts stored for an endpoint.
 const maxSuspectedRestarts = 8
 
-// restartEvidence remembers the failed connections that may be due to a restart of an endpoint's process,
-// which the list reports only later. Connections fail at a process that is up as well: what shows that it
+// restartEvidence stores the times of failed connections that may be due to a restart of the endpoint's
+// process, which the list reports only later. Connections also fail while a process is up, so proof that it
 // was up withdraws the suspicion. The zero value suspects nothing.
 type restartEvidence struct {
 	latest          time.Duration   // latest suspected restart; 0: none
-	suspected       []time.Duration // all of them, oldest first
-	confirmingSince time.Duration   // when the health check under way was sent to see; 0: none is
+	suspected       []time.Duration // suspected restarts, oldest first
+	confirmingSince time.Duration   // send time of the pending confirming health check; 0: none
 }
 
-// suspect records a connection that failed.
+// suspect records a failed connection as a suspected restart. If the maximum is stored, it replaces the
+// latest.
 func (r *restartEvidence) suspect(now time.Duration) {
 	if len(r.suspected) == maxSuspectedRestarts {
 		r.suspected = r.suspected[:maxSuspectedRestarts-1]
@@ -23,7 +24,8 @@
 	r.latest = now
 }
 
-// confirmUpSince withdraws the suspicions from a time on, since which the process is known to be up.
+// confirmUpSince records that the process has been up since the given time, and withdraws the suspected
+// restarts at or after it.
 func (r *restartEvidence) confirmUpSince(at time.Duration) {
 	n := len(r.suspected)
 	for n > 0 && r.suspected[n-1] >= at {
@@ -38,8 +40,8 @@
 	}
 }
 
-// startConfirming notes that a health check is sent to see whether the process is up. It reports false
-// where one is under way already.
+// startConfirming records that a health check is to be sent to confirm that the process is up. It returns
+// false if one is pending already.
 func (r *restartEvidence) startConfirming(now time.Duration) bool {
 	if r.confirmingSince != 0 {
 		return false
@@ -48,13 +50,13 @@
 	return true
 }
 
-// confirm takes a response to a health check: one that was sent to see shows that the process has been up
-// since.
+// confirm records a response to a health check. If a confirming one is pending, the process has been up
+// since that was sent.
 func (r *restartEvidence) confirm() {
 	if r.confirmingSince > 0 {
 		r.confirmUpSince(r.confirmingSince)
 	}
 }
 
-// stopConfirming notes that the health check has ended.
+// stopConfirming records that the health check has ended, with or without a response.
 func (r *restartEvidence) stopConfirming() { r.confirmingSince = 0 }
--- a/balancer/restart_evidence_test.go
+++ b/balancer/restart_evidence_test.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// A connection that failed is no restart where a response on an older one, or to a health check sent at
-// once, shows the process up. What failed before that stays suspected.
-func TestFailedConnectionIsConfirmed(t *testing.T) {
+// Guards against endpoints that count as cold after single failed connections. A response on an older
+// connection or to a health check that was sent at once proves that the process was not restarted. Failures
+// before that time stay suspected.
+func TestResponseWithdrawsSuspectedRestart(t *testing.T) {
 	fail := func(b *Balancer, r *hostRecorder, n int, at time.Duration) {
 		r.actions = nil
 		b.RequestArrived(at, newRequest(n, "unsafe", "rate", uint64(n)), r)
@@ -18,17 +19,17 @@
 	e := b.endpoints.tracked[0]
 	fail(b, r, 1, testStart)
 	if r.count("check s0") != 1 || b.warmUpFraction(e) == 1 {
-		t.Errorf("%d health checks sent, warm-up fraction %v after a failed connection",
+		t.Errorf("after a failed connection: %d health checks, want 1; warm-up fraction %v, want below 1",
 			r.count("check s0"), b.warmUpFraction(e))
 	}
 	if b.HealthChecked(testStart+5*ms, "s0", OK, nil, r); b.warmUpFraction(e) != 1 {
-		t.Error("cold though a health check sent at once was answered")
+		t.Error("cold after the response to the health check that was sent at once")
 	}
 	if fail(b, r, 2, testStart+time.Second); r.count("check s0") != 1 {
-		t.Errorf("%d health checks sent", r.count("check s0"))
+		t.Errorf("%d health checks sent after the second failed connection, want 1", r.count("check s0"))
 	}
 	if b.HealthChecked(testStart+time.Second, "s0", ConnectFailed, nil, r); b.warmUpFraction(e) == 1 {
-		t.Error("warm though the health check failed as well")
+		t.Error("warm after a failed health check")
 	}
 	if b.HealthChecked(testStart+2*time.Second, "s0", OK, nil, r); b.warmUpFraction(e) == 1 {
 		t.Error("warm after the response to a later health check: the process may have started since")
@@ -40,17 +41,18 @@
 		e.restarts.suspect(testStart + time.Duration(i+1)*ms)
 	}
 	b.now, b.actions = testStart+time.Second, r
-	b.recordLatency(0, e, ms) // its class has a mean
+	b.recordLatency(0, e, ms) // so that the class has a mean latency
 	q := &request{}
 	b.recordOutcome(q, e, Outcome{Result: OK, Elapsed: ms, ConnectedAt: testStart + 3*ms/2})
 	if e.restarts.latest != testStart+ms {
-		t.Errorf("suspected since %v, want the failure before the connection was made", e.restarts.latest-testStart)
+		t.Errorf("latest suspected restart at %v, want 1ms: the failure before the connection was made",
+			e.restarts.latest-testStart)
 	}
 	if b.recordOutcome(q, e, Outcome{
 		Result: OK, Elapsed: ms,
 		ConnectedAt: testStart + ms/2,
 	}); e.restarts.latest != 0 {
-		t.Error("cold after a response on a connection older than all failures")
+		t.Error("restart suspected after a response on a connection older than all failures")
 	}
 }
 
@@ -84,24 +86,25 @@
 	}
 	last := testStart + 23*ms
 	if len(many.suspected) != 8 || many.latest != last {
-		t.Errorf("%d remembered, latest %v, want %d and %v", len(many.suspected), many.latest, 8, last)
+		t.Errorf("%d suspected restarts stored, latest %v, want %d and %v", len(many.suspected), many.latest,
+			8, last)
 	}
 	many.confirmUpSince(last)
 	if want := testStart + 6*ms; many.latest != want {
-		t.Errorf("latest %v, want the first ones kept, up to %v", many.latest, want)
+		t.Errorf("latest %v, want %v: the earliest suspected restarts are kept", many.latest, want)
 	}
 }
 
-// One health check at a time is sent to confirm, and only its response withdraws the suspicion.
+// At most one confirming health check is pending, and only a response to it withdraws the suspicion.
 func TestConfirmingRestart(t *testing.T) {
 	var r restartEvidence
 	r.suspect(testStart)
 	r.confirm()
 	if r.latest != testStart {
-		t.Error("confirmed by a health check that was not sent to confirm")
+		t.Error("suspicion withdrawn, although no confirming health check is pending")
 	}
 	if !r.startConfirming(testStart) || r.startConfirming(testStart+ms) {
-		t.Error("want one health check at a time")
+		t.Error("want exactly one confirming health check pending")
 	}
 	r.confirm()
 	r.stopConfirming()
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -4,36 +4,37 @@
 
 const (
 	errorCostFactor      = 8    // additional cost factor of an error rate of 1
-	crossZoneFactor      = 1.1  // cost factor of another zone where crossing has a price
-	failedEndpointFactor = 4    // cost factor of an endpoint at which this request has failed
-	minLatencyRatio      = 0.1  // in costs, so that load counts also where responses are fast
-	minCostMean          = 1e-3 // seconds; mean latency that silence is held against, at least
+	crossZoneFactor      = 1.1  // cost factor of another zone, if cross-zone attempts have a price
+	failedEndpointFactor = 4    // cost factor for each failed attempt of the request at the endpoint
+	minLatencyRatio      = 0.1  // lower bound in costs, so that load counts also if responses are fast
+	minCostMean          = 1e-3 // lower bound in costs of the mean latency, in seconds
 
-	// Costs of the tiers of endpoints, each above all costs of the tiers before.
-	notSampledCost    = 1e3 // of the subset, but not sampled by its size
-	outsideSubsetCost = 1e5
-	deprioritizedCost = 1e6
+	// Additional costs of the tiers of endpoints. Each exceeds all costs within the tiers before.
+	notSampledCost    = 1e3 // endpoint of the subset that the random sampling skipped
+	outsideSubsetCost = 1e5 // endpoint in service outside the subset
+	deprioritizedCost = 1e6 // endpoint that is used only if no other is left
 
-	minSamples = 2 // endpoints of the subset that a selection compares, at least
+	minSamples = 2 // minimum number of endpoints of the subset that a selection compares
 )
 
-// selection is the state of the choice of an endpoint for an attempt: the power of random choices. Nodes
-// that all took the best of all endpoints would crowd it, so each compares a few sampled at random.
+// selection is the state of one endpoint selection. It uses the power of random choices: if all nodes chose
+// the best of all endpoints, they would overload it, so each node compares only a few random ones.
 type selection struct {
 	request       *request
 	criteria      healthCriteria
-	samples       int // endpoints of the subset still to compare
-	best          *endpoint
+	samples       int       // number of endpoints of the subset still to compare
+	best          *endpoint // endpoint with the lowest cost so far, or nil
 	bestCost      float64
-	deprioritized bool // best is
-	outsideSubset int  // endpoints in service outside the subset
+	deprioritized bool // whether best is deprioritized
+	outsideSubset int  // number of compared endpoints in service outside the subset
 }
 
-// done reports whether enough endpoints were compared. Where the best is deprioritized all are.
+// done reports whether enough endpoints were compared. As long as the best is deprioritized, the selection
+// goes on through all tracked endpoints.
 func (s *selection) done() bool { return s.best != nil && s.samples == 0 && !s.deprioritized }
 
-// offer compares an endpoint with the best so far.
-func (s *selection) offer(e *endpoint, cost float64, deprioritized bool) {
+// consider compares an endpoint with the best so far.
+func (s *selection) consider(e *endpoint, cost float64, deprioritized bool) {
 	for i := range s.request.attempts {
 		if a := &s.request.attempts[i]; a.endpoint == e && a.result != OK {
 			cost *= failedEndpointFactor
@@ -44,15 +45,15 @@
 	}
 }
 
-// needsReserve reports whether the subset has no endpoint in service for the request. As many of the
-// reserve stand in for the subset as that has endpoints.
+// needsReserve reports whether to sample the reserve: the subset has no endpoint in service for the request,
+// and fewer endpoints outside the subset were found in service than a subset contains.
 func (s *selection) needsReserve(subsetSize int) bool {
 	subsetServes := s.best != nil && s.best.inSubset && !s.deprioritized
 	return !subsetServes && s.outsideSubset < subsetSize
 }
 
-// selectEndpoint returns the endpoint with the lowest expected delay that a further attempt of the request
-// may go to, or nil.
+// selectEndpoint returns the endpoint for the next attempt of the request: of the endpoints sampled, the one
+// with the lowest cost. It returns nil if no endpoint may be used.
 func (b *Balancer) selectEndpoint(r *request) *endpoint {
 	tracked := len(b.endpoints.tracked)
 	s := selection{
@@ -67,7 +68,7 @@
 		}
 		if e := b.endpoints.sample(i, b.rng); b.maySelect(r, e) {
 			cost, deprioritized := b.tierCost(&s, e)
-			s.offer(e, b.cost(e)+cost, deprioritized)
+			s.consider(e, b.cost(e)+cost, deprioritized)
 		}
 	}
 	if !s.needsReserve(b.endpoints.subsetSize()) {
@@ -79,15 +80,16 @@
 	return s.best
 }
 
-// maySelect reports whether a further attempt of the request may go to the endpoint. A retry at an
-// unreachable one would only cost the client time.
+// maySelect reports whether the next attempt of the request may go to the endpoint. An unreachable endpoint
+// gets no retries, which would only cost the client time.
 func (b *Balancer) maySelect(r *request, e *endpoint) bool {
 	return e.acceptsRequests() && b.mayAttempt(r, e) && b.slowStartAllows(e) &&
 		(!e.health.unreachable || len(r.attempts) == 0)
 }
 
-// tierCost returns the additional cost of an endpoint's tier. Those of the subset that are sampled by their
-// size use up the samples; ones out of service don't, or those in service would be chosen blindly.
+// tierCost returns the additional cost of an endpoint's tier. An endpoint of the subset is sampled with a
+// probability proportional to its capacity, and uses up one of the samples if it is. Deprioritized endpoints
+// use up none: otherwise the endpoints in service could be chosen without a comparison.
 func (b *Balancer) tierCost(s *selection, e *endpoint) (cost float64, deprioritized bool) {
 	switch {
 	case e.deprioritized(b.now, s.criteria):
@@ -102,12 +104,12 @@
 	return 0, false
 }
 
-// cost returns the expected delay of a request at the endpoint, as a multiple of the usual latency.
+// cost returns the expected delay of a request at the endpoint, as a multiple of the mean latency.
 func (b *Balancer) cost(e *endpoint) float64 {
 	ratio := e.latencyRatio
 	if e.inFlight > 0 {
-		// Silence with attempts in flight counts as latency: it covers pauses, dead machines and cut links
-		// alike.
+		// The time without progress counts as latency while attempts are in flight. This handles pauses,
+		// failed machines and cut links alike.
 		ratio = math.Max(ratio, (b.now-e.lastProgress).Seconds()/math.Max(b.latency.mean(), minCostMean))
 	}
 	load := float64(e.inFlight) + math.Max(e.load.queued, 0) + b.expectedOtherLoad(e)
@@ -119,7 +121,8 @@
 	return cost
 }
 
-// sampleReserve returns an endpoint of the reserve that the request may go to, or nil.
+// sampleReserve samples an endpoint of the reserve for the request and starts to track it. It returns nil if
+// there is none, or if the request may not be sent to the sampled one.
 func (b *Balancer) sampleReserve(r *request) *endpoint {
 	b.endpoints.moveWarmedUpToReserve(b.now)
 	candidates := b.reserveFor(r)
@@ -133,8 +136,8 @@
 	return b.endpoints.trackFromReserve(b.now, slot)
 }
 
-// reserveFor returns the part of the reserve that the request may go to: one with an idempotency key that
-// may have run stays where its repeats are dropped.
+// reserveFor returns the endpoints of the reserve to which the request may be sent. If an attempt with an
+// idempotency key may have run, a repeat must stay in the zone or cell that deduplicates it.
 func (b *Balancer) reserveFor(r *request) pool {
 	class := &b.settings.Classes[r.class]
 	candidates := b.endpoints.list.reserve.all
--- a/balancer/selection_bench_test.go
+++ b/balancer/selection_bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// discardingHost carries nothing out.
+// discardingHost ignores all actions.
 type discardingHost struct{ hostRecorder }
 
 func (*discardingHost) SendAttempt(string, string, time.Duration, time.Duration) {}
@@ -16,14 +16,14 @@
 func (*discardingHost) HealthCheck(string)                                       {}
 func (*discardingHost) SendPeer(int, []byte)                                     {}
 
-// BenchmarkRequest measures a request that is sent to an endpoint and answered, with the control intervals
-// between requests: in a small fleet, which tracks all endpoints, and in a large one, with a subset that
-// serves and with one that is lost, so that the reserve does.
+// BenchmarkRequest measures a request that is sent to an endpoint and answered, including one control
+// interval for every 100 requests. The cases are a small fleet, in which all endpoints are tracked, a large
+// fleet, and a large fleet whose subset is out of service, so that the reserve serves all requests.
 func BenchmarkRequest(b *testing.B) {
 	for _, bench := range []struct {
 		name             string
 		nodes, endpoints int
-		lost             bool
+		lost             bool // the whole subset drains
 	}{{"small", 2, 40, false}, {"large", 1000, 10_000, false}, {"lost subset", 1000, 10_000, true}} {
 		b.Run(bench.name, func(b *testing.B) {
 			s := testSettings()
--- a/balancer/selection_law_test.go
+++ b/balancer/selection_law_test.go
@@ -9,34 +9,34 @@
 	"pgregory.net/rapid"
 )
 
-// admissibleByScan tells by the rules alone whether a request may go to a listed endpoint, as a node could
-// that tracks all endpoints and goes through them.
+// admissibleByScan reports whether a request may be sent to a listed endpoint, by the rules alone. It is the
+// reference for the selection, which does not look at all endpoints.
 func admissibleByScan(b *Balancer, r *request, e Endpoint) bool {
 	s := b.endpoints.trackedByID[e.ID]
 	if s == nil {
 		s = newEndpoint(e)
 	}
-	takes := e.State == Up
+	accepts := e.State == Up
 	warm := b.warmUpFraction(s) >= 1
-	holds := position(endpointKey(e.ID), b.settings.NodeIndex, b.settings.NodeCount,
-		b.settings.NodeCount) < int(b.endpoints.sizing.subsetsPerEndpoint+fraction(endpointKey(e.ID)))
-	saved := warm || holds && s.slowStart.tokens >= 1
-	return takes && b.mayAttempt(r, s) && saved && (!s.health.unreachable || len(r.attempts) == 0)
+	inSubset := nodePosition(endpointKey(e.ID), b.settings.NodeIndex, b.settings.NodeCount,
+		b.settings.NodeCount) < int(b.endpoints.sizing.subsetsPerEndpoint+keyFraction(endpointKey(e.ID)))
+	slowStartAllows := warm || inSubset && s.slowStart.tokens >= 1
+	return accepts && b.mayAttempt(r, s) && slowStartAllows && (!s.health.unreachable || len(r.attempts) == 0)
 }
 
-// Whatever has happened to the list and its endpoints, an endpoint is selected exactly where a scan over
-// all endpoints finds one, and it is one of those that the scan allows.
+// After random changes of the list and random outcomes of attempts, the selection finds an endpoint if and
+// only if a scan of all endpoints finds one, and the scan admits the selected endpoint.
 func TestSelectionAgreesWithScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := subsetSettings(rapid.SampledFrom([]int{1, 2, 30, 100}).Draw(t, "nodes"))
 		s.Classes[1].DedupScope = rapid.SampledFrom([]DedupScope{DedupFleet, DedupZone, DedupCell}).Draw(t,
-			"group")
-		s.NodeIndex = rapid.IntRange(0, s.NodeCount-1).Draw(t, "me")
+			"scope")
+		s.NodeIndex = rapid.IntRange(0, s.NodeCount-1).Draw(t, "node")
 		b, err := New(s, rapid.Uint64().Draw(t, "seed"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		m := &selectionMachine{balancer: b, now: testStart, listed: map[string]Endpoint{}}
+		m := &selectionModel{balancer: b, now: testStart, listed: map[string]Endpoint{}}
 		b.Start(testStart, &m.recorder)
 		t.Repeat(map[string]func(*rapid.T){
 			"snapshot": m.snapshot, "delta": m.delta, "request": m.request, "outcome": m.outcome,
@@ -45,25 +45,26 @@
 	})
 }
 
-// selectionMachine drives a node and keeps the list that it was sent.
-type selectionMachine struct {
+// selectionModel drives a node by random events and models the list that the node has received.
+type selectionModel struct {
 	balancer *Balancer
 	recorder hostRecorder
 	now      time.Duration
 	listed   map[string]Endpoint
-	sent     int
+	sent     int // number of requests sent; their ids are r1 to r<sent>
 }
 
+// selectionEndpoints is the number of different endpoints.
 const selectionEndpoints = 60
 
-// drawEndpoint draws an entry of one of few endpoints.
-func (m *selectionMachine) drawEndpoint(t *rapid.T) Endpoint {
-	n := rapid.IntRange(0, selectionEndpoints-1).Draw(t, "server")
+// drawEndpoint draws a list entry.
+func (m *selectionModel) drawEndpoint(t *rapid.T) Endpoint {
+	n := rapid.IntRange(0, selectionEndpoints-1).Draw(t, "endpoint")
 	e := Endpoint{
 		ID: fmt.Sprintf("s%d", n), MachineType: "k", Zone: string(rune('a' + n%3)), Cell: n % 4,
 		Weight: float64(1 + n%3),
 	}
-	switch rapid.IntRange(0, 7).Draw(t, "moved") { // most endpoints stay the same
+	switch rapid.IntRange(0, 7).Draw(t, "moved") { // in most cases nothing but the state changes
 	case 0:
 		e.Zone = "d"
 	case 1:
@@ -80,7 +81,7 @@
 	return e
 }
 
-func (m *selectionMachine) snapshot(t *rapid.T) {
+func (m *selectionModel) snapshot(t *rapid.T) {
 	var list []Endpoint
 	clear(m.listed)
 	for range rapid.IntRange(0, selectionEndpoints).Draw(t, "length") {
@@ -91,13 +92,13 @@
 	m.balancer.EndpointsUpdated(m.now, UpdateSnapshot, list, &m.recorder)
 }
 
-func (m *selectionMachine) delta(t *rapid.T) {
+func (m *selectionModel) delta(t *rapid.T) {
 	e := m.drawEndpoint(t)
 	m.record(e)
 	m.balancer.EndpointsUpdated(m.now, UpdateDelta, []Endpoint{e}, &m.recorder)
 }
 
-func (m *selectionMachine) record(e Endpoint) {
+func (m *selectionModel) record(e Endpoint) {
 	if e.State == Removed {
 		delete(m.listed, e.ID)
 		return
@@ -105,17 +106,18 @@
 	m.listed[e.ID] = e
 }
 
-func (m *selectionMachine) tick(t *rapid.T) {
+func (m *selectionModel) tick(t *rapid.T) {
 	m.now += time.Duration(rapid.IntRange(0, 9000).Draw(t, "ms")) * ms
 	m.balancer.TimerFired(m.now, timerControlInterval, &m.recorder)
 }
 
-// request makes a request, which may stay in flight, and holds the selection against the scan.
-func (m *selectionMachine) request(t *rapid.T) {
+// request compares a selection with the scan for a request that may have a previous attempt. If an endpoint
+// is found, it also sends a request, which stays in flight until its outcome is drawn.
+func (m *selectionModel) request(t *rapid.T) {
 	b := m.balancer
 	r := &request{Request: newRequest(0, "safe", "rate", 1), class: rapid.IntRange(0, 2).Draw(t, "class")}
-	if known := b.endpoints.tracked; len(known) > 0 && rapid.Bool().Draw(t, "further") {
-		s := known[rapid.IntRange(0, len(known)-1).Draw(t, "tried")]
+	if tracked := b.endpoints.tracked; len(tracked) > 0 && rapid.Bool().Draw(t, "retry") {
+		s := tracked[rapid.IntRange(0, len(tracked)-1).Draw(t, "previous")]
 		r.attempts = append(r.attempts, attempt{
 			endpoint: s, sentAt: m.now, zone: s.Zone, cell: s.Cell, done: true,
 			neverRan: rapid.Bool().Draw(t, "never ran"), result: Reset,
@@ -131,21 +133,22 @@
 	}
 	s := b.selectEndpoint(r)
 	if s == nil && len(allowed) > 0 || s != nil && !allowed[s.ID] {
-		t.Fatalf("selected %+v of %v", s, allowed)
+		t.Fatalf("selected %+v, the scan admits %v", s, allowed)
 	}
 	if s == nil {
 		return
 	}
 	if best, got := m.bestTier(allowed), m.tier(s.ID); got != best {
-		t.Fatalf("selected %+v, of tier %d, where one of tier %d is there", s, got, best)
+		t.Fatalf("selected %+v of tier %d, although an endpoint of tier %d is admitted", s, got, best)
 	}
 	m.sent++
 	q := newRequest(m.sent, "safe", "rate", 1)
 	b.RequestArrived(m.now, q, &m.recorder)
 }
 
-// tier is 0 for an endpoint of the subset in service, 1 for another in service and 2 for a deprioritized one.
-func (m *selectionMachine) tier(id string) int {
+// tier returns 0 for an endpoint in service in the subset, 1 for another endpoint in service and 2 for a
+// deprioritized endpoint.
+func (m *selectionModel) tier(id string) int {
 	e := m.balancer.endpoints.trackedByID[id]
 	switch {
 	case e != nil && m.balancer.deprioritized(e):
@@ -156,7 +159,7 @@
 	return 1
 }
 
-func (m *selectionMachine) bestTier(allowed map[string]bool) int {
+func (m *selectionModel) bestTier(allowed map[string]bool) int {
 	best := 2
 	for id := range allowed {
 		best = min(best, m.tier(id))
@@ -164,14 +167,14 @@
 	return best
 }
 
-// accrueIfTracked brings the slow-start budget of an endpoint up to date, as a selection does.
+// accrueIfTracked brings the slow-start budget of a tracked endpoint up to date, as a selection does.
 func (b *Balancer) accrueIfTracked(id string) {
 	if e := b.endpoints.trackedByID[id]; e != nil {
 		b.accrueSlowStart(e)
 	}
 }
 
-func (m *selectionMachine) outcome(t *rapid.T) {
+func (m *selectionModel) outcome(t *rapid.T) {
 	id := fmt.Sprintf("r%d", rapid.IntRange(1, max(m.sent, 1)).Draw(t, "request"))
 	r := m.balancer.requests.byID[id]
 	if r == nil || len(r.attempts) == 0 {
@@ -185,8 +188,8 @@
 	}, &m.recorder)
 }
 
-// check holds the state against the list.
-func (m *selectionMachine) check(t *rapid.T) {
+// check compares the state of the node with the model of the list.
+func (m *selectionModel) check(t *rapid.T) {
 	b := m.balancer
 	if len(b.endpoints.list.slotByID) != len(m.listed) {
 		t.Fatalf("%d listed, want %d", len(b.endpoints.list.slotByID), len(m.listed))
@@ -209,12 +212,12 @@
 				b.endpoints.trackedAt(b.endpoints.list.slotByID[id]))
 		}
 		cold := e.StartedAt != 0 && m.now < e.StartedAt+b.settings.SlowStartDuration
-		if fit := s == nil && e.State == Up && !cold; reserve[id] != fit {
-			t.Fatalf("%+v is in the reserve: %v", e, reserve[id])
+		if want := s == nil && e.State == Up && !cold; reserve[id] != want {
+			t.Fatalf("%+v is in the reserve: %v, want %v", e, reserve[id], want)
 		}
-		if s == nil && position(endpointKey(id), b.settings.NodeIndex, b.settings.NodeCount,
-			b.settings.NodeCount) < int(b.endpoints.sizing.subsetsPerEndpoint+fraction(endpointKey(id))) {
-			t.Fatalf("%s is not tracked, and the subset is to hold it", id)
+		if s == nil && nodePosition(endpointKey(id), b.settings.NodeIndex, b.settings.NodeCount,
+			b.settings.NodeCount) < int(b.endpoints.sizing.subsetsPerEndpoint+keyFraction(endpointKey(id))) {
+			t.Fatalf("%s is not tracked, although it belongs to the subset", id)
 		}
 	}
 	if len(reserve) != len(b.endpoints.list.reserve.all) {
@@ -223,38 +226,38 @@
 	m.checkIndex(t)
 }
 
-// checkIndex holds the index of the subset against the endpoints that are tracked.
-func (m *selectionMachine) checkIndex(t *rapid.T) {
-	named := map[uint16][]*endpoint{}
+// checkIndex compares the index of the subset with the tracked endpoints.
+func (m *selectionModel) checkIndex(t *rapid.T) {
+	byHash := map[uint16][]*endpoint{}
 	members := 0
 	for _, e := range m.balancer.endpoints.tracked {
 		if e.inSubset {
 			members++
-			named[e.shortHash] = append(named[e.shortHash], e)
+			byHash[e.shortHash] = append(byHash[e.shortHash], e)
 		}
 	}
 	if len(m.balancer.endpoints.index.shared) != members ||
-		len(m.balancer.endpoints.index.byHash) != len(named) {
-		t.Fatalf("%d in the subset, %d shared, %d named", members, len(m.balancer.endpoints.index.shared),
-			len(m.balancer.endpoints.index.byHash))
+		len(m.balancer.endpoints.index.byHash) != len(byHash) {
+		t.Fatalf("%d endpoints in the subset with %d hashes, the index has %d and %d", members, len(byHash),
+			len(m.balancer.endpoints.index.shared), len(m.balancer.endpoints.index.byHash))
 	}
 	for _, e := range m.balancer.endpoints.index.shared {
-		first := int(m.balancer.endpoints.sizing.subsetsPerEndpoint + fraction(e.rendezvousKey))
+		first := int(m.balancer.endpoints.sizing.subsetsPerEndpoint + keyFraction(e.rendezvousKey))
 		if m.balancer.ownsQuotas() && e.lastSubsetRank != lastRank(e.rendezvousKey,
 			m.balancer.settings.NodeCount, first) {
-			t.Fatalf("%s is shared with others than the first %d nodes", e.ID, first)
+			t.Fatalf("%s: last subset rank %d is not that of %d nodes", e.ID, e.lastSubsetRank, first)
 		}
 	}
-	for hash, endpoints := range named {
+	for hash, endpoints := range byHash {
 		if got := m.balancer.endpoints.index.byHash[hash]; len(endpoints) == 1 && got != endpoints[0] ||
 			len(endpoints) > 1 && got != nil {
-			t.Fatalf("%v has the name of %v", got, endpoints)
+			t.Fatalf("hash %#04x: the index has %v, the subset %v", hash, got, endpoints)
 		}
 	}
 }
 
-// checkWeights holds the counts of weights against a scan.
-func (m *selectionMachine) checkWeights(t *rapid.T) {
+// checkWeights compares the counts of weights with a scan.
+func (m *selectionModel) checkWeights(t *rapid.T) {
 	var listed, members weightCounts
 	for id, e := range m.listed {
 		if e.State != Up {
--- a/balancer/selection_test.go
+++ b/balancer/selection_test.go
@@ -8,17 +8,18 @@
 	"time"
 )
 
-// An endpoint that fails fast draws no requests; the last one is not ejected.
-func TestFastErrorsDrawNoRequests(t *testing.T) {
+// Guards against an endpoint that attracts requests because it fails fast and so looks idle. The only
+// endpoint left gets requests even if it is ejected.
+func TestFastErrorsAttractNoRequests(t *testing.T) {
 	b, r := newTestBalancer(t, testSettings(), equalEndpoints(4)...)
-	bad := 0
+	toFailing := 0
 	for i := 0; i < 400; i++ {
 		now := testStart + time.Duration(i)*20*ms
 		q := newRequest(i, "unsafe", "rate", uint64(i))
 		b.RequestArrived(now, q, r)
 		a := strings.Fields(r.last())
 		if a[0] == "send" && a[2] == "s0" {
-			bad++
+			toFailing++
 			b.AttemptFinished(now+ms, Outcome{
 				ID: q.ID, Result: ErrorResponse, EndpointID: "s0",
 				Elapsed: ms,
@@ -30,17 +31,18 @@
 			}, r)
 		}
 	}
-	if bad > 20 {
-		t.Errorf("%d of 400 requests went to the failing endpoint", bad)
+	if toFailing > 20 {
+		t.Errorf("%d of 400 requests went to the failing endpoint, want at most 20", toFailing)
 	}
 	b.EndpointsUpdated(testStart+9*time.Second, UpdateSnapshot, equalEndpoints(1), r)
 	b.RequestArrived(testStart+9*time.Second, newRequest(1000, "safe", "rate", 5000), r)
 	if r.last() != "send r1000 s0" {
-		t.Errorf("the last endpoint is not used: %q", r.last())
+		t.Errorf("the only endpoint is not used: %q", r.last())
 	}
 }
 
-// Silence with attempts in flight counts as latency.
+// An endpoint that does not respond to the attempts in flight is avoided, since the time without a response
+// counts as latency.
 func TestSilentEndpointIsAvoided(t *testing.T) {
 	b, r := newTestBalancer(t, testSettings(), equalEndpoints(2)...)
 	toSilent := 0
@@ -59,13 +61,13 @@
 		}
 	}
 	if toSilent > 10 {
-		t.Errorf("%d of 200 requests went to the silent endpoint", toSilent)
+		t.Errorf("%d of 200 requests went to the silent endpoint, want at most 10", toSilent)
 	}
 }
 
-// Of two endpoints alike, the silent, the failing, the slow, the cold and the busy one costs more.
-func TestCostOfSymptoms(t *testing.T) {
-	for name, spoil := range map[string]func(*endpoint){
+// Each symptom of an endpoint in trouble raises its cost above that of an otherwise equal endpoint.
+func TestSymptomsRaiseCost(t *testing.T) {
+	for name, affect := range map[string]func(*endpoint){
 		"silent":    func(e *endpoint) { e.lastProgress = testStart - time.Second },
 		"failing":   func(e *endpoint) { e.health.errorRate = 0.3 },
 		"slow":      func(e *endpoint) { e.latencyRatio = 2 },
@@ -75,19 +77,20 @@
 		"restarted": func(e *endpoint) { e.restarts.latest = testStart },
 	} {
 		b, _ := newTestBalancer(t, testSettings(), equalEndpoints(2)...)
-		usual, failing := b.endpoints.tracked[0], b.endpoints.tracked[1]
+		healthy, affected := b.endpoints.tracked[0], b.endpoints.tracked[1]
 		for _, e := range b.endpoints.tracked {
 			e.inFlight, e.lastProgress = 1, testStart
 		}
 		b.latency.classes[0].mean = 0.1
-		spoil(failing)
-		if b.cost(failing) < 1.3*b.cost(usual) {
-			t.Errorf("%s: cost %v against %v", name, b.cost(failing), b.cost(usual))
+		affect(affected)
+		if b.cost(affected) < 1.3*b.cost(healthy) {
+			t.Errorf("%s: cost %v, want at least 1.3 times %v", name, b.cost(affected), b.cost(healthy))
 		}
 	}
 }
 
-// Deprioritized endpoints use no samples: the choice among the others would be blind.
+// Guards against a selection that ends after deprioritized endpoints have used up its samples, so that the
+// endpoints in service are not compared with each other.
 func TestDeprioritizedEndpointsUseNoSamples(t *testing.T) {
 	b, r := newTestBalancer(t, testSettings(), equalEndpoints(12)...)
 	b.settings.NodeCount = 6
@@ -97,45 +100,46 @@
 	for _, id := range []string{"s9", "s10"} {
 		b.endpoints.trackedByID[id].inFlight, b.endpoints.trackedByID[id].lastProgress = 9, testStart
 	}
-	blind := 0
+	toBusy := 0
 	for i := range 100 {
 		b.actions, b.now = r, testStart
 		if e := b.selectEndpoint(&request{number: uint64(i)}); e.ID != "s11" {
-			blind++
+			toBusy++
 		}
 	}
-	if blind > 5 {
-		t.Errorf("%d of 100 went past the idle endpoint of three", blind)
+	if toBusy > 5 {
+		t.Errorf("%d of 100 selections missed the idle one of three endpoints, want at most 5", toBusy)
 	}
 }
 
-// An endpoint at which the request has failed costs a multiple, and one at which it was answered does not.
+// An endpoint at which the request has failed costs failedEndpointFactor times as much. One that has
+// answered the request does not.
 func TestFailedEndpointCostsMore(t *testing.T) {
 	failed, answered := newEndpoint(Endpoint{ID: "s0"}), newEndpoint(Endpoint{ID: "s1"})
 	untried := newEndpoint(Endpoint{ID: "s2"})
 	r := &request{attempts: []attempt{{endpoint: failed, result: Reset}, {endpoint: answered, result: OK}}}
 	for _, test := range []struct {
 		name       string
-		cost       float64 // of the other endpoint
+		cost       float64 // cost of the other endpoint
 		other      *endpoint
 		wantFailed bool
 	}{
-		{"a little dearer", failedEndpointFactor - 0.1, untried, false},
-		{"much dearer", failedEndpointFactor + 0.1, untried, true},
+		{"slightly less than the factor", failedEndpointFactor - 0.1, untried, false},
+		{"slightly more than the factor", failedEndpointFactor + 0.1, untried, true},
 		{"answered", failedEndpointFactor - 0.1, answered, false},
 	} {
 		s := selection{request: r, bestCost: math.Inf(1)}
-		s.offer(failed, 1, false)
-		s.offer(test.other, test.cost, false)
+		s.consider(failed, 1, false)
+		s.consider(test.other, test.cost, false)
 		if got := s.best == failed; got != test.wantFailed {
-			t.Errorf("%s: the failed endpoint is the best: %v", test.name, got)
+			t.Errorf("%s: the failed endpoint is the best: %v, want %v", test.name, got, test.wantFailed)
 		}
 	}
 }
 
-// Each tier of endpoints costs more than any of the tiers before: in the subset, not sampled, outside,
-// deprioritized.
-func TestTiersOfCost(t *testing.T) {
+// The additional costs rise from tier to tier: sampled from the subset, not sampled, outside the subset,
+// deprioritized. Only endpoints of the subset use up samples.
+func TestTierCosts(t *testing.T) {
 	b, r := newTestBalancer(t, subsetSettings(100), testEndpoints(400)...)
 	b.now, b.actions = testStart, r
 	var outside *endpoint
@@ -150,14 +154,15 @@
 	s := selection{criteria: b.healthCriteria(), samples: 3}
 	if cost, deprioritized := b.tierCost(&s, outside); cost != outsideSubsetCost || deprioritized ||
 		s.outsideSubset != 1 {
-		t.Errorf("outside the subset: cost %v, deprioritized %v, %d counted", cost, deprioritized,
-			s.outsideSubset)
+		t.Errorf("outside the subset: cost %v, deprioritized %v, %d counted, want %v, false and 1", cost,
+			deprioritized, s.outsideSubset, float64(outsideSubsetCost))
 	}
 	if cost, deprioritized := b.tierCost(&s, ejected); cost != deprioritizedCost || !deprioritized {
-		t.Errorf("ejected: cost %v, deprioritized %v", cost, deprioritized)
+		t.Errorf("ejected: cost %v, deprioritized %v, want %v and true", cost, deprioritized,
+			float64(deprioritizedCost))
 	}
 	if s.samples != 3 {
-		t.Errorf("%d samples left of 3, though none was of the subset", s.samples)
+		t.Errorf("%d samples left, want 3: no endpoint was of the subset", s.samples)
 	}
 	var largest *endpoint
 	for _, e := range b.endpoints.tracked {
@@ -166,9 +171,9 @@
 		}
 	}
 	if cost, _ := b.tierCost(&s, largest); cost != 0 || s.samples != 2 {
-		t.Errorf("the largest of the subset: cost %v, %d samples left", cost, s.samples)
+		t.Errorf("largest endpoint of the subset: cost %v, %d samples left, want 0 and 2", cost, s.samples)
 	}
 	if notSampledCost >= outsideSubsetCost || outsideSubsetCost >= deprioritizedCost {
-		t.Error("the tiers are not in order")
+		t.Error("the additional costs do not rise from tier to tier")
 	}
 }
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -7,26 +7,27 @@
 )
 
 const (
-	// slowStartBudgetFraction is the part of the load under which a cold endpoint falls over that is used,
-	// as the work of requests varies.
+	// slowStartBudgetFraction is the fraction used of the load that overloads a cold endpoint. The margin
+	// covers the variation of the work of requests.
 	slowStartBudgetFraction = 0.7
-	// minWarmUpFraction keeps costs finite for an endpoint that has no capacity at its start.
+	// minWarmUpFraction bounds the warm-up fraction from below, so that the cost of an endpoint without
+	// initial capacity is finite.
 	minWarmUpFraction = 0.01
 )
 
-// warmUpCurve is the lowest capacity that a started endpoint can have, as the settings give it: it grows
-// evenly from a fraction at the start to all of it. In the zero value endpoints are warm at once.
+// warmUpCurve is the guaranteed capacity of an endpoint after its start. It grows linearly from an initial
+// fraction to the full capacity. With the zero value, endpoints are warm at once.
 type warmUpCurve struct {
-	initialFraction float64
-	duration        time.Duration
+	initialFraction float64       // fraction of the capacity at the start
+	duration        time.Duration // time from the start to the full capacity
 }
 
 func newWarmUpCurve(settings *Settings) warmUpCurve {
 	return warmUpCurve{settings.SlowStartInitialFraction, settings.SlowStartDuration}
 }
 
-// fraction returns the lowest fraction of its capacity that an endpoint can have by now. A start of 0 is long
-// ago.
+// fraction returns the guaranteed fraction of the capacity of an endpoint started at the given time; 0 means
+// long ago.
 func (c warmUpCurve) fraction(startedAt, now time.Duration) float64 {
 	age := now - startedAt
 	if startedAt == 0 || age >= c.duration || c.duration == 0 {
@@ -37,15 +38,17 @@
 	return math.Max(fraction, minWarmUpFraction)
 }
 
-// slowStart bounds what is sent to cold endpoints: this node sends its part of the overload factor times
-// the work that a warm endpoint is seen to do, so that all nodes together can't send more than the whole.
+// slowStart limits the requests sent to cold endpoints. A node measures the work that a warm endpoint does
+// for it, and sends a cold one at most the overload factor times as much, scaled by the warm-up fraction.
+// The nodes' shares of a warm endpoint's work add up to at most its capacity, so all nodes together stay
+// below the load that overloads the cold endpoint.
 type slowStart struct {
 	curve          warmUpCurve
 	overloadFactor float64
 	overloadWindow time.Duration
 
-	warmWorkDone float64 // work that warm endpoints have done since the last control interval, seconds
-	warmWorkRate float64 // for this node, per second and unit of weight of a warm endpoint, averaged
+	warmWorkDone float64 // seconds of work by warm endpoints since the last control interval
+	warmWorkRate float64 // moving average of that work, per second and unit of weight
 }
 
 func newSlowStart(settings *Settings) slowStart {
@@ -56,13 +59,13 @@
 	}
 }
 
-// warmUpFraction returns the lowest fraction of its capacity that the endpoint can have by now.
+// warmUpFraction returns the fraction of its capacity that the endpoint is guaranteed to have now.
 func (s *slowStart) warmUpFraction(e *endpoint, now time.Duration) float64 {
 	return s.curve.fraction(e.lastStart(), now)
 }
 
-// accrue adds to the requests that a cold endpoint may be sent, each taken to be the longest; a warm one
-// has no bound. Nodes is the number of nodes that share the endpoint.
+// accrue brings the budget of an endpoint up to date, with each request assumed to be of the class that
+// takes most work. A warm endpoint has no bound. nodes is the number of nodes that share the endpoint.
 func (s *slowStart) accrue(e *endpoint, now time.Duration, nodes float64, latency *latencyTracker,
 	rng *rand.Rand,
 ) {
@@ -71,17 +74,18 @@
 		e.slowStart.reset()
 		return
 	}
-	// An endpoint does at least a second's work a second, which counts where no warm one is seen.
+	// A warm endpoint can do at least one second of work per second and unit of weight. This node's share of
+	// that is a lower bound, so that there is a budget before any warm endpoint has been observed.
 	rate := slowStartBudgetFraction * s.overloadFactor * fraction * e.weight() *
 		math.Max(s.warmWorkRate, 1/math.Ceil(nodes)) / latency.longestWork()
 	e.slowStart.accrue(now, rate, math.Max(1, rate*s.overloadWindow.Seconds()/2), rng)
 }
 
-// recordWork adds the work of a request that a warm endpoint has answered, in seconds.
+// recordWork adds the work, in seconds, of a request that a warm endpoint has answered.
 func (s *slowStart) recordWork(work float64) { s.warmWorkDone += work }
 
-// closeInterval adds the work of a control interval to the average; weight is that of the warm endpoints
-// that did it. Where there is none, the average stays.
+// closeInterval adds the work of a control interval to the moving average. weight is the total weight of the
+// warm endpoints of the subset; if it is 0, the average stays the same.
 func (s *slowStart) closeInterval(weight float64) {
 	if weight > 0 {
 		s.warmWorkRate += meanSmoothing * (s.warmWorkDone/weight/controlInterval.Seconds() - s.warmWorkRate)
@@ -89,17 +93,19 @@
 	s.warmWorkDone = 0
 }
 
-// warmedUp in place of the tokens means that the endpoint is warm, or that its budget has not begun.
-const warmedUp = -1
+// unboundedTokens is the value of [slowStartBudget.tokens] of an endpoint that is warm or whose budget has
+// not begun yet.
+const unboundedTokens = -1
 
-// slowStartBudget is the number of requests that this node may send to an endpoint while that is cold.
+// slowStartBudget is a token bucket of the requests that this node may send to an endpoint while it is cold.
 type slowStartBudget struct {
-	tokens    float64 // requests; below 0: no bound, see [warmedUp]
-	accruedAt time.Duration
+	tokens    float64       // number of requests; below 0: no bound, see [unboundedTokens]
+	accruedAt time.Duration // time of the last accrual
 }
 
-// accrue adds tokens at a rate per second, up to a limit. A budget begins at a random level: hundreds of
-// nodes that may each send less than one request in the overload window must not all send it at once.
+// accrue adds tokens at the given rate per second, up to the limit. A budget begins with a random fraction
+// of a token. Otherwise hundreds of nodes, each allowed less than one request per overload window, would all
+// send it at the same time.
 func (b *slowStartBudget) accrue(now time.Duration, rate, limit float64, rng *rand.Rand) {
 	if b.tokens < 0 {
 		b.tokens = rng.Float64()
@@ -109,24 +115,27 @@
 	b.accruedAt = now
 }
 
-// allows reports whether a request may be sent. A cold endpoint is left to the nodes whose subsets hold it.
+// allows reports whether a request may be sent. Only nodes whose subsets contain a cold endpoint may use it.
 func (b *slowStartBudget) allows(inSubset bool) bool {
 	return !b.bounded() || inSubset && b.tokens >= 1
 }
 
-// bounded reports whether the endpoint is cold, as far as the budget is up to date.
+// bounded reports whether the endpoint was cold when the budget was last brought up to date.
 func (b *slowStartBudget) bounded() bool { return b.tokens >= 0 }
 
-// withdraw takes the token of a request that is sent to a cold endpoint.
+// withdraw takes the token for a request that is sent to a cold endpoint.
 func (b *slowStartBudget) withdraw() { b.tokens = math.Max(b.tokens-1, 0) }
 
-// startEmpty begins without tokens, at an endpoint whose whole budget other nodes have shared so far.
+// startEmpty begins the budget without tokens. An endpoint that enters this node's subset starts like this,
+// because other nodes have shared its whole budget until now.
 func (b *slowStartBudget) startEmpty(now time.Duration) { b.tokens, b.accruedAt = 0, now }
 
-// reset removes the bound: the endpoint is warm, or starts anew.
-func (b *slowStartBudget) reset() { b.tokens = warmedUp }
+// reset removes the bound, for an endpoint that has become warm. For one that was restarted, the next
+// accrual begins a new budget.
+func (b *slowStartBudget) reset() { b.tokens = unboundedTokens }
 
-// slowStartAllows reports whether a request may be sent to the endpoint, with its budget brought up to date.
+// slowStartAllows brings the slow-start budget of the endpoint up to date and reports whether it allows a
+// request.
 func (b *Balancer) slowStartAllows(e *endpoint) bool {
 	b.accrueSlowStart(e)
 	return e.slowStart.allows(e.inSubset)
@@ -137,5 +146,5 @@
 	b.slowStart.accrue(e, b.now, b.endpoints.subsetsPerEndpoint(), &b.latency, b.rng)
 }
 
-// warmUpFraction returns the lowest fraction of its capacity that the endpoint can have by now.
+// warmUpFraction returns the fraction of its capacity that the endpoint is guaranteed to have now.
 func (b *Balancer) warmUpFraction(e *endpoint) float64 { return b.slowStart.warmUpFraction(e, b.now) }
--- a/balancer/slow_start_test.go
+++ b/balancer/slow_start_test.go
@@ -8,9 +8,10 @@
 	"time"
 )
 
-// All nodes together keep a cold endpoint within its budget, also when there are hundreds that each would
-// send it one request, when nothing is known of its size, and when all endpoints are cold.
-func TestSlowStartBoundsSumOfNodes(t *testing.T) {
+// Guards against a cold endpoint that all nodes together overload. That may happen when hundreds of nodes
+// each send one request, when the weight of the endpoint is unknown, or when no warm endpoint has been
+// observed.
+func TestSlowStartLimitsAllNodesTogether(t *testing.T) {
 	for _, n := range []int{1, 3, 300} {
 		s := testSettings()
 		s.NodeCount = n
@@ -32,45 +33,47 @@
 			}
 			work = float64(sent) * b.latency.work(0)
 		}
-		// The budget is a part of one core's work, the least that a warm endpoint can do.
-		share := s.SlowStartInitialFraction +
+		// The budget is a fraction of one core's work, the minimum that a warm endpoint can do.
+		fraction := s.SlowStartInitialFraction +
 			(1-s.SlowStartInitialFraction)*s.OverloadWindow.Seconds()/s.SlowStartDuration.Seconds()
-		budget := s.OverloadFactor * share * s.OverloadWindow.Seconds()
+		budget := s.OverloadFactor * fraction * s.OverloadWindow.Seconds()
 		if sent == 0 && n > 100 || work > math.Max(budget, 2*s.Classes[0].LatencyObjective.Seconds()) {
-			t.Errorf("%d nodes sent %d requests of work %.2f to a cold endpoint, budget %.2f", n, sent,
-				work, budget)
+			t.Errorf("%d nodes sent %d requests with %.2f s of work to a cold endpoint, budget %.2f s", n,
+				sent, work, budget)
 		}
 	}
 }
 
-// A connection that does not come up may mean a restart that the list reports later. One that broke does
-// not: connections break one by one as well, and all endpoints would count as cold.
+// A failed connection attempt may mean a restart that the list reports only later, so the endpoint counts as
+// cold. A connection that breaks does not count: single connections break too, and all endpoints would soon
+// be cold.
 func TestFailedConnectionCountsAsRestart(t *testing.T) {
 	for res, cold := range map[Result]bool{ConnectFailed: true, Reset: false, ErrorResponse: false} {
 		b, r := newTestBalancer(t, testSettings(), equalEndpoints(1)...)
 		b.RequestArrived(testStart, newRequest(1, "unsafe", "rate", 1), r)
 		b.AttemptFinished(testStart+ms, Outcome{ID: "r1", Result: res, EndpointID: "s0"}, r)
 		if got := b.warmUpFraction(b.endpoints.tracked[0]) < 1; got != cold {
-			t.Errorf("after result %d: cold %v, want %v", res, got, cold)
+			t.Errorf("after result %q: cold is %v, want %v", res, got, cold)
 		}
 		r.actions = nil
 		if n := sendBurst(b, r, testStart+2*ms, 30, newRequest(0, "safe", "rate", 2)); cold && n > 1 {
-			t.Errorf("%d sent after the refused connection, want 1 at most", n)
+			t.Errorf("%d requests sent after the failed connection, want at most 1", n)
 		}
 	}
 }
 
-// What all nodes together send to a cold endpoint stays within its budget while their subsets change: the
-// list shrinks to an eighth, and with that each endpoint enters more subsets.
+// All nodes together stay within the budget of a cold endpoint while their subsets change. The list shrinks
+// to an eighth, so the endpoint enters more and more subsets, whose nodes must not each begin with a new
+// budget.
 func TestSlowStartBudgetHoldsWhileSubsetsChange(t *testing.T) {
-	const nodes, endpoints, steps, goneEach = 60, 160, 10, 14
+	const nodes, endpoints, steps, removedPerStep = 60, 160, 10, 14
 	list := testEndpoints(endpoints)
 	for i := range list {
-		list[i].State = Draining // listed, but no other accepts requests
+		list[i].State = Draining // so that only the cold endpoint accepts requests
 	}
 	cold := Endpoint{ID: coldID, MachineType: "k", Zone: "a", StartedAt: testStart + time.Second}
 	balancers := newFleet(t, nodes, list)
-	now, sends := testStart+time.Second, 0
+	now, sent := testStart+time.Second, 0
 	for _, b := range balancers {
 		b.EndpointsUpdated(now, UpdateDelta, []Endpoint{cold}, &hostRecorder{})
 	}
@@ -80,34 +83,34 @@
 		for _, b := range balancers {
 			r := &hostRecorder{}
 			b.TimerFired(now, timerControlInterval, r)
-			for gone := step * goneEach; gone < (step+1)*goneEach; gone++ {
-				e := list[gone]
+			for i := step * removedPerStep; i < (step+1)*removedPerStep; i++ {
+				e := list[i]
 				e.State = Removed
 				b.EndpointsUpdated(now, UpdateDelta, []Endpoint{e}, r)
 			}
-			for n := range 40 { // all that is admitted goes there
+			for n := range 40 { // all admitted requests are sent to the cold endpoint
 				q := newRequest(step*100+n, "safe", "rate", uint64(n))
 				b.RequestArrived(now, q, r)
 				if req := b.requests.byID[q.ID]; req != nil && req.attempts[0].endpoint.ID == coldID {
-					sends++
+					sent++
 				}
 				b.AttemptFinished(now, Outcome{ID: q.ID, Result: OK, Answered: true, Elapsed: 200 * ms}, r)
 			}
 		}
 	}
 	if after := len(nodesWithCold(balancers)); after < 2*before {
-		t.Fatalf("in %d subsets, then in %d: the list does not shrink enough", before, after)
+		t.Fatalf("cold endpoint in %d subsets, then in %d, want at least twice as many", before, after)
 	}
 	s := balancers[0].settings
-	share := s.SlowStartInitialFraction + (1-s.SlowStartInitialFraction)*1/s.SlowStartDuration.Seconds()
-	allowed := s.OverloadFactor * share * s.OverloadWindow.Seconds() / balancers[0].latency.work(2)
-	if most := allowed + 2*math.Sqrt(allowed) + 2; sends == 0 || float64(sends) > most {
-		t.Errorf("%d requests to a cold endpoint in a second, at most %.1f", sends, most)
+	fraction := s.SlowStartInitialFraction + (1-s.SlowStartInitialFraction)*1/s.SlowStartDuration.Seconds()
+	allowed := s.OverloadFactor * fraction * s.OverloadWindow.Seconds() / balancers[0].latency.work(2)
+	if limit := allowed + 2*math.Sqrt(allowed) + 2; sent == 0 || float64(sent) > limit {
+		t.Errorf("%d requests sent to a cold endpoint in a second, want 1 to %.1f", sent, limit)
 	}
 }
 
-// A node whose subset comes to hold an endpoint that is cold already begins without tokens: the others have
-// shared its whole budget so far.
+// If an endpoint is cold when it enters a node's subset, that node begins without tokens, because the other
+// nodes have shared the whole budget until then.
 func TestColdEndpointEntersSubsetWithoutTokens(t *testing.T) {
 	const nodes, endpoints, left = 60, 90, 20
 	list := testEndpoints(endpoints)
@@ -123,17 +126,17 @@
 	}
 	entered := 0
 	for _, b := range nodesWithCold(balancers) {
-		credit := b.endpoints.trackedByID[coldID].slowStart.tokens
+		tokens := b.endpoints.trackedByID[coldID].slowStart.tokens
 		if slices.Contains(first, b) {
 			continue
 		}
 		entered++
-		if credit != 0 {
-			t.Errorf("node %d enters with %v", b.settings.NodeIndex, credit)
+		if tokens != 0 {
+			t.Errorf("node %d begins with %v tokens, want none", b.settings.NodeIndex, tokens)
 		}
 	}
 	if entered == 0 {
-		t.Error("no subset has come to hold the endpoint")
+		t.Error("the endpoint has not entered any further subset")
 	}
 }
 
@@ -147,12 +150,12 @@
 	}{
 		{"started long ago", curve, 0, 1},
 		{"just started", curve, testStart, 0.2},
-		{"clock ahead", curve, testStart + time.Second, 0.2},
+		{"start in the future", curve, testStart + time.Second, 0.2},
 		{"halfway", curve, testStart - 5*time.Second, 0.6},
 		{"at the end", curve, testStart - 10*time.Second, 1},
 		{"no warm-up", warmUpCurve{}, testStart, 1},
-		{"nothing at the start", warmUpCurve{duration: time.Second}, testStart, minWarmUpFraction},
-		{"all at the start", warmUpCurve{initialFraction: 1, duration: time.Second}, testStart, 1},
+		{"no initial capacity", warmUpCurve{duration: time.Second}, testStart, minWarmUpFraction},
+		{"full initial capacity", warmUpCurve{initialFraction: 1, duration: time.Second}, testStart, 1},
 	} {
 		if got := test.curve.fraction(test.startedAt, testStart); math.Abs(got-test.want) > 1e-12 {
 			t.Errorf("%s: %v, want %v", test.name, got, test.want)
@@ -160,27 +163,28 @@
 	}
 }
 
-// A budget begins at random below one request, grows at its rate up to its limit, and is spent by requests.
+// A budget begins with a random fraction of a token, grows at its rate up to its limit, and each request
+// takes one token.
 func TestSlowStartBudget(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	budget := slowStartBudget{tokens: warmedUp}
+	budget := slowStartBudget{tokens: unboundedTokens}
 	if !budget.allows(false) || budget.bounded() {
 		t.Error("a warm endpoint is bounded")
 	}
 	budget.accrue(testStart, 10, 2, rng)
 	begin := budget.tokens
 	if begin < 0 || begin >= 1 || budget.allows(true) {
-		t.Errorf("begins with %v tokens", begin)
+		t.Errorf("begins with %v tokens, want less than one", begin)
 	}
 	budget.accrue(testStart+100*ms, 10, 2, rng)
 	if got := budget.tokens; math.Abs(got-begin-1) > 1e-9 || !budget.allows(true) || budget.allows(false) {
-		t.Errorf("%v tokens after 100 ms at 10 a second, from %v", got, begin)
+		t.Errorf("%v tokens 100 ms after %v, want one more", got, begin)
 	}
 	if budget.withdraw(); math.Abs(budget.tokens-begin) > 1e-9 {
 		t.Errorf("%v tokens after a request, want %v", budget.tokens, begin)
 	}
 	if budget.withdraw(); budget.tokens != 0 {
-		t.Errorf("%v tokens, want none: a request that needs no token takes none", budget.tokens)
+		t.Errorf("%v tokens after a request without a whole token, want 0", budget.tokens)
 	}
 	budget.accrue(testStart+time.Minute, 10, 2, rng)
 	if budget.tokens != 2 {
@@ -189,14 +193,15 @@
 	budget.startEmpty(testStart + time.Minute)
 	budget.accrue(testStart+time.Minute, 10, 2, rng)
 	if budget.tokens != 0 {
-		t.Errorf("%v tokens, want none at the start", budget.tokens)
+		t.Errorf("%v tokens at an empty start, want 0", budget.tokens)
 	}
 	if budget.reset(); budget.bounded() {
 		t.Error("bounded after a reset")
 	}
 }
 
-// The work of warm endpoints is averaged for a unit of weight; where there is none, the average stays.
+// The work of warm endpoints is averaged per unit of weight. The average stays the same while there is no
+// warm endpoint.
 func TestWarmWorkRate(t *testing.T) {
 	var s slowStart
 	for range 400 {
@@ -205,12 +210,12 @@
 	}
 	want := 0.3 / 2 / controlInterval.Seconds()
 	if math.Abs(s.warmWorkRate-want) > 1e-6 {
-		t.Errorf("%v a second, want %v", s.warmWorkRate, want)
+		t.Errorf("%v seconds of work per second, want %v", s.warmWorkRate, want)
 	}
 	before := s.warmWorkRate
 	s.recordWork(5)
 	if s.closeInterval(0); s.warmWorkRate != before || s.warmWorkDone != 0 {
-		t.Errorf("%v a second with no warm endpoint, want %v; %v kept", s.warmWorkRate, before,
-			s.warmWorkDone)
+		t.Errorf("without a warm endpoint: work rate %v, want %v; work done %v, want 0", s.warmWorkRate,
+			before, s.warmWorkDone)
 	}
 }
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -3,41 +3,43 @@
 import "math"
 
 const (
-	// referenceSubsetSize is the number of endpoints in a subset, on average, in a fleet with
-	// subsetReferenceRatio nodes to an endpoint. In other fleets it follows the root of their ratio.
+	// referenceSubsetSize is the mean number of endpoints in a subset, in a fleet with subsetReferenceRatio
+	// nodes per endpoint. In other fleets it is proportional to the square root of the endpoints per node.
 	referenceSubsetSize  = 12
 	subsetReferenceRatio = 1.5
-	// minSubsetSize is the least number of endpoints in a subset, on average, and of subsets that hold an
-	// endpoint.
+	// minSubsetSize is the minimum both of the mean number of endpoints in a subset and of the number of
+	// subsets that contain an endpoint.
 	minSubsetSize = 3
-	// listLengthSlack is the factor by which the length of the list may change before the subsets follow.
+	// listLengthSlack is the factor by which the length of the list may change before the subsets are
+	// resized.
 	listLengthSlack = 1.25
-	// rankedNodesFactor is how far ahead an endpoint's order of the nodes is worked out, as a multiple of the
-	// subsets that hold it.
+	// rankedNodesFactor is the ratio of rankedNodes to the number of subsets that contain an endpoint. A
+	// higher factor means that thresholds are recomputed less often, and that there are more candidates.
 	rankedNodesFactor = 2
 )
 
-// notRanked is the entry threshold of an endpoint in whose order this node is not among those ranked so
-// far. It is larger than any number of subsets.
+// notRanked is the membership threshold of an endpoint in whose order this node is not among the first
+// [subsetSizing.rankedNodes]. It is larger than any number of subsets.
 var notRanked = math.Inf(1)
 
-// subsetSizing decides which endpoints this node's subset holds. Every connection costs both sides work: an
-// endpoint is in few enough subsets that the nodes which share it keep their connections and meet it often.
-// Until [subsetSizing.enable] the subset is the whole list, as in a small fleet.
+// subsetSizing decides which endpoints are in this node's subset. Connections cost work on both sides. Each
+// endpoint is therefore in so few subsets that their nodes use it often and keep their connections to it.
+// Until [subsetSizing.enable] is called, the subset is the whole list, as in a small fleet.
 type subsetSizing struct {
 	nodeIndex, nodeCount int
 	enabled              bool
-	subsetsPerEndpoint   float64 // number of subsets that hold each endpoint
-	smoothedListLength   float64 // from which that follows; 0: no list yet
-	rankedNodes          int     // positions in an endpoint's order of the nodes that are told apart
+	subsetsPerEndpoint   float64 // mean number of subsets that contain an endpoint
+	smoothedListLength   float64 // list length with hysteresis, for subsetsPerEndpoint; 0: no list yet
+	rankedNodes          int     // number of first nodes in an endpoint's order with a finite threshold
 }
 
-// enable has the subset hold a part of the list only.
+// enable limits the subset to a part of the list.
 func (s *subsetSizing) enable() { s.enabled = true }
 
-// subsetsFor returns the number of subsets that hold each endpoint of a list of a length. It falls with the
-// root of the length: an endpoint more takes half as many places from others as it brings. With subsets of
-// one size it would take as many.
+// subsetsFor returns the mean number of subsets that contain an endpoint, for a list of the given length.
+// Between its bounds the number is inversely proportional to the square root of the length: if an endpoint
+// is added, the other endpoints lose half as many memberships as it gains. With subsets of constant size,
+// they would lose as many.
 func (s *subsetSizing) subsetsFor(listLength float64) float64 {
 	nodes := float64(s.nodeCount)
 	if !s.enabled {
@@ -48,40 +50,41 @@
 		minSubsetSize), nodes)
 }
 
-// size returns the number of endpoints in a subset, on average and at least one.
+// size returns the mean number of endpoints in a subset, at least 1.
 func (s *subsetSizing) size(listLength int) int {
 	return max(int(s.subsetsPerEndpoint*float64(listLength))/s.nodeCount, 1)
 }
 
-// entryThreshold returns the number of subsets for each endpoint from which on one is in this node's subset.
-// Endpoints enter one by one as that number grows, each at a fraction of its own: otherwise one endpoint
-// more might change all subsets.
-func (s *subsetSizing) entryThreshold(id string) float64 {
+// membershipThreshold returns the value of subsetsPerEndpoint from which on the endpoint is in this node's
+// subset. Each endpoint has a fractional part of its own, so that endpoints enter one by one as the value
+// grows. With integer thresholds, one endpoint added to the list could change all subsets.
+func (s *subsetSizing) membershipThreshold(id string) float64 {
 	if !s.enabled {
 		return 0
 	}
 	key := endpointKey(id)
-	before := position(key, s.nodeIndex, s.nodeCount, s.rankedNodes)
+	before := nodePosition(key, s.nodeIndex, s.nodeCount, s.rankedNodes)
 	if before >= s.rankedNodes {
 		return notRanked
 	}
-	return float64(before+1) - fraction(key)
+	return float64(before+1) - keyFraction(key)
 }
 
-// contains reports whether the subset holds an endpoint that enters it at a number of subsets.
-func (s *subsetSizing) contains(entersAt float64) bool { return entersAt <= s.subsetsPerEndpoint }
+// contains reports whether the subset contains an endpoint with the given membership threshold.
+func (s *subsetSizing) contains(threshold float64) bool { return threshold <= s.subsetsPerEndpoint }
 
-// subsetChange says what follows from a change of the number of subsets.
+// subsetChange is the effect of a new list length on the subset.
 type subsetChange int
 
 const (
-	subsetStays       subsetChange = iota
-	subsetMoves                    // endpoints may enter the subset or leave it
-	subsetBeyondRanks              // and each endpoint's order has to be worked out further
+	subsetUnchanged          subsetChange = iota // no endpoint enters or leaves the subset
+	subsetResized                                // endpoints may enter or leave the subset
+	subsetThresholdsOutdated                     // likewise, and all thresholds have to be recomputed
 )
 
-// follow has the number of subsets follow the length of the list, with hysteresis.
-func (s *subsetSizing) follow(listLength int) subsetChange {
+// resize adapts the number of subsets per endpoint to the length of the list, with hysteresis, and returns
+// the effect on the subset.
+func (s *subsetSizing) resize(listLength int) subsetChange {
 	length := math.Max(float64(listLength), 1)
 	if s.smoothedListLength == 0 {
 		s.smoothedListLength = length
@@ -89,29 +92,29 @@
 	s.smoothedListLength = min(max(s.smoothedListLength, length/listLengthSlack), length*listLengthSlack)
 	subsets := s.subsetsFor(s.smoothedListLength)
 	if subsets == s.subsetsPerEndpoint {
-		return subsetStays
+		return subsetUnchanged
 	}
 	s.subsetsPerEndpoint = subsets
 	if subsets+1 <= float64(s.rankedNodes) {
-		return subsetMoves
+		return subsetResized
 	}
 	s.rankedNodes = min(int(rankedNodesFactor*subsets)+1, s.nodeCount)
-	return subsetBeyondRanks
+	return subsetThresholdsOutdated
 }
 
-// subsetHolders says which nodes' subsets hold an endpoint: the first in its order. The zero value is not
-// worked out.
+// subsetHolders identifies the nodes whose subsets contain an endpoint: the first ones in its order. The
+// zero value has not been computed yet.
 type subsetHolders struct {
-	count    int    // when last worked out
-	lastRank uint64 // of the last of them in the endpoint's order
+	count    int    // number of these nodes
+	lastRank uint64 // highest rank among them
 }
 
-// holdersOf returns the nodes whose subsets hold an endpoint; what was known of it before saves the work
-// where their number is the same.
-func (s *subsetSizing) holdersOf(key uint64, before subsetHolders) subsetHolders {
-	count := int(s.subsetsPerEndpoint + fraction(key))
-	if count == before.count || !s.enabled {
-		return before
+// holdersOf returns the nodes whose subsets contain an endpoint. It returns the previous result if their
+// number is the same, or if subsets are not enabled.
+func (s *subsetSizing) holdersOf(key uint64, previous subsetHolders) subsetHolders {
+	count := int(s.subsetsPerEndpoint + keyFraction(key))
+	if count == previous.count || !s.enabled {
+		return previous
 	}
 	return subsetHolders{count, lastRank(key, s.nodeCount, count)}
 }
--- a/balancer/subset_bench_test.go
+++ b/balancer/subset_bench_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// planNodes is the number of nodes of the fleet that is planned, whose lists are benchmarked.
-const planNodes = 4100
+// plannedNodes is the number of nodes of the planned fleet, for which the benchmarks run.
+const plannedNodes = 4100
 
-// newBenchmarkBalancer returns a node of a large fleet without a list.
+// newBenchmarkBalancer returns a node of the planned fleet that has not received a list yet.
 func newBenchmarkBalancer(b *testing.B) (*Balancer, *hostRecorder) {
 	b.Helper()
-	s := subsetSettings(planNodes)
+	s := subsetSettings(plannedNodes)
 	s.NodeIndex = 7
 	node, err := New(s, 1)
 	if err != nil {
@@ -23,10 +23,10 @@
 	return node, r
 }
 
-// BenchmarkDelta measures a change of one endpoint, which drains or comes back: one of the subset, and one
-// of the reserve.
+// BenchmarkDelta measures a delta with one endpoint that starts or stops draining, either an endpoint of the
+// subset or one of the reserve.
 func BenchmarkDelta(b *testing.B) {
-	const others = 4000
+	const maxChanged = 4000
 	for _, endpoints := range []int{2000, 200_000} {
 		list := testEndpoints(endpoints)
 		node, r := newBenchmarkBalancer(b)
@@ -37,15 +37,15 @@
 			if node.endpoints.trackedByID[e.ID] != nil {
 				name = "subset"
 			}
-			if len(changed[name]) < others {
+			if len(changed[name]) < maxChanged {
 				changed[name] = append(changed[name], e)
 			}
 		}
-		for name, of := range changed {
+		for name, entries := range changed {
 			b.Run(fmt.Sprintf("%s/%d", name, endpoints), func(b *testing.B) {
 				for n := 0; b.Loop(); n++ {
-					e := of[n%len(of)]
-					e.State = []EndpointState{Draining, Up}[n/len(of)%2]
+					e := entries[n%len(entries)]
+					e.State = []EndpointState{Draining, Up}[n/len(entries)%2]
 					node.EndpointsUpdated(testStart, UpdateDelta, []Endpoint{e}, r)
 				}
 			})
@@ -53,8 +53,8 @@
 	}
 }
 
-// BenchmarkListGrowth measures the change that brings one more endpoint to a list that has grown by so much
-// that the number of subsets for each endpoint follows it.
+// BenchmarkListGrowth measures a delta that adds one endpoint to a list that has grown so far that each
+// further endpoint changes the number of subsets per endpoint.
 func BenchmarkListGrowth(b *testing.B) {
 	const growth = 500
 	for _, endpoints := range []int{2000, 20_000, 80_000} {
@@ -72,31 +72,31 @@
 						list[int(float64(endpoints)/listLengthSlack):endpoints], r)
 					b.StartTimer()
 				}
-				number := node.endpoints.sizing.subsetsPerEndpoint
+				before := node.endpoints.sizing.subsetsPerEndpoint
 				node.EndpointsUpdated(testStart, UpdateDelta, list[at:at+1], r)
-				if node.endpoints.sizing.subsetsPerEndpoint == number {
-					b.Fatalf("the number of subsets stays at %v", number)
+				if node.endpoints.sizing.subsetsPerEndpoint == before {
+					b.Fatalf("%d endpoints: the number of subsets per endpoint stays at %v", at+1, before)
 				}
 			}
 		})
 	}
 }
 
-// BenchmarkRepeatedSnapshot measures a snapshot that comes again with nothing new, and how many times
+// BenchmarkRepeatedSnapshot measures a snapshot that is received again unchanged, and reports how many times
 // longer the first one took.
 func BenchmarkRepeatedSnapshot(b *testing.B) {
 	for _, endpoints := range []int{200, 2000, 20_000, 200_000} {
 		list := testEndpoints(endpoints)
 		b.Run(fmt.Sprint(endpoints), func(b *testing.B) {
 			node, r := newBenchmarkBalancer(b)
-			began := time.Now()
+			start := time.Now()
 			node.EndpointsUpdated(testStart, UpdateSnapshot, list, r)
-			first := time.Since(began)
+			first := time.Since(start)
 			for b.Loop() {
 				node.EndpointsUpdated(testStart, UpdateSnapshot, list, r)
 			}
-			again := b.Elapsed() / time.Duration(b.N)
-			b.ReportMetric(float64(first)/float64(again), "first/again")
+			repeated := b.Elapsed() / time.Duration(b.N)
+			b.ReportMetric(float64(first)/float64(repeated), "first/again")
 		})
 	}
 }
--- a/balancer/subset_changes_test.go
+++ b/balancer/subset_changes_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// changedEntries counts the endpoints that subsets have gained and lost.
-func changedEntries(before, after []map[string]bool) (n float64) {
+// changedMemberships returns the number of memberships, pairs of an endpoint and a node's subset, that were
+// added or removed. Both arguments hold one subset per node.
+func changedMemberships(before, after []map[string]bool) (n float64) {
 	for i := range before {
 		for id := range before[i] {
 			n += oneIf(!after[i][id])
@@ -18,19 +19,19 @@
 	return n
 }
 
-// endpointChanges counts, for endpoints that are added or removed one after another, the places in subsets
-// that have to change in each step and those that do.
+// endpointChanges collects, for endpoints that are added or removed one after another, the memberships of
+// the endpoint itself that change in each step and all memberships that change.
 type endpointChanges struct {
 	needed, changed []float64
-	settled         int     // steps in which the number of subsets for each endpoint stays
-	overTwice       int     // steps that change more than twice what has to
-	worst           float64 // did / must
+	unchangedSizes  int     // number of steps in which the number of subsets per endpoint stays the same
+	overTwice       int     // number of steps that change more than twice the needed memberships
+	worst           float64 // highest ratio of changed to needed memberships
 }
 
-// apply brings a change of one endpoint to all nodes of a fleet.
+// apply sends a change of one endpoint to all nodes of a fleet.
 func (c *endpointChanges) apply(t *testing.T, balancers []*Balancer, e Endpoint) {
 	t.Helper()
-	before, number := subsetIDsOfAll(balancers), balancers[0].endpoints.sizing.subsetsPerEndpoint
+	before, subsets := subsetIDsOfAll(balancers), balancers[0].endpoints.sizing.subsetsPerEndpoint
 	for _, b := range balancers {
 		b.EndpointsUpdated(testStart, UpdateDelta, []Endpoint{e}, &hostRecorder{})
 	}
@@ -39,10 +40,11 @@
 	for n := range balancers {
 		own += oneIf(before[n][e.ID] != after[n][e.ID])
 	}
-	all := changedEntries(before, after)
-	if balancers[0].endpoints.sizing.subsetsPerEndpoint == number {
-		if c.settled++; all != own {
-			t.Errorf("%s: %v places changed where %v have to and the number of subsets stays", e.ID, all, own)
+	all := changedMemberships(before, after)
+	if balancers[0].endpoints.sizing.subsetsPerEndpoint == subsets {
+		if c.unchangedSizes++; all != own {
+			t.Errorf("%s: %v memberships changed, want %v, since subsetsPerEndpoint stays the same", e.ID,
+				all, own)
 		}
 	}
 	if all > 2*own {
@@ -52,9 +54,11 @@
 	c.needed, c.changed = append(c.needed, own), append(c.changed, all)
 }
 
-// One endpoint more or less changes few subsets: those that are to hold it and, where the length has
-// changed so far that the number of subsets follows it, half as many others. By chance more than as many
-// others change in one step of fifty. Subsets of a constant size fail this.
+// Guards against subsets that change more than needed when an endpoint is added or removed, since each
+// change opens or closes connections. The memberships of the endpoint itself must change. If the number of
+// subsets per endpoint is adapted to the new list length, half as many others change on average. By chance,
+// more others than needed memberships may change in one of fifty steps. Subsets of constant size fail this
+// test.
 func TestEndpointAddedOrRemovedChangesFewSubsets(t *testing.T) {
 	for _, c := range []struct{ nodes, endpoints, steps int }{{150, 100, 60}, {60, 300, 100}} {
 		list := testEndpoints(c.endpoints + c.steps)
@@ -68,30 +72,34 @@
 			changes.apply(t, balancers, e)
 		}
 		needed, changed, steps := spreadOf(changes.needed), spreadOf(changes.changed), len(changes.changed)
-		t.Logf("%d nodes, %d endpoints: places that have to change: %v; that changed: %v; "+
-			"%d steps, in %d the number of subsets stays, "+
-			"in %d more than twice what has to, worst %.2f times",
-			c.nodes, c.endpoints, needed, changed, steps, changes.settled, changes.overTwice, changes.worst)
+		t.Logf("%d nodes, %d endpoints: needed changes of memberships: %v; actual changes: %v; "+
+			"%d steps, in %d the number of subsets per endpoint stays the same, "+
+			"in %d more than twice the needed changes, at most %.2f times",
+			c.nodes, c.endpoints, needed, changed, steps, changes.unchangedSizes, changes.overTwice,
+			changes.worst)
 		if needed.min < 3 || changed.mean > 1.4*needed.mean || changed.max > 3*needed.max ||
-			changes.overTwice > steps/50 || changes.settled < steps/4 {
-			t.Errorf("%d nodes, %d endpoints: %v places changed where %v have to; "+
-				"over twice in %d of %d steps; the number of subsets stays in %d",
-				c.nodes, c.endpoints, changed, needed, changes.overTwice, steps, changes.settled)
+			changes.overTwice > steps/50 || changes.unchangedSizes < steps/4 {
+			t.Errorf("%d nodes, %d endpoints: changes of memberships: %v, needed: %v; "+
+				"more than twice the needed changes in %d of %d steps; "+
+				"the number of subsets per endpoint stays the same in %d",
+				c.nodes, c.endpoints, changed, needed, changes.overTwice, steps, changes.unchangedSizes)
 		}
 	}
 }
 
-// One node more takes each of its endpoints over from another node, and changes at most as much besides.
+// A node that is added takes over each of its endpoints from another node. At most as many other memberships
+// may change.
 func TestNodeAddedChangesFewSubsets(t *testing.T) {
 	for _, c := range []struct{ nodes, endpoints int }{{300, 200}, {60, 400}} {
 		list := testEndpoints(c.endpoints)
 		before := append(subsetIDsOfAll(newFleet(t, c.nodes, list)), nil)
 		after := subsetIDsOfAll(newFleet(t, c.nodes+1, list))
-		must, did := 2*float64(len(after[c.nodes])), changedEntries(before, after)
-		if must == 0 || did > 2*must {
-			t.Errorf("%d nodes, %d endpoints: %v places changed where %v have to", c.nodes, c.endpoints,
-				did, must)
+		needed, changed := 2*float64(len(after[c.nodes])), changedMemberships(before, after)
+		if needed == 0 || changed > 2*needed {
+			t.Errorf("%d nodes, %d endpoints: %v memberships changed, want at most twice the needed %v",
+				c.nodes, c.endpoints, changed, needed)
 		}
-		t.Logf("%d nodes, %d endpoints: %v places changed where %v have to", c.nodes, c.endpoints, did, must)
+		t.Logf("%d nodes, %d endpoints: %v memberships changed, %v needed", c.nodes, c.endpoints, changed,
+			needed)
 	}
 }
--- a/balancer/subset_harness_test.go
+++ b/balancer/subset_harness_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// subsetSettings are those of a large fleet whose endpoints report their load in responses.
+// subsetSettings returns settings of a large fleet whose endpoints report their load in responses.
 func subsetSettings(nodes int) Settings {
 	s := testSettings()
 	s.NodeCount, s.PeerMessagesPerSecond = nodes, 40
@@ -15,7 +15,8 @@
 	return s
 }
 
-// testEndpoints returns a list whose weights differ tenfold and whose zones differ in size.
+// testEndpoints returns a list of n endpoints. Half of them have ten times the weight of the others, and the
+// zones differ in size.
 func testEndpoints(n int) []Endpoint {
 	list := make([]Endpoint, n)
 	for i := range list {
@@ -28,25 +29,25 @@
 	return list
 }
 
-// newFleet returns all nodes of a fleet, each with the list.
+// newFleet returns all nodes of a fleet, started and with the list.
 func newFleet(t *testing.T, nodes int, list []Endpoint) []*Balancer {
 	t.Helper()
 	balancers := make([]*Balancer, nodes)
-	for me := range balancers {
+	for index := range balancers {
 		s := subsetSettings(nodes)
-		s.NodeIndex = me
-		b, err := New(s, uint64(me+1))
+		s.NodeIndex = index
+		b, err := New(s, uint64(index+1))
 		if err != nil {
 			t.Fatal(err)
 		}
 		b.Start(testStart, &hostRecorder{})
 		b.EndpointsUpdated(testStart, UpdateSnapshot, list, &hostRecorder{})
-		balancers[me] = b
+		balancers[index] = b
 	}
 	return balancers
 }
 
-// subsetIDs returns the listed endpoints of a node's subset.
+// subsetIDs returns the ids of the listed endpoints of a node's subset.
 func subsetIDs(b *Balancer) map[string]bool {
 	ids := map[string]bool{}
 	for _, e := range b.endpoints.tracked {
@@ -57,7 +58,7 @@
 	return ids
 }
 
-// subsetIDsOfAll returns the listed endpoints of each node's subset.
+// subsetIDsOfAll returns the ids of the listed endpoints of each node's subset, by node index.
 func subsetIDsOfAll(balancers []*Balancer) []map[string]bool {
 	all := make([]map[string]bool, len(balancers))
 	for n, b := range balancers {
@@ -66,7 +67,7 @@
 	return all
 }
 
-// spread is the mean, minimum and maximum of counts.
+// spread is the mean, minimum and maximum of some counts.
 type spread struct{ mean, min, max float64 }
 
 func spreadOf(counts []float64) spread {
@@ -78,18 +79,18 @@
 }
 
 func (s spread) String() string {
-	return fmt.Sprintf("mean %.1f, least %.0f, most %.0f", s.mean, s.min, s.max)
+	return fmt.Sprintf("mean %.1f, minimum %.0f, maximum %.0f", s.mean, s.min, s.max)
 }
 
-// coldID is the id of the cold endpoint of a fleet.
+// coldID is the id of the cold endpoint in tests with a single one.
 const coldID = "cold"
 
-// nodesWithCold returns the nodes whose subsets hold the cold endpoint.
-func nodesWithCold(balancers []*Balancer) (in []*Balancer) {
+// nodesWithCold returns the nodes whose subsets contain the cold endpoint.
+func nodesWithCold(balancers []*Balancer) (nodes []*Balancer) {
 	for _, b := range balancers {
 		if e := b.endpoints.trackedByID[coldID]; e != nil && e.inSubset {
-			in = append(in, b)
+			nodes = append(nodes, b)
 		}
 	}
-	return in
+	return nodes
 }
--- a/balancer/subset_index_test.go
+++ b/balancer/subset_index_test.go
@@ -6,11 +6,12 @@
 	"testing"
 )
 
-// Load gossip takes bytes in each message: it names only what the receiver's subset holds.
-func TestLoadGossipNamesReceiversEndpoints(t *testing.T) {
+// Load gossip must not waste bytes of a message: it contains only endpoints that are in the receiver's
+// subset too.
+func TestLoadGossipContainsReceiversEndpoints(t *testing.T) {
 	const nodes = 100
 	balancers := newFleet(t, nodes, testEndpoints(100))
-	from, named := balancers[3], 0
+	from, sent := balancers[3], 0
 	for _, e := range from.endpoints.tracked {
 		e.recordLoad(1, testStart)
 	}
@@ -28,40 +29,41 @@
 			common += int(oneIf(b.endpoints.trackedByID[e.ID] != nil))
 		}
 		if to != 3 && len(loads) != min(common, maxLoadEntries) {
-			t.Errorf("node %d is sent the load of %d endpoints of %d in common", to, len(loads), common)
+			t.Errorf("node %d is sent the load of %d endpoints, has %d in common, a message holds %d", to,
+				len(loads), common, maxLoadEntries)
 		}
-		named += len(loads)
+		sent += len(loads)
 	}
-	if named == 0 {
+	if sent == 0 {
 		t.Error("no load is sent")
 	}
 }
 
-// Endpoints that share a short hash are left out of load gossip, and counted; there are few in a subset.
+// Endpoints of the subset with the same short hash are counted. In a subset of realistic size there are few.
 func TestHashCollisionsAreCounted(t *testing.T) {
 	list := testEndpoints(20_000)
 	b, r := newTestBalancer(t, subsetSettings(410), list...)
 	st := b.Stats()
 	pairs := float64(st.SubsetEndpoints*st.SubsetEndpoints) / 2 / (1 << 16)
 	if float64(st.HashCollisions) > 2*(pairs+3*math.Sqrt(pairs)+1) {
-		t.Errorf("%+v, about %.2f collisions expected", st, pairs)
+		t.Errorf("%+v, want about %.2f pairs of colliding hashes", st, pairs)
 	}
 	first := b.endpoints.tracked[0]
-	for n := 0; ; n++ { // another of the subset with the same short hash
+	for n := 0; ; n++ { // add another endpoint of the subset with the same short hash
 		e := Endpoint{ID: fmt.Sprintf("other-%d", n), MachineType: "k", Zone: "a"}
 		if shortEndpointHash(e.ID) == first.shortHash &&
-			b.endpoints.sizing.entryThreshold(e.ID) <= b.endpoints.sizing.subsetsPerEndpoint {
+			b.endpoints.sizing.membershipThreshold(e.ID) <= b.endpoints.sizing.subsetsPerEndpoint {
 			b.EndpointsUpdated(testStart, UpdateDelta, []Endpoint{e}, r)
 			break
 		}
 	}
 	if now := b.Stats(); now.HashCollisions != st.HashCollisions+2 {
-		t.Errorf("%d collisions, then %d", st.HashCollisions, now.HashCollisions)
+		t.Errorf("%d collisions, then %d, want 2 more", st.HashCollisions, now.HashCollisions)
 	}
 }
 
-// An endpoint that is removed while an attempt is in flight there leaves the index of the subset with the
-// control interval after the attempt.
+// An endpoint that is removed while an attempt is in flight there is dropped from the index at the end of
+// the control interval in which the attempt ends.
 func TestIndexFollowsDroppedEndpoints(t *testing.T) {
 	b, r := newTestBalancer(t, subsetSettings(30), Endpoint{ID: "s0", MachineType: "k", Zone: "a", StartedAt: testStart})
 	e := b.endpoints.trackedByID["s0"]
@@ -69,12 +71,13 @@
 	b.RequestArrived(testStart, newRequest(1, "safe", "rate", 1), r)
 	b.EndpointsUpdated(testStart, UpdateSnapshot, nil, r)
 	if e.inFlight != 1 || len(b.endpoints.index.shared) != 1 {
-		t.Fatalf("%d attempts in flight, %d endpoints shared", e.inFlight, len(b.endpoints.index.shared))
+		t.Fatalf("%d attempts in flight, %d endpoints in the index, want 1 each", e.inFlight,
+			len(b.endpoints.index.shared))
 	}
 	b.AttemptFinished(testStart, Outcome{ID: "r1", Result: OK, Answered: true, Elapsed: ms}, r)
 	b.TimerFired(testStart, timerControlInterval, r)
 	if index := b.endpoints.index; len(index.shared) != 0 || len(index.byHash) != 0 {
-		t.Errorf("%d endpoints shared and %d named, though none is tracked", len(index.shared),
+		t.Errorf("%d endpoints and %d hashes in the index, although none is tracked", len(index.shared),
 			len(index.byHash))
 	}
 }
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// evenness counts the subsets that hold each endpoint. It returns an error where one is in fewer than three
-// (or than all), or in two more than another.
+// evenness counts the subsets that contain each endpoint. It returns an error if an endpoint is in fewer
+// than three subsets, or fewer than all if there are fewer nodes, or if the counts differ by more than 1.
 func evenness(endpoints, nodes int, holds func(endpoint, node int) bool) (spread, error) {
 	counts := make([]float64, endpoints)
 	for endpoint := range counts {
@@ -18,17 +18,18 @@
 	}
 	s := spreadOf(counts)
 	if s.min < math.Min(3, float64(nodes)) {
-		return s, fmt.Errorf("an endpoint is in %v subsets of %d", s.min, nodes)
+		return s, fmt.Errorf("an endpoint is in only %v subsets of %d nodes", s.min, nodes)
 	}
 	if s.max > s.min+1 {
-		return s, fmt.Errorf("uneven: %v", s)
+		return s, fmt.Errorf("subsets per endpoint differ by more than 1: %v", s)
 	}
 	return s, nil
 }
 
-// Each endpoint is in as many subsets as any other, and in three at least, in fleets of all sizes. Subsets
-// that each node draws for itself, of the same size on average, fail this.
-func TestSubsetsHoldEndpointsEvenly(t *testing.T) {
+// Guards against endpoints that only one or two nodes use, or many more nodes than others. In fleets of all
+// sizes, the numbers of subsets that contain an endpoint differ by at most 1. Subsets that each node samples
+// independently, of the same mean size, fail this test.
+func TestEndpointsAreInSubsetsEvenly(t *testing.T) {
 	for _, c := range []struct{ nodes, endpoints, sample int }{
 		{1, 1, 1}, {2, 9, 9}, {25, 3, 3}, {300, 200, 200}, {1024, 1024, 256}, {4100, 200_000, 64},
 	} {
@@ -37,13 +38,13 @@
 		list := testEndpoints(c.endpoints)
 		s, err := evenness(c.sample, c.nodes, func(endpoint, node int) bool {
 			key := endpointKey(list[endpoint*(c.endpoints/c.sample)].ID)
-			subsets := int(per + fraction(key))
-			return position(key, node, c.nodes, subsets) < subsets
+			subsets := int(per + keyFraction(key))
+			return nodePosition(key, node, c.nodes, subsets) < subsets
 		})
 		if err != nil {
 			t.Errorf("%d nodes, %d endpoints: %v", c.nodes, c.endpoints, err)
 		}
-		t.Logf("%d nodes, %d endpoints: %v subsets an endpoint", c.nodes, c.endpoints, s)
+		t.Logf("%d nodes, %d endpoints: subsets per endpoint: %v", c.nodes, c.endpoints, s)
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
 	const nodes, endpoints, each = 300, 200, 18
@@ -52,18 +53,19 @@
 	) bool {
 		return rng.IntN(nodes) < each
 	}); err == nil {
-		t.Error("subsets that are uneven pass")
+		t.Error("uneven subsets are not detected")
 	}
 }
 
-// The sizes of subsets and the load of an endpoint differ by chance, but not with zones or weights.
+// The sizes of subsets and the load per weight of an endpoint vary by chance, but do not depend on zones or
+// weights.
 func TestSubsetSizesAndLoadPerEndpoint(t *testing.T) {
 	const nodes, endpoints = 300, 200
 	list := testEndpoints(endpoints)
 	balancers := newFleet(t, nodes, list)
 	sizes := make([]float64, nodes)
-	held := map[string]float64{}
-	load := map[string]float64{} // fraction of a node's requests, by weight, summed over all nodes
+	subsets := map[string]float64{} // number of subsets that contain an endpoint
+	load := map[string]float64{}    // fraction of a node's requests, by weight, summed over all nodes
 	for n, b := range balancers {
 		sizes[n] = float64(b.Stats().SubsetEndpoints)
 		total := 0.0
@@ -71,33 +73,33 @@
 			total += e.weight()
 		}
 		for _, e := range b.endpoints.tracked {
-			held[e.ID]++
+			subsets[e.ID]++
 			load[e.ID] += e.weight() / total
 		}
 	}
-	perServer, perWeight := make([]float64, endpoints), map[float64][]float64{}
+	perEndpoint, loadsByWeight := make([]float64, endpoints), map[float64][]float64{}
 	for i, e := range list {
-		perServer[i] = held[e.ID]
-		perWeight[e.Weight] = append(perWeight[e.Weight], load[e.ID])
+		perEndpoint[i] = subsets[e.ID]
+		loadsByWeight[e.Weight] = append(loadsByWeight[e.Weight], load[e.ID])
 	}
-	if got := spreadOf(perServer); got.min != 18 || got.max != 18 {
-		t.Errorf("subsets an endpoint: %v, want 18", got)
+	if got := spreadOf(perEndpoint); got.min != 18 || got.max != 18 {
+		t.Errorf("subsets per endpoint: %v, want 18", got)
 	}
 	if got := spreadOf(sizes); got.mean != 12 || got.min < 1 || got.max > 30 {
-		t.Errorf("endpoints a subset: %v, want 12 on average", got)
+		t.Errorf("endpoints per subset: %v, want 12 on average, and 1 to 30", got)
 	}
-	small, large := spreadOf(perWeight[1]), spreadOf(perWeight[10])
+	small, large := spreadOf(loadsByWeight[1]), spreadOf(loadsByWeight[10])
 	if ratio := large.mean / small.mean; ratio < 8 || ratio > 12 {
-		t.Errorf("endpoints of ten times the weight get %.1f times the load", ratio)
+		t.Errorf("endpoints of ten times the weight get %.1f times the load, want 8 to 12", ratio)
 	}
-	t.Logf("endpoints a subset: %v; "+
-		"load an endpoint of weight 1: %.2f (%.2f to %.2f), of 10: %.2f (%.2f to %.2f)",
+	t.Logf("endpoints per subset: %v; "+
+		"load per endpoint of weight 1: %.2f (%.2f to %.2f), of weight 10: %.2f (%.2f to %.2f)",
 		spreadOf(sizes),
 		small.mean, small.min, small.max, large.mean, large.min, large.max)
 }
 
-// In fleets of all sizes a node's subset holds a bounded number of endpoints, by chance more or fewer, and
-// each zone its fraction of them.
+// In fleets of all sizes the sizes of subsets vary by chance around the mean size that is intended, and each
+// zone has its fraction of the subsets.
 func TestSubsetSizeInFleetsOfAllSizes(t *testing.T) {
 	for _, c := range []struct{ nodes, endpoints, sample int }{{300, 200, 100}, {1024, 1024, 64}, {
 		4100,
@@ -109,12 +111,12 @@
 			s := subsetSettings(c.nodes)
 			s.NodeIndex = n * (c.nodes / c.sample)
 			b, _ := newTestBalancer(t, s, list...)
-			own, zone := 0.0, 0.0
-			for _, sv := range b.endpoints.tracked {
-				own += oneIf(sv.inSubset)
-				zone += oneIf(sv.inSubset && sv.Zone == "a")
+			size, zone := 0.0, 0.0
+			for _, e := range b.endpoints.tracked {
+				size += oneIf(e.inSubset)
+				zone += oneIf(e.inSubset && e.Zone == "a")
 			}
-			sizes, inZoneA = append(sizes, own), append(inZoneA, zone)
+			sizes, inZoneA = append(sizes, size), append(inZoneA, zone)
 		}
 		got, zone := spreadOf(sizes), spreadOf(inZoneA)
 		perNode := float64(c.endpoints) / float64(c.nodes)
@@ -122,20 +124,21 @@
 		chance := 5 * math.Sqrt(want)
 		if math.Abs(got.mean-want) > chance/math.Sqrt(float64(c.sample)) || got.min < want-chance ||
 			got.max > want+chance {
-			t.Errorf("%d nodes, %d endpoints: %v endpoints a subset, want %.1f", c.nodes, c.endpoints, got,
-				want)
+			t.Errorf("%d nodes, %d endpoints: endpoints per subset: %v, want %.1f on average", c.nodes,
+				c.endpoints, got, want)
 		}
-		if share := zone.mean / got.mean; share < 0.5 || share > 0.75 {
-			t.Errorf("%d nodes, %d endpoints: a zone of 0.625 of the list has %.2f of the subsets", c.nodes,
-				c.endpoints, share)
+		if fraction := zone.mean / got.mean; fraction < 0.5 || fraction > 0.75 {
+			t.Errorf("%d nodes, %d endpoints: a zone with 0.625 of the list has %.2f of the subsets", c.nodes,
+				c.endpoints, fraction)
 		}
-		t.Logf("%d nodes, %d endpoints: %v endpoints a subset; of a zone of 0.625 of the list: %v", c.nodes,
-			c.endpoints, got, zone)
+		t.Logf("%d nodes, %d endpoints: endpoints per subset: %v; of a zone with 0.625 of the list: %v",
+			c.nodes, c.endpoints, got, zone)
 	}
 }
 
-// In the fleet that is planned one endpoint more changes no other endpoint's subsets, and one node more
-// only those that it enters, each of which another node leaves.
+// In the planned fleet the subsets have the minimum size. An endpoint that is added therefore changes no
+// memberships of other endpoints, and a node that is added only replaces one other node for each of its
+// endpoints.
 func TestPlannedFleetChangesFewestSubsets(t *testing.T) {
 	const nodes, endpoints, sample = 4100, 200_000, 4000
 	b, _ := newTestBalancer(t, subsetSettings(nodes))
@@ -143,48 +146,48 @@
 	per := b.endpoints.sizing.subsetsFor(endpoints)
 	if per != minSubsetSize || b.endpoints.sizing.subsetsFor(endpoints+1) != per ||
 		larger.endpoints.sizing.subsetsFor(endpoints) != per {
-		t.Fatalf("%v subsets an endpoint, %v with one endpoint more, %v with one node more", per,
+		t.Fatalf("%v subsets per endpoint, %v with one more endpoint, %v with one more node", per,
 			b.endpoints.sizing.subsetsFor(endpoints+1), larger.endpoints.sizing.subsetsFor(endpoints))
 	}
 	entered, left := 0, 0
 	for n := range sample {
 		key := endpointKey(fmt.Sprintf("server-%06d", n*(endpoints/sample)))
-		first := int(per + fraction(key))
+		first := int(per + keyFraction(key))
 		before, after := lastRank(key, nodes, first), lastRank(key, nodes+1, first)
 		for node := range nodes + 1 {
-			was := node < nodes && rank(key, node) <= before
-			is := rank(key, node) <= after
-			if is && !was {
+			wasHolder := node < nodes && nodeRank(key, node) <= before
+			isHolder := nodeRank(key, node) <= after
+			if isHolder && !wasHolder {
 				if entered++; node != nodes {
-					t.Fatalf("node %d enters the subsets of endpoint %d", node, n)
+					t.Fatalf("endpoint %d enters the subset of node %d, which is not the new node", n, node)
 				}
 			}
-			left += int(oneIf(was && !is))
+			left += int(oneIf(wasHolder && !isHolder))
 		}
 	}
 	if entered == 0 || left != entered {
-		t.Errorf("%d subsets are left for %d that the new node enters", left, entered)
+		t.Errorf("%d endpoints enter the new node's subset, but %d leave other subsets", entered, left)
 	}
-	t.Logf("of %d endpoints the new node enters %d subsets, others leave %d", sample, entered, left)
+	t.Logf("of %d endpoints %d enter the new node's subset, %d leave other subsets", sample, entered, left)
 }
 
-// A list that grows and shrinks by deltas alone gives the subsets that its present length asks for.
+// A list that grows and shrinks through deltas alone has the subsets that fit its current length.
 func TestSubsetFollowsListLength(t *testing.T) {
 	const nodes, few, many = 1024, 200, 20_000
 	list := testEndpoints(many)
 	b, r := newTestBalancer(t, subsetSettings(nodes), list[:few]...)
 	check := func(n int) {
 		t.Helper()
-		perServer := func(length float64) float64 { return math.Max(3, 12*math.Sqrt(1.5*nodes/length)) }
-		least := int(perServer(float64(n) * listLengthSlack))
-		most := int(math.Ceil(perServer(float64(n) / listLengthSlack)))
-		b.TimerFired(b.now, timerControlInterval, r) // drops what has left the subset
+		subsetsFor := func(length float64) float64 { return math.Max(3, 12*math.Sqrt(1.5*nodes/length)) }
+		least := int(subsetsFor(float64(n) * listLengthSlack))
+		most := int(math.Ceil(subsetsFor(float64(n) / listLengthSlack)))
+		b.TimerFired(b.now, timerControlInterval, r) // stops tracking endpoints that have left the subset
 		own := subsetIDs(b)
 		for _, e := range list[:n] {
-			before := position(endpointKey(e.ID), b.settings.NodeIndex, nodes, most+1)
+			before := nodePosition(endpointKey(e.ID), b.settings.NodeIndex, nodes, most+1)
 			if before < least && !own[e.ID] || before > most && own[e.ID] {
-				t.Fatalf("%d endpoints: %s, with %d nodes before this one, is in the subset: %v", n, e.ID,
-					before, own[e.ID])
+				t.Fatalf("%d endpoints: %s, in whose order %d nodes come before, is in the subset: %v", n,
+					e.ID, before, own[e.ID])
 			}
 		}
 		if st := b.Stats(); st.ListedEndpoints != n || st.SubsetEndpoints != len(own) ||
@@ -208,14 +211,14 @@
 	}
 }
 
-// Where the number of subsets follows the length of the list, only endpoints that can enter the subset or
-// leave it are considered: a small part of a long list, also after endpoints have come and gone, and none
-// of them is missing.
-func TestSubsetFollowsWithoutScan(t *testing.T) {
-	const nodes, endpoints, gone = 1024, 4000, 3000
-	list := testEndpoints(endpoints + 5*gone)
+// Guards against a scan of the whole list when the subset is resized. The subset candidates must contain
+// every endpoint that can be in the subset and must stay a small part of a long list, also after endpoints
+// have been added, replaced and removed.
+func TestSubsetResizeNeedsNoScan(t *testing.T) {
+	const nodes, endpoints, batch = 1024, 4000, 3000
+	list := testEndpoints(endpoints + 5*batch)
 	b, r := newTestBalancer(t, subsetSettings(nodes), list[:endpoints/2]...)
-	peak := minSubsetCandidates // of the endpoints that can enter the subset
+	peak := minSubsetCandidates // largest number of endpoints that could enter the subset at a time
 	check := func(when string) {
 		t.Helper()
 		candidates := map[slotIndex]bool{}
@@ -224,36 +227,37 @@
 		}
 		live := 0
 		for at := range b.endpoints.list.entries {
-			if b.endpoints.list.isFree(slotIndex(at)) || b.endpoints.list.entries[at].entersAt == notRanked {
+			if b.endpoints.list.isFree(slotIndex(at)) ||
+				b.endpoints.list.entries[at].membershipThreshold == notRanked {
 				continue
 			}
 			if live++; !candidates[slotIndex(at)] {
-				t.Fatalf("%s: %s can enter the subset and is no candidate", when,
+				t.Fatalf("%s: %s can enter the subset, but is not a candidate", when,
 					b.endpoints.list.entries[at].id)
 			}
 		}
 		peak = max(peak, live)
 		if len(b.endpoints.list.subsetCandidates) > 2*peak {
-			t.Errorf("%s: %d candidates, %d endpoints can enter the subset", when,
+			t.Errorf("%s: %d candidates, but %d endpoints can enter the subset", when,
 				len(b.endpoints.list.subsetCandidates), live)
 		}
 		if st := b.Stats(); live < st.SubsetEndpoints || live*10 > st.ListedEndpoints {
-			t.Errorf("%s: %d of %d endpoints can enter the subset of %d", when, live, st.ListedEndpoints,
-				st.SubsetEndpoints)
+			t.Errorf("%s: %d of %d endpoints can enter the subset, which has %d", when, live,
+				st.ListedEndpoints, st.SubsetEndpoints)
 		}
 	}
-	check("short")
+	check("initially")
 	for n := endpoints / 2; n < endpoints; n++ {
 		b.EndpointsUpdated(testStart, UpdateDelta, list[n:n+1], r)
 	}
 	check("grown")
-	for n := range 5 * gone { // a new endpoint takes the slot of an old one
+	for n := range 5 * batch { // a new endpoint takes the slot of an old one
 		old := list[n]
 		old.State = Removed
 		b.EndpointsUpdated(testStart, UpdateDelta, []Endpoint{old, list[endpoints+n]}, r)
 	}
 	check("replaced")
-	for at := range b.endpoints.list.entries[:100] { // one after another, each comes back under its name
+	for at := range b.endpoints.list.entries[:100] { // remove each endpoint and add it again, many times
 		for range 100 {
 			e := b.endpoints.list.endpointAt(slotIndex(at))
 			for _, e.State = range []EndpointState{Removed, Up} {
@@ -262,7 +266,7 @@
 		}
 	}
 	check("returned")
-	for n := 5 * gone; n < 5*gone+endpoints*3/4; n++ {
+	for n := 5 * batch; n < 5*batch+endpoints*3/4; n++ {
 		old := list[n]
 		old.State = Removed
 		b.EndpointsUpdated(testStart, UpdateDelta, []Endpoint{old}, r)
--- a/balancer/tracking.go
+++ b/balancer/tracking.go
@@ -6,13 +6,14 @@
 	"time"
 )
 
-// observationDecay is the time constant with which what was learned of an idle endpoint fades.
+// observationDecay is the time constant with which the latency ratio and the error rate of an idle endpoint
+// decay.
 const observationDecay = 5 * time.Second
 
 // reserveRetention is how long an endpoint of the reserve stays tracked after its last use.
 const reserveRetention = 5 * time.Second
 
-// trackedAt returns what is known of a listed endpoint, nil where that is no more than its entry.
+// trackedAt returns the state of a listed endpoint, or nil if it is not tracked.
 func (s *endpointSet) trackedAt(slot slotIndex) *endpoint {
 	if s.list.isTracked(slot) {
 		return s.trackedByID[s.list.idOf(slot)]
@@ -20,7 +21,7 @@
 	return nil
 }
 
-// track begins to keep what is learned of a listed endpoint.
+// track starts to track a listed endpoint.
 func (s *endpointSet) track(slot slotIndex) *endpoint {
 	e := newEndpoint(s.list.endpointAt(slot))
 	s.trackedByID[e.ID] = e
@@ -29,7 +30,7 @@
 	return e
 }
 
-// trackFromReserve tracks an endpoint of the reserve that is sent to.
+// trackFromReserve starts to track an endpoint of the reserve that is about to get an attempt.
 func (s *endpointSet) trackFromReserve(now time.Duration, slot slotIndex) *endpoint {
 	e := s.track(slot)
 	e.recordProgress(now)
@@ -37,14 +38,14 @@
 	return e
 }
 
-// updateTracked takes over a new entry of an endpoint that is tracked.
+// updateTracked replaces the list entry of a tracked endpoint.
 func (s *endpointSet) updateTracked(e *endpoint, entry Endpoint) {
 	e.update(entry)
 	s.hasUnlisted = s.hasUnlisted || !e.listed
 	s.countInSubset(e)
 }
 
-// countInSubset keeps the weights of the subset's endpoints that accept requests.
+// countInSubset updates subsetWeights after a change of an endpoint.
 func (s *endpointSet) countInSubset(e *endpoint) {
 	weight := 0.0
 	if e.inSubset && e.acceptsRequests() {
@@ -62,14 +63,16 @@
 	e.countedWeight = weight
 }
 
-// dropUnused stops tracking endpoints outside the subset that are no longer in use.
+// dropUnused stops tracking the endpoints that are no longer in use, as reported by isInUse.
 func (s *endpointSet) dropUnused(now time.Duration) {
 	s.moveWarmedUpToReserve(now)
 	s.retain(now, func(e *endpoint) bool { return s.isInUse(now, e) })
 	s.index.rebuild(s.tracked, &s.sizing)
 }
 
-// isInUse reports whether what is known of an endpoint is still of use.
+// isInUse reports whether an endpoint must stay tracked. That is so while it has attempts in flight, and for
+// a listed endpoint also while it is in the subset, ejected or cold, or if it was used within
+// reserveRetention.
 func (s *endpointSet) isInUse(now time.Duration, e *endpoint) bool {
 	switch {
 	case e.inSubset && e.listed, e.inFlight > 0:
@@ -81,7 +84,7 @@
 		s.warmUp.fraction(e.lastStart(), now) < 1
 }
 
-// dropUnlisted stops tracking endpoints that are no longer listed, once no attempt is in flight there.
+// dropUnlisted stops tracking the endpoints that are not listed any more and have no attempts in flight.
 func (s *endpointSet) dropUnlisted(now time.Duration) {
 	if !s.hasUnlisted {
 		return
@@ -93,7 +96,7 @@
 	})
 }
 
-// retain stops tracking all endpoints but some.
+// retain stops tracking all endpoints for which inUse returns false.
 func (s *endpointSet) retain(now time.Duration, inUse func(*endpoint) bool) {
 	retained := s.tracked[:0]
 	for _, e := range s.tracked {
@@ -107,7 +110,7 @@
 	s.tracked = retained
 }
 
-// stopTracking forgets what is known of an endpoint. One that is listed may return to the reserve.
+// stopTracking discards the state of an endpoint. If it is listed, it may return to the reserve.
 func (s *endpointSet) stopTracking(now time.Duration, e *endpoint) {
 	delete(s.trackedByID, e.ID)
 	if e.inSubset {
@@ -119,7 +122,7 @@
 	}
 }
 
-// addStats adds what the set holds to the counts.
+// addStats fills the endpoint counts of stats.
 func (s *endpointSet) addStats(stats *Stats) {
 	stats.ListedEndpoints, stats.TrackedEndpoints = s.list.length(), len(s.tracked)
 	for _, e := range s.tracked {
@@ -133,14 +136,15 @@
 	}
 }
 
-// sample moves a random one of the endpoints from a position on to that position and returns it.
+// sample swaps a random tracked endpoint at index i or above to index i and returns it. Calls with ascending
+// i visit all tracked endpoints in random order.
 func (s *endpointSet) sample(i int, rng *rand.Rand) *endpoint {
 	sampled := i + rng.IntN(len(s.tracked)-i)
 	s.tracked[i], s.tracked[sampled] = s.tracked[sampled], s.tracked[i]
 	return s.tracked[i]
 }
 
-// warmWeight returns the weight of the subset's warm endpoints that accept requests.
+// warmWeight returns the total weight of the subset's warm endpoints that accept requests.
 func (s *endpointSet) warmWeight() (weight float64) {
 	for _, e := range s.tracked {
 		if !e.slowStart.bounded() && e.acceptsRequests() && e.inSubset {
@@ -150,9 +154,10 @@
 	return weight
 }
 
-// reachable returns the attempts in flight at endpoints that are unresponsive, and the number of endpoints
-// that respond; a cold one counts as the fraction of a warm one that it is. The subset stands for all that
-// are listed, unless nothing in it responds.
+// reachable returns the number of this node's attempts in flight at unresponsive endpoints, and the number
+// of listed endpoints that respond, where a cold one counts as its warm-up fraction. The second is
+// extrapolated from the subset to the whole list. If no endpoint of the subset responds, all others are
+// assumed to.
 func (s *endpointSet) reachable(now time.Duration, criteria healthCriteria) (
 	unresponsive int, responding float64,
 ) {
@@ -173,7 +178,7 @@
 	return unresponsive, responding * (listed / accepting)
 }
 
-// closeInterval takes the mean of the loads reported and lets what is known of idle endpoints fade.
+// closeInterval recomputes the mean of the known loads and lets the observations of idle endpoints decay.
 func (s *endpointSet) closeInterval() {
 	var load, reports float64
 	retained := math.Exp(-controlInterval.Seconds() / observationDecay.Seconds())
@@ -188,10 +193,10 @@
 	s.meanLoad = load / math.Max(reports, 1)
 }
 
-// closeEndpointInterval ends a control interval for the endpoints.
+// closeEndpointInterval does the work on endpoints at the end of a control interval.
 func (b *Balancer) closeEndpointInterval() {
 	for _, e := range b.endpoints.tracked {
-		b.accrueSlowStart(e) // from the time that it is tracked on, not from its first selection
+		b.accrueSlowStart(e) // so that tokens accrue from the start of tracking, not from the first selection
 	}
 	b.slowStart.closeInterval(b.endpoints.warmWeight())
 	b.endpoints.closeInterval()
