--- a/balancer/tracking_test.go
+++ b/balancer/tracking_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// A removed endpoint is tracked until its attempts have ended, whatever the list does.
+// A removed endpoint stays tracked until its attempts have ended.
 func TestRemovedEndpointIsTrackedWhileAttemptsAreInFlight(t *testing.T) {
 	b, r := newTestBalancer(t, subsetSettings(100), testEndpoints(400)...)
 	b.RequestArrived(testStart, newRequest(1, "safe", "rate", 1), r)
@@ -17,7 +17,7 @@
 	b.EndpointsUpdated(testStart, UpdateDelta, []Endpoint{e}, r)
 	b.TimerFired(testStart+time.Minute, timerControlInterval, r)
 	if b.endpoints.trackedByID[s.ID] != s || s.acceptsRequests() {
-		t.Fatal("dropped with an attempt in flight, or still accepting requests")
+		t.Fatal("dropped while an attempt is in flight, or still accepting requests")
 	}
 	b.AttemptFinished(testStart+time.Minute, Outcome{ID: "r1", Result: OK, Answered: true, Elapsed: ms}, r)
 	b.TimerFired(testStart+time.Minute+controlInterval, timerControlInterval, r)
@@ -26,22 +26,22 @@
 	}
 }
 
-// A removed endpoint that is tracked for its attempts is dropped by the first change of the list after they
-// have ended, also in a small fleet, which drops nothing in between.
+// A removed endpoint that was tracked because of its attempts is dropped by the first change of the list
+// after they have ended. In a small fleet control intervals drop no endpoints, so the change must do it.
 func TestRemovedEndpointIsDroppedOnceAttemptsEnd(t *testing.T) {
 	for _, nodes := range []int{1, 100} {
 		b, r := newTestBalancer(t, subsetSettings(nodes), equalEndpoints(3)...)
 		b.RequestArrived(testStart, newRequest(1, "safe", "rate", 1), r)
 		e := b.requests.byID["r1"].attempts[0].endpoint
-		gone, other := e.Endpoint, equalEndpoints(3)[0]
-		if other.ID == gone.ID {
+		removed, other := e.Endpoint, equalEndpoints(3)[0]
+		if other.ID == removed.ID {
 			other = equalEndpoints(3)[1]
 		}
-		gone.State, other.State = Removed, Draining
-		b.EndpointsUpdated(testStart, UpdateDelta, []Endpoint{gone}, r)
+		removed.State, other.State = Removed, Draining
+		b.EndpointsUpdated(testStart, UpdateDelta, []Endpoint{removed}, r)
 		b.EndpointsUpdated(testStart, UpdateDelta, []Endpoint{other}, r)
 		if b.endpoints.trackedByID[e.ID] != e {
-			t.Fatalf("%d nodes: dropped with an attempt in flight", nodes)
+			t.Fatalf("%d nodes: dropped while an attempt is in flight", nodes)
 		}
 		b.AttemptFinished(testStart+ms, Outcome{ID: "r1", Result: OK, Answered: true, Elapsed: ms}, r)
 		other.State = Up
@@ -63,18 +63,24 @@
 		want   bool
 	}{
 		{"used long ago", func(*endpoint) {}, false},
-		{"of the subset", func(e *endpoint) { e.inSubset = true }, true},
-		{"of the subset, no longer listed", func(e *endpoint) { e.inSubset, e.listed = true, false }, false},
+		{"in the subset", func(e *endpoint) { e.inSubset = true }, true},
+		{"in the subset, no longer listed", func(e *endpoint) { e.inSubset, e.listed = true, false }, false},
 		{"attempt in flight", func(e *endpoint) { e.inFlight = 1 }, true},
 		{"attempt in flight, no longer listed", func(e *endpoint) { e.inFlight, e.listed = 1, false }, true},
-		{"used at the retention's start", func(e *endpoint) { e.lastProgress = testStart - reserveRetention }, true},
-		{"used before", func(e *endpoint) { e.lastProgress = testStart - reserveRetention - 1 }, false},
+		{
+			"used exactly reserveRetention ago",
+			func(e *endpoint) { e.lastProgress = testStart - reserveRetention }, true,
+		},
+		{
+			"used more than reserveRetention ago",
+			func(e *endpoint) { e.lastProgress = testStart - reserveRetention - 1 }, false,
+		},
 		{
 			"used just now, no longer listed", func(e *endpoint) { e.lastProgress, e.listed = testStart, false },
 			false,
 		},
 		{"ejected", func(e *endpoint) { e.health.ejectedUntil = testStart + 1 }, true},
-		{"ejection at its end", func(e *endpoint) { e.health.ejectedUntil = testStart }, false},
+		{"ejection just ended", func(e *endpoint) { e.health.ejectedUntil = testStart }, false},
 		{"cold", func(e *endpoint) { e.StartedAt = testStart - 10*time.Second + 1 }, true},
 		{"warm", func(e *endpoint) { e.StartedAt = testStart - 10*time.Second }, false},
 		{"cold by a failed connection", func(e *endpoint) { e.restarts.suspect(testStart) }, true},
@@ -83,14 +89,14 @@
 		e.lastProgress = testStart - time.Hour
 		test.change(e)
 		if got := set.isInUse(testStart, e); got != test.want {
-			t.Errorf("%s: %v, want %v", test.name, got, test.want)
+			t.Errorf("%s: in use is %v, want %v", test.name, got, test.want)
 		}
 	}
 }
 
-// A restarted endpoint is another process: what was learned of the one before does not hold. What the
-// machine has shown does.
-func TestRestartForgetsTheProcess(t *testing.T) {
+// A restart discards what was learned about the previous process. The times of the last response and health
+// check stay.
+func TestRestartDiscardsObservations(t *testing.T) {
 	e := newEndpoint(Endpoint{ID: "s0"})
 	learn := func() {
 		e.latencyRatio = 3
@@ -106,7 +112,7 @@
 	learn()
 	e.update(Endpoint{ID: "s0", State: Draining})
 	if e.latencyRatio != 3 || e.health.errorRate != 1 || e.load.requests != 7 || e.acceptsRequests() {
-		t.Errorf("forgotten without a restart, or not draining: %+v", e)
+		t.Errorf("observations discarded without a restart, or not draining: %+v", e)
 	}
 	learn()
 	e.update(Endpoint{ID: "s0", StartedAt: testStart})
--- a/balancer/weights.go
+++ b/balancer/weights.go
@@ -3,11 +3,11 @@
 // weightCounts counts endpoints by weight. The zero value counts none.
 type weightCounts struct {
 	total    int
-	largest  float64 // largest weight counted; 0: none is
+	largest  float64 // largest weight counted; 0: none
 	byWeight map[float64]int
 }
 
-// add changes the number of endpoints of a weight.
+// add adds change to the number of endpoints with the weight; a negative change removes endpoints.
 func (c *weightCounts) add(weight float64, change int) {
 	if c.byWeight == nil {
 		c.byWeight = map[float64]int{}
@@ -32,10 +32,10 @@
 	}
 }
 
-// differ reports whether more than one weight is counted.
+// differ reports whether the counted endpoints have different weights.
 func (c *weightCounts) differ() bool { return len(c.byWeight) > 1 }
 
-// weightOr1 returns a listed weight, 1 where none is given.
+// weightOr1 returns a listed weight, or 1 if none is given.
 func weightOr1(weight float64) float64 {
 	if weight > 0 {
 		return weight
--- a/balancer/weights_test.go
+++ b/balancer/weights_test.go
@@ -20,8 +20,8 @@
 	} {
 		counts.add(step.weight, step.change)
 		if counts.total != step.total || counts.largest != step.largest || counts.differ() != step.differ {
-			t.Errorf("%+d of weight %v: total %d, largest %v, differ %v, want %+v", step.change, step.weight,
-				counts.total, counts.largest, counts.differ(), step)
+			t.Errorf("after %+d of weight %v: total %d, largest %v, differ %v, want %+v", step.change,
+				step.weight, counts.total, counts.largest, counts.differ(), step)
 		}
 	}
 }
