--- a/balancer/cold_fleet_test.go
+++ b/balancer/cold_fleet_test.go
@@ -88,16 +88,16 @@
 		f.endpoints[s.ID] = &coldStartEndpoint{Endpoint: s}
 		list = append(list, s)
 	}
-	for me := range nodes {
+	for index := range nodes {
 		set := f.settings
-		set.NodeIndex = me
-		b, err := New(set, seed*1000+uint64(me))
+		set.NodeIndex = index
+		b, err := New(set, seed*1000+uint64(index))
 		if err != nil {
 			t.Fatal(err)
 		}
 		f.nodes = append(f.nodes, b)
-		b.Start(testStart, coldStartHost{f, me})
-		b.EndpointsUpdated(testStart, UpdateSnapshot, list, coldStartHost{f, me})
+		b.Start(testStart, coldStartHost{f, index})
+		b.EndpointsUpdated(testStart, UpdateSnapshot, list, coldStartHost{f, index})
 	}
 	f.after(0, f.arrive)
 	return f
@@ -129,9 +129,9 @@
 		return
 	}
 	f.after(time.Duration(f.rng.ExpFloat64()/f.offered*float64(time.Second)), f.arrive)
-	me := int(float64(len(f.nodes)) * math.Pow(f.rng.Float64(), 1.5))
+	index := int(float64(len(f.nodes)) * math.Pow(f.rng.Float64(), 1.5))
 	q := newRequest(f.events, []string{"safe", "unsafe"}[f.rng.IntN(2)], "wide", uint64(f.rng.IntN(500)))
-	f.nodes[me].RequestArrived(f.now, q, coldStartHost{f, me})
+	f.nodes[index].RequestArrived(f.now, q, coldStartHost{f, index})
 }
 
 // startEndpoints starts or restarts endpoints. Each node receives the change within coldStartListDelay.
@@ -142,9 +142,9 @@
 		f.endpoints[id] = &coldStartEndpoint{Endpoint: s}
 		list = append(list, s)
 	}
-	for me, b := range f.nodes {
+	for index, b := range f.nodes {
 		f.after(time.Duration(f.rng.Int64N(int64(coldStartListDelay))), func() {
-			b.EndpointsUpdated(f.now, UpdateDelta, list, coldStartHost{f, me})
+			b.EndpointsUpdated(f.now, UpdateDelta, list, coldStartHost{f, index})
 		})
 	}
 }
@@ -158,9 +158,9 @@
 		list = append(list, s)
 		delete(f.endpoints, id)
 	}
-	for me, b := range f.nodes {
+	for index, b := range f.nodes {
 		f.after(time.Duration(f.rng.Int64N(int64(within))), func() {
-			b.EndpointsUpdated(f.now, UpdateDelta, list, coldStartHost{f, me})
+			b.EndpointsUpdated(f.now, UpdateDelta, list, coldStartHost{f, index})
 		})
 	}
 }
--- a/balancer/endpoint_list.go
+++ b/balancer/endpoint_list.go
@@ -54,7 +54,7 @@
 }
 
 // endpointList is the endpoint list as last received. It is stored compactly, because this node never sends
-// a request to most of the endpoints.
+// requests to most of the endpoints.
 type endpointList struct {
 	entries       []listedEndpoint
 	free          []slotIndex
@@ -74,8 +74,8 @@
 
 	snapshotMark     bool // flipped by each snapshot
 	markedInSnapshot int  // number of listed endpoints whose mark equals snapshotMark
-	entryReads       int  // number of calls of endpointAt
-	lookups          int  // number of map lookups by id in find
+	entryReads       int  // number of calls of endpointAt; read by tests
+	lookups          int  // number of map lookups in find; read by tests
 }
 
 const (
@@ -166,7 +166,7 @@
 	return true
 }
 
-// markInSnapshot marks a listed endpoint as part of the last snapshot.
+// markInSnapshot marks a listed endpoint as part of the last snapshot or as updated since.
 func (l *endpointList) markInSnapshot(slot slotIndex) {
 	if entry := &l.entries[slot]; entry.snapshotMark != l.snapshotMark {
 		entry.snapshotMark = l.snapshotMark
@@ -196,8 +196,8 @@
 	l.subsetCandidates = append(l.subsetCandidates, slot)
 }
 
-// recomputeMembershipThresholds recomputes the membership thresholds and the candidates from all listed
-// endpoints.
+// recomputeMembershipThresholds recomputes the membership thresholds of all listed endpoints and the subset
+// candidates.
 func (l *endpointList) recomputeMembershipThresholds(thresholdOf func(id string) float64) {
 	l.subsetCandidates = l.subsetCandidates[:0]
 	for i := range l.entries {
--- a/balancer/endpoint_load.go
+++ b/balancer/endpoint_load.go
@@ -15,7 +15,7 @@
 // node.
 type endpointLoad struct {
 	requests              float64       // requests executing or queued; below 0: unreported
-	otherNodes            float64       // part of requests that other nodes sent
+	otherRequests         float64       // the part of requests that other nodes sent
 	queued                float64       // requests queued; below 0: unreported
 	reportedAt            time.Duration // time of the last load report, error response or refused connection
 	refusesConnections    bool          // a connection was refused since the last load report
@@ -30,13 +30,13 @@
 		return 0
 	}
 	age := now - l.reportedAt
-	return mean + (l.otherNodes-mean)*math.Exp(-age.Seconds()/loadGossipDecay.Seconds())
+	return mean + (l.otherRequests-mean)*math.Exp(-age.Seconds()/loadGossipDecay.Seconds())
 }
 
 // record stores the number of requests that the endpoint held at the given time. ownInFlight is the number
 // of this node's attempts among them.
 func (l *endpointLoad) record(requests, ownInFlight float64, at time.Duration) {
-	l.requests, l.otherNodes, l.reportedAt = requests, math.Max(requests-ownInFlight, 0), at
+	l.requests, l.otherRequests, l.reportedAt = requests, math.Max(requests-ownInFlight, 0), at
 	l.refusesConnections, l.lastResponseFailed = false, false
 }
 
--- a/balancer/endpoint_load_test.go
+++ b/balancer/endpoint_load_test.go
@@ -30,7 +30,7 @@
 func TestEndpointLoad(t *testing.T) {
 	var load endpointLoad
 	load.record(3, 5, testStart)
-	if load.requests != 3 || load.otherNodes != 0 || load.reportedAt != testStart || !load.known() {
+	if load.requests != 3 || load.otherRequests != 0 || load.reportedAt != testStart || !load.known() {
 		t.Errorf("fewer requests than this node's own: %+v", load)
 	}
 	load.recordError(testStart + ms)
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -18,8 +18,8 @@
 	errorRate            float64       // moving average of the fraction of failed attempts
 	ejectedUntil         time.Duration // until then, requests only if no other endpoint is left
 	consecutiveEjections int           // number of ejections since the last success or recovery
-	// ejectedAsUnresponsive is set when an attempt gets no response, until the endpoint responds or another
-	// node reports its load.
+	// ejectedAsUnresponsive is set when an attempt gets no response, until the endpoint responds or any node
+	// reports its load.
 	ejectedAsUnresponsive bool
 	// unreachable is set when an attempt or a health check got no response, and the endpoint has not
 	// responded to anything since that was sent. It is cleared by the next response.
@@ -75,8 +75,8 @@
 // become unreachable by this call.
 //
 // Until it responds, an unreachable endpoint gets no retries, and first attempts only if no other endpoint
-// is left. Health checks detect its recovery. A timed ejection would risk one or more requests at each end
-// instead. This handles lost zones, failed machines and cut links. It does harm if endpoints stall for
+// is left. Health checks detect its recovery. A timed ejection would risk one or more requests whenever it
+// ends. This rule handles lost zones, failed machines and cut links. It does harm if endpoints stall for
 // longer than the timeout of a health check and then recover: the others carry their load until the next
 // round of health checks.
 func (h *endpointHealth) recordNoResponse(sentAt time.Duration) (isNew bool) {
--- a/balancer/reserve_test.go
+++ b/balancer/reserve_test.go
@@ -163,10 +163,10 @@
 	}
 	scan := func(r *request) (found *endpoint) {
 		var usable []slotIndex
-		for at := range b.endpoints.list.entries {
-			if s := (&endpoint{Endpoint: b.endpoints.list.endpointAt(slotIndex(at))}); s.State == Up &&
+		for slot := range b.endpoints.list.entries {
+			if s := (&endpoint{Endpoint: b.endpoints.list.endpointAt(slotIndex(slot))}); s.State == Up &&
 				b.mayAttempt(r, s) {
-				usable = append(usable, slotIndex(at))
+				usable = append(usable, slotIndex(slot))
 			}
 		}
 		return b.endpoints.track(usable[b.rng.IntN(len(usable))])
@@ -188,8 +188,8 @@
 			b.retries.tokens = 5
 			b.RequestArrived(testStart, newRequest(1, "keyed", "rate", 1), r)
 			first := b.requests.byID["r1"].attempts[0]
-			for _, sv := range b.endpoints.tracked {
-				sv.health.eject(b.now)
+			for _, e := range b.endpoints.tracked {
+				e.health.eject(b.now)
 			}
 			b.AttemptFinished(testStart+ms, Outcome{ID: "r1", Result: Reset, Elapsed: ms}, r)
 			req := b.requests.byID["r1"]
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -45,8 +45,9 @@
 	}
 }
 
-// needsReserve reports whether to sample the reserve: the subset has no endpoint in service for the request,
-// and fewer endpoints outside the subset were found in service than a subset contains.
+// needsReserve reports whether to sample the reserve: no endpoint of the subset is in service for the
+// request, and fewer endpoints were found in service outside the subset than a subset contains. About as
+// many endpoints of the reserve as the subset contains thus replace it.
 func (s *selection) needsReserve(subsetSize int) bool {
 	subsetServes := s.best != nil && s.best.inSubset && !s.deprioritized
 	return !subsetServes && s.outsideSubset < subsetSize
--- a/balancer/selection_law_test.go
+++ b/balancer/selection_law_test.go
@@ -198,8 +198,8 @@
 	b.now = m.now
 	b.endpoints.moveWarmedUpToReserve(m.now)
 	reserve := map[string]bool{}
-	for _, at := range b.endpoints.list.reserve.all {
-		reserve[b.endpoints.list.entries[at].id] = true
+	for _, slot := range b.endpoints.list.reserve.all {
+		reserve[b.endpoints.list.entries[slot].id] = true
 	}
 	for id, e := range m.listed {
 		if got := b.endpoints.list.endpointAt(b.endpoints.list.slotByID[id]); got != e {
--- a/balancer/slow_start_test.go
+++ b/balancer/slow_start_test.go
@@ -16,9 +16,9 @@
 		s := testSettings()
 		s.NodeCount = n
 		work, sent := 0.0, 0
-		for me := 0; me < n; me++ {
-			s.NodeIndex = me
-			b, err := New(s, uint64(me))
+		for index := 0; index < n; index++ {
+			s.NodeIndex = index
+			b, err := New(s, uint64(index))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -10,9 +10,9 @@
 	// minSubsetSize is the minimum both of the mean number of endpoints in a subset and of the number of
 	// subsets that contain an endpoint.
 	minSubsetSize = 3
-	// listLengthSlack is the factor by which the length of the list may change before the subsets are
-	// resized.
-	listLengthSlack = 1.25
+	// listLengthHysteresis is the factor by which the length of the list may change before the subsets are
+	// resized, so that small changes of the list do not change many subsets.
+	listLengthHysteresis = 1.25
 	// rankedNodesFactor is the ratio of rankedNodes to the number of subsets that contain an endpoint. A
 	// higher factor means that thresholds are recomputed less often, and that there are more candidates.
 	rankedNodesFactor = 2
@@ -30,7 +30,7 @@
 	enabled              bool
 	subsetsPerEndpoint   float64 // mean number of subsets that contain an endpoint
 	smoothedListLength   float64 // list length with hysteresis, for subsetsPerEndpoint; 0: no list yet
-	rankedNodes          int     // number of first nodes in an endpoint's order with a finite threshold
+	rankedNodes          int     // number of nodes at the head of an endpoint's order with a finite threshold
 }
 
 // enable limits the subset to a part of the list.
@@ -89,7 +89,8 @@
 	if s.smoothedListLength == 0 {
 		s.smoothedListLength = length
 	}
-	s.smoothedListLength = min(max(s.smoothedListLength, length/listLengthSlack), length*listLengthSlack)
+	s.smoothedListLength = min(max(s.smoothedListLength, length/listLengthHysteresis),
+		length*listLengthHysteresis)
 	subsets := s.subsetsFor(s.smoothedListLength)
 	if subsets == s.subsetsPerEndpoint {
 		return subsetUnchanged
--- a/balancer/subset_bench_test.go
+++ b/balancer/subset_bench_test.go
@@ -67,9 +67,10 @@
 				if at == endpoints {
 					b.StopTimer()
 					node, r = newBenchmarkBalancer(b)
-					node.EndpointsUpdated(testStart, UpdateSnapshot, list[:int(float64(endpoints)/listLengthSlack)], r)
+					node.EndpointsUpdated(testStart, UpdateSnapshot,
+						list[:int(float64(endpoints)/listLengthHysteresis)], r)
 					node.EndpointsUpdated(testStart, UpdateDelta,
-						list[int(float64(endpoints)/listLengthSlack):endpoints], r)
+						list[int(float64(endpoints)/listLengthHysteresis):endpoints], r)
 					b.StartTimer()
 				}
 				before := node.endpoints.sizing.subsetsPerEndpoint
--- a/balancer/subset_sizing_test.go
+++ b/balancer/subset_sizing_test.go
@@ -29,7 +29,7 @@
 }
 
 // The number of subsets per endpoint changes only after the length of the list has changed by more than the
-// factor listLengthSlack.
+// factor listLengthHysteresis.
 func TestSubsetResizeHysteresis(t *testing.T) {
 	sizing := subsetSizing{nodeCount: 1000}
 	sizing.enable()
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// evenness counts the subsets that contain each endpoint. It returns an error if an endpoint is in fewer
+// checkEvenness counts the subsets that contain each endpoint. It returns an error if an endpoint is in fewer
 // than three subsets, or fewer than all if there are fewer nodes, or if the counts differ by more than 1.
-func evenness(endpoints, nodes int, holds func(endpoint, node int) bool) (spread, error) {
+func checkEvenness(endpoints, nodes int, holds func(endpoint, node int) bool) (spread, error) {
 	counts := make([]float64, endpoints)
 	for endpoint := range counts {
 		for node := range nodes {
@@ -36,7 +36,7 @@
 		b, _ := newTestBalancer(t, subsetSettings(c.nodes))
 		per := b.endpoints.sizing.subsetsFor(float64(c.endpoints))
 		list := testEndpoints(c.endpoints)
-		s, err := evenness(c.sample, c.nodes, func(endpoint, node int) bool {
+		s, err := checkEvenness(c.sample, c.nodes, func(endpoint, node int) bool {
 			key := endpointKey(list[endpoint*(c.endpoints/c.sample)].ID)
 			subsets := int(per + keyFraction(key))
 			return nodePosition(key, node, c.nodes, subsets) < subsets
@@ -48,7 +48,7 @@
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
 	const nodes, endpoints, each = 300, 200, 18
-	if _, err := evenness(endpoints, nodes, func(int,
+	if _, err := checkEvenness(endpoints, nodes, func(int,
 		int,
 	) bool {
 		return rng.IntN(nodes) < each
@@ -179,8 +179,8 @@
 	check := func(n int) {
 		t.Helper()
 		subsetsFor := func(length float64) float64 { return math.Max(3, 12*math.Sqrt(1.5*nodes/length)) }
-		least := int(subsetsFor(float64(n) * listLengthSlack))
-		most := int(math.Ceil(subsetsFor(float64(n) / listLengthSlack)))
+		least := int(subsetsFor(float64(n) * listLengthHysteresis))
+		most := int(math.Ceil(subsetsFor(float64(n) / listLengthHysteresis)))
 		b.TimerFired(b.now, timerControlInterval, r) // stops tracking endpoints that have left the subset
 		own := subsetIDs(b)
 		for _, e := range list[:n] {
@@ -222,18 +222,18 @@
 	check := func(when string) {
 		t.Helper()
 		candidates := map[slotIndex]bool{}
-		for _, at := range b.endpoints.list.subsetCandidates {
-			candidates[at] = true
+		for _, slot := range b.endpoints.list.subsetCandidates {
+			candidates[slot] = true
 		}
 		live := 0
-		for at := range b.endpoints.list.entries {
-			if b.endpoints.list.isFree(slotIndex(at)) ||
-				b.endpoints.list.entries[at].membershipThreshold == notRanked {
+		for slot := range b.endpoints.list.entries {
+			if b.endpoints.list.isFree(slotIndex(slot)) ||
+				b.endpoints.list.entries[slot].membershipThreshold == notRanked {
 				continue
 			}
-			if live++; !candidates[slotIndex(at)] {
+			if live++; !candidates[slotIndex(slot)] {
 				t.Fatalf("%s: %s can enter the subset, but is not a candidate", when,
-					b.endpoints.list.entries[at].id)
+					b.endpoints.list.entries[slot].id)
 			}
 		}
 		peak = max(peak, live)
@@ -257,9 +257,9 @@
 		b.EndpointsUpdated(testStart, UpdateDelta, []Endpoint{old, list[endpoints+n]}, r)
 	}
 	check("replaced")
-	for at := range b.endpoints.list.entries[:100] { // remove each endpoint and add it again, many times
+	for slot := range b.endpoints.list.entries[:100] { // remove each endpoint and add it again, many times
 		for range 100 {
-			e := b.endpoints.list.endpointAt(slotIndex(at))
+			e := b.endpoints.list.endpointAt(slotIndex(slot))
 			for _, e.State = range []EndpointState{Removed, Up} {
 				b.EndpointsUpdated(testStart, UpdateDelta, []Endpoint{e}, r)
 			}
--- a/balancer/tracking.go
+++ b/balancer/tracking.go
@@ -178,13 +178,14 @@
 	return unresponsive, responding * (listed / accepting)
 }
 
-// closeInterval recomputes the mean of the known loads and lets the observations of idle endpoints decay.
+// closeInterval ends a control interval: it recomputes the mean of the known loads and lets the observations
+// of idle endpoints decay.
 func (s *endpointSet) closeInterval() {
 	var load, reports float64
 	retained := math.Exp(-controlInterval.Seconds() / observationDecay.Seconds())
 	for _, e := range s.tracked {
 		if e.acceptsRequests() && e.load.known() {
-			load, reports = load+e.load.otherNodes, reports+1
+			load, reports = load+e.load.otherRequests, reports+1
 		}
 		if e.inFlight == 0 {
 			e.decay(retained)
--- a/balancer/tracking_test.go
+++ b/balancer/tracking_test.go
@@ -118,7 +118,7 @@
 	e.update(Endpoint{ID: "s0", StartedAt: testStart})
 	fresh := newEndpoint(Endpoint{ID: "s0", StartedAt: testStart})
 	fresh.health.lastResponse, fresh.health.lastCheck = testStart, testStart
-	fresh.load.otherNodes, fresh.load.utilizationReportedAt = 7, testStart
+	fresh.load.otherRequests, fresh.load.utilizationReportedAt = 7, testStart
 	fresh.slowStart.accruedAt = testStart
 	if !reflect.DeepEqual(e, fresh) {
 		t.Errorf("after a restart %+v, want %+v", e, fresh)
