--- a/balancer/selection_law_test.go
+++ b/balancer/selection_law_test.go
@@ -25,7 +25,8 @@
 }
 
 // After random changes of the list and random outcomes of attempts, the selection finds an endpoint if and
-// only if a scan of all endpoints finds one, and the scan admits the selected endpoint.
+// only if a scan of all endpoints finds one. The scan admits the selected endpoint, and no admitted endpoint
+// is of a better tier.
 func TestSelectionAgreesWithScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := subsetSettings(rapid.SampledFrom([]int{1, 2, 30, 100}).Draw(t, "nodes"))
--- a/balancer/tracking_test.go
+++ b/balancer/tracking_test.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// A restart discards what was learned about the previous process. The times of the last response and health
-// check stay.
+// A restart discards what was learned about the previous process. The times of the last response, health
+// check and utilization report are kept.
 func TestRestartDiscardsObservations(t *testing.T) {
 	e := newEndpoint(Endpoint{ID: "s0"})
 	learn := func() {
