--- a/balancer/datagrams_test.go
+++ b/balancer/datagrams_test.go
@@ -12,21 +12,23 @@
 	"opalhook/internal/golden"
 )
 
-// network connects nodes and writes a transcript of what they do. Each message is compared with the next one
-// of a golden transcript, and the recorded message is what its receiver gets: so the transcript fixes what a
-// node sends as well as what it makes of a message. The words of a transcript are those of the recorded
-// ones.
+// network connects nodes and writes a transcript of their actions. If it has recorded messages of a golden
+// transcript, it delivers the next recorded message in place of each message that a node sends. A comparison
+// of the two transcripts then checks both the messages that nodes send and their reaction to the recorded
+// messages.
+//
+// The words of the transcript (for example tell and refuse) are those of the golden files.
 type network struct {
 	t          *testing.T
 	now        time.Duration
 	nodes      map[int]*Balancer
-	recorded   [][]byte // messages of the golden file, in order
+	recorded   [][]byte // messages of the golden file that are not delivered yet, in order
 	transcript bytes.Buffer
-	sentKinds  map[byte]int
+	sentKinds  map[byte]int // number of messages sent, by kind
 	inTransit  []datagram
 }
 
-// datagram is a message on its way.
+// datagram is a message in transit.
 type datagram struct {
 	from, to int
 	message  []byte
@@ -35,44 +37,44 @@
 // networkHost is the host of one node.
 type networkHost struct {
 	*network
-	at int
+	node int
 }
 
-func (e networkHost) note(format string, a ...any) {
-	fmt.Fprintf(&e.transcript, "%v %d: %s\n", e.now, e.at, fmt.Sprintf(format, a...))
+func (e networkHost) record(format string, a ...any) {
+	fmt.Fprintf(&e.transcript, "%v %d: %s\n", e.now, e.node, fmt.Sprintf(format, a...))
 }
 
 func (e networkHost) SendAttempt(id, endpointID string, _, _ time.Duration) {
-	e.note("send %s %s", id, endpointID)
+	e.record("send %s %s", id, endpointID)
 }
 
 func (e networkHost) Reject(id string, wait time.Duration) {
-	e.note("refuse %s %v", id, wait.Round(ms))
+	e.record("refuse %s %v", id, wait.Round(ms))
 }
 
-func (e networkHost) Fail(id string) { e.note("fail %s", id) }
+func (e networkHost) Fail(id string) { e.record("fail %s", id) }
 
-func (e networkHost) CancelAttempt(id string, n int) { e.note("cancel %s %d", id, n) }
+func (e networkHost) CancelAttempt(id string, n int) { e.record("cancel %s %d", id, n) }
 
 func (e networkHost) SetTimer(uint64, time.Duration) {}
 
-func (e networkHost) HealthCheck(endpointID string) { e.note("probe %s", endpointID) }
+func (e networkHost) HealthCheck(endpointID string) { e.record("probe %s", endpointID) }
 
 func (e networkHost) WatchEndpoints(bool) {}
 
 func (e networkHost) Log(slog.Level, string, ...slog.Attr) {}
 
 func (e networkHost) SendPeer(peer int, message []byte) {
-	e.note("tell %d %x", peer, message)
+	e.record("tell %d %x", peer, message)
 	e.sentKinds[message[0]]++
 	sent := bytes.Clone(message)
 	if len(e.recorded) > 0 {
 		sent, e.recorded = e.recorded[0], e.recorded[1:]
 	}
-	e.inTransit = append(e.inTransit, datagram{e.at, peer, sent})
+	e.inTransit = append(e.inTransit, datagram{e.node, peer, sent})
 }
 
-// deliver delivers all messages in transit, and those that follow from them.
+// deliver delivers all messages in transit and the messages that nodes send in response.
 func (net *network) deliver() {
 	for len(net.inTransit) > 0 {
 		d := net.inTransit[0]
@@ -99,7 +101,7 @@
 	net.deliver()
 }
 
-// endpoint returns the endpoint that a request was sent to last.
+// endpoint returns the endpoint to which a request was sent last.
 func (net *network) endpoint(id string) (endpointID string) {
 	for line := range strings.Lines(net.transcript.String()) {
 		if _, to, sent := strings.Cut(line, ": send "+id+" "); sent {
@@ -109,8 +111,8 @@
 	return endpointID
 }
 
-// join adds a node, or starts one anew.
-func (net *network) join(at int, s Settings, endpoints []Endpoint) {
+// startNode starts a node, or restarts it.
+func (net *network) startNode(at int, s Settings, endpoints []Endpoint) {
 	net.t.Helper()
 	s.NodeIndex = at
 	g, err := New(s, uint64(at+1)+uint64(net.now-testStart))
@@ -137,33 +139,35 @@
 	return all
 }
 
-// networkCases are situations of a fleet; want are the kinds of messages that are exchanged.
+// networkCases are scenarios of a fleet. want contains the kinds of messages that the nodes must send.
 var networkCases = []struct {
 	name string
 	want []byte
-	play func(*network)
+	run  func(*network)
 }{
-	{"gossip", []byte{kindGossip}, playGossip},
-	{"quota_requests", []byte{kindQuotaRequest, kindQuotaGrant}, playQuotaRequests},
-	{"leases", []byte{kindQuotaRequest, kindQuotaGrant, kindQuotaRelease}, playLeases},
-	{"reconciliation", []byte{kindQuotaRequest, kindQuotaGrant, kindQuotaRelease, kindReconciliation}, playReconciliation},
+	{"gossip", []byte{kindGossip}, runGossip},
+	{"quota_requests", []byte{kindQuotaRequest, kindQuotaGrant}, runQuotaRequests},
+	{"leases", []byte{kindQuotaRequest, kindQuotaGrant, kindQuotaRelease}, runLeases},
+	{"reconciliation", []byte{kindQuotaRequest, kindQuotaGrant, kindQuotaRelease, kindReconciliation}, runReconciliation},
 }
 
-// Nodes exchange the recorded messages and do what was recorded on receiving them.
+// Guards against changes of the message formats and of the reactions to messages. Each scenario runs twice:
+// once with the messages that the nodes send and once with the recorded messages. Both transcripts must
+// equal the golden file.
 func TestGoldenDatagrams(t *testing.T) {
 	for _, c := range networkCases {
 		t.Run(c.name, func(t *testing.T) {
 			name := "datagrams/" + c.name + ".txt"
-			play := func(recorded [][]byte) *network {
+			run := func(recorded [][]byte) *network {
 				net := &network{t: t, now: testStart, nodes: map[int]*Balancer{}, recorded: recorded, sentKinds: map[byte]int{}}
-				c.play(net)
+				c.run(net)
 				return net
 			}
-			free := play(nil)
-			transcript := golden.Check(t, name, free.transcript.Bytes())
-			golden.Same(t, name+" with the recorded messages", play(transcriptMessages(t, transcript)).transcript.Bytes(), transcript)
+			unrecorded := run(nil)
+			transcript := golden.Check(t, name, unrecorded.transcript.Bytes())
+			golden.Same(t, name+" with the recorded messages", run(transcriptMessages(t, transcript)).transcript.Bytes(), transcript)
 			for _, kind := range c.want {
-				if free.sentKinds[kind] == 0 {
+				if unrecorded.sentKinds[kind] == 0 {
 					t.Errorf("no message of kind %d", kind)
 				}
 			}
@@ -171,13 +175,14 @@
 	}
 }
 
-// playGossip has two nodes split quotas with a rate, a limit on attempts in flight and a hard limit, and
-// gossip, of which the second message is lost. What the other one then sends shows what it took in.
-func playGossip(net *network) {
+// runGossip runs two nodes that split quotas with a rate, a concurrency limit and a hard limit. The gossip
+// of node 0 is lost in the second round. The requests that node 1 then admits show which reports it has
+// applied.
+func runGossip(net *network) {
 	s := testSettings()
 	s.NodeCount = 2
-	net.join(0, s, equalEndpoints(60))
-	net.join(1, s, equalEndpoints(60))
+	net.startNode(0, s, equalEndpoints(60))
+	net.startNode(1, s, equalEndpoints(60))
 	for round, tenant := range []uint64{1, 1 << 40, 1, 3} {
 		for n, plan := range []string{"rate", "open", "hard"} {
 			request := newRequest(10*round+n, "safe", plan, tenant+uint64(n)*100)
@@ -187,7 +192,7 @@
 		if round == 2 {
 			net.outcome(0, Outcome{ID: "r1", Result: OK, Answered: true, EndpointID: net.endpoint("r1"), Elapsed: 3 * ms})
 		}
-		if round == 1 { // this message is lost
+		if round == 1 { // the messages of this round are lost
 			net.nodes[0].TimerFired(net.now, timerGossip, networkHost{net, 0})
 			net.inTransit = nil
 		} else {
@@ -207,31 +212,31 @@
 	}
 }
 
-// ownedQuotaSettings are those of a fleet so large that quotas have owners.
+// ownedQuotaSettings returns the settings of a fleet that is large enough for quotas to have owners.
 func ownedQuotaSettings() Settings {
 	s := testSettings()
 	s.NodeCount, s.PeerMessagesPerSecond, s.LoadReports, s.MaxUnits = 60, 8, LoadReportsInResponses, 100
 	return s
 }
 
-// entryNodesRequest is a request of a tenant whose entry nodes are 10 to 19.
+// entryNodesRequest returns a request of a tenant whose entry nodes are 10 to 19.
 func entryNodesRequest(n int, plan string, tenant uint64, units float64) Request {
 	request := newRequest(n, "safe", plan, tenant)
 	request.EntryNodes, request.FirstEntryNode, request.Units = 10, 10, units
 	return request
 }
 
-// joinEntryNodes adds the nodes 10 to 19.
-func (net *network) joinEntryNodes(s Settings, endpoints int) {
+// startEntryNodes starts nodes 10 to 19.
+func (net *network) startEntryNodes(s Settings, endpoints int) {
 	for at := 10; at < 20; at++ {
-		net.join(at, s, equalEndpoints(endpoints))
+		net.startNode(at, s, equalEndpoints(endpoints))
 	}
 }
 
-// playQuotaRequests has requesters ask owners, with reports of loads, errors, endpoints that refuse
-// connections and tenants over their quota.
-func playQuotaRequests(net *network) {
-	net.joinEntryNodes(ownedQuotaSettings(), 120)
+// runQuotaRequests runs requesters that send quota requests to owners. The attached gossip contains loads,
+// errors, refused connections and tenants over their quota.
+func runQuotaRequests(net *network) {
+	net.startEntryNodes(ownedQuotaSettings(), 120)
 	results := []Result{OK, ErrorResponse, OK, ConnectFailed, OK, TimedOut}
 	for n := range 24 {
 		request, at := entryNodesRequest(n, "rate", 77+uint64(n%6), float64(1+6*(n%4))), 10+n%2
@@ -249,14 +254,14 @@
 		}
 		net.now += 15 * ms
 	}
-	for n := range 6 { // at others: what was reported is passed on
+	for n := range 6 { // other nodes, which pass on the reports they have received
 		net.request(12+n, entryNodesRequest(100+n, "rate", uint64(77+n), 1))
 	}
 }
 
-// playLeases has requesters take leases of attempts in flight and release them.
-func playLeases(net *network) {
-	net.joinEntryNodes(ownedQuotaSettings(), 600)
+// runLeases runs requesters that are granted leases for attempts in flight and release some of them.
+func runLeases(net *network) {
+	net.startEntryNodes(ownedQuotaSettings(), 600)
 	for n := range 12 {
 		request, at := entryNodesRequest(n, "open", 5, 1), 10+n%2
 		net.request(at, request)
@@ -267,37 +272,37 @@
 	}
 }
 
-// playReconciliation has requesters release units that were not used, and report by how much the units used
-// differ from the estimates. Each owner can grant what is requested of it then for that reason alone.
-func playReconciliation(net *network) {
+// runReconciliation runs requesters that release unused units and report the difference between used and
+// estimated units. The owners can grant some of the requests only because of these units.
+func runReconciliation(net *network) {
 	s := ownedQuotaSettings()
 	s.PostPaid = true
-	net.joinEntryNodes(s, 600)
-	settle := func(at int, id string, units float64) {
+	net.startEntryNodes(s, 600)
+	finish := func(at int, id string, units float64) {
 		net.outcome(at, Outcome{ID: id, Result: OK, Answered: true, EndpointID: net.endpoint(id), Elapsed: 20 * ms, Units: units})
 	}
-	for n := range 24 { // beyond the quota, so that the owner reports a granted fraction
+	for n := range 24 { // more than the quota, so that the owner reports a granted fraction below 1
 		net.request(10+n%8, entryNodesRequest(n, "rate", 9, 15))
 		net.now += 10 * ms
 	}
-	net.request(10, entryNodesRequest(25, "rate", 80, 1)) // of a tenant whose owner has not heard of that fraction
-	settle(10, "r0", 8)
+	net.request(10, entryNodesRequest(25, "rate", 80, 1)) // the owner of this tenant has no report of that fraction
+	finish(10, "r0", 8)
 	net.request(18, entryNodesRequest(30, "rate", 9, 15))
-	settle(11, "r1", 9)
+	finish(11, "r1", 9)
 	net.request(19, entryNodesRequest(31, "rate", 9, 9))
-	// A quota request carries what was not reported before.
+	// The next quota request reports the correction of the previous request.
 	net.request(13, entryNodesRequest(40, "rate", 31, 30))
-	settle(13, "r40", 1)
+	finish(13, "r40", 1)
 	net.request(13, entryNodesRequest(41, "rate", 31, 35))
-	// A node that has restarted has reconciled nothing in its new incarnation.
-	net.join(13, s, equalEndpoints(600))
+	// A restarted node has a new incarnation and a sum of corrections of 0.
+	net.startNode(13, s, equalEndpoints(600))
 	net.request(13, entryNodesRequest(42, "rate", 31, 3))
-	// No endpoint is left when the grant comes.
+	// No endpoint is left when the grant arrives, so the requester releases the granted units.
 	net.nodes[11].RequestArrived(net.now, entryNodesRequest(50, "rate", 77, 3), networkHost{net, 11})
 	net.nodes[11].EndpointsUpdated(net.now, UpdateSnapshot, nil, networkHost{net, 11})
 	net.deliver()
 	net.request(13, entryNodesRequest(51, "rate", 77, 39))
-	// The next quota request carries what was rejected locally.
+	// The next quota request reports the units that were rejected locally.
 	net.now += 100 * ms
 	net.request(16, entryNodesRequest(60, "rate", 9, 1))
 }
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -3,36 +3,38 @@
 import "time"
 
 const (
-	// minGossipInterval is the shortest time between two rounds of gossip.
+	// minGossipInterval is the shortest interval between two gossip rounds.
 	minGossipInterval = 40 * time.Millisecond
-	// gossipIntervalSlack is that time as a multiple of what the peers' limit on messages allows.
+	// gossipIntervalSlack is the gossip interval as a multiple of the shortest interval that the peers'
+	// limit on received messages allows.
 	gossipIntervalSlack = 1.3
-	// maxNewEntryBytes bounds the new entries of a message. The repeated ones follow if they fit.
+	// maxNewEntryBytes bounds the size of the new entries in a message. The entries of the previous message
+	// are repeated after them if they fit.
 	maxNewEntryBytes = 180
 )
 
-// gossiper reports the use of split quotas to peers, in rounds, and keeps their
-// messages in order.
+// gossiper reports this node's use of split quotas to its peers in rounds. It detects lost, repeated and
+// late messages of the peers.
 type gossiper struct {
 	enabled    bool
-	node       int // this one
-	epoch      uint64
-	interval   time.Duration // between rounds
-	peers      []gossipPeer  // by node
-	unreported []*quotaBucket
+	node       int            // index of this node
+	epoch      uint64         // identifies this process among those that the node has run
+	interval   time.Duration  // time between rounds
+	peers      []gossipPeer   // indexed by node
+	unreported []*quotaBucket // buckets to report in the next round
 }
 
-// gossipPeer is the state of the gossip with one peer.
+// gossipPeer is the state of the gossip exchange with one peer.
 type gossipPeer struct {
-	sentSequence     uint64 // of the last message to it
-	previous         entryBatch
-	received         bool   // a message came from it
-	epoch            uint64 // of its process
-	previousEpoch    uint64 // of its process before a restart
-	receivedSequence uint64 // the highest
+	sentSequence     uint64     // sequence number of the last message sent to the peer
+	previous         entryBatch // entries of the last message sent to the peer
+	received         bool       // whether any message was received from the peer
+	epoch            uint64     // epoch of the peer's current process
+	previousEpoch    uint64     // epoch of the peer's process before its last restart
+	receivedSequence uint64     // highest sequence number received in the current epoch
 }
 
-// newGossiper returns a gossiper whose epoch distinguishes this process from those before a restart.
+// newGossiper returns a gossiper. The epoch should differ from those of the node's earlier processes.
 func newGossiper(settings *Settings, epoch uint64) gossiper {
 	return gossiper{
 		enabled:  settings.Gossip && settings.NodeCount > 1,
@@ -43,7 +45,8 @@
 	}
 }
 
-// gossipInterval is the time between rounds that keeps peers within their limit on messages.
+// gossipInterval returns the interval between rounds at which every node stays within its limit on received
+// messages.
 func gossipInterval(settings *Settings) time.Duration {
 	if settings.PeerMessagesPerSecond <= 0 {
 		return controlInterval
@@ -52,15 +55,16 @@
 	return max(time.Duration(seconds*float64(time.Second)), settings.Tick, minGossipInterval)
 }
 
-// markUnreported has the next round report a bucket. Owned ones are not reported: their owners know.
+// markUnreported queues a bucket for the next round. Owned buckets are not reported, because their owners
+// account for each grant.
 func (g *gossiper) markUnreported(bucket *quotaBucket) {
 	if g.enabled && !bucket.owned && bucket.queueForGossip() {
 		g.unreported = append(g.unreported, bucket)
 	}
 }
 
-// sendRound reports to each peer the buckets of which it is an entry node. It returns the highest number of
-// messages that one peer was sent.
+// sendRound reports the queued buckets to their entry nodes. It returns the largest number of messages sent
+// to a single peer.
 func (g *gossiper) sendRound(codec *codec, actions Actions) (maxSent int) {
 	for peer := range g.peers {
 		if peer != g.node {
@@ -71,7 +75,8 @@
 	return maxSent
 }
 
-// sendTo packs the buckets that concern a peer into as many messages as it takes, and returns their number.
+// sendTo reports the queued buckets of which a peer is an entry node, in one or more messages. It returns
+// the number of messages sent.
 func (g *gossiper) sendTo(peer int, codec *codec, actions Actions) (sent int) {
 	var batch entryBatch
 	for _, bucket := range g.unreported {
@@ -90,8 +95,8 @@
 	return sent
 }
 
-// sendBatch sends a batch with a repeat of the one before, unless both are empty. It returns the number of
-// messages.
+// sendBatch sends a batch together with the previous batch, unless both are empty. It returns the number of
+// messages sent, 0 or 1.
 func (g *gossiper) sendBatch(peer int, batch entryBatch, actions Actions) int {
 	state := &g.peers[peer]
 	if batch.count == 0 && state.previous.count == 0 {
@@ -103,6 +108,7 @@
 	return 1
 }
 
+// closeRound ends the round and keeps the buckets that the next round must report too.
 func (g *gossiper) closeRound() {
 	remaining := g.unreported[:0]
 	for _, bucket := range g.unreported {
@@ -113,8 +119,9 @@
 	g.unreported = remaining
 }
 
-// accept orders a message among those that came from the peer before. It says which of its entries are new.
-func (p *gossipPeer) accept(epoch, sequence uint64) (entries, previous bool) {
+// accept records that a message was received. It reports whether the message's own entries are new, and
+// whether the entries repeated from the previous message are new because that message was not received.
+func (p *gossipPeer) accept(epoch, sequence uint64) (entriesNew, previousNew bool) {
 	if p.received && epoch == p.previousEpoch && epoch != p.epoch {
 		return false, false // sent before the peer's restart
 	}
@@ -124,25 +131,27 @@
 	if sequence <= p.receivedSequence {
 		return false, false
 	}
-	previous = sequence > p.receivedSequence+1
+	previousNew = sequence > p.receivedSequence+1
 	p.receivedSequence = sequence
-	return true, previous
+	return true, previousNew
 }
 
+// receiveGossip applies the new entries of a gossip message. A malformed message is ignored.
 func (b *Balancer) receiveGossip(from int, message []byte) {
 	decoded, ok := b.codec.decodeGossip(message)
 	if !ok {
 		return
 	}
-	entries, previous := b.gossip.peers[from].accept(decoded.epoch, decoded.sequence)
-	if previous {
+	entriesNew, previousNew := b.gossip.peers[from].accept(decoded.epoch, decoded.sequence)
+	if previousNew {
 		b.applyGossipEntries(from, decoded.previous)
 	}
-	if entries {
+	if entriesNew {
 		b.applyGossipEntries(from, decoded.entries)
 	}
 }
 
+// applyGossipEntries applies a peer's entries. It skips tenants whose bucket has a different plan here.
 func (b *Balancer) applyGossipEntries(from int, entries []gossipEntry) {
 	for i := range entries {
 		entry := &entries[i]
@@ -155,11 +164,11 @@
 	}
 }
 
-// sendGossip sends a round of gossip. It returns the highest number of messages that one peer was sent.
+// sendGossip sends a gossip round. It returns the largest number of messages sent to a single peer.
 func (b *Balancer) sendGossip() (maxSent int) { return b.gossip.sendRound(&b.codec, b.actions) }
 
 func (b *Balancer) markUnreported(bucket *quotaBucket) { b.gossip.markUnreported(bucket) }
 
-// ownsQuotas reports whether quotas have owners: the fleet is so large that gossip to all of it would come
-// too late to go by.
+// ownsQuotas reports whether quotas have owners. They do in a large fleet, where gossip would reach all
+// entry nodes too late to limit a tenant.
 func (b *Balancer) ownsQuotas() bool { return b.quotas.haveOwners }
--- a/balancer/gossip_codec.go
+++ b/balancer/gossip_codec.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// The first byte of a message is its kind.
+// Message kinds, encoded as the first byte of each message.
 const (
 	kindGossip = iota
 	kindQuotaRequest
@@ -15,48 +15,49 @@
 )
 
 const (
-	// maxMessageBytes is the longest message that peers accept.
+	// maxMessageBytes is the size of the largest message that peers accept.
 	maxMessageBytes = 256
-	// maxEntryBytes is the longest encoding of a gossip entry: tenant, code, units and attempts in flight.
+	// maxEntryBytes is the size of the longest encoded gossip entry: varints for the tenant, the plan code,
+	// the units and the attempts in flight.
 	maxEntryBytes = 10 + 5 + 4 + 4
-	// maxWireUnits bounds the units that a message may carry, either way.
+	// maxWireUnits bounds the absolute value of a number of units in a message.
 	maxWireUnits = 1e6
-	// maxWireInFlight bounds the attempts in flight that an entry may carry.
+	// maxWireInFlight bounds the number of attempts in flight in an entry.
 	maxWireInFlight = 1 << 20
 )
 
-// codec encodes and decodes the messages between nodes. It relies on all nodes of a fleet having the same
-// plans in the same order and the same count of nodes.
+// codec encodes and decodes the messages between nodes. All nodes of a fleet must have the same plans in the
+// same order and the same node count.
 type codec struct {
 	plans     []Plan
 	nodeCount int
 }
 
-// gossipMessage is one message of a round of gossip. It repeats the entries of the message before, so that
-// the loss of a single message loses nothing.
+// gossipMessage is one message of a gossip round. It repeats the entries of the previous message, so that no
+// entry is lost when a single message is.
 type gossipMessage struct {
-	epoch    uint64 // of the sender's process
-	sequence uint64 // of the message within that process, from 1
+	epoch    uint64 // identifies the sender's process
+	sequence uint64 // number of the message to this peer within the epoch, from 1
 	entries  []gossipEntry
-	previous []gossipEntry
+	previous []gossipEntry // entries of the previous message
 }
 
 // gossipEntry reports a node's use of one quota.
 type gossipEntry struct {
 	tenant     uint64
-	plan       int // its index
+	plan       int // index of the plan
 	entryNodes entryNodes
-	units      float64 // acquired since the report before; negative when more was returned
-	inFlight   int     // attempts; 0 for a plan without a limit on them
+	units      float64 // units acquired less units returned since the previous report
+	inFlight   int     // attempts in flight; 0 for a plan without a concurrency limit
 }
 
-// entryBatch is a number of encoded entries.
+// entryBatch is a sequence of encoded entries.
 type entryBatch struct {
 	count   int
 	encoded []byte
 }
 
-// encodeGossip returns a gossip message. The entries of the message before are left out where they don't fit.
+// encodeGossip returns an encoded gossip message. It omits the previous entries if they do not fit.
 func encodeGossip(epoch, sequence uint64, entries, previous entryBatch) []byte {
 	message := binary.AppendUvarint([]byte{kindGossip}, epoch)
 	message = binary.AppendUvarint(message, sequence)
@@ -69,7 +70,7 @@
 	return append(message, previous.encoded...)
 }
 
-// decodeGossip decodes a gossip message. It reports false for one that is malformed in any part.
+// decodeGossip decodes a gossip message. It returns false if any part of the message is malformed.
 func (c *codec) decodeGossip(message []byte) (gossipMessage, bool) {
 	reader := varintReader{rest: message[1:]}
 	decoded := gossipMessage{epoch: reader.uint(), sequence: reader.uint()}
@@ -78,7 +79,7 @@
 	return decoded, reader.done()
 }
 
-// appendEntry adds one encoded entry to a batch.
+// appendEntry encodes an entry and appends it to a batch. Units are rounded to whole numbers.
 func (c *codec) appendEntry(batch *entryBatch, entry *gossipEntry) {
 	encoded := binary.AppendUvarint(batch.encoded, entry.tenant)
 	encoded = binary.AppendUvarint(encoded, c.planCode(entry.plan, entry.entryNodes))
@@ -113,7 +114,7 @@
 	return code*nodeCount + uint64(nodes.first%c.nodeCount)
 }
 
-// decodePlanCode unpacks a number of [codec.planCode]. It reports false for one that names no plan.
+// decodePlanCode is the inverse of [codec.planCode]. It returns false if the code contains an unknown plan.
 func (c *codec) decodePlanCode(code uint64) (plan int, nodes entryNodes, known bool) {
 	nodeCount := uint64(c.nodeCount)
 	index := code / nodeCount / nodeCount
@@ -124,9 +125,10 @@
 	return int(index), nodes, true
 }
 
-// varintReader takes varints off the front of a message. After the first malformed one it reads zeros.
+// varintReader reads varints and bytes from the front of a message. After a malformed varint it returns
+// zeros.
 type varintReader struct {
-	rest      []byte
+	rest      []byte // bytes that are not read yet
 	malformed bool
 }
 
@@ -136,7 +138,7 @@
 	return value
 }
 
-// int takes a signed number of at most [maxWireUnits] either way.
+// int reads a signed number. A number beyond [maxWireUnits] in either direction is malformed.
 func (r *varintReader) int() int64 {
 	value, size := binary.Varint(r.rest)
 	r.skip(size)
@@ -154,9 +156,10 @@
 	return value
 }
 
-// done reports whether the message was well-formed and is used up.
+// done reports whether the message was well-formed and has been read to its end.
 func (r *varintReader) done() bool { return !r.malformed && len(r.rest) == 0 }
 
+// skip advances by the size that a binary decoding function returned; 0 or less means a malformed number.
 func (r *varintReader) skip(size int) {
 	if size <= 0 {
 		r.rest, r.malformed = nil, true
--- a/balancer/gossip_codec_test.go
+++ b/balancer/gossip_codec_test.go
@@ -37,7 +37,7 @@
 	codec.appendEntry(&previous, &want.previous[0])
 	message := encodeGossip(want.epoch, want.sequence, batch, previous)
 	if got, ok := codec.decodeGossip(message); !ok || !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v came as %+v", want, got)
+		t.Errorf("decoded %+v, want %+v", got, want)
 	}
 	checkMalformed(t, message, func(message []byte) bool {
 		_, ok := codec.decodeGossip(message)
@@ -45,17 +45,17 @@
 	})
 }
 
-// The entries of the message before are left out where they don't fit.
-func TestGossipFitsIntoAMessage(t *testing.T) {
+// Guards against messages that exceed the maximum size because they repeat the previous entries.
+func TestGossipMessageSize(t *testing.T) {
 	codec := testCodec()
 	batch, previous := entryBatch{1, make([]byte, maxNewEntryBytes)}, entryBatch{1, make([]byte, 100)}
 	if message := encodeGossip(1, 1, batch, previous); len(message) > maxMessageBytes {
-		t.Errorf("message of %d bytes", len(message))
+		t.Errorf("message of %d bytes, want at most %d", len(message), maxMessageBytes)
 	}
 	var full entryBatch
 	entry := gossipEntry{1<<64 - 1, 1, entryNodes{29, 30}, -maxWireUnits, maxWireInFlight}
 	if codec.appendEntry(&full, &entry); len(full.encoded) > maxEntryBytes {
-		t.Errorf("entry of %d bytes, at most %d", len(full.encoded), maxEntryBytes)
+		t.Errorf("entry of %d bytes, want at most %d", len(full.encoded), maxEntryBytes)
 	}
 }
 
@@ -65,24 +65,25 @@
 		for _, nodes := range []entryNodes{{0, 1}, {29, 30}, {4, 17}} {
 			gotPlan, gotNodes, ok := codec.decodePlanCode(codec.planCode(plan, nodes))
 			if !ok || gotPlan != plan || gotNodes != nodes {
-				t.Errorf("plan %d with %+v came as plan %d with %+v, %v", plan, nodes, gotPlan, gotNodes, ok)
+				t.Errorf("decoded plan %d with %+v, known %v; want plan %d with %+v", gotPlan, gotNodes, ok, plan, nodes)
 			}
 		}
 	}
 	if _, _, ok := codec.decodePlanCode(codec.planCode(len(codec.plans), entryNodes{0, 1})); ok {
-		t.Error("a plan that is unknown was decoded")
+		t.Error("the code of an unknown plan was decoded")
 	}
 }
 
-// checkMalformed decodes all beginnings of a message and the message with a byte too many.
+// checkMalformed checks that decode rejects every truncation of a message, and the message with an extra
+// byte.
 func checkMalformed(t *testing.T, message []byte, decode func([]byte) bool) {
 	t.Helper()
 	for size := 1; size < len(message); size++ {
 		if decode(message[:size]) {
-			t.Errorf("%d bytes of %d were decoded", size, len(message))
+			t.Errorf("a message truncated to %d of %d bytes was decoded", size, len(message))
 		}
 	}
 	if decode(append(append([]byte{}, message...), 0)) {
-		t.Error("a message with a byte too many was decoded")
+		t.Error("a message with an extra byte was decoded")
 	}
 }
--- a/balancer/gossip_test.go
+++ b/balancer/gossip_test.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// A peer's messages are taken once, whether they are lost, repeated, late, or from before its restart.
+// Guards against entries that are applied twice or never when messages are lost, repeated, late, or sent
+// before the peer's restart.
 func TestGossipOrder(t *testing.T) {
 	type message struct {
 		epoch, sequence   uint64
-		entries, previous bool // what is new of it
+		entries, previous bool // whether its entries, and those of the previous message, are new
 	}
 	for name, messages := range map[string][]message{
 		"in order":      {{1, 1, true, false}, {1, 2, true, false}, {1, 3, true, false}},
@@ -19,13 +20,13 @@
 		"late":          {{1, 2, true, true}, {1, 1, false, false}},
 		"restarted":     {{1, 7, true, true}, {2, 1, true, false}, {1, 8, false, false}, {2, 2, true, false}},
 		"restart twice": {{1, 1, true, false}, {2, 1, true, false}, {3, 1, true, false}, {2, 2, false, false}},
-		// The epoch 0 of a peer that was never heard is no epoch from before a restart.
+		// The zero value of the epoch of an unknown peer must not count as its epoch before a restart.
 		"epoch 0": {{0, 1, true, false}, {0, 2, true, false}},
 	} {
 		var peer gossipPeer
 		for i, m := range messages {
 			if entries, previous := peer.accept(m.epoch, m.sequence); entries != m.entries || previous != m.previous {
-				t.Errorf("%s: message %d gave %v, %v", name, i, entries, previous)
+				t.Errorf("%s: message %d: new entries %v, previous %v; want %v, %v", name, i, entries, previous, m.entries, m.previous)
 			}
 		}
 	}
@@ -39,20 +40,21 @@
 		want      time.Duration
 	}{
 		{3, 0, ms, controlInterval},
-		{101, 50, ms, 2600 * ms}, // 100 peers at 1.3 / 50 s each
+		{101, 50, ms, 2600 * ms}, // 100 peers times 1.3 / 50 s
 		{2, 1000, ms, minGossipInterval},
 		{2, 1000, 70 * ms, 70 * ms},
 	} {
 		settings := Settings{NodeCount: c.nodes, PeerMessagesPerSecond: c.perSecond, Tick: c.tick}
 		if got := gossipInterval(&settings); got != c.want {
-			t.Errorf("%+v: %v", c, got)
+			t.Errorf("%+v: interval %v, want %v", c, got, c.want)
 		}
 	}
 }
 
-// Each bucket is reported until its use was, and those with attempts in flight until the last reports have
-// said that there are none.
-func TestGossipBacklog(t *testing.T) {
+// A bucket stays queued for gossip until its use is reported. A bucket with a concurrency limit stays queued
+// until the last reports contain no attempts in flight. Guards against use that is never reported and
+// buckets that are reported forever.
+func TestGossipQueue(t *testing.T) {
 	settings := testSettings()
 	settings.NodeCount = 2
 	gossip := newGossiper(&settings, 1)
@@ -62,23 +64,23 @@
 	limited := &quotaBucket{tenant: 1, plan: plan(1), entryNodes: entryNodes{0, 2}, quotaShares: 2, ownerCount: 1}
 	owned := &quotaBucket{plan: plan(0), entryNodes: entryNodes{0, 2}, quotaShares: 1, ownerCount: 1, owned: true}
 	limited.attemptStarted()
-	for range 2 { // queued once
+	for range 2 { // the second call must not queue a bucket again
 		gossip.markUnreported(rated)
 		gossip.markUnreported(limited)
 		gossip.markUnreported(owned)
 	}
 	if len(gossip.unreported) != 2 {
-		t.Fatalf("%d buckets to report, want 2", len(gossip.unreported))
+		t.Fatalf("%d buckets queued, want 2", len(gossip.unreported))
 	}
 	host := &hostRecorder{}
 	round := func(want int) {
 		t.Helper()
 		if gossip.sendRound(&codec, host); len(gossip.unreported) != want {
-			t.Errorf("%d buckets to report, want %d", len(gossip.unreported), want)
+			t.Errorf("%d buckets queued, want %d", len(gossip.unreported), want)
 		}
 	}
 	for range 5 {
-		round(1) // an attempt in flight
+		round(1) // the bucket with an attempt in flight
 	}
 	limited.attemptFinished()
 	for range finalIdleReports - 1 {
@@ -87,14 +89,15 @@
 	round(0)
 	sent := len(host.messages[1])
 	if round(0); len(host.messages[1]) != sent+1 {
-		t.Error("the last report was not repeated")
+		t.Error("the entries of the last report were not repeated")
 	}
 	if round(0); len(host.messages[1]) != sent+1 {
 		t.Error("a message without entries was sent")
 	}
 }
 
-// Units are reported whole. What rounding leaves is reported later.
+// Units are reported as whole numbers. Guards against losing the rounding remainders, which later reports
+// must include.
 func TestReportedUnitsAddUp(t *testing.T) {
 	bucket := splitBucket(Plan{Rate: 1}, 2)
 	reported := 0.0
@@ -106,12 +109,12 @@
 		codec.appendEntry(&batch, &entry)
 		message, ok := codec.decodeGossip(encodeGossip(1, 1, batch, entryBatch{}))
 		if !ok {
-			t.Fatal("malformed")
+			t.Fatal("the encoded message is malformed")
 		}
 		reported += message.entries[0].units
 		bucket.closeGossipRound()
 	}
 	if reported != 7 {
-		t.Errorf("%v units reported of 7", reported)
+		t.Errorf("%v units reported, want 7", reported)
 	}
 }
--- a/balancer/load_codec.go
+++ b/balancer/load_codec.go
@@ -8,51 +8,54 @@
 )
 
 const (
-	// piggybackEntryBytes is the size of an entry: two bytes of a hash, one of a figure, one of its age.
+	// piggybackEntryBytes is the size of an entry: two bytes for a hash, one for a load or a granted
+	// fraction, and one for its age.
 	piggybackEntryBytes = 4
-	// ageUnit is the unit of ages; a byte of them holds five seconds.
+	// ageUnit is the unit of encoded ages. One byte covers ages of up to about five seconds.
 	ageUnit = 20 * time.Millisecond
-	// loadFailedBit is set in a load whose endpoint's last response was an error.
+	// loadFailedBit is set in the encoded load of an endpoint whose last response was an error.
 	loadFailedBit = 1 << 7
-	// loadRefusesConnections stands in place of a load for an endpoint that takes no connection.
+	// loadRefusesConnections is encoded in place of the load of an endpoint that refuses connections.
 	loadRefusesConnections = 255
 )
 
-// piggyback is what goes along with quota requests and grants.
+// piggyback is the gossip that is appended to quota requests and grants, so that it costs no messages of its
+// own.
 type piggyback struct {
 	pooled    pooledMeans
 	overQuota []overQuotaReport
 	loads     []peerLoad
 }
 
-// overQuotaReport says of a tenant that its demand is over its quota.
+// overQuotaReport reports the fraction of a tenant's demand that its quota can grant.
 type overQuotaReport struct {
 	tenantHash      uint16
-	grantedFraction float64 // of its demand
-	age             time.Duration
+	grantedFraction float64       // granted fraction of the demand, from 0 to 1
+	age             time.Duration // time since the owner's report
 }
 
-// peerLoad is what another node knows of an endpoint's load.
+// peerLoad is the load of an endpoint as one node reports it to another.
 type peerLoad struct {
 	endpointHash uint16
-	load         float64 // requests in flight
+	load         float64 // requests in flight at the endpoint
 	status       peerLoadStatus
-	age          time.Duration
+	age          time.Duration // time since the load was reported or the failure seen
 }
 
-// peerLoadStatus is what is known of an endpoint besides its load.
+// peerLoadStatus is the status of an endpoint that is reported along with its load.
 type peerLoadStatus int
 
 const (
-	peerLoadResponded          peerLoadStatus = iota // its last response was none of the others
-	peerLoadFailed                                   // its last response was an error
-	peerLoadRefusesConnections                       // it took no connection; its load is unknown
+	peerLoadResponded          peerLoadStatus = iota // last response was not an error
+	peerLoadFailed                                   // last response was an error
+	peerLoadRefusesConnections                       // refused the last connection; the load is unknown
 )
 
-// appendPiggyback adds the pooled means, a count of reports over quota and these, and loads up to the end.
+// appendPiggyback encodes the pooled means, the number of over-quota reports, the reports, and the loads.
+// The loads extend to the end of the message and have no count.
 func appendPiggyback(message []byte, attached *piggyback) []byte {
 	for _, mean := range attached.pooled {
-		scaled := math.Round(math.Min(mean*poolUnitsPerOne, maxWireUnits))
+		scaled := math.Round(math.Min(mean*pooledMeanScale, maxWireUnits))
 		message = binary.AppendVarint(message, int64(scaled))
 	}
 	message = append(message, byte(len(attached.overQuota)))
@@ -68,10 +71,11 @@
 	return message
 }
 
-// decodePiggyback takes the rest of a message. It reuses the slices that it is given.
+// decodePiggyback decodes the rest of a message into attached, whose slices it reuses. It marks the reader
+// as malformed if the reports are truncated.
 func decodePiggyback(reader *varintReader, attached *piggyback) {
 	for i := range attached.pooled {
-		attached.pooled[i] = float64(reader.int()) / poolUnitsPerOne
+		attached.pooled[i] = float64(reader.int()) / pooledMeanScale
 	}
 	attached.overQuota, attached.loads = attached.overQuota[:0], attached.loads[:0]
 	count := int(reader.byte())
@@ -92,7 +96,7 @@
 	}
 }
 
-// encode returns the byte of a load and its status.
+// encode returns the load and its status as one byte. A load beyond the largest encodable one is capped.
 func (l *peerLoad) encode() byte {
 	load := byte(math.Min(math.Max(math.Round(l.load), 0), loadFailedBit-2))
 	switch l.status {
@@ -118,20 +122,21 @@
 	return load
 }
 
-// encodeAge rounds up: rounded down, a report would grow younger from node to node.
+// encodeAge encodes an age and rounds it up. If ages were rounded down, a report would become younger each
+// time that a node passes it on.
 func encodeAge(age time.Duration) byte { return byte((age + ageUnit - 1) / ageUnit) }
 
 func decodeAge(age byte) time.Duration { return time.Duration(age) * ageUnit }
 
-// tenantHash names a tenant in two bytes. A tenant that shares them with one over its quota is taken for it
-// while its quota requests are lost.
+// tenantHash returns a two-byte hash of a tenant. If the hashes of two tenants collide and one of them is
+// over its quota, the other is treated as over its quota too while its quota requests get no answer.
 func tenantHash(tenant uint64) uint16 {
 	hash := (tenant + 1) * 0x9e3779b97f4a7c15
 	return uint16(hash >> 48)
 }
 
-// shortEndpointHash names an endpoint in two bytes. Two endpoints of a subset that share them are left out of
-// load gossip.
+// shortEndpointHash returns a two-byte hash of an endpoint's ID. A node ignores load gossip about a hash
+// that several endpoints of its subset share.
 func shortEndpointHash(id string) uint16 {
 	hash := fnv.New32a()
 	hash.Write([]byte(id))
--- a/balancer/load_gossip.go
+++ b/balancer/load_gossip.go
@@ -6,15 +6,18 @@
 )
 
 const (
-	// loadGossipMaxAge is the age from which a load is not passed on; it fits the byte of an age.
+	// loadGossipMaxAge is the age from which loads and over-quota reports are no longer sent. Received loads
+	// that are older are ignored. It must fit into an encoded age, which is one byte in units of [ageUnit].
 	loadGossipMaxAge = 4 * time.Second
-	// peerMessageDelay is the time that a message takes between nodes, at most as a rule.
+	// peerMessageDelay is the delay of a message between nodes that is rarely exceeded. It is added to the
+	// age of received reports.
 	peerMessageDelay = 10 * time.Millisecond
-	// maxLoadEntries bounds the loads in one message: a few messages cover all endpoints.
+	// maxLoadEntries is the maximum number of loads in one message. A few messages cover all endpoints.
 	maxLoadEntries = 12
 )
 
-// receiveLoads records what another node reports of endpoints, where it is newer than what is known here.
+// receiveLoads records the loads that another node reports, if they are newer than the known ones. It
+// ignores hashes that match no endpoint of this node's subset or several.
 func (b *Balancer) receiveLoads(loads []peerLoad) {
 	for i := range loads {
 		load := &loads[i]
@@ -31,18 +34,18 @@
 	}
 }
 
-// olderThan reports whether a load of that time is newer than what is known. Within the precision of ages it
-// may be the same.
+// olderThan reports whether the known load is older than one that was reported at the given time. A
+// difference within the precision of encoded ages does not count, because both may be the same report.
 func (l *endpointLoad) olderThan(at time.Duration) bool {
 	return at > l.reportedAt+ageUnit+peerMessageDelay
 }
 
-// isFresh reports whether the load is passed on to other nodes.
+// isFresh reports whether the load is recent enough to be sent to other nodes.
 func (l *endpointLoad) isFresh(now time.Duration) bool {
 	return l.reportedAt > 0 && now-l.reportedAt < loadGossipMaxAge
 }
 
-// peerLoad is what this node reports of the endpoint.
+// peerLoad returns the load of the endpoint as this node reports it to others.
 func (s *endpoint) peerLoad(now time.Duration) peerLoad {
 	load := peerLoad{endpointHash: s.shortHash, load: s.load.requests, age: now - s.load.reportedAt}
 	switch {
@@ -54,7 +57,7 @@
 	return load
 }
 
-// appendFreshestLoads appends the loads to report to another node.
+// appendFreshestLoads appends the newest loads that are useful to another node, the newest first.
 func (b *Balancer) appendFreshestLoads(loads []peerLoad, node int) []peerLoad {
 	var buffer [maxLoadEntries]*endpoint
 	for _, endpoint := range b.endpoints.index.freshest(&buffer, node, b.now) {
@@ -63,8 +66,8 @@
 	return loads
 }
 
-// freshest returns the endpoints with the newest loads that are in the other node's subset too, as many
-// as fit into a message, the newest first.
+// freshest returns the endpoints with the newest loads, at most [maxLoadEntries] and the newest first. The
+// endpoints accept requests and are in the subsets of both nodes.
 func (i *subsetIndex) freshest(
 	buffer *[maxLoadEntries]*endpoint, node int, now time.Duration,
 ) []*endpoint {
@@ -82,11 +85,12 @@
 	return cmp.Or(cmp.Compare(b.load.reportedAt, a.load.reportedAt), cmp.Compare(a.ID, b.ID))
 }
 
-// expectedOtherLoad is the number of requests that the endpoint is expected to have in flight besides this
-// node's own: what was reported of it, the less the older that is.
+// expectedOtherLoad estimates the number of requests that other nodes have in flight at the endpoint. A
+// reported load loses weight with its age, in favor of the mean over all endpoints. The estimate is 0 in a
+// small fleet.
 func (b *Balancer) expectedOtherLoad(s *endpoint) float64 {
 	if !b.ownsQuotas() {
-		return 0 // In a small fleet a node's own attempts show more, and sooner.
+		return 0 // In a small fleet a node's own attempts give better and earlier information.
 	}
 	return s.load.expectedOtherNodes(b.now, b.endpoints.meanLoad)
 }
--- a/balancer/over_quota_test.go
+++ b/balancer/over_quota_test.go
@@ -11,17 +11,18 @@
 		recorded, want float64
 		entries        int
 	}{
-		{overQuotaThreshold, 1, 0}, // within its quota: not kept
-		{0.5, 0.5, 1},              // over it
-		{0.99, 0.99, 1},            // within it again: kept, to correct what was recorded before
+		{overQuotaThreshold, 1, 0}, // within its quota: not stored
+		{0.5, 0.5, 1},              // over its quota: stored
+		{0.99, 0.99, 1},            // within its quota again: replaces the earlier entry
 	} {
 		table.record(testStart, 1, step.recorded)
 		if got := table.grantedFraction(1); got != step.want || len(table) != step.entries {
-			t.Errorf("%v after %v was recorded, want %v; %d entries", got, step.recorded, step.want, len(table))
+			t.Errorf("recorded %v: granted fraction %v, want %v; %d entries, want %d",
+				step.recorded, got, step.want, len(table), step.entries)
 		}
 	}
 	if got := table.grantedFraction(2); got != 1 {
-		t.Errorf("%v of a tenant that is unknown", got)
+		t.Errorf("granted fraction %v of an unknown tenant, want 1", got)
 	}
 }
 
@@ -29,20 +30,21 @@
 	table := overQuotaTable{}
 	table.record(testStart, 1, 0.5)
 	if table.expire(testStart + overQuotaRetention); len(table) != 1 {
-		t.Error("dropped before its time")
+		t.Error("report expired too early")
 	}
 	if table.expire(testStart + overQuotaRetention + 1); len(table) != 0 {
-		t.Error("retained past its time")
+		t.Error("report did not expire")
 	}
 }
 
-// Within the precision of ages a report may be what is known already.
-func TestOverQuotaTakesOnlyNewerReports(t *testing.T) {
+// Guards against counting a report as new when its age differs from that of the known report only within the
+// precision of encoded ages.
+func TestOverQuotaAppliesOnlyNewerReports(t *testing.T) {
 	const precision = ageUnit + peerMessageDelay
 	for at, want := range map[time.Duration]float64{testStart + precision: 0.5, testStart + precision + 1: 0.2} {
 		table := overQuotaTable{}
 		table.record(testStart, 1, 0.5)
-		table.receive(at+peerMessageDelay, []overQuotaReport{{tenantHash(1), 0.2, 0}})
+		table.merge(at+peerMessageDelay, []overQuotaReport{{tenantHash(1), 0.2, 0}})
 		if got := table.grantedFraction(1); got != want {
 			t.Errorf("granted fraction %v after a report %v later, want %v", got, at-testStart, want)
 		}
@@ -67,6 +69,6 @@
 	clear(table)
 	table[100] = overQuotaTenant{0.5, testStart - loadGossipMaxAge}
 	if got := table.appendNewest(nil, testStart); len(got) != 0 {
-		t.Errorf("%+v are too old to send", got)
+		t.Errorf("reports %+v are too old to be sent", got)
 	}
 }
--- a/balancer/peer_messages.go
+++ b/balancer/peer_messages.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// inboxPressureFraction is the fraction of a node's capacity for messages from which on its inbox is under
+// inboxPressureFraction is the fraction of a node's message capacity above which its inbox is under
 // pressure.
 const inboxPressureFraction = 0.7
 
-// peerInbox measures the messages that come from peers.
+// peerInbox measures the rate of messages received from peers.
 type peerInbox struct {
-	received    float64 // since the last control interval
-	rate        float64 // per second, averaged
-	lastMessage time.Duration
-	capacity    float64 // messages per second that the node takes in
+	received    float64       // messages received in the current control interval
+	rate        float64       // smoothed rate, in messages per second
+	lastMessage time.Duration // when the last message was received
+	capacity    float64       // messages per second that the node can receive
 }
 
 func (i *peerInbox) record(now time.Duration) {
@@ -19,16 +19,17 @@
 	i.lastMessage = now
 }
 
-// closeInterval ends a control interval.
+// closeInterval updates the rate at the end of a control interval.
 func (i *peerInbox) closeInterval() {
 	i.rate += rateSmoothing * (i.received/controlInterval.Seconds() - i.rate)
 	i.received = 0
 }
 
-// underPressure reports whether so many messages come that they may soon be more than the node takes in.
+// underPressure reports whether the message rate is close to the node's capacity or above it.
 func (i *peerInbox) underPressure() bool { return i.rate > inboxPressureFraction*i.capacity }
 
-// PeerMessage is the arrival of a message of another node. A malformed one is ignored whole.
+// PeerMessage handles a message from another node. It ignores a malformed message entirely, and messages
+// whose sender is unknown or this node.
 func (b *Balancer) PeerMessage(now time.Duration, from int, message []byte, out Actions) {
 	b.now, b.actions = now, out
 	if from < 0 || from >= b.settings.NodeCount || from == b.settings.NodeIndex || len(message) == 0 {
@@ -43,8 +44,7 @@
 	}
 }
 
-// receiveQuotaMessage takes a quota request of a requester, the grant of an owner, or what a requester gives
-// back.
+// receiveQuotaMessage handles the messages between requesters and owners. It ignores unknown kinds.
 func (b *Balancer) receiveQuotaMessage(from int, message []byte) {
 	switch message[0] {
 	case kindQuotaRequest:
@@ -68,13 +68,15 @@
 	}
 }
 
+// receivePiggyback applies the gossip that the last quota request or grant contained.
 func (b *Balancer) receivePiggyback() {
 	b.overload.mixIntoPool(peerPoolSmoothing, &b.piggyback.pooled)
-	b.overQuota.receive(b.now, b.piggyback.overQuota)
+	b.overQuota.merge(b.now, b.piggyback.overQuota)
 	b.receiveLoads(b.piggyback.loads)
 }
 
-// piggybackFor gathers what goes along with a message to a peer. It is valid until the next message.
+// piggybackFor returns the gossip to append to a message to a peer. The result is valid until the next call
+// and until the next message is received.
 func (b *Balancer) piggybackFor(peer int) *piggyback {
 	b.piggyback.pooled = b.overload.pooled
 	b.piggyback.overQuota = b.overQuota.appendNewest(b.piggyback.overQuota[:0], b.now)
--- a/balancer/quota_bench_test.go
+++ b/balancer/quota_bench_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// lastMessage is a host that keeps only the last message to a peer, in a buffer of its own.
+// lastMessage is a host that copies the last message to a peer into a reused buffer and ignores all other
+// actions.
 type lastMessage struct {
 	peer    int
 	message []byte
@@ -26,7 +27,8 @@
 	l.peer, l.message = peer, append(l.message[:0], message...)
 }
 
-// BenchmarkOwnedQuota takes requests through the quota of an owner on another node, answers included.
+// BenchmarkOwnedQuota measures requests whose quota is owned by another node, including the quota request,
+// the grant and the attempt.
 func BenchmarkOwnedQuota(b *testing.B) {
 	settings := testSettings()
 	settings.NodeCount, settings.PeerMessagesPerSecond, settings.LoadReports = 300, 40, LoadReportsInResponses
@@ -70,7 +72,8 @@
 	}
 }
 
-// BenchmarkGossip takes requests through a quota split over three nodes, with a round of gossip every tenth.
+// BenchmarkGossip measures requests of a quota that is split between three nodes, with a gossip round after
+// every tenth request.
 func BenchmarkGossip(b *testing.B) {
 	settings := testSettings()
 	settings.NodeCount = 3
--- a/balancer/quota_bucket.go
+++ b/balancer/quota_bucket.go
@@ -6,81 +6,89 @@
 )
 
 const (
-	// congestionPeriod is how long a tenant counts as congested after a rejection.
+	// congestionPeriod is the time for which a tenant counts as congested after a rejection.
 	congestionPeriod = time.Second
-	// idleConcurrencyQuota is the idle time after which a bucket without a rate is dropped.
-	idleConcurrencyQuota = 5 * time.Second
-	// isolatedAfter is the silence of all peers after which an owner counts what it would have granted.
+	// concurrencyQuotaIdleTime is the idle time after which the bucket of a plan without a rate is dropped.
+	concurrencyQuotaIdleTime = 5 * time.Second
+	// isolatedAfter is the time without messages from any peer after which an owner assumes that its
+	// requesters admit requests without grants.
 	isolatedAfter = time.Second / 2
-	// maxMissedGossipIntervals is the rounds of gossip after which a peer's attempts in flight are forgotten.
+	// maxMissedGossipIntervals is the number of gossip intervals after which a peer's report of its attempts
+	// in flight expires.
 	maxMissedGossipIntervals = 10
-	// finalIdleReports is the reports of no attempts in flight after which a bucket is left out of gossip.
+	// finalIdleReports is the number of consecutive reports without attempts in flight after which a bucket
+	// is no longer reported.
 	finalIdleReports = 3
-	// maxRefillTime bounds the time after which a client may retry for want of units.
+	// maxRefillTime is the longest refill time that is computed, and so the longest time that a client is
+	// told to wait for units.
 	maxRefillTime = time.Minute
 )
 
-// quotaBucket is one tenant's quota as this node sees it: a token bucket for the rate, the attempts in
+// quotaBucket is this node's state of one tenant's quota: a token bucket for the rate, the attempts in
 // flight, and this node's part of the hard limit. A quota is either split between the entry nodes, which
-// report their use to each other, or owned by a few of them, which grant the others' requests.
+// report their use to each other by gossip, or owned by a few of them, which grant the quota requests of the
+// others.
 type quotaBucket struct {
 	tenant      uint64
 	plan        *quotaPlan
 	entryNodes  entryNodes
 	owned       bool
-	quotaShares int     // nodes between which the quota is divided: its owners or all its entry nodes
-	ownerCount  float64 // buckets that the quota is kept in: that of its owners, or 1
+	quotaShares int     // number of owners, or number of entry nodes of a split quota
+	ownerCount  float64 // number of owners; 1 for a split quota
 
 	refilledAt time.Duration
-	tokens     float64 // units; below 0 when the nodes have acquired more than there was
+	tokens     float64 // available units; below 0 if the nodes have acquired too many
 	hardLimit  nodeHardLimit
 	inFlight   int // attempts of this node
-	// congestedUntil is set by a rejection. Until then a request needs units for all sharers.
+	// congestedUntil is set by a rejection. Until then a request needs tokens for one request at each node
+	// that shares the quota.
 	congestedUntil time.Duration
 	use            unreportedUse
-	peerInFlight   []peerInFlight // by node; nil: none was reported
+	peerInFlight   []peerInFlight // indexed by node; nil if no peer has reported attempts
 
 	requester requesterState
 	owner     ownerState
 }
 
-// unreportedUse is what this node did with a split quota since the last round of gossip.
+// unreportedUse is this node's use of a split quota since the last gossip round.
 type unreportedUse struct {
-	acquired    float64 // units
-	units       float64 // to report: those acquired less those returned, and what rounding left
-	requests    int     // started
-	idleReports int     // reports of no attempts in flight, in a row
-	queued      bool    // the next round reports it
+	acquired    float64 // units acquired less units returned
+	units       float64 // units to report, including the rounding remainder of the last report
+	requests    int     // requests started
+	idleReports int     // consecutive reports without attempts in flight
+	queued      bool    // whether the bucket is queued for the next round
 }
 
-// peerInFlight is a peer's report of its attempts in flight.
+// peerInFlight is the last report of a peer's attempts in flight.
 type peerInFlight struct {
 	attempts   int
 	reportedAt time.Duration
 }
 
-// initialTokens are the tokens of a new bucket, so many seconds after the start of the node. A split one was
-// refilled since then: one that was dropped for being full comes back full. An owner's starts with its part
-// of the burst, or empty for a tenant known to be over its quota: an owner that has restarted would grant a
-// second burst.
-func (q *quotaBucket) initialTokens(sinceStart, grantedFraction float64) float64 {
+// initialTokens returns the tokens of a bucket that is created the given number of seconds after the start
+// of the node. A split bucket has this node's share of the burst and the refill since the start, so that a
+// bucket which was dropped while full is full again. The bucket of an owner has the owner's share of the
+// burst. It is empty if the tenant is known to be over its quota, because a restarted owner would otherwise
+// grant a second burst.
+func (q *quotaBucket) initialTokens(secondsSinceStart, grantedFraction float64) float64 {
 	switch {
 	case !q.owned:
-		return math.Min(q.plan.Burst, q.plan.Burst/float64(q.quotaShares)+q.plan.Rate*sinceStart)
+		return math.Min(q.plan.Burst, q.plan.Burst/float64(q.quotaShares)+q.plan.Rate*secondsSinceStart)
 	case grantedFraction < overQuotaThreshold:
 		return 0
 	}
 	return q.plan.Burst / q.ownerCount
 }
 
-// refill adds the units since the last call. lastMessage is when the last message of any peer came.
+// refill adds the units that have accrued since the last call. lastMessage is the time at which the last
+// message from any peer was received.
 func (q *quotaBucket) refill(now, lastMessage time.Duration) {
 	plan := q.plan
 	seconds := (now - q.refilledAt).Seconds()
 	q.refilledAt = now
 	rate := plan.Rate / q.ownerCount
 	if q.owner.hasRequesters() && now-lastMessage > isolatedAfter {
-		// The requesters are taken to acquire as before while their messages do not come.
+		// While no messages arrive, the requesters are assumed to acquire units at the last grant rate.
 		floor := -math.Max(q.tokens, 0) / math.Max(seconds, 1e-9)
 		rate = math.Max(rate-q.owner.holdGrantRate(now), floor)
 	}
@@ -88,11 +96,12 @@
 	q.hardLimit.refill(plan, seconds)
 }
 
-// check reports whether units and one more attempt are within the quota and, if not, when to come back.
+// check reports whether the units and one more attempt are within the quota. If they are not, it returns the
+// time after which the client may retry.
 func (q *quotaBucket) check(now time.Duration, units float64, gossipInterval time.Duration) (
 	granted bool, retryAfter time.Duration,
 ) {
-	if q.owned { // Nothing is acquired here without the owner's bucket showing it at once.
+	if q.owned { // Units acquired from an owned quota are deducted at once, so none are unreported.
 		q.use.acquired, q.use.requests, q.congestedUntil = 0, 0, 0
 	}
 	retryAfter = min(gossipInterval, quotaRequestTimeout)
@@ -107,7 +116,8 @@
 	return true, 0
 }
 
-// hasConcurrency reports whether this node may start one more attempt before the next round of gossip.
+// hasConcurrency reports whether this node may start one more attempt before the next gossip round. It
+// applies the rules of [quotaBucket.hasTokens] to attempts.
 func (q *quotaBucket) hasConcurrency(now, gossipInterval time.Duration) bool {
 	headroom := q.concurrencyHeadroom(now, gossipInterval)
 	required := 1
@@ -121,11 +131,12 @@
 	return q.use.requests == 0 || float64(q.use.requests+1) <= part
 }
 
-// hasTokens reports whether this node may acquire units before the next round of gossip.
+// hasTokens reports whether this node may acquire units before the next gossip round. Between two rounds a
+// node may use an equal share of the tokens.
 //
-// Exception: the first request after a round needs only its own units, or the parts of a small bucket would
-// be too small for any. A congested tenant has that request waiting at each of its nodes: there the bucket
-// must have the units of them all, as far as it can hold them.
+// The first request after a round needs only its own units, because the shares of a small bucket can be too
+// small for any request. If the tenant is congested, a request is assumed to wait at each of its nodes. The
+// bucket must then have tokens for all of them, limited to half a burst.
 func (q *quotaBucket) hasTokens(now time.Duration, units float64) bool {
 	nodes := q.independentNodes()
 	required := units
@@ -138,7 +149,8 @@
 	return q.use.acquired <= 0 || q.use.acquired+units <= (q.tokens+q.use.acquired)/nodes
 }
 
-// independentNodes is the number of nodes that may acquire from these tokens at the same time.
+// independentNodes returns the number of nodes that may acquire the same tokens before they learn of each
+// other's use.
 func (q *quotaBucket) independentNodes() float64 {
 	if q.owned {
 		return 1
@@ -146,8 +158,8 @@
 	return float64(q.quotaShares)
 }
 
-// concurrencyHeadroom is how many more attempts the tenant may have in flight, as far as is known. A peer
-// that has not reported for long counts as having none.
+// concurrencyHeadroom returns the number of further attempts that the tenant may have in flight. The report
+// of a peer expires after [maxMissedGossipIntervals].
 func (q *quotaBucket) concurrencyHeadroom(now, gossipInterval time.Duration) int {
 	headroom := q.plan.MaxConcurrent - q.inFlight
 	for _, peer := range q.peerInFlight {
@@ -158,7 +170,7 @@
 	return headroom - q.owner.activeLeases(now)
 }
 
-// acquire takes units within the quota. Negative units are returned.
+// acquire deducts units from the tokens. Negative units are returned to them.
 func (q *quotaBucket) acquire(units float64) {
 	if q.plan.Rate > 0 {
 		q.tokens -= units
@@ -167,50 +179,53 @@
 	}
 }
 
-// adjust adds units to an owner's tokens, which stay between a whole burst owed and the owner's part of one.
+// adjust adds a requester's corrections to an owner's tokens. It limits the tokens to the owner's share of
+// the burst and their deficit to a whole burst.
 func (q *quotaBucket) adjust(units float64) {
 	q.tokens = math.Max(math.Min(q.tokens+units, q.plan.Burst/q.ownerCount), -q.plan.Burst)
 }
 
-// restore adds units to an owner's tokens that a requester had been granted and did not use.
+// restore returns units to an owner's tokens that a requester was granted and did not use.
 func (q *quotaBucket) restore(units float64) {
 	q.tokens = math.Min(q.tokens+units, q.plan.Burst/q.ownerCount)
 }
 
-// spendableRate is the units per second that may be spent for a period: what is there and what comes.
+// spendableRate returns the units per second that can be spent over a period: the current tokens and the
+// refill.
 func (q *quotaBucket) spendableRate(period time.Duration) float64 {
 	return math.Max(q.tokens, 0)/period.Seconds() + q.plan.Rate/q.ownerCount
 }
 
-// requestersPerOwner is the whole number of entry nodes that ask each owner.
+// requestersPerOwner returns the number of entry nodes that send requests to each owner, rounded down.
 func (q *quotaBucket) requestersPerOwner() float64 {
 	return float64(q.entryNodes.count / q.quotaShares)
 }
 
-// congested reports whether the tenant was rejected of late.
+// congested reports whether the tenant was rejected within the last [congestionPeriod].
 func (q *quotaBucket) congested(now time.Duration) bool { return now < q.congestedUntil }
 
-// requestStarted, attemptStarted and attemptFinished count this node's use of the concurrency.
+// requestStarted, attemptStarted and attemptFinished count this node's use of the concurrency limit.
 func (q *quotaBucket) requestStarted() { q.use.requests++ }
 
 func (q *quotaBucket) attemptStarted() { q.inFlight++ }
 
 func (q *quotaBucket) attemptFinished() { q.inFlight-- }
 
-// queueForGossip has the next round report the bucket. It reports false for one that is queued already.
+// queueForGossip marks the bucket as queued for the next round. It returns false if it was queued already.
 func (q *quotaBucket) queueForGossip() bool {
 	queued := q.use.queued
 	q.use.queued = true
 	return !queued
 }
 
-// gossipEntry is the report of this node's use.
+// gossipEntry returns the report of this node's use.
 func (q *quotaBucket) gossipEntry() gossipEntry {
 	return gossipEntry{q.tenant, q.plan.index, q.entryNodes, q.use.units, q.inFlight}
 }
 
-// closeGossipRound ends a round in which the use was reported, in whole units. It reports whether the next
-// round must report it too: attempts in flight are, until the last reports have said that there are none.
+// closeGossipRound ends a round that reported the use in whole units. It reports whether the bucket stays
+// queued for the next round. A bucket with a concurrency limit stays queued until [finalIdleReports]
+// consecutive reports contained no attempts in flight.
 func (q *quotaBucket) closeGossipRound() bool {
 	q.use.units -= math.Round(q.use.units)
 	q.use.acquired, q.use.requests = 0, 0
@@ -221,7 +236,7 @@
 	return q.use.queued
 }
 
-// applyPeerUse applies a peer's report of its use.
+// applyPeerUse applies a peer's report of its use. The deficit of the tokens is limited to a whole burst.
 func (q *quotaBucket) applyPeerUse(now time.Duration, peer, nodeCount int, entry *gossipEntry) {
 	if q.plan.Rate > 0 {
 		q.tokens = math.Max(q.tokens-entry.units, -q.plan.Burst)
@@ -234,11 +249,13 @@
 	}
 }
 
-// idle reports whether the bucket may be dropped: it was full for a burst's time, with nothing in flight and
-// nothing to report.
+// idle reports whether the bucket may be dropped. It must have no attempts in flight, no leases and no
+// queued report. It must also have been unused for the time in which its tokens refill to the burst and then
+// once more from empty, and in which its hard limit refills from empty. Without a rate and a hard limit that
+// time is [concurrencyQuotaIdleTime].
 func (q *quotaBucket) idle(now time.Duration) bool {
 	plan := q.plan
-	period := idleConcurrencyQuota
+	period := concurrencyQuotaIdleTime
 	if plan.Rate > 0 {
 		period = refillTime(2*plan.Burst-q.tokens, plan.Rate)
 	}
@@ -248,26 +265,26 @@
 	return q.inFlight == 0 && !q.use.queued && !q.owner.hasLeases() && now-q.refilledAt >= period
 }
 
-// refillTime is the time in which units come at a rate per second.
+// refillTime returns the time in which units accrue at a rate per second, limited to [maxRefillTime].
 func refillTime(units, rate float64) time.Duration {
 	return time.Duration(math.Min(math.Max(units/rate, 0), maxRefillTime.Seconds()) * float64(time.Second))
 }
 
-// nodeHardLimit is this node's part of a tenant's hard limit, in units.
+// nodeHardLimit is the token bucket of this node's part of a tenant's hard limit, in units.
 type nodeHardLimit struct {
 	tokens float64
 	part   hardLimitPart
 }
 
-// hardLimitPart is a node's part of the burst and of the rate of a hard limit, as fractions.
+// hardLimitPart contains the fractions of the burst and the rate of a hard limit that a node may use.
 type hardLimitPart struct {
 	burst, rate float64
 }
 
-// newNodeHardLimit returns a bucket that was empty at the start of the node, since a process before it may
-// have used it up.
-func newNodeHardLimit(plan *quotaPlan, sinceStart float64, part hardLimitPart) nodeHardLimit {
-	tokens := math.Min(plan.HardLimitBurst*part.burst, plan.HardLimitRate*part.rate*sinceStart)
+// newNodeHardLimit returns a bucket that was empty at the start of the node and was refilled since. It
+// starts empty because an earlier process of the node may have used it up.
+func newNodeHardLimit(plan *quotaPlan, secondsSinceStart float64, part hardLimitPart) nodeHardLimit {
+	tokens := math.Min(plan.HardLimitBurst*part.burst, plan.HardLimitRate*part.rate*secondsSinceStart)
 	return nodeHardLimit{tokens, part}
 }
 
@@ -275,12 +292,12 @@
 	h.tokens = math.Min(h.tokens+plan.HardLimitRate*h.part.rate*seconds, plan.HardLimitBurst*h.part.burst)
 }
 
-// covers reports whether units are within the limit.
+// covers reports whether units are within the limit. A plan without a hard limit covers any units.
 func (h *nodeHardLimit) covers(plan *quotaPlan, units float64) bool {
 	return plan.HardLimitRate <= 0 || h.tokens >= units
 }
 
-// timeUntil is how long it takes until the limit covers units.
+// timeUntil returns the time until the limit covers units.
 func (h *nodeHardLimit) timeUntil(plan *quotaPlan, units float64) time.Duration {
 	return refillTime(units-h.tokens, plan.HardLimitRate*h.part.rate)
 }
--- a/balancer/quota_codec.go
+++ b/balancer/quota_codec.go
@@ -7,51 +7,54 @@
 )
 
 const (
-	// retryAfterUnit is the unit in which a grant gives the time to the next request.
+	// retryAfterUnit is the unit of the retry delay in a grant.
 	retryAfterUnit = 10 * time.Millisecond
-	// maxRetryAfterUnits bounds that time: a minute.
+	// maxRetryAfterUnits limits a decoded retry delay to one minute.
 	maxRetryAfterUnits = 6000
-	// grantedFractionSteps is the number of steps from 0 to 1 in which a grant gives the granted fraction.
+	// grantedFractionSteps is the number of steps from 0 to 1 in the encoding of the granted fraction in a
+	// grant.
 	grantedFractionSteps = 31
-	// poolUnitsPerOne is the number of steps to 1 in which the pooled means are given.
-	poolUnitsPerOne = 256
+	// pooledMeanScale is the factor by which the pooled means are multiplied before they are rounded and
+	// encoded.
+	pooledMeanScale = 256
 )
 
-// quotaRequest asks the owner of a quota for the units of one request.
+// quotaRequest asks an owner of a quota for the units of one request.
 type quotaRequest struct {
-	number         uint64 // of the request at the requester
+	number         uint64 // number of the request at the requester
 	tenant         uint64
-	plan           int // its index
+	plan           int // index of the plan
 	entryNodes     entryNodes
-	units          float64
+	units          float64 // units requested
 	reconciliation reconciliation
-	// locallyRejectedUnits were rejected by the requester since its last quota request.
+	// locallyRejectedUnits are the units that the requester has rejected without a quota request since its
+	// previous quota request. The owner adds them to the tenant's demand.
 	locallyRejectedUnits float64
 }
 
-// quotaGrant is the owner's answer to a [quotaRequest].
+// quotaGrant is the owner's answer to a [quotaRequest], granted or not.
 type quotaGrant struct {
-	number          uint64
+	number          uint64 // number of the quota request
 	granted         bool
-	retryAfter      time.Duration // if not granted: until then the requester should not ask again
-	grantedFraction float64       // of the demand that the owner can grant
+	retryAfter      time.Duration // if not granted: time for which the requester should not ask again
+	grantedFraction float64       // fraction of the tenant's demand that the owner can grant
 }
 
-// quotaRelease returns units that were granted and not used, and the lease of an attempt in flight.
+// quotaRelease returns unused granted units and releases the concurrency lease of a request.
 type quotaRelease struct {
-	number uint64
+	number uint64 // number of the quota request
 	tenant uint64
-	units  float64
+	units  float64 // units returned
 }
 
-// reconciliation is the sum of the corrections that a requester has made to its use of one quota. It is a sum
-// and not a difference so that the next one makes up for one that was lost.
+// reconciliation is the sum of a requester's corrections to its recorded use of one quota. Because it is a
+// sum and not a difference, the next message compensates for a lost one.
 type reconciliation struct {
-	incarnation uint64 // of the requester's bucket; a new one starts its sum at 0
-	units       float64
+	incarnation uint64  // incarnation of the requester's bucket; the sum of a new one starts at 0
+	units       float64 // units to add to the owner's tokens since the start of the incarnation
 }
 
-// encodeQuotaRequest returns the message of a quota request.
+// encodeQuotaRequest returns an encoded quota request with the attached gossip.
 func (c *codec) encodeQuotaRequest(request *quotaRequest, attached *piggyback) []byte {
 	message := binary.AppendUvarint([]byte{kindQuotaRequest}, request.number)
 	message = binary.AppendUvarint(message, request.tenant)
@@ -62,8 +65,8 @@
 	return appendPiggyback(appendReconciliation(message, request.reconciliation), attached)
 }
 
-// decodeQuotaRequest decodes a quota request and what is attached to it. Like the other decoders it reports
-// false for a message that is malformed in any part.
+// decodeQuotaRequest decodes a quota request and the gossip attached to it. Like the other decoders, it
+// returns false if any part of the message is malformed.
 func (c *codec) decodeQuotaRequest(message []byte, attached *piggyback) (quotaRequest, bool) {
 	reader := varintReader{rest: message[1:]}
 	request := quotaRequest{number: reader.uint(), tenant: reader.uint()}
@@ -76,8 +79,10 @@
 	return request, reader.done() && known && request.units >= 0
 }
 
-// encodeQuotaGrant returns the message of a grant. One number holds the granted fraction and, above it, 0
-// for a grant or else 1 and the time to the next request.
+// encodeQuotaGrant returns an encoded grant with the attached gossip. One varint contains the granted
+// fraction and the retry delay: the fraction in steps, plus (grantedFractionSteps + 1) times the delay code.
+// The delay code is 0 if the request was granted, and otherwise 1 plus the delay in units of
+// [retryAfterUnit].
 func encodeQuotaGrant(grant *quotaGrant, attached *piggyback) []byte {
 	code := uint64(math.Round(grant.grantedFraction * grantedFractionSteps))
 	if !grant.granted {
@@ -87,6 +92,7 @@
 	return appendPiggyback(binary.AppendUvarint(message, code), attached)
 }
 
+// decodeQuotaGrant decodes a grant and the gossip attached to it.
 func decodeQuotaGrant(message []byte, attached *piggyback) (quotaGrant, bool) {
 	reader := varintReader{rest: message[1:]}
 	grant := quotaGrant{number: reader.uint()}
@@ -111,11 +117,13 @@
 	return release, reader.done()
 }
 
-// encodeReconciliation returns the message of a reconciliation without a quota request. Its number is 0.
+// encodeReconciliation returns an encoded reconciliation message, which is sent without a quota request. Its
+// request number is always 0.
 func encodeReconciliation(tenant uint64, sum reconciliation) []byte {
 	return appendReconciliation(binary.AppendUvarint([]byte{kindReconciliation, 0}, tenant), sum)
 }
 
+// decodeReconciliationMessage decodes a message of [encodeReconciliation].
 func decodeReconciliationMessage(message []byte) (tenant uint64, sum reconciliation, ok bool) {
 	reader := varintReader{rest: message[1:]}
 	_, tenant = reader.uint(), reader.uint()
--- a/balancer/quota_codec_test.go
+++ b/balancer/quota_codec_test.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// Sums of occupancy below nought, as latencies under the lowest mean give, must reach peers as they are.
-func TestPoolIsPackedSigned(t *testing.T) {
+// The occupancy sum is negative if latencies are below the lowest mean. Guards against an encoding of pooled
+// means that loses the sign.
+func TestPooledMeansKeepTheirSign(t *testing.T) {
 	g, _ := ownedQuotaNode(t, 10)
 	g.overload.pooled = pooledMeans{-0.5, 0.25, 2, 0, 1}
 	var received piggyback
 	_, ok := decodeQuotaGrant(encodeQuotaGrant(&quotaGrant{1, true, 0, 1}, g.piggybackFor(1)), &received)
 	if !ok || received.pooled != g.overload.pooled {
-		t.Errorf("%v came as %v", g.overload.pooled, received.pooled)
+		t.Errorf("decoded pooled means %v, want %v", received.pooled, g.overload.pooled)
 	}
 }
 
@@ -27,21 +28,22 @@
 	var received piggyback
 	got, ok := codec.decodeQuotaRequest(message, &received)
 	if !ok || got != want {
-		t.Errorf("%+v came as %+v", want, got)
+		t.Errorf("decoded %+v, want %+v", got, want)
 	}
 	if len(message) > maxMessageBytes {
-		t.Errorf("message of %d bytes", len(message))
+		t.Errorf("message of %d bytes, want at most %d", len(message), maxMessageBytes)
 	}
 	if !reflect.DeepEqual(received, attached) {
-		t.Errorf("%+v came as %+v", attached, received)
+		t.Errorf("decoded piggyback %+v, want %+v", received, attached)
 	}
 	want.units = -1
 	if _, ok := codec.decodeQuotaRequest(codec.encodeQuotaRequest(&want, &attached), &received); ok {
-		t.Error("negative units were decoded")
+		t.Error("a quota request for negative units was decoded")
 	}
 }
 
-// Without reports attached, a message that is cut anywhere or too long is malformed.
+// Guards against decoders that accept a truncated message or one with an extra byte. The messages have no
+// loads attached, because a list of loads may end after any entry.
 func TestMalformedQuotaMessages(t *testing.T) {
 	codec := testCodec()
 	var none piggyback
@@ -68,7 +70,7 @@
 func TestQuotaGrantRoundTrip(t *testing.T) {
 	for _, c := range []struct {
 		grant     quotaGrant
-		wantRetry time.Duration // in whole units, a minute at most
+		wantRetry time.Duration // rounded down to whole units, at most a minute
 	}{
 		{quotaGrant{1, true, 0, 1}, 0},
 		{quotaGrant{2, false, 0, 0}, 0},
@@ -80,7 +82,7 @@
 		want.retryAfter = c.wantRetry
 		var none piggyback
 		if got, ok := decodeQuotaGrant(encodeQuotaGrant(&c.grant, &none), &none); !ok || got != want {
-			t.Errorf("%+v came as %+v, want %+v", c.grant, got, want)
+			t.Errorf("%+v: decoded %+v, want %+v", c.grant, got, want)
 		}
 	}
 }
@@ -88,34 +90,36 @@
 func TestReleaseAndReconciliationRoundTrip(t *testing.T) {
 	release := quotaRelease{300, 1 << 50, 12}
 	if got, ok := decodeQuotaRelease(encodeQuotaRelease(release)); !ok || got != release {
-		t.Errorf("%+v came as %+v", release, got)
+		t.Errorf("decoded %+v, want %+v", got, release)
 	}
 	sum := reconciliation{12_000, -400}
 	tenant, got, ok := decodeReconciliationMessage(encodeReconciliation(1<<50, sum))
 	if !ok || tenant != 1<<50 || got != sum {
-		t.Errorf("%+v of tenant %d came as %+v of tenant %d", sum, uint64(1<<50), got, tenant)
+		t.Errorf("decoded %+v of tenant %d, want %+v of tenant %d", got, tenant, sum, uint64(1<<50))
 	}
 }
 
-// An age is rounded up: rounded down, a report would grow younger from node to node.
+// Guards against encoded ages that are rounded down. A report would become younger each time that a node
+// passes it on.
 func TestAgesAreRoundedUp(t *testing.T) {
 	for age, want := range map[time.Duration]time.Duration{
 		0: 0, 1: ageUnit, ageUnit: ageUnit, ageUnit + 1: 2 * ageUnit, loadGossipMaxAge: loadGossipMaxAge,
 	} {
 		if got := decodeAge(encodeAge(age)); got != want {
-			t.Errorf("age %v came as %v, want %v", age, got, want)
+			t.Errorf("age %v: decoded %v, want %v", age, got, want)
 		}
 	}
 }
 
-// A load beyond what a byte holds stays apart from the marks of errors and refused connections.
+// Guards against loads that are too large for the encoding and would be decoded as an error or a refused
+// connection.
 func TestLoadsAreBounded(t *testing.T) {
 	for _, status := range []peerLoadStatus{peerLoadResponded, peerLoadFailed} {
 		for load, want := range map[float64]float64{-1: 0, 0.4: 0, 126: 126, 1000: 126} {
 			sent := peerLoad{load: load, status: status}
 			got := decodePeerLoad([]byte{0, 0, sent.encode(), 0})
 			if got.load != want || got.status != status {
-				t.Errorf("%+v came as %+v, want load %v", sent, got, want)
+				t.Errorf("%+v: decoded %+v, want load %v and the same status", sent, got, want)
 			}
 		}
 	}
--- a/balancer/quota_owner_test.go
+++ b/balancer/quota_owner_test.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
+// ownerOf returns an owner and its full bucket of a quota with a single owner.
 func ownerOf(plan Plan) (*quotaOwner, *quotaBucket) {
 	return &quotaOwner{capacity: 2, leaseDuration: time.Second}, ownedBucket(plan, 1)
 }
 
-func TestOwnerGrantsWhatItsBucketHolds(t *testing.T) {
+func TestOwnerAnswers(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		plan          Plan
@@ -20,12 +21,12 @@
 		want          quotaGrant
 		wantTokens    float64
 	}{
-		{"within", Plan{Rate: 1, Burst: 10}, 0, 10, false, quotaGrant{granted: true}, 0},
-		{"beyond", Plan{Rate: 1, Burst: 10}, 0, 12, false, quotaGrant{retryAfter: 2 * time.Second}, 10},
-		{"pressure", Plan{Rate: 1, Burst: 10}, 0, 12, true, quotaGrant{retryAfter: 5 * time.Second}, 10},
-		{"pressure, granted", Plan{Rate: 1, Burst: 10}, 0, 1, true, quotaGrant{granted: true}, 9},
-		{"hard limit", Plan{Rate: 1, Burst: 10, HardLimitRate: 1}, 4, 5, false, quotaGrant{}, 10},
-		{"under it", Plan{Rate: 1, Burst: 10, HardLimitRate: 1}, 5, 5, false, quotaGrant{granted: true}, 5},
+		{"within the quota", Plan{Rate: 1, Burst: 10}, 0, 10, false, quotaGrant{granted: true}, 0},
+		{"beyond the quota", Plan{Rate: 1, Burst: 10}, 0, 12, false, quotaGrant{retryAfter: 2 * time.Second}, 10},
+		{"under pressure", Plan{Rate: 1, Burst: 10}, 0, 12, true, quotaGrant{retryAfter: 5 * time.Second}, 10},
+		{"under pressure, granted", Plan{Rate: 1, Burst: 10}, 0, 1, true, quotaGrant{granted: true}, 9},
+		{"beyond the hard limit", Plan{Rate: 1, Burst: 10, HardLimitRate: 1}, 4, 5, false, quotaGrant{}, 10},
+		{"within the hard limit", Plan{Rate: 1, Burst: 10, HardLimitRate: 1}, 5, 5, false, quotaGrant{granted: true}, 5},
 	} {
 		owner, bucket := ownerOf(c.plan)
 		bucket.hardLimit.tokens = c.hardLimit
@@ -36,38 +37,39 @@
 			t.Errorf("%s: %+v with %v tokens left, want %+v with %v", c.name, got, bucket.tokens, c.want, c.wantTokens)
 		}
 		if again, known := bucket.owner.previousAnswer(3, 7); !known || again != got {
-			t.Errorf("%s: %+v when the request comes again, was %+v", c.name, again, got)
+			t.Errorf("%s: answer %+v to the repeated request, want %+v", c.name, again, got)
 		}
 	}
 }
 
-// The granted fraction is what requesters may spend without the owner, of what they want.
+// The granted fraction is the ratio of the units that requesters may spend without grants to the units that
+// they request.
 func TestGrantedFraction(t *testing.T) {
 	owner, bucket := ownerOf(Plan{Rate: 4, Burst: 10})
 	request := quotaRequest{units: 0, locallyRejectedUnits: 30}
 	grant := owner.answer(testStart, bucket, 3, &request, gossipEvery, false)
 	want := (10/isolatedSpendPeriod.Seconds() + 4) / (30 / demandDecay.Seconds())
 	if math.Abs(grant.grantedFraction-want) > 1e-9 {
-		t.Errorf("%v, want %v", grant.grantedFraction, want)
+		t.Errorf("granted fraction %v, want %v", grant.grantedFraction, want)
 	}
 	bucket.tokens = -5
 	request = quotaRequest{number: 1}
 	grant = owner.answer(testStart, bucket, 3, &request, gossipEvery, false)
 	if want := 4 / (30 / demandDecay.Seconds()); math.Abs(grant.grantedFraction-want) > 1e-9 {
-		t.Errorf("%v with tokens owed, want %v", grant.grantedFraction, want)
+		t.Errorf("granted fraction %v with a token deficit, want %v", grant.grantedFraction, want)
 	}
 }
 
-func TestLeasesOfAttempts(t *testing.T) {
+func TestConcurrencyLeases(t *testing.T) {
 	owner, bucket := ownerOf(Plan{MaxConcurrent: 2})
 	answer := func(now time.Duration, requester int, number uint64) bool {
 		request := quotaRequest{number: number, units: 1}
 		return owner.answer(now, bucket, requester, &request, gossipEvery, false).granted
 	}
 	if !answer(testStart, 3, 1) || !answer(testStart+500*ms, 4, 1) || answer(testStart+600*ms, 3, 2) {
-		t.Error("want two leases and no third")
+		t.Error("the owner must grant two leases and reject the third request")
 	}
-	bucket.owner.releaseLease(3, 2) // of none
+	bucket.owner.releaseLease(3, 2) // a rejected request, which has no lease
 	if got := bucket.owner.activeLeases(testStart + 900*ms); got != 2 {
 		t.Errorf("%d leases, want 2", got)
 	}
@@ -76,11 +78,12 @@
 		t.Errorf("%d leases after one was released, want 1", got)
 	}
 	if got := bucket.owner.activeLeases(testStart + owner.leaseDuration); got != 0 || bucket.owner.hasLeases() {
-		t.Errorf("%d leases after their time", got)
+		t.Errorf("%d leases after the lease duration, want 0", got)
 	}
 }
 
-// A sum makes up for one that was lost, and counts once.
+// Guards against corrections that are applied twice, or that are lost together with a message. Each sum
+// includes the corrections of earlier messages.
 func TestReconcile(t *testing.T) {
 	var owner ownerState
 	for _, step := range []struct {
@@ -88,32 +91,32 @@
 		sum       reconciliation
 		want      float64
 	}{
-		{3, reconciliation{1, 40}, 0}, // what it corrected before is in no bucket of this owner
+		{3, reconciliation{1, 40}, 0}, // baseline: earlier corrections are not in this owner's bucket
 		{3, reconciliation{1, 45}, 5},
 		{3, reconciliation{1, 45}, 0},
 		{3, reconciliation{1, 40}, -5},
 		{4, reconciliation{1, 7}, 0},
-		{3, reconciliation{2, 6}, 6}, // a new incarnation begins at 0
+		{3, reconciliation{2, 6}, 6}, // the sum of a new incarnation starts at 0
 		{3, reconciliation{2, 7}, 1},
 	} {
 		if got := owner.reconcile(step.requester, step.sum); got != step.want {
-			t.Errorf("%+v: %v units", step, got)
+			t.Errorf("%+v: %v units, want %v", step, got, step.want)
 		}
 	}
 }
 
-func TestOwnerRemembersTheLastAnswers(t *testing.T) {
+func TestOwnerRepeatsLastAnswers(t *testing.T) {
 	var owner ownerState
 	for number := range uint64(maxAnsweredRequests + 1) {
-		owner.rememberAnswer(answeredRequest{requester: 3, number: number})
+		owner.recordAnswer(answeredRequest{requester: 3, number: number})
 	}
 	for number := range uint64(maxAnsweredRequests + 1) {
 		if _, known := owner.previousAnswer(3, number); known != (number > 0) {
-			t.Errorf("answer %d of %d is known: %v", number, maxAnsweredRequests+1, known)
+			t.Errorf("answer %d of %d is stored: %v", number, maxAnsweredRequests+1, known)
 		}
 	}
 	if _, known := owner.previousAnswer(4, 1); known {
-		t.Error("the answer to another requester is known")
+		t.Error("an answer to another requester was returned")
 	}
 }
 
@@ -123,16 +126,17 @@
 	owner.recordGrant(testStart, 15)
 	owner.recordDemand(testStart+demandDecay, 0)
 	if want := 10 / math.E; math.Abs(owner.demandRate-want) > 1e-9 || math.Abs(owner.grantRate-want/2) > 1e-9 {
-		t.Errorf("%v wanted and %v granted a second, want %v and %v", owner.demandRate, owner.grantRate, want, want/2)
+		t.Errorf("demand rate %v and grant rate %v, want %v and %v", owner.demandRate, owner.grantRate, want, want/2)
 	}
 	held := owner.holdGrantRate(testStart + time.Hour)
 	owner.recordGrant(testStart+time.Hour, 0)
 	if owner.grantRate != held {
-		t.Errorf("%v granted a second after it was held at %v", owner.grantRate, held)
+		t.Errorf("grant rate %v, want %v as it was held", owner.grantRate, held)
 	}
 }
 
-// All nodes agree on the owner of each part, which is an entry node, and each asks the one of its part.
+// Every part of a quota has an owner, which is an entry node, and each node asks the owner of its part.
+// Guards against an uneven distribution of owners over the entry nodes.
 func TestOwnersOfParts(t *testing.T) {
 	const nodeCount = 30
 	bucket := ownedBucket(Plan{Rate: 1, Burst: 1}, 3)
@@ -143,10 +147,10 @@
 		for node := range nodeCount {
 			owned := bucket.partsOwnedBy(node, nodeCount)
 			if parts += owned; owned > 0 && !bucket.entryNodes.contains(node, nodeCount) {
-				t.Fatalf("node %d owns a part and is no entry node", node)
+				t.Fatalf("node %d owns a part but is no entry node", node)
 			}
 			if owner := bucket.ownerFor(node, nodeCount); owner != bucket.ownerOfPart(node%3, nodeCount) {
-				t.Fatalf("node %d asks %d", node, owner)
+				t.Fatalf("node %d asks owner %d, want %d", node, owner, bucket.ownerOfPart(node%3, nodeCount))
 			}
 			owners[node] += owned
 		}
@@ -156,7 +160,7 @@
 	}
 	for i := range 10 {
 		if node := (25 + i) % nodeCount; owners[node] < 200 || owners[node] > 400 {
-			t.Errorf("node %d owns %d parts of 3,000 over 10 nodes", node, owners[node])
+			t.Errorf("node %d owns %d of 3,000 parts, want 200 to 400", node, owners[node])
 		}
 	}
 }
--- a/balancer/quota_requester.go
+++ b/balancer/quota_requester.go
@@ -7,65 +7,71 @@
 )
 
 const (
-	// quotaRequestTimeout is the time after which a grant is taken for lost.
+	// quotaRequestTimeout is the time after which a request is decided without the owner's answer.
 	quotaRequestTimeout = 100 * time.Millisecond
-	// quotaRequestRepeatAfter is the time after which a quota request without a grant is sent once more.
+	// quotaRequestRepeatAfter is the time after which an unanswered quota request is repeated once.
 	quotaRequestRepeatAfter = 40 * time.Millisecond
-	// unansweredAdmissionRetention is the time in which a grant may come for which no request waits.
-	unansweredAdmissionRetention = time.Second
-	// minReconciliationUnits is the change of the sum of corrections that is worth a message of its own.
+	// unansweredDecisionRetention is the time for which a late answer is still used to correct the owner's
+	// tokens.
+	unansweredDecisionRetention = time.Second
+	// minReconciliationUnits is the smallest change of the sum of corrections that is sent in a message of
+	// its own.
 	minReconciliationUnits = 2.0
-	// maxReconciledUnits bounds the corrections of one incarnation of a bucket, so that a message can hold
-	// them.
-	maxReconciledUnits = 5e5
-	// maxUnansweredQuotaRequests is the number of requests without a grant after which none is waited for.
+	// maxCorrectionSum is the largest sum of corrections of one incarnation of a bucket. It must fit into
+	// a message, see [maxWireUnits].
+	maxCorrectionSum = 5e5
+	// maxUnansweredQuotaRequests is the number of consecutive unanswered quota requests after which this
+	// node no longer waits for answers.
 	maxUnansweredQuotaRequests = 3
 )
 
-// quotaRequestState is how far the quota request of a request has come.
+// quotaRequestState is the state of the quota request that belongs to a client's request.
 type quotaRequestState uint8
 
 const (
-	quotaNotRequested    quotaRequestState = iota // this node decides by itself
-	quotaRequested                                // to be repeated if no grant comes
-	quotaRequestedOnce                            // not to be repeated
-	quotaRequestRepeated                          // likewise, after the first was
-	quotaGranted                                  // by the owner, out of its part of the hard limit
-	quotaRejected                                 // by the owner
-	quotaUnanswered                               // decided without the owner, which gave no grant in time
+	quotaNotRequested    quotaRequestState = iota // no quota request sent; this node decides
+	quotaRequested                                // sent once; repeated if no answer arrives
+	quotaRequestedOnce                            // sent once; not repeated
+	quotaRequestRepeated                          // sent twice; not repeated again
+	quotaGranted                                  // granted from the owner's tokens and hard limit
+	quotaRejected                                 // rejected by the owner
+	quotaUnanswered                               // not answered in time; decided by this node
 )
 
-// awaitsGrant reports whether the request waits for the owner.
+// awaitsGrant reports whether the request is waiting for the owner's answer.
 func (s quotaRequestState) awaitsGrant() bool {
 	return s == quotaRequested || s == quotaRequestedOnce || s == quotaRequestRepeated
 }
 
 func (s quotaRequestState) grantedByOwner() bool { return s == quotaGranted }
 
-// quotaRequester keeps how owners answer this node's quota requests.
+// quotaRequester tracks which owners answer this node's quota requests, and the requests that were decided
+// without an answer.
 type quotaRequester struct {
-	unanswered []int // requests since the last grant, by owner
-	// consecutiveUnanswered counts requests without a grant since the last message of any peer.
+	unanswered []int // unanswered quota requests since the owner's last answer, by owner
+	// consecutiveUnanswered counts the unanswered quota requests since the last message from any peer.
 	consecutiveUnanswered int
-	admissions            map[uint64]unansweredAdmission // by number of the request
+	decisions             map[uint64]unansweredDecision // by request number
 }
 
 func newQuotaRequester(nodeCount int) quotaRequester {
-	return quotaRequester{unanswered: make([]int, nodeCount), admissions: map[uint64]unansweredAdmission{}}
+	return quotaRequester{unanswered: make([]int, nodeCount), decisions: map[uint64]unansweredDecision{}}
 }
 
-// unansweredAdmission is a request that was decided without the owner's grant, in case that comes after all.
-type unansweredAdmission struct {
+// unansweredDecision is a request that was decided without the owner's answer. It is kept in case the
+// answer arrives late.
+type unansweredDecision struct {
 	quota         *quotaBucket
 	quotaOwner    int
 	units         float64
-	sent          bool    // to an endpoint, not rejected
-	reportedUnits float64 // what was reported to the owner for it
-	at            time.Duration
+	sent          bool          // whether the request was sent to an endpoint
+	reportedUnits float64       // correction already included in the sum for the owner
+	decidedAt     time.Duration // when the request was decided
 }
 
-// unreconciledUnits is what the owner must add to its tokens for the request, granted or not.
-func (a *unansweredAdmission) unreconciledUnits(granted bool) float64 {
+// correction returns the correction that the owner must add to its tokens if it granted the quota
+// request, or if it did not.
+func (a *unansweredDecision) correction(granted bool) float64 {
 	switch {
 	case granted && !a.sent:
 		return a.units
@@ -75,15 +81,17 @@
 	return 0
 }
 
-// expectUnits estimates what the owner has to add. Either the quota request was lost or the grant, the one as
-// likely as the other: half of what each would change. grantedFraction is the probability of a grant.
-func (a *unansweredAdmission) expectUnits(grantedFraction float64) float64 {
-	return (a.unreconciledUnits(true)*grantedFraction + a.unreconciledUnits(false)*(2-grantedFraction)) / 2
+// expectedCorrection returns the expected correction. It assumes that either the quota request or the answer
+// was lost, and that both are equally likely. grantedFraction is the probability of a grant if the owner
+// received the request.
+func (a *unansweredDecision) expectedCorrection(grantedFraction float64) float64 {
+	return (a.correction(true)*grantedFraction + a.correction(false)*(2-grantedFraction)) / 2
 }
 
-// recordMessage records a message of any peer.
+// recordMessage records that a message was received from any peer.
 func (q *quotaRequester) recordMessage() { q.consecutiveUnanswered = 0 }
 
+// recordGrant records that an owner answered a quota request, whether it granted the units or not.
 func (q *quotaRequester) recordGrant(owner int) { q.unanswered[owner] = 0 }
 
 func (q *quotaRequester) recordUnanswered(owner int) {
@@ -91,56 +99,56 @@
 	q.consecutiveUnanswered++
 }
 
-// isolated reports whether quota requests get no grant, whichever node they go to.
+// isolated reports whether the last quota requests went unanswered and no peer has sent any message since.
 func (q *quotaRequester) isolated() bool {
 	return q.consecutiveUnanswered >= maxUnansweredQuotaRequests
 }
 
-// waitsFor reports whether a request should wait for a grant of the owner.
+// waitsFor reports whether a request should wait for the owner's answer.
 func (q *quotaRequester) waitsFor(owner int) bool {
 	return !q.isolated() && q.unanswered[owner] < maxUnansweredQuotaRequests
 }
 
-// mayRepeat reports whether a quota request to the owner may be sent once more: its last one was granted, and
-// the inboxes aren't so full that repeats would make it worse.
+// mayRepeat reports whether a quota request to the owner may be repeated. The owner must have answered the
+// last one, and inboxes must not be under pressure, which repeated messages would increase.
 func (q *quotaRequester) mayRepeat(owner int, inboxPressure bool) bool {
 	return q.unanswered[owner] == 0 && !inboxPressure
 }
 
-// recordAdmission notes a request that was decided without the owner's grant.
-func (q *quotaRequester) recordAdmission(number uint64, admission unansweredAdmission) {
-	q.admissions[number] = admission
+// recordDecision stores a request that was decided without the owner's answer.
+func (q *quotaRequester) recordDecision(number uint64, decision unansweredDecision) {
+	q.decisions[number] = decision
 }
 
-// takeAdmission removes and returns a request that was decided without the owner's grant.
-func (q *quotaRequester) takeAdmission(number uint64, owner int) (unansweredAdmission, bool) {
-	admission, ok := q.admissions[number]
-	if !ok || admission.quotaOwner != owner {
-		return unansweredAdmission{}, false
+// takeDecision removes and returns a request that was decided without the answer of this owner.
+func (q *quotaRequester) takeDecision(number uint64, owner int) (unansweredDecision, bool) {
+	decision, ok := q.decisions[number]
+	if !ok || decision.quotaOwner != owner {
+		return unansweredDecision{}, false
 	}
-	delete(q.admissions, number)
-	return admission, true
+	delete(q.decisions, number)
+	return decision, true
 }
 
-// expire drops the requests for which a grant comes no more.
+// expire deletes the requests that are older than [unansweredDecisionRetention].
 func (q *quotaRequester) expire(now time.Duration) {
-	for number, admission := range q.admissions {
-		if now-admission.at > unansweredAdmissionRetention {
-			delete(q.admissions, number)
+	for number, decision := range q.decisions {
+		if now-decision.decidedAt > unansweredDecisionRetention {
+			delete(q.decisions, number)
 		}
 	}
 }
 
-// requesterState is the requester's side of one owned quota.
+// requesterState is the requester's state of one owned quota.
 type requesterState struct {
-	incarnation   uint64  // of the bucket: distinguishes its sum from that of one before
-	reconciled    float64 // units that the owner must add, since the start of the incarnation
-	reported      float64 // the sum in the last report to the owner
-	rejectedUnits float64 // rejected without a quota request since the last one
-	rejectedUntil time.Duration
+	incarnation   uint64        // distinguishes the sums of successive buckets of the tenant
+	correctionSum float64       // sum of corrections since the start of the incarnation, in units
+	reportedSum   float64       // sum of corrections in the last report to the owner
+	rejectedUnits float64       // units rejected without a quota request since the last quota request
+	rejectedUntil time.Duration // until then no quota request is sent
 }
 
-// rejects reports whether the owner has rejected the tenant's requests for now, and for how long.
+// rejects reports whether the owner's last rejection still applies, and for how long.
 func (s *requesterState) rejects(now time.Duration) (remaining time.Duration, rejected bool) {
 	return s.rejectedUntil - now, now < s.rejectedUntil
 }
@@ -150,34 +158,34 @@
 // recordRejected counts units that were rejected without a quota request.
 func (s *requesterState) recordRejected(units float64) { s.rejectedUnits += units }
 
-// takeRejected returns the units rejected without a quota request and starts anew.
+// takeRejected returns the units that were rejected without a quota request and resets their count.
 func (s *requesterState) takeRejected() (units float64) {
 	units, s.rejectedUnits = s.rejectedUnits, 0
 	return units
 }
 
-// correct adds units that the owner must add to its tokens.
-func (s *requesterState) correct(units float64) { s.reconciled += units }
+// addCorrection adds to the sum of units that the owner must add to its tokens.
+func (s *requesterState) addCorrection(units float64) { s.correctionSum += units }
 
-// renew starts a new incarnation where the sum has grown too large for a message.
-func (s *requesterState) renew(random *rand.Rand) {
-	if math.Abs(s.reconciled) > maxReconciledUnits {
-		s.reconciled, s.reported, s.incarnation = 0, 0, random.Uint64N(maxIncarnation)
+// renewIncarnation starts a new incarnation if the sum of corrections has become too large for a message.
+func (s *requesterState) renewIncarnation(random *rand.Rand) {
+	if math.Abs(s.correctionSum) > maxCorrectionSum {
+		s.correctionSum, s.reportedSum, s.incarnation = 0, 0, random.Uint64N(maxIncarnation)
 	}
 }
 
-// unreported is the change of the sum since the last report.
-func (s *requesterState) unreported() float64 { return s.reconciled - s.reported }
+// unreported returns the change of the sum since the last report.
+func (s *requesterState) unreported() float64 { return s.correctionSum - s.reportedSum }
 
-// report returns the sum in whole units and counts it as reported.
+// report returns the sum of corrections, rounded to whole units, and marks it as reported.
 func (s *requesterState) report() reconciliation {
-	s.reported = math.Round(s.reconciled)
-	return reconciliation{s.incarnation, s.reported}
+	s.reportedSum = math.Round(s.correctionSum)
+	return reconciliation{s.incarnation, s.reportedSum}
 }
 
-// quotaRequest returns the message that asks an owner for units of the quota. It counts what it carries as
+// newQuotaRequest returns a quota request. It marks the corrections and local rejections that it contains as
 // reported.
-func (q *quotaBucket) quotaRequest(number uint64, units float64) quotaRequest {
+func (q *quotaBucket) newQuotaRequest(number uint64, units float64) quotaRequest {
 	return quotaRequest{
 		number:               number,
 		tenant:               q.tenant,
@@ -189,11 +197,11 @@
 	}
 }
 
-// requestQuota asks the owner for the units of a request, for the first or second time, and decides at once
-// where no grant is to be expected.
+// requestQuota sends a quota request to the owner, for the first or second time. If no answer is expected,
+// it decides the request immediately.
 func (b *Balancer) requestQuota(r *request) {
-	r.quota.requester.renew(b.rng)
-	message := r.quota.quotaRequest(r.number, r.Units)
+	r.quota.requester.renewIncarnation(b.rng)
+	message := r.quota.newQuotaRequest(r.number, r.Units)
 	b.actions.SendPeer(r.quotaOwner, b.codec.encodeQuotaRequest(&message, b.piggybackFor(r.quotaOwner)))
 	switch {
 	case !b.quotaRequester.waitsFor(r.quotaOwner):
@@ -213,8 +221,8 @@
 	b.actions.SetTimer(r.number<<timerBits|timerQuotaRequest, timeout)
 }
 
-// quotaRequestTimedOut repeats a quota request that got no grant, once, and then decides without the
-// owner. One more message costs less than a decision by probability.
+// quotaRequestTimedOut repeats an unanswered quota request once. After the second timeout it decides without
+// the owner. One more message costs less than a decision by probability.
 func (b *Balancer) quotaRequestTimedOut(r *request) {
 	switch {
 	case r.answered || !r.quotaState.awaitsGrant():
@@ -226,30 +234,34 @@
 	}
 }
 
-// decideWithoutOwner admits a request with the probability of a grant, as far as the owner has reported it.
-// It covers lost messages, owners that are down, stalled or flooded, and network partitions; it does harm
-// while that probability changes unreported. The owner counts what is sent later, or by itself (see
-// [quotaBucket.refill]).
+// decideWithoutOwner admits a request with the probability of a grant, according to the owner's last known
+// report. It handles lost messages, network partitions, and owners that are down, stalled or flooded with
+// messages. While the probability changes without a report reaching this node, it admits too many or too few
+// requests.
+//
+// The owner accounts for the admitted units when a reconciliation reports them. During a partition it
+// estimates them itself (see [quotaBucket.refill]).
 func (b *Balancer) decideWithoutOwner(r *request) {
 	r.quotaState = quotaUnanswered
 	b.quotaRequester.recordUnanswered(r.quotaOwner)
 	grantedFraction := b.overQuota.grantedFraction(r.quota.tenant)
 	b.admit(r, b.rng.Float64() < grantedFraction, quotaRequestTimeout)
-	admission := unansweredAdmission{
-		quota: r.quota, quotaOwner: r.quotaOwner, units: r.Units, sent: len(r.attempts) > 0, at: b.now,
+	decision := unansweredDecision{
+		quota: r.quota, quotaOwner: r.quotaOwner, units: r.Units, sent: len(r.attempts) > 0, decidedAt: b.now,
 	}
 	if !b.isolated() {
-		admission.reportedUnits = admission.expectUnits(grantedFraction)
-		r.quota.requester.correct(admission.reportedUnits)
+		decision.reportedUnits = decision.expectedCorrection(grantedFraction)
+		r.quota.requester.addCorrection(decision.reportedUnits)
 		b.sendReconciliation(r.quota, r.quotaOwner)
 	}
-	b.quotaRequester.recordAdmission(r.number, admission)
+	b.quotaRequester.recordDecision(r.number, decision)
 }
 
-// isolated reports whether this node's quota requests come to nothing.
+// isolated reports whether this node's quota requests go unanswered by all owners.
 func (b *Balancer) isolated() bool { return b.quotaRequester.isolated() }
 
-// receiveQuotaGrant goes on with the request that an owner has answered.
+// receiveQuotaGrant admits or rejects the request that an owner has answered. An answer for which no request
+// is waiting only updates the corrections.
 func (b *Balancer) receiveQuotaGrant(from int, grant *quotaGrant) {
 	b.quotaRequester.recordGrant(from)
 	r := b.requests.byNumber[grant.number]
@@ -266,21 +278,22 @@
 	b.admit(r, grant.granted, grant.retryAfter)
 }
 
-// receiveLateGrant corrects for a request that did not wait for the grant: that says what the owner took
-// from its tokens.
+// receiveLateGrant replaces the estimated correction of a request that was decided without the owner. The
+// late answer shows whether the owner deducted the units.
 func (b *Balancer) receiveLateGrant(from int, grant *quotaGrant) {
-	if admission, ok := b.quotaRequester.takeAdmission(grant.number, from); ok {
-		units := admission.unreconciledUnits(grant.granted) - admission.reportedUnits
-		admission.quota.requester.correct(units)
+	if decision, ok := b.quotaRequester.takeDecision(grant.number, from); ok {
+		units := decision.correction(grant.granted) - decision.reportedUnits
+		decision.quota.requester.addCorrection(units)
 	}
 }
 
-// releaseQuota returns units that were not used, and the lease of an attempt in flight.
+// releaseQuota returns unused units to the quota. For a plan with a concurrency limit it also releases the
+// lease.
 func (b *Balancer) releaseQuota(r *request, units float64) {
 	limited := r.quota.plan.MaxConcurrent > 0
 	unanswered := r.quotaState == quotaUnanswered
 	if unanswered {
-		units = 0 // Whether the owner granted them is not known; only the lease is surely unused.
+		units = 0 // It is unknown whether the owner granted them. Only the lease is certainly unused.
 	}
 	if !r.inQuota && !unanswered || units == 0 && !limited {
 		return
@@ -293,23 +306,27 @@
 	message := encodeQuotaRelease(quotaRelease{r.number, r.quota.tenant, units})
 	b.actions.SendPeer(r.quotaOwner, message)
 	if limited && units == 0 {
-		b.actions.SendPeer(r.quotaOwner, message) // A loss would leave the lease in use until it expires.
+		b.actions.SendPeer(r.quotaOwner, message) // If both are lost, the lease counts until it expires.
 	}
 }
 
-// reconcileUnits returns the units that a request used less than was estimated. An owner learns that
-// with the tenant's next quota request, since a message for each response would fill the inboxes by half as
-// much again. It learns it sooner where the quota is nearly used up and the sum is large.
+// reconcileUnits returns the estimated units of a request that it did not use. Negative units were used in
+// addition. An owner receives the correction with the tenant's next quota request, because a message for
+// each response would increase the number of messages by half. It receives a
+// message of its own if the quota can grant only a fraction of the demand and the correction is large.
 func (b *Balancer) reconcileUnits(r *request, units float64) {
 	b.refill(r.quota)
 	if !r.quota.owned || r.quotaOwner == b.settings.NodeIndex {
 		b.releaseQuota(r, units)
 		return
 	}
-	r.quota.requester.correct(units)
+	r.quota.requester.addCorrection(units)
 	b.sendReconciliation(r.quota, r.quotaOwner)
 }
 
+// sendReconciliation reports the sum of corrections to the owner if the quota can grant only a fraction of
+// the tenant's demand, the unreported change is at least [minReconciliationUnits], and this node is not
+// isolated.
 func (b *Balancer) sendReconciliation(bucket *quotaBucket, owner int) {
 	if b.overQuota.grantedFraction(bucket.tenant) < 1 &&
 		math.Abs(bucket.requester.unreported()) >= minReconciliationUnits && !b.isolated() {
@@ -317,7 +334,7 @@
 	}
 }
 
-// acquire takes units of a bucket within the quota.
+// acquire deducts units from a bucket's tokens and queues the bucket for gossip.
 func (b *Balancer) acquire(bucket *quotaBucket, units float64) {
 	bucket.acquire(units)
 	b.markUnreported(bucket)
--- a/balancer/quota_requester_test.go
+++ b/balancer/quota_requester_test.go
@@ -13,121 +13,123 @@
 	}
 	if !requester.waitsFor(1) || requester.mayRepeat(1, false) || !requester.mayRepeat(2, false) ||
 		requester.mayRepeat(2, true) || requester.isolated() {
-		t.Errorf("%+v: want to wait without repeats", requester)
+		t.Errorf("%+v: must wait for owner 1 without repeats", requester)
 	}
 	requester.recordMessage()
 	if requester.recordUnanswered(1); requester.waitsFor(1) || !requester.waitsFor(2) || requester.isolated() {
-		t.Errorf("%+v: want to wait for any but 1", requester)
+		t.Errorf("%+v: must wait for every owner except 1", requester)
 	}
 	requester.recordGrant(1)
 	if !requester.waitsFor(1) || !requester.mayRepeat(1, false) {
-		t.Errorf("%+v: want to wait for 1 after its grant", requester)
+		t.Errorf("%+v: must wait for owner 1 after its grant", requester)
 	}
 }
 
-// Without a message of any peer, the owners need not be the same.
+// Unanswered quota requests to different owners also isolate a node if no peer sends a message.
 func TestIsolatedRequester(t *testing.T) {
 	requester := newQuotaRequester(5)
 	for owner := range maxUnansweredQuotaRequests {
 		if requester.isolated() {
-			t.Errorf("isolated after %d requests", owner)
+			t.Errorf("isolated after %d unanswered requests", owner)
 		}
 		requester.recordUnanswered(owner)
 	}
 	if !requester.isolated() || requester.waitsFor(4) {
-		t.Errorf("%+v: want no waiting", requester)
+		t.Errorf("%+v: must not wait while isolated", requester)
 	}
 	if requester.recordMessage(); requester.isolated() || !requester.waitsFor(4) {
-		t.Errorf("%+v: want to wait after a message", requester)
+		t.Errorf("%+v: must wait again after a message from a peer", requester)
 	}
 }
 
-func TestUnansweredAdmission(t *testing.T) {
+func TestUnansweredDecisionCorrections(t *testing.T) {
 	for _, c := range []struct {
 		sent                    bool
-		granted, rejected, half float64 // what the owner has to add; half at even odds of a grant
+		granted, rejected, half float64 // expected corrections; half: with a granted fraction of 0.5
 	}{{true, 0, -8, -6}, {false, 8, 0, 2}} {
-		admission := unansweredAdmission{units: 8, sent: c.sent}
-		if got := admission.unreconciledUnits(true); got != c.granted {
+		decision := unansweredDecision{units: 8, sent: c.sent}
+		if got := decision.correction(true); got != c.granted {
 			t.Errorf("sent %v, granted: %v units, want %v", c.sent, got, c.granted)
 		}
-		if got := admission.unreconciledUnits(false); got != c.rejected {
+		if got := decision.correction(false); got != c.rejected {
 			t.Errorf("sent %v, rejected: %v units, want %v", c.sent, got, c.rejected)
 		}
-		if got := admission.expectUnits(0.5); got != c.half {
+		if got := decision.expectedCorrection(0.5); got != c.half {
 			t.Errorf("sent %v, unknown: %v units, want %v", c.sent, got, c.half)
 		}
 	}
 }
 
-func TestAdmissionsAreTakenOnceAndExpire(t *testing.T) {
+func TestUnansweredDecisionsAreTakenOnceAndExpire(t *testing.T) {
 	requester := newQuotaRequester(5)
 	for number := range uint64(2) {
-		requester.recordAdmission(number, unansweredAdmission{quotaOwner: 3, at: testStart})
+		requester.recordDecision(number, unansweredDecision{quotaOwner: 3, decidedAt: testStart})
 	}
-	if _, ok := requester.takeAdmission(0, 4); ok {
-		t.Error("taken for a grant of another node")
+	if _, ok := requester.takeDecision(0, 4); ok {
+		t.Error("taken for a grant from another node")
 	}
-	if _, ok := requester.takeAdmission(0, 3); !ok {
+	if _, ok := requester.takeDecision(0, 3); !ok {
 		t.Error("not taken for the owner's grant")
 	}
-	if _, ok := requester.takeAdmission(0, 3); ok {
+	if _, ok := requester.takeDecision(0, 3); ok {
 		t.Error("taken twice")
 	}
-	requester.expire(testStart + unansweredAdmissionRetention)
-	if len(requester.admissions) != 1 {
-		t.Error("expired before its time")
+	requester.expire(testStart + unansweredDecisionRetention)
+	if len(requester.decisions) != 1 {
+		t.Error("expired too early")
 	}
-	if requester.expire(testStart + unansweredAdmissionRetention + 1); len(requester.admissions) != 0 {
-		t.Error("kept past its time")
+	if requester.expire(testStart + unansweredDecisionRetention + 1); len(requester.decisions) != 0 {
+		t.Error("did not expire")
 	}
 }
 
-// The owner is told whole units. What rounding leaves is told later.
+// Corrections are reported to the owner as whole numbers. Guards against losing the rounding remainders,
+// which later reports must include.
 func TestReconciliationReports(t *testing.T) {
 	state := requesterState{incarnation: 5}
 	for _, step := range []struct {
 		units, want, unreported float64
 	}{{0.4, 0, 0.4}, {0.4, 1, -0.2}, {3, 4, -0.2}} {
-		state.correct(step.units)
+		state.addCorrection(step.units)
 		if got := state.report(); got != (reconciliation{5, step.want}) {
-			t.Errorf("%v more: reports %+v, want %v", step.units, got, step.want)
+			t.Errorf("correction of %v: reported %+v, want %v units", step.units, got, step.want)
 		}
 		if got := state.unreported(); got < step.unreported-1e-9 || got > step.unreported+1e-9 {
-			t.Errorf("%v more: %v unreported, want %v", step.units, got, step.unreported)
+			t.Errorf("correction of %v: %v unreported, want %v", step.units, got, step.unreported)
 		}
 	}
 }
 
-// A sum that a message cannot hold is begun anew in another incarnation.
-func TestReconciliationIsRenewed(t *testing.T) {
+// Guards against a sum of corrections that is too large for a message. The sum must restart at 0 in a new
+// incarnation.
+func TestLargeCorrectionSumStartsNewIncarnation(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	state := requesterState{incarnation: maxIncarnation}
-	state.correct(-maxReconciledUnits)
-	if state.renew(random); state.incarnation != maxIncarnation || state.reconciled != -maxReconciledUnits {
-		t.Errorf("renewed at the bound: %+v", state)
+	state.addCorrection(-maxCorrectionSum)
+	if state.renewIncarnation(random); state.incarnation != maxIncarnation || state.correctionSum != -maxCorrectionSum {
+		t.Errorf("a new incarnation was started at the maximum sum: %+v", state)
 	}
-	state.correct(-1)
-	if state.renew(random); state.incarnation == maxIncarnation || state.report().units != 0 {
-		t.Errorf("not renewed beyond the bound: %+v", state)
+	state.addCorrection(-1)
+	if state.renewIncarnation(random); state.incarnation == maxIncarnation || state.report().units != 0 {
+		t.Errorf("no new incarnation was started beyond the maximum sum: %+v", state)
 	}
 }
 
 func TestLocalRejections(t *testing.T) {
 	var state requesterState
 	if _, rejected := state.rejects(testStart); rejected {
-		t.Error("rejects without a rejection")
+		t.Error("rejects requests without a rejection by the owner")
 	}
 	state.rejectUntil(testStart + time.Second)
 	if remaining, rejected := state.rejects(testStart); !rejected || remaining != time.Second {
-		t.Errorf("%v for %v", rejected, remaining)
+		t.Errorf("rejects %v, for %v; want true, for 1s", rejected, remaining)
 	}
 	if _, rejected := state.rejects(testStart + time.Second); rejected {
-		t.Error("rejects at the end of the time")
+		t.Error("rejects requests after the retry delay")
 	}
 	state.recordRejected(2)
 	state.recordRejected(3)
 	if got := state.takeRejected(); got != 5 || state.takeRejected() != 0 {
-		t.Errorf("%v units, want 5, once", got)
+		t.Errorf("%v rejected units, want 5 in the first call and 0 in the second", got)
 	}
 }
--- a/balancer/quota_table.go
+++ b/balancer/quota_table.go
@@ -7,50 +7,52 @@
 )
 
 const (
-	// quotaInboxFraction is the fraction of a node's limit on messages that one tenant's quota requests may
-	// use.
+	// quotaInboxFraction is the fraction of a node's message capacity that the quota requests for one tenant
+	// may use.
 	quotaInboxFraction = 0.5
-	// meanUnitsFraction estimates the units of a mean request as a fraction of the largest: most are small.
+	// meanUnitsFraction estimates the mean units of a request as a fraction of the maximum. Most requests
+	// are small.
 	meanUnitsFraction = 0.25
-	// maxIncarnation is the number of incarnations of a bucket that an owner distinguishes.
+	// maxIncarnation is the number of distinct incarnation numbers. A new bucket draws one at random.
 	maxIncarnation = 1 << 14
-	// quotaSweeps is the number of control intervals in which all buckets are checked for idleness.
-	quotaSweeps = 8
+	// idleSweepIntervals is the number of control intervals over which the idle checks of all buckets are
+	// spread.
+	idleSweepIntervals = 8
 )
 
-// quotaPlan is a plan with its position in the settings, by which messages name it.
+// quotaPlan is a plan and its index in the settings, which identifies it in messages.
 type quotaPlan struct {
 	Plan
 	index int
 }
 
-// entryNodes are the nodes through which a tenant's requests come in: count of them from first on, going on
-// at 0 after the last node of the fleet.
+// entryNodes is the range of nodes through which a tenant's requests arrive: count nodes starting at first,
+// wrapping around to 0 after the last node of the fleet.
 type entryNodes struct {
 	first, count int
 }
 
-// contains reports whether a node is one of them.
+// contains reports whether a node is in the range.
 func (e entryNodes) contains(node, nodeCount int) bool {
 	return (node-e.first+nodeCount)%nodeCount < e.count
 }
 
-// at returns the node at a position among them.
+// at returns the node at a position in the range.
 func (e entryNodes) at(position, nodeCount int) int { return (e.first + position) % nodeCount }
 
-// quotaTable holds the buckets of all tenants seen lately.
+// quotaTable contains the buckets of the tenants that this node has seen recently.
 type quotaTable struct {
 	node, nodeCount int
 	plans           []quotaPlan
-	haveOwners      bool
+	haveOwners      bool    // whether quotas with several entry nodes have owners
 	ownerCapacity   float64 // see [ownerCapacity]
-	maxUnits        float64 // of one request; 0: unknown
+	maxUnits        float64 // maximum units of one request; 0 if unknown
 	startedAt       time.Duration
 	random          *rand.Rand
 
 	buckets       map[uint64]*quotaBucket // by tenant
-	order         []*quotaBucket          // in which they are checked for idleness
-	sweepPosition int                     // in order
+	order         []*quotaBucket          // all buckets, in the order of the idle checks
+	sweepPosition int                     // index in order of the next bucket to check
 }
 
 func newQuotaTable(settings *Settings, random *rand.Rand) quotaTable {
@@ -70,20 +72,21 @@
 	return table
 }
 
-// ownerCapacity is the quota requests for one tenant that an owner takes in a second.
+// ownerCapacity returns the quota requests per second for one tenant that an owner can receive.
 func ownerCapacity(settings *Settings) float64 {
 	return quotaInboxFraction * settings.PeerMessagesPerSecond
 }
 
-// start begins the filling of buckets.
+// start records the start of the node. Buckets are refilled from then on.
 func (t *quotaTable) start(now time.Duration) { t.startedAt = now }
 
 func (t *quotaTable) plan(index int) *quotaPlan { return &t.plans[index] }
 
-// find returns a tenant's bucket, or nil.
+// find returns a tenant's bucket, or nil if it has none.
 func (t *quotaTable) find(tenant uint64) *quotaBucket { return t.buckets[tenant] }
 
-// add makes the bucket of a tenant that has none. grantedFraction is what is known of the tenant's demand.
+// add creates the bucket of a tenant that has none. grantedFraction is the known fraction of the tenant's
+// demand that its quota can grant.
 func (t *quotaTable) add(
 	now time.Duration, tenant uint64, plan *quotaPlan, nodes entryNodes, grantedFraction float64,
 ) *quotaBucket {
@@ -97,24 +100,27 @@
 		bucket.owned, bucket.quotaShares = true, t.ownersNeeded(plan, nodes.count)
 		bucket.ownerCount = float64(bucket.quotaShares)
 	}
-	sinceStart := (now - t.startedAt).Seconds()
-	bucket.tokens = bucket.initialTokens(sinceStart, grantedFraction)
-	bucket.hardLimit = newNodeHardLimit(plan, sinceStart, t.hardLimitPart(bucket))
+	secondsSinceStart := (now - t.startedAt).Seconds()
+	bucket.tokens = bucket.initialTokens(secondsSinceStart, grantedFraction)
+	bucket.hardLimit = newNodeHardLimit(plan, secondsSinceStart, t.hardLimitPart(bucket))
 	t.buckets[tenant] = bucket
 	t.order = append(t.order, bucket)
 	return bucket
 }
 
-// ownersNeeded is the number of owners whose limits on messages allow for the quota requests that a plan's
-// rate can grant.
+// ownersNeeded returns the number of owners that can together receive the quota requests that a plan's rate
+// can grant. It is at least 1 and at most the number of entry nodes.
 func (t *quotaTable) ownersNeeded(plan *quotaPlan, entryNodeCount int) int {
 	requests := plan.Rate / math.Max(1, meanUnitsFraction*t.maxUnits)
 	return min(max(1, int(math.Ceil(requests/t.ownerCapacity))), entryNodeCount)
 }
 
-// hardLimitPart is this node's part of a tenant's hard limit. Rule 5: the parts of all nodes sum to the
-// whole. An owner has most of it for its grants. What the quota leaves of the limit is for requesters
-// without a grant.
+// hardLimitPart returns this node's part of a tenant's hard limit. The hard limit must never be exceeded, so
+// the parts of all entry nodes sum to 1.
+//
+// If the quota has owners, the fraction of the hard limit that equals the quota is divided between the
+// owners, for their grants. The rest is divided equally between all entry nodes, for requests that are
+// admitted without a grant.
 func (t *quotaTable) hardLimitPart(bucket *quotaBucket) (part hardLimitPart) {
 	plan := bucket.plan
 	equal := 1 / float64(bucket.entryNodes.count)
@@ -122,15 +128,18 @@
 		return hardLimitPart{equal, equal}
 	}
 	owned := float64(bucket.partsOwnedBy(t.node, t.nodeCount)) / bucket.ownerCount
-	burst := 1 - math.Min(plan.Burst/math.Max(plan.HardLimitBurst, 1e-9), 1)
-	rate := 1 - math.Min(plan.Rate/math.Max(plan.HardLimitRate, 1e-9), 1)
-	return hardLimitPart{burst: burst*equal + (1-burst)*owned, rate: rate*equal + (1-rate)*owned}
+	burstAboveQuota := 1 - math.Min(plan.Burst/math.Max(plan.HardLimitBurst, 1e-9), 1)
+	rateAboveQuota := 1 - math.Min(plan.Rate/math.Max(plan.HardLimitRate, 1e-9), 1)
+	return hardLimitPart{
+		burst: burstAboveQuota*equal + (1-burstAboveQuota)*owned,
+		rate:  rateAboveQuota*equal + (1-rateAboveQuota)*owned,
+	}
 }
 
-// dropIdle drops the idle buckets among the next ones in order, so that tenants that come once don't fill the
-// memory.
+// dropIdle deletes the idle buckets among the next ones in order. Otherwise tenants that are seen only once
+// would fill the memory.
 func (t *quotaTable) dropIdle(now time.Duration) {
-	for count := len(t.order)/quotaSweeps + 1; count > 0 && len(t.order) > 0; count-- {
+	for count := len(t.order)/idleSweepIntervals + 1; count > 0 && len(t.order) > 0; count-- {
 		if t.sweepPosition >= len(t.order) {
 			t.sweepPosition = 0
 		}
@@ -146,7 +155,7 @@
 	}
 }
 
-// quotaFor returns a tenant's bucket, refilled up to now.
+// quotaFor returns a tenant's bucket, refilled up to now. It creates a bucket for a tenant that has none.
 func (b *Balancer) quotaFor(tenant uint64, plan *quotaPlan, nodes entryNodes) *quotaBucket {
 	bucket := b.quotas.find(tenant)
 	if bucket == nil {
@@ -156,7 +165,8 @@
 	return bucket
 }
 
-// dropIdleQuotas drops idle buckets and what is no longer relied on of tenants and requests.
+// dropIdleQuotas deletes idle buckets, expired over-quota reports, and expired records of requests that were
+// decided without their owner.
 func (b *Balancer) dropIdleQuotas() {
 	b.overQuota.expire(b.now)
 	b.quotaRequester.expire(b.now)
--- a/balancer/quota_test.go
+++ b/balancer/quota_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// ratePlan returns the plan with a rate.
+// ratePlan returns the plan named "rate".
 func (b *Balancer) ratePlan() *quotaPlan { return b.quotas.plan(b.planIndex["rate"]) }
 
 func TestSplitQuotaBetweenRounds(t *testing.T) {
@@ -14,17 +14,18 @@
 	node, host := newTestBalancer(t, settings, equalEndpoints(4)...)
 	request := newRequest(0, "safe", "rate", 1)
 	request.EntryNodes = 2
-	// A new bucket holds 40/2; half of it may be acquired before the next round.
+	// A new bucket contains 40/2 units. One of two nodes may acquire half of them before the next round.
 	if n := sendBurst(node, host, testStart, 50, request); n != 10 {
-		t.Errorf("%d sent before the first round, want 10", n)
+		t.Errorf("%d requests sent before the first round, want 10", n)
 	}
 	node.TimerFired(testStart, timerGossip, host)
 	if n := sendBurst(node, host, testStart, 50, request); n != 5 {
-		t.Errorf("%d sent before the second round, want 5", n)
+		t.Errorf("%d requests sent before the second round, want 5", n)
 	}
 }
 
-// A split bucket smaller than a request must not starve its tenant.
+// Guards against a tenant whose requests are all rejected because each node's share of the bucket is smaller
+// than a request.
 func TestSmallSplitQuotaAdmitsOneRequest(t *testing.T) {
 	settings := testSettings()
 	settings.NodeCount, settings.Plans[1].Rate, settings.Plans[1].Burst = 3, 0.5, 2
@@ -33,11 +34,11 @@
 	request.EntryNodes = 3
 	now := testStart + 4*time.Second
 	if n := sendBurst(node, host, now, 5, request); n != 1 {
-		t.Errorf("%d sent, want 1", n)
+		t.Errorf("%d requests sent, want 1", n)
 	}
 }
 
-// Reported units must be taken from the peer's bucket once, whether messages are lost, repeated or late.
+// Guards against reported units that are deducted twice or never when a message is lost, repeated or late.
 func TestGossipSurvivesLossAndReordering(t *testing.T) {
 	for name, order := range map[string][]int{
 		"in order": {0, 1, 2}, "middle lost": {0, 2}, "twice": {0, 0, 1, 1, 2, 2}, "late": {1, 0, 2},
@@ -58,12 +59,12 @@
 			b.PeerMessage(testStart, 0, hostA.messages[1][i], hostB)
 		}
 		if got := 20 - b.quotas.buckets[1].tokens; got != 9 {
-			t.Errorf("%s: %v units taken, want 9", name, got)
+			t.Errorf("%s: %v units deducted, want 9", name, got)
 		}
 	}
 }
 
-// A long report must not lose the entries that do not fit into its first message.
+// Guards against losing the entries that do not fit into the first message of a gossip round.
 func TestEveryEntryIsSent(t *testing.T) {
 	settings := testSettings()
 	settings.NodeCount = 2
@@ -79,17 +80,18 @@
 	a.TimerFired(testStart, timerGossip, hostA)
 	for _, m := range hostA.messages[1] {
 		if len(m) > maxMessageBytes {
-			t.Errorf("message of %d bytes", len(m))
+			t.Errorf("message of %d bytes, want at most %d", len(m), maxMessageBytes)
 		}
 		b.PeerMessage(testStart, 0, m, hostB)
 	}
 	if len(b.quotas.buckets) != 100 {
-		t.Errorf("%d of 100 tenants reported", len(b.quotas.buckets))
+		t.Errorf("%d tenants reported, want 100", len(b.quotas.buckets))
 	}
 }
 
-// What nodes acquire beyond the quota together must be paid back, not forgotten at 0.
-func TestOverspentQuotaIsPaidBack(t *testing.T) {
+// Nodes can together acquire more units than the quota contains. Guards against losing that deficit, which
+// must keep the tokens below 0.
+func TestTokenDeficitIsKept(t *testing.T) {
 	settings := testSettings()
 	settings.NodeCount = 2
 	a, hostA := newTestBalancer(t, settings, equalEndpoints(4)...)
@@ -110,11 +112,11 @@
 		b.PeerMessage(testStart+6*ms, 0, m, hostB)
 	}
 	if b.quotas.buckets[1].tokens >= 0 {
-		t.Errorf("%v tokens after both acquired most of them", b.quotas.buckets[1].tokens)
+		t.Errorf("%v tokens after both nodes acquired most of them, want a deficit", b.quotas.buckets[1].tokens)
 	}
 }
 
-// A tenant that was rejected must not get one request from each node as soon as there are units for one.
+// Guards against nodes that each admit a request of a rejected tenant as soon as the tokens suffice for one.
 func TestCongestedTenantWaitsForAllNodes(t *testing.T) {
 	settings := testSettings()
 	settings.NodeCount = 3
@@ -125,14 +127,14 @@
 	node.quotas.buckets[1].tokens = 1.5
 	node.TimerFired(testStart, timerGossip, host)
 	if n := sendBurst(node, host, testStart+ms, 5, request); n != 0 {
-		t.Errorf("%d sent with units for one node of three", n)
+		t.Errorf("%d requests sent with tokens for one of three nodes, want 0", n)
 	}
 	if n := sendBurst(node, host, testStart+60*ms, 5, request); n != 1 {
-		t.Errorf("%d sent with units for all, want 1", n)
+		t.Errorf("%d requests sent with tokens for all nodes, want 1", n)
 	}
 }
 
-func TestMalformedGossipChangesNothing(t *testing.T) {
+func TestMalformedGossipIsIgnored(t *testing.T) {
 	settings := testSettings()
 	settings.NodeCount = 2
 	a, hostA := newTestBalancer(t, settings, equalEndpoints(4)...)
@@ -149,7 +151,7 @@
 		b.PeerMessage(testStart, 1, good, hostB)
 		b.PeerMessage(testStart, 0, append([]byte{0xff, 0xff}, good[:n]...), hostB)
 		if len(b.quotas.buckets) != 0 || len(hostB.actions) != 0 {
-			t.Fatalf("%d bytes of %d were taken in", n, len(good))
+			t.Fatalf("an invalid message, truncated to %d of %d bytes or from an invalid sender, was applied", n, len(good))
 		}
 	}
 }
@@ -176,13 +178,13 @@
 			node.Start(testStart, host)
 			node.PeerMessage(testStart, 1, message, host)
 			if len(node.quotas.buckets) > len(message) {
-				t.Errorf("%d buckets from %d bytes", len(node.quotas.buckets), len(message))
+				t.Errorf("%d buckets created by a message of %d bytes", len(node.quotas.buckets), len(message))
 			}
 		}
 	})
 }
 
-// The limit on attempts in flight counts those that peers report.
+// Guards against a concurrency limit that ignores the attempts in flight at peers.
 func TestConcurrencyQuotaCountsPeers(t *testing.T) {
 	settings := testSettings()
 	settings.NodeCount = 2
@@ -199,24 +201,26 @@
 		b.TimerFired(testStart, timerGossip, hostB)
 	}
 	if got := sentA + hostB.count("send"); sentA == 0 || got < 5 || got > 6 {
-		t.Errorf("%d in flight, %d of them at the peer; want 5 or 6", got, sentA)
+		t.Errorf("%d attempts in flight, %d of them at the peer; want 5 or 6", got, sentA)
 	}
 }
 
-// Rule 5: a node that just started may succeed one that has used up its part.
-func TestNewNodeAdmitsNoHardLimit(t *testing.T) {
+// Rule 5 (the hard limit is never exceeded): a node that has just started must not admit requests, because
+// its previous process may have used up its part of the limit.
+func TestNewNodeHardLimitStartsEmpty(t *testing.T) {
 	settings := testSettings()
 	node, host := newTestBalancer(t, settings, equalEndpoints(4)...)
 	request := newRequest(0, "safe", "hard", 1)
 	if n := sendBurst(node, host, testStart, 30, request); n != 0 {
-		t.Errorf("%d sent at the start", n)
+		t.Errorf("%d requests sent at the start, want 0", n)
 	}
 	if n := sendBurst(node, host, testStart+200*ms, 30, request); n != 5 {
-		t.Errorf("%d sent after 200 ms at 25 a second, want 5", n)
+		t.Errorf("%d requests sent after 200 ms at 25 per second, want 5", n)
 	}
 }
 
-// The units really used, which come with the response, are reconciled.
+// With post-paid units, the response reports the units that a request used. Guards against quotas that keep
+// the estimate.
 func TestUsedUnitsAreReconciled(t *testing.T) {
 	settings := testSettings()
 	settings.PostPaid = true
@@ -228,7 +232,7 @@
 	}
 }
 
-// Tenants that come once must not fill the memory.
+// Guards against tenants that are seen only once and fill the memory with idle buckets.
 func TestIdleTenantsAreDropped(t *testing.T) {
 	node, host := newTestBalancer(t, testSettings(), equalEndpoints(4)...)
 	for i := 0; i < 20000; i++ {
@@ -240,6 +244,6 @@
 		}
 	}
 	if len(node.quotas.buckets) > 5000 || len(node.quotas.buckets) != len(node.quotas.order) {
-		t.Errorf("%d buckets, %d in order", len(node.quotas.buckets), len(node.quotas.order))
+		t.Errorf("%d buckets, want at most 5000; %d in order, want the same number", len(node.quotas.buckets), len(node.quotas.order))
 	}
 }
