--- a/balancer/datagrams_test.go
+++ b/balancer/datagrams_test.go
@@ -80,24 +80,24 @@
 		d := net.inTransit[0]
 		net.inTransit = net.inTransit[1:]
 		net.now += 5 * ms
-		if g := net.nodes[d.to]; g != nil {
-			g.PeerMessage(net.now, d.from, d.message, networkHost{net, d.to})
+		if node := net.nodes[d.to]; node != nil {
+			node.PeerMessage(net.now, d.from, d.message, networkHost{net, d.to})
 		}
 	}
 }
 
-func (net *network) request(at int, request Request) {
-	net.nodes[at].RequestArrived(net.now, request, networkHost{net, at})
+func (net *network) request(node int, request Request) {
+	net.nodes[node].RequestArrived(net.now, request, networkHost{net, node})
 	net.deliver()
 }
 
-func (net *network) outcome(at int, o Outcome) {
-	net.nodes[at].AttemptFinished(net.now, o, networkHost{net, at})
+func (net *network) outcome(node int, o Outcome) {
+	net.nodes[node].AttemptFinished(net.now, o, networkHost{net, node})
 	net.deliver()
 }
 
-func (net *network) timer(at int, token uint64) {
-	net.nodes[at].TimerFired(net.now, token, networkHost{net, at})
+func (net *network) timer(node int, token uint64) {
+	net.nodes[node].TimerFired(net.now, token, networkHost{net, node})
 	net.deliver()
 }
 
@@ -112,16 +112,16 @@
 }
 
 // startNode starts a node, or restarts it.
-func (net *network) startNode(at int, s Settings, endpoints []Endpoint) {
+func (net *network) startNode(index int, s Settings, endpoints []Endpoint) {
 	net.t.Helper()
-	s.NodeIndex = at
-	g, err := New(s, uint64(at+1)+uint64(net.now-testStart))
+	s.NodeIndex = index
+	node, err := New(s, uint64(index+1)+uint64(net.now-testStart))
 	if err != nil {
 		net.t.Fatal(err)
 	}
-	net.nodes[at] = g
-	g.Start(net.now, networkHost{net, at})
-	g.EndpointsUpdated(net.now, UpdateCached, endpoints, networkHost{net, at})
+	net.nodes[index] = node
+	node.Start(net.now, networkHost{net, index})
+	node.EndpointsUpdated(net.now, UpdateCached, endpoints, networkHost{net, index})
 }
 
 // transcriptMessages returns the messages of a transcript.
@@ -163,11 +163,11 @@
 				c.run(net)
 				return net
 			}
-			unrecorded := run(nil)
-			transcript := golden.Check(t, name, unrecorded.transcript.Bytes())
+			live := run(nil)
+			transcript := golden.Check(t, name, live.transcript.Bytes())
 			golden.Same(t, name+" with the recorded messages", run(transcriptMessages(t, transcript)).transcript.Bytes(), transcript)
 			for _, kind := range c.want {
-				if unrecorded.sentKinds[kind] == 0 {
+				if live.sentKinds[kind] == 0 {
 					t.Errorf("no message of kind %d", kind)
 				}
 			}
@@ -228,8 +228,8 @@
 
 // startEntryNodes starts nodes 10 to 19.
 func (net *network) startEntryNodes(s Settings, endpoints int) {
-	for at := 10; at < 20; at++ {
-		net.startNode(at, s, equalEndpoints(endpoints))
+	for node := 10; node < 20; node++ {
+		net.startNode(node, s, equalEndpoints(endpoints))
 	}
 }
 
@@ -239,17 +239,17 @@
 	net.startEntryNodes(ownedQuotaSettings(), 120)
 	results := []Result{OK, ErrorResponse, OK, ConnectFailed, OK, TimedOut}
 	for n := range 24 {
-		request, at := entryNodesRequest(n, "rate", 77+uint64(n%6), float64(1+6*(n%4))), 10+n%2
-		net.request(at, request)
+		request, node := entryNodesRequest(n, "rate", 77+uint64(n%6), float64(1+6*(n%4))), 10+n%2
+		net.request(node, request)
 		if endpointID := net.endpoint(request.ID); endpointID != "" {
-			net.outcome(at, Outcome{
+			net.outcome(node, Outcome{
 				ID: request.ID, Result: results[n%len(results)], Answered: true, EndpointID: endpointID, Elapsed: 20 * ms,
 				LoadReport: &LoadReport{InFlight: float64(3 + 10*n), Queued: 2, Utilization: 0.5},
 			})
 		}
 		if n%5 == 4 {
-			for at := range 3 {
-				net.timer(10+at, timerControlInterval)
+			for offset := range 3 {
+				net.timer(10+offset, timerControlInterval)
 			}
 		}
 		net.now += 15 * ms
@@ -263,11 +263,11 @@
 func runLeases(net *network) {
 	net.startEntryNodes(ownedQuotaSettings(), 600)
 	for n := range 12 {
-		request, at := entryNodesRequest(n, "open", 5, 1), 10+n%2
-		net.request(at, request)
+		request, node := entryNodesRequest(n, "open", 5, 1), 10+n%2
+		net.request(node, request)
 		net.now += 50 * ms
 		if n%3 == 2 {
-			net.outcome(at, Outcome{ID: request.ID, Result: OK, Answered: true, EndpointID: net.endpoint(request.ID), Elapsed: 20 * ms})
+			net.outcome(node, Outcome{ID: request.ID, Result: OK, Answered: true, EndpointID: net.endpoint(request.ID), Elapsed: 20 * ms})
 		}
 	}
 }
@@ -278,8 +278,8 @@
 	s := ownedQuotaSettings()
 	s.PostPaid = true
 	net.startEntryNodes(s, 600)
-	finish := func(at int, id string, units float64) {
-		net.outcome(at, Outcome{ID: id, Result: OK, Answered: true, EndpointID: net.endpoint(id), Elapsed: 20 * ms, Units: units})
+	finish := func(node int, id string, units float64) {
+		net.outcome(node, Outcome{ID: id, Result: OK, Answered: true, EndpointID: net.endpoint(id), Elapsed: 20 * ms, Units: units})
 	}
 	for n := range 24 { // more than the quota, so that the owner reports a granted fraction below 1
 		net.request(10+n%8, entryNodesRequest(n, "rate", 9, 15))
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -14,7 +14,8 @@
 	return newTestBalancer(t, settings, equalEndpoints(4)...)
 }
 
-// completeRequest makes a node send a request to an endpoint and finishes the attempt with a result and a load report.
+// completeRequest makes a node send a request to an endpoint and finishes the attempt with a result and a
+// load report.
 func completeRequest(
 	t *testing.T, node *Balancer, host *hostRecorder, now time.Duration, endpointID string, result Result,
 	report *LoadReport,
@@ -35,16 +36,16 @@
 	}, host)
 }
 
-// captureQuotaRequest returns a quota request that a node sends. The gossip attached to it contains the node's
-// reports.
+// captureQuotaRequest returns a quota request that a node sends. The gossip attached to it contains the
+// node's reports.
 func captureQuotaRequest(node *Balancer, host *hostRecorder, now time.Duration) []byte {
 	host.messages = nil
 	node.RequestArrived(now, ownedQuotaRequest(int(node.requests.lastNumber)+1), host)
 	return host.messages[node.ownerFor(node.quotas.buckets[ownedTenant])][0]
 }
 
-// countSentToS0 sends 200 requests through a node. It returns how many of them went to endpoint s0 first and how
-// many were sent at all.
+// countSentToS0 sends 200 requests through a node. It returns how many of them went to endpoint s0 first and
+// how many were sent at all.
 func countSentToS0(node *Balancer, host *hostRecorder, now time.Duration) (to, all int) {
 	host.actions = nil
 	for n := range 200 {
@@ -88,7 +89,7 @@
 	if to, all := countSentToS0(node, host, testStart+30*ms); all < 100 || to > 0 {
 		t.Errorf("%d of %d requests were sent to an endpoint reported to refuse connections, want none", to, all)
 	}
-	// A repeated report must not keep the endpoint ejected for longer.
+	// A repeated report must not extend the ejection.
 	until := node.endpoints.trackedByID["s0"].health.ejectedUntil
 	node.PeerMessage(until+10*ms, 10, captureQuotaRequest(sender, senderHost, until), host)
 	if node.endpoints.trackedByID["s0"].health.ejectedUntil != until {
@@ -169,7 +170,7 @@
 		for range times {
 			now += 100 * ms
 			completeRequest(t, sender, senderHost, now, "s0", result, &LoadReport{InFlight: 0, Queued: -1, Utilization: -1})
-			sender.endpoints.trackedByID["s0"].health.ejectedUntil = 0 // so that the sender keeps sending requests to it
+			sender.endpoints.trackedByID["s0"].health.ejectedUntil = 0 // allows the sender further requests to it
 			node.PeerMessage(now+10*ms, 10, captureQuotaRequest(sender, senderHost, now+5*ms), host)
 		}
 	}
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -46,7 +46,7 @@
 }
 
 // gossipInterval returns the interval between rounds at which every node stays within its limit on received
-// messages.
+// messages, or [controlInterval] if there is no limit.
 func gossipInterval(settings *Settings) time.Duration {
 	if settings.PeerMessagesPerSecond <= 0 {
 		return controlInterval
@@ -63,8 +63,8 @@
 	}
 }
 
-// sendRound reports the queued buckets to their entry nodes. It returns the largest number of messages sent
-// to a single peer.
+// sendRound reports the queued buckets to the peers that are entry nodes of their tenants. It returns the
+// largest number of messages sent to a single peer.
 func (g *gossiper) sendRound(codec *codec, actions Actions) (maxSent int) {
 	for peer := range g.peers {
 		if peer != g.node {
@@ -75,8 +75,8 @@
 	return maxSent
 }
 
-// sendTo reports the queued buckets of which a peer is an entry node, in one or more messages. It returns
-// the number of messages sent.
+// sendTo reports to a peer the queued buckets of the tenants that it is an entry node of. It returns the
+// number of messages sent.
 func (g *gossiper) sendTo(peer int, codec *codec, actions Actions) (sent int) {
 	var batch entryBatch
 	for _, bucket := range g.unreported {
@@ -108,7 +108,7 @@
 	return 1
 }
 
-// closeRound ends the round and keeps the buckets that the next round must report too.
+// closeRound ends the round. Only the buckets that the next round must report too remain queued.
 func (g *gossiper) closeRound() {
 	remaining := g.unreported[:0]
 	for _, bucket := range g.unreported {
--- a/balancer/load_codec.go
+++ b/balancer/load_codec.go
@@ -19,8 +19,8 @@
 	loadRefusesConnections = 255
 )
 
-// piggyback is the gossip that is appended to quota requests and grants, so that it costs no messages of its
-// own.
+// piggyback is the gossip that is appended to quota requests and grants, so that it needs no separate
+// messages.
 type piggyback struct {
 	pooled    pooledMeans
 	overQuota []overQuotaReport
@@ -39,7 +39,7 @@
 	endpointHash uint16
 	load         float64 // requests in flight at the endpoint
 	status       peerLoadStatus
-	age          time.Duration // time since the load was reported or the failure seen
+	age          time.Duration // time since the load was reported or the failure occurred
 }
 
 // peerLoadStatus is the status of an endpoint that is reported along with its load.
--- a/balancer/owned_quota_test.go
+++ b/balancer/owned_quota_test.go
@@ -30,7 +30,7 @@
 	node.TimerFired(sentAt+quotaRequestTimeout, token, host)
 }
 
-// ownerIndexOf returns the owner that a node asks for units of [ownedTenant].
+// ownerIndexOf returns the owner to which a node sends quota requests for [ownedTenant].
 func ownerIndexOf(node *Balancer) int { return node.ownerFor(node.quotas.buckets[ownedTenant]) }
 
 // requesterAndOwner returns a node that has sent a quota request for [ownedTenant], and its owner and the
@@ -118,7 +118,7 @@
 }
 
 // Guards against buckets that are created by a malformed quota request, or by one whose sender or receiver
-// is no entry node.
+// is not an entry node.
 func TestInvalidQuotaRequestsAreIgnored(t *testing.T) {
 	requester, host := ownedQuotaNode(t, 10)
 	requester.RequestArrived(testStart, ownedQuotaRequest(1), host)
@@ -235,9 +235,9 @@
 	}
 }
 
-// A rejected requester may ask again as soon as the bucket can have its units. It pauses longer only if the
-// owner's inbox is under pressure. Guards against longer pauses without pressure, which would outlast a
-// tenant's burst and reject requests that are within the quota again.
+// A rejected requester may send another quota request as soon as the bucket can have the units. It pauses
+// longer only if the owner's inbox is under pressure. Guards against longer pauses without pressure, which
+// would outlast a tenant's burst and reject requests that are within the quota again.
 func TestRejectedRequesterPausesOnlyUnderPressure(t *testing.T) {
 	for _, c := range []struct {
 		inbox float64
--- a/balancer/quota_bucket.go
+++ b/balancer/quota_bucket.go
@@ -19,8 +19,8 @@
 	// finalIdleReports is the number of consecutive reports without attempts in flight after which a bucket
 	// is no longer reported.
 	finalIdleReports = 3
-	// maxRefillTime is the longest refill time that is computed, and so the longest time that a client is
-	// told to wait for units.
+	// maxRefillTime is the maximum result of refillTime. It also limits the retry delay of a client whose
+	// request lacks units.
 	maxRefillTime = time.Minute
 )
 
@@ -251,8 +251,8 @@
 
 // idle reports whether the bucket may be dropped. It must have no attempts in flight, no leases and no
 // queued report. It must also have been unused for the time in which its tokens refill to the burst and then
-// once more from empty, and in which its hard limit refills from empty. Without a rate and a hard limit that
-// time is [concurrencyQuotaIdleTime].
+// a second time from empty, and in which its hard limit refills from empty. Without a rate and a hard limit
+// that time is [concurrencyQuotaIdleTime].
 func (q *quotaBucket) idle(now time.Duration) bool {
 	plan := q.plan
 	period := concurrencyQuotaIdleTime
--- a/balancer/quota_codec_test.go
+++ b/balancer/quota_codec_test.go
@@ -9,12 +9,12 @@
 // The occupancy sum is negative if latencies are below the lowest mean. Guards against an encoding of pooled
 // means that loses the sign.
 func TestPooledMeansKeepTheirSign(t *testing.T) {
-	g, _ := ownedQuotaNode(t, 10)
-	g.overload.pooled = pooledMeans{-0.5, 0.25, 2, 0, 1}
+	node, _ := ownedQuotaNode(t, 10)
+	node.overload.pooled = pooledMeans{-0.5, 0.25, 2, 0, 1}
 	var received piggyback
-	_, ok := decodeQuotaGrant(encodeQuotaGrant(&quotaGrant{1, true, 0, 1}, g.piggybackFor(1)), &received)
-	if !ok || received.pooled != g.overload.pooled {
-		t.Errorf("decoded pooled means %v, want %v", received.pooled, g.overload.pooled)
+	_, ok := decodeQuotaGrant(encodeQuotaGrant(&quotaGrant{1, true, 0, 1}, node.piggybackFor(1)), &received)
+	if !ok || received.pooled != node.overload.pooled {
+		t.Errorf("decoded pooled means %v, want %v", received.pooled, node.overload.pooled)
 	}
 }
 
--- a/balancer/quota_owner.go
+++ b/balancer/quota_owner.go
@@ -12,8 +12,8 @@
 	// isolatedSpendPeriod is the time over which requesters without grants may spend an owner's current
 	// tokens.
 	isolatedSpendPeriod = 5 * time.Second
-	// maxAnsweredRequests is the number of answers that an owner keeps per quota, to answer repeated
-	// requests.
+	// maxAnsweredRequests is the number of answers that an owner stores per quota, so that it can repeat
+	// them.
 	maxAnsweredRequests = 8
 )
 
@@ -109,8 +109,8 @@
 	o.answered = append(o.answered, answered)
 }
 
-// reconcile records a requester's sum of corrections. It returns the change of the sum since its last
-// report, in units.
+// reconcile records a requester's sum of corrections. It returns the units by which the sum has changed
+// since the requester's previous report.
 func (o *ownerState) reconcile(requester int, sum reconciliation) (units float64) {
 	previous, known := o.reconciliations[requester]
 	if o.reconciliations == nil {
@@ -170,7 +170,7 @@
 	return o.grantRate
 }
 
-// ownerFor returns the owner that a node asks for units.
+// ownerFor returns the owner to which a node sends its quota requests.
 func (q *quotaBucket) ownerFor(node, nodeCount int) int {
 	return q.ownerOfPart(node%q.quotaShares, nodeCount)
 }
@@ -198,7 +198,7 @@
 
 // answerQuotaRequest answers a requester from the bucket that this node owns. It repeats the previous answer
 // to a repeated request, because the first answer was probably lost. It ignores the request if either node
-// is no entry node of the tenant, or if the bucket has another plan or no owner.
+// is not an entry node of the tenant, if the bucket has a different plan, or if the quota is split.
 func (b *Balancer) answerQuotaRequest(from int, request *quotaRequest) {
 	nodes := request.entryNodes
 	if !nodes.contains(from, b.settings.NodeCount) ||
--- a/balancer/quota_owner_test.go
+++ b/balancer/quota_owner_test.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// Every part of a quota has an owner, which is an entry node, and each node asks the owner of its part.
-// Guards against an uneven distribution of owners over the entry nodes.
+// Every part of a quota has an owner, which is an entry node, and each node sends quota requests to the
+// owner of its part. Guards against an uneven distribution of owners over the entry nodes.
 func TestOwnersOfParts(t *testing.T) {
 	const nodeCount = 30
 	bucket := ownedBucket(Plan{Rate: 1, Burst: 1}, 3)
--- a/balancer/quota_requester.go
+++ b/balancer/quota_requester.go
@@ -14,8 +14,8 @@
 	// unansweredDecisionRetention is the time for which a late answer is still used to correct the owner's
 	// tokens.
 	unansweredDecisionRetention = time.Second
-	// minReconciliationUnits is the smallest change of the sum of corrections that is sent in a message of
-	// its own.
+	// minReconciliationUnits is the smallest change of the sum of corrections that is sent in a separate
+	// message.
 	minReconciliationUnits = 2.0
 	// maxCorrectionSum is the largest sum of corrections of one incarnation of a bucket. It must fit into
 	// a message, see [maxWireUnits].
@@ -58,7 +58,7 @@
 	return quotaRequester{unanswered: make([]int, nodeCount), decisions: map[uint64]unansweredDecision{}}
 }
 
-// unansweredDecision is a request that was decided without the owner's answer. It is kept in case the
+// unansweredDecision is a request that was decided without the owner's answer. It is stored in case the
 // answer arrives late.
 type unansweredDecision struct {
 	quota         *quotaBucket
@@ -312,8 +312,8 @@
 
 // reconcileUnits returns the estimated units of a request that it did not use. Negative units were used in
 // addition. An owner receives the correction with the tenant's next quota request, because a message for
-// each response would increase the number of messages by half. It receives a
-// message of its own if the quota can grant only a fraction of the demand and the correction is large.
+// each response would increase the number of messages by half. A separate message is sent only if the quota
+// can grant just a fraction of the demand and the correction is large.
 func (b *Balancer) reconcileUnits(r *request, units float64) {
 	b.refill(r.quota)
 	if !r.quota.owned || r.quotaOwner == b.settings.NodeIndex {
--- a/balancer/quota_requester_test.go
+++ b/balancer/quota_requester_test.go
@@ -45,7 +45,7 @@
 func TestUnansweredDecisionCorrections(t *testing.T) {
 	for _, c := range []struct {
 		sent                    bool
-		granted, rejected, half float64 // expected corrections; half: with a granted fraction of 0.5
+		granted, rejected, half float64 // corrections if granted, if rejected, and expected at a granted fraction of 0.5
 	}{{true, 0, -8, -6}, {false, 8, 0, 2}} {
 		decision := unansweredDecision{units: 8, sent: c.sent}
 		if got := decision.correction(true); got != c.granted {
--- a/balancer/quota_table.go
+++ b/balancer/quota_table.go
@@ -13,7 +13,7 @@
 	// meanUnitsFraction estimates the mean units of a request as a fraction of the maximum. Most requests
 	// are small.
 	meanUnitsFraction = 0.25
-	// maxIncarnation is the number of distinct incarnation numbers. A new bucket draws one at random.
+	// maxIncarnation is the number of distinct incarnation numbers. Each new bucket has a random one.
 	maxIncarnation = 1 << 14
 	// idleSweepIntervals is the number of control intervals over which the idle checks of all buckets are
 	// spread.
--- a/balancer/quota_test.go
+++ b/balancer/quota_test.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// Nodes can together acquire more units than the quota contains. Guards against losing that deficit, which
-// must keep the tokens below 0.
+// Nodes can together acquire more units than the quota contains. Guards against losing that deficit: the
+// tokens must fall below 0.
 func TestTokenDeficitIsKept(t *testing.T) {
 	settings := testSettings()
 	settings.NodeCount = 2
@@ -219,8 +219,8 @@
 	}
 }
 
-// With post-paid units, the response reports the units that a request used. Guards against quotas that keep
-// the estimate.
+// With post-paid units, the response reports the units that a request used. Guards against charging the
+// estimate instead.
 func TestUsedUnitsAreReconciled(t *testing.T) {
 	settings := testSettings()
 	settings.PostPaid = true
