--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// AllPeers as the node of [Actions.SendPeer] addresses every other node.
+// AllPeers is the node index that addresses all other nodes in [Actions.SendPeer].
 const AllPeers = -1
 
 // Actions is the interface through which a [Balancer] acts on its host. The host carries out the calls in
 // order and must not call back into the balancer during a call.
 type Actions interface {
-	// SendAttempt starts the request's next attempt. A timeout of 0 lasts until the client's deadline.
-	// If the last byte of the request cannot be written before the clock reads sendBy, the attempt ends
-	// as [NotSent]. A sendBy of 0 sets no such bound.
+	// SendAttempt starts the request's next attempt. With a timeout of 0, only the client's deadline limits
+	// the attempt. If the last byte of the request cannot be written before the clock reads sendBy, the
+	// attempt ends as [NotSent]. A sendBy of 0 sets no such bound.
 	SendAttempt(requestID, endpointID string, timeout, sendBy time.Duration)
 	// Reject answers the request with a rejection. A rejection promises the client that the request had
 	// no effect, or that repeating it is harmless.
@@ -24,10 +24,11 @@
 	CancelAttempt(requestID string, attempt int)
 	// SetTimer schedules one call of [Balancer.TimerFired] with the token.
 	SetTimer(token uint64, after time.Duration)
-	// HealthCheck checks an endpoint. The host reports the result through [Balancer.HealthChecked].
+	// HealthCheck sends a health check to an endpoint. The host reports the result through
+	// [Balancer.HealthChecked].
 	HealthCheck(endpointID string)
 	// SendPeer sends a datagram of at most 256 bytes to another node, or to [AllPeers]. The host must
-	// copy what it keeps of the message.
+	// copy the message if it needs it after the call.
 	SendPeer(node int, message []byte)
 	// WatchEndpoints subscribes to changes of the endpoint list, or ends the subscription.
 	WatchEndpoints(on bool)
--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	// retryAfterDivisor sets when the client of a throttled request may retry: after the request's latency
-	// objective divided by this.
+	// retryAfterDivisor determines the retry delay of a throttled request: the latency objective of its
+	// class divided by retryAfterDivisor.
 	retryAfterDivisor = 4
-	// initialTimeoutStepDivisor sets the largest increase of a class's initial timeout per request: the
-	// latency objective divided by this.
+	// initialTimeoutStepDivisor determines the largest increase of a class's initial timeout per request:
+	// the latency objective divided by initialTimeoutStepDivisor.
 	initialTimeoutStepDivisor = 20
 	// initialTimeoutDecayDivisor is the ratio of the largest increase to the largest decrease. With a ratio
 	// of 10 the initial timeout follows the longest tenth of the requests' timeouts.
@@ -88,8 +88,8 @@
 	return latency.samples >= minBaselineSamples && r.Timeout.Seconds() < latency.mean
 }
 
-// decideOwnQuota decides on a request by a quota that this node keeps itself: one that is split between the
-// entry nodes, or one that this node owns.
+// decideOwnQuota decides on a request whose quota this node checks itself, because the quota is split between
+// the entry nodes or owned by this node.
 func (b *Balancer) decideOwnQuota(r *request, late bool) {
 	bucket := r.quota
 	bucket.owner.recordDemand(b.now, r.Units)
@@ -105,10 +105,10 @@
 }
 
 // arrivesTooLate reports whether a new request is expected to miss its latency objective, and updates the
-// initial timeout of its class. A client's first request is assumed to have the initial timeout, and a retry
-// the part of it that remains. Late responses have little value, so late requests give way to those that
-// can still be answered in time. A retry with a full timeout of its own looks like a first request and is
-// not treated as late.
+// initial timeout of its class. It assumes that a client's first request has the initial timeout and that a
+// retry has the remaining part of it, so the difference is the time that the client has waited. Late
+// responses have little value, so late requests are rejected in favor of those that can still be answered in
+// time. A retry with a full timeout of its own looks like a first request and is not treated as late.
 func (b *Balancer) arrivesTooLate(class int, timeout time.Duration) bool {
 	objective := b.settings.Classes[class].LatencyObjective
 	latency := &b.latency.classes[class]
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -19,9 +19,9 @@
 	}
 }
 
-// Guards against late requests using up the quota of a congested tenant. A client that has waited for longer
-// than the latency objective is rejected there, so that the units go to requests that can still be answered
-// in time. It is admitted while the tenant is not congested.
+// Guards against late requests using up the quota of a congested tenant. If the client has waited for longer
+// than the latency objective, its request is rejected, so that the units go to requests that can still be
+// answered in time. The request is admitted while the tenant is not congested.
 func TestLateRequestsYieldQuota(t *testing.T) {
 	b, r := newTestBalancer(t, testSettings(), equalEndpoints(9)...)
 	objective := b.settings.Classes[b.classIndex["safe"]].LatencyObjective
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -94,12 +94,13 @@
 	b.inbox.capacity = s.PeerMessagesPerSecond
 	b.quotas = newQuotaTable(&s, b.rng)
 	b.quotaOwner = newQuotaOwner(&s, b.latency.longestObjective)
-	if b.ownsQuotas() {
+	if b.hasQuotaOwners() {
 		b.endpoints.enableSubset()
 	}
 	b.codec = codec{b.settings.Plans, s.NodeCount}
 	b.gossip = newGossiper(&s, uint64(b.rng.Uint32()>>16))
-	// Request numbers start at random, so that grants for requests from before a restart match none of these.
+	// Request numbers start at a random value, so that a late grant for a request of the node's previous
+	// process matches no request of this one.
 	b.requests.lastNumber = uint64(b.rng.Uint32() >> 12)
 	return b, nil
 }
@@ -165,7 +166,7 @@
 func (b *Balancer) closeControlInterval() {
 	b.updateAdmittedFraction()
 	b.dropIdleQuotas()
-	if b.ownsQuotas() {
+	if b.hasQuotaOwners() {
 		b.endpoints.dropUnused(b.now)
 	}
 	b.closeEndpointInterval()
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Rule 2: the result of an attempt and the idempotency of the class decide whether the request is retried,
-// rejected or failed.
+// Rule 2 of [ruleChecker]: the result of an attempt and the idempotency of the class decide whether the
+// request is retried, rejected or failed.
 func TestActionAfterResult(t *testing.T) {
 	mayHaveRun := map[Result]bool{OK: true, ErrorResponse: true, TimedOut: true, Reset: true, Cancelled: true}
 	for result := OK; result <= NotSent; result++ {
@@ -87,8 +87,8 @@
 	}
 }
 
-// A hedged attempt counts as in flight. Guards against one that leaves a tenant near its concurrency limit
-// without an attempt for its next request.
+// Guards against a hedged attempt that uses up the concurrency limit of a tenant, so that the tenant's next
+// request is rejected. A hedged attempt counts as in flight.
 func TestNoHedgedAttemptNearConcurrencyLimit(t *testing.T) {
 	for plan, want := range map[string]int{"rate": 1, "open": 0} {
 		s := testSettings()
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -64,11 +64,11 @@
 	}
 	reachable := b.reachable()
 	floor := b.concurrencyFloor(reachable)
-	if limit >= minOwnSamples || !b.ownsQuotas() && b.inbox.rate <= 1 {
+	if limit >= minOwnSamples || !b.hasQuotaOwners() && b.inbox.rate <= 1 {
 		return reachable.inFlight >= math.Max(limit, floor)
 	}
 	// With few responses, many attempts may be in flight by chance. The pooled means then have to exceed the
-	// limit as well. They lag behind, so an excess that cannot be due to chance does not wait for them.
+	// limit as well. They lag behind, so an excess that cannot be due to chance counts without them.
 	pooledRate := b.overload.pooled[poolResponses] / controlInterval.Seconds()
 	pooledLimit := math.Max(pooledRate*delay, floor)
 	if reachable.inFlight < certainExcessFactor*math.Max(limit, pooledLimit) {
--- a/balancer/endpoint_list.go
+++ b/balancer/endpoint_list.go
@@ -67,8 +67,8 @@
 	machineTypes  internTable[string]
 	reserve       reserve
 
-	// subsetCandidates are the slots of all endpoints that can be in this node's subset. It may also contain
-	// free slots and duplicates, which are removed when it reaches maxSubsetCandidates.
+	// subsetCandidates contains the slots of all endpoints that can be in this node's subset. It may also
+	// contain free slots and duplicates, which are removed when it reaches maxSubsetCandidates.
 	subsetCandidates    []slotIndex
 	maxSubsetCandidates int
 
@@ -79,8 +79,8 @@
 }
 
 const (
-	// oversizeAllowance is added to the number of listed endpoints before the list is judged oversized, so
-	// that short lists are not rebuilt again and again.
+	// oversizeAllowance is added to the number of listed endpoints before the list counts as oversized, so
+	// that short lists are not rebuilt repeatedly.
 	oversizeAllowance = 1024
 	// minSubsetCandidates is half the minimum number of candidates at which they are compacted.
 	minSubsetCandidates = 64
@@ -111,8 +111,8 @@
 // idOf returns the id of a listed endpoint.
 func (l *endpointList) idOf(slot slotIndex) string { return l.entries[slot].id }
 
-// membershipThreshold returns the number of subsets per endpoint from which on the endpoint belongs to this
-// node's subset.
+// membershipThreshold returns the smallest number of subsets per endpoint at which the endpoint belongs to
+// this node's subset.
 func (l *endpointList) membershipThreshold(slot slotIndex) float64 {
 	return l.entries[slot].membershipThreshold
 }
@@ -131,7 +131,7 @@
 	return slot, true
 }
 
-// add assigns a slot to a new endpoint. The caller then fills the entry by [endpointList.update].
+// add assigns a slot to a new endpoint. The caller then fills the entry with [endpointList.update].
 func (l *endpointList) add(id string) slotIndex {
 	slot := l.newSlot()
 	l.slotByID[id] = slot
@@ -141,7 +141,7 @@
 }
 
 // update replaces the entry of an endpoint and removes the endpoint from the reserve. The caller restores
-// its membership by [endpointList.updateReserve].
+// its membership with [endpointList.updateReserve].
 func (l *endpointList) update(slot slotIndex, e Endpoint) {
 	l.removeFromReserve(slot)
 	l.countActive(slot, -1)
--- a/balancer/endpoint_list_test.go
+++ b/balancer/endpoint_list_test.go
@@ -26,7 +26,7 @@
 		"cells": len(l.cells.values), "weights": len(l.weights.values), "pools": len(l.reserve.byZone),
 	} {
 		if n > 4*(10+oversizeAllowance)+10 {
-			t.Errorf("%d %s for a list of 10 endpoints", n, what)
+			t.Errorf("%d %s for a list of 10 endpoints, want at most 4*(10+oversizeAllowance)+10", n, what)
 		}
 	}
 	if len(l.slotByID) != 10 || node.Stats().TrackedEndpoints > 10 {
--- a/balancer/endpoint_load.go
+++ b/balancer/endpoint_load.go
@@ -23,9 +23,10 @@
 	utilizationReportedAt time.Duration // time of the last report with a utilization; 0: never
 }
 
-// expectedOtherNodes returns the expected number of requests that other nodes have at the endpoint now. The
-// reported number decays toward the mean over the endpoints. The result is 0 if no load has been reported.
-func (l *endpointLoad) expectedOtherNodes(now time.Duration, mean float64) float64 {
+// expectedOtherRequests returns the expected number of requests that other nodes have at the endpoint now.
+// The reported number decays toward the mean over the endpoints. The result is 0 if no load has been
+// reported.
+func (l *endpointLoad) expectedOtherRequests(now time.Duration, mean float64) float64 {
 	if l.requests < 0 {
 		return 0
 	}
--- a/balancer/endpoint_load_test.go
+++ b/balancer/endpoint_load_test.go
@@ -21,7 +21,7 @@
 		{"a time constant ago", reported, loadGossipDecay, 4 + 3/math.E},
 		{"long ago", reported, time.Hour, 4},
 	} {
-		if got := test.load.expectedOtherNodes(testStart+test.age, 4); math.Abs(got-test.want) > 1e-9 {
+		if got := test.load.expectedOtherRequests(testStart+test.age, 4); math.Abs(got-test.want) > 1e-9 {
 			t.Errorf("%s: %v, want %v", test.name, got, test.want)
 		}
 	}
--- a/balancer/endpoint_set.go
+++ b/balancer/endpoint_set.go
@@ -37,7 +37,7 @@
 }
 
 // schedulePoll sets the timer after which the list is requested again: a random time between one and two
-// seconds, so that the nodes do not all ask at once.
+// seconds, so that the nodes do not all request it at the same time.
 func (b *Balancer) schedulePoll() {
 	if b.settings.PollEndpoints {
 		b.actions.SetTimer(timerPollEndpoints, time.Second+time.Duration(b.rng.Int64N(int64(time.Second))))
@@ -152,12 +152,12 @@
 	s.list.updateReserve(slot, now, s.warmUp.duration)
 }
 
-// moveWarmedUpToReserve adds the endpoints that have become warm to the reserve.
-func (s *endpointSet) moveWarmedUpToReserve(now time.Duration) {
-	s.list.moveWarmedUpToReserve(now, s.warmUp.duration)
+// addWarmToReserve adds the endpoints that have become warm to the reserve.
+func (s *endpointSet) addWarmToReserve(now time.Duration) {
+	s.list.addWarmToReserve(now, s.warmUp.duration)
 }
 
-// enableSubset limits the subset to a part of the list, as large fleets need.
+// enableSubset limits the subset to a part of the list. It is called in a large fleet.
 func (s *endpointSet) enableSubset() { s.sizing.enable() }
 
 // subsetsPerEndpoint returns the mean number of nodes whose subsets contain an endpoint.
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -62,7 +62,7 @@
 
 // A node of a large fleet sends a request to a given endpoint only every few seconds. Guards against nodes
 // that ignore the loads which other nodes report.
-func TestGossipedLoadIsAvoided(t *testing.T) {
+func TestLoadedEndpointIsAvoidedThroughGossip(t *testing.T) {
 	sender, senderHost := fleetNode(t, 10)
 	for n, endpointID := range []string{"s0", "s1", "s2", "s3"} {
 		report := &LoadReport{InFlight: float64(40 * oneIf(endpointID == "s0")), Queued: -1, Utilization: -1}
@@ -162,7 +162,7 @@
 
 // An endpoint that fails quickly reports a low load. Guards against nodes that prefer such an endpoint
 // although other nodes report its errors, and against nodes that avoid it after it has recovered.
-func TestGossipedErrorsAreAvoided(t *testing.T) {
+func TestFailingEndpointIsAvoidedThroughGossip(t *testing.T) {
 	sender, senderHost := fleetNode(t, 10)
 	node, host := fleetNode(t, 11)
 	now := testStart
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -169,6 +169,6 @@
 
 func (b *Balancer) markUnreported(bucket *quotaBucket) { b.gossip.markUnreported(bucket) }
 
-// ownsQuotas reports whether quotas have owners. They do in a large fleet, where gossip would reach all
+// hasQuotaOwners reports whether quotas have owners. They do in a large fleet, where gossip would reach all
 // entry nodes too late to limit a tenant.
-func (b *Balancer) ownsQuotas() bool { return b.quotas.haveOwners }
+func (b *Balancer) hasQuotaOwners() bool { return b.quotas.haveOwners }
--- a/balancer/gossip_codec.go
+++ b/balancer/gossip_codec.go
@@ -34,7 +34,7 @@
 }
 
 // gossipMessage is one message of a gossip round. It repeats the entries of the previous message, so that no
-// entry is lost when a single message is.
+// entry is lost when a single message is lost.
 type gossipMessage struct {
 	epoch    uint64 // identifies the sender's process
 	sequence uint64 // number of the message to this peer within the epoch, from 1
--- a/balancer/gossip_test.go
+++ b/balancer/gossip_test.go
@@ -13,13 +13,13 @@
 		entries, previous bool // whether its entries, and those of the previous message, are new
 	}
 	for name, messages := range map[string][]message{
-		"in order":      {{1, 1, true, false}, {1, 2, true, false}, {1, 3, true, false}},
-		"one lost":      {{1, 1, true, false}, {1, 3, true, true}},
-		"first lost":    {{1, 2, true, true}},
-		"repeated":      {{1, 1, true, false}, {1, 1, false, false}, {1, 2, true, false}},
-		"late":          {{1, 2, true, true}, {1, 1, false, false}},
-		"restarted":     {{1, 7, true, true}, {2, 1, true, false}, {1, 8, false, false}, {2, 2, true, false}},
-		"restart twice": {{1, 1, true, false}, {2, 1, true, false}, {3, 1, true, false}, {2, 2, false, false}},
+		"in order":     {{1, 1, true, false}, {1, 2, true, false}, {1, 3, true, false}},
+		"one lost":     {{1, 1, true, false}, {1, 3, true, true}},
+		"first lost":   {{1, 2, true, true}},
+		"repeated":     {{1, 1, true, false}, {1, 1, false, false}, {1, 2, true, false}},
+		"late":         {{1, 2, true, true}, {1, 1, false, false}},
+		"restarted":    {{1, 7, true, true}, {2, 1, true, false}, {1, 8, false, false}, {2, 2, true, false}},
+		"two restarts": {{1, 1, true, false}, {2, 1, true, false}, {3, 1, true, false}, {2, 2, false, false}},
 		// The zero value of the epoch of an unknown peer must not count as its epoch before a restart.
 		"epoch 0": {{0, 1, true, false}, {0, 2, true, false}},
 	} {
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -16,7 +16,7 @@
 // endpoint.
 type endpointHealth struct {
 	errorRate            float64       // moving average of the fraction of failed attempts
-	ejectedUntil         time.Duration // until then, requests only if no other endpoint is left
+	ejectedUntil         time.Duration // end of the ejection, during which the endpoint is deprioritized
 	consecutiveEjections int           // number of ejections since the last success or recovery
 	// ejectedAsUnresponsive is set when an attempt gets no response, until the endpoint responds or any node
 	// reports its load.
@@ -31,7 +31,7 @@
 // ejected reports whether the endpoint is ejected.
 func (h *endpointHealth) ejected(now time.Duration) bool { return now < h.ejectedUntil }
 
-// eject ejects the endpoint, for twice as long as the consecutive ejection before, up to maxEjection. It
+// eject ejects the endpoint, for twice as long as the previous consecutive ejection, up to maxEjection. It
 // lowers the error rate so that the next error does not eject the endpoint again.
 func (h *endpointHealth) eject(now time.Duration) {
 	h.ejectedUntil = now + min(baseEjection<<min(h.consecutiveEjections, maxEjectionDoublings), maxEjection)
@@ -112,10 +112,10 @@
 	maxSilence float64 // longest time without response or report while attempts are in flight, in seconds
 }
 
-// unresponsive reports whether the endpoint is known not to respond. That is so if it is unreachable. In a
-// large fleet it is also so if the endpoint is ejected as unresponsive, or if this node has attempts in
-// flight there and neither a response nor another node's report has arrived for maxSilence. A missing
-// response to one node may be chance, but an endpoint that works answers some node many times a second.
+// unresponsive reports whether the endpoint is known not to respond. An unreachable endpoint is unresponsive.
+// In a large fleet, an endpoint is also unresponsive if it is ejected as unresponsive, or if this node has
+// attempts in flight there and neither a response nor another node's report has arrived for maxSilence. A
+// missing response to one node may be chance, but a working endpoint answers some node many times a second.
 func (e *endpoint) unresponsive(now time.Duration, criteria healthCriteria) bool {
 	switch {
 	case e.health.unreachable:
@@ -130,9 +130,9 @@
 	return (now - max(e.lastProgress, e.load.reportedAt)).Seconds() > criteria.maxSilence
 }
 
-// deprioritized reports whether the endpoint gets requests only if no other is left. In a large fleet that
-// holds as long as its error rate is high: load gossip reports its errors at all nodes, and an ejection
-// alone would end too soon.
+// deprioritized reports whether the endpoint gets requests only if no other is left. In a large fleet this
+// also applies while its error rate is high: the rate includes the errors that load gossip reports from other
+// nodes, and an ejection alone would end too soon.
 func (e *endpoint) deprioritized(now time.Duration, criteria healthCriteria) bool {
 	return e.health.ejected(now) ||
 		e.health.errorRate > ejectionErrorRate && criteria.largeFleet ||
@@ -150,7 +150,7 @@
 }
 
 // next returns the endpoint to check now, which is the one checked least recently, or nil if no check is
-// due. It is called once per control interval; attempts is the number of attempts sent in one.
+// due. It is called once per control interval; attempts is the number of attempts per interval.
 func (c *healthChecker) next(now time.Duration, tracked []*endpoint, attempts float64) *endpoint {
 	c.tokens += attempts / 2
 	if !c.enabled || len(tracked) == 0 || c.tokens < 1 {
--- a/balancer/health_test.go
+++ b/balancer/health_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Each failed connection ejects the endpoint at once and for longer than the time before. A success resets
+// Each failed connection ejects the endpoint at once, and for longer than the previous one. A success resets
 // the duration.
 func TestFailedConnectionsEjectForLonger(t *testing.T) {
 	b, r := newTestBalancer(t, testSettings(), equalEndpoints(2)...)
@@ -39,7 +39,7 @@
 	q := newRequest(0, "safe", "rate", 1)
 	sendBurst(b, r, testStart, 20, q)
 	if r.count("send") == 0 {
-		t.Fatal("nothing sent")
+		t.Fatal("got no attempts, want at least one")
 	}
 	for _, a := range r.actions {
 		if strings.HasSuffix(a, " s0") {
@@ -49,7 +49,7 @@
 	b.EndpointsUpdated(testStart, UpdateSnapshot, nil, r)
 	r.actions = nil
 	if n := sendBurst(b, r, testStart, 5, q); n != 0 {
-		t.Errorf("%d requests sent to endpoints that are not listed any more", n)
+		t.Errorf("%d requests sent to endpoints that are no longer listed, want none", n)
 	}
 }
 
@@ -72,7 +72,7 @@
 	s.health.lastCheck = now
 	b.HealthChecked(now+ms, "s0", TimedOut, nil, r)
 	if n := sentTo("s0"); n != 0 {
-		t.Errorf("%d requests sent to an endpoint that does not respond to health checks", n)
+		t.Errorf("%d requests sent to an endpoint that does not respond to health checks, want none", n)
 	}
 	b.HealthChecked(now, "s0", OK, nil, r)
 	if n := sentTo("s0"); n == 0 {
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -8,11 +8,11 @@
 const (
 	latencySmoothing   = 0.15 // weight of a new sample in an endpoint's latency ratio
 	meanSmoothing      = 0.05 // weight of a new sample in the means of classes and machine types
-	minBaselineSamples = 16   // samples in a batch, and in a class mean that decisions rely on
+	minBaselineSamples = 16   // samples in a batch; also the minimum for decisions based on a class mean
 	baselineGrowth     = 0.01 // growth of the lowest batch mean with each batch, as a fraction
 	minMeanLatency     = 1e-6 // lower bound of a mean in seconds; keeps ratios to the mean finite
-	// unlearnedWorkDivisor sets the work that is assumed of a class without a baseline: its latency
-	// objective divided by this.
+	// unlearnedWorkDivisor determines the assumed work of a class without a baseline: its latency objective
+	// divided by unlearnedWorkDivisor.
 	unlearnedWorkDivisor = 4
 )
 
@@ -20,7 +20,7 @@
 type latencyTracker struct {
 	classes          []classLatency // by class index
 	machineTypes     []machineTypeLatency
-	machineTypeIndex map[string]int // index in machineTypes; holds the types that have responded
+	machineTypeIndex map[string]int // index in machineTypes, for types with a response
 	longestObjective time.Duration  // longest latency objective of the classes
 }
 
@@ -186,8 +186,8 @@
 	ratio, baselineRatio := b.latency.record(class, e.MachineType, elapsed)
 	e.recordLatencyRatio(ratio)
 	if b.settings.LoadReports == NoLoadReports || e.load.utilizationReportedAt == 0 {
-		// The latency is also the weight of its sample, so that the mean over an assessment is
-		// 1 - baseline/mean.
+		// The latency is also the weight of its sample, so that the occupancy of an assessment is
+		// 1 - baseline/mean latency.
 		b.overload.addOccupancy(baselineRatio-1, baselineRatio)
 	}
 }
--- a/balancer/load_gossip.go
+++ b/balancer/load_gossip.go
@@ -46,12 +46,12 @@
 }
 
 // peerLoad returns the load of the endpoint as this node reports it to others.
-func (s *endpoint) peerLoad(now time.Duration) peerLoad {
-	load := peerLoad{endpointHash: s.shortHash, load: s.load.requests, age: now - s.load.reportedAt}
+func (e *endpoint) peerLoad(now time.Duration) peerLoad {
+	load := peerLoad{endpointHash: e.shortHash, load: e.load.requests, age: now - e.load.reportedAt}
 	switch {
-	case s.load.refusesConnections:
+	case e.load.refusesConnections:
 		load.status = peerLoadRefusesConnections
-	case s.load.lastResponseFailed:
+	case e.load.lastResponseFailed:
 		load.status = peerLoadFailed
 	}
 	return load
@@ -88,9 +88,9 @@
 // expectedOtherLoad estimates the number of requests that other nodes have in flight at the endpoint. A
 // reported load loses weight with its age, in favor of the mean over all endpoints. The estimate is 0 in a
 // small fleet.
-func (b *Balancer) expectedOtherLoad(s *endpoint) float64 {
-	if !b.ownsQuotas() {
+func (b *Balancer) expectedOtherLoad(e *endpoint) float64 {
+	if !b.hasQuotaOwners() {
 		return 0 // In a small fleet a node's own attempts give better and earlier information.
 	}
-	return s.load.expectedOtherNodes(b.now, b.endpoints.meanLoad)
+	return e.load.expectedOtherRequests(b.now, b.endpoints.meanLoad)
 }
--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -10,8 +10,8 @@
 	// timeoutErrorWeight is the weight of a timeout in the error rate. It is less than that of an error, as
 	// the endpoint may only be slow.
 	timeoutErrorWeight = 0.5
-	// slowConnect is the time from which a failed connection counts as silence. One that fails sooner was
-	// refused.
+	// slowConnect is the time from which a failed connection counts as unanswered. A connection that fails
+	// sooner was refused.
 	slowConnect = 100 * time.Millisecond
 	// minTimeoutMean is the minimum mean latency, in seconds, that a timeout is compared with.
 	minTimeoutMean = 1e-3
@@ -25,7 +25,7 @@
 
 // recordOutcome updates the state of an endpoint, and the balancer's averages, at the end of an attempt.
 func (b *Balancer) recordOutcome(r *request, e *endpoint, o Outcome) {
-	if b.settings.LoadReports == LoadReportsInResponses { // otherwise responses have none
+	if b.settings.LoadReports == LoadReportsInResponses { // otherwise responses contain no load report
 		b.recordLoadReport(e, o.LoadReport)
 	}
 	b.recordResponsiveness(e, o)
@@ -71,7 +71,7 @@
 	e.health.recordSuccess()
 	b.concurrency.recordResponse()
 	b.recordLatency(class, e, elapsed)
-	// Only the endpoints that [endpointSet.warmWeight] counts, and only work that is known: responses of
+	// Counts only the endpoints in [endpointSet.warmWeight] and only work that is known. Responses of
 	// draining endpoints, or an estimate that is too high, would inflate the budgets of cold endpoints.
 	if b.warmUpFraction(e) >= 1 && e.acceptsRequests() && e.inSubset {
 		b.slowStart.recordWork(b.latency.learnedWork(class))
@@ -166,7 +166,7 @@
 // Trying the endpoint again would cost a request, and load gossip ends the ejection sooner than a trial
 // would.
 func (b *Balancer) ejectUnresponsive(e *endpoint, sentAt time.Duration) {
-	if b.ownsQuotas() && max(e.health.lastResponse, e.load.reportedAt) <= sentAt {
+	if b.hasQuotaOwners() && max(e.health.lastResponse, e.load.reportedAt) <= sentAt {
 		e.health.ejectAsUnresponsive(b.now)
 	}
 }
@@ -210,7 +210,7 @@
 
 // healthCriteria returns the present criteria for the health of endpoints.
 func (b *Balancer) healthCriteria() healthCriteria {
-	if !b.ownsQuotas() {
+	if !b.hasQuotaOwners() {
 		return healthCriteria{}
 	}
 	longest := recentAttemptFraction * b.latency.longestObjective.Seconds()
--- a/balancer/over_quota.go
+++ b/balancer/over_quota.go
@@ -15,8 +15,8 @@
 )
 
 // overQuotaTable contains the granted fractions of tenants whose demand exceeds their quota, as reported by
-// owners and other nodes. They decide whether a request is admitted when its owner does not answer. The keys
-// are tenant hashes, as in messages.
+// owners and other nodes. If the owner does not answer a quota request, the granted fraction is the
+// probability with which the request is admitted. The keys are tenant hashes, as in messages.
 type overQuotaTable map[uint16]overQuotaTenant
 
 type overQuotaTenant struct {
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -39,7 +39,8 @@
 			c.admittedFraction = test.from
 			assess(&c, 10, fewSamples, test.occupancy)
 			if !test.want(c.admittedFraction) {
-				t.Errorf("unexpected admitted fraction %v", c.admittedFraction)
+				t.Errorf("admitted fraction %v does not meet the condition in the name of the test",
+					c.admittedFraction)
 			}
 		})
 	}
--- a/balancer/owned_quota_test.go
+++ b/balancer/owned_quota_test.go
@@ -112,7 +112,8 @@
 		node.RequestArrived(testStart, ownedQuotaRequest(1), host)
 		timeOutQuotaRequest(node, host, testStart)
 		if got := host.count("send"); got != int(granted) || host.count("reject") != 1-got {
-			t.Errorf("granted fraction %v: actions %v", granted, host.actions)
+			t.Errorf("granted fraction %v: actions %v, want an attempt for 1 and a rejection for 0", granted,
+				host.actions)
 		}
 	}
 }
@@ -393,7 +394,7 @@
 		owner, ownerHost := ownedQuotaNode(t, ownerIndex)
 		owner.PeerMessage(testStart, 10, host.messages[ownerIndex][0], ownerHost)
 		if bucket := owner.quotas.buckets[ownedTenant]; bucket.tokens > 0 != (granted == 1) {
-			t.Errorf("granted fraction %v: %v tokens", granted, bucket.tokens)
+			t.Errorf("granted fraction %v: %v tokens, want more than 0 only for 1", granted, bucket.tokens)
 		}
 	}
 }
--- a/balancer/quota_bucket_test.go
+++ b/balancer/quota_bucket_test.go
@@ -117,13 +117,13 @@
 	}
 	const noRecentMessage, recentMessage = testStart - isolatedAfter, testStart + time.Second
 	for _, c := range []struct {
-		name           string
-		bucket         *quotaBucket
-		tokens         float64
-		lastMessage    time.Duration
-		after          time.Duration
-		want           float64
-		wantRatesSince time.Duration
+		name        string
+		bucket      *quotaBucket
+		tokens      float64
+		lastMessage time.Duration
+		after       time.Duration
+		want        float64
+		wantRatesAt time.Duration
 	}{
 		{"split", splitBucket(plan, 2), 0, noRecentMessage, time.Second, 10, 0},
 		{"full", splitBucket(plan, 2), 35, noRecentMessage, time.Second, 40, 0},
@@ -137,9 +137,9 @@
 	} {
 		c.bucket.tokens = c.tokens
 		c.bucket.refill(testStart+c.after, c.lastMessage)
-		if got := c.bucket.tokens; math.Abs(got-c.want) > 1e-9 || c.bucket.owner.ratesAt != c.wantRatesSince {
+		if got := c.bucket.tokens; math.Abs(got-c.want) > 1e-9 || c.bucket.owner.ratesAt != c.wantRatesAt {
 			t.Errorf("%s: %v tokens, want %v; rates decayed to %v, want %v",
-				c.name, got, c.want, c.bucket.owner.ratesAt, c.wantRatesSince)
+				c.name, got, c.want, c.bucket.owner.ratesAt, c.wantRatesAt)
 		}
 	}
 }
@@ -170,12 +170,12 @@
 
 // Guards against attempts of a node that is down counting against the concurrency limit forever.
 func TestPeerInFlightReportsExpire(t *testing.T) {
-	const forgotten = maxMissedGossipIntervals * gossipEvery
+	const expiry = maxMissedGossipIntervals * gossipEvery
 	bucket := splitBucket(Plan{MaxConcurrent: 10}, 3)
 	bucket.attemptStarted()
 	bucket.applyPeerUse(testStart, 1, 3, &gossipEntry{inFlight: 2})
 	bucket.applyPeerUse(testStart+1, 2, 3, &gossipEntry{inFlight: 3})
-	for after, want := range map[time.Duration]int{0: 4, forgotten - 1: 4, forgotten: 6, forgotten + 1: 9} {
+	for after, want := range map[time.Duration]int{0: 4, expiry - 1: 4, expiry: 6, expiry + 1: 9} {
 		if got := bucket.concurrencyHeadroom(testStart+after, gossipEvery); got != want {
 			t.Errorf("headroom %d after %v, want %d", got, after, want)
 		}
@@ -216,7 +216,7 @@
 	plan := &quotaPlan{Plan: Plan{HardLimitRate: 20, HardLimitBurst: 40}}
 	limit := newNodeHardLimit(plan, 0, hardLimitPart{burst: 0.5, rate: 0.25})
 	if limit.covers(plan, 1) || limit.timeUntil(plan, 1) != 200*ms {
-		t.Errorf("a new limit covers units, or only after %v; want 200ms", limit.timeUntil(plan, 1))
+		t.Errorf("a new limit covers a unit at once or after %v, want after 200ms", limit.timeUntil(plan, 1))
 	}
 	limit.refill(plan, 1)
 	if limit.acquire(plan, 2); limit.tokens != 3 {
--- a/balancer/quota_codec.go
+++ b/balancer/quota_codec.go
@@ -117,9 +117,9 @@
 	return release, reader.done()
 }
 
-// encodeReconciliation returns an encoded reconciliation message, which is sent without a quota request. Its
-// request number is always 0.
-func encodeReconciliation(tenant uint64, sum reconciliation) []byte {
+// encodeReconciliationMessage returns an encoded reconciliation message, which is sent without a quota
+// request. Its request number is always 0.
+func encodeReconciliationMessage(tenant uint64, sum reconciliation) []byte {
 	return appendReconciliation(binary.AppendUvarint([]byte{kindReconciliation, 0}, tenant), sum)
 }
 
--- a/balancer/quota_codec_test.go
+++ b/balancer/quota_codec_test.go
@@ -61,7 +61,7 @@
 		_, ok := decodeQuotaRelease(message)
 		return ok
 	})
-	checkMalformed(t, encodeReconciliation(300, reconciliation{300, -7}), func(message []byte) bool {
+	checkMalformed(t, encodeReconciliationMessage(300, reconciliation{300, -7}), func(message []byte) bool {
 		_, _, ok := decodeReconciliationMessage(message)
 		return ok
 	})
@@ -93,7 +93,7 @@
 		t.Errorf("decoded %+v, want %+v", got, release)
 	}
 	sum := reconciliation{12_000, -400}
-	tenant, got, ok := decodeReconciliationMessage(encodeReconciliation(1<<50, sum))
+	tenant, got, ok := decodeReconciliationMessage(encodeReconciliationMessage(1<<50, sum))
 	if !ok || tenant != 1<<50 || got != sum {
 		t.Errorf("decoded %+v of tenant %d, want %+v of tenant %d", got, tenant, sum, uint64(1<<50))
 	}
--- a/balancer/quota_owner_test.go
+++ b/balancer/quota_owner_test.go
@@ -112,7 +112,8 @@
 	}
 	for number := range uint64(maxAnsweredRequests + 1) {
 		if _, known := owner.previousAnswer(3, number); known != (number > 0) {
-			t.Errorf("answer %d of %d is stored: %v", number, maxAnsweredRequests+1, known)
+			t.Errorf("answer %d of %d is stored: %v, want true except for answer 0", number,
+				maxAnsweredRequests+1, known)
 		}
 	}
 	if _, known := owner.previousAnswer(4, 1); known {
@@ -131,7 +132,7 @@
 	held := owner.holdGrantRate(testStart + time.Hour)
 	owner.recordGrant(testStart+time.Hour, 0)
 	if owner.grantRate != held {
-		t.Errorf("grant rate %v, want %v as it was held", owner.grantRate, held)
+		t.Errorf("grant rate %v, want the held rate %v", owner.grantRate, held)
 	}
 }
 
--- a/balancer/quota_requester.go
+++ b/balancer/quota_requester.go
@@ -91,8 +91,8 @@
 // recordMessage records that a message was received from any peer.
 func (q *quotaRequester) recordMessage() { q.consecutiveUnanswered = 0 }
 
-// recordGrant records that an owner answered a quota request, whether it granted the units or not.
-func (q *quotaRequester) recordGrant(owner int) { q.unanswered[owner] = 0 }
+// recordAnswer records that an owner answered a quota request, whether it granted the units or not.
+func (q *quotaRequester) recordAnswer(owner int) { q.unanswered[owner] = 0 }
 
 func (q *quotaRequester) recordUnanswered(owner int) {
 	q.unanswered[owner]++
@@ -263,7 +263,7 @@
 // receiveQuotaGrant admits or rejects the request that an owner has answered. An answer for which no request
 // is waiting only updates the corrections.
 func (b *Balancer) receiveQuotaGrant(from int, grant *quotaGrant) {
-	b.quotaRequester.recordGrant(from)
+	b.quotaRequester.recordAnswer(from)
 	r := b.requests.byNumber[grant.number]
 	if r == nil || r.answered || r.quotaOwner != from || !r.quotaState.awaitsGrant() {
 		b.receiveLateGrant(from, grant)
@@ -330,7 +330,7 @@
 func (b *Balancer) sendReconciliation(bucket *quotaBucket, owner int) {
 	if b.overQuota.grantedFraction(bucket.tenant) < 1 &&
 		math.Abs(bucket.requester.unreported()) >= minReconciliationUnits && !b.isolated() {
-		b.actions.SendPeer(owner, encodeReconciliation(bucket.tenant, bucket.requester.report()))
+		b.actions.SendPeer(owner, encodeReconciliationMessage(bucket.tenant, bucket.requester.report()))
 	}
 }
 
--- a/balancer/quota_requester_test.go
+++ b/balancer/quota_requester_test.go
@@ -19,7 +19,7 @@
 	if requester.recordUnanswered(1); requester.waitsFor(1) || !requester.waitsFor(2) || requester.isolated() {
 		t.Errorf("%+v: must wait for every owner except 1", requester)
 	}
-	requester.recordGrant(1)
+	requester.recordAnswer(1)
 	if !requester.waitsFor(1) || !requester.mayRepeat(1, false) {
 		t.Errorf("%+v: must wait for owner 1 after its grant", requester)
 	}
@@ -66,20 +66,20 @@
 		requester.recordDecision(number, unansweredDecision{quotaOwner: 3, decidedAt: testStart})
 	}
 	if _, ok := requester.takeDecision(0, 4); ok {
-		t.Error("taken for a grant from another node")
+		t.Error("the decision was taken for a grant from another node")
 	}
 	if _, ok := requester.takeDecision(0, 3); !ok {
-		t.Error("not taken for the owner's grant")
+		t.Error("the decision was not taken for the owner's grant")
 	}
 	if _, ok := requester.takeDecision(0, 3); ok {
-		t.Error("taken twice")
+		t.Error("the decision was taken twice")
 	}
 	requester.expire(testStart + unansweredDecisionRetention)
 	if len(requester.decisions) != 1 {
-		t.Error("expired too early")
+		t.Error("the decision expired too early")
 	}
 	if requester.expire(testStart + unansweredDecisionRetention + 1); len(requester.decisions) != 0 {
-		t.Error("did not expire")
+		t.Error("the decision did not expire")
 	}
 }
 
--- a/balancer/quota_test.go
+++ b/balancer/quota_test.go
@@ -167,7 +167,7 @@
 	f.Add(codec.encodeQuotaRequest(&quotaRequest{entryNodes: entryNodes{0, 100}, units: 1}, &attached))
 	f.Add(encodeQuotaGrant(&quotaGrant{number: 1, retryAfter: time.Second}, &attached))
 	f.Add(encodeQuotaRelease(quotaRelease{units: 1}))
-	f.Add(encodeReconciliation(0, reconciliation{1, 7}))
+	f.Add(encodeReconciliationMessage(0, reconciliation{1, 7}))
 	f.Fuzz(func(t *testing.T, message []byte) {
 		for _, settings := range []Settings{split, owned} {
 			node, err := New(settings, 1)
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -27,7 +27,7 @@
 	inQuota         bool // the quota admits the request
 	quotaOwner      int  // node that decides on the quota
 	quotaState      quotaRequestState
-	reconciled      bool // the quota is corrected by the units actually used
+	reconciled      bool // the quota has been adjusted to the units actually used
 	answered        bool // the client has its final answer or has disconnected
 	responseStarted bool // a streamed response has begun
 }
@@ -91,7 +91,7 @@
 	return a.endpoint
 }
 
-// reconcileUsedUnits corrects the quota by the units that a request actually used, once per request.
+// reconcileUsedUnits adjusts the quota to the units that a request actually used, once per request.
 func (b *Balancer) reconcileUsedUnits(r *request, o Outcome) {
 	if o.Result != OK || !b.settings.PostPaid || o.Units <= 0 || !r.inQuota || r.reconciled {
 		return
--- a/balancer/reserve.go
+++ b/balancer/reserve.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// moveWarmedUpToReserve adds the endpoints that have become warm to the reserve.
-func (l *endpointList) moveWarmedUpToReserve(now, warmUp time.Duration) {
+// addWarmToReserve adds the endpoints that have become warm to the reserve.
+func (l *endpointList) addWarmToReserve(now, warmUp time.Duration) {
 	for {
 		slot, ok := l.reserve.warmUps.next(now)
 		if !ok {
--- a/balancer/reserve_test.go
+++ b/balancer/reserve_test.go
@@ -64,7 +64,8 @@
 			// The reserve is sampled until as many of its endpoints are tracked as a subset contains, and
 			// one more sample may have been taken before that was found.
 			if tracked := b.Stats().TrackedEndpoints; tracked > len(members)+b.endpoints.subsetSize()+1 {
-				t.Errorf("%s: %d endpoints tracked, %d of them in the subset", name, tracked, len(members))
+				t.Errorf("%s: %d tracked, %d of them in the subset, want at most the subset size + 1 others",
+					name, tracked, len(members))
 			}
 		}
 		most := 0
@@ -249,9 +250,9 @@
 		}
 	}
 	check("initially", "a1 a2 b1", "a1 a2", "a1 b1")
-	list.moveWarmedUpToReserve(testStart+warmUp-time.Second-1, warmUp)
+	list.addWarmToReserve(testStart+warmUp-time.Second-1, warmUp)
 	check("before the end of the warm-up", "a1 a2 b1", "a1 a2", "a1 b1")
-	list.moveWarmedUpToReserve(testStart+warmUp-time.Second, warmUp)
+	list.addWarmToReserve(testStart+warmUp-time.Second, warmUp)
 	check("after the warm-up", "a1 a2 b1 cold", "a1 a2 cold", "a1 b1 cold")
 	list.setTracked(slots["a1"], true)
 	list.updateReserve(slots["a1"], testStart+warmUp, warmUp)
--- a/balancer/restart_evidence.go
+++ b/balancer/restart_evidence.go
@@ -14,8 +14,8 @@
 	confirmingSince time.Duration   // send time of the pending confirming health check; 0: none
 }
 
-// suspect records a failed connection as a suspected restart. If the maximum is stored, it replaces the
-// latest.
+// suspect records a failed connection as a suspected restart. If maxSuspectedRestarts are already stored, it
+// replaces the latest.
 func (r *restartEvidence) suspect(now time.Duration) {
 	if len(r.suspected) == maxSuspectedRestarts {
 		r.suspected = r.suspected[:maxSuspectedRestarts-1]
@@ -51,7 +51,7 @@
 }
 
 // confirm records a response to a health check. If a confirming one is pending, the process has been up
-// since that was sent.
+// since that health check was sent.
 func (r *restartEvidence) confirm() {
 	if r.confirmingSince > 0 {
 		r.confirmUpSince(r.confirmingSince)
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -9,8 +9,8 @@
 	// slowAttemptDeviations is the number of mean deviations above the mean latency from which an attempt is
 	// slow.
 	slowAttemptDeviations = 10
-	// slowAttemptDivisor sets the time before which no attempt is slow: the latency objective divided by
-	// this.
+	// slowAttemptDivisor determines the time before which no attempt is slow: the latency objective divided
+	// by slowAttemptDivisor.
 	slowAttemptDivisor = 4
 )
 
--- a/balancer/rules_checker_test.go
+++ b/balancer/rules_checker_test.go
@@ -73,8 +73,8 @@
 //
 //  1. Each request gets exactly one final answer in time, and no attempt after it.
 //  2. A request that may have run is repeated only where that is harmless.
-//  3. An endpoint that drains or is removed gets no attempt from a node that has known this for longer than
-//     the drain timeout.
+//  3. An endpoint that drains or is removed gets no attempt from a node that received this update longer ago
+//     than the drain timeout.
 //  4. All nodes together do not overload a cold endpoint.
 //  5. All nodes together do not exceed the hard limit of a tenant.
 //
@@ -91,7 +91,7 @@
 	requests     map[string]*requestRecord
 	endpoints    map[string]Endpoint
 	endpointIDs  []string
-	drainSeen    []map[string]time.Duration  // by node: when it learned that an endpoint accepts no requests
+	drainSeen    []map[string]time.Duration  // by node and endpoint: first update with a state other than Up
 	startedAt    map[string]time.Duration    // by endpoint: its last restart
 	sentTo       map[string][]time.Duration  // by endpoint: starts of attempts
 	responses    map[string][]time.Duration  // by endpoint: ends of attempts with an OK
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -6,10 +6,10 @@
 	errorCostFactor      = 8    // additional cost factor of an error rate of 1
 	crossZoneFactor      = 1.1  // cost factor of another zone, if cross-zone attempts have a price
 	failedEndpointFactor = 4    // cost factor for each failed attempt of the request at the endpoint
-	minLatencyRatio      = 0.1  // lower bound in costs, so that load counts also if responses are fast
-	minCostMean          = 1e-3 // lower bound in costs of the mean latency, in seconds
+	minLatencyRatio      = 0.1  // lower bound in costs, so that load also counts if responses are fast
+	minCostMean          = 1e-3 // lower bound of the mean latency in costs, in seconds
 
-	// Additional costs of the tiers of endpoints. Each exceeds all costs within the tiers before.
+	// Additional costs of the tiers of endpoints. Each exceeds all costs within the preceding tiers.
 	notSampledCost    = 1e3 // endpoint of the subset that the random sampling skipped
 	outsideSubsetCost = 1e5 // endpoint in service outside the subset
 	deprioritizedCost = 1e6 // endpoint that is used only if no other is left
@@ -46,8 +46,8 @@
 }
 
 // needsReserve reports whether to sample the reserve: no endpoint of the subset is in service for the
-// request, and fewer endpoints were found in service outside the subset than a subset contains. About as
-// many endpoints of the reserve as the subset contains thus replace it.
+// request, and fewer endpoints were found in service outside the subset than a subset contains. The
+// reserve thus replaces the subset with about as many endpoints.
 func (s *selection) needsReserve(subsetSize int) bool {
 	subsetServes := s.best != nil && s.best.inSubset && !s.deprioritized
 	return !subsetServes && s.outsideSubset < subsetSize
@@ -125,7 +125,7 @@
 // sampleReserve samples an endpoint of the reserve for the request and starts to track it. It returns nil if
 // there is none, or if the request may not be sent to the sampled one.
 func (b *Balancer) sampleReserve(r *request) *endpoint {
-	b.endpoints.moveWarmedUpToReserve(b.now)
+	b.endpoints.addWarmToReserve(b.now)
 	candidates := b.reserveFor(r)
 	if len(candidates) == 0 {
 		return nil
--- a/balancer/selection_bench_test.go
+++ b/balancer/selection_bench_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// discardingHost ignores all actions.
+// discardingHost ignores all actions except CancelAttempt and WatchEndpoints, which the benchmark does not
+// cause.
 type discardingHost struct{ hostRecorder }
 
 func (*discardingHost) SendAttempt(string, string, time.Duration, time.Duration) {}
--- a/balancer/selection_law_test.go
+++ b/balancer/selection_law_test.go
@@ -197,7 +197,7 @@
 	}
 	m.checkWeights(t)
 	b.now = m.now
-	b.endpoints.moveWarmedUpToReserve(m.now)
+	b.endpoints.addWarmToReserve(m.now)
 	reserve := map[string]bool{}
 	for _, slot := range b.endpoints.list.reserve.all {
 		reserve[b.endpoints.list.entries[slot].id] = true
@@ -244,7 +244,7 @@
 	}
 	for _, e := range m.balancer.endpoints.index.shared {
 		first := int(m.balancer.endpoints.sizing.subsetsPerEndpoint + keyFraction(e.rendezvousKey))
-		if m.balancer.ownsQuotas() && e.lastSubsetRank != lastRank(e.rendezvousKey,
+		if m.balancer.hasQuotaOwners() && e.lastSubsetRank != lastRank(e.rendezvousKey,
 			m.balancer.settings.NodeCount, first) {
 			t.Fatalf("%s: last subset rank %d is not that of %d nodes", e.ID, e.lastSubsetRank, first)
 		}
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -31,7 +31,7 @@
 	Idempotency Idempotency
 	DedupScope  DedupScope // for IdempotentWithKey
 
-	// DedupWindow is how long endpoints remember a key, from the first attempt that may have run.
+	// DedupWindow is the time for which endpoints store a key, from the first attempt that may have run.
 	DedupWindow time.Duration
 
 	LatencyObjective   time.Duration // a response within this time has its full value
@@ -90,11 +90,11 @@
 	Cancellation  bool          // [Actions.CancelAttempt] is allowed
 	Gossip        bool          // [Actions.SendPeer] is allowed
 	HealthChecks  bool          // [Actions.HealthCheck] is allowed
-	RetryAfter    bool          // rejections tell clients when to retry
-	MaxRetryAfter time.Duration // longest time to wait that a rejection may give
+	RetryAfter    bool          // rejections contain a retry delay for the client
+	MaxRetryAfter time.Duration // longest retry delay in a rejection
 
 	LoadReports           LoadReportMode
-	PollEndpoints         bool          // the endpoint list has to be watched: see [Actions.WatchEndpoints]
+	PollEndpoints         bool          // the balancer subscribes to the list by [Actions.WatchEndpoints]
 	PollInterval          time.Duration // with PollEndpoints: interval of polls by a node without a watch
 	PeerMessagesPerSecond float64       // messages that a node can receive per second; 0: unlimited
 	PostPaid              bool          // a request's units are an estimate until its first OK
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// slowStartBudgetFraction is the fraction used of the load that overloads a cold endpoint. The margin
-	// covers the variation of the work of requests.
+	// slowStartBudgetFraction is the budget of a cold endpoint, as a fraction of the load that overloads it.
+	// The margin covers the variation of the work of requests.
 	slowStartBudgetFraction = 0.7
 	// minWarmUpFraction bounds the warm-up fraction from below, so that the cost of an endpoint without
 	// initial capacity is finite.
@@ -47,7 +47,7 @@
 	overloadFactor float64
 	overloadWindow time.Duration
 
-	warmWorkDone float64 // seconds of work by warm endpoints since the last control interval
+	warmWorkDone float64 // seconds of work by warm endpoints in the current control interval
 	warmWorkRate float64 // moving average of that work, per second and unit of weight
 }
 
@@ -64,8 +64,8 @@
 	return s.curve.fraction(e.lastStart(), now)
 }
 
-// accrue brings the budget of an endpoint up to date, with each request assumed to be of the class that
-// takes most work. A warm endpoint has no bound. nodes is the number of nodes that share the endpoint.
+// accrue brings the budget of an endpoint up to date. It assumes that each request is of the class with the
+// most work. A warm endpoint has no bound. nodes is the number of nodes that share the endpoint.
 func (s *slowStart) accrue(e *endpoint, now time.Duration, nodes float64, latency *latencyTracker,
 	rng *rand.Rand,
 ) {
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -23,7 +23,7 @@
 var notRanked = math.Inf(1)
 
 // subsetSizing decides which endpoints are in this node's subset. Connections cost work on both sides. Each
-// endpoint is therefore in so few subsets that their nodes use it often and keep their connections to it.
+// endpoint is therefore in only a few subsets, whose nodes use it often and keep their connections to it.
 // Until [subsetSizing.enable] is called, the subset is the whole list, as in a small fleet.
 type subsetSizing struct {
 	nodeIndex, nodeCount int
@@ -55,9 +55,9 @@
 	return max(int(s.subsetsPerEndpoint*float64(listLength))/s.nodeCount, 1)
 }
 
-// membershipThreshold returns the value of subsetsPerEndpoint from which on the endpoint is in this node's
-// subset. Each endpoint has a fractional part of its own, so that endpoints enter one by one as the value
-// grows. With integer thresholds, one endpoint added to the list could change all subsets.
+// membershipThreshold returns the smallest value of subsetsPerEndpoint at which the endpoint is in this
+// node's subset. Each endpoint has a fractional part of its own, so that endpoints enter one by one as the
+// value grows. With integer thresholds, one endpoint added to the list could change all subsets.
 func (s *subsetSizing) membershipThreshold(id string) float64 {
 	if !s.enabled {
 		return 0
--- a/balancer/subset_changes_test.go
+++ b/balancer/subset_changes_test.go
@@ -19,13 +19,14 @@
 	return n
 }
 
-// endpointChanges collects, for endpoints that are added or removed one after another, the memberships of
-// the endpoint itself that change in each step and all memberships that change.
+// endpointChanges counts the changed memberships in a sequence of steps, each of which adds or removes one
+// endpoint.
 type endpointChanges struct {
-	needed, changed []float64
-	unchangedSizes  int     // number of steps in which the number of subsets per endpoint stays the same
-	overTwice       int     // number of steps that change more than twice the needed memberships
-	worst           float64 // highest ratio of changed to needed memberships
+	needed         []float64 // by step: changed memberships of the endpoint itself
+	changed        []float64 // by step: changed memberships of all endpoints
+	unchangedSizes int       // number of steps in which the number of subsets per endpoint stays the same
+	overTwice      int       // number of steps that change more than twice the needed memberships
+	worst          float64   // highest ratio of changed to needed memberships
 }
 
 // apply sends a change of one endpoint to all nodes of a fleet.
@@ -56,9 +57,9 @@
 
 // Guards against subsets that change more than needed when an endpoint is added or removed, since each
 // change opens or closes connections. The memberships of the endpoint itself must change. If the number of
-// subsets per endpoint is adapted to the new list length, half as many others change on average. By chance,
-// more others than needed memberships may change in one of fifty steps. Subsets of constant size fail this
-// test.
+// subsets per endpoint is adapted to the new list length, half as many others change on average. In up
+// to one of fifty steps, chance may change more other memberships than needed ones. Subsets of constant size
+// fail this test.
 func TestEndpointAddedOrRemovedChangesFewSubsets(t *testing.T) {
 	for _, c := range []struct{ nodes, endpoints, steps int }{{150, 100, 60}, {60, 300, 100}} {
 		list := testEndpoints(c.endpoints + c.steps)
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -8,7 +8,7 @@
 )
 
 // checkEvenness counts the subsets that contain each endpoint. It returns an error if an endpoint is in fewer
-// than three subsets, or fewer than all if there are fewer nodes, or if the counts differ by more than 1.
+// than three subsets (with fewer than three nodes: not in all), or if the counts differ by more than 1.
 func checkEvenness(endpoints, nodes int, holds func(endpoint, node int) bool) (spread, error) {
 	counts := make([]float64, endpoints)
 	for endpoint := range counts {
@@ -27,8 +27,8 @@
 }
 
 // Guards against endpoints that only one or two nodes use, or many more nodes than others. In fleets of all
-// sizes, the numbers of subsets that contain an endpoint differ by at most 1. Subsets that each node samples
-// independently, of the same mean size, fail this test.
+// sizes, the numbers of subsets that contain an endpoint differ by at most 1. Subsets of the same mean
+// size that each node samples independently fail this test.
 func TestEndpointsAreInSubsetsEvenly(t *testing.T) {
 	for _, c := range []struct{ nodes, endpoints, sample int }{
 		{1, 1, 1}, {2, 9, 9}, {25, 3, 3}, {300, 200, 200}, {1024, 1024, 256}, {4100, 200_000, 64},
--- a/balancer/tracking.go
+++ b/balancer/tracking.go
@@ -65,14 +65,14 @@
 
 // dropUnused stops tracking the endpoints that are no longer in use, as reported by isInUse.
 func (s *endpointSet) dropUnused(now time.Duration) {
-	s.moveWarmedUpToReserve(now)
+	s.addWarmToReserve(now)
 	s.retain(now, func(e *endpoint) bool { return s.isInUse(now, e) })
 	s.index.rebuild(s.tracked, &s.sizing)
 }
 
-// isInUse reports whether an endpoint must stay tracked. That is so while it has attempts in flight, and for
-// a listed endpoint also while it is in the subset, ejected or cold, or if it was used within
-// reserveRetention.
+// isInUse reports whether an endpoint must stay tracked. An endpoint stays tracked while it has attempts in
+// flight. A listed one also stays tracked while it is in the subset, ejected or cold, or if it was used
+// within reserveRetention.
 func (s *endpointSet) isInUse(now time.Duration, e *endpoint) bool {
 	switch {
 	case e.inSubset && e.listed, e.inFlight > 0:
@@ -156,8 +156,8 @@
 
 // reachable returns the number of this node's attempts in flight at unresponsive endpoints, and the number
 // of listed endpoints that respond, where a cold one counts as its warm-up fraction. The second is
-// extrapolated from the subset to the whole list. If no endpoint of the subset responds, all others are
-// assumed to.
+// extrapolated from the subset to the whole list. If no endpoint of the subset responds, all endpoints
+// outside it are assumed to respond.
 func (s *endpointSet) reachable(now time.Duration, criteria healthCriteria) (
 	unresponsive int, responding float64,
 ) {
