--- a/internal/testbed/address_block.go
+++ b/internal/testbed/address_block.go
@@ -5,53 +5,55 @@
 	"net"
 )
 
-// addressBlock is a range of loopback addresses that one run has to itself: 127.x.0.0/16, claimed
-// by a listener, so that many runs go side by side with the same ports.
+// addressBlock is a range of loopback addresses, 127.x.0.0/16, that one run uses exclusively. An open
+// listener claims the range, so that concurrent runs can use the same ports on different addresses.
 type addressBlock struct {
-	second int
-	claim  net.Listener
+	secondOctet int
+	claim       net.Listener // held open until the block is released
 }
 
 const (
-	// Ports of a block. They lie under the range from which the kernel gives ports out.
+	// Ports used in a block. They are below the kernel's range of ephemeral ports.
 	claimPort = 18999
 	basePort  = 18080
 	peerPort  = 17946
 
-	// Second numbers of the addresses of blocks.
-	firstNet = 40
-	lastNet  = 250
+	// Range of the second octet of the addresses of blocks.
+	firstSecondOctet = 40
+	lastSecondOctet  = 250
 
-	portAddrs = 250 // addresses of a kind that share a port
+	addrsPerPort = 250 // number of addresses with the same third octet and port
 )
 
-// claimAddressBlock takes the first range that no other run has.
+// claimAddressBlock claims the first block that no other run uses. It fails if all blocks are in use.
 func claimAddressBlock() (*addressBlock, error) {
-	var last error
-	for second := firstNet; second <= lastNet; second++ {
-		ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.255.254:%d", second, claimPort))
+	var lastErr error
+	for octet := firstSecondOctet; octet <= lastSecondOctet; octet++ {
+		ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.255.254:%d", octet, claimPort))
 		if err == nil {
-			return &addressBlock{second, ln}, nil
+			return &addressBlock{octet, ln}, nil
 		}
-		last = err
+		lastErr = err
 	}
-	return nil, fmt.Errorf("no range of loopback addresses is free for this run: %w", last)
+	return nil, fmt.Errorf("no free block of loopback addresses for this run: %w", lastErr)
 }
 
-// addr is the host of a party; third tells the kind of party.
-func (b *addressBlock) addr(third, number int) string {
-	return fmt.Sprintf("127.%d.%d.%d", b.second, third, number+1)
+// addr returns the IP address of a party. The third octet identifies the kind of party, the number
+// selects one of that kind.
+func (b *addressBlock) addr(thirdOctet, number int) string {
+	return fmt.Sprintf("127.%d.%d.%d", b.secondOctet, thirdOctet, number+1)
 }
 
-// hostPort is the address of a listener; numbers from portAddrs on take another port.
-func (b *addressBlock) hostPort(third, number int) string {
-	return fmt.Sprintf("%s:%d", b.addr(third, number%portAddrs), basePort+number/portAddrs)
+// hostPort returns the address on which a party serves requests. Numbers from addrsPerPort on reuse
+// the IP addresses with the next ports.
+func (b *addressBlock) hostPort(thirdOctet, number int) string {
+	return fmt.Sprintf("%s:%d", b.addr(thirdOctet, number%addrsPerPort), basePort+number/addrsPerPort)
 }
 
-// peerPort is the address on which a party takes what its peers send.
-func (b *addressBlock) peerPort(third, number int) string {
-	return fmt.Sprintf("%s:%d", b.addr(third, number%portAddrs), peerPort+number/portAddrs)
+// peerPort returns the address on which a party receives messages from its peers.
+func (b *addressBlock) peerPort(thirdOctet, number int) string {
+	return fmt.Sprintf("%s:%d", b.addr(thirdOctet, number%addrsPerPort), peerPort+number/addrsPerPort)
 }
 
-// release gives the range back.
+// release makes the block available to other runs.
 func (b *addressBlock) release() { _ = b.claim.Close() }
--- a/internal/testbed/app_server.go
+++ b/internal/testbed/app_server.go
@@ -14,13 +14,14 @@
 	"time"
 )
 
-// serverFaults is what goes wrong at an app server at the moment.
+// serverFaults describes the faults that an app server currently has.
 type serverFaults struct {
-	hang                      bool
-	errors, resets, malformed float64 // shares of the requests
+	hang                      bool    // no request gets a response
+	errors, resets, malformed float64 // fractions of the requests affected
 }
 
-// appServer is one app server on a loopback address of its own: the sockets around a model.
+// appServer is an emulated app server. It accepts connections on its own loopback address and executes
+// requests in a [model].
 type appServer struct {
 	env    *environment
 	number int
@@ -35,18 +36,18 @@
 	faults    serverFaults
 	ln        net.Listener
 	conns     map[net.Conn]bool
-	wake      *time.Timer
-	loads     []loadSample
+	wake      *time.Timer  // advances the model to the end of the next request
+	loads     []loadSample // in order of time
 	closed    bool
 }
 
-// loadSample is what a server held from a time on.
+// loadSample is the number of requests at an app server from a time on.
 type loadSample struct {
 	at       time.Duration
 	inFlight int
 }
 
-// startServer opens an app server's address. A boot below 0 is a warm one.
+// startServer starts a warm app server that listens on addr.
 func startServer(env *environment, number int, addr string) (*appServer, error) {
 	s := &appServer{
 		env: env, number: number, addr: addr, id: fmt.Sprintf("s-%08x", env.ids.Uint32()), state: lifecycleUp, startedAt: -1,
@@ -59,10 +60,11 @@
 	return s, nil
 }
 
+// listen opens the server's listener and starts to accept connections.
 func (s *appServer) listen() error {
 	ln, err := net.Listen("tcp", s.addr)
-	// The one before is closed for good only when its accepting goroutine has noticed.
-	for end := time.Now().Add(stopWithin); errors.Is(err, syscall.EADDRINUSE) && time.Now().Before(end) && s.env.sleep(time.Millisecond); {
+	// After a restart the port is free only once the previous listener's accept goroutine has returned.
+	for end := time.Now().Add(stopTimeout); errors.Is(err, syscall.EADDRINUSE) && time.Now().Before(end) && s.env.sleep(time.Millisecond); {
 		ln, err = net.Listen("tcp", s.addr)
 	}
 	if err != nil {
@@ -87,7 +89,7 @@
 	return nil
 }
 
-// serve answers the requests of one connection until it ends.
+// serve responds to the requests of one connection until it ends.
 func (s *appServer) serve(c net.Conn) {
 	defer func() { _ = c.Close() }()
 	s.mu.Lock()
@@ -96,7 +98,7 @@
 		return
 	}
 	s.conns[c] = true
-	crowded := len(s.conns) > s.env.scenario.Fleet.Connections
+	overConnLimit := len(s.conns) > s.env.scenario.Fleet.Connections
 	s.model.handshake(s.env.now())
 	s.scheduleWake()
 	s.mu.Unlock()
@@ -117,21 +119,22 @@
 		if err != nil {
 			return
 		}
-		if !s.answer(c, r, string(body), crowded) {
+		if !s.answer(c, r, string(body), overConnLimit) {
 			return
 		}
 	}
 }
 
-// chances are what was drawn for one request, in this order whatever comes of it.
-type chances struct {
+// requestFaults is the result of the random draws for one request. All values are drawn for every
+// request and in this order, so that the sequence of random numbers does not depend on the outcome.
+type requestFaults struct {
 	fails, resets, malformed bool
-	malformation             int
+	malformation             int // kind of malformed response, see malformedResponse
 }
 
-// drawChances draws what goes wrong with a request. Called under the mutex.
-func (s *appServer) drawChances() chances {
-	return chances{
+// drawRequestFaults draws the faults of one request. The caller holds s.mu.
+func (s *appServer) drawRequestFaults() requestFaults {
+	return requestFaults{
 		fails:        s.rng.Float64() < s.faults.errors,
 		resets:       s.rng.Float64() < s.faults.resets,
 		malformed:    s.rng.Float64() < s.faults.malformed,
@@ -139,8 +142,9 @@
 	}
 }
 
-// answer serves one request that has come whole; it is false where the connection ends.
-func (s *appServer) answer(c net.Conn, r *http.Request, body string, crowded bool) bool {
+// answer handles one complete request. It reports whether the connection stays open. A server over its
+// connection limit rejects the request.
+func (s *appServer) answer(c net.Conn, r *http.Request, body string, overConnLimit bool) bool {
 	id := r.Header.Get("X-Trace-Id")
 	if id == "" {
 		return s.respond(c, "404 Not Found", "", "no id")
@@ -151,11 +155,11 @@
 		return s.respond(c, "400 Bad Request", "", "no client sent this")
 	}
 	s.mu.Lock()
-	hangs, drawn := s.faults.hang, s.drawChances()
-	var ran <-chan struct{}
+	hangs, faults := s.faults.hang, s.drawRequestFaults()
+	var completed <-chan struct{}
 	failed := false
-	if !hangs && !drawn.fails && s.state == lifecycleUp && !crowded {
-		ran, failed = s.accept(s.env.schedule.Arrivals[t.arrival].Work, now)
+	if !hangs && !faults.fails && s.state == lifecycleUp && !overConnLimit {
+		completed, failed = s.accept(s.env.schedule.Arrivals[t.arrival].Work, now)
 	}
 	s.mu.Unlock()
 	if failed {
@@ -166,64 +170,67 @@
 	switch {
 	case hangs:
 		_ = c.SetReadDeadline(time.Time{})
-		_, _ = io.Copy(io.Discard, c) // until the node gives up
+		_, _ = io.Copy(io.Discard, c) // returns when the node closes the connection
 		return false
-	case drawn.fails:
+	case faults.fails:
 		return s.respond(c, "500 Internal Server Error", "", "failed")
-	case ran == nil:
+	case completed == nil:
 		s.env.checker.upstreamRejected(t, attempt)
-		return s.respond(c, "503 Service Unavailable", "X-Never-Ran: 1\r\n", "full") && !crowded
+		return s.respond(c, "503 Service Unavailable", "X-Never-Ran: 1\r\n", "full") && !overConnLimit
 	}
 	select {
-	case <-ran:
-		return s.answerRun(c, t, attempt, drawn)
+	case <-completed:
+		return s.answerCompleted(c, t, attempt, faults)
 	case <-s.env.over:
 		return false
 	}
 }
 
-// answerRun answers an attempt that has run; it is false where the connection ends.
-func (s *appServer) answerRun(c net.Conn, t *clientAttempt, attempt int, drawn chances) bool {
+// answerCompleted responds to an executed attempt. It reports whether the connection stays open.
+func (s *appServer) answerCompleted(c net.Conn, t *clientAttempt, attempt int, faults requestFaults) bool {
 	text := fmt.Sprintf("quote %s %s %d\n", t.id, s.name(), attempt)
 	switch {
-	case drawn.resets:
+	case faults.resets:
 		reset(c)
 		return false
-	case drawn.malformed:
-		s.respondMalformed(c, drawn.malformation, text)
+	case faults.malformed:
+		s.respondMalformed(c, faults.malformation, text)
 		return false
 	}
 	s.env.checker.responseMade(t, attempt, text, s.env.now())
 	return s.respond(c, "200 OK", fmt.Sprintf("X-Settled: %.0f\r\n", s.env.schedule.Arrivals[t.arrival].Units), text)
 }
 
-// accept hands work to the model. ran is closed when it has run, and nil where it was rejected unseen; failed tells
-// that it was what overloaded the server to failure. Called under the mutex.
-func (s *appServer) accept(work float64, now time.Duration) (ran <-chan struct{}, failed bool) {
-	ended := make(chan struct{})
-	before := s.model.failed
-	if s.model.arrive(now, &job{work: work, ended: func() { close(ended) }}) {
-		ran = ended
+// accept passes a request's work to the model. The completed channel is closed once the work has been
+// executed; it is nil if the model rejected the request. failed reports whether this request overloaded
+// the server to failure. The caller holds s.mu.
+func (s *appServer) accept(work float64, now time.Duration) (completed <-chan struct{}, failed bool) {
+	done := make(chan struct{})
+	failedBefore := s.model.failed
+	if s.model.arrive(now, &job{work: work, onComplete: func() { close(done) }}) {
+		completed = done
 	}
 	s.recordLoad(now)
 	s.scheduleWake()
-	return ran, s.model.failed && !before
+	return completed, s.model.failed && !failedBefore
 }
 
-// respondMalformed writes a response that can't be read, and waits a little for the node to give up where that is for
-// the node to notice.
+// respondMalformed writes a malformed response. A truncated response (malformation 0) ends with the
+// connection, which the caller closes at once. After any other, respondMalformed waits up to 1 s for the
+// node to close the connection.
 func (s *appServer) respondMalformed(c net.Conn, malformation int, text string) {
-	_, _ = io.WriteString(c, malformedResponse(malformation, text)) // the node may have given up
+	_, _ = io.WriteString(c, malformedResponse(malformation, text)) // fails if the node has disconnected
 	if malformation != 0 {
 		_ = c.SetReadDeadline(time.Now().Add(time.Second))
 		_, _ = io.Copy(io.Discard, c)
 	}
 }
 
-// malformations is the number of ways in which malformedResponse spoils a response.
+// malformations is the number of kinds of malformed responses.
 const malformations = 4
 
-// malformedResponse is a response that can't be read.
+// malformedResponse returns a malformed response: truncated, not HTTP, with conflicting lengths, or
+// with too long a header.
 func malformedResponse(kind int, answer string) string {
 	switch kind {
 	case 0:
@@ -236,17 +243,18 @@
 	return "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: pppppppppppppppp\r\n", 4000)
 }
 
-// respond writes one whole answer in one piece, with the load report.
+// respond writes a complete response, including the load report, in a single write. It reports whether
+// the write succeeded.
 func (s *appServer) respond(c net.Conn, status, headers, body string) bool {
 	s.mu.Lock()
-	held := s.reportedLoad(s.env.now())
+	inFlight := s.reportedLoad(s.env.now())
 	s.mu.Unlock()
 	_, err := fmt.Fprintf(c, "HTTP/1.1 %s\r\nContent-Type: text/plain\r\nEndpoint-Load-Metrics: TEXT inflight=%d\r\n%sContent-Length: %d\r\n\r\n%s",
-		status, held, headers, len(body), body)
+		status, inFlight, headers, len(body), body)
 	return err == nil
 }
 
-// scheduleWake sets the timer for when a request next ends. Called under the mutex.
+// scheduleWake sets the timer to the end of the next request in the model. The caller holds s.mu.
 func (s *appServer) scheduleWake() {
 	if s.wake != nil {
 		s.wake.Stop()
@@ -263,7 +271,8 @@
 	}
 }
 
-// recordLoad keeps what the server holds, for reports that come late. Called under the mutex.
+// recordLoad records the current number of requests. Load reports are delayed, so samples are retained
+// for as long as a report may refer to them. The caller holds s.mu.
 func (s *appServer) recordLoad(now time.Duration) {
 	s.loads = append(s.loads, loadSample{now, s.model.inFlight()})
 	old := now - time.Duration(s.env.scenario.Fleet.ReportEvery+s.env.scenario.Fleet.ReportDelay) - time.Second
@@ -272,30 +281,31 @@
 	}
 }
 
-// reportedLoad is what a load report says now: refreshed now and then, and late. Called under
-// the mutex.
+// reportedLoad returns the number of requests that a load report sent now contains. Reports are delayed
+// by ReportDelay and updated every ReportEvery. The caller holds s.mu.
 func (s *appServer) reportedLoad(now time.Duration) int {
 	at := now - time.Duration(s.env.scenario.Fleet.ReportDelay)
 	if every := time.Duration(s.env.scenario.Fleet.ReportEvery); every > 0 {
 		at -= at % every
 	}
-	held := 0
+	inFlight := 0
 	for _, l := range s.loads {
 		if l.at > at {
 			break
 		}
-		held = l.inFlight
+		inFlight = l.inFlight
 	}
-	return held
+	return inFlight
 }
 
+// name returns the server's instance id.
 func (s *appServer) name() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.id
 }
 
-// entry is the server as the list has it.
+// entry returns the server's entry in the list of app servers.
 func (s *appServer) entry() Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -304,12 +314,12 @@
 		Lifecycle: s.state, Weight: 1, number: s.number,
 	}
 	if s.startedAt >= 0 {
-		e.StartedAtMs = s.env.wall(s.startedAt).UnixMilli()
+		e.StartedAtMs = s.env.wallTime(s.startedAt).UnixMilli()
 	}
 	return e
 }
 
-// fault changes what goes wrong at the server.
+// fault applies a change to the server's faults or to its model.
 func (s *appServer) fault(change func(f *serverFaults, m *model)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -318,7 +328,7 @@
 	s.scheduleWake()
 }
 
-// drain makes the server finish what it holds and turn away what comes.
+// drain makes the server finish its current requests, reject new ones and report itself as draining.
 func (s *appServer) drain() {
 	s.mu.Lock()
 	s.state = lifecycleDraining
@@ -326,7 +336,7 @@
 	s.env.list.publishLater(s.entry())
 }
 
-// crash ends the process: its connections are reset, new ones refused.
+// crash simulates a crash of the server's process: it resets the open connections and refuses new ones.
 func (s *appServer) crash() {
 	s.mu.Lock()
 	if s.ln != nil {
@@ -338,7 +348,7 @@
 	s.mu.Unlock()
 }
 
-// remove ends the process for good.
+// remove ends the server's process and removes the server from the list.
 func (s *appServer) remove() {
 	s.crash()
 	s.mu.Lock()
@@ -347,11 +357,12 @@
 	s.env.list.publishLater(s.entry())
 }
 
-// restart starts the process again, cold, under the same id or as another one.
-func (s *appServer) restart(anew bool) error {
+// restart starts the server's process again, in slow start and without faults. If newID is true, the server
+// gets a new instance id.
+func (s *appServer) restart(newID bool) error {
 	s.mu.Lock()
 	now := s.env.now()
-	if anew {
+	if newID {
 		s.id = fmt.Sprintf("s-%08x", s.env.ids.Uint32())
 	}
 	s.state, s.startedAt, s.faults, s.loads = lifecycleUp, now, serverFaults{}, nil
@@ -365,7 +376,7 @@
 	return nil
 }
 
-// close ends the server with the run.
+// close stops the server at the end of the run.
 func (s *appServer) close() {
 	s.mu.Lock()
 	s.closed = true
@@ -376,10 +387,10 @@
 	s.crash()
 }
 
-// reset closes a connection so that the other side sees it break.
+// reset closes a TCP connection with a reset (RST) instead of an orderly close.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
-		_ = t.SetLinger(0) // fails on a connection that is gone alone
+		_ = t.SetLinger(0) // fails only if the connection is already closed
 	}
 	_ = c.Close()
 }
--- a/internal/testbed/binary.go
+++ b/internal/testbed/binary.go
@@ -7,11 +7,12 @@
 	"path/filepath"
 )
 
-// nodePackage is the edge node's command in this module.
+// nodePackage is the path of the edge node's main package, relative to the module root.
 const nodePackage = "./cmd/edge-node"
 
-// FindNode returns the path of the edge node's binary: the one named, else one that is built
-// into dir from the module that the working folder is in.
+// FindNode returns the absolute path of the edge node's binary. If named is not empty, it is the path
+// of an existing binary. Otherwise FindNode builds the binary into dir, from the module that contains
+// the working directory.
 func FindNode(ctx context.Context, named, dir string) (string, error) {
 	if named != "" {
 		path, err := filepath.Abs(named)
@@ -19,7 +20,7 @@
 			return "", fmt.Errorf("node binary: %w", err)
 		}
 		if st, err := os.Stat(path); err != nil || st.IsDir() || st.Mode()&0o111 == 0 {
-			return "", fmt.Errorf("node binary: %s is no program that can be run", named)
+			return "", fmt.Errorf("node binary: %s is not an executable file", named)
 		}
 		return path, nil
 	}
--- a/internal/testbed/checker.go
+++ b/internal/testbed/checker.go
@@ -8,32 +8,35 @@
 	"time"
 )
 
-// Rules that a violation may name.
+// Rules of the platform that the checker verifies. Each comment states what the rule requires.
 const (
-	RuleLost    = "lost"    // a request taken by a live node gets one final answer, in time
-	RuleTwice   = "twice"   // what must never run twice doesn't, and is not called harmless to try again
-	RuleDrain   = "drain"   // nothing new goes to a server that drains, after the grace
-	RuleCold    = "cold"    // no cold server is overloaded to failure
-	RuleCeiling = "ceiling" // all nodes together keep a tenant's ceiling
-	RuleOwn     = "own"     // an answer is the one that a server made for this request
-	RuleForeign = "foreign" // a server gets only what a client sent
+	RuleLost           = "lost"    // a request accepted by a live node gets one final response, in time
+	RuleDuplicate      = "twice"   // a non-idempotent request runs at most once, never if it is rejected
+	RuleDrain          = "drain"   // after the grace period, a draining server gets no new requests
+	RuleCold           = "cold"    // nodes that know of a server's slow start do not overload it to failure
+	RuleHardLimit      = "ceiling" // all nodes together keep a tenant within its hard limit
+	RuleWrongResponse  = "own"     // a served response is one that an app server produced for this request
+	RuleForeignRequest = "foreign" // app servers get only requests that a client sent, unchanged
 )
 
-// Limits of the rules, as the settings tell the nodes.
+// Limits of the rules. The nodes get answerSlack and drainGrace in their settings.
 const (
-	answerSlack  = 8 * time.Millisecond
-	drainGrace   = 500 * time.Millisecond
-	socketSlack  = 50 * time.Millisecond // by which each time limit is extended on sockets
-	ceilingLag   = 150 * time.Millisecond
-	knowingShare = 2.0 / 3 // of the work that overloaded a server to failure, from nodes that knew of its start
+	answerSlack  = 8 * time.Millisecond   // time after the deadline in which a response is not late
+	drainGrace   = 500 * time.Millisecond // time in which a node may still send to a draining server
+	socketSlack  = 50 * time.Millisecond  // extension of each time limit for the latency of sockets
+	hardLimitLag = 150 * time.Millisecond // reordering allowed between attempts of different nodes
+
+	// informedWorkShare is the fraction of a server's work from which an overload to failure violates
+	// RuleCold. Only work from nodes that knew of the server's start counts.
+	informedWorkShare = 2.0 / 3
 )
 
-// Violation is one broken rule.
+// Violation is one violation of a rule.
 type Violation struct {
 	At   time.Duration `json:"at_ns"`
 	Rule string        `json:"rule"`
-	Node int           `json:"node"`
-	ID   string        `json:"id,omitempty"`
+	Node int           `json:"node"`         // number of the node; -1: not attributed to a node
+	ID   string        `json:"id,omitempty"` // of the client's attempt
 	What string        `json:"what"`
 }
 
@@ -41,61 +44,63 @@
 	return fmt.Sprintf("%8.3fs node %d: %s: %s %s", v.At.Seconds(), v.Node, v.Rule, v.What, v.ID)
 }
 
-// maxViolations bounds what is kept word for word; all are counted.
+// maxViolations is the number of violations that are recorded in full. Later ones are only counted.
 const maxViolations = 100
 
-// clientAttempt is one request of a client: a first one or a repeat, each with an id of its own.
+// clientAttempt is one attempt of a client: the first transmission of a request or a retry. Each attempt
+// has its own id.
 type clientAttempt struct {
 	id       string
-	arrival  int // number in the schedule
-	number   int // 0: the first attempt
-	node     int
+	arrival  int // index of the arrival in the schedule
+	number   int // number of the attempt; 0: the first one
+	node     int // number of the node to which the attempt is sent
 	method   string
 	target   string
 	body     string
-	sent     time.Duration // its last byte was written
-	deadline time.Duration
-	accepted bool
-	closed   bool
+	sent     time.Duration // time at which the last byte was written
+	deadline time.Duration // time until which the client waits
+	accepted bool          // the attempt was written completely to the node's connection
+	finished bool
 	upstream []upstreamAttempt
 }
 
-// upstreamAttempt is what a server knows of one attempt.
+// upstreamAttempt is one transmission of a client's attempt by the node to an app server.
 type upstreamAttempt struct {
-	server    string
-	neverRan  bool   // an answer told that it never ran
-	response  string // that the server made, "" before it has
-	overQuota bool
+	server    string // instance id
+	neverRan  bool   // the server rejected the attempt without running it
+	response  string // body of the server's response; "": no response yet
+	overQuota bool   // the tenant's quota was exhausted when the attempt was first sent upstream
 }
 
-// delivery is what a node was told of a server.
+// delivery is the latest information on an app server that a node has, or must have, received.
 type delivery struct {
 	state      lifecycle
-	at         time.Duration
-	knowsStart bool // it knows of the cold start
+	at         time.Duration // time from which the rules hold the node to this information
+	startKnown bool          // the entry contained the server's start time
 }
 
-// checker checks nodes against the rules. It is told by all sides and decides nothing else.
+// checker verifies the platform's rules. The clients, the app servers and the discovery agent report
+// events to it. Its methods are safe for concurrent use.
 type checker struct {
 	mu             sync.Mutex
 	scenario       *Scenario
 	schedule       *Schedule
 	attempts       map[string]*clientAttempt
 	quotas         []quota
-	delivered      []map[string]delivery // by node
-	work           map[string]map[int]float64
+	delivered      []map[string]delivery      // by node, then by instance id
+	work           map[string]map[int]float64 // core seconds sent, by instance id, then by node
 	records        []Record
 	violations     []Violation
 	violationCount map[string]int
-	slack          func(node int) time.Duration // what the machine did not give the node or the testbed
-	unitsInQuota   float64                      // units sent on inside quotas
-	unitsOverQuota float64
-	closed         int // requests whose new connection was closed with no answer
+	slack          func(node int) time.Duration // see environment.slack
+	unitsInQuota   float64                      // units sent upstream within quotas
+	unitsOverQuota float64                      // units sent upstream beyond quotas
+	closedNewConns int                          // attempts whose new connection was closed without a response
 }
 
-// closedPerRequests is how many requests may be told by the close of their new connection that there is no room: one
-// in so many.
-const closedPerRequests = 200
+// requestsPerClosedConn limits how often a node that has no room for an attempt may close its new connection
+// without a response: once per this number of scheduled requests.
+const requestsPerClosedConn = 200
 
 func newChecker(s *Scenario, d *Schedule) *checker {
 	r := &checker{
@@ -110,33 +115,34 @@
 		r.delivered = append(r.delivered, map[string]delivery{})
 	}
 	for i, a := range d.Arrivals {
-		c := &d.Tenants[a.Tenant]
-		p := s.Plans[c.Plan]
-		worth := s.Classes[a.Class].PriorityWeight * p.WeightFactor * a.Units
+		tenant := &d.Tenants[a.Tenant]
+		p := s.Plans[tenant.Plan]
+		value := s.Classes[a.Class].PriorityWeight * p.WeightFactor * a.Units
 		q := &r.quotas[a.Tenant]
 		q.offered = math.Min(q.offered+p.Rate*(a.At-q.offeredAt).Seconds(), p.Burst)
 		q.offeredAt = a.At
-		rec := Record{Due: a.At, Node: a.Node, Class: a.Class, Plan: c.Plan, Value: worth}
+		rec := Record{Due: a.At, Node: a.Node, Class: a.Class, Plan: tenant.Plan, Value: value}
 		if q.offered >= a.Units {
 			q.offered -= a.Units
-			rec.OfferedValue = worth
+			rec.OfferedValue = value
 		} else {
-			rec.OfferedValue = worth * p.OverQuotaValue
+			rec.OfferedValue = value * p.OverQuotaValue
 		}
 		r.records[i] = rec
 	}
 	return r
 }
 
-// violate books a broken rule. Called under the mutex.
-func (r *checker) violate(at time.Duration, rule string, node int, id, format string, args ...any) {
+// recordViolation counts a violation of a rule and records it, up to maxViolations. The caller holds r.mu.
+func (r *checker) recordViolation(at time.Duration, rule string, node int, id, format string, args ...any) {
 	r.violationCount[rule]++
 	if len(r.violations) < maxViolations {
 		r.violations = append(r.violations, Violation{at, rule, node, id, fmt.Sprintf(format, args...)})
 	}
 }
 
-// attemptStarted books an attempt as its client sets about it.
+// attemptStarted registers an attempt before its client connects. For a first attempt, it also records how
+// late the load generator is.
 func (r *checker) attemptStarted(t *clientAttempt, at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -148,7 +154,8 @@
 	}
 }
 
-// attemptSent books that the last byte of an attempt was written.
+// attemptSent records that the last byte of an attempt was written. From then on the node counts as having
+// accepted the attempt.
 func (r *checker) attemptSent(t *clientAttempt, at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -158,18 +165,19 @@
 	}
 }
 
-// attemptAnswered judges the final answer of an attempt and books it. It may be late only where the node was kept from answering.
+// attemptAnswered checks and records the final response to an attempt. The response may be late only if the
+// node could not respond all the time (answerable is false).
 func (r *checker) attemptAnswered(t *clientAttempt, at time.Duration, status int, body string, answerable bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if t.closed {
-		r.violate(at, RuleLost, t.node, t.id, "a second final answer")
+	if t.finished {
+		r.recordViolation(at, RuleLost, t.node, t.id, "second final response")
 		return
 	}
-	t.closed = true
+	t.finished = true
 	rec := &r.records[t.arrival]
 	if limit := t.deadline + answerSlack + socketSlack + r.slack(t.node); answerable && at > limit {
-		r.violate(at, RuleLost, t.node, t.id, "answered %v after its deadline", (at - t.deadline).Round(time.Millisecond))
+		r.recordViolation(at, RuleLost, t.node, t.id, "response %v after the deadline", (at - t.deadline).Round(time.Millisecond))
 	}
 	switch status {
 	case 200:
@@ -181,7 +189,7 @@
 			}
 		}
 		if !own {
-			r.violate(at, RuleOwn, t.node, t.id, "served %q, which no app server made for it", clip(body))
+			r.recordViolation(at, RuleWrongResponse, t.node, t.id, "served %q, which no app server produced for this request", clip(body))
 			rec.Failed++
 			return
 		}
@@ -194,7 +202,7 @@
 		if r.scenario.Classes[rec.Class].NonIdempotent {
 			for _, a := range t.upstream {
 				if !a.neverRan {
-					r.violate(at, RuleTwice, t.node, t.id, "rejected as harmless to try again, and may have run at %s", a.server)
+					r.recordViolation(at, RuleDuplicate, t.node, t.id, "rejected as safe to retry, but may have run at %s", a.server)
 					break
 				}
 			}
@@ -207,22 +215,24 @@
 	}
 }
 
-// noResponse says why an attempt ended with no response. The zero value is one whose node could not be reached or could
-// not answer.
+// noResponse describes why an attempt ended without a response. The zero value is an attempt whose node could
+// not be reached or could not respond.
 type noResponse struct {
-	answerable    bool // the node could answer all the time
-	closedNewConn bool // it was the first attempt on its connection, and the node closed that
-	why           string
+	answerable    bool   // the node could respond from the time of sending on
+	closedNewConn bool   // the node closed the connection, and the attempt was the first on it
+	reason        string // error that the client got
 }
 
-// attemptUnanswered books that an attempt ended with no response, which is a violation where the node could give one.
+// attemptUnanswered records that an attempt ended without a response. This violates RuleLost if the node
+// accepted the attempt and could respond. The node may close a limited number of new connections
+// without a response, see requestsPerClosedConn.
 func (r *checker) attemptUnanswered(t *clientAttempt, at time.Duration, end noResponse) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if t.closed {
+	if t.finished {
 		return
 	}
-	t.closed = true
+	t.finished = true
 	rec := &r.records[t.arrival]
 	rec.Failed++
 	if !t.accepted {
@@ -233,48 +243,49 @@
 		return
 	}
 	if end.closedNewConn && len(t.upstream) == 0 {
-		if r.closed++; r.closed*closedPerRequests <= len(r.schedule.Arrivals) {
+		if r.closedNewConns++; r.closedNewConns*requestsPerClosedConn <= len(r.schedule.Arrivals) {
 			return
 		}
 	}
-	r.violate(at, RuleLost, t.node, t.id, "no answer: %s", end.why)
+	r.recordViolation(at, RuleLost, t.node, t.id, "no response: %s", end.reason)
 }
 
-// upstreamArrived books an attempt whose last byte has come to a server. It returns the attempt and the
-// attempt's number; ok is false for an id that no client sent.
+// upstreamArrived records that an app server has received an attempt completely. It returns the client's
+// attempt and the index of the new entry in its upstream list. ok is false if no client sent a request with
+// this id or if the request was changed.
 func (r *checker) upstreamArrived(server, id, method, target, body string, at time.Duration) (t *clientAttempt, attempt int, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t = r.attempts[id]
 	if t == nil {
-		r.violate(at, RuleForeign, -1, id, "%s got a request that no client sent", server)
+		r.recordViolation(at, RuleForeignRequest, -1, id, "%s received a request that no client sent", server)
 		return nil, 0, false
 	}
 	if method != t.method || target != t.target || body != t.body {
-		r.violate(at, RuleForeign, t.node, id, "%s got it as %s %s", server, method, clip(target))
+		r.recordViolation(at, RuleForeignRequest, t.node, id, "%s received a changed request: %s %s", server, method, clip(target))
 		return nil, 0, false
 	}
 	rec := &r.records[t.arrival]
 	if r.scenario.Classes[rec.Class].NonIdempotent {
 		for _, a := range t.upstream {
 			if !a.neverRan {
-				r.violate(at, RuleTwice, t.node, id, "sent to %s, and may have run at %s", server, a.server)
+				r.recordViolation(at, RuleDuplicate, t.node, id, "sent to %s, but may have run at %s", server, a.server)
 				break
 			}
 		}
 	}
-	if k := r.delivered[t.node][server]; k.state == lifecycleDraining || k.state == lifecycleRemoved {
-		if limit := k.at + drainGrace + socketSlack + r.slack(t.node); at > limit {
-			r.violate(at, RuleDrain, t.node, id, "%s was told to be %s %v before", server, k.state, (at - k.at).Round(time.Millisecond))
+	if d := r.delivered[t.node][server]; d.state == lifecycleDraining || d.state == lifecycleRemoved {
+		if limit := d.at + drainGrace + socketSlack + r.slack(t.node); at > limit {
+			r.recordViolation(at, RuleDrain, t.node, id, "%s has been listed as %s for %v", server, d.state, (at - d.at).Round(time.Millisecond))
 		}
 	}
-	beyond := false
+	overQuota := false
 	if len(t.upstream) == 0 {
-		beyond = r.chargeUnits(t, at)
+		overQuota = r.chargeUnits(t, at)
 	} else {
-		beyond = t.upstream[0].overQuota
+		overQuota = t.upstream[0].overQuota
 	}
-	t.upstream = append(t.upstream, upstreamAttempt{server: server, overQuota: beyond})
+	t.upstream = append(t.upstream, upstreamAttempt{server: server, overQuota: overQuota})
 	w := r.work[server]
 	if w == nil {
 		w = map[int]float64{}
@@ -284,76 +295,79 @@
 	return t, len(t.upstream) - 1, true
 }
 
-// upstreamRejected books an answer that tells that the attempt never ran.
+// upstreamRejected records that the app server responds that the attempt never ran.
 func (r *checker) upstreamRejected(t *clientAttempt, attempt int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t.upstream[attempt].neverRan = true
 }
 
-// entryDelivered books that a node's agent has written an entry of the list.
-func (r *checker) entryDelivered(node int, server string, state lifecycle, at time.Duration, started bool) {
+// entryDelivered records that a node's agent has sent an entry of the list, or that the entry counts as sent
+// from the given time on. startKnown reports whether the entry contains the server's start time.
+func (r *checker) entryDelivered(node int, server string, state lifecycle, at time.Duration, startKnown bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if k, ok := r.delivered[node][server]; ok && k.state == state && k.knowsStart == started && k.at <= at {
-		return // the grace counts from the first time
+	if d, ok := r.delivered[node][server]; ok && d.state == state && d.startKnown == startKnown && d.at <= at {
+		return // the grace period counts from the first delivery
 	}
-	r.delivered[node][server] = delivery{state, at, started}
+	r.delivered[node][server] = delivery{state, at, startKnown}
 }
 
-// snapshotDelivered books that a node was sent a whole list: what is not in it is gone.
+// snapshotDelivered records that a node was sent the full list. Servers that are not listed count as removed.
 func (r *checker) snapshotDelivered(node int, listed map[string]bool, at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for server, k := range r.delivered[node] {
-		if !listed[server] && k.state != lifecycleRemoved {
-			r.delivered[node][server] = delivery{lifecycleRemoved, at, k.knowsStart}
+	for server, d := range r.delivered[node] {
+		if !listed[server] && d.state != lifecycleRemoved {
+			r.delivered[node][server] = delivery{lifecycleRemoved, at, d.startKnown}
 		}
 	}
 }
 
-// serverOverloaded books that a cold server was overloaded to failure. The rule is broken if most of the work came
-// from nodes that knew of its start.
+// serverOverloaded records that a server was overloaded to failure during slow start. This violates RuleCold
+// if at least informedWorkShare of its work came from nodes that knew of its start.
 func (r *checker) serverOverloaded(server string, at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	knew, all := 0.0, 0.0
+	informed, total := 0.0, 0.0
 	for node, w := range r.work[server] {
-		all += w
-		if r.delivered[node][server].knowsStart {
-			knew += w
+		total += w
+		if r.delivered[node][server].startKnown {
+			informed += w
 		}
 	}
-	if all > 0 && knew/all >= knowingShare {
-		r.violate(at, RuleCold, -1, "", "%s fell over, %.0f%% of its work from nodes told of its start", server, 100*knew/all)
+	if total > 0 && informed/total >= informedWorkShare {
+		r.recordViolation(at, RuleCold, -1, "", "%s was overloaded to failure, %.0f%% of its work from nodes that knew of its start", server, 100*informed/total)
 	}
 }
 
-// openAttempts lists the attempts that were taken and have no answer yet.
+// openAttempts returns the number of attempts that a node has accepted and not yet answered.
 func (r *checker) openAttempts() (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, t := range r.attempts {
-		if t.accepted && !t.closed {
+		if t.accepted && !t.finished {
 			n++
 		}
 	}
 	return n
 }
 
-// verdict returns what was broken, by rule, and the first violations in order of time.
+// verdict returns the number of violations by rule, and the recorded violations in order of time.
 func (r *checker) verdict() (map[string]int, []Violation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	broken := map[string]int{}
-	for k, n := range r.violationCount {
-		broken[k] = n
+	counts := map[string]int{}
+	for rule, n := range r.violationCount {
+		counts[rule] = n
 	}
 	v := append([]Violation(nil), r.violations...)
 	sort.SliceStable(v, func(a, b int) bool { return v[a].At < v[b].At })
-	return broken, v
+	return counts, v
 }
 
+// clip shortens a text to 40 bytes for use in a message.
+
 func clip(s string) string {
 	if len(s) > 40 {
 		return s[:40] + "…"
--- a/internal/testbed/checker_quota.go
+++ b/internal/testbed/checker_quota.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// quota is the truth of one tenant's stores.
+// quota is the exact state of one tenant's token buckets over the whole fleet.
 type quota struct {
-	at                      time.Duration
+	at                      time.Duration // time of the last refill
 	tokens, hardLimitTokens float64
-	offered                 float64 // of one node that saw all first attempts
+	offered                 float64 // tokens of the quota bucket if a single node admitted all first attempts
 	offeredAt               time.Duration
 }
 
-// refill brings a tenant's stores to a time. Called under the mutex.
-func (r *checker) refill(customer int, at time.Duration) *quota {
-	q, p := &r.quotas[customer], r.scenario.Plans[r.schedule.Tenants[customer].Plan]
+// refill refills a tenant's buckets up to the given time. The caller holds r.mu.
+func (r *checker) refill(tenant int, at time.Duration) *quota {
+	q, p := &r.quotas[tenant], r.scenario.Plans[r.schedule.Tenants[tenant].Plan]
 	if dt := (at - q.at).Seconds(); dt > 0 {
 		q.tokens = math.Min(q.tokens+p.Rate*dt, p.Burst)
 		q.hardLimitTokens = math.Min(q.hardLimitTokens+p.HardLimitRate*dt, p.HardLimitBurst)
@@ -24,13 +24,13 @@
 	return q
 }
 
-// chargeUnits takes an attempt's units from its tenant's stores as it is first sent on, and tells
-// whether it is beyond the quota. Called under the mutex.
-func (r *checker) chargeUnits(t *clientAttempt, at time.Duration) (beyond bool) {
+// chargeUnits charges an attempt's units to its tenant's buckets when the attempt first reaches an app
+// server. It reports whether the attempt is beyond the quota. The caller holds r.mu.
+func (r *checker) chargeUnits(t *clientAttempt, at time.Duration) (overQuota bool) {
 	a := &r.schedule.Arrivals[t.arrival]
 	p := r.scenario.Plans[r.schedule.Tenants[a.Tenant].Plan]
 	q := r.refill(a.Tenant, at)
-	if beyond = q.tokens < a.Guess; beyond {
+	if overQuota = q.tokens < a.Guess; overQuota {
 		r.unitsOverQuota += a.Guess
 	} else {
 		q.tokens -= a.Guess
@@ -38,24 +38,24 @@
 	}
 	if p.HardLimitRate > 0 {
 		q.hardLimitTokens -= a.Guess
-		// Attempts that two nodes sent within the lag may arrive in either order.
-		lag := (ceilingLag + r.slack(t.node)).Seconds()
+		// Attempts that two nodes send within the lag may arrive in either order.
+		lag := (hardLimitLag + r.slack(t.node)).Seconds()
 		if slack := p.HardLimitSlack + p.HardLimitRate*lag; q.hardLimitTokens < -slack {
-			r.violate(at, RuleCeiling, t.node, t.id, "customer %016x is %.0f units below its ceiling's store", r.schedule.Tenants[a.Tenant].ID, -q.hardLimitTokens)
+			r.recordViolation(at, RuleHardLimit, t.node, t.id, "tenant %016x exceeds its hard limit by %.0f units", r.schedule.Tenants[a.Tenant].ID, -q.hardLimitTokens)
 		}
 	}
-	return beyond
+	return overQuota
 }
 
-// responseMade books the answer that a server made, before its first byte is written, and the
-// settlement of its units.
+// responseMade records the response of an app server, before its first byte is written. If the attempt is
+// within the quota, it replaces the estimated units by the actual ones in the tenant's bucket.
 func (r *checker) responseMade(t *clientAttempt, attempt int, body string, at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	truth := &t.upstream[attempt]
-	truth.response = body
+	u := &t.upstream[attempt]
+	u.response = body
 	a := &r.schedule.Arrivals[t.arrival]
-	if !truth.overQuota {
+	if !u.overQuota {
 		q := r.refill(a.Tenant, at)
 		q.tokens = math.Min(q.tokens+a.Guess-a.Units, r.scenario.Plans[r.schedule.Tenants[a.Tenant].Plan].Burst)
 	}
--- a/internal/testbed/checker_test.go
+++ b/internal/testbed/checker_test.go
@@ -23,13 +23,14 @@
 	"opalhook/internal/testnet"
 )
 
-// standIn names the variable that makes the test binary a node: a plain proxy that is
-// correct, or wrong in the one way that its value names.
-const standIn = "OPALHOOK_LAB_STAND_IN"
+// standInEnv is the environment variable that makes the test binary act as an edge node, a simple proxy. Its
+// value selects the proxy's defect: "correct" for none, or one of the defects in
+// TestCheckerFindsEachViolation.
+const standInEnv = "OPALHOOK_LAB_STAND_IN"
 
 func TestMain(m *testing.M) {
-	if how := os.Getenv(standIn); how != "" {
-		if err := newStandIn(how).run(); err != nil {
+	if defect := os.Getenv(standInEnv); defect != "" {
+		if err := newStandIn(defect).run(); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -38,20 +39,23 @@
 	os.Exit(m.Run())
 }
 
-// proxy is the stand-in: it sends each request to one server after another, once.
-type proxy struct {
-	how  string
-	cfg  nodeConfig
-	mu   sync.Mutex
-	list map[string]Entry
-	next atomic.Int64
-	last atomic.Value // body of the answer before
+// standInProxy is a minimal edge node. It sends each request once, to the servers in turn, unless its defect
+// makes it behave differently.
+type standInProxy struct {
+	defect string
+	cfg    nodeConfig
+	mu     sync.Mutex
+	list   map[string]Entry
+	next   atomic.Int64
+	last   atomic.Value // body of the previous response
 }
 
-func newStandIn(how string) *proxy { return &proxy{how: how, list: map[string]Entry{}} }
+func newStandIn(defect string) *standInProxy {
+	return &standInProxy{defect: defect, list: map[string]Entry{}}
+}
 
-func (p *proxy) run() error {
-	if p.how == "dies" {
+func (p *standInProxy) run() error {
+	if p.defect == "dies" {
 		return errors.New("the stand-in can't be configured")
 	}
 	text, err := os.ReadFile(os.Getenv("PROXY_CONFIG"))
@@ -61,7 +65,7 @@
 	if err := json.Unmarshal(text, &p.cfg); err != nil {
 		return err
 	}
-	p.take(p.cfg.Known)
+	p.apply(p.cfg.Known)
 	go p.watch()
 	ln, err := net.Listen("tcp", p.cfg.Listen)
 	if err != nil {
@@ -72,7 +76,7 @@
 	signal.Notify(signals, syscall.SIGTERM)
 	go func() {
 		for range signals {
-			if p.how != "stays" {
+			if p.defect != "stays" {
 				os.Exit(0)
 			}
 		}
@@ -80,7 +84,7 @@
 	return srv.Serve(ln)
 }
 
-func (p *proxy) watch() {
+func (p *standInProxy) watch() {
 	for ; ; time.Sleep(10 * ms) {
 		resp, err := http.Get("http://" + p.cfg.Discovery + "/registry/instances?watch=1&from=0")
 		if err != nil {
@@ -89,18 +93,18 @@
 		for lines := bufio.NewScanner(resp.Body); lines.Scan(); {
 			var m listMessage
 			if json.Unmarshal(lines.Bytes(), &m) == nil {
-				p.take(m)
+				p.apply(m)
 			}
 		}
 		_ = resp.Body.Close()
 	}
 }
 
-func (p *proxy) take(m listMessage) {
+func (p *standInProxy) apply(m listMessage) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, e := range m.Instances {
-		if e.Lifecycle != lifecycleUp && p.how != "ignores drains" {
+		if e.Lifecycle != lifecycleUp && p.defect != "ignores drains" {
 			delete(p.list, e.InstanceID)
 			continue
 		}
@@ -108,54 +112,56 @@
 	}
 }
 
-// pick chooses the next server, or a cold one only for the one that crowds it.
-func (p *proxy) pick() string {
+// pick returns the address of the next server. The defects "crowds cold servers" and "ignores drains" prefer
+// a server in slow start and a draining server.
+func (p *standInProxy) pick() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	ids := sortedKeys(p.list)
 	for _, id := range ids {
-		if p.how == "crowds cold servers" && p.list[id].StartedAtMs > 0 {
+		if p.defect == "crowds cold servers" && p.list[id].StartedAtMs > 0 {
 			return p.list[id].HostPort
 		}
-		if p.how == "ignores drains" && p.list[id].Lifecycle == lifecycleDraining {
+		if p.defect == "ignores drains" && p.list[id].Lifecycle == lifecycleDraining {
 			return p.list[id].HostPort
 		}
 	}
 	return p.list[ids[int(p.next.Add(1))%len(ids)]].HostPort
 }
 
-func (p *proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (p *standInProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/health/ready" {
 		return
 	}
 	body, _ := io.ReadAll(r.Body)
 	id := r.Header.Get("X-Trace-Id")
 	switch {
-	case p.how == "loses" && strings.HasSuffix(id, "5"): // also when it comes again: the node may have closed a connection at rest
+	// The client resends a request if a reused connection is closed, so the stand-in fails every copy.
+	case p.defect == "loses" && strings.HasSuffix(id, "5"):
 		panic(http.ErrAbortHandler)
-	case p.how == "answers late":
+	case p.defect == "answers late":
 		time.Sleep(3 * time.Second)
-	case p.how == "changes requests":
+	case p.defect == "changes requests":
 		id = "made-up"
 	}
 	status, answer, err := p.send(r, id, string(body))
-	if p.how == "sends twice" || err != nil && p.how == "tries again" {
+	if p.defect == "sends twice" || err != nil && p.defect == "tries again" {
 		status, answer, err = p.send(r, id, string(body))
 	}
-	if p.how == "calls it harmless" && r.Method == "POST" {
+	if p.defect == "calls it harmless" && r.Method == "POST" {
 		status = 503
 	}
 	if err != nil {
 		status = 502
 	}
-	if before, ok := p.last.Swap(answer).(string); ok && p.how == "swaps answers" && before != "" {
-		answer = before
+	if previous, ok := p.last.Swap(answer).(string); ok && p.defect == "swaps answers" && previous != "" {
+		answer = previous
 	}
 	w.WriteHeader(status)
-	_, _ = io.WriteString(w, answer) // a client that is gone is the load's matter
+	_, _ = io.WriteString(w, answer) // fails if the client has disconnected
 }
 
-func (p *proxy) send(r *http.Request, id, body string) (int, string, error) {
+func (p *standInProxy) send(r *http.Request, id, body string) (int, string, error) {
 	c, err := net.Dial("tcp", p.pick())
 	if err != nil {
 		return 502, "", err
@@ -173,7 +179,7 @@
 	return resp.StatusCode, string(answer), err
 }
 
-// small is a scenario that ends soon.
+// small returns a short scenario with two nodes, four servers and a low rate.
 func small(name string) *Scenario {
 	s := defaults()
 	s.Name, s.Duration = name, Duration(2*time.Second)
@@ -183,13 +189,14 @@
 	return &s
 }
 
-func play(t *testing.T, s *Scenario, how string) (*Result, error) {
+// runStandIn runs a scenario with stand-ins that have the given defect.
+func runStandIn(t *testing.T, s *Scenario, defect string) (*Result, error) {
 	t.Helper()
-	return Run(t.Context(), s, Options{Seed: 3, Binary: os.Args[0], Env: []string{standIn + "=" + how}, Dir: t.TempDir(), Log: slog.New(slog.DiscardHandler)})
+	return Run(t.Context(), s, Options{Seed: 3, Binary: os.Args[0], Env: []string{standInEnv + "=" + defect}, Dir: t.TempDir(), Log: slog.New(slog.DiscardHandler)})
 }
 
-// The checker catches a node that breaks a rule, each of them, and nothing in one that keeps
-// them.
+// For each rule, the checker reports a violation by a node that violates it. It reports no violation by a
+// correct node.
 func TestCheckerFindsEachViolation(t *testing.T) {
 	change := func(f func(s *Scenario)) func(*Scenario) { return f }
 	drains := change(func(s *Scenario) {
@@ -197,36 +204,36 @@
 		s.Faults = []Fault{{At: Duration(100 * ms), Kind: "drain", Count: 1}}
 	})
 	for _, c := range []struct {
-		how, rule string
-		change    func(*Scenario)
+		defect, rule string
+		change       func(*Scenario)
 	}{
 		{"correct", "", drains},
 		{"loses", RuleLost, nil},
 		{"answers late", RuleLost, nil},
-		{"sends twice", RuleTwice, nil},
-		{"tries again", RuleTwice, func(s *Scenario) {
+		{"sends twice", RuleDuplicate, nil},
+		{"tries again", RuleDuplicate, func(s *Scenario) {
 			s.Faults = []Fault{{Kind: "reset", Share: 1, Size: 0.3}}
 		}},
-		{"calls it harmless", RuleTwice, nil},
+		{"calls it harmless", RuleDuplicate, nil},
 		{"ignores drains", RuleDrain, drains},
 		{"crowds cold servers", RuleCold, func(s *Scenario) {
 			s.Duration, s.Load.WorkMS, s.Load.Rate = Duration(4*time.Second), 100, 150
 			s.Faults = []Fault{{At: Duration(200 * ms), Kind: "replace", Count: 1}}
 		}},
-		{"correct", RuleCeiling, func(s *Scenario) { // it knows of no quota
-			s.Duration, s.Load.Rate = Duration(12*time.Second), 30 // longer than a busy machine's slack
+		{"correct", RuleHardLimit, func(s *Scenario) { // the stand-in enforces no quotas
+			s.Duration, s.Load.Rate = Duration(12*time.Second), 30 // longer than the slack of a busy machine
 			s.Load.Bursts = []Burst{{Times: 20}}
 		}},
-		{"swaps answers", RuleOwn, nil},
-		{"changes requests", RuleForeign, nil},
+		{"swaps answers", RuleWrongResponse, nil},
+		{"changes requests", RuleForeignRequest, nil},
 	} {
-		t.Run(c.how+" "+c.rule, func(t *testing.T) {
+		t.Run(c.defect+" "+c.rule, func(t *testing.T) {
 			t.Parallel()
-			s := small(c.how)
+			s := small(c.defect)
 			if c.change != nil {
 				c.change(s)
 			}
-			r, err := play(t, s, c.how)
+			r, err := runStandIn(t, s, c.defect)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -234,16 +241,16 @@
 				t.Errorf("broken rules %v, want %q; %v", r.Broken, c.rule, r.Violations)
 			}
 			if r.OK() != (c.rule == "") {
-				t.Errorf("the run passed: %v", r.OK())
+				t.Errorf("Result.OK returned %v, want %v", r.OK(), c.rule == "")
 			}
 		})
 	}
 }
 
-// A child that dies before it is ready is told with its log; one that ignores SIGTERM is ended
-// all the same.
-func TestUnrulyChildren(t *testing.T) {
-	if _, err := play(t, small("dies"), "dies"); err == nil || !strings.Contains(err.Error(), "can't be configured") {
+// If a node's process ends before it is ready, the error contains its log. A process that ignores SIGTERM is
+// killed, and does not count as crashed.
+func TestProcessThatFailsToStartOrStop(t *testing.T) {
+	if _, err := runStandIn(t, small("dies"), "dies"); err == nil || !strings.Contains(err.Error(), "can't be configured") {
 		t.Errorf("error %v does not show the log", err)
 	}
 	p, err := startChild(t, "stays")
@@ -252,12 +259,12 @@
 	}
 	p.stop(50 * ms)
 	if p.crashed() {
-		t.Error("a child that was told to end counts as crashed")
+		t.Error("a process that was stopped counts as crashed")
 	}
 }
 
-// startChild starts the stand-in as a lone process that is ready.
-func startChild(t *testing.T, how string) (*process, error) {
+// startChild starts a stand-in without a run, and waits until it is ready.
+func startChild(t *testing.T, defect string) (*process, error) {
 	t.Helper()
 	dir := t.TempDir()
 	addr := testnet.FreeAddr(t)
@@ -271,7 +278,7 @@
 	}
 	st := newStarter()
 	t.Cleanup(st.stop)
-	p, err := startProcess(st, dir, "child", os.Args[0], nodeNiceness, []string{standIn + "=" + how, "PROXY_CONFIG=" + cfg})
+	p, err := startProcess(st, dir, "child", os.Args[0], nodeNiceness, []string{standInEnv + "=" + defect, "PROXY_CONFIG=" + cfg})
 	if err != nil {
 		return nil, err
 	}
@@ -283,14 +290,14 @@
 		}
 		select {
 		case <-p.ended:
-			return nil, fmt.Errorf("ended: %w", p.err)
+			return nil, fmt.Errorf("the stand-in ended before it was ready: %w", p.err)
 		case <-time.After(5 * ms):
 		}
 	}
 }
 
-// An interrupt ends the run at once, with no process left.
-func TestInterruptLeavesNothing(t *testing.T) {
+// When its context is canceled, a run ends at once and leaves no process running.
+func TestCanceledRunLeavesNoProcess(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	s := small("interrupted")
 	s.Duration = Duration(time.Hour)
@@ -304,24 +311,24 @@
 		}
 	}
 	_, err := Run(ctx, s, Options{
-		Seed: 3, Binary: os.Args[0], Env: []string{standIn + "=correct"}, Dir: t.TempDir(),
+		Seed: 3, Binary: os.Args[0], Env: []string{standInEnv + "=correct"}, Dir: t.TempDir(),
 		Log: slog.New(slog.DiscardHandler), Live: live,
 	})
 	if !errors.Is(err, context.Canceled) {
-		t.Errorf("error %v", err)
+		t.Errorf("Run returned the error %v, want context.Canceled", err)
 	}
 	started := <-pids
 	if len(started) < 2 {
-		t.Fatalf("processes %v, want two nodes", started)
+		t.Fatalf("started processes %v, want those of two nodes", started)
 	}
 	for _, pid := range started {
 		if syscall.Kill(pid, 0) == nil {
-			t.Errorf("process %d is left", pid)
+			t.Errorf("process %d is still running", pid)
 		}
 	}
 }
 
-// children lists this process's children.
+// children returns the ids of the child processes of the test.
 func children(t *testing.T) (pids []int) {
 	paths, err := filepath.Glob("/proc/self/task/*/children")
 	if err != nil {
--- a/internal/testbed/control.go
+++ b/internal/testbed/control.go
@@ -16,7 +16,8 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// metrics shows a run while it goes. What is counted lies with its owners; a scrape reads it.
+// metrics exports the state of a run to Prometheus. It has no counters of its own: a scrape reads them from
+// the checker, the nodes and the servers.
 type metrics struct {
 	env        *environment
 	attempts   *prometheus.Desc
@@ -55,7 +56,7 @@
 		out <- prometheus.MustNewConstMetric(d, kind, x, labels...)
 	}
 	now := m.env.now()
-	ends := map[string]int{"served": 0, "refused": 0, "failed": 0, "unreached": 0}
+	outcomes := map[string]int{"served": 0, "refused": 0, "failed": 0, "unreached": 0}
 	h := newHistogram()
 	m.env.checker.mu.Lock()
 	for i := range m.env.checker.records {
@@ -63,11 +64,11 @@
 		if r.Due > now {
 			break
 		}
-		ends["refused"] += r.Rejected
-		ends["failed"] += r.Failed - r.Unreached
-		ends["unreached"] += r.Unreached
+		outcomes["refused"] += r.Rejected
+		outcomes["failed"] += r.Failed - r.Unreached
+		outcomes["unreached"] += r.Unreached
 		if r.Served {
-			ends["served"]++
+			outcomes["served"]++
 			record(h, r.Done-r.Due)
 		}
 	}
@@ -75,8 +76,8 @@
 		send(m.violations, prometheus.CounterValue, float64(n), rule)
 	}
 	m.env.checker.mu.Unlock()
-	for _, end := range sortedKeys(ends) {
-		send(m.attempts, prometheus.CounterValue, float64(ends[end]), end)
+	for _, outcome := range sortedKeys(outcomes) {
+		send(m.attempts, prometheus.CounterValue, float64(outcomes[outcome]), outcome)
 	}
 	send(m.open, prometheus.GaugeValue, float64(m.env.checker.openAttempts()))
 	quantiles := map[float64]float64{}
@@ -93,13 +94,14 @@
 	}
 	for _, s := range m.env.servers {
 		s.mu.Lock()
-		id, held := s.id, s.model.inFlight()
+		id, inFlight := s.id, s.model.inFlight()
 		s.mu.Unlock()
-		send(m.servers, prometheus.GaugeValue, float64(held), id)
+		send(m.servers, prometheus.GaugeValue, float64(inFlight), id)
 	}
 }
 
-// serveControl serves the run's metrics, and takes faults, at an address until the run ends.
+// serveControl serves the control address until the run ends: the run's metrics, and an endpoint that
+// injects faults.
 func (env *environment) serveControl(addr string) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -126,8 +128,8 @@
 	return nil
 }
 
-// handleFault begins a fault of a running scenario: the body is one as in a scenario file, in
-// JSON, with a target in place of a choice of targets.
+// handleFault injects a fault into the running scenario. The body is a [CommandedFault] in JSON. Its fields
+// have the same meaning as in a scenario file, except that it names a single target.
 func (env *environment) handleFault(rw http.ResponseWriter, r *http.Request) {
 	var c CommandedFault
 	d := json.NewDecoder(http.MaxBytesReader(rw, r.Body, 4096))
@@ -138,49 +140,50 @@
 	}
 	ft := Fault{Kind: c.Kind, Zone: c.Zone, Size: c.Size, Delay: c.Delay, Way: c.Way, From: c.From, To: c.To, Does: c.Does, For: c.For}
 	kind := faultKinds[ft.Kind]
-	most := map[faultTarget]int{faultsNodes: len(env.nodes), faultsServers: len(env.servers)}[kind.target]
+	targets := map[faultTarget]int{faultsNodes: len(env.nodes), faultsServers: len(env.servers)}[kind.target]
 	err := env.scenario.validateFault("fault.", &ft)
 	switch {
 	case err != nil:
 	case kind.relays && len(env.relays) == 0:
 		err = fieldErrorf("fault.kind", "%s wants links through relays, which this run has not: give its scenario a link fault", ft.Kind)
-	case most > 0 && (c.Target < 0 || c.Target >= most):
-		err = fieldErrorf("fault.target", "%d is not from 0 to %d", c.Target, most-1)
+	case targets > 0 && (c.Target < 0 || c.Target >= targets):
+		err = fieldErrorf("fault.target", "%d is not from 0 to %d", c.Target, targets-1)
 	}
 	if err != nil {
 		http.Error(rw, err.Error(), http.StatusBadRequest)
 		return
 	}
 	e := FaultEvent{At: env.now(), Target: c.Target}
-	if most == 0 {
+	if targets == 0 {
 		e.Target = -1
 	}
-	play := func(e FaultEvent) error {
+	inject := func(e FaultEvent) error {
 		env.lagMu.Lock()
 		env.commandedFaults = append(env.commandedFaults, FaultMark{env.now().Seconds(), ft.describe(e)})
 		env.lagMu.Unlock()
 		env.log.Info("fault injected by command", "fault", ft.describe(e))
 		return env.applyFault(&ft, e)
 	}
-	if err := play(e); err != nil {
+	if err := inject(e); err != nil {
 		http.Error(rw, err.Error(), http.StatusInternalServerError)
 		return
 	}
 	if ft.For > 0 {
 		env.after(time.Duration(ft.For), func() {
 			e.End = true
-			if err := play(e); err != nil {
+			if err := inject(e); err != nil {
 				env.fail(fmt.Errorf("fault %s: %w", ft.describe(e), err))
 			}
 		})
 	}
-	_, _ = fmt.Fprintln(rw, ft.describe(e)) // a caller that is gone needs no answer
+	_, _ = fmt.Fprintln(rw, ft.describe(e)) // fails if the caller has disconnected
 }
 
-// CommandedFault is a fault by command at run time.
+// CommandedFault is a fault that a command injects at run time. The fields are those of [Fault], but it has a
+// single target.
 type CommandedFault struct {
 	Kind   FaultKind `json:"kind"`
-	Target int       `json:"target"` // number of the node or server
+	Target int       `json:"target"` // number of the node or app server; ignored for kinds without a target
 	For    Duration  `json:"for"`
 	Zone   string    `json:"zone"`
 	Size   float64   `json:"size"`
@@ -191,7 +194,8 @@
 	Does   string    `json:"does"`
 }
 
-// InjectFault sends a fault to the run whose control address this is.
+// InjectFault injects a fault into the run with the given control address. It returns the run's
+// description of the fault. If the run rejects the fault, the error contains the run's reason.
 func InjectFault(ctx context.Context, addr string, c CommandedFault) (string, error) {
 	body, err := json.Marshal(c)
 	if err != nil {
@@ -208,7 +212,7 @@
 	defer func() { _ = resp.Body.Close() }()
 	text, err := io.ReadAll(io.LimitReader(resp.Body, 4096))
 	if err != nil {
-		return "", fmt.Errorf("answer: %w", err)
+		return "", fmt.Errorf("reading the run's response: %w", err)
 	}
 	if resp.StatusCode != http.StatusOK {
 		return "", errors.New(strings.TrimSpace(string(text)))
--- a/internal/testbed/control_test.go
+++ b/internal/testbed/control_test.go
@@ -11,18 +11,18 @@
 	"opalhook/internal/testnet"
 )
 
-// A run takes faults by command while it goes, shows itself to Prometheus, and turns down a
-// command that can't be with the field's name.
+// A running scenario accepts a fault by command and serves its metrics. It rejects an invalid fault with an
+// error that names the field.
 func TestFaultsByCommand(t *testing.T) {
 	addr := testnet.FreeAddr(t)
 	s := small("commanded")
 	var errs []error
-	asked := false
+	injected := false
 	live := func(Progress) {
-		if asked {
+		if injected {
 			return
 		}
-		asked = true
+		injected = true
 		for _, c := range []CommandedFault{{Kind: "slow", Target: 1, Size: 3, For: Duration(200 * ms)}, {Kind: "flood"}, {Kind: "slow", Target: 99, Size: 3}, {Kind: "cut-zone", Zone: "a"}} {
 			_, err := InjectFault(t.Context(), addr, c)
 			errs = append(errs, err)
@@ -34,25 +34,25 @@
 		}
 		defer func() { _ = resp.Body.Close() }()
 		if text, _ := io.ReadAll(resp.Body); !strings.Contains(string(text), "opalhook_lab_tries_total{outcome=\"served\"}") {
-			t.Errorf("metrics %.300s", text)
+			t.Errorf("no served attempts in the metrics: %.300s", text)
 		}
 	}
 	r, err := Run(t.Context(), s, Options{
-		Seed: 3, Binary: os.Args[0], Env: []string{standIn + "=correct"}, Dir: t.TempDir(), Control: addr,
+		Seed: 3, Binary: os.Args[0], Env: []string{standInEnv + "=correct"}, Dir: t.TempDir(), Control: addr,
 		Log: slog.New(slog.DiscardHandler), Live: live,
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(errs) != 4 || errs[0] != nil {
-		t.Fatalf("%v", errs)
+		t.Fatalf("errors of the commands: %v, want 4 with the first nil", errs)
 	}
 	for i, want := range []string{"", "fault.kind", "fault.target", "relays"} {
 		if i > 0 && (errs[i] == nil || !strings.Contains(errs[i].Error(), want)) {
-			t.Errorf("error %v, want %q", errs[i], want)
+			t.Errorf("error %v does not contain %q", errs[i], want)
 		}
 	}
 	if len(r.Marks) == 0 || r.Marks[0].What != "slow 1" {
-		t.Errorf("marks %v", r.Marks)
+		t.Errorf("marks %v, want \"slow 1\" first", r.Marks)
 	}
 }
--- a/internal/testbed/doc.go
+++ b/internal/testbed/doc.go
@@ -1,33 +1,39 @@
-// Package testbed runs real processes of this program under load and faults, plays the environment
-// around them, and judges what they did.
+// Package testbed runs real edge node processes under load and faults in an emulated environment,
+// and checks their behavior against the platform's rules.
 //
-// # The environment
+// # Environment
 //
-// Everything that an edge node meets is emulated from the platform's protocol, in the
-// testbed's own process and on loopback addresses: app servers ([model] is what one can do,
-// [appServer] its sockets), clients that ask in open loop ([loadGenerator]), the discovery agent on each
-// node's machine ([agent]), and the network between nodes and app servers and among nodes
-// ([tcpRelay], [udpRelay]). Edge nodes are real processes ([process]).
+// The testbed emulates everything that an edge node communicates with, according to the platform's
+// protocol. The emulation runs in the testbed's own process and uses loopback addresses:
 //
-// # What is decided where
+//   - app servers: [model] computes when requests finish, [appServer] handles the sockets,
+//   - clients that send open-loop load ([loadGenerator]),
+//   - the discovery agent on each node's machine ([agent]),
+//   - the network between clients, nodes, app servers and agents ([tcpRelay], [udpRelay]).
 //
-// A [Scenario] is a TOML file: the fleet, the load, a timeline of faults, and what is
-// expected. [Draw] makes a [Schedule] of it: every arrival with its tenant, class, units
-// and work, and every choice of a fault, from one seed and nothing else. Two runs of one
-// scenario and seed draw the same schedule, which its digest proves. [Run] plays it.
+// Edge nodes are real processes ([process]). A scenario can replace the emulated discovery service
+// by replicas of the project's own list service, which are real processes too ([listService]).
 //
-// # Judging
+// # Scenarios and schedules
 //
-// The [checker] is told by both sides: by the clients what was asked and answered, by the
-// app servers what arrived and ran, by the agent what each node was told. It holds the
-// node to the platform's rules; a violation is a fact of the run and never a matter of how
-// fast the machine is. Figures such as latency depend on the machine; only a scenario's
-// expect lines judge them.
+// A [Scenario] is a TOML file that describes the fleet, the load, a timeline of faults and the
+// expected results. [Draw] derives a [Schedule] from it: every arrival with its tenant, class, units
+// and work, and the targets of every fault. The schedule depends only on the scenario and the seed.
+// Two runs of one scenario and seed have the same schedule, which the schedule's digest shows.
+// [Run] executes a scenario.
+//
+// # Checks
+//
+// The [checker] collects events from all sides: requests and responses from the clients, arrivals
+// and executions from the app servers, and delivered lists from the agents. It reports violations of
+// the platform's rules. Its time limits are extended by the time in which the machine gave the
+// testbed or a node no CPU, so that violations do not depend on the speed of the machine. Figures
+// such as latency do depend on it; only the scenario's expect lines put bounds on them.
 //
 // # Time
 //
-// All times in the package are since the start of the run, on the monotonic clock. Latency
-// counts from when a request was due, not from when it could be sent: a generator that
-// falls behind does not flatter the nodes (coordinated omission). How late it was is a
-// figure of its own, and a run in which it was too late is marked.
+// All times in this package are relative to the start of the run, on the monotonic clock. Latency
+// counts from the time at which a request was due, not from the time at which it was sent. A load
+// generator that falls behind therefore does not make the nodes look faster (coordinated omission).
+// The generator's lateness is a figure of its own, and a run with too much lateness is marked.
 package testbed
--- a/internal/testbed/edge_node.go
+++ b/internal/testbed/edge_node.go
@@ -12,33 +12,33 @@
 	"time"
 )
 
-// edgeNode is an edge node and its process, if one runs.
+// edgeNode is an edge node and its current or last process.
 type edgeNode struct {
 	number       int
 	name         string
 	listen, peer string
-	clients      string // where clients connect: listen, or a relay to it
+	clientAddr   string // address to which clients connect: listen, or a relay to it
 
-	config    sync.Mutex    // a restart and a move may write the node's configuration at once
-	discovery string        // where the node finds its agent; under config
-	agent     *agent        // the same
-	movedAt   time.Duration // when it was told of another agent last; the same; 0: never
+	config    sync.Mutex    // guards the configuration file and the next three fields; faults are concurrent
+	discovery string        // address at which the node reaches its discovery agent
+	agent     *agent        // current discovery agent
+	movedAt   time.Duration // time of the last move to another agent; 0: never moved
 
 	mu           sync.Mutex
 	proc         *process
-	killedAt     time.Duration // last SIGKILL or crash; 0: none
-	dying        bool          // from SIGKILL until the process has ended
-	stopped      bool          // by SIGSTOP
-	resumedAt    time.Duration // last SIGCONT; 0: none
-	endedCPU     time.Duration // of processes that have ended
-	lastUsage    usage
-	peakMemory   int64
-	starved      time.Duration // within the last while, see sample
-	usageSamples []usage
+	killedAt     time.Duration // time of the last end by SIGKILL or a crash; 0: none
+	killing      bool          // from just before SIGKILL until the process has ended
+	stopped      bool          // stopped by SIGSTOP
+	resumedAt    time.Duration // time of the last SIGCONT; 0: none
+	endedCPU     time.Duration // CPU time of the node's processes that have ended
+	lastUsage    usage         // of the current process
+	peakMemory   int64         // largest resident memory of any of its processes, in bytes
+	starved      time.Duration // time without a core within the last samples, see environment.sample
+	usageSamples []usage       // latest samples of the current process
 }
 
-// startNode starts a node's process and waits until it is ready. One that ends before is
-// an error that shows its log.
+// startNode starts a node's process and waits until it is ready. If the process ends before that, the error
+// contains the end of its log.
 func (env *environment) startNode(n *edgeNode) error {
 	path, err := env.writeConfig(n)
 	if err != nil {
@@ -52,7 +52,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", n.name, err)
 	}
-	env.udp.join(n.number, peer)
+	env.udp.setNodeAddr(n.number, peer)
 	n.mu.Lock()
 	n.proc, n.lastUsage, n.usageSamples = p, usage{}, nil
 	n.mu.Unlock()
@@ -60,7 +60,7 @@
 	return env.awaitReady(n, p)
 }
 
-// awaitExit books the end of a node's process, and whether it crashed.
+// awaitExit waits for the end of a node's process and records whether it crashed.
 func (env *environment) awaitExit(n *edgeNode, p *process) {
 	select {
 	case <-env.over:
@@ -81,13 +81,14 @@
 	env.log.Error("node crashed", "node", n.name, "err", p.err, "log", tail(env.logPath(n)))
 }
 
-// readyPause is the time between two looks at a node that starts.
-const readyPause = 10 * time.Millisecond
+// readyPollInterval is the time between two readiness checks of a starting node.
+const readyPollInterval = 10 * time.Millisecond
 
-// awaitReady waits until a node answers that it is ready. It is no error where a fault or the run's end ended it.
+// awaitReady waits until a node reports that it is ready. It returns nil if a fault killed the process or if
+// the run ends first.
 func (env *environment) awaitReady(n *edgeNode, p *process) error {
 	client := &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for began := time.Now(); ; {
+	for start := time.Now(); ; {
 		if isReady(client, n.listen) {
 			return nil
 		}
@@ -99,15 +100,15 @@
 			return fmt.Errorf("%s ended before it was ready: %w\n%s", n.name, cmp.Or(p.err, errExitedWithoutError), tail(env.logPath(n)))
 		case <-env.over:
 			return nil
-		case <-time.After(readyPause):
+		case <-time.After(readyPollInterval):
 		}
-		if time.Since(began) > readyWithin {
+		if time.Since(start) > readyWithin {
 			return fmt.Errorf("%s is not ready after %v\n%s", n.name, readyWithin, tail(env.logPath(n)))
 		}
 	}
 }
 
-// isReady tells whether a node answers that it takes requests.
+// isReady reports whether a node's readiness check succeeds.
 func isReady(client *http.Client, addr string) bool {
 	resp, err := client.Get("http://" + addr + "/health/ready")
 	if err != nil {
@@ -117,18 +118,18 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// logPath is the file that takes what a node's processes write.
+// logPath returns the path of the file with the output of a node's processes.
 func (env *environment) logPath(n *edgeNode) string { return filepath.Join(env.dir, n.name+".log") }
 
-// startNodes starts all nodes, a few at a time.
+// startNodes starts all nodes, at most eight at a time.
 func (env *environment) startNodes() error {
 	errs := make([]error, len(env.nodes))
 	var all sync.WaitGroup
-	turn := make(chan struct{}, 8)
+	slots := make(chan struct{}, 8)
 	for i, n := range env.nodes {
 		all.Go(func() {
-			turn <- struct{}{}
-			defer func() { <-turn }()
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			errs[i] = env.startNode(n)
 		})
 	}
@@ -136,15 +137,15 @@
 	return errors.Join(errs...)
 }
 
-// process is the node's process, nil before the first.
+// process returns the node's current or last process, nil if none was started.
 func (n *edgeNode) process() *process {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.proc
 }
 
-// answerable tells whether the node could answer all the time since then: it lived, nobody had
-// stopped it, and its link to the clients was sound.
+// answerable reports whether the node could respond to clients during the whole time since the given time:
+// its process was alive and not stopped, and its link to the clients had no fault.
 func (env *environment) answerable(node int, since time.Duration) bool {
 	if r := env.relays[route{allClients, nodeParty(node)}]; r != nil && !r.healthySince(since) {
 		return false
@@ -152,10 +153,10 @@
 	n := env.nodes[node]
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return (n.killedAt == 0 || n.killedAt < since) && !n.dying && !n.stopped && (n.resumedAt == 0 || n.resumedAt < since)
+	return (n.killedAt == 0 || n.killedAt < since) && !n.killing && !n.stopped && (n.resumedAt == 0 || n.resumedAt < since)
 }
 
-// stall stops a node's process, or lets it go on.
+// stall stops a node's process with SIGSTOP, or resumes it with SIGCONT.
 func (env *environment) stall(n *edgeNode, stop bool) error {
 	n.mu.Lock()
 	p := n.proc
@@ -169,40 +170,40 @@
 	return p.signal(syscall.SIGCONT)
 }
 
-// kill ends a node's process with no chance to finish.
+// kill ends a node's process with SIGKILL and waits for its end.
 func (env *environment) kill(n *edgeNode) error {
 	n.mu.Lock()
 	p := n.proc
-	n.dying = true // what is sent from now on may meet a node that still takes it in
+	n.killing = true // the process may still accept requests until it ends, but need not answer them
 	n.mu.Unlock()
 	if err := p.signal(syscall.SIGKILL); err != nil {
 		return err
 	}
 	<-p.ended
 	n.mu.Lock()
-	n.killedAt, n.dying = env.now(), false
+	n.killedAt, n.killing = env.now(), false
 	n.mu.Unlock()
 	return nil
 }
 
-// restart is a planned restart: SIGTERM, and a new process once the old one has ended. One
-// that ignores the signal is killed in the end.
+// restart performs a planned restart: it sends SIGTERM and starts a new process once the old one has ended.
+// A process that does not end within the client deadline plus stopTimeout is killed.
 func (env *environment) restart(n *edgeNode) error {
 	p := n.process()
 	if err := p.signal(syscall.SIGTERM); err != nil {
 		return err
 	}
 	env.after(sigtermNotice, func() {
-		f := env.generator.nodes[n.number]
-		f.mu.Lock()
-		f.up = false
-		f.mu.Unlock()
+		target := env.generator.nodes[n.number]
+		target.mu.Lock()
+		target.up = false
+		target.mu.Unlock()
 	})
 	select {
 	case <-p.ended:
 	case <-env.over:
 		return nil
-	case <-time.After(time.Duration(env.scenario.Load.Deadline) + stopWithin):
+	case <-time.After(time.Duration(env.scenario.Load.Deadline) + stopTimeout):
 		env.log.Warn("node ignores SIGTERM, killing it", "node", n.name)
 		if err := env.kill(n); err != nil {
 			return err
@@ -211,8 +212,8 @@
 	return env.startNode(n)
 }
 
-// moveDiscovery gives a node another discovery agent and SIGHUP; the old agent takes no new watch and
-// ends the open ones a little later.
+// moveDiscovery starts another discovery agent for a node, writes its address to the node's configuration
+// and sends SIGHUP. The old agent is closed after oldAgentCloseDelay.
 func (env *environment) moveDiscovery(n *edgeNode) error {
 	a, err := startAgent(env.list, n.number, env.addresses.addr(3, n.number%250)+":0")
 	if err != nil {
@@ -225,6 +226,6 @@
 	if _, err := env.writeConfig(n); err != nil {
 		return err
 	}
-	env.after(oldAgentFor, old.close)
+	env.after(oldAgentCloseDelay, old.close)
 	return n.process().signal(syscall.SIGHUP)
 }
--- a/internal/testbed/environment.go
+++ b/internal/testbed/environment.go
@@ -11,32 +11,32 @@
 	"time"
 )
 
-// Bounds on what a run waits for. None is a verdict on a healthy machine.
+// Timeouts and intervals of a run. On a healthy machine the timeouts do not affect the result.
 const (
-	readyWithin = 60 * time.Second // a node is ready, also on a busy machine
-	stopWithin  = 15 * time.Second // a node ends after SIGTERM; then it is killed
-	oldAgentFor = 1500 * time.Millisecond
-	listsWithin = 10 * time.Second // all nodes are told of the last changes
-	lagTick     = 10 * time.Millisecond
+	readyWithin        = 60 * time.Second        // for a node to become ready, also on a busy machine
+	stopTimeout        = 15 * time.Second        // for a process to end after SIGTERM; then it is killed
+	oldAgentCloseDelay = 1500 * time.Millisecond // from a node's move to the end of its old discovery agent
+	listsWithin        = 10 * time.Second        // for all nodes to receive the latest changes of the list
+	lagTick            = 10 * time.Millisecond   // interval of the measurements of the testbed's own lag
 )
 
-// environment is one run: everything that plays in it and the clock.
+// environment is the state of one run: its clock, the emulated parties and the edge nodes.
 type environment struct {
 	scenario      *Scenario
 	schedule      *Schedule
 	seed          uint64
 	dir           string
 	nodeBinary    string
-	serviceBinary string // of the operators' command
-	nodeEnv       []string
+	serviceBinary string   // binary of the operators' command, which also runs the list service
+	nodeEnv       []string // added to the nodes' environment
 	log           *slog.Logger
 
-	origin time.Time     // of the monotonic clock
-	begun  atomic.Int64  // nanoseconds from the origin to the start of the schedule, once it has begun
-	over   chan struct{} // closed when the run ends
-	cancel context.CancelCauseFunc
+	origin time.Time               // creation of the environment, with a monotonic clock reading
+	begun  atomic.Int64            // nanoseconds from origin to the start of the schedule; 0: not started
+	over   chan struct{}           // closed when the run ends
+	cancel context.CancelCauseFunc // cancels ctx; the cause is an error of the testbed
 	ctx    context.Context
-	work   sync.WaitGroup
+	work   sync.WaitGroup // the run's goroutines
 
 	checker   *checker
 	list      *list
@@ -45,21 +45,22 @@
 	addresses *addressBlock
 	servers   []*appServer
 	nodes     []*edgeNode
-	relays    map[route]*tcpRelay // from one party to another; empty where links are direct
+	relays    map[route]*tcpRelay // by source and destination; empty if links are direct
 	generator *loadGenerator
 
-	ids *lockedRand
+	ids *lockedRand // instance ids and the nodes' seeds
 
+	// Counters of connections to app servers, calls of discovery, and app servers overloaded to failure.
 	connections, listCalls, overloadFailures atomic.Int64
-	crashes                                  atomic.Int64
-	commandedFaults                          []FaultMark // faults by command; under lagMu
-	memory                                   []float64   // by the second: the largest of a node, in MB; under lagMu
-	lagMu                                    sync.Mutex
-	lag                                      time.Duration // longest that the testbed itself stood still, of late
-	withheld                                 time.Duration // the most that slack has been
+	crashes                                  atomic.Int64  // edge node processes that crashed
+	commandedFaults                          []FaultMark   // faults injected by command; under lagMu
+	memory                                   []float64     // largest of a node by second, MB; under lagMu
+	lagMu                                    sync.Mutex    // guards also the next two fields
+	lag                                      time.Duration // longest recent pause of the testbed itself
+	withheld                                 time.Duration // largest slack of the run so far
 }
 
-// lockedRand draws numbers for many goroutines. What it draws is not part of the schedule.
+// lockedRand is a random source that is safe for concurrent use. Its numbers are not part of the schedule.
 type lockedRand struct {
 	mu  sync.Mutex
 	rng *rand.Rand
@@ -79,31 +80,31 @@
 
 func newEnvironment(ctx context.Context, s *Scenario, o Options) *environment {
 	ctx, cancel := context.WithCancelCause(ctx)
-	w := &environment{
+	env := &environment{
 		scenario: s, schedule: Draw(s, o.Seed), seed: o.Seed, dir: o.Dir, nodeBinary: o.Binary, serviceBinary: o.Service, nodeEnv: o.Env, log: o.Log, origin: time.Now(), over: make(chan struct{}),
 		ctx: ctx, cancel: cancel, relays: map[route]*tcpRelay{},
 		ids: &lockedRand{rng: random(o.Seed, streamServers)},
 	}
-	w.list = newList(w)
-	w.checker = newChecker(s, w.schedule)
-	w.checker.slack = w.slack
-	return w
+	env.list = newList(env)
+	env.checker = newChecker(s, env.schedule)
+	env.checker.slack = env.slack
+	return env
 }
 
-// now is the time since the start of the schedule.
+// now returns the time since the start of the schedule.
 func (env *environment) now() time.Duration {
 	return time.Since(env.origin) - time.Duration(env.begun.Load())
 }
 
-// wall is the clock's reading at a time of the run.
-func (env *environment) wall(at time.Duration) time.Time {
+// wallTime converts a time of the run to a [time.Time].
+func (env *environment) wallTime(at time.Duration) time.Time {
 	return env.origin.Add(time.Duration(env.begun.Load()) + at)
 }
 
-// fail ends the run: the testbed itself can't go on.
+// fail aborts the run because of an error of the testbed itself.
 func (env *environment) fail(err error) { env.cancel(err) }
 
-// sleep waits; it is false where the run ends first.
+// sleep waits for d. It returns false if the run ends first.
 func (env *environment) sleep(d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -115,10 +116,10 @@
 	}
 }
 
-// spawn runs f beside the run, which waits for its end.
+// spawn runs f in a goroutine. The run's end waits for f to return.
 func (env *environment) spawn(f func()) { env.work.Go(f) }
 
-// after runs f later, unless the run ends first.
+// after runs f after the delay d, unless the run ends first. Without a delay, it runs f before it returns.
 func (env *environment) after(d time.Duration, f func()) {
 	if d <= 0 {
 		f()
@@ -133,7 +134,7 @@
 	})
 }
 
-// build opens everything that the nodes will meet.
+// build starts the emulated environment: everything that the nodes communicate with.
 func (env *environment) build() (err error) {
 	if env.addresses, err = claimAddressBlock(); err != nil {
 		return err
@@ -145,7 +146,7 @@
 	if err := env.buildServers(); err != nil {
 		return err
 	}
-	if env.scenario.relayed() {
+	if env.scenario.needsRelays() {
 		if err := env.buildServerRelays(); err != nil {
 			return err
 		}
@@ -156,14 +157,15 @@
 		if err != nil {
 			return err
 		}
-		addrs = append(addrs, n.clients)
+		addrs = append(addrs, n.clientAddr)
 	}
 	env.generator = newLoadGenerator(env, addrs)
 	env.list.atStart, _ = env.list.since(0, true)
 	return nil
 }
 
-// buildServers opens the app servers, and before them the list service if one is to hold their list.
+// buildServers starts the app servers. If the scenario uses the project's list service, it starts that first
+// and waits until the service has accepted the servers.
 func (env *environment) buildServers() (err error) {
 	f := &env.scenario.Fleet
 	if f.ListReplicas > 0 {
@@ -180,12 +182,12 @@
 		env.list.publish(s.entry())
 	}
 	if env.list.service != nil && !env.list.service.awaitWritten() {
-		return errors.New("the list service does not take the first app servers")
+		return errors.New("the list service did not accept the initial app servers")
 	}
 	return nil
 }
 
-// buildServerRelays opens a relay between each node and each app server.
+// buildServerRelays starts a relay between each node and each app server.
 func (env *environment) buildServerRelays() error {
 	f := &env.scenario.Fleet
 	for n := range f.Nodes {
@@ -203,7 +205,8 @@
 	return nil
 }
 
-// buildNode opens what stands around one node: its agent, and its links to that and to the clients.
+// buildNode starts the environment of one node: its discovery agent and, if the scenario needs relays, its
+// links to the agent and to the clients.
 func (env *environment) buildNode(number int) (n *edgeNode, err error) {
 	n = &edgeNode{
 		number: number, name: fmt.Sprintf("n%d", number), listen: env.addresses.hostPort(1, number), peer: env.addresses.peerPort(1, number),
@@ -212,8 +215,8 @@
 		return nil, err
 	}
 	env.nodes = append(env.nodes, n)
-	n.clients, n.discovery = n.listen, n.agent.addr
-	if !env.scenario.relayed() {
+	n.clientAddr, n.discovery = n.listen, n.agent.addr
+	if !env.scenario.needsRelays() {
 		return n, nil
 	}
 	clients, node, agent := allClients, nodeParty(number), party{partyAgent, number}
@@ -223,11 +226,11 @@
 	); err != nil {
 		return nil, err
 	}
-	n.clients, n.discovery = env.relays[route{clients, node}].addr, env.relays[route{node, agent}].addr
+	n.clientAddr, n.discovery = env.relays[route{clients, node}].addr, env.relays[route{node, agent}].addr
 	return n, nil
 }
 
-// startRelay puts a relay between two parties.
+// startRelay starts a relay between two parties.
 func (env *environment) startRelay(from, to party, addr, target string) error {
 	r, err := startTCPRelay(env, env.seed, addr+":0", target, len(env.relays))
 	if err != nil {
@@ -237,8 +240,9 @@
 	return nil
 }
 
-// relayed tells whether the links between nodes and servers go through relays.
-func (s *Scenario) relayed() bool {
+// needsRelays reports whether the links of nodes to clients, app servers and agents go through relays. This
+// is so if a fault or the delay between zones needs them.
+func (s *Scenario) needsRelays() bool {
 	for _, ft := range s.Faults {
 		if faultKinds[ft.Kind].relays {
 			return true
@@ -247,23 +251,24 @@
 	return s.Fleet.CrossDelay > 0
 }
 
-// descriptors is about how many a run needs in the testbed's process: listeners, a connection for
-// each request that is open when answers take as long as they are wanted within, and what
-// nodes keep to servers.
+// descriptors estimates the number of file descriptors that a run needs in the testbed's process: for
+// listeners, for the requests in flight if responses take as long as the latency objective, and for the
+// connections of nodes to app servers.
 func (s *Scenario) descriptors() int {
 	f := &s.Fleet
-	most := 1.0
+	maxBurst := 1.0
 	for _, b := range s.Load.Bursts {
-		most = max(most, b.Times)
+		maxBurst = max(maxBurst, b.Times)
 	}
-	n := 200 + f.Nodes*4 + f.Servers*2 + int(2*most*s.Load.Rate*s.Load.LatencyObjective.s()) + f.Nodes*min(f.Servers, 60)
-	if s.relayed() {
+	n := 200 + f.Nodes*4 + f.Servers*2 + int(2*maxBurst*s.Load.Rate*s.Load.LatencyObjective.s()) + f.Nodes*min(f.Servers, 60)
+	if s.needsRelays() {
 		n += f.Nodes*f.Servers + 2*f.Nodes*min(f.Servers, 60)
 	}
 	return n
 }
 
-// addressedFor gives a message of the list the addresses at which the node reaches the servers.
+// addressedFor returns the message with the addresses at which the node reaches the servers: those of the
+// node's relays, if there are any.
 func (env *environment) addressedFor(node int, m listMessage) listMessage {
 	if len(env.relays) == 0 {
 		return m
@@ -276,25 +281,25 @@
 	return m
 }
 
-// recordDelivered books what a node was told.
+// recordDelivered records that a message of the list was delivered to a node now.
 func (env *environment) recordDelivered(node int, m listMessage) {
 	env.recordDeliveredAt(node, m, env.now())
 }
 
-// recordDeliveredAt books what counts as told to a node from a time on.
-func (env *environment) recordDeliveredAt(node int, m listMessage, now time.Duration) {
+// recordDeliveredAt records that a message of the list counts as delivered to a node from the given time on.
+func (env *environment) recordDeliveredAt(node int, m listMessage, at time.Duration) {
 	listed := map[string]bool{}
 	for _, e := range m.Instances {
 		listed[e.InstanceID] = true
-		env.checker.entryDelivered(node, e.InstanceID, e.Lifecycle, now, e.StartedAtMs > 0)
+		env.checker.entryDelivered(node, e.InstanceID, e.Lifecycle, at, e.StartedAtMs > 0)
 	}
 	if m.Reset {
-		env.checker.snapshotDelivered(node, listed, now)
+		env.checker.snapshotDelivered(node, listed, at)
 	}
 }
 
-// end stops everything: the run's processes first, then its sockets. It returns when nothing
-// of the run is left.
+// end stops the run: first the nodes' processes, then the emulated parties and the list service. When it
+// returns, no process, socket or goroutine of the run is left.
 func (env *environment) end() {
 	select {
 	case <-env.over:
@@ -305,7 +310,7 @@
 	var stops sync.WaitGroup
 	for _, n := range env.nodes {
 		if p := n.process(); p != nil {
-			stops.Go(func() { p.stop(stopWithin) })
+			stops.Go(func() { p.stop(stopTimeout) })
 		}
 	}
 	if env.generator != nil {
--- a/internal/testbed/link.go
+++ b/internal/testbed/link.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// LinkState is how one direction of a link is. The zero value is a link as it should be.
+// LinkState is the state of one direction of a link. The zero value is a link without faults.
 type LinkState struct {
-	Cut   bool          // nothing passes and nothing tells: open and mute
-	Delay time.Duration // of each packet, with up to half as much again
-	Loss  float64       // share of the packets lost; TCP sends them again
-	Rate  float64       // bytes a second; 0: no bound
+	Cut   bool          // data is dropped without an error; open connections stay open
+	Delay time.Duration // minimum delay of each chunk of data; up to half of it is added at random
+	Loss  float64       // fraction of the packets lost; on TCP, a loss delays the data by a retransmission
+	Rate  float64       // bytes per second; 0: unlimited
 }
 
-// runClock is the time of a run, and its goroutines.
+// runClock provides the time of a run and starts its goroutines.
 type runClock interface {
 	now() time.Duration
-	sleep(d time.Duration) bool // false where the run ends first
-	spawn(f func())             // f ends with the run
+	sleep(d time.Duration) bool // returns false if the run ends first
+	spawn(f func())             // the run's end waits for f to return
 }
 
-// Link is a relay for TCP by itself, between parties that a test names.
+// Link is a TCP relay for tests that need a link without a run of the testbed.
 type Link struct {
 	relay *tcpRelay
 	clock *linkClock
 }
 
-// linkClock is the [runClock] of a link that belongs to no run.
+// linkClock is the [runClock] of a [Link].
 type linkClock struct {
 	origin time.Time
 	over   chan struct{}
@@ -47,8 +47,8 @@
 	}
 }
 
-// NewLink opens a link to a target, at an address of its own; what it draws comes from the
-// seed.
+// NewLink starts a link to a target address, on a loopback port that the kernel chooses. The seed determines
+// the random delays and losses.
 func NewLink(target string, seed uint64) (*Link, error) {
 	l := &Link{clock: &linkClock{origin: time.Now(), over: make(chan struct{})}}
 	var err error
@@ -56,19 +56,19 @@
 	return l, err
 }
 
-// Addr is where to connect instead of to the target.
+// Addr returns the address to connect to instead of the target.
 func (l *Link) Addr() string {
 	l.relay.mu.Lock()
 	defer l.relay.mu.Unlock()
 	return l.relay.addr
 }
 
-// Set changes both directions: there is from who connects to the target.
-func (l *Link) Set(there, back LinkState) error {
-	return l.relay.set(func(out, in *LinkState) { *out, *in = there, back })
+// Set changes the state of both directions: out is from the connecting side to the target.
+func (l *Link) Set(out, back LinkState) error {
+	return l.relay.set(func(o, b *LinkState) { *o, *b = out, back })
 }
 
-// Close ends the link and what goes through it.
+// Close closes the link and its connections, and waits for their goroutines to return.
 func (l *Link) Close() {
 	close(l.clock.over)
 	l.relay.close()
--- a/internal/testbed/link_tcp.go
+++ b/internal/testbed/link_tcp.go
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// resend is the pause after which TCP sends what was lost again.
-const resend = 200 * time.Millisecond
+// retransmitDelay is the time after which TCP retransmits a lost packet.
+const retransmitDelay = 200 * time.Millisecond
 
-// tcpRelay is the link from one party to another for TCP: a listener in the place of the
-// target. Each direction has a state of its own.
+// tcpRelay is the TCP link from one party to another. It listens in place of the target and forwards the data
+// of each connection. Each direction has its own state.
 type tcpRelay struct {
 	clock  runClock
 	addr   string
@@ -23,28 +23,30 @@
 
 	mu      sync.Mutex
 	rng     *rand.Rand
-	out     LinkState // from the one that connects
-	back    LinkState
-	refuse  bool
-	changed time.Duration // when a fault last began or ended
+	out     LinkState     // from the connecting party to the target
+	back    LinkState     // from the target to the connecting party
+	refuse  bool          // new connections are reset
+	changed time.Duration // time at which a fault last began or ended; 0: never
 	ln      *net.TCPListener
-	open    map[*relayedConn]bool
-	fillers []net.Conn // that keep the listener's queue full while the link is cut
+	conns   map[*relayedConn]bool
+	fillers []net.Conn // connections that fill the listener's queue while the link is cut
 	closed  bool
 }
 
 // relayedConn is one connection through a relay.
 type relayedConn struct {
 	client, server net.Conn
-	missed         bool // bytes or an end were withheld: the ends no longer agree
+	dataDropped    bool // data or a close was not forwarded; the two ends are inconsistent
 }
 
+// startTCPRelay starts a relay that listens on addr and forwards connections to target. The seed and the
+// stream determine its random numbers.
 func startTCPRelay(clock runClock, seed uint64, addr, target string, stream int) (*tcpRelay, error) {
-	r := &tcpRelay{clock: clock, addr: addr, target: target, rng: random(seed, streamLinks<<16|stream), open: map[*relayedConn]bool{}}
+	r := &tcpRelay{clock: clock, addr: addr, target: target, rng: random(seed, streamLinks<<16|stream), conns: map[*relayedConn]bool{}}
 	return r, r.listen()
 }
 
-// listen begins to listen, or does so again.
+// listen opens the relay's listener and starts to accept connections.
 func (r *tcpRelay) listen() error {
 	ln, err := net.Listen("tcp", r.addr)
 	if err != nil {
@@ -58,6 +60,7 @@
 	return nil
 }
 
+// accept forwards the connections to a listener until the listener is closed or its deadline passes.
 func (r *tcpRelay) accept(ln net.Listener) {
 	for {
 		c, err := ln.Accept()
@@ -71,41 +74,42 @@
 			reset(c)
 			continue
 		}
-		if cut { // it came up as the link went down
+		if cut { // the connection was established while the link was being cut
 			r.clock.spawn(func() {
 				r.blackhole(&relayedConn{client: c})
 			})
 			continue
 		}
-		r.clock.spawn(func() { r.carry(c) })
+		r.clock.spawn(func() { r.relay(c) })
 	}
 }
 
-// blackhole keeps a connection open and silent until it is reset.
+// blackhole holds a connection open without forwarding data, until the connection ends.
 func (r *tcpRelay) blackhole(p *relayedConn) {
-	p.missed = true
+	p.dataDropped = true
 	defer r.remove(p)
 	if !r.add(p) {
 		return
 	}
-	_, _ = io.Copy(io.Discard, p.client) // ends with any error: the connection is over
+	_, _ = io.Copy(io.Discard, p.client) // any error means that the connection has ended
 }
 
-// add enters a connection, so that close ends it. It returns false if the relay is closed already: then nobody
-// else will.
+// add registers a connection, so that close closes it. It returns false if the relay is already closed; the
+// caller then has to close the connection.
 func (r *tcpRelay) add(p *relayedConn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed {
 		return false
 	}
-	r.open[p] = true
+	r.conns[p] = true
 	return true
 }
 
+// remove unregisters a connection and closes both ends.
 func (r *tcpRelay) remove(p *relayedConn) {
 	r.mu.Lock()
-	delete(r.open, p)
+	delete(r.conns, p)
 	r.mu.Unlock()
 	_ = p.client.Close()
 	if p.server != nil {
@@ -113,27 +117,27 @@
 	}
 }
 
-// carry relays one connection. A target that refuses shows as a reset.
-func (r *tcpRelay) carry(near net.Conn) {
-	far, err := net.Dial("tcp", r.target)
+// relay forwards one connection to the target. If the target refuses the connection, the client gets a reset.
+func (r *tcpRelay) relay(client net.Conn) {
+	server, err := net.Dial("tcp", r.target)
 	if err != nil {
-		reset(near)
+		reset(client)
 		return
 	}
-	p := &relayedConn{client: near, server: far}
+	p := &relayedConn{client: client, server: server}
 	defer r.remove(p)
 	if !r.add(p) {
 		return
 	}
-	var ends sync.WaitGroup
-	ends.Go(func() { r.pass(p, near, far, func() LinkState { return r.out }) })
-	ends.Go(func() { r.pass(p, far, near, func() LinkState { return r.back }) })
-	ends.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { r.copyOneWay(p, client, server, func() LinkState { return r.out }) })
+	directions.Go(func() { r.copyOneWay(p, server, client, func() LinkState { return r.back }) })
+	directions.Wait()
 }
 
-// pass moves bytes one way until an end closes. An end is passed on as it was: a reset as a
-// reset, a close as a close.
-func (r *tcpRelay) pass(p *relayedConn, from, to net.Conn, state func() LinkState) {
+// copyOneWay forwards data in one direction until one side closes the connection. It forwards a reset as a
+// reset and a close as a close. state returns the direction's current state; it is called with r.mu held.
+func (r *tcpRelay) copyOneWay(p *relayedConn, from, to net.Conn, state func() LinkState) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
@@ -141,16 +145,16 @@
 		st := state()
 		lost := st.Loss > 0 && r.rng.Float64() < st.Loss
 		delay := st.Delay + time.Duration(r.rng.Float64()*0.5*float64(st.Delay))
-		p.missed = p.missed || st.Cut
+		p.dataDropped = p.dataDropped || st.Cut
 		r.mu.Unlock()
 		if st.Cut {
 			if err != nil {
-				return // the end is withheld as well: the other side stays open until the link is back
+				return // a cut link does not forward the close either: the other side stays open
 			}
 			continue
 		}
 		if lost {
-			delay += resend
+			delay += retransmitDelay
 		}
 		if st.Rate > 0 {
 			delay += time.Duration(float64(n) / st.Rate * float64(time.Second))
@@ -175,8 +179,8 @@
 	}
 }
 
-// setFault makes the link refuse new connections, or take them again; the open ones are reset
-// where asked for.
+// setFault sets whether the link refuses new connections, by a reset. If resetOpen is true, it also resets
+// the open connections.
 func (r *tcpRelay) setFault(refuse, resetOpen bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -184,7 +188,7 @@
 	if !resetOpen {
 		return
 	}
-	for p := range r.open {
+	for p := range r.conns {
 		reset(p.client)
 		if p.server != nil {
 			reset(p.server)
@@ -192,41 +196,41 @@
 	}
 }
 
-// healthySince tells whether the link has been without a fault since a time.
+// healthySince reports whether the link has had no fault since the given time.
 func (r *tcpRelay) healthySince(since time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.out == (LinkState{}) && r.back == (LinkState{}) && !r.refuse && (r.changed == 0 || r.changed < since)
 }
 
-// set changes the link. While a direction is cut, new connections never come up; once it is
-// back, connections that missed something are reset.
+// set changes the state of the link. While a direction is cut, new connections are not established. When the
+// link is restored, set resets the connections on which data was dropped.
 func (r *tcpRelay) set(change func(out, back *LinkState)) error {
 	r.mu.Lock()
-	was := r.out.Cut || r.back.Cut
+	wasCut := r.out.Cut || r.back.Cut
 	change(&r.out, &r.back)
 	r.changed = r.clock.now()
-	is := r.out.Cut || r.back.Cut
+	isCut := r.out.Cut || r.back.Cut
 	ln := r.ln
 	r.mu.Unlock()
 	switch {
-	case is && !was:
+	case isCut && !wasCut:
 		return r.block(ln)
-	case was && !is:
+	case wasCut && !isCut:
 		return r.unblock(ln)
 	}
 	return nil
 }
 
-// block fills the listener's queue, so that the kernel drops what knocks, as a machine does
-// that is not there.
+// block fills the listener's accept queue, so that the kernel drops connection requests without a reply, as
+// if the target machine did not exist.
 func (r *tcpRelay) block(ln *net.TCPListener) error {
-	if err := backlog(ln, 0); err != nil {
+	if err := setBacklog(ln, 0); err != nil {
 		return fmt.Errorf("relay to %s: %w", r.target, err)
 	}
-	// The accepting goroutine takes what it can; it is parked in accept, so the queue must be
-	// filled past it.
-	_ = ln.SetDeadline(time.Unix(1, 0)) // fails on a closed listener alone, which takes nobody anyway
+	// The accept goroutine takes connections out of the queue until a deadline in the past ends it. It may
+	// still take one of the connections below, so more than one is made.
+	_ = ln.SetDeadline(time.Unix(1, 0)) // fails only on a closed listener, which accepts nothing
 	var fillers []net.Conn
 	for range 3 {
 		c, err := net.DialTimeout("tcp", r.addr, 5*time.Millisecond)
@@ -245,8 +249,9 @@
 	return nil
 }
 
+// unblock accepts connections again after block, and resets the connections on which data was dropped.
 func (r *tcpRelay) unblock(ln *net.TCPListener) error {
-	if err := backlog(ln, 128); err != nil {
+	if err := setBacklog(ln, 128); err != nil {
 		return fmt.Errorf("relay to %s: %w", r.target, err)
 	}
 	r.mu.Lock()
@@ -254,8 +259,8 @@
 		reset(c)
 	}
 	r.fillers = nil
-	for p := range r.open {
-		if p.missed {
+	for p := range r.conns {
+		if p.dataDropped {
 			reset(p.client)
 			if p.server != nil {
 				reset(p.server)
@@ -263,32 +268,32 @@
 		}
 	}
 	r.mu.Unlock()
-	_ = ln.SetDeadline(time.Time{})        // fails on a closed listener alone; accept then ends at once
-	r.clock.spawn(func() { r.accept(ln) }) // the one before ended with the deadline
+	_ = ln.SetDeadline(time.Time{})        // fails only on a closed listener; accept then returns at once
+	r.clock.spawn(func() { r.accept(ln) }) // the deadline in block ended the previous accept goroutine
 	return nil
 }
 
-// backlog changes the length of a listener's queue.
-func backlog(ln *net.TCPListener, n int) error {
+// setBacklog changes the length of a listener's accept queue.
+func setBacklog(ln *net.TCPListener, n int) error {
 	raw, err := ln.SyscallConn()
 	if err != nil {
 		return err
 	}
-	var lerr error
-	if err := raw.Control(func(fd uintptr) { lerr = syscall.Listen(int(fd), n) }); err != nil {
+	var listenErr error
+	if err := raw.Control(func(fd uintptr) { listenErr = syscall.Listen(int(fd), n) }); err != nil {
 		return err
 	}
-	return lerr
+	return listenErr
 }
 
-// close ends the relay and all that goes through it.
+// close closes the relay's listener and all its connections.
 func (r *tcpRelay) close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.closed = true
 	_ = r.ln.Close()
 	closeAll(r.fillers)
-	for p := range r.open {
+	for p := range r.conns {
 		_ = p.client.Close()
 		if p.server != nil {
 			_ = p.server.Close()
--- a/internal/testbed/link_test.go
+++ b/internal/testbed/link_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// linkPatience is how long a test waits for what must come.
-const linkPatience = 30 * time.Second
+// linkTestTimeout is the time after which a test fails if an expected event has not occurred.
+const linkTestTimeout = 30 * time.Second
 
-// listenTCP opens a listener that accepts nothing by itself: the kernel completes connections to it.
+// listenTCP returns a listener that does not accept connections. The kernel establishes them nevertheless.
 func listenTCP(t *testing.T) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -21,7 +21,7 @@
 	return ln
 }
 
-// connection returns both ends of a connection; they stay open to the end of the test.
+// connection returns both ends of a connection. They stay open until the end of the test.
 func connection(t *testing.T) (client, accepted net.Conn) {
 	t.Helper()
 	ln := listenTCP(t)
@@ -38,14 +38,15 @@
 	return client, accepted
 }
 
-// A connection that the link has accepted and not yet entered as it closes ends with the link, although both of its
-// ends stay open: Close waits for it.
-func TestLinkClosesWhatItIsAboutToCarry(t *testing.T) {
-	for what, relay := range map[string]func(*tcpRelay, net.Conn){
-		"carried":    (*tcpRelay).carry,
-		"blackholed": func(r *tcpRelay, near net.Conn) { r.blackhole(&relayedConn{client: near}) },
+// Guards against a link whose Close hangs. Close waits for the goroutines of all connections. A connection
+// that the link has accepted but not yet registered when it is closed must end by itself, even if both of its
+// ends stay open.
+func TestLinkEndsConnectionThatIsRegisteredAfterClose(t *testing.T) {
+	for name, relay := range map[string]func(*tcpRelay, net.Conn){
+		"carried":    (*tcpRelay).relay,
+		"blackholed": func(r *tcpRelay, client net.Conn) { r.blackhole(&relayedConn{client: client}) },
 	} {
-		t.Run(what, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			link, err := NewLink(listenTCP(t).Addr().String(), 1)
 			if err != nil {
 				t.Fatal(err)
@@ -59,14 +60,14 @@
 			}()
 			select {
 			case <-ended:
-			case <-time.After(linkPatience):
-				t.Fatal("goes on although the link is closed")
+			case <-time.After(linkTestTimeout):
+				t.Fatal("the connection is still relayed after the link was closed")
 			}
-			if err := client.SetReadDeadline(time.Now().Add(linkPatience)); err != nil {
+			if err := client.SetReadDeadline(time.Now().Add(linkTestTimeout)); err != nil {
 				t.Fatal(err)
 			}
 			if _, err := client.Read(make([]byte, 1)); err == nil || isTimeout(err) {
-				t.Errorf("the client's end is not closed: %v", err)
+				t.Errorf("the client's end is not closed: read returned %v", err)
 			}
 		})
 	}
--- a/internal/testbed/link_udp.go
+++ b/internal/testbed/link_udp.go
@@ -10,60 +10,64 @@
 	"time"
 )
 
-// udpRelay carries the datagrams between nodes. Node i writes to peers[j] to reach node j, and
-// what reaches j comes from peers[i]: one socket for each node is enough, since the source
-// tells who wrote and the socket who is meant.
+// udpRelay forwards the datagrams between nodes. Node i sends to peers[j] to reach node j, and j receives the
+// datagram from peers[i]. One socket per node is enough: a datagram's source address identifies the sender,
+// and the socket that receives it identifies the recipient.
 type udpRelay struct {
-	env   *environment
-	peers []string
-	all   string
-	socks []*net.UDPConn // by node; the last is for all
+	env     *environment
+	peers   []string       // relay address of each node
+	all     string         // relay address that reaches all other nodes
+	sockets []*net.UDPConn // by node; the last one receives the datagrams for all nodes
 
-	mu     sync.Mutex
-	rng    *rand.Rand
-	from   map[netip.AddrPort]int
-	homes  []netip.AddrPort     // where each node listens
-	links  map[[2]int]LinkState // from, to
-	loss   float64
-	inbox  []float64 // datagrams that each node can still take in
-	inAt   []time.Duration
-	counts struct{ sent, lost, refused int } // datagrams
+	mu          sync.Mutex
+	rng         *rand.Rand
+	nodeByAddr  map[netip.AddrPort]int
+	nodeAddrs   []netip.AddrPort                  // address on which each node listens
+	links       map[[2]int]LinkState              // by sender and recipient
+	loss        float64                           // fraction of the datagrams lost on any link
+	inboxTokens []float64                         // number of datagrams that each node may receive now
+	inAt        []time.Duration                   // time of the last update of each node's inboxTokens
+	counts      struct{ sent, lost, refused int } // numbers of datagrams; refused: over the recipient's rate
 }
 
-func startUDPRelay(env *environment, block string) (*udpRelay, error) {
+// startUDPRelay opens the relay's sockets on the IP address ip and starts to forward datagrams.
+func startUDPRelay(env *environment, ip string) (*udpRelay, error) {
 	n := env.scenario.Fleet.Nodes
 	u := &udpRelay{
-		env: env, rng: random(env.seed, streamLinks), from: map[netip.AddrPort]int{}, links: map[[2]int]LinkState{}, loss: env.scenario.Fleet.PeerLoss,
-		inbox: make([]float64, n), inAt: make([]time.Duration, n), homes: make([]netip.AddrPort, n),
+		env: env, rng: random(env.seed, streamLinks), nodeByAddr: map[netip.AddrPort]int{}, links: map[[2]int]LinkState{}, loss: env.scenario.Fleet.PeerLoss,
+		inboxTokens: make([]float64, n), inAt: make([]time.Duration, n), nodeAddrs: make([]netip.AddrPort, n),
 	}
 	for i := range n + 1 {
-		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(block)})
+		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(ip)})
 		if err != nil {
 			u.close()
-			return nil, fmt.Errorf("relay of datagrams: %w", err)
+			return nil, fmt.Errorf("UDP relay: %w", err)
 		}
-		u.socks = append(u.socks, c)
+		u.sockets = append(u.sockets, c)
 		if addr := c.LocalAddr().String(); i < n {
 			u.peers = append(u.peers, addr)
 		} else {
 			u.all = addr
 		}
 	}
-	for to, c := range u.socks {
-		env.work.Go(func() { u.carry(to, c) })
+	for to, c := range u.sockets {
+		env.work.Go(func() { u.serve(to, c) })
 	}
 	return u, nil
 }
 
-// join says where a node listens.
-func (u *udpRelay) join(node int, addr netip.AddrPort) {
+// setNodeAddr sets the address on which a node receives datagrams. It replaces the previous one.
+func (u *udpRelay) setNodeAddr(node int, addr netip.AddrPort) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	delete(u.from, u.homes[node])
-	u.homes[node], u.from[addr] = addr, node
+	delete(u.nodeByAddr, u.nodeAddrs[node])
+	u.nodeAddrs[node], u.nodeByAddr[addr] = addr, node
 }
 
-func (u *udpRelay) carry(to int, c *net.UDPConn) {
+// serve forwards the datagrams that arrive at one socket. They are for the node with the number to, or for
+// all nodes except the sender if to is the number of nodes. serve drops datagrams from unknown senders, and
+// aborts the run if a node sends more than 256 bytes.
+func (u *udpRelay) serve(to int, c *net.UDPConn) {
 	buf := make([]byte, 2048)
 	for {
 		n, src, err := c.ReadFromUDPAddrPort(buf)
@@ -74,7 +78,7 @@
 			continue
 		}
 		u.mu.Lock()
-		from, known := u.from[netip.AddrPortFrom(src.Addr().Unmap(), src.Port())]
+		from, known := u.nodeByAddr[netip.AddrPortFrom(src.Addr().Unmap(), src.Port())]
 		u.mu.Unlock()
 		if !known {
 			continue
@@ -84,25 +88,26 @@
 			return
 		}
 		msg := append([]byte(nil), buf[:n]...)
-		if to < len(u.homes) {
+		if to < len(u.nodeAddrs) {
 			u.deliver(from, to, msg)
 			continue
 		}
-		for other := range u.homes {
-			if other != from {
-				u.deliver(from, other, msg)
+		for recipient := range u.nodeAddrs {
+			if recipient != from {
+				u.deliver(from, recipient, msg)
 			}
 		}
 	}
 }
 
-// deliver sends a datagram on, late, unless it is lost or the one it is for takes no more.
+// deliver forwards a datagram after the link's delay, unless the datagram is lost or exceeds the recipient's
+// rate limit.
 func (u *udpRelay) deliver(from, to int, msg []byte) {
 	u.mu.Lock()
 	u.counts.sent++
 	now := u.env.now()
 	rate := u.env.scenario.Fleet.PeerMessagesPerSecond
-	u.inbox[to] = min(u.inbox[to]+rate*(now-u.inAt[to]).Seconds(), rate)
+	u.inboxTokens[to] = min(u.inboxTokens[to]+rate*(now-u.inAt[to]).Seconds(), rate)
 	u.inAt[to] = now
 	link := u.links[[2]int{from, to}]
 	switch {
@@ -110,19 +115,20 @@
 		u.counts.lost++
 		u.mu.Unlock()
 		return
-	case u.inbox[to] < 1:
+	case u.inboxTokens[to] < 1:
 		u.counts.refused++
 		u.mu.Unlock()
 		return
 	}
-	u.inbox[to]--
-	home := u.homes[to]
+	u.inboxTokens[to]--
+	addr := u.nodeAddrs[to]
 	d := time.Duration((0.5+u.rng.Float64())*float64(u.env.scenario.Fleet.PeerDelay)) + link.Delay
 	u.mu.Unlock()
-	// A datagram that can't be sent is lost, as others are.
-	u.env.after(d, func() { _, _ = u.socks[from].WriteToUDPAddrPort(msg, home) })
+	// A datagram that cannot be sent is lost, like any other lost datagram.
+	u.env.after(d, func() { _, _ = u.sockets[from].WriteToUDPAddrPort(msg, addr) })
 }
 
+// set changes the state of the link from one node to another.
 func (u *udpRelay) set(from, to int, change func(*LinkState)) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -131,6 +137,7 @@
 	u.links[[2]int{from, to}] = l
 }
 
+// setLoss sets the fraction of datagrams that are lost on every link, in addition to the links' own losses.
 func (u *udpRelay) setLoss(loss float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -138,7 +145,7 @@
 }
 
 func (u *udpRelay) close() {
-	for _, c := range u.socks {
+	for _, c := range u.sockets {
 		_ = c.Close()
 	}
 }
--- a/internal/testbed/list.go
+++ b/internal/testbed/list.go
@@ -10,7 +10,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Entry is an app server in the list, in the form of the platform's protocol.
+// Entry is the entry of an app server in the list, in the format of the platform's protocol.
 type Entry struct {
 	InstanceID  string    `json:"instanceId"`
 	HostPort    string    `json:"hostPort"`
@@ -21,88 +21,102 @@
 	Weight      float64   `json:"weight"`
 	StartedAtMs int64     `json:"startedAtMs"`
 
-	number int // of the server
+	number int // index of the app server in the environment
 }
 
-// lifecycle is what discovery says of an app server.
+// lifecycle is the state of an app server in the list.
 type lifecycle string
 
-// Lifecycles, as discovery's protocol writes them.
+// Lifecycle states, as encoded in the discovery protocol.
 const (
 	lifecycleUp       lifecycle = "up"
-	lifecycleDraining lifecycle = "draining" // finishes what it has
+	lifecycleDraining lifecycle = "draining" // finishes its current requests and rejects new ones
 	lifecycleRemoved  lifecycle = "removed"
 )
 
-// listMessage is one message of discovery.
+// listMessage is a message of discovery: the full list or the changes since an earlier generation.
 type listMessage struct {
 	Generation uint64  `json:"generation"`
-	Reset      bool    `json:"reset"`
+	Reset      bool    `json:"reset"` // the message contains the full list
 	Instances  []Entry `json:"instances"`
 }
 
-// Figures of the platform's discovery.
+// Timing of the platform's discovery. The grace periods say from when on the rules hold a node to changes
+// that it has not received directly.
 const (
-	heartbeatInterval = 2 * time.Second         // the pace of a watch's empty lines
-	silentWatchGrace  = 6 * time.Second         // what a silent watch misses counts as told so long after it fell silent
-	moveGrace         = 4 * time.Second         // after SIGHUP, what the new discovery has
-	pollInterval      = 10 * time.Second        // where lists are asked for: a node without a watch has to ask so often
-	failedPollFactor  = 4                       // and so many times more seldom after a failed call
-	silenceNoticed    = 2500 * time.Millisecond // in which a watch's silence can be noticed: an empty line is late
-	maxCallWait       = 2 * time.Second         // a call waits in the service's line, and is turned away then
-	trickleChunk      = 48                      // bytes of a chunk of a message that trickles
+	heartbeatInterval = 2 * time.Second // between the empty lines of a watch without changes
+
+	// silentWatchGrace is the time after a watch fell silent at which a node must know the changes that the
+	// watch did not deliver.
+	silentWatchGrace = 6 * time.Second
+	// moveGrace is the time after SIGHUP at which a node must know the list of its new agent.
+	moveGrace = 4 * time.Second
+	// pollInterval is the interval at which a node without a watch has to poll, if lists are polled.
+	pollInterval = 10 * time.Second
+	// failedPollFactor multiplies pollInterval after a failed call.
+	failedPollFactor = 4
+	// silenceDetectionTime is the time after which a node can detect that a watch is silent, because a
+	// heartbeat is overdue.
+	silenceDetectionTime = 2500 * time.Millisecond
+
+	maxCallWait  = 2 * time.Second // a call that would queue at the service for longer is rejected
+	trickleChunk = 48              // bytes per write of a message with the encoding "trickle"
 )
 
-// list is the stand-in for discovery: one versioned list, told late.
+// list emulates discovery: it holds one versioned list of app servers and publishes changes with a delay. If
+// the scenario uses the project's list service, list forwards the changes to the service, which then
+// provides the list.
 type list struct {
 	env *environment
 
 	mu            sync.Mutex
 	generation    uint64
-	entries       map[string]Entry // all that are not removed
-	history       []Entry          // history[i] made generation i+1
-	changes       chan struct{}    // closed at the next change
-	extraDelay    time.Duration    // beyond the scenario's own
-	down          bool
-	encoding      string                  // how changes are encoded; "": on one line
-	atStart       listMessage             // the list of the run's start
-	nextCallAt    time.Time               // when the service has served the calls in its line
-	service       *listService            // where the list is kept if not here; nil: here
-	eventTimes    map[listEvent]time.Time // when the list took each change in
-	serverNumbers map[string]int          // of the servers, by the names that they have had
-	projectAgents atomic.Int64            // of the project, that were started
-	agents        []*agent
-	rollbacks     atomic.Int64            // messages that took a node's list back
-	delays        *hdrhistogram.Histogram // microseconds from there to each node's being told
+	entries       map[string]Entry        // servers that are not removed, by instance id
+	history       []Entry                 // history[i] created generation i+1
+	changes       chan struct{}           // closed at the next change
+	extraDelay    time.Duration           // added to the scenario's ListDelay by a fault
+	down          bool                    // discovery does not respond
+	encoding      string                  // one of listEncodings; "": each message on one line
+	atStart       listMessage             // list at the start of the run
+	nextCallAt    time.Time               // time at which the service will have processed its queued calls
+	service       *listService            // service that provides the list; nil: the testbed's agents do
+	eventTimes    map[listEvent]time.Time // time at which each change was applied
+	serverNumbers map[string]int          // index of the app server, by each instance id that it has had
+	startedAgents atomic.Int64            // number of the project's agents that were started
+	agents        []*agent                // all agents of the run, including closed ones
+	rollbacks     atomic.Int64            // number of messages with an older generation than the one before
+	delays        *hdrhistogram.Histogram // from a change to its delivery to a node, in microseconds
 }
 
-// listEvent is one change of one start of an app server.
+// listEvent identifies a change of an app server's lifecycle state.
 type listEvent struct {
 	id        string
 	lifecycle lifecycle
-	started   int64
+	started   int64 // start time of the server's process, in Unix milliseconds; 0: unknown
 }
 
+// newList returns an empty list.
 func newList(env *environment) *list {
 	return &list{env: env, entries: map[string]Entry{}, changes: make(chan struct{}), eventTimes: map[listEvent]time.Time{}, serverNumbers: map[string]int{}, delays: newHistogram()}
 }
 
-// publishLater takes in an entry, once discovery has noticed.
+// publishLater publishes an entry after the delay with which discovery detects changes.
 func (l *list) publishLater(e Entry) {
 	l.mu.Lock()
-	late := time.Duration(l.env.scenario.Fleet.ListDelay) + l.extraDelay
+	delay := time.Duration(l.env.scenario.Fleet.ListDelay) + l.extraDelay
 	l.mu.Unlock()
-	l.env.after(late, func() { l.publish(e) })
+	l.env.after(delay, func() { l.publish(e) })
 }
 
-// publish makes an entry the next generation.
+// publish applies an entry as the next generation. If the agents have it at once, it counts as delivered.
 func (l *list) publish(e Entry) {
 	if l.apply(e) {
 		l.markDelivered(listMessage{Instances: []Entry{e}})
 	}
 }
 
-// apply makes an entry the next generation and tells whether the agents have it at once.
+// apply applies an entry as the next generation. It reports whether the agents have the entry at once, which
+// is not the case if a list service provides the list or if discovery is down.
 func (l *list) apply(e Entry) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -122,7 +136,8 @@
 	return l.service == nil && !l.down
 }
 
-// markDelivered books what the agents have: it counts as told, whether or not it has come to the nodes.
+// markDelivered records a message that the agents have. It counts as delivered to the nodes after their grace
+// periods, even if a node has not received it.
 func (l *list) markDelivered(m listMessage) {
 	for _, n := range l.env.nodes {
 		n.config.Lock()
@@ -131,39 +146,39 @@
 	}
 }
 
-// markDeliveredTo is markDelivered for one node, whose configuration is locked.
+// markDeliveredTo records such a message for one node. The caller holds n.config.
 func (l *list) markDeliveredTo(n *edgeNode, m listMessage) {
 	if at, ok := n.agent.deliveredAt(l.env.now(), n.movedAt); ok {
 		l.env.recordDeliveredAt(n.number, m, at)
 	}
 }
 
-// since is what has changed after a generation, or the whole list where that is not known,
-// and a channel that is closed at the next change.
-func (l *list) since(from uint64, whole bool) (listMessage, chan struct{}) {
+// since returns the changes after a generation, and a channel that is closed at the next change. It returns
+// the full list instead if full is true or if the generation is 0 or unknown.
+func (l *list) since(from uint64, full bool) (listMessage, chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	m := listMessage{Generation: l.generation, Reset: whole || from == 0 || from > l.generation, Instances: []Entry{}}
+	m := listMessage{Generation: l.generation, Reset: full || from == 0 || from > l.generation, Instances: []Entry{}}
 	if m.Reset {
 		for _, e := range l.entries {
 			m.Instances = append(m.Instances, e)
 		}
 		return m, l.changes
 	}
-	last := map[string]int{}
+	position := map[string]int{} // in m.Instances
 	for _, e := range l.history[from:] {
-		if i, seen := last[e.InstanceID]; seen {
+		if i, seen := position[e.InstanceID]; seen {
 			m.Instances[i] = e
 			continue
 		}
-		last[e.InstanceID] = len(m.Instances)
+		position[e.InstanceID] = len(m.Instances)
 		m.Instances = append(m.Instances, e)
 	}
 	return m, l.changes
 }
 
-// initial is the list that a node starts with. The list service numbers its versions itself, and
-// tells the whole list to one that holds none.
+// initial returns the list that a node starts with. If the list service provides the list, its generation is
+// 0: the service has its own generations, and sends the full list to a node that has generation 0.
 func (l *list) initial() listMessage {
 	m, _ := l.since(0, true)
 	if l.service != nil {
@@ -172,7 +187,8 @@
 	return m
 }
 
-// recordDelay books how late a node was told of changes; what comes as a whole list is none.
+// recordDelay records the delays of the changes that a message delivers to a node. The entries of a full list
+// do not count as changes.
 func (l *list) recordDelay(m listMessage) {
 	now := time.Now()
 	l.mu.Lock()
@@ -184,20 +200,20 @@
 	}
 }
 
-// upToDate counts the nodes that have been told of the list as it is.
+// upToDate returns the number of nodes to which the current list was delivered.
 func (l *list) upToDate() (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.env.checker.mu.Lock()
 	defer l.env.checker.mu.Unlock()
-	for _, told := range l.env.checker.delivered {
+	for _, delivered := range l.env.checker.delivered {
 		same := true
-		for id, k := range told {
+		for id, d := range delivered {
 			e, listed := l.entries[id]
-			same = same && (listed && e.Lifecycle == k.state || !listed && k.state == lifecycleRemoved)
+			same = same && (listed && e.Lifecycle == d.state || !listed && d.state == lifecycleRemoved)
 		}
 		for id := range l.entries {
-			_, known := told[id]
+			_, known := delivered[id]
 			same = same && known
 		}
 		if same {
@@ -207,7 +223,7 @@
 	return n
 }
 
-// setExtraDelay has discovery tell of changes so much later than the scenario says, until that ends.
+// setExtraDelay sets a delay of changes in addition to the scenario's delay, or removes it if end is true.
 func (l *list) setExtraDelay(delay time.Duration, end bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -216,36 +232,38 @@
 	}
 }
 
-// setDown ends or begins service. The open watches fall silent. What the agents get at the return
-// counts at once, unless the outage was shorter than a silent watch takes to be noticed.
+// setDown begins or ends an outage of discovery. During the outage, the open watches are silent. The changes
+// that the agents get at its end count as delivered at once, unless the outage was too short for a node to
+// detect the silence of its watch.
 func (l *list) setDown(down bool) {
 	l.mu.Lock()
-	back := l.service == nil && l.down && !down
+	restored := l.service == nil && l.down && !down
 	l.down = down
-	started := slices.Clone(l.agents)
+	agents := slices.Clone(l.agents)
 	l.mu.Unlock()
 	if down {
 		l.breakWatches(true)
 	}
-	if back {
-		for _, a := range started {
+	if restored {
+		for _, a := range agents {
 			a.mu.Lock()
-			if a.silentAt > 0 && l.env.now()-a.silentAt > silenceNoticed {
+			if a.silentAt > 0 && l.env.now()-a.silentAt > silenceDetectionTime {
 				a.silentAt = 0
 			}
 			a.mu.Unlock()
 		}
-		whole, _ := l.since(0, true)
-		l.markDelivered(whole)
+		full, _ := l.since(0, true)
+		l.markDelivered(full)
 	}
 }
 
-// breakWatches resets or silences all open watches.
+// breakWatches breaks all open watches. If silent is true, they stop sending; otherwise their connections are
+// reset.
 func (l *list) breakWatches(silent bool) {
 	l.mu.Lock()
-	all := slices.Clone(l.agents)
+	agents := slices.Clone(l.agents)
 	l.mu.Unlock()
-	for _, a := range all {
+	for _, a := range agents {
 		a.mu.Lock()
 		for w := range a.watches {
 			delete(a.watches, w)
@@ -260,10 +278,11 @@
 	}
 }
 
-// admitCall has a call wait for its turn at the service; it is false where the call is turned away.
+// admitCall waits until the service can process a call, at the scenario's maximum rate. It returns false if
+// the service rejects the call because the wait would exceed maxCallWait, or if ctx or the run ends first.
 func (l *list) admitCall(ctx context.Context) bool {
-	perS := l.env.scenario.Fleet.ListCallsPerS
-	if perS == 0 {
+	rate := l.env.scenario.Fleet.ListCallsPerS
+	if rate == 0 {
 		return true
 	}
 	l.mu.Lock()
@@ -276,7 +295,7 @@
 		l.mu.Unlock()
 		return false
 	}
-	l.nextCallAt = l.nextCallAt.Add(time.Duration(float64(time.Second) / perS))
+	l.nextCallAt = l.nextCallAt.Add(time.Duration(float64(time.Second) / rate))
 	l.mu.Unlock()
 	select {
 	case <-time.After(wait):
@@ -287,18 +306,19 @@
 	return false
 }
 
+// isDown reports whether discovery has an outage.
 func (l *list) isDown() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.down
 }
 
-// close ends all agents that were ever started: one that a node has left may be open still.
+// close closes all agents of the run. Agents from which a node has moved may still be open.
 func (l *list) close() {
 	l.mu.Lock()
-	all := l.agents
+	agents := l.agents
 	l.mu.Unlock()
-	for _, a := range all {
+	for _, a := range agents {
 		a.close()
 	}
 }
--- a/internal/testbed/list_agent.go
+++ b/internal/testbed/list_agent.go
@@ -11,33 +11,35 @@
 	"time"
 )
 
-// agentPort is below the ports of the project's agents.
+// agentPort is the base of the ports of the project's agents. The first agent gets the next higher port.
 const agentPort = 20000
 
-// agent is the discovery agent on one node's machine.
+// agent is the emulated discovery agent on one node's machine. It serves the list that the testbed holds, or
+// relays that of the list service or of the project's own agent.
 type agent struct {
 	list *list
-	node int
+	node int // number of the node
 	srv  *http.Server
 	addr string
 
-	sources        []string // addresses of the list service's replicas, or that of the project's agent
-	proc           *process // of that; nil: none
-	lastGeneration uint64   // version that the node was told last
+	sources        []string // addresses of the list service's replicas, or of the project's agent
+	proc           *process // process of the project's agent; nil: none
+	lastGeneration uint64   // last generation relayed to the node; guarded by list.mu
 
 	mu             sync.Mutex
 	watches        map[*openWatch]struct{}
-	silentAt       time.Duration // when the open watch fell silent, until discovery is called again; 0: it has not
-	lastCallFailed bool          // the latest call was turned away or met an outage
+	silentAt       time.Duration // time at which a watch fell silent; 0: none, or a call succeeded since then
+	lastCallFailed bool          // the latest call was rejected or happened during an outage
 }
 
-// openWatch is a watch that works.
+// openWatch is a working watch. [list.breakWatches] closes one of its channels to break it.
 type openWatch struct {
-	reset, silent chan struct{} // closed to have it broken
+	reset, silent chan struct{}
 }
 
-// deliveredAt is when what the agent gets now counts as told to its node. Where lists are asked for
-// and the node has a watch that works, it counts when it is written, and ok is false.
+// deliveredAt returns the time from which a change that the agent gets now counts as delivered to its node.
+// moved is the time at which the node moved to this agent, 0 if it did not. ok is false if lists are polled
+// and the node has a working watch; the change then counts as delivered when it is written to the watch.
 func (a *agent) deliveredAt(now, moved time.Duration) (at time.Duration, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -58,7 +60,7 @@
 	return at, true
 }
 
-// recordCall notes that the node has called, and whether it is answered.
+// recordCall records a call of the node, and whether it is answered.
 func (a *agent) recordCall(answered bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -67,7 +69,7 @@
 	}
 }
 
-// addWatch notes a watch that works, until its end.
+// addWatch registers a working watch. The caller calls end when the watch ends.
 func (a *agent) addWatch() (w *openWatch, end func()) {
 	w = &openWatch{make(chan struct{}), make(chan struct{})}
 	a.mu.Lock()
@@ -80,11 +82,12 @@
 	}
 }
 
-// startAgent opens an agent for a node.
+// startAgent starts a discovery agent for a node. If the scenario uses the project's agents, it also starts
+// the process of one, to which the emulated agent connects.
 func startAgent(l *list, node int, addr string) (*agent, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
-		return nil, fmt.Errorf("list agent of node %d: %w", node, err)
+		return nil, fmt.Errorf("discovery agent of node %d: %w", node, err)
 	}
 	a := &agent{list: l, node: node, addr: ln.Addr().String(), watches: map[*openWatch]struct{}{}}
 	a.srv = &http.Server{Handler: a, ReadHeaderTimeout: 5 * time.Second}
@@ -92,7 +95,8 @@
 		a.sources = l.service.addresses()
 	}
 	if l.env.scenario.Fleet.ListAgents {
-		own := fmt.Sprintf("%s:%d", l.env.addresses.addr(11, node%250), agentPort+l.projectAgents.Add(1)) // a node that moves has a second one
+		// A node that moves gets another agent, so each agent of the run has its own port.
+		own := fmt.Sprintf("%s:%d", l.env.addresses.addr(11, node%250), agentPort+l.startedAgents.Add(1))
 		if a.proc, err = l.service.startAgent(node, own); err != nil {
 			return nil, err
 		}
@@ -103,13 +107,13 @@
 	l.mu.Unlock()
 	l.env.work.Go(func() {
 		if err := a.srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
-			l.env.fail(fmt.Errorf("list agent of node %d: %w", node, err))
+			l.env.fail(fmt.Errorf("discovery agent of node %d: %w", node, err))
 		}
 	})
 	return a, nil
 }
 
-// ServeHTTP answers the list or a watch of it.
+// ServeHTTP serves the list or a watch of it.
 func (a *agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodGet || r.URL.Path != "/registry/instances" {
 		http.NotFound(w, r)
@@ -140,11 +144,12 @@
 	a.watch(w, r, from)
 }
 
-// admit takes a call, unless discovery is down, when it says nothing, or too many wait.
+// admit reports whether a call is served. During an outage of discovery it holds the call open without a
+// response. If too many calls wait, it rejects the call.
 func (a *agent) admit(w http.ResponseWriter, r *http.Request) bool {
 	if a.list.isDown() {
 		a.recordCall(false)
-		a.staySilent(r.Context())
+		a.holdOpen(r.Context())
 		return false
 	}
 	a.list.env.listCalls.Add(1)
@@ -157,7 +162,7 @@
 	return true
 }
 
-// watch tells the node the changes after a generation as they come.
+// watch sends the changes after a generation to the node as they occur, and empty lines as heartbeats.
 func (a *agent) watch(w http.ResponseWriter, r *http.Request, from uint64) {
 	rc := http.NewResponseController(w)
 	open, end := a.addWatch()
@@ -167,7 +172,7 @@
 	defer heartbeat.Stop()
 	for {
 		if a.list.isDown() {
-			a.staySilent(r.Context())
+			a.holdOpen(r.Context())
 			return
 		}
 		if m.Reset || len(m.Instances) > 0 {
@@ -185,9 +190,9 @@
 		case <-a.list.env.over:
 			return
 		case <-open.reset:
-			panic(http.ErrAbortHandler) // net/http's way to break a connection off
+			panic(http.ErrAbortHandler) // makes net/http abort the connection
 		case <-open.silent:
-			a.staySilent(r.Context())
+			a.holdOpen(r.Context())
 			return
 		case <-heartbeat.C:
 			if _, err := w.Write([]byte("\n")); err != nil {
@@ -200,22 +205,22 @@
 	}
 }
 
-// relay tells the node what the list service's replicas say; while none does it is silent. Where
-// only the whole list is asked for, it ends with that.
-func (a *agent) relay(w http.ResponseWriter, r *http.Request, from uint64, whole bool) {
+// relay forwards the messages of the list service, or of the project's agent, to the node. It sends nothing
+// while no source responds. If fullOnly is true, it sends the first full list and returns.
+func (a *agent) relay(w http.ResponseWriter, r *http.Request, from uint64, fullOnly bool) {
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
 	defer context.AfterFunc(a.list.env.ctx, cancel)()
 	rc := http.NewResponseController(w)
-	if !whole && rc.Flush() != nil {
+	if !fullOnly && rc.Flush() != nil {
 		return
 	}
 	a.list.service.follow(ctx, a.sources, a.node, from, func(m *listMessage) bool {
 		switch {
 		case a.list.isDown():
-			a.staySilent(ctx)
+			a.holdOpen(ctx)
 			return false
-		case whole && (m == nil || !m.Reset):
+		case fullOnly && (m == nil || !m.Reset):
 			return true
 		case m == nil:
 			_, err := w.Write([]byte("\n"))
@@ -230,29 +235,29 @@
 			m.Instances[i].number = a.list.serverNumbers[m.Instances[i].InstanceID]
 		}
 		a.list.mu.Unlock()
-		return a.send(w, *m) && !whole
+		return a.send(w, *m) && !fullOnly
 	})
 }
 
-// staySilent is silence on an open connection.
-func (a *agent) staySilent(ctx context.Context) {
+// holdOpen keeps a connection open without sending anything, until ctx or the run ends.
+func (a *agent) holdOpen(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 	case <-a.list.env.over:
 	}
 }
 
-// send sends one message with the addresses that this node must use, and books that the
-// node was told.
+// send sends a message with the addresses that this node must use, and records the delivery. It reports
+// whether the message was written.
 func (a *agent) send(w http.ResponseWriter, m listMessage) bool {
 	m = a.list.env.addressedFor(a.node, m)
-	pieces, err := a.list.encode(m)
+	chunks, err := a.list.encode(m)
 	if err != nil {
-		a.list.env.fail(fmt.Errorf("list: %w", err))
+		a.list.env.fail(fmt.Errorf("encoding a list message: %w", err))
 		return false
 	}
-	for _, text := range pieces {
-		if _, err := w.Write(text); err != nil {
+	for _, chunk := range chunks {
+		if _, err := w.Write(chunk); err != nil {
 			return false
 		}
 		if http.NewResponseController(w).Flush() != nil {
@@ -264,10 +269,10 @@
 	return true
 }
 
-// close ends the agent and its watches.
+// close closes the agent and its watches, and stops the process of the project's agent, if there is one.
 func (a *agent) close() {
 	_ = a.srv.Close()
 	if a.proc != nil {
-		a.proc.stop(stopWithin)
+		a.proc.stop(stopTimeout)
 	}
 }
--- a/internal/testbed/list_encoding.go
+++ b/internal/testbed/list_encoding.go
@@ -6,29 +6,32 @@
 	"slices"
 )
 
-// Ways in which changes may be encoded.
+// listEncodings are the unusual encodings of list messages that a scenario may use: indented JSON over
+// several lines, small chunks, a truncated message, a prefix that is not JSON, and an additional malformed
+// entry.
 var listEncodings = []string{"indent", "trickle", "half", "noise", "entry"}
 
-// setEncoding sets how changes are encoded.
-func (l *list) setEncoding(how string) {
+// setEncoding sets the encoding of list messages to one of listEncodings, or to the normal one if it is "".
+func (l *list) setEncoding(encoding string) {
 	l.mu.Lock()
-	l.encoding = how
+	l.encoding = encoding
 	l.mu.Unlock()
 }
 
-// encode is a message as it is written, in pieces.
+// encode encodes a message in the current encoding. It returns the chunks to write, one after another. A full
+// list is always readable, so that a node can recover from changes that it could not read.
 func (l *list) encode(m listMessage) ([][]byte, error) {
 	l.mu.Lock()
-	how := l.encoding
+	encoding := l.encoding
 	l.mu.Unlock()
 	text, err := json.Marshal(m)
 	if err != nil {
 		return nil, err
 	}
-	if m.Reset && how != "indent" && how != "trickle" {
-		how = "" // what can't be read can be made up for by the whole list
+	if m.Reset && encoding != "indent" && encoding != "trickle" {
+		encoding = ""
 	}
-	switch how {
+	switch encoding {
 	case "indent":
 		var b bytes.Buffer
 		if err := json.Indent(&b, text, "", "\t"); err != nil {
@@ -43,7 +46,7 @@
 		text = bytes.Replace(text, []byte(`"instances":[`), []byte(`"instances":[{"instanceId":17,"lifecycle":{}},`), 1)
 	}
 	text = append(text, '\n')
-	if how == "trickle" {
+	if encoding == "trickle" {
 		return slices.Collect(slices.Chunk(text, trickleChunk)), nil
 	}
 	return [][]byte{text}, nil
--- a/internal/testbed/list_service.go
+++ b/internal/testbed/list_service.go
@@ -22,19 +22,18 @@
 	"opalhook/internal/discovery"
 )
 
-// listService is the project's own list service, in place of the testbed's list: replicas as processes,
-// to which the testbed writes what happens to the app servers and from which the agents tell the
-// nodes.
+// listService runs the replicas of the project's own list service as processes. The testbed writes the
+// changes of the app servers to the service, and the discovery agents relay the service's list to the nodes.
 type listService struct {
 	env           *environment
-	program       string
+	binary        string
 	replicas      []*replica
-	writes        [writers]chan Entry // by server, in the order in which they happened
-	pendingWrites atomic.Int64
+	writes        [writerCount]chan Entry // queued changes; those of one server are in one queue, in order
+	pendingWrites atomic.Int64            // number of changes that the service has not yet accepted
 	calls         *http.Client
 
 	mu           sync.Mutex
-	incarnations map[string]uint64 // starts of an instance
+	incarnations map[string]uint64 // number of starts of each instance, by instance id
 }
 
 // replica is one process of the list service.
@@ -45,19 +44,19 @@
 	proc *process
 }
 
-// Bounds on calls of the list service.
+// Limits of the calls of the list service.
 const (
-	serviceCall  = 3 * time.Second
-	servicePause = 100 * time.Millisecond
-	watchSilent  = 3 * time.Second // the service writes a line every 2 s
-	writers      = 16
-	writesQueued = 1 << 12  // of each
-	maxWatchLine = 16 << 20 // bytes
+	serviceCallTimeout = 3 * time.Second
+	serviceRetryPause  = 100 * time.Millisecond
+	watchIdleTimeout   = 3 * time.Second // the service writes at least a heartbeat every 2 s
+	writerCount        = 16
+	writeQueueCapacity = 1 << 12  // per writer
+	maxWatchLine       = 16 << 20 // bytes
 )
 
-// startListService starts the replicas, one after another.
-func startListService(env *environment, program string) (*listService, error) {
-	s := &listService{env: env, program: program, incarnations: map[string]uint64{}, calls: &http.Client{Timeout: serviceCall}}
+// startListService starts the replicas one after another. Each must know a leader before the next one starts.
+func startListService(env *environment, binary string) (*listService, error) {
+	s := &listService{env: env, binary: binary, incarnations: map[string]uint64{}, calls: &http.Client{Timeout: serviceCallTimeout}}
 	for i := range env.scenario.Fleet.ListReplicas {
 		r := &replica{name: fmt.Sprintf("list-%d", i), listen: env.addresses.hostPort(10, i), raft: env.addresses.peerPort(10, i)}
 		r.dir = filepath.Join(env.dir, r.name)
@@ -73,19 +72,19 @@
 		}
 	}
 	for i := range s.writes {
-		s.writes[i] = make(chan Entry, writesQueued)
-		env.spawn(func() { s.write(s.writes[i]) })
+		s.writes[i] = make(chan Entry, writeQueueCapacity)
+		env.spawn(func() { s.writeLoop(s.writes[i]) })
 	}
 	return s, nil
 }
 
-// start starts a replica's process; one whose folder is new joins the first.
+// start starts a replica's process. All replicas except the first get the first one as the replica to join.
 func (s *listService) start(r *replica) error {
 	args := []string{"registry", "serve", "-v", "--listen", r.listen, "--raft", r.raft, "--data", r.dir}
 	if r != s.replicas[0] {
 		args = append(args, "--join", s.replicas[0].listen)
 	}
-	p, err := startProcess(s.env.starter, s.env.dir, r.name, s.program, 0, nil, args...)
+	p, err := startProcess(s.env.starter, s.env.dir, r.name, s.binary, 0, nil, args...)
 	if err != nil {
 		return err
 	}
@@ -95,28 +94,29 @@
 	return nil
 }
 
-// awaitLeader waits until a replica knows a leader.
+// awaitLeader waits until a replica reports a leader.
 func (s *listService) awaitLeader(r *replica) error {
 	for end := time.Now().Add(readyWithin); time.Now().Before(end); {
 		if st, err := s.status(r); err == nil && st.Leader != "" {
 			return nil
 		}
 		if r.proc.crashed() {
-			return fmt.Errorf("%s has ended: %s", r.name, tail(filepath.Join(s.env.dir, r.name+".log")))
+			return fmt.Errorf("%s ended before it knew a leader: %s", r.name, tail(filepath.Join(s.env.dir, r.name+".log")))
 		}
-		if !s.env.sleep(servicePause) {
-			return errors.New("the run has ended")
+		if !s.env.sleep(serviceRetryPause) {
+			return errors.New("the run ended before the list service had a leader")
 		}
 	}
-	return fmt.Errorf("%s: no leader: %s", r.name, tail(filepath.Join(s.env.dir, r.name+".log")))
+	return fmt.Errorf("%s knows no leader: %s", r.name, tail(filepath.Join(s.env.dir, r.name+".log")))
 }
 
-// replicaStatus is what the testbed reads of a replica's status.
+// replicaStatus contains the fields of a replica's status that the testbed uses.
 type replicaStatus struct {
 	State  string `json:"state"`
 	Leader string `json:"leader"`
 }
 
+// status requests a replica's status.
 func (s *listService) status(r *replica) (st replicaStatus, err error) {
 	resp, err := s.calls.Get("http://" + r.listen + "/registry/status")
 	if err != nil {
@@ -126,24 +126,25 @@
 	return st, json.NewDecoder(resp.Body).Decode(&st)
 }
 
-// enqueue takes in what happened to an app server; it is written after what happened to it before.
+// enqueue queues a change of an app server. It is written after the earlier changes of the same server.
 func (s *listService) enqueue(e Entry) {
 	select {
-	case s.writes[e.number%writers] <- e:
+	case s.writes[e.number%writerCount] <- e:
 		s.pendingWrites.Add(1)
 	default:
-		s.env.fail(fmt.Errorf("the list service takes no writes: %d wait", writesQueued))
+		s.env.fail(fmt.Errorf("list service: write queue is full with %d changes", writeQueueCapacity))
 	}
 }
 
-// write brings what happened to the service, one after another, each until it is done.
-func (s *listService) write(happened <-chan Entry) {
+// writeLoop writes queued changes to the service, one after another, until the run ends. It retries each
+// change until the service accepts it.
+func (s *listService) writeLoop(changes <-chan Entry) {
 	for {
 		select {
 		case <-s.env.over:
 			return
-		case e := <-happened:
-			if err := s.carryOut(e); err != nil {
+		case e := <-changes:
+			if err := s.apply(e); err != nil {
 				s.env.fail(fmt.Errorf("list service: %s %s: %w", e.InstanceID, e.Lifecycle, err))
 				return
 			}
@@ -152,43 +153,45 @@
 	}
 }
 
-// awaitWritten waits until everything that has happened is written.
+// awaitWritten waits until the service has accepted all queued changes. It returns false after readyWithin or
+// if the run ends first.
 func (s *listService) awaitWritten() bool {
 	for end := time.Now().Add(readyWithin); time.Now().Before(end); {
 		if s.pendingWrites.Load() == 0 {
 			return true
 		}
-		if !s.env.sleep(servicePause) {
+		if !s.env.sleep(serviceRetryPause) {
 			break
 		}
 	}
 	return false
 }
 
-// carryOut carries out one write, at one replica after another.
-func (s *listService) carryOut(e Entry) error {
+// apply writes a change to the service. It tries the replicas one after another until one accepts the change.
+// It returns an error if a replica rejects the change as invalid, and nil if the run ends.
+func (s *listService) apply(e Entry) error {
 	s.mu.Lock()
 	if e.Lifecycle == lifecycleUp {
 		s.incarnations[e.InstanceID]++
 	}
-	inc := s.incarnations[e.InstanceID]
+	incarnation := s.incarnations[e.InstanceID]
 	s.mu.Unlock()
 	method, path, body := http.MethodPost, "/registry/instances", []byte(nil)
-	own := "/" + url.PathEscape(e.InstanceID)
-	mark := "?incarnation=" + strconv.FormatUint(inc, 10)
+	instance := "/" + url.PathEscape(e.InstanceID)
+	query := "?incarnation=" + strconv.FormatUint(incarnation, 10)
 	switch e.Lifecycle {
 	case lifecycleUp:
 		var err error
 		if body, err = json.Marshal(struct {
 			Entry
 			Incarnation uint64 `json:"incarnation"`
-		}{e, inc}); err != nil {
+		}{e, incarnation}); err != nil {
 			return err
 		}
 	case lifecycleDraining:
-		path += own + "/drain" + mark
+		path += instance + "/drain" + query
 	default:
-		method, path = http.MethodDelete, path+own+mark
+		method, path = http.MethodDelete, path+instance+query
 	}
 	for i := 0; ; i++ {
 		req, err := http.NewRequestWithContext(s.env.ctx, method, "http://"+s.replicas[i%len(s.replicas)].listen+path, bytes.NewReader(body))
@@ -197,7 +200,7 @@
 		}
 		resp, err := s.calls.Do(req)
 		if err == nil {
-			text, _ := io.ReadAll(io.LimitReader(resp.Body, 4096)) // for the error's text
+			text, _ := io.ReadAll(io.LimitReader(resp.Body, 4096)) // used in the error text
 			_ = resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
 				return nil
@@ -206,13 +209,13 @@
 				return fmt.Errorf("%s: %s", resp.Status, text)
 			}
 		}
-		if !s.env.sleep(servicePause) {
+		if !s.env.sleep(serviceRetryPause) {
 			return nil // the run has ended
 		}
 	}
 }
 
-// kill ends the replica that leads with SIGKILL, if one does, or all.
+// kill ends the leader with SIGKILL, if there is one. If all is true, it ends all replicas.
 func (s *listService) kill(all bool) error {
 	for _, r := range s.replicas {
 		r.mu.Lock()
@@ -229,7 +232,7 @@
 	return nil
 }
 
-// restartKilled starts the replicas again that were killed.
+// restartKilled starts the killed replicas again.
 func (s *listService) restartKilled() error {
 	for _, r := range s.replicas {
 		r.mu.Lock()
@@ -245,12 +248,13 @@
 	return nil
 }
 
-// startAgent starts the project's agent beside a node.
+// startAgent starts the project's agent for a node, listening on addr.
 func (s *listService) startAgent(node int, addr string) (*process, error) {
 	args := []string{"agent", "-v", "--listen", addr, "--name", fmt.Sprintf("n%d", node), "--replicas", strings.Join(s.addresses(), ",")}
-	return startProcess(s.env.starter, s.env.dir, fmt.Sprintf("agent-%d", node), s.program, 0, nil, args...)
+	return startProcess(s.env.starter, s.env.dir, fmt.Sprintf("agent-%d", node), s.binary, 0, nil, args...)
 }
 
+// addresses returns the addresses on which the replicas serve requests.
 func (s *listService) addresses() (out []string) {
 	for _, r := range s.replicas {
 		out = append(out, r.listen)
@@ -258,27 +262,31 @@
 	return out
 }
 
-// follow hands on each message from a generation on, from one address after another, until ctx
-// ends or heard is false. An empty line is a message of none. It believes what it hears.
-func (s *listService) follow(ctx context.Context, addrs []string, first int, from uint64, heard func(m *listMessage) bool) {
+// follow watches the list from a generation on and calls handle for each message, with nil for a heartbeat.
+// When a watch ends, it continues at the next address. The index first selects the first address. follow
+// returns when ctx ends or handle returns false. It does not check the order of generations: the caller
+// counts rollbacks.
+func (s *listService) follow(ctx context.Context, addrs []string, first int, from uint64, handle func(m *listMessage) bool) {
 	for i := first; ; i++ {
-		if !s.followOne(ctx, addrs[i%len(addrs)], &from, heard) {
+		if !s.followOne(ctx, addrs[i%len(addrs)], &from, handle) {
 			return
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(servicePause + time.Duration(rand.Int64N(int64(servicePause)))):
+		case <-time.After(serviceRetryPause + time.Duration(rand.Int64N(int64(serviceRetryPause)))):
 		}
 	}
 }
 
-// followOne follows one watch to its end; it is false where nobody listens any more.
-func (s *listService) followOne(ctx context.Context, addr string, from *uint64, heard func(m *listMessage) bool) bool {
+// followOne handles the messages of one watch until the watch ends or is idle for watchIdleTimeout. It
+// stores the last generation in *from. It returns false if handle returned false, or if a line was malformed,
+// which aborts the run.
+func (s *listService) followOne(ctx context.Context, addr string, from *uint64, handle func(m *listMessage) bool) bool {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silence := time.AfterFunc(watchSilent, cancel)
-	defer silence.Stop()
+	idle := time.AfterFunc(watchIdleTimeout, cancel)
+	defer idle.Stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, discovery.WatchURL(addr, *from), nil)
 	if err != nil {
 		return true
@@ -302,25 +310,25 @@
 		if err != nil {
 			return true
 		}
-		silence.Reset(watchSilent)
+		idle.Reset(watchIdleTimeout)
 		if heartbeat {
-			if !heard(nil) {
+			if !handle(nil) {
 				return false
 			}
 			continue
 		}
 		*from = m.Generation
-		if !heard(messageOf(m)) {
+		if !handle(toListMessage(m)) {
 			return false
 		}
 	}
 }
 
-// messageOf is a message of the list service as the testbed books it.
-func messageOf(m discovery.Message) *listMessage {
+// toListMessage converts a message of the list service to the testbed's type.
+func toListMessage(m discovery.Message) *listMessage {
 	var entries []Entry
 	if m.Instances != nil {
-		entries = make([]Entry, 0, len(m.Instances)) // an empty list is written as such, not as null
+		entries = make([]Entry, 0, len(m.Instances)) // encodes an empty list as [], not as null
 	}
 	for _, e := range m.Instances {
 		entries = append(entries, Entry{
@@ -331,12 +339,12 @@
 	return &listMessage{Generation: m.Generation, Reset: m.Reset, Instances: entries}
 }
 
-// stop ends the replicas.
+// stop stops the replicas and waits for their end.
 func (s *listService) stop() {
 	var stops sync.WaitGroup
 	for _, r := range s.replicas {
 		if r.proc != nil {
-			stops.Go(func() { r.proc.stop(stopWithin) })
+			stops.Go(func() { r.proc.stop(stopTimeout) })
 		}
 	}
 	stops.Wait()
--- a/internal/testbed/load_generator.go
+++ b/internal/testbed/load_generator.go
@@ -16,41 +16,42 @@
 	"time"
 )
 
-// Clients' habits that the platform states and scenarios don't change.
+// Client behavior that the platform defines and that scenarios do not change.
 const (
-	lateResponseWait  = 500 * time.Millisecond // after its deadline a client still listens, to see who answers late
-	defaultRetryPause = 100 * time.Millisecond // pause before a repeat where no advice came
-	maxRetryAfter     = 500 * time.Millisecond // the longest Retry-After that a client keeps to
-	readinessInterval = 200 * time.Millisecond // between looks at a node that the load generator holds to be down
-	sigtermNotice     = 300 * time.Millisecond // after SIGTERM new connections still come for so long
-	connKeepAlive     = 20 * time.Second       // a client's connection is kept idle at most so long
-	maxNap            = 50 * time.Millisecond  // of the pace, which sees the run's end in between
+	lateResponseWait  = 500 * time.Millisecond // time after the deadline in which a late response is detected
+	defaultRetryPause = 100 * time.Millisecond // pause before a retry without a Retry-After
+	maxRetryAfter     = 500 * time.Millisecond // upper limit on the Retry-After that a client respects
+	readinessInterval = 200 * time.Millisecond // interval of the readiness checks of a node that is down
+	sigtermNotice     = 300 * time.Millisecond // time after SIGTERM in which clients still send to the node
+	connKeepAlive     = 20 * time.Second       // time for which a client keeps an idle connection
+	maxSleep          = 50 * time.Millisecond  // interval at which waitUntil checks for the run's end
 )
 
-// loadGenerator is the clients of all nodes and what deals their requests to nodes.
+// loadGenerator emulates the clients of all nodes and the load balancing in front of the nodes.
 type loadGenerator struct {
 	env      *environment
 	nodes    []*targetNode
-	attempts sync.WaitGroup
+	attempts sync.WaitGroup // goroutines of the arrivals
 }
 
-// targetNode is a node as clients see it.
+// targetNode is the clients' view of a node.
 type targetNode struct {
 	addr string
 
 	mu           sync.Mutex
-	up           bool
-	failingSince time.Duration // first connection that failed since it was last up; 0: none
-	idle         []*clientConn
+	up           bool          // clients send to the node
+	failingSince time.Duration // time of the first failed connection since the node was last up; 0: none
+	idle         []*clientConn // most recently used last
 }
 
-// clientConn is a client's connection.
+// clientConn is a client's connection to a node.
 type clientConn struct {
 	net.Conn
-	br    *bufio.Reader
-	since time.Time
+	br        *bufio.Reader
+	idleSince time.Time
 }
 
+// newLoadGenerator returns a load generator for the nodes with the given addresses. All nodes count as up.
 func newLoadGenerator(env *environment, addrs []string) *loadGenerator {
 	g := &loadGenerator{env: env}
 	for _, a := range addrs {
@@ -59,23 +60,23 @@
 	return g
 }
 
-// run sends the schedule, each arrival when it is due, and returns when all are over.
+// run starts each arrival of the schedule when it is due, and returns when all arrivals have ended.
 func (g *loadGenerator) run() {
 	g.env.work.Go(g.readmitNodes)
-	// The runtime's timers share their thread with the sockets of thousands of connections and come late
-	// by a millisecond and more under load: the pace has a thread and a kernel timer of its own.
+	// Under load, the Go runtime's timers are late by a millisecond or more, because they share threads with
+	// the sockets of thousands of connections. The pacing therefore uses its own thread and a kernel timer.
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	for i := range g.env.schedule.Arrivals {
 		if !g.waitUntil(g.env.schedule.Arrivals[i].At) {
 			break
 		}
-		g.attempts.Go(func() { g.playArrival(i) })
+		g.attempts.Go(func() { g.runArrival(i) })
 	}
 	g.attempts.Wait()
 }
 
-// waitUntil waits on the calling thread; it is false where the run ends first.
+// waitUntil blocks the calling thread until the given time. It returns false if the run ends first.
 func (g *loadGenerator) waitUntil(at time.Duration) bool {
 	for {
 		select {
@@ -87,12 +88,12 @@
 		if d <= 0 {
 			return true
 		}
-		nap := syscall.NsecToTimespec(int64(min(d, maxNap)))
-		_ = syscall.Nanosleep(&nap, nil) // one cut short by a signal is slept anew
+		duration := syscall.NsecToTimespec(int64(min(d, maxSleep)))
+		_ = syscall.Nanosleep(&duration, nil) // the loop continues a sleep that a signal interrupts
 	}
 }
 
-// readmitNodes admits nodes again that the load generator holds to be down, once they are ready.
+// readmitNodes checks the nodes that are down until the run ends, and marks them as up once they are ready.
 func (g *loadGenerator) readmitNodes() {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for g.env.sleep(readinessInterval) {
@@ -112,47 +113,49 @@
 	}
 }
 
+// setUp marks the node as up or down.
 func (n *targetNode) setUp(up bool) {
 	n.mu.Lock()
 	n.up, n.failingSince = up, 0
 	n.mu.Unlock()
 }
 
-// recordUnreachable notes that a connection could not be made; the load generator sees late that a node
-// has died.
-func (n *targetNode) recordUnreachable(now, seesAfter time.Duration) {
+// recordUnreachable records a failed connection. The node is marked as down once connections have failed for
+// the detection time.
+func (n *targetNode) recordUnreachable(now, detectionTime time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.failingSince == 0 {
 		n.failingSince = now
 	}
-	if now-n.failingSince >= seesAfter {
+	if now-n.failingSince >= detectionTime {
 		n.up = false
 	}
 }
 
-// playArrival is one arrival: its first attempt and the repeats.
-func (g *loadGenerator) playArrival(i int) {
+// runArrival sends the first attempt of an arrival and its retries. It returns when the client has a final
+// result or gives up.
+func (g *loadGenerator) runArrival(i int) {
 	a := &g.env.schedule.Arrivals[i]
-	c := &g.env.schedule.Tenants[a.Tenant]
+	tenant := &g.env.schedule.Tenants[a.Tenant]
 	rng := rand.New(rand.NewPCG(g.env.seed, streamClients<<32|uint64(i)))
-	last := a.At + time.Duration(g.env.scenario.Load.Deadline)
+	deadline := a.At + time.Duration(g.env.scenario.Load.Deadline)
 	node := a.Node
 	for number := 0; ; number++ {
-		t := &clientAttempt{id: a.ID, arrival: i, number: number, node: g.reachable(c, node)}
+		t := &clientAttempt{id: a.ID, arrival: i, number: number, node: g.reachableNode(tenant, node)}
 		if number > 0 {
 			t.id = fmt.Sprintf("%s-%d", a.ID, number)
 		}
 		now := g.env.now()
-		wait := min(a.Wait, last-now)
+		wait := min(a.Wait, deadline-now)
 		if number == 0 {
-			wait = min(a.Wait, last-a.At)
+			wait = min(a.Wait, deadline-a.At)
 		}
 		if wait <= 0 {
 			return
 		}
 		t.deadline = now + wait
-		result := g.attempt(t, a, c)
+		result := g.attempt(t, a, tenant)
 		if number >= g.env.scenario.Load.Retries || !result.mayRetry(&g.env.scenario.Classes[a.Class]) {
 			return
 		}
@@ -163,14 +166,15 @@
 		if !g.env.sleep(pause) {
 			return
 		}
-		node = c.pick(rng.Float64(), rng.IntN(c.EntryNodes), g.env.scenario.Fleet.Nodes)
+		node = tenant.pick(rng.Float64(), rng.IntN(tenant.EntryNodes), g.env.scenario.Fleet.Nodes)
 	}
 }
 
-// reachable is the node, or another of the tenant's where the load generator holds it to be down.
-func (g *loadGenerator) reachable(c *Tenant, node int) int {
-	for i := range c.EntryNodes {
-		n := (c.FirstEntryNode + (node-c.FirstEntryNode+i+g.env.scenario.Fleet.Nodes)%g.env.scenario.Fleet.Nodes%c.EntryNodes) % g.env.scenario.Fleet.Nodes
+// reachableNode returns the given node if it is up, or else the tenant's next entry node that is up. If all
+// of them are down, it returns the given node.
+func (g *loadGenerator) reachableNode(tenant *Tenant, node int) int {
+	for i := range tenant.EntryNodes {
+		n := (tenant.FirstEntryNode + (node-tenant.FirstEntryNode+i+g.env.scenario.Fleet.Nodes)%g.env.scenario.Fleet.Nodes%tenant.EntryNodes) % g.env.scenario.Fleet.Nodes
 		g.nodes[n].mu.Lock()
 		up := g.nodes[n].up
 		g.nodes[n].mu.Unlock()
@@ -181,23 +185,23 @@
 	return node
 }
 
-// attemptOutcome is how an attempt ended, for its client.
+// attemptOutcome is the outcome of an attempt from the client's point of view.
 type attemptOutcome int
 
 const (
 	attemptServed attemptOutcome = iota
 	attemptRejected
 	attemptFailed
-	attemptUnreached // it came to no node
+	attemptUnreached // not sent to any node
 )
 
-// attemptResult is what a client knows of an attempt that has ended.
+// attemptResult is the result of an attempt that has ended, as the client knows it.
 type attemptResult struct {
 	outcome    attemptOutcome
-	retryAfter time.Duration // that a rejection told; 0: none
+	retryAfter time.Duration // Retry-After of a rejection; 0: none
 }
 
-// mayRetry tells whether a client may repeat a request of a class after this.
+// mayRetry reports whether a client may retry a request of the given class after this result.
 func (r attemptResult) mayRetry(class *Class) bool {
 	switch r.outcome {
 	case attemptRejected, attemptUnreached:
@@ -208,60 +212,62 @@
 	return false
 }
 
-// attempt sends one request and reads its answer.
-func (g *loadGenerator) attempt(t *clientAttempt, a *Arrival, c *Tenant) attemptResult {
+// attempt sends one attempt and reads its response. If the node has closed a reused connection, attempt sends
+// the request once more, on a new connection.
+func (g *loadGenerator) attempt(t *clientAttempt, a *Arrival, tenant *Tenant) attemptResult {
 	class := g.env.scenario.Classes[a.Class]
-	t.method, t.target = class.method(), fmt.Sprintf("/%s?customer=%016x", class.Name, c.ID)
+	t.method, t.target = class.method(), fmt.Sprintf("/%s?customer=%016x", class.Name, tenant.ID)
 	if class.NonIdempotent {
 		t.body = "order " + t.id
 	}
 	g.env.checker.attemptStarted(t, g.env.now())
 	n := g.nodes[t.node]
-	limit := g.env.wall(t.deadline + lateResponseWait + g.env.slack(t.node))
-	for isRetry := false; ; isRetry = true {
-		cc, reused, err := n.getConn(limit, isRetry)
+	limit := g.env.wallTime(t.deadline + lateResponseWait + g.env.slack(t.node))
+	for resent := false; ; resent = true {
+		cc, reused, err := n.getConn(limit, resent)
 		if err != nil {
 			n.recordUnreachable(g.env.now(), time.Duration(g.env.scenario.Load.FailureDetection))
-			return g.unreached(t)
+			return g.recordUnreached(t)
 		}
 		_ = cc.SetDeadline(limit)
-		// The wait counts from when the request is sent, and a connection may have come up late.
-		left := t.deadline - g.env.now()
-		if left <= 0 {
+		// The request contains the remaining time at the time of sending: connecting may have taken long.
+		remaining := t.deadline - g.env.now()
+		if remaining <= 0 {
 			n.putConn(cc)
-			return g.unreached(t)
+			return g.recordUnreached(t)
 		}
-		if _, err = io.WriteString(cc, g.encodeRequest(t, a, c, left)); err != nil {
+		if _, err = io.WriteString(cc, g.encodeRequest(t, a, tenant, remaining)); err != nil {
 			_ = cc.Close()
-			if reused && !isRetry {
+			if reused && !resent {
 				continue
 			}
-			return g.unreached(t)
+			return g.recordUnreached(t)
 		}
 		g.env.checker.attemptSent(t, g.env.now())
-		if err = g.awaitResponse(t, cc); err != nil && reused && !isRetry && !timedOut(err) {
-			_ = cc.Close() // the node closed it as the request came: sent once more, as the protocol says
+		if err = g.awaitResponse(t, cc); err != nil && reused && !resent && !timedOut(err) {
+			// The node closed the idle connection as the request arrived. The protocol requires a resend.
+			_ = cc.Close()
 			continue
 		}
 		return g.readResponse(t, n, cc, !reused)
 	}
 }
 
-// unreached books an attempt that came to no node.
-func (g *loadGenerator) unreached(t *clientAttempt) attemptResult {
+// recordUnreached records an attempt that could not be sent to any node.
+func (g *loadGenerator) recordUnreached(t *clientAttempt) attemptResult {
 	g.env.checker.attemptUnanswered(t, g.env.now(), noResponse{})
 	return attemptResult{outcome: attemptUnreached}
 }
 
-// awaitResponse waits for an answer's first byte, for as long as the client and then the machine
-// give: what a node was starved of meanwhile is not held against it.
+// awaitResponse waits for the first byte of a response. It waits lateResponseWait longer than the client, and
+// extends the wait by the time in which the machine gave the node or the testbed no CPU.
 func (g *loadGenerator) awaitResponse(t *clientAttempt, cc *clientConn) error {
 	for {
 		_, err := cc.br.Peek(1)
 		if err == nil || !timedOut(err) {
 			return err
 		}
-		limit := g.env.wall(t.deadline + lateResponseWait + g.env.slack(t.node))
+		limit := g.env.wallTime(t.deadline + lateResponseWait + g.env.slack(t.node))
 		if !limit.After(time.Now()) {
 			return err
 		}
@@ -269,11 +275,11 @@
 	}
 }
 
-// encodeRequest encodes a request whose client waits for so long.
-func (g *loadGenerator) encodeRequest(t *clientAttempt, a *Arrival, c *Tenant, wait time.Duration) string {
+// encodeRequest encodes an attempt whose client waits for the given time.
+func (g *loadGenerator) encodeRequest(t *clientAttempt, a *Arrival, tenant *Tenant, wait time.Duration) string {
 	class := g.env.scenario.Classes[a.Class]
 	text := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Contract: %s\r\nX-Expires-In: %.3f\r\n"+
-		"X-Metering: units=%.0f,spread=%d,first=%d\r\n", t.method, t.target, t.id, class.Name, g.env.scenario.Plans[c.Plan].Name, wait.Seconds(), a.Guess, c.EntryNodes, c.FirstEntryNode)
+		"X-Metering: units=%.0f,spread=%d,first=%d\r\n", t.method, t.target, t.id, class.Name, g.env.scenario.Plans[tenant.Plan].Name, wait.Seconds(), a.Guess, tenant.EntryNodes, tenant.FirstEntryNode)
 	if t.number > 0 && g.env.scenario.Load.MarkRetry {
 		text += "X-Second-Try: 1\r\n"
 	}
@@ -283,13 +289,15 @@
 	return text + "\r\n" + t.body
 }
 
+// timedOut reports whether an error is a network timeout.
 func timedOut(err error) bool {
 	var ne net.Error
 	return errors.As(err, &ne) && ne.Timeout()
 }
 
-// readResponse takes the final answer.
-func (g *loadGenerator) readResponse(t *clientAttempt, n *targetNode, cc *clientConn, fresh bool) attemptResult {
+// readResponse reads the final response and records it. newConn reports whether the attempt was the first on
+// its connection.
+func (g *loadGenerator) readResponse(t *clientAttempt, n *targetNode, cc *clientConn, newConn bool) attemptResult {
 	resp, err := http.ReadResponse(cc.br, nil)
 	var body []byte
 	if err == nil {
@@ -299,7 +307,7 @@
 	if err != nil {
 		_ = cc.Close()
 		g.env.checker.attemptUnanswered(t, now, noResponse{
-			answerable: g.env.answerable(t.node, t.sent), closedNewConn: fresh && !timedOut(err), why: err.Error(),
+			answerable: g.env.answerable(t.node, t.sent), closedNewConn: newConn && !timedOut(err), reason: err.Error(),
 		})
 		return attemptResult{outcome: attemptFailed}
 	}
@@ -318,7 +326,7 @@
 	return attemptResult{outcome: attemptFailed}
 }
 
-// retryAfter is the pause that a rejection tells, 0 where it tells none that can be kept to.
+// retryAfter returns the Retry-After of a rejection, 0 if it is missing or not a positive number of seconds.
 func retryAfter(header http.Header) time.Duration {
 	seconds, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
 	if err != nil || !(seconds > 0) || math.IsInf(seconds, 0) {
@@ -327,13 +335,14 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// getConn is a connection to the node, reused or new; fresh wants a new one.
-func (n *targetNode) getConn(limit time.Time, fresh bool) (cc *clientConn, reused bool, err error) {
+// getConn returns an idle connection to the node, or opens a new one if there is none or if forceNew is true.
+// limit is the time until which it tries to connect.
+func (n *targetNode) getConn(limit time.Time, forceNew bool) (cc *clientConn, reused bool, err error) {
 	n.mu.Lock()
-	for len(n.idle) > 0 && !fresh {
+	for len(n.idle) > 0 && !forceNew {
 		cc = n.idle[len(n.idle)-1]
 		n.idle = n.idle[:len(n.idle)-1]
-		if time.Since(cc.since) < connKeepAlive {
+		if time.Since(cc.idleSince) < connKeepAlive {
 			n.mu.Unlock()
 			return cc, true, nil
 		}
@@ -348,14 +357,15 @@
 	return &clientConn{Conn: c, br: bufio.NewReader(c)}, false, nil
 }
 
+// putConn makes a connection available for reuse.
 func (n *targetNode) putConn(cc *clientConn) {
-	cc.since = time.Now()
+	cc.idleSince = time.Now()
 	n.mu.Lock()
 	n.idle = append(n.idle, cc)
 	n.mu.Unlock()
 }
 
-// close ends all connections that stand idle.
+// close closes all idle connections.
 func (g *loadGenerator) close() {
 	for _, n := range g.nodes {
 		n.mu.Lock()
--- a/internal/testbed/model.go
+++ b/internal/testbed/model.go
@@ -6,45 +6,49 @@
 	"time"
 )
 
-// model is what one app server can do: a processor-sharing machine with cores, slots and a
-// waiting room. It is a state machine in drawn or real time: every method first brings it
-// to the time given, which never goes back, and next tells when it changes by itself.
+// model simulates the execution of requests on one app server: a processor-sharing machine with cores, slots
+// and a queue. It is a state machine that works with real or simulated time. The caller passes the current
+// time, which must not decrease, and next returns the time until the model's state changes without further
+// calls.
 //
-// All requests in slots progress at one rate, so that one number, the work that a request
-// in a slot has had since the start, orders their ends: a request that enters when that
-// number is v ends when it is v plus its work.
+// All requests in slots progress at the same rate. One number therefore determines the order in which they
+// end: the work that a request in a slot since the start would have received (progress). A request that gets
+// a slot when progress is v ends when progress is v plus the request's work.
 type model struct {
 	cfg           *Fleet
-	mean          float64 // work of a request on average, core seconds
-	now           time.Duration
-	startedAt     time.Duration // of a cold start; below 0: warm from the start
-	slow          float64       // times slower
-	progress      float64       // work that a request in a slot has had since the start
-	running       jobs
-	queue         []*job
-	handshakeDebt float64 // core seconds owed to handshakes: they come before all else
-	failed        bool
-	recent        []recentArrival // work that has come within the window of the overload rule
-	recentWork    float64         // of it
+	meanWork      float64         // mean work of a request, in core seconds
+	now           time.Duration   // time to which the model has advanced
+	startedAt     time.Duration   // start of the slow start; negative: warm from the beginning
+	slow          float64         // factor by which a fault slows the server down; 1: no fault
+	progress      float64         // work done for a request in a slot since the start, in core seconds
+	running       jobs            // requests in slots
+	queue         []*job          // requests that wait for a slot, oldest first
+	handshakeDebt float64         // pending work of handshakes, in core seconds; done before all other work
+	failed        bool            // overloaded to failure; the server rejects everything
+	recent        []recentArrival // requests that arrived within OverloadWindow, including rejected ones
+	recentWork    float64         // total work of recent, in core seconds
 }
 
 // job is a request at an app server.
 type job struct {
-	work  float64 // core seconds
-	end   float64 // reading of model.progress at which it ends
-	ended func()  // called when it has run
+	work        float64 // core seconds
+	endProgress float64 // value of model.progress at which the job ends
+	onComplete  func()  // called when the job ends
 }
 
+// recentArrival is the arrival of a request with the given work, in core seconds.
 type recentArrival struct {
 	at   time.Duration
 	work float64
 }
 
-func newModel(cfg *Fleet, mean float64, now, boot time.Duration) *model {
-	return &model{cfg: cfg, mean: mean, now: now, startedAt: boot, slow: 1}
+// newModel returns a model at time now. A server with a startedAt that is not negative is in slow start from
+// then on; otherwise it is warm. meanWork is the mean work of a request, in core seconds.
+func newModel(cfg *Fleet, meanWork float64, now, startedAt time.Duration) *model {
+	return &model{cfg: cfg, meanWork: meanWork, now: now, startedAt: startedAt, slow: 1}
 }
 
-// warmUpFraction is the share of its capacity that the server has at a time.
+// warmUpFraction returns the fraction of its full capacity that the server has at the given time.
 func (m *model) warmUpFraction(at time.Duration) float64 {
 	age := at - m.startedAt
 	if m.startedAt < 0 || age >= time.Duration(m.cfg.SlowStartDuration) {
@@ -53,33 +57,35 @@
 	return m.cfg.SlowStartInitialFraction + (1-m.cfg.SlowStartInitialFraction)*age.Seconds()/m.cfg.SlowStartDuration.s()
 }
 
-// inFlight is the number of requests in slots and waiting.
+// inFlight returns the number of requests in slots and in the queue.
 func (m *model) inFlight() int { return len(m.running) + len(m.queue) }
 
-// rate is the progress of one request in a slot, in core seconds a second.
+// rate returns the progress of each request in a slot, in core seconds per second. Requests beyond
+// ContentionFrom per core reduce the efficiency.
 func (m *model) rate() float64 {
 	n := float64(len(m.running))
 	if n == 0 {
 		return 0
 	}
 	cores := float64(m.cfg.Cores)
-	crowd := float64(m.inFlight())/cores - m.cfg.ContentionFrom
-	eff := 1 / (1 + m.cfg.ContentionLoss*math.Max(crowd, 0))
-	return math.Min(1, cores/n) * m.warmUpFraction(m.now) * eff / m.slow
+	excess := float64(m.inFlight())/cores - m.cfg.ContentionFrom
+	efficiency := 1 / (1 + m.cfg.ContentionLoss*math.Max(excess, 0))
+	return math.Min(1, cores/n) * m.warmUpFraction(m.now) * efficiency / m.slow
 }
 
-// advance brings the model to a time. Jobs that end on the way are told in order.
+// advance advances the model to the given time. It calls onComplete of the jobs that end until then, in the
+// order in which they end.
 func (m *model) advance(to time.Duration) {
 	for m.now < to {
 		step := to - m.now
 		if m.startedAt >= 0 && m.warmUpFraction(m.now) < 1 {
-			step = min(step, 50*time.Millisecond) // the rate changes while it warms
+			step = min(step, 50*time.Millisecond) // the rate changes during slow start
 		}
 		r := m.rate()
 		if m.handshakeDebt > 0 {
 			cores := float64(m.cfg.Cores) / m.slow
-			if paid := time.Duration(m.handshakeDebt / cores * float64(time.Second)); paid < step {
-				step, m.handshakeDebt = max(paid, 1), 0
+			if needed := time.Duration(m.handshakeDebt / cores * float64(time.Second)); needed < step {
+				step, m.handshakeDebt = max(needed, 1), 0
 			} else {
 				m.handshakeDebt -= step.Seconds() * cores
 			}
@@ -87,13 +93,13 @@
 			continue
 		}
 		if r > 0 {
-			if left := time.Duration(math.Ceil((m.running[0].end - m.progress) / r * 1e9)); left <= step {
-				step = max(left, 1)
+			if remaining := time.Duration(math.Ceil((m.running[0].endProgress - m.progress) / r * 1e9)); remaining <= step {
+				step = max(remaining, 1)
 				m.now += step
-				m.progress = math.Max(m.progress+r*step.Seconds(), m.running[0].end)
+				m.progress = math.Max(m.progress+r*step.Seconds(), m.running[0].endProgress)
 				j := heap.Pop(&m.running).(*job)
 				m.startQueued()
-				j.ended()
+				j.onComplete()
 				continue
 			}
 		}
@@ -102,22 +108,23 @@
 	}
 }
 
-// startQueued moves waiting requests into free slots.
+// startQueued moves queued requests into free slots.
 func (m *model) startQueued() {
 	for len(m.queue) > 0 && len(m.running) < m.cfg.Cores*m.cfg.SlotsPerCore {
 		j := m.queue[0]
 		m.queue = m.queue[1:]
-		m.enter(j)
+		m.start(j)
 	}
 }
 
-func (m *model) enter(j *job) {
-	j.end = m.progress + j.work
+// start puts a request into a slot.
+func (m *model) start(j *job) {
+	j.endProgress = m.progress + j.work
 	heap.Push(&m.running, j)
 }
 
-// arrive takes in a request. It is false for one that is rejected unseen, and for all
-// at a server that has fallen over.
+// arrive accepts a request at time now. It returns false if the server rejects the request without running
+// it, because the queue is full or the server was overloaded to failure.
 func (m *model) arrive(now time.Duration, j *job) bool {
 	m.advance(now)
 	m.trackOverload(j.work)
@@ -125,7 +132,7 @@
 		return false
 	}
 	if len(m.running) < m.cfg.Cores*m.cfg.SlotsPerCore {
-		m.enter(j)
+		m.start(j)
 		return true
 	}
 	if len(m.queue) >= m.cfg.Cores*m.cfg.QueuePerCore {
@@ -135,9 +142,10 @@
 	return true
 }
 
-// trackOverload counts all work that comes to a server in slow start, also what it rejects. It fails and stays
-// down when that is more than N + 3 sqrt(N) + 3 requests of mean work within the window, N being the stated
-// multiple of what it can do in it: the platform's slack for chance.
+// trackOverload records the work of an arriving request, including a request that is rejected. A server in
+// slow start fails permanently if the work within OverloadWindow exceeds that of N + 3 sqrt(N) + 3 mean
+// requests. N is OverloadFactor times the number of mean requests that the server can process within the
+// window. The other terms are the platform's allowance for random variation.
 func (m *model) trackOverload(work float64) {
 	m.recent, m.recentWork = append(m.recent, recentArrival{m.now, work}), m.recentWork+work
 	window := time.Duration(m.cfg.OverloadWindow)
@@ -148,37 +156,37 @@
 	if m.startedAt < 0 || m.warmUpFraction(m.now) >= 1 {
 		return
 	}
-	// Capacity over the window that begins now: a budget that a short burst can spend at once.
-	can := float64(m.cfg.Cores) * m.warmUpFraction(m.now) * window.Seconds()
-	n := m.cfg.OverloadFactor * can / m.mean
-	if m.recentWork/m.mean > n+3*math.Sqrt(n)+3 {
+	// Capacity of a whole window at the current warm-up fraction. A short burst may use it up at once.
+	capacity := float64(m.cfg.Cores) * m.warmUpFraction(m.now) * window.Seconds()
+	n := m.cfg.OverloadFactor * capacity / m.meanWork
+	if m.recentWork/m.meanWork > n+3*math.Sqrt(n)+3 {
 		m.failed = true
 	}
 }
 
-// handshake charges the work of a new connection.
+// handshake adds the work of the handshake of a new connection.
 func (m *model) handshake(now time.Duration) {
 	m.advance(now)
 	m.handshakeDebt += m.cfg.HandshakeWork.s()
 }
 
-// next is the time from now to the next end of a request; ok is false if none runs.
+// next returns the time from now until the next running request ends, and false if no request is running.
 func (m *model) next() (time.Duration, bool) {
 	if len(m.running) == 0 {
 		return 0, false
 	}
 	wait := m.handshakeDebt * m.slow / float64(m.cfg.Cores)
 	if r := m.rate(); r > 0 {
-		wait += (m.running[0].end - m.progress) / r
+		wait += (m.running[0].endProgress - m.progress) / r
 	}
 	return time.Duration(wait*1e9) + 1, true
 }
 
-// jobs is a heap by end.
+// jobs is a heap of jobs, ordered by endProgress.
 type jobs []*job
 
 func (h jobs) Len() int           { return len(h) }
-func (h jobs) Less(a, b int) bool { return h[a].end < h[b].end }
+func (h jobs) Less(a, b int) bool { return h[a].endProgress < h[b].endProgress }
 func (h jobs) Swap(a, b int)      { h[a], h[b] = h[b], h[a] }
 func (h *jobs) Push(x any)        { *h = append(*h, x.(*job)) }
 func (h *jobs) Pop() any {
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -16,55 +16,59 @@
 	"time"
 )
 
-// starter starts processes from one thread that lives as long as the run: the kernel ends
-// a child whose parent's thread ends, so that none outlives the testbed, however that ends.
+// starter starts processes from a single thread that lives as long as the run. The kernel kills a child
+// process with Pdeathsig when the thread that started it ends. No process therefore outlives the testbed,
+// even if the testbed is killed.
 type starter struct {
-	jobs chan func()
-	done chan struct{}
+	startCalls chan func()
+	done       chan struct{}
 }
 
+// newStarter returns a starter and starts its thread.
 func newStarter() *starter {
-	s := &starter{jobs: make(chan func()), done: make(chan struct{})}
+	s := &starter{startCalls: make(chan func()), done: make(chan struct{})}
 	go func() {
-		runtime.LockOSThread() // never unlocked: the thread ends with the goroutine
+		runtime.LockOSThread() // never unlocked, so that the thread ends with the goroutine
 		defer close(s.done)
-		for f := range s.jobs {
+		for f := range s.startCalls {
 			f()
 		}
 	}()
 	return s
 }
 
+// start starts a command on the starter's thread.
 func (s *starter) start(cmd *exec.Cmd) error {
 	err := make(chan error)
-	s.jobs <- func() { err <- cmd.Start() }
+	s.startCalls <- func() { err <- cmd.Start() }
 	return <-err
 }
 
+// stop ends the thread. The kernel kills the processes that are still running.
 func (s *starter) stop() {
-	close(s.jobs)
+	close(s.startCalls)
 	<-s.done
 }
 
-// process is one run of a program.
+// process is a running or ended process.
 type process struct {
 	name  string
 	cmd   *exec.Cmd
-	log   *os.File
-	ended chan struct{}
-	err   error // how it ended, once ended is closed
+	log   *os.File      // standard output and standard error
+	ended chan struct{} // closed when the process has ended
+	err   error         // result of cmd.Wait; valid once ended is closed
 
 	mu            sync.Mutex
-	stopRequested bool // to end: its end is no crash
-	killed        bool
+	stopRequested bool // SIGTERM or SIGKILL was sent, so that the end of the process is not a crash
+	killed        bool // SIGKILL was sent
 }
 
-// nodeNiceness is the niceness of the nodes: they give way to what plays the environment around them, as they would on machines of
-// their own.
+// nodeNiceness is the niceness of the nodes' processes. They have a lower priority than the emulated
+// environment, which would not compete with them for CPU if it ran on other machines.
 const nodeNiceness = 5
 
-// startProcess starts a program with its output in a file; the log of an earlier process of
-// the name is kept and added to.
+// startProcess starts a program. It appends the output to the file NAME.log in dir, which may contain the
+// output of earlier processes with the same name. env is added to the testbed's own environment.
 func startProcess(st *starter, dir, name, binary string, nice int, env []string, args ...string) (*process, error) {
 	log, err := os.OpenFile(filepath.Join(dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -80,7 +84,7 @@
 		return nil, fmt.Errorf("starting %s: %w", name, err)
 	}
 	if err := syscall.Setpriority(syscall.PRIO_PROCESS, cmd.Process.Pid, nice); err != nil && !errors.Is(err, syscall.ESRCH) {
-		_ = cmd.Process.Kill() // one that has ended already needs none
+		_ = cmd.Process.Kill() // fails if the process has already ended
 		return nil, fmt.Errorf("priority of %s: %w", name, err)
 	}
 	go func() {
@@ -91,7 +95,7 @@
 	return p, nil
 }
 
-// signal sends a signal by the process's id; one that has ended gets none.
+// signal sends a signal to the process. It does nothing if the process has ended.
 func (p *process) signal(sig syscall.Signal) error {
 	p.mu.Lock()
 	if sig == syscall.SIGTERM || sig == syscall.SIGKILL {
@@ -111,7 +115,7 @@
 	return nil
 }
 
-// crashed tells whether the process ended and nobody told it to.
+// crashed reports whether the process has ended without a request to stop.
 func (p *process) crashed() bool {
 	select {
 	case <-p.ended:
@@ -123,16 +127,17 @@
 	return !p.stopRequested
 }
 
-// wasKilled tells whether the process died or was killed with no chance to finish.
+// wasKilled reports whether SIGKILL was sent to the process.
 func (p *process) wasKilled() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.killed
 }
 
-// stop ends the process: SIGCONT and SIGTERM, and SIGKILL if it has not ended within grace.
+// stop ends the process and waits for its end. It sends SIGCONT and SIGTERM, and SIGKILL if the process has
+// not ended within the grace period.
 func (p *process) stop(grace time.Duration) {
-	// A signal fails where the process has ended, which is what is wanted.
+	// Sending a signal fails only if the process has ended, which is the goal.
 	_ = p.signal(syscall.SIGCONT)
 	_ = p.signal(syscall.SIGTERM)
 	select {
@@ -143,17 +148,17 @@
 	}
 }
 
-// errExitedWithoutError is how a process ended that exits with code 0 although nobody ended it.
+// errExitedWithoutError describes the end of a process that exits with code 0 without a request to stop.
 var errExitedWithoutError = errors.New("exit code 0")
 
-// usage is what a process has used.
+// usage is the resource usage of a process.
 type usage struct {
-	cpu     time.Duration
-	memory  int64         // resident bytes
-	starved time.Duration // that its threads were ready to run and had no core
+	cpu     time.Duration // total CPU time
+	memory  int64         // resident memory, in bytes
+	starved time.Duration // total time in which its threads were ready to run but had no core
 }
 
-// usage reads /proc. It is zero once the process has ended.
+// usage reads the process's usage from /proc. It returns zero values once the process has ended.
 func (p *process) usage() (u usage) {
 	root := "/proc/" + strconv.Itoa(p.cmd.Process.Pid)
 	stat, err := os.ReadFile(root + "/stat")
@@ -181,7 +186,7 @@
 	return u
 }
 
-// tail is the end of a process's log, for an error message.
+// tail returns the last 2000 bytes of a log file for use in an error message, or the error of reading it.
 func tail(path string) string {
 	f, err := os.Open(path)
 	if err != nil {
@@ -189,7 +194,7 @@
 	}
 	defer func() { _ = f.Close() }()
 	if st, err := f.Stat(); err == nil && st.Size() > 2000 {
-		_, _ = f.Seek(-2000, io.SeekEnd) // else the whole log is shown
+		_, _ = f.Seek(-2000, io.SeekEnd) // on an error, the message contains the whole log
 	}
 	text, err := io.ReadAll(f)
 	if err != nil {
