--- a/internal/testbed/fault.go
+++ b/internal/testbed/fault.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// playFaults carries out the schedule's faults, each when it is due.
-func (env *environment) playFaults() {
+// injectFaults applies each fault event of the schedule at its time, until the run ends.
+func (env *environment) injectFaults() {
 	for _, e := range env.schedule.Faults {
 		if d := e.At - env.now(); d > 0 && !env.sleep(d) {
 			return
 		}
 		ft := &env.scenario.Faults[e.Fault]
 		env.log.Info("fault injected", "at", e.At.Seconds(), "fault", ft.describe(e))
-		// A restart waits for a process to end: the time line goes on.
+		// Applying a fault may block: a restart waits for the old process to exit. Later events must not wait for it.
 		env.work.Go(func() {
 			if err := env.applyFault(ft, e); err != nil {
 				select {
-				case <-env.over: // what is under way as the run ends is ended, too
+				case <-env.over: // the run's end interrupts faults in progress
 				default:
 					env.fail(fmt.Errorf("fault %s at %v: %w", ft.describe(e), e.At, err))
 				}
@@ -27,7 +27,7 @@
 	}
 }
 
-// applyFault begins or ends a fault at one target.
+// applyFault begins or ends a fault at the target of an event.
 func (env *environment) applyFault(ft *Fault, e FaultEvent) error {
 	switch {
 	case strings.HasPrefix(string(ft.Kind), "list-"):
@@ -41,10 +41,10 @@
 	case ft.Kind == FaultLoseZone:
 		return env.loseZone(ft.Zone, e.End)
 	}
-	return fmt.Errorf("kind %q is not carried out", ft.Kind)
+	return fmt.Errorf("fault kind %q is not implemented", ft.Kind)
 }
 
-// applyNodeFault begins or ends a fault of an edge node's process.
+// applyNodeFault begins or ends a fault at an edge node's process.
 func (env *environment) applyNodeFault(ft *Fault, n *edgeNode, end bool) error {
 	switch {
 	case ft.Kind == FaultStall:
@@ -58,13 +58,13 @@
 	case ft.Kind == FaultReload && !end:
 		return env.moveDiscovery(n)
 	}
-	return nil // a restart and a move end by themselves
+	return nil // FaultRestart and FaultReload complete on their own and have no end to apply
 }
 
-// applyServerFault begins or ends a fault of an app server.
+// applyServerFault begins or ends a fault at an app server.
 func applyServerFault(ft *Fault, s *appServer, end bool) error {
 	switch ft.Kind {
-	case FaultDead:
+	case FaultServerCrash:
 		if end {
 			return s.restart(false)
 		}
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// set begins or ends a fault of a server that goes on.
+// set begins or ends a fault that changes how the server handles requests for as long as the fault lasts.
 func (f *serverFaults) set(ft *Fault, m *model, end bool) {
 	share := ft.Size
 	if end {
@@ -103,12 +103,12 @@
 		f.errors = share
 	case FaultReset:
 		f.resets = share
-	case FaultSpoil:
+	case FaultMalformed:
 		f.malformed = share
 	}
 }
 
-// loseZone ends the app servers of a zone, or starts them again.
+// loseZone crashes the app servers of a zone, or restarts them when the fault ends.
 func (env *environment) loseZone(zone string, end bool) error {
 	for _, i := range env.scenario.Fleet.inZone(env.scenario.Fleet.Servers, zone) {
 		if !end {
@@ -122,14 +122,14 @@
 	return nil
 }
 
-// applyNetworkFault begins or ends a fault of what carries bytes between parties.
+// applyNetworkFault begins or ends a fault of the TCP relays or of the UDP relay between nodes.
 func (env *environment) applyNetworkFault(ft *Fault, e FaultEvent) error {
 	switch ft.Kind {
 	case FaultCutZone:
 		inside := func(i int) bool { return env.scenario.Fleet.zoneOf(i) == ft.Zone }
-		return env.cut(ft.Way, !e.End, inside, inside)
+		return env.setLinksCut(ft.Way, !e.End, inside, inside)
 	case FaultCutNode:
-		return env.cut(ft.Way, !e.End, func(i int) bool { return i == e.Target }, func(int) bool { return false })
+		return env.setLinksCut(ft.Way, !e.End, func(i int) bool { return i == e.Target }, func(int) bool { return false })
 	case FaultLink:
 		return env.applyLinkFault(ft, e.End)
 	}
@@ -141,10 +141,10 @@
 	return nil
 }
 
-// applyListFault begins or ends a fault of discovery.
+// applyListFault begins or ends a fault of discovery or of the list service.
 func (env *environment) applyListFault(ft *Fault, end bool) error {
 	switch ft.Kind {
-	case FaultListLate:
+	case FaultListDelay:
 		env.list.setExtraDelay(time.Duration(ft.Delay), end)
 	case FaultListDown:
 		env.list.setDown(!end)
@@ -152,7 +152,7 @@
 		if !end {
 			env.list.breakWatches(ft.Kind == FaultListSilent)
 		}
-	case FaultListWords:
+	case FaultListEncoding:
 		if env.list.setEncoding(ft.Does); end {
 			env.list.setEncoding("")
 		}
@@ -165,9 +165,9 @@
 	return nil
 }
 
-// cut changes the links between what is inside and what is outside: out is from inside to
-// outside, in the other way.
-func (env *environment) cut(way string, cut bool, nodeInside, serverInside func(int) bool) error {
+// setLinksCut cuts or restores the links between the nodes and servers inside a group and those outside it.
+// The direction way is "out" (from inside to outside), "in" (from outside to inside), or both for any other value.
+func (env *environment) setLinksCut(way string, cut bool, nodeInside, serverInside func(int) bool) error {
 	out, in := way != "in", way != "out"
 	for k, r := range env.relays {
 		if k.from.kind != partyNode || k.to.kind != partyServer {
@@ -177,12 +177,11 @@
 		if n == s {
 			continue
 		}
-		err := r.set(func(there, back *LinkState) {
-			// A relay's one way is from the node to the server.
+		err := r.set(func(toServer, toNode *LinkState) {
 			if n {
-				there.Cut, back.Cut = cut && out, cut && in
+				toServer.Cut, toNode.Cut = cut && out, cut && in
 			} else {
-				there.Cut, back.Cut = cut && in, cut && out
+				toServer.Cut, toNode.Cut = cut && in, cut && out
 			}
 		})
 		if err != nil {
@@ -200,8 +199,9 @@
 	return nil
 }
 
-// applyLinkFault begins or ends a fault of links: what goes from one party to the other, and for
-// resets and refusals the connections between them.
+// applyLinkFault begins or ends a FaultLink on the links between the parties that its From and To name. Silence, loss,
+// delay and rate affect only the data sent from From to To. Reset and refuse affect the connections that From opens
+// to To.
 func (env *environment) applyLinkFault(ft *Fault, end bool) error {
 	from, err := env.scenario.parties(ft.From)
 	if err != nil {
@@ -212,19 +212,19 @@
 		return err
 	}
 	change := func(l *LinkState) {
-		x := 1.0
+		scale := 1.0
 		if end {
-			x = 0
+			scale = 0
 		}
 		switch ft.Does {
 		case "silence":
 			l.Cut = !end
 		case "loss":
-			l.Loss = x * ft.Size
+			l.Loss = scale * ft.Size
 		case "delay":
-			l.Delay = time.Duration(x * float64(ft.Delay))
+			l.Delay = time.Duration(scale * float64(ft.Delay))
 		case "rate":
-			l.Rate = x * ft.Size
+			l.Rate = scale * ft.Size
 		}
 	}
 	for _, a := range from {
@@ -235,15 +235,15 @@
 			if a.kind == partyNode && b.kind == partyNode && a != b {
 				env.udp.set(a.number, b.number, change)
 			}
-			there, back := env.relays[route{a, b}], env.relays[route{b, a}]
+			forward, reverse := env.relays[route{a, b}], env.relays[route{b, a}]
 			var err error
 			switch {
-			case there != nil && (ft.Does == "reset" || ft.Does == "refuse"):
-				there.setFault(ft.Does == "refuse" && !end, ft.Does == "reset" && !end)
-			case there != nil:
-				err = there.set(func(out, _ *LinkState) { change(out) })
-			case back != nil:
-				err = back.set(func(_, in *LinkState) { change(in) })
+			case forward != nil && (ft.Does == "reset" || ft.Does == "refuse"):
+				forward.setFault(ft.Does == "refuse" && !end, ft.Does == "reset" && !end)
+			case forward != nil:
+				err = forward.set(func(out, _ *LinkState) { change(out) })
+			case reverse != nil:
+				err = reverse.set(func(_, in *LinkState) { change(in) })
 			}
 			if err != nil {
 				return err
@@ -253,7 +253,8 @@
 	return nil
 }
 
-// describe names what a fault does, for logs and charts.
+// describe returns a short label of a fault event for logs and reports: the kind, the target or zone, and "ends"
+// if the event ends the fault.
 func (ft *Fault) describe(e FaultEvent) string {
 	var b strings.Builder
 	b.WriteString(string(ft.Kind))
--- a/internal/testbed/fault_kinds.go
+++ b/internal/testbed/fault_kinds.go
@@ -7,82 +7,82 @@
 	"strings"
 )
 
-// FaultKind is a kind of fault by the name that scenarios give it.
+// FaultKind is the name of a kind of fault in scenario files.
 type FaultKind string
 
 // Kinds of faults.
 const (
-	FaultKill       FaultKind = "kill"
-	FaultRestart    FaultKind = "restart"
-	FaultStall      FaultKind = "stall"
-	FaultReload     FaultKind = "hup"
-	FaultSlow       FaultKind = "slow"
-	FaultHang       FaultKind = "hang"
-	FaultError      FaultKind = "error"
-	FaultReset      FaultKind = "reset"
-	FaultSpoil      FaultKind = "spoil"
-	FaultDead       FaultKind = "dead"
-	FaultDrain      FaultKind = "drain"
-	FaultReplace    FaultKind = "replace"
-	FaultCutZone    FaultKind = "cut-zone"
-	FaultLoseZone   FaultKind = "lose-zone"
-	FaultCutNode    FaultKind = "cut-node"
-	FaultLink       FaultKind = "link"
-	FaultPeerLoss   FaultKind = "peer-loss"
-	FaultListLate   FaultKind = "list-late"
-	FaultListDown   FaultKind = "list-down"
-	FaultListReset  FaultKind = "list-reset"
-	FaultListSilent FaultKind = "list-silent"
-	FaultListWords  FaultKind = "list-words"
-	FaultListKill   FaultKind = "list-kill"
+	FaultKill         FaultKind = "kill"
+	FaultRestart      FaultKind = "restart"
+	FaultStall        FaultKind = "stall"
+	FaultReload       FaultKind = "hup"
+	FaultSlow         FaultKind = "slow"
+	FaultHang         FaultKind = "hang"
+	FaultError        FaultKind = "error"
+	FaultReset        FaultKind = "reset"
+	FaultMalformed    FaultKind = "spoil"
+	FaultServerCrash  FaultKind = "dead"
+	FaultDrain        FaultKind = "drain"
+	FaultReplace      FaultKind = "replace"
+	FaultCutZone      FaultKind = "cut-zone"
+	FaultLoseZone     FaultKind = "lose-zone"
+	FaultCutNode      FaultKind = "cut-node"
+	FaultLink         FaultKind = "link"
+	FaultPeerLoss     FaultKind = "peer-loss"
+	FaultListDelay    FaultKind = "list-late"
+	FaultListDown     FaultKind = "list-down"
+	FaultListReset    FaultKind = "list-reset"
+	FaultListSilent   FaultKind = "list-silent"
+	FaultListEncoding FaultKind = "list-words"
+	FaultListKill     FaultKind = "list-kill"
 )
 
-// faultTarget is what a fault is aimed at.
+// faultTarget is the kind of object that a fault affects.
 type faultTarget int
 
 const (
-	faultsAll     faultTarget = iota // everything of a kind at once
-	faultsNodes                      // edge nodes, one by one
-	faultsServers                    // app servers, one by one
-	faultsZone                       // a zone as a whole
+	faultsAll     faultTarget = iota // no numbered target, such as all watches or the link that a fault names
+	faultsNodes                      // individual edge nodes
+	faultsServers                    // individual app servers
+	faultsZone                       // a whole zone
 )
 
-// faultDescription is what there is to know of a kind of fault.
+// faultDescription describes a kind of fault.
 type faultDescription struct {
 	target faultTarget
-	relays bool // the links must go through relays
-	about  string
+	relays bool   // the fault needs the links to go through relays
+	about  string // help text; words in backquotes are fields of a fault
 }
 
-// faultKinds describes the kinds of faults. A new kind is also carried out in applyFault, checked where scenarios are
-// validated and, to occur in sweeps, generated.
+// faultKinds describes the kinds of faults. A new kind must also be implemented in applyFault and checked in
+// validateFault. To occur in sweeps it must be drawn in drawTimeline as well.
 var faultKinds = map[FaultKind]faultDescription{
-	FaultKill:       {faultsNodes, false, "SIGKILL of a node; started again after `for`, under the same name"},
-	FaultRestart:    {faultsNodes, false, "SIGTERM of nodes one after another, each started again when it has ended"},
-	FaultStall:      {faultsNodes, false, "SIGSTOP of a node, SIGCONT after `for`"},
-	FaultReload:     {faultsNodes, false, "a new configuration that moves a node to another discovery agent, then SIGHUP"},
-	FaultSlow:       {faultsServers, false, "an app server is `size` times slower"},
-	FaultHang:       {faultsServers, false, "an app server accepts requests and answers none"},
-	FaultError:      {faultsServers, false, "an app server answers a share `size` of the requests with 500"},
-	FaultReset:      {faultsServers, false, "an app server resets the connection under a share `size` of the requests"},
-	FaultSpoil:      {faultsServers, false, "an app server sends a share `size` of its responses malformed"},
-	FaultDead:       {faultsServers, false, "an app server refuses connections and resets those it has; in slow start afterwards"},
-	FaultDrain:      {faultsServers, false, "an app server drains for `for`, then is removed"},
-	FaultReplace:    {faultsServers, false, "an app server is removed, and one in slow start with a new id stands at its address"},
-	FaultCutZone:    {faultsZone, true, "no packet between the zone and the others"},
-	FaultLoseZone:   {faultsZone, false, "the zone's app servers crash and return in slow start"},
-	FaultCutNode:    {faultsNodes, true, "no packet between a node and servers and peers"},
-	FaultLink:       {faultsAll, true, "the link `from` a party `to` another, that way alone: `does` silence, reset, refuse, loss (`size`), delay (`late`) or rate (`size` bytes a second)"},
-	FaultPeerLoss:   {faultsAll, false, "a share `size` of the datagrams is lost"},
-	FaultListLate:   {faultsAll, false, "discovery tells of changes `late` later"},
-	FaultListDown:   {faultsAll, false, "agents stay silent and take no watch"},
-	FaultListReset:  {faultsAll, false, "the open watches are reset"},
-	FaultListSilent: {faultsAll, false, "nothing comes on the open watches any more"},
-	FaultListWords:  {faultsAll, false, "changes are told as `does` says: indent, over many lines; trickle, in small pieces; half, without an end; noise; entry, with a spoilt one beside"},
-	FaultListKill:   {faultsAll, false, "SIGKILL of the list service's leader, or of all replicas where `share` is 1; started again after `for`"},
+	FaultKill:         {faultsNodes, false, "SIGKILL of a node; restarted after `for` under the same name"},
+	FaultRestart:      {faultsNodes, false, "SIGTERM of nodes, `step` apart; each is restarted when its process has exited"},
+	FaultStall:        {faultsNodes, false, "SIGSTOP of a node, SIGCONT after `for`"},
+	FaultReload:       {faultsNodes, false, "a node's configuration file is changed to name another discovery agent, then SIGHUP"},
+	FaultSlow:         {faultsServers, false, "an app server is `size` times slower"},
+	FaultHang:         {faultsServers, false, "an app server accepts requests and never responds"},
+	FaultError:        {faultsServers, false, "an app server responds to a share `size` of the requests with status 500"},
+	FaultReset:        {faultsServers, false, "an app server resets the connection instead of responding, for a share `size` of the requests"},
+	FaultMalformed:    {faultsServers, false, "a share `size` of an app server's responses is malformed"},
+	FaultServerCrash:  {faultsServers, false, "an app server resets its connections and refuses new ones; it returns in slow start"},
+	FaultDrain:        {faultsServers, false, "an app server drains for `for`, then is removed"},
+	FaultReplace:      {faultsServers, false, "an app server is removed and replaced at the same address by one with a new id, in slow start"},
+	FaultCutZone:      {faultsZone, true, "no packets between the zone and the other zones"},
+	FaultLoseZone:     {faultsZone, false, "the zone's app servers crash and return in slow start"},
+	FaultCutNode:      {faultsNodes, true, "no packets between a node and app servers or peers"},
+	FaultLink:         {faultsAll, true, "the link `from` one party `to` another, in that direction only: `does` is silence, reset, refuse, loss (share `size`), delay (`late`) or rate (`size` bytes a second)"},
+	FaultPeerLoss:     {faultsAll, false, "a share `size` of the datagrams between nodes is lost"},
+	FaultListDelay:    {faultsAll, false, "discovery sends changes with an additional delay of `late`"},
+	FaultListDown:     {faultsAll, false, "open watches fall silent and agents accept no new ones"},
+	FaultListReset:    {faultsAll, false, "the open watches are reset"},
+	FaultListSilent:   {faultsAll, false, "open watches stay connected but receive no more data"},
+	FaultListEncoding: {faultsAll, false, "changes are encoded in an unusual or invalid form: `does` is indent (over many lines), trickle (in small chunks), half (truncated), noise (preceded by invalid bytes) or entry (with one malformed entry)"},
+	FaultListKill:     {faultsAll, false, "SIGKILL of the list service's leader, or of all replicas if `share` is 1; restarted after `for`"},
 }
 
-// FaultKinds lists the kinds of faults, with what each does; words in backquotes are a fault's fields.
+// FaultKinds returns a description of each kind of fault. Words in backquotes are the names of fields of a fault.
 func FaultKinds() map[FaultKind]string {
 	all := map[FaultKind]string{}
 	for kind, description := range faultKinds {
@@ -91,33 +91,34 @@
 	return all
 }
 
-// partyKind is what may be at an end of a link, as scenarios name it.
+// partyKind is the kind of an endpoint of a link, by its name in scenario files.
 type partyKind string
 
 // Kinds of parties.
 const (
-	partyClients partyKind = "clients" // all of them as one
+	partyClients partyKind = "clients" // all clients together
 	partyNode    partyKind = "node"
 	partyServer  partyKind = "server"
 	partyAgent   partyKind = "agent"
 )
 
-// party is an end of a link.
+// party is an endpoint of a link.
 type party struct {
 	kind   partyKind
 	number int
 }
 
-// allClients is the party that all clients are together.
+// allClients is the party that represents all clients together.
 var allClients = party{partyClients, 0}
 
 func nodeParty(number int) party   { return party{partyNode, number} }
 func serverParty(number int) party { return party{partyServer, number} }
 
-// route is the way from one party to another, which opens the connections.
+// route identifies a relayed link by its two parties: from opens the connections, to accepts them.
 type route struct{ from, to party }
 
-// parties lists who a name in a scenario stands for. A zone is its nodes and its servers.
+// parties resolves a name in a scenario, such as "nodes" or "zone:a", to parties. A zone resolves to its nodes and its
+// app servers. The result of "agent" has number 0, which applyLinkFault replaces by the number of the node.
 func (s *Scenario) parties(name string) ([]party, error) {
 	what, arg, _ := strings.Cut(name, ":")
 	switch what {
@@ -141,7 +142,7 @@
 	return nil, fmt.Errorf("%q names no party", name)
 }
 
-// partiesIn lists the parties of a kind in a zone, of all zones where it is "".
+// partiesIn returns the parties of a kind in a zone, or in all zones if zone is "".
 func (s *Scenario) partiesIn(zone string, kind partyKind, count int) (all []party) {
 	for _, number := range s.Fleet.inZone(count, zone) {
 		all = append(all, party{kind, number})
@@ -149,7 +150,7 @@
 	return all
 }
 
-// oneParty is the party of a kind with a number below count.
+// oneParty returns the party of a kind whose number is given as text. The number must be from 0 to count-1.
 func oneParty(name string, kind partyKind, number string, count int) ([]party, error) {
 	n, err := strconv.Atoi(number)
 	if err != nil || n < 0 || n >= count {
--- a/internal/testbed/report.go
+++ b/internal/testbed/report.go
@@ -270,8 +270,8 @@
 	return strings.Join(parts, ", ")
 }
 
-// Spread is a figure over several runs.
-type Spread struct {
+// FigureStats is a figure over several runs.
+type FigureStats struct {
 	Runs int     `json:"runs"`
 	Mean float64 `json:"mean"`
 	Min  float64 `json:"min"`
@@ -280,11 +280,11 @@
 
 // Comparison is one figure of two sets of runs.
 type Comparison struct {
-	Figure string  `json:"figure"`
-	A      Spread  `json:"a"`
-	B      Spread  `json:"b"`
-	Ratio  float64 `json:"ratio"` // of the means, b over a; 0 where a is 0
-	Apart  bool    `json:"apart"` // no run of one lies inside the range of the other
+	Figure string      `json:"figure"`
+	A      FigureStats `json:"a"`
+	B      FigureStats `json:"b"`
+	Ratio  float64     `json:"ratio"` // of the means, b over a; 0 where a is 0
+	Apart  bool        `json:"apart"` // no run of one lies inside the range of the other
 }
 
 // readRuns reads the run in a folder, or all runs in folders below it.
@@ -323,7 +323,7 @@
 	}
 	var out []Comparison
 	for _, f := range sortedKeys(figureNames) {
-		c := Comparison{Figure: f, A: spread(a, f), B: spread(b, f)}
+		c := Comparison{Figure: f, A: figureStats(a, f), B: figureStats(b, f)}
 		if c.A.Mean != 0 {
 			c.Ratio = c.B.Mean / c.A.Mean
 		}
@@ -341,10 +341,10 @@
 	return slices.Compact(all)
 }
 
-func spread(rs []*Result, figure string) Spread {
+func figureStats(rs []*Result, figure string) FigureStats {
 	var xs []float64
 	for _, r := range rs {
 		xs = append(xs, r.Figures[figure])
 	}
-	return Spread{Runs: len(xs), Mean: stat.Mean(xs, nil), Min: slices.Min(xs), Max: slices.Max(xs)}
+	return FigureStats{Runs: len(xs), Mean: stat.Mean(xs, nil), Min: slices.Min(xs), Max: slices.Max(xs)}
 }
--- a/internal/testbed/result.go
+++ b/internal/testbed/result.go
@@ -64,8 +64,8 @@
 	Error      string             `json:"error,omitempty"`
 }
 
-// behindFrom is the 99th percentile of the generator's lateness from which a run is marked.
-const behindFrom = 10 * time.Millisecond
+// maxLateness is the 99th percentile of the generator's lateness from which a run is marked.
+const maxLateness = 10 * time.Millisecond
 
 // OK tells whether no rule was broken, no node crashed and every expectation held.
 func (r *Result) OK() bool {
@@ -110,11 +110,11 @@
 	ms := func(q float64) float64 { return quantile(env.list.delays, q).Seconds() * 1e3 }
 	whole := map[string]float64{ // of the whole run, whichever part of it is looked at
 		"restored_nodes": float64(up), "lists_right": float64(env.list.upToDate()) / float64(len(env.nodes)),
-		"versions_back": float64(env.list.rollbacks.Load()), "slack_ms": env.mostSlack().Seconds() * 1e3,
+		"versions_back": float64(env.list.rollbacks.Load()), "slack_ms": env.peakSlack().Seconds() * 1e3,
 		"list_p50_ms": ms(50), "list_p99_ms": ms(99), "list_max_ms": ms(100),
 	}
 	maps.Copy(r.Figures, whole)
-	r.Behind = r.Figures["lateness_ms"] > behindFrom.Seconds()*1000
+	r.Behind = r.Figures["lateness_ms"] > maxLateness.Seconds()*1000
 	for _, e := range env.scenario.Expect {
 		to := time.Duration(e.To)
 		if to == 0 {
--- a/internal/testbed/run.go
+++ b/internal/testbed/run.go
@@ -38,7 +38,7 @@
 // what the nodes did wrong is in the result. Whatever ends the run, nothing of it is left
 // running when Run returns.
 func Run(ctx context.Context, s *Scenario, o Options) (res *Result, err error) {
-	if err := needDescriptors(s.descriptors()); err != nil {
+	if err := ensureDescriptorLimit(s.descriptors()); err != nil {
 		return nil, err
 	}
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
@@ -57,10 +57,10 @@
 			return nil, err
 		}
 	}
-	w.begin()
-	w.work.Go(w.watchLag)
-	w.work.Go(func() { w.measure(o.Live) })
-	w.work.Go(w.playFaults)
+	w.startClock()
+	w.work.Go(w.monitorLag)
+	w.work.Go(func() { w.monitorNodes(o.Live) })
+	w.work.Go(w.injectFaults)
 	played := make(chan struct{})
 	go func() {
 		defer close(played)
@@ -84,9 +84,9 @@
 	return res, res.write(o.Dir)
 }
 
-// begin sets the clock to zero, and with it what was booked while the nodes started. No
+// startClock sets the clock to zero, and with it what was booked while the nodes started. No
 // request has come yet.
-func (env *environment) begin() {
+func (env *environment) startClock() {
 	env.begun.Store(int64(time.Since(env.origin)))
 	for _, s := range env.servers {
 		s.mu.Lock()
@@ -107,9 +107,9 @@
 	env.checker.mu.Unlock()
 }
 
-// needDescriptors raises the limit on open files as far as allowed, and tells if that is not
+// ensureDescriptorLimit raises the limit on open files as far as allowed, and tells if that is not
 // enough.
-func needDescriptors(n int) error {
+func ensureDescriptorLimit(n int) error {
 	var l syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &l); err != nil {
 		return fmt.Errorf("limit on open files: %w", err)
@@ -167,8 +167,8 @@
 	return up
 }
 
-// measure samples the nodes and tells of the progress until the run ends.
-func (env *environment) measure(live func(Progress)) {
+// monitorNodes samples the nodes and tells of the progress until the run ends.
+func (env *environment) monitorNodes(live func(Progress)) {
 	for tick := 0; env.sleep(500 * time.Millisecond); tick++ {
 		env.sample()
 		if live != nil && tick%2 == 1 {
--- a/internal/testbed/scenario.go
+++ b/internal/testbed/scenario.go
@@ -5,16 +5,15 @@
 	"strings"
 )
 
-// Scenario is one experiment: what runs, what is asked of it, what goes wrong when, and
-// what must come of it.
+// Scenario describes one experiment: the fleet, the load on it, the faults with their times, and the expected results.
 type Scenario struct {
 	Name     string   `toml:"name"`
 	About    string   `toml:"about"`
-	Duration Duration `toml:"duration"` // arrivals stop then; what is open is still played
+	Duration Duration `toml:"duration"` // time after which no request arrives; requests in progress are completed
 	Fleet    Fleet    `toml:"fleet"`
 	Load     Load     `toml:"load"`
-	Classes  []Class  `toml:"class"` // none: one that is safe to repeat and one that is not
-	Plans    []Plan   `toml:"plan"`  // none: the three of the platform's deployment
+	Classes  []Class  `toml:"class"` // default: one idempotent and one non-idempotent class
+	Plans    []Plan   `toml:"plan"`  // default: the three plans of the platform's deployment
 	Faults   []Fault  `toml:"fault"`
 	Expect   []Expect `toml:"expect"`
 }
@@ -22,12 +21,12 @@
 // Class is a class of requests.
 type Class struct {
 	Name           string  `toml:"name"`
-	Share          float64 `toml:"share"`  // of the requests
-	NonIdempotent  bool    `toml:"unsafe"` // must never run twice
+	Share          float64 `toml:"share"`  // share of the requests, from 0 to 1
+	NonIdempotent  bool    `toml:"unsafe"` // a request must never be executed twice
 	PriorityWeight float64 `toml:"worth"`
 }
 
-// method is the one that the class's clients use.
+// method returns the HTTP method of the class's requests.
 func (c *Class) method() string {
 	if c.NonIdempotent {
 		return "POST"
@@ -35,13 +34,13 @@
 	return "GET"
 }
 
-// Plan is a tenant's contract. Rates are units a second.
+// Plan is a tenant's quota terms. Rates are in units per second, bursts and the slack in units.
 type Plan struct {
 	Name           string  `toml:"name"`
-	Share          float64 `toml:"share"` // of the use inside quotas
+	Share          float64 `toml:"share"` // share of the load within quotas, from 0 to 1
 	Rate           float64 `toml:"rate"`
 	Burst          float64 `toml:"burst"`
-	HardLimitRate  float64 `toml:"ceiling_rate"` // 0: none
+	HardLimitRate  float64 `toml:"ceiling_rate"` // 0: no hard limit
 	HardLimitBurst float64 `toml:"ceiling_burst"`
 	HardLimitSlack float64 `toml:"slack"`
 	WeightFactor   float64 `toml:"price"`
@@ -49,125 +48,126 @@
 	OverQuotaCost  float64 `toml:"over_cost"`
 }
 
-// Fleet is the edge nodes and the app servers behind them.
+// Fleet describes the edge nodes, the app servers behind them, and discovery.
 type Fleet struct {
 	Nodes                    int      `toml:"nodes"`
 	Servers                  int      `toml:"servers"`
-	Zones                    []string `toml:"zones"` // nodes and servers are dealt round these
-	Cores                    int      `toml:"cores"` // of an app server
+	Zones                    []string `toml:"zones"` // nodes and app servers are assigned to these in turn
+	Cores                    int      `toml:"cores"` // number of cores of an app server
 	SlotsPerCore             int      `toml:"slots_per_core"`
 	QueuePerCore             int      `toml:"queue_per_core"`
-	ContentionLoss           float64  `toml:"thrash"`    // share of efficiency lost for each slot's worth held beyond thrash_at
-	ContentionFrom           float64  `toml:"thrash_at"` // requests held per core from which efficiency falls
-	SlowStartInitialFraction float64  `toml:"cold_from"` // share of its capacity that a started server has
-	SlowStartDuration        Duration `toml:"ramp"`      // time in which it becomes warm
-	OverloadFactor           float64  `toml:"fall_multiple"`
-	OverloadWindow           Duration `toml:"fall_for"`
-	Connections              int      `toml:"connections"`    // that one app server takes
-	HandshakeWork            Duration `toml:"handshake_work"` // core time that a new connection costs
+	ContentionLoss           float64  `toml:"thrash"`         // efficiency lost for each request per core above thrash_at
+	ContentionFrom           float64  `toml:"thrash_at"`      // requests in flight per core above which efficiency falls
+	SlowStartInitialFraction float64  `toml:"cold_from"`      // share of its capacity that a server has when slow start begins
+	SlowStartDuration        Duration `toml:"ramp"`           // duration of slow start
+	OverloadFactor           float64  `toml:"fall_multiple"`  // multiple of its capacity at which a server in slow start fails
+	OverloadWindow           Duration `toml:"fall_for"`       // time over which that multiple is measured
+	Connections              int      `toml:"connections"`    // maximum number of connections of one app server
+	HandshakeWork            Duration `toml:"handshake_work"` // core time that a new connection takes
 	ConnIdle                 Duration `toml:"conn_idle"`
 	ReportEvery              Duration `toml:"report_every"`
 	ReportDelay              Duration `toml:"report_late"`
-	ListDelay                Duration `toml:"list_late"`        // from a change at a server to the agents' telling it
-	ListReplicas             int      `toml:"list_replicas"`    // of the project's own list service; 0: the testbed keeps the list
-	ListAgents               bool     `toml:"list_agents"`      // the project's own agent stands between its list service and each node
-	ListPolled               bool     `toml:"list_asked"`       // lists are asked for, from one service for all nodes; else an agent pushes them
-	ListCallsPerS            float64  `toml:"list_calls_per_s"` // that this service answers; 0: any number
-	StaleStartList           bool     `toml:"stale_known"`      // a process starts with the list of the run's start
-	NoGossip                 bool     `toml:"no_peers"`         // nodes may not message one another
-	PeerMessagesPerSecond    float64  `toml:"inbox_per_s"`      // datagrams that a node takes in
+	ListDelay                Duration `toml:"list_late"`        // delay from a change of an app server to its delivery by the agents
+	ListReplicas             int      `toml:"list_replicas"`    // replicas of the real list service; 0: the testbed emulates the service
+	ListAgents               bool     `toml:"list_agents"`      // run the real agent between the list service and each node
+	ListPolled               bool     `toml:"list_asked"`       // nodes poll one service shared by the fleet; otherwise an agent pushes lists to each node
+	ListCallsPerS            float64  `toml:"list_calls_per_s"` // calls per second that this service can answer; 0: unlimited
+	StaleStartList           bool     `toml:"stale_known"`      // a restarted node begins with the list from the start of the run
+	NoGossip                 bool     `toml:"no_peers"`         // nodes must not send messages to one another
+	PeerMessagesPerSecond    float64  `toml:"inbox_per_s"`      // datagrams per second that a node accepts
 	PeerLoss                 float64  `toml:"peer_loss"`
 	PeerDelay                Duration `toml:"peer_delay"`
-	CrossDelay               Duration `toml:"cross_delay"` // one way between zones; needs the relays
+	CrossDelay               Duration `toml:"cross_delay"` // one-way delay between zones; makes links go through relays
 	MemoryMB                 int      `toml:"memory_mb"`
 	Sockets                  int      `toml:"sockets"`
 }
 
-// Load is what clients ask.
+// Load describes the requests of the clients.
 type Load struct {
-	Rate               float64  `toml:"rate"`     // requests a second inside the quotas
-	WorkMS             float64  `toml:"work_ms"`  // core time of a request, on average
-	LatencyObjective   Duration `toml:"aim"`      // an answer is wanted by then
-	Deadline           Duration `toml:"deadline"` // a client waits no longer over all its attempts
-	Retries            int      `toml:"retries"`
-	RetryAfterShare    float64  `toml:"honour"` // share of clients that keep to Retry-After
-	MarkRetry          bool     `toml:"mark_retry"`
-	NonIdempotentShare float64  `toml:"unsafe"` // share of requests that must never run twice
-	Skew               float64  `toml:"skew"`   // how unevenly a tenant's requests spread over its nodes, 0 for evenly
-	EntryNodeShare     float64  `toml:"spread"` // share of the nodes that a tenant's requests come through; 0: two to four nodes
-	OverQuotaTenants   float64  `toml:"heavy"`  // share of tenants that ask three times their quota
-	FailureDetection   Duration `toml:"front_sees"`
-	ShiftEvery         Duration `toml:"shift_every"` // how often a tenant's busiest node changes
+	Rate               float64  `toml:"rate"`        // requests per second within quotas
+	WorkMS             float64  `toml:"work_ms"`     // mean core time of a request, in milliseconds
+	LatencyObjective   Duration `toml:"aim"`         // latency within which a response has its full value
+	Deadline           Duration `toml:"deadline"`    // longest time that a client waits, over all attempts of a request
+	Retries            int      `toml:"retries"`     // maximum number of retries of a request
+	RetryAfterShare    float64  `toml:"honour"`      // share of retries that respect Retry-After
+	MarkRetry          bool     `toml:"mark_retry"`  // retries carry a header that identifies them as such
+	NonIdempotentShare float64  `toml:"unsafe"`      // share of requests that must never be executed twice, for the default classes
+	Skew               float64  `toml:"skew"`        // imbalance of a tenant's requests over its entry nodes; 0: balanced
+	EntryNodeShare     float64  `toml:"spread"`      // share of the nodes that are entry nodes of a tenant; 0: two to four nodes
+	OverQuotaTenants   float64  `toml:"heavy"`       // share of tenants that request three times their quota
+	FailureDetection   Duration `toml:"front_sees"`  // time for which connections to a node must fail until clients avoid it
+	ShiftEvery         Duration `toml:"shift_every"` // interval at which a tenant's busiest entry node changes
 	Bursts             []Burst  `toml:"burst"`
 }
 
-// Burst multiplies the rate for a while.
+// Burst multiplies the request rate for a limited time.
 type Burst struct {
 	At    Duration `toml:"at"`
-	For   Duration `toml:"for"`
+	For   Duration `toml:"for"` // 0: until the end of the run
 	Times float64  `toml:"times"`
 }
 
-// Fault is one thing that goes wrong, or ends to.
+// Fault describes a fault: its kind, its targets, and when it begins and ends.
 type Fault struct {
 	At    Duration  `toml:"at"`
-	For   Duration  `toml:"for"` // 0: for the rest of the run
+	For   Duration  `toml:"for"` // duration; 0: until the end of the run
 	Kind  FaultKind `toml:"kind"`
-	Zone  string    `toml:"zone"`  // of the zone faults, or to choose targets from
-	Count int       `toml:"count"` // targets; 0 with no share: one
-	Share float64   `toml:"share"` // targets as a share of all
-	Size  float64   `toml:"size"`  // times slower, or the share of requests or datagrams hit
-	Step  Duration  `toml:"step"`  // from one target to the next
-	Delay Duration  `toml:"late"`  // of list-late and delay
-	Way   string    `toml:"way"`   // of cuts: both, in, out, seen from the zone or node
-	From  string    `toml:"from"`  // of links: clients, node:N, nodes, zone:Z
-	To    string    `toml:"to"`    // of links: node:N, nodes, server:N, servers, zone:Z, agent
-	Does  string    `toml:"does"`  // of links: silence, reset, refuse, loss, delay, rate; of list-words: indent, trickle, half, noise, entry
+	Zone  string    `toml:"zone"`  // zone to which the fault applies, or in which its targets are chosen
+	Count int       `toml:"count"` // number of targets; 0 without a share: one
+	Share float64   `toml:"share"` // share of the nodes or app servers that are targets
+	Size  float64   `toml:"size"`  // slowdown factor, share of requests or datagrams affected, or bytes per second, depending on the kind
+	Step  Duration  `toml:"step"`  // delay between one target and the next
+	Delay Duration  `toml:"late"`  // delay added by list-late and by links with does = "delay"
+	Way   string    `toml:"way"`   // cut-zone and cut-node: both, in or out, relative to the zone or node
+	From  string    `toml:"from"`  // link: clients, node:N, nodes or zone:Z
+	To    string    `toml:"to"`    // link: node:N, nodes, server:N, servers, zone:Z or agent
+	Does  string    `toml:"does"`  // link: silence, reset, refuse, loss, delay or rate; list-words: indent, trickle, half, noise or entry
 }
 
-// Expect is a bound on a figure of the run.
+// Expect bounds a figure of the run, for the requests that are due in a window of time.
 type Expect struct {
 	Figure string   `toml:"figure"`
 	Min    *float64 `toml:"min"`
 	Max    *float64 `toml:"max"`
-	From   Duration `toml:"from"` // of the arrivals that count
-	To     Duration `toml:"to"`   // 0: to the end
+	From   Duration `toml:"from"` // start of the window
+	To     Duration `toml:"to"`   // end of the window; 0: end of the run
 }
 
-// Figures that an expect line may name, and what they are.
+// figureNames describes the figures that an expect table may name.
 var figureNames = map[string]string{
-	"goodput":        "value answered within the latency objective, as a share of the value requested inside quotas",
-	"served":         "share of the requests whose client got a response, at whichever attempt",
-	"refused":        "share of the attempts rejected",
-	"refused_room":   "share of the attempts rejected while half of the quota was unused",
-	"failed":         "share of the attempts failed",
-	"beyond_quota":   "share of the units sent on that were beyond quotas",
-	"answers":        "number of answers",
-	"violations":     "violations of rules",
-	"crashes":        "processes that ended and were not told to",
-	"p50_ms":         "median time from due to answer, of what was served",
-	"p99_ms":         "99th percentile of the same",
-	"slack_ms":       "most that the machine withheld from the testbed and a node, by which time limits were widened",
-	"lateness_ms":    "99th percentile of how late the load generator sent",
-	"datagrams_lost": "share of the datagrams between nodes that did not arrive",
-	"connections":    "new connections to app servers for each attempt",
-	"memory_mb":      "largest resident memory of a node",
-	"cpu_us":         "CPU time of the nodes for each attempt",
-	"servers_fell":   "app servers overloaded to failure during slow start",
-	"worst_second":   "lowest share of requests served of any whole second with arrivals",
-	"restored_nodes": "nodes that answer at the end",
-	"lists_right":    "share of the nodes that were told of the list as it is at the end",
-	"versions_back":  "messages that took a node's list back to an earlier version",
-	"list_p50_ms":    "median time from a change's being written to a node's being told",
-	"list_p99_ms":    "99th percentile of the same",
-	"list_max_ms":    "the longest of the same",
+	"goodput":        "value of the responses within the latency objective, as a share of the value requested within quotas",
+	"served":         "share of the requests that were served, at any attempt",
+	"refused":        "share of the attempts that were rejected",
+	"refused_room":   "share of the attempts that were rejected while at least half of the quota was unused",
+	"failed":         "share of the attempts that failed",
+	"beyond_quota":   "share of the units forwarded to app servers that exceeded quotas",
+	"answers":        "number of requests served, attempts rejected and attempts failed",
+	"violations":     "number of rule violations",
+	"crashes":        "number of node processes that exited unexpectedly",
+	"p50_ms":         "median latency of served requests, from when they were due",
+	"p99_ms":         "99th percentile of that latency",
+	"slack_ms":       "longest time that the machine withheld CPU from the testbed and a node; time limits were extended by it",
+	"lateness_ms":    "99th percentile of the delay with which the load generator sent requests",
+	"datagrams_lost": "share of the datagrams between nodes that were lost or refused",
+	"connections":    "new connections to app servers per attempt",
+	"memory_mb":      "peak resident memory of a node",
+	"cpu_us":         "CPU time of the nodes per attempt",
+	"servers_fell":   "number of app servers overloaded to failure during slow start",
+	"worst_second":   "lowest share of requests served in any second with arrivals",
+	"restored_nodes": "number of nodes that are ready at the end",
+	"lists_right":    "share of the nodes that had received the final list at the end",
+	"versions_back":  "number of messages that returned a node's list to an earlier version",
+	"list_p50_ms":    "median delay from the change of an entry to its delivery to a node",
+	"list_p99_ms":    "99th percentile of that delay",
+	"list_max_ms":    "maximum of that delay",
 }
 
+// names returns the keys of a map, sorted and joined by commas, for error messages.
 func names[K ~string, V any](m map[K]V) string {
-	var all []string
-	for n := range m {
-		all = append(all, string(n))
+	var keys []string
+	for k := range m {
+		keys = append(keys, string(k))
 	}
-	slices.Sort(all)
-	return strings.Join(all, ", ")
+	slices.Sort(keys)
+	return strings.Join(keys, ", ")
 }
--- a/internal/testbed/scenario_defaults.go
+++ b/internal/testbed/scenario_defaults.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// addDefaults puts in the classes and plans that are not written.
+// addDefaults adds the default classes and plans if the scenario has none.
 func (s *Scenario) addDefaults() {
 	if len(s.Classes) == 0 {
 		s.Classes = []Class{{Name: "price-check", Share: 1 - s.Load.NonIdempotentShare, PriorityWeight: 3}, {Name: "quote-issue", Share: s.Load.NonIdempotentShare, NonIdempotent: true, PriorityWeight: 5}}
@@ -18,7 +18,7 @@
 	}
 }
 
-// defaults is a small fleet that any machine carries.
+// defaults returns a scenario with a fleet small enough for any machine.
 func defaults() Scenario {
 	s := Scenario{
 		Duration: Duration(20 * time.Second),
@@ -38,10 +38,10 @@
 	return s
 }
 
-// Demo is a small fleet with light load, for at most so long.
-func Demo(last time.Duration) (*Scenario, error) {
+// Demo returns a scenario with a small fleet and light load. The duration must be between 1 s and 1 h.
+func Demo(duration time.Duration) (*Scenario, error) {
 	s := defaults()
-	s.Name, s.About, s.Duration = "up", "A small fleet with light load", Duration(last)
+	s.Name, s.About, s.Duration = "up", "A small fleet with light load", Duration(duration)
 	s.Load.Rate = 100
 	if err := s.validate(); err != nil {
 		return nil, err
--- a/internal/testbed/scenario_file.go
+++ b/internal/testbed/scenario_file.go
@@ -13,26 +13,27 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Duration is a time.Duration that TOML writes as a string such as "1.5s".
+// Duration is a time.Duration that is encoded as a string such as "1.5s".
 type Duration time.Duration
 
-// UnmarshalText parses a duration that is not negative.
+// UnmarshalText parses a non-negative duration.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil || v < 0 {
-		return fmt.Errorf("%q is not a duration such as \"1.5s\"", text)
+		return fmt.Errorf("%q is not a non-negative duration such as \"1.5s\"", text)
 	}
 	*d = Duration(v)
 	return nil
 }
 
-// MarshalText writes the duration as it is read.
+// MarshalText encodes the duration in the form that UnmarshalText parses.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
+// s returns the duration in seconds.
 func (d Duration) s() float64 { return time.Duration(d).Seconds() }
 
-// LoadScenario reads a scenario file. An error names the file, the line, the field and what
-// was expected.
+// LoadScenario reads and validates a scenario file. Errors name the file, the line and the field, the value received
+// and what is accepted.
 func LoadScenario(path string) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -41,10 +42,10 @@
 	return ParseScenario(path, text)
 }
 
-// ParseScenario is LoadScenario for a text; name stands for the file in errors.
+// ParseScenario parses and validates the text of a scenario file. Errors name the file as name.
 func ParseScenario(name string, text []byte) (*Scenario, error) {
 	s := defaults()
-	s.Classes, s.Plans = nil, nil // what the file says of these takes the place of all
+	s.Classes, s.Plans = nil, nil // classes and plans of the file replace the defaults
 	d := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
 	if err := d.Decode(&s); err != nil {
 		var unknown *toml.StrictMissingError
@@ -71,8 +72,8 @@
 	return &s, nil
 }
 
-// lineOf finds the line of a field such as fault[2].zone, or of its table where the field
-// is not written; 0 where neither is.
+// lineOf returns the line number of a field such as fault[2].zone. It returns the line of the field's table if the
+// table lacks the field, and 0 if the text has neither.
 func lineOf(text []byte, field string) (line int) {
 	p := unstable.Parser{}
 	p.Reset(text)
@@ -110,7 +111,7 @@
 	return line
 }
 
-// write writes the scenario as a file that LoadScenario reads.
+// write writes the scenario to a file in the format that LoadScenario reads.
 func (s *Scenario) write(path string) error {
 	text, err := toml.Marshal(s)
 	if err != nil {
--- a/internal/testbed/scenario_validate.go
+++ b/internal/testbed/scenario_validate.go
@@ -8,43 +8,43 @@
 	"time"
 )
 
-// fieldError is a value that can't be.
+// fieldError reports an invalid value of a field of a scenario.
 type fieldError struct {
-	field string // such as fault[2].zone
-	want  string
+	field   string // path, such as fault[2].zone
+	message string
 }
 
-func (e *fieldError) Error() string { return e.field + ": " + e.want }
+func (e *fieldError) Error() string { return e.field + ": " + e.message }
 
 func fieldErrorf(field, format string, args ...any) error {
 	return &fieldError{field, fmt.Sprintf(format, args...)}
 }
 
-// bounds are the values that a field may have.
+// bounds is the inclusive range of valid values of a field.
 type bounds struct {
 	field    string
-	got      float64
-	min, max float64 // both may be
+	value    float64
+	min, max float64
 }
 
-// checkBounds returns an error that names the first field outside its bounds; what is no number is outside.
+// checkBounds returns an error for the first field whose value is out of bounds. NaN is always out of bounds.
 func checkBounds(prefix string, all []bounds) error {
 	for _, b := range all {
-		if !(b.got >= b.min && b.got <= b.max) {
-			return fieldErrorf(prefix+b.field, "%v is not from %v to %v", b.got, b.min, b.max)
+		if !(b.value >= b.min && b.value <= b.max) {
+			return fieldErrorf(prefix+b.field, "must be between %v and %v, got %v", b.min, b.max, b.value)
 		}
 	}
 	return nil
 }
 
-// validate returns an error that names the first field that can't be.
+// validate adds the default classes and plans and returns a fieldError for the first invalid field.
 func (s *Scenario) validate() error {
 	s.addDefaults()
 	checks := []func() error{
 		func() error { return checkBounds("", []bounds{{"duration", s.Duration.s(), 1, 3600}}) },
 		s.Fleet.checkBounds,
 		s.Load.checkBounds,
-		s.validateTogether,
+		s.validateCombinations,
 		s.validateClasses,
 		s.validatePlans,
 		s.validateBursts,
@@ -106,22 +106,22 @@
 	})
 }
 
-// validateTogether checks what depends on more than one field, and names.
-func (s *Scenario) validateTogether() error {
+// validateCombinations checks the name, the number of zones, and constraints between several fields.
+func (s *Scenario) validateCombinations() error {
 	f, l := &s.Fleet, &s.Load
 	switch {
 	case s.Name == "":
-		return fieldErrorf("name", "is empty; a name is wanted")
+		return fieldErrorf("name", "must not be empty")
 	case f.ListAgents && f.ListReplicas == 0:
-		return fieldErrorf("fleet.list_agents", "wants list_replicas, 3 or 5, that they follow")
+		return fieldErrorf("fleet.list_agents", "true requires list_replicas, the replicas that the agents follow, of at least 1 (usually 3 or 5), got 0")
 	case f.ListPolled && f.ListReplicas > 0:
-		return fieldErrorf("fleet.list_asked", "the project's own list service pushes its lists: leave out list_replicas")
+		return fieldErrorf("fleet.list_asked", "must be false with list_replicas, because the list service pushes its lists; list_replicas is %d", f.ListReplicas)
 	case f.ListCallsPerS > 0 && !f.ListPolled:
-		return fieldErrorf("fleet.list_calls_per_s", "is of a service that lists are asked from: set list_asked as well")
+		return fieldErrorf("fleet.list_calls_per_s", "requires list_asked, because only a polled service limits calls, got %v without it", f.ListCallsPerS)
 	case len(f.Zones) == 0 || len(f.Zones) > 26:
-		return fieldErrorf("fleet.zones", "%d zones; 1 to 26 are wanted", len(f.Zones))
+		return fieldErrorf("fleet.zones", "must contain 1 to 26 zones, got %d", len(f.Zones))
 	case l.Rate*s.Duration.s() > 5e6:
-		return fieldErrorf("load.rate", "%v a second for %v are over 5 million requests", l.Rate, time.Duration(s.Duration))
+		return fieldErrorf("load.rate", "must result in at most 5 million requests, got %v per second for %v", l.Rate, time.Duration(s.Duration))
 	}
 	return nil
 }
@@ -129,7 +129,7 @@
 func (s *Scenario) validateBursts() error {
 	for i, b := range s.Load.Bursts {
 		if b.Times <= 0 || b.Times > 100 {
-			return fieldErrorf(fmt.Sprintf("load.burst[%d].times", i), "%v is not above 0 and up to 100", b.Times)
+			return fieldErrorf(fmt.Sprintf("load.burst[%d].times", i), "must be above 0 and at most 100, got %v", b.Times)
 		}
 	}
 	return nil
@@ -148,16 +148,16 @@
 	for i, e := range s.Expect {
 		field := fmt.Sprintf("expect[%d].", i)
 		if _, ok := figureNames[e.Figure]; !ok {
-			return fieldErrorf(field+"figure", "%q is none of %s", e.Figure, names(figureNames))
+			return fieldErrorf(field+"figure", "unknown figure %q, must be one of %s", e.Figure, names(figureNames))
 		}
 		if e.Min == nil && e.Max == nil {
-			return fieldErrorf(field+"figure", "min or max is wanted beside it")
+			return fieldErrorf(field+"figure", "%s requires min or max, got neither", e.Figure)
 		}
 	}
 	return nil
 }
 
-// shareTolerance is what shares that make a whole may miss it by.
+// shareTolerance is the allowed difference between 1 and the sum of all shares.
 const shareTolerance = 0.01
 
 func (s *Scenario) validateClasses() error {
@@ -166,18 +166,18 @@
 	for i, c := range s.Classes {
 		field := fmt.Sprintf("class[%d].", i)
 		switch {
-		case !plainName(c.Name) || seen[c.Name]:
-			return fieldErrorf(field+"name", "%q is not a name of its own of letters, digits and -", c.Name)
+		case !validName(c.Name) || seen[c.Name]:
+			return fieldErrorf(field+"name", "must be unique and consist of letters, digits and hyphens, got %q", c.Name)
 		case !(c.Share >= 0 && c.Share <= 1):
-			return fieldErrorf(field+"share", "%v is not from 0 to 1", c.Share)
+			return fieldErrorf(field+"share", "must be between 0 and 1, got %v", c.Share)
 		case !(c.PriorityWeight >= 0 && c.PriorityWeight <= 1e6):
-			return fieldErrorf(field+"worth", "%v is not from 0 to 1e6", c.PriorityWeight)
+			return fieldErrorf(field+"worth", "must be between 0 and 1e6, got %v", c.PriorityWeight)
 		}
 		seen[c.Name] = true
 		sum += c.Share
 	}
 	if math.Abs(sum-1) > shareTolerance {
-		return fieldErrorf("class[0].share", "all shares make %v, not 1", sum)
+		return fieldErrorf("class[0].share", "shares of all classes must add up to 1, got %v", sum)
 	}
 	return nil
 }
@@ -200,59 +200,60 @@
 		}); err != nil {
 			return err
 		}
-		if !plainName(p.Name) || seen[p.Name] {
-			return fieldErrorf(field+"name", "%q is not a name of its own of letters, digits and -", p.Name)
+		if !validName(p.Name) || seen[p.Name] {
+			return fieldErrorf(field+"name", "must be unique and consist of letters, digits and hyphens, got %q", p.Name)
 		}
 		seen[p.Name] = true
 		sum += p.Share
 	}
 	if math.Abs(sum-1) > shareTolerance {
-		return fieldErrorf("plan[0].share", "all shares make %v, not 1", sum)
+		return fieldErrorf("plan[0].share", "shares of all plans must add up to 1, got %v", sum)
 	}
 	return nil
 }
 
-func plainName(name string) bool {
+// validName reports whether a name consists of letters, digits and hyphens and is not empty.
+func validName(name string) bool {
 	return name != "" && strings.Trim(name, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-") == ""
 }
 
 func (s *Scenario) validateFault(field string, ft *Fault) error {
 	kind, ok := faultKinds[ft.Kind]
-	all := s.Fleet.Nodes
+	targets := s.Fleet.Nodes
 	if kind.target == faultsServers {
-		all = s.Fleet.Servers
+		targets = s.Fleet.Servers
 	}
 	switch {
 	case !ok:
-		return fieldErrorf(field+"kind", "%q is none of %s", ft.Kind, names(faultKinds))
+		return fieldErrorf(field+"kind", "unknown kind %q, must be one of %s", ft.Kind, names(faultKinds))
 	case ft.At > s.Duration:
-		return fieldErrorf(field+"at", "%v is after the run's end", time.Duration(ft.At))
+		return fieldErrorf(field+"at", "must be at most %v, the run's duration, got %v", time.Duration(s.Duration), time.Duration(ft.At))
 	case kind.target == faultsZone && ft.Zone == "":
-		return fieldErrorf(field+"kind", "%s wants a zone", ft.Kind)
+		return fieldErrorf(field+"kind", "%s requires a zone, one of %s", ft.Kind, strings.Join(s.Fleet.Zones, ", "))
 	case ft.Zone != "" && !slices.Contains(s.Fleet.Zones, ft.Zone):
-		return fieldErrorf(field+"zone", "%q is none of %s", ft.Zone, strings.Join(s.Fleet.Zones, ", "))
-	case ft.Count < 0 || ft.Count > all:
-		return fieldErrorf(field+"count", "%d is not from 0 to %d", ft.Count, all)
+		return fieldErrorf(field+"zone", "unknown zone %q, must be one of %s", ft.Zone, strings.Join(s.Fleet.Zones, ", "))
+	case ft.Count < 0 || ft.Count > targets:
+		return fieldErrorf(field+"count", "must be between 0 and %d, got %d", targets, ft.Count)
 	case ft.Share < 0 || ft.Share > 1:
-		return fieldErrorf(field+"share", "%v is not from 0 to 1", ft.Share)
+		return fieldErrorf(field+"share", "must be between 0 and 1, got %v", ft.Share)
 	case ft.Kind == FaultSlow && ft.Size < 1:
-		return fieldErrorf(field+"kind", "slow wants a size of 1 or more, times slower")
-	case slices.Contains([]FaultKind{FaultError, FaultReset, FaultSpoil, FaultPeerLoss}, ft.Kind) && !(ft.Size > 0 && ft.Size <= 1):
-		return fieldErrorf(field+"kind", "%s wants a size above 0 and up to 1, a share", ft.Kind)
-	case ft.Kind == FaultListLate && ft.Delay <= 0:
-		return fieldErrorf(field+"kind", "%s wants late, a duration", ft.Kind)
+		return fieldErrorf(field+"kind", "slow requires a size of at least 1, the slowdown factor, got %v", ft.Size)
+	case slices.Contains([]FaultKind{FaultError, FaultReset, FaultMalformed, FaultPeerLoss}, ft.Kind) && !(ft.Size > 0 && ft.Size <= 1):
+		return fieldErrorf(field+"kind", "%s requires a size above 0 and at most 1, the affected share, got %v", ft.Kind, ft.Size)
+	case ft.Kind == FaultListDelay && ft.Delay <= 0:
+		return fieldErrorf(field+"kind", "%s requires late, a duration above 0, got %v", ft.Kind, time.Duration(ft.Delay))
 	case ft.Kind == FaultListKill && ft.Share != 0 && ft.Share != 1:
-		return fieldErrorf(field+"share", "%v is neither 0, for the leader, nor 1, for all", ft.Share)
+		return fieldErrorf(field+"share", "must be 0 (the leader) or 1 (all replicas), got %v", ft.Share)
 	case ft.Kind == FaultListKill && s.Fleet.ListReplicas == 0:
-		return fieldErrorf(field+"kind", "list-kill wants fleet.list_replicas, 3 or 5")
-	case strings.HasPrefix(string(ft.Kind), "list-") && ft.Kind != FaultListKill && ft.Kind != FaultListDown && ft.Kind != FaultListLate && s.Fleet.ListReplicas > 0:
-		return fieldErrorf(field+"kind", "%s is of the testbed's own list: leave out fleet.list_replicas", ft.Kind)
-	case ft.Kind == FaultListWords && !slices.Contains(listEncodings, ft.Does):
-		return fieldErrorf(field+"does", "%q is none of %s", ft.Does, strings.Join(listEncodings, ", "))
+		return fieldErrorf(field+"kind", "list-kill requires fleet.list_replicas of at least 1 (usually 3 or 5), got 0")
+	case strings.HasPrefix(string(ft.Kind), "list-") && ft.Kind != FaultListKill && ft.Kind != FaultListDown && ft.Kind != FaultListDelay && s.Fleet.ListReplicas > 0:
+		return fieldErrorf(field+"kind", "%s requires the testbed's own list service: leave out fleet.list_replicas, got %d", ft.Kind, s.Fleet.ListReplicas)
+	case ft.Kind == FaultListEncoding && !slices.Contains(listEncodings, ft.Does):
+		return fieldErrorf(field+"does", "unknown encoding %q, must be one of %s", ft.Does, strings.Join(listEncodings, ", "))
 	case ft.Kind == FaultStall && ft.For <= 0:
-		return fieldErrorf(field+"kind", "stall wants for, a duration")
+		return fieldErrorf(field+"kind", "stall requires for, a duration above 0, got %v", time.Duration(ft.For))
 	case !slices.Contains([]string{"", "both", "in", "out"}, ft.Way):
-		return fieldErrorf(field+"way", "%q is none of both, in, out", ft.Way)
+		return fieldErrorf(field+"way", "must be both, in or out, got %q", ft.Way)
 	}
 	if ft.Kind == FaultLink {
 		return s.validateLink(field, ft)
@@ -260,35 +261,35 @@
 	return nil
 }
 
-// validateLink checks the parties of a link and what happens to it.
+// validateLink checks the parties and the effect of a link fault.
 func (s *Scenario) validateLink(field string, ft *Fault) error {
 	from, err := s.parties(ft.From)
 	if err != nil || len(from) == 0 || from[0].kind == partyServer || from[0].kind == partyAgent {
-		return fieldErrorf(field+"from", "%q is none of clients, nodes, node:N, zone:Z", ft.From)
+		return fieldErrorf(field+"from", "must be clients, nodes, node:N or zone:Z, got %q", ft.From)
 	}
 	to, err := s.parties(ft.To)
 	if err != nil || len(to) == 0 || to[0].kind == partyClients {
-		return fieldErrorf(field+"to", "%q is none of nodes, node:N, servers, server:N, zone:Z, agent", ft.To)
+		return fieldErrorf(field+"to", "must be nodes, node:N, servers, server:N, zone:Z or agent, got %q", ft.To)
 	}
 	if from[0].kind == partyClients && to[0].kind != partyNode {
-		return fieldErrorf(field+"to", "clients have links to nodes alone, not to %q", ft.To)
+		return fieldErrorf(field+"to", "must be nodes or node:N for links from clients, got %q", ft.To)
 	}
 	switch ft.Does {
 	case "silence", "reset", "refuse":
 	case "loss":
 		if !(ft.Size > 0 && ft.Size <= 1) {
-			return fieldErrorf(field+"does", "loss wants a size above 0 and up to 1, a share")
+			return fieldErrorf(field+"does", "loss requires a size above 0 and at most 1, the share lost, got %v", ft.Size)
 		}
 	case "delay":
 		if ft.Delay <= 0 {
-			return fieldErrorf(field+"does", "delay wants late, a duration")
+			return fieldErrorf(field+"does", "delay requires late, a duration above 0, got %v", time.Duration(ft.Delay))
 		}
 	case "rate":
 		if ft.Size < 1 {
-			return fieldErrorf(field+"does", "rate wants a size, bytes a second")
+			return fieldErrorf(field+"does", "rate requires a size of at least 1, in bytes per second, got %v", ft.Size)
 		}
 	default:
-		return fieldErrorf(field+"does", "%q is none of silence, reset, refuse, loss, delay, rate", ft.Does)
+		return fieldErrorf(field+"does", "must be silence, reset, refuse, loss, delay or rate, got %q", ft.Does)
 	}
 	return nil
 }
--- a/internal/testbed/schedule.go
+++ b/internal/testbed/schedule.go
@@ -13,8 +13,8 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Streams of random numbers, one for each thing that is drawn, so that a change to one
-// leaves the others as they were.
+// Streams of random numbers. Each purpose has its own stream, so that a change in the draws for one purpose does not
+// change the results of the others.
 const (
 	streamTenants = iota + 1
 	streamArrivals
@@ -25,54 +25,55 @@
 	streamGenerated
 )
 
+// random returns a generator for a stream. The same seed and stream always result in the same numbers.
 func random(seed uint64, stream int) *rand.Rand { return rand.New(rand.NewPCG(seed, uint64(stream))) }
 
 const (
-	maxUnits          = 8    // of one request
-	guessCV           = 0.5  // how far a guess of units lies from the truth
-	workCV            = 0.8  // of the work of one request, beyond what its units tell
-	anotherUnitChance = 0.45 // chance that a request has one unit more
+	maxUnits             = 8    // maximum units of a request
+	estimateCV           = 0.5  // coefficient of variation of a client's estimate of units relative to the actual units
+	workCV               = 0.8  // coefficient of variation of a request's work relative to its units
+	extraUnitProbability = 0.45 // probability of each further unit of a request
 )
 
-// Tenant is one that asks.
+// Tenant is a tenant whose clients send requests.
 type Tenant struct {
 	ID             uint64
 	Plan           int
-	EntryNodes     int // edge nodes that its requests come through
-	FirstEntryNode int // number of the first
-	Rate           float64
-	weight         []float64 // of each of its nodes, busiest first
+	EntryNodes     int       // number of its entry nodes, which have consecutive numbers modulo the number of nodes
+	FirstEntryNode int       // number of the first entry node
+	Rate           float64   // requests per second
+	weights        []float64 // relative share of the requests by entry node, before the shift over time
 }
 
-// Arrival is one first attempt of a client.
+// Arrival is a request of a client. Its fields apply to the first attempt.
 type Arrival struct {
 	At     time.Duration
 	ID     string
 	Tenant int
 	Class  int
-	Node   int     // number of the edge node that it comes through
-	Units  float64 // that it counts in the end
-	Guess  float64 // that its client says
-	Work   float64 // core seconds
-	Wait   time.Duration
+	Node   int           // number of the entry node
+	Units  float64       // units that the app server reports as consumed
+	Guess  float64       // units that the client estimates
+	Work   float64       // core time, in seconds
+	Wait   time.Duration // time that the client waits for a response to an attempt
 }
 
-// Schedule is all that a run draws ahead.
+// Schedule contains the random choices of a run that are made before it begins. The events are in order of time.
 type Schedule struct {
 	Tenants  []Tenant
 	Arrivals []Arrival
 	Faults   []FaultEvent
 }
 
-// FaultEvent is the beginning or the end of a fault at one target.
+// FaultEvent is the beginning or the end of a fault at a target.
 type FaultEvent struct {
 	At     time.Duration
-	Fault  int // number in the scenario
-	Target int // number of a node or server; -1 where the fault has none
-	End    bool
+	Fault  int  // index in Scenario.Faults
+	Target int  // number of the node or app server; -1 if the fault has no target
+	End    bool // the fault ends
 }
 
-// Draw makes the schedule of a scenario. It depends on the scenario and the seed alone.
+// Draw draws the schedule of a scenario. The result depends only on the scenario and the seed.
 func Draw(s *Scenario, seed uint64) *Schedule {
 	d := &Schedule{}
 	d.drawTenants(s, random(seed, streamTenants))
@@ -81,116 +82,120 @@
 	return d
 }
 
-// meanUnits is the mean of drawUnits.
+// meanUnits returns the mean of the distribution of drawUnits.
 func meanUnits() float64 {
 	sum, p := 0.0, 1.0
 	for n := 1; n <= maxUnits; n++ {
-		q := p * (1 - anotherUnitChance)
+		q := p * (1 - extraUnitProbability)
 		if n == maxUnits {
 			q = p
 		}
-		sum, p = sum+float64(n)*q, p*anotherUnitChance
+		sum, p = sum+float64(n)*q, p*extraUnitProbability
 	}
 	return sum
 }
 
+// drawUnits draws the units of a request from a geometric distribution truncated at maxUnits.
 func drawUnits(rng *rand.Rand) float64 {
 	n := 1
-	for n < maxUnits && rng.Float64() < anotherUnitChance {
+	for n < maxUnits && rng.Float64() < extraUnitProbability {
 		n++
 	}
 	return float64(n)
 }
 
-// minUse is what rounding may leave of a plan's share, in requests a second: no tenant is made of it.
-const minUse = 1e-9
+// minTenantRate is the lowest rate of a tenant, in requests per second. A lower remainder of a plan's rate is a
+// rounding error, for which no tenant is created.
+const minTenantRate = 1e-9
 
-// drawTenants adds tenants of each plan until they ask for its share of the load. What
-// heavy ones ask beyond their quota comes on top.
+// drawTenants adds tenants of each plan until their rates add up to the plan's share of the load. The rate of heavy
+// tenants in excess of their quota is not counted in that sum.
 func (d *Schedule) drawTenants(s *Scenario, rng *rand.Rand) {
 	for p, plan := range s.Plans {
-		for left := s.Load.Rate * plan.Share; left > minUse; {
-			full := plan.Rate / meanUnits() // requests a second that use the whole quota
+		for remaining := s.Load.Rate * plan.Share; remaining > minTenantRate; {
+			quotaRate := plan.Rate / meanUnits() // requests per second that use the whole quota
 			use := 0.2 + 0.3*rng.Float64()
 			if rng.Float64() < 0.17 {
 				use = 0.95
 			}
-			ask := use
+			demand := use
 			if rng.Float64() < s.Load.OverQuotaTenants {
-				use, ask = 1, 3
+				use, demand = 1, 3
 			}
-			if use*full > left {
-				ask *= left / (use * full)
-				use = left / full
+			if use*quotaRate > remaining {
+				demand *= remaining / (use * quotaRate)
+				use = remaining / quotaRate
 			}
-			left -= use * full
-			spread := 2 + rng.IntN(3)
+			remaining -= use * quotaRate
+			entryNodes := 2 + rng.IntN(3)
 			if s.Load.EntryNodeShare > 0 {
-				spread = max(spread, int(s.Load.EntryNodeShare*float64(s.Fleet.Nodes)))
+				entryNodes = max(entryNodes, int(s.Load.EntryNodeShare*float64(s.Fleet.Nodes)))
 			}
-			if plan.HardLimitBurst > 0 { // or no node's part of it would hold a request
-				spread = min(spread, int(plan.HardLimitBurst/(2*maxUnits)))
+			if plan.HardLimitBurst > 0 { // each node's part of the burst must allow a request of maxUnits
+				entryNodes = min(entryNodes, int(plan.HardLimitBurst/(2*maxUnits)))
 			}
-			spread = min(spread, s.Fleet.Nodes)
-			c := Tenant{ID: rng.Uint64N(1 << 33), Plan: p, EntryNodes: spread, FirstEntryNode: rng.IntN(s.Fleet.Nodes), Rate: ask * full}
-			for range spread {
-				c.weight = append(c.weight, math.Exp(s.Load.Skew*rng.NormFloat64()))
+			entryNodes = min(entryNodes, s.Fleet.Nodes)
+			c := Tenant{ID: rng.Uint64N(1 << 33), Plan: p, EntryNodes: entryNodes, FirstEntryNode: rng.IntN(s.Fleet.Nodes), Rate: demand * quotaRate}
+			for range entryNodes {
+				c.weights = append(c.weights, math.Exp(s.Load.Skew*rng.NormFloat64()))
 			}
 			d.Tenants = append(d.Tenants, c)
 		}
 	}
 }
 
-// rateAt is the multiple of the load at a time.
+// rateAt returns the factor by which the bursts multiply the request rate at a time.
 func (l *Load) rateAt(at time.Duration) float64 {
-	x := 1.0
+	factor := 1.0
 	for _, b := range l.Bursts {
 		if at >= time.Duration(b.At) && (b.For == 0 || at < time.Duration(b.At+b.For)) {
-			x *= b.Times
+			factor *= b.Times
 		}
 	}
-	return x
+	return factor
 }
 
-// drawArrivals draws a Poisson stream, thinned from the highest rate that bursts reach.
+// drawArrivals draws the arrivals from a Poisson process whose rate varies with the bursts. It draws them at an upper
+// bound of the rate and discards a part of them (thinning). All draws of a discarded arrival are made as well.
 func (d *Schedule) drawArrivals(s *Scenario, rng *rand.Rand) {
-	total, most := 0.0, 1.0
+	total, maxFactor := 0.0, 1.0
 	sum := make([]float64, len(d.Tenants))
 	for i, c := range d.Tenants {
 		total += c.Rate
 		sum[i] = total
 	}
 	for _, b := range s.Load.Bursts { // bursts may overlap
-		most *= math.Max(1, b.Times)
+		maxFactor *= math.Max(1, b.Times)
 	}
-	gap := distuv.Exponential{Rate: total * most, Src: rng}
-	guess := distuv.LogNormal{Mu: -guessCV * guessCV / 2, Sigma: guessCV, Src: rng}
-	work := distuv.LogNormal{Mu: -workCV * workCV / 2, Sigma: workCV, Src: rng}
+	gap := distuv.Exponential{Rate: total * maxFactor, Src: rng}
+	estimateError := distuv.LogNormal{Mu: -estimateCV * estimateCV / 2, Sigma: estimateCV, Src: rng}
+	workFactor := distuv.LogNormal{Mu: -workCV * workCV / 2, Sigma: workCV, Src: rng}
 	var at time.Duration
 	for n := 0; ; n++ {
 		at += time.Duration(gap.Rand() * float64(time.Second))
 		if at >= time.Duration(s.Duration) {
 			return
 		}
-		keep := rng.Float64()*most < s.Load.rateAt(at)
+		accepted := rng.Float64()*maxFactor < s.Load.rateAt(at)
 		i, _ := slices.BinarySearch(sum, rng.Float64()*total)
 		c := &d.Tenants[min(i, len(sum)-1)]
 		units := drawUnits(rng)
 		a := Arrival{
 			At: at, ID: fmt.Sprintf("%016x", rng.Uint64()), Tenant: min(i, len(sum)-1), Units: units,
-			Guess: math.Min(math.Max(math.Round(units*guess.Rand()), 1), maxUnits),
-			Work:  s.Load.WorkMS / 1000 * units / meanUnits() * work.Rand(),
+			Guess: math.Min(math.Max(math.Round(units*estimateError.Rand()), 1), maxUnits),
+			Work:  s.Load.WorkMS / 1000 * units / meanUnits() * workFactor.Rand(),
 			Wait:  time.Duration((0.5 + 0.5*rng.Float64()) * float64(s.Load.Deadline)),
 			Node:  c.pick(rng.Float64(), int(at/time.Duration(s.Load.ShiftEvery)), s.Fleet.Nodes),
 		}
 		a.Class = s.pickClass(rng.Float64())
-		if keep {
+		if accepted {
 			d.Arrivals = append(d.Arrivals, a)
 		}
 	}
 }
 
-// pickClass chooses a class by a number from 0 to 1; the last ones come first.
+// pickClass maps a uniform random number from 0 to 1 to a class, by the classes' shares. The last class has the lowest
+// numbers, and class 0 has all that remain.
 func (s *Scenario) pickClass(x float64) int {
 	for i := len(s.Classes) - 1; i > 0; i-- {
 		if x -= s.Classes[i].Share; x < 0 {
@@ -200,39 +205,40 @@
 	return 0
 }
 
-// pick chooses one of the tenant's nodes; shift moves the weights round.
+// pick maps a uniform random number from 0 to 1 to one of the tenant's entry nodes, by their weights rotated by shift.
+// The result is the number of the node in a fleet of the given size.
 func (c *Tenant) pick(x float64, shift, nodes int) int {
 	total := 0.0
-	for _, w := range c.weight {
+	for _, w := range c.weights {
 		total += w
 	}
-	for i := range c.weight {
-		if x -= c.weight[(i+shift)%c.EntryNodes] / total; x < 0 {
+	for i := range c.weights {
+		if x -= c.weights[(i+shift)%c.EntryNodes] / total; x < 0 {
 			return (c.FirstEntryNode + i) % nodes
 		}
 	}
 	return c.FirstEntryNode % nodes
 }
 
-// drawFaults chooses the targets of every fault and lays them on the time line.
+// drawFaults chooses the targets of each fault and adds an event for each beginning and end, in order of time.
 func (d *Schedule) drawFaults(s *Scenario, rng *rand.Rand) {
 	for i, ft := range s.Faults {
 		kind := faultKinds[ft.Kind]
-		var of []int
+		var targets []int
 		switch kind.target {
 		case faultsNodes:
-			of = s.Fleet.inZone(s.Fleet.Nodes, ft.Zone)
+			targets = s.Fleet.inZone(s.Fleet.Nodes, ft.Zone)
 		case faultsServers:
-			of = s.Fleet.inZone(s.Fleet.Servers, ft.Zone)
+			targets = s.Fleet.inZone(s.Fleet.Servers, ft.Zone)
 		default:
-			of = []int{-1}
+			targets = []int{-1}
 		}
 		if kind.target == faultsNodes || kind.target == faultsServers {
-			rng.Shuffle(len(of), func(a, b int) { of[a], of[b] = of[b], of[a] })
-			n := max(ft.Count, int(math.Round(ft.Share*float64(len(of)))), 1)
-			of = of[:min(n, len(of))]
+			rng.Shuffle(len(targets), func(a, b int) { targets[a], targets[b] = targets[b], targets[a] })
+			n := max(ft.Count, int(math.Round(ft.Share*float64(len(targets)))), 1)
+			targets = targets[:min(n, len(targets))]
 		}
-		for k, target := range of {
+		for k, target := range targets {
 			at := time.Duration(ft.At) + time.Duration(k)*time.Duration(ft.Step)
 			d.Faults = append(d.Faults, FaultEvent{At: at, Fault: i, Target: target})
 			if ft.For > 0 {
@@ -243,26 +249,26 @@
 	slices.SortStableFunc(d.Faults, func(a, b FaultEvent) int { return int(a.At - b.At) })
 }
 
-// inZone lists the numbers of nodes or servers in a zone, all where it is "".
-func (f *Fleet) inZone(all int, zone string) (of []int) {
-	for i := range all {
+// inZone returns the numbers below count of the nodes or app servers in a zone, or all of them if zone is "".
+func (f *Fleet) inZone(count int, zone string) (numbers []int) {
+	for i := range count {
 		if zone == "" || f.zoneOf(i) == zone {
-			of = append(of, i)
+			numbers = append(numbers, i)
 		}
 	}
-	return of
+	return numbers
 }
 
-// zoneOf is the zone of a node or a server.
+// zoneOf returns the zone of the node or app server with a number.
 func (f *Fleet) zoneOf(number int) string { return f.Zones[number%len(f.Zones)] }
 
-// Digest is a fingerprint of the schedule: equal for two runs that drew the same.
+// Digest returns a hash of the schedule. Two runs with the same digest had the same schedule.
 func (d *Schedule) Digest() string {
 	h := sha256.New()
-	put := func(xs ...uint64) {
+	put := func(values ...uint64) {
 		var b [8]byte
-		for _, x := range xs {
-			binary.BigEndian.PutUint64(b[:], x)
+		for _, v := range values {
+			binary.BigEndian.PutUint64(b[:], v)
 			h.Write(b[:])
 		}
 	}
--- a/internal/testbed/slack.go
+++ b/internal/testbed/slack.go
@@ -21,15 +21,15 @@
 	return lag + starved
 }
 
-// mostSlack is the most that slack has been in the run.
-func (env *environment) mostSlack() time.Duration {
+// peakSlack is the most that slack has been in the run.
+func (env *environment) peakSlack() time.Duration {
 	env.lagMu.Lock()
 	defer env.lagMu.Unlock()
 	return env.withheld
 }
 
-// watchLag measures how long the testbed stands still. A lag counts for some seconds.
-func (env *environment) watchLag() {
+// monitorLag measures how long the testbed stands still. A lag counts for some seconds.
+func (env *environment) monitorLag() {
 	for env.measureLag() {
 	}
 }
--- a/internal/testbed/sweep.go
+++ b/internal/testbed/sweep.go
@@ -79,13 +79,13 @@
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
 		return nil, fmt.Errorf("folder of the sweep: %w", err)
 	}
-	s := sweeper{o: &o, next: o.From, report: &SweepReport{Rule: o.Rule, From: o.From, To: o.To, Counts: map[Verdict]int{}}}
+	s := sweeper{options: &o, next: o.From, report: &SweepReport{Rule: o.Rule, From: o.From, To: o.To, Counts: map[Verdict]int{}}}
 	if o.Budget > 0 {
-		s.end = time.Now().Add(o.Budget)
+		s.deadline = time.Now().Add(o.Budget)
 	}
 	var work sync.WaitGroup
 	for range o.Jobs {
-		work.Go(func() { s.work(ctx) })
+		work.Go(func() { s.runSeeds(ctx) })
 	}
 	work.Wait()
 	slices.SortFunc(s.report.Runs, func(a, b GeneratedRun) int { return cmp.Compare(a.Seed, b.Seed) })
@@ -117,45 +117,45 @@
 
 // sweeper is a sweep under way, shared by its jobs.
 type sweeper struct {
-	o   *SweepOptions
-	end time.Time // after which nothing begins; zero: never
+	options  *SweepOptions
+	deadline time.Time // after which nothing begins; zero: never
 
 	mu     sync.Mutex
 	next   uint64 // seed
 	report *SweepReport
 }
 
-// work plays seeds until none is left or the sweep ends.
-func (s *sweeper) work(ctx context.Context) {
+// runSeeds plays seeds until none is left or the sweep ends.
+func (s *sweeper) runSeeds(ctx context.Context) {
 	for {
-		seed, ok := s.take(ctx)
+		seed, ok := s.claimSeed(ctx)
 		if !ok {
 			return
 		}
-		r := s.o.runSeed(ctx, seed, s.end)
+		r := s.options.runSeed(ctx, seed, s.deadline)
 		if ctx.Err() != nil && r.Verdict == NotPlayed {
 			return // the signal ended it
 		}
-		done := s.book(r)
-		if s.o.Live != nil {
-			s.o.Live(done, int(s.o.To-s.o.From+1), r)
+		done := s.addRun(r)
+		if s.options.Live != nil {
+			s.options.Live(done, int(s.options.To-s.options.From+1), r)
 		}
 	}
 }
 
-// take is the next seed to play; ok is false where the sweep ends.
-func (s *sweeper) take(ctx context.Context) (seed uint64, ok bool) {
+// claimSeed is the next seed to play; ok is false where the sweep ends.
+func (s *sweeper) claimSeed(ctx context.Context) (seed uint64, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if ctx.Err() != nil || s.next > s.o.To || !s.end.IsZero() && time.Now().After(s.end) {
+	if ctx.Err() != nil || s.next > s.options.To || !s.deadline.IsZero() && time.Now().After(s.deadline) {
 		return 0, false
 	}
 	s.next++
 	return s.next - 1, true
 }
 
-// book adds a run to the report and returns how many there are.
-func (s *sweeper) book(r GeneratedRun) (done int) {
+// addRun adds a run to the report and returns how many there are.
+func (s *sweeper) addRun(r GeneratedRun) (done int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.report.Runs = append(s.report.Runs, r)
@@ -193,7 +193,7 @@
 		return GeneratedRun{Seed: seed, Verdict: NotPlayed, Reason: err.Error()}
 	}
 	dir := filepath.Join(o.Dir, fmt.Sprintf("seed-%d", seed))
-	t := o.play(ctx, s, seed, dir)
+	t := o.runOnce(ctx, s, seed, dir)
 	if t.Verdict != BrokeRule {
 		if t.Verdict != NotPlayed {
 			_ = os.RemoveAll(dir) // a folder that stays misleads nobody: the report names what failed
@@ -205,28 +205,28 @@
 		t.Reason = err.Error()
 		return t
 	}
-	t.Command = o.command(path, seed)
+	t.Command = o.rerunCommand(path, seed)
 	if small, n := o.reduce(ctx, s, seed, t, dir, end); n > 0 {
 		path := filepath.Join(dir, "reduced.toml")
 		if err := small.write(path); err != nil {
 			t.Reason = err.Error()
 			return t
 		}
-		t.Reduced = fmt.Sprintf("%s, %d faults, %v: %s", small.size(), len(small.Faults), time.Duration(small.Duration), o.command(path, seed))
+		t.Reduced = fmt.Sprintf("%s, %d faults, %v: %s", small.summary(), len(small.Faults), time.Duration(small.Duration), o.rerunCommand(path, seed))
 	}
 	return t
 }
 
-// command is the command that plays a scenario again.
-func (o *SweepOptions) command(path string, seed uint64) string {
+// rerunCommand is the rerunCommand that plays a scenario again.
+func (o *SweepOptions) rerunCommand(path string, seed uint64) string {
 	return fmt.Sprintf("opalhook testbed run %s --seed %d --node-binary %s", path, seed, o.Binary)
 }
 
-// play plays a scenario once.
-func (o *SweepOptions) play(ctx context.Context, s *Scenario, seed uint64, dir string) GeneratedRun {
-	t := GeneratedRun{Seed: seed, Verdict: Passed, Size: s.size()}
+// runOnce plays a scenario once.
+func (o *SweepOptions) runOnce(ctx context.Context, s *Scenario, seed uint64, dir string) GeneratedRun {
+	t := GeneratedRun{Seed: seed, Verdict: Passed, Size: s.summary()}
 	for _, ft := range s.Faults {
-		t.Faults = append(t.Faults, ft.brief())
+		t.Faults = append(t.Faults, ft.summary())
 	}
 	r, err := Run(ctx, s, Options{Seed: seed, Binary: o.Binary, Dir: dir, Log: o.Log})
 	if err != nil {
@@ -266,7 +266,7 @@
 			return false
 		}
 		plays++
-		t := o.play(ctx, c, seed, filepath.Join(dir, "smaller"))
+		t := o.runOnce(ctx, c, seed, filepath.Join(dir, "smaller"))
 		for rule := range failed.Rules {
 			if t.Rules[rule] > 0 {
 				s = c
@@ -290,7 +290,7 @@
 	for try(func(c *Scenario) bool { c.Fleet.Servers /= 2; return c.Fleet.Servers > 1 }) {
 	}
 	try(func(c *Scenario) bool {
-		c.Duration -= Duration(generatedTail / 2)
+		c.Duration -= Duration(tailAfterFaults / 2)
 		return c.Duration > Duration(time.Second)
 	})
 	_ = os.RemoveAll(filepath.Join(dir, "smaller")) // scratch
@@ -306,8 +306,8 @@
 	return &c
 }
 
-// size names what is played, in few words.
-func (s *Scenario) size() string {
+// summary names what is played, in few words.
+func (s *Scenario) summary() string {
 	f := &s.Fleet
 	list := "pushed"
 	if f.ListPolled {
@@ -317,8 +317,8 @@
 		time.Duration(s.Load.Deadline), list)
 }
 
-// brief names a fault in few words.
-func (ft *Fault) brief() string {
+// summary names a fault in few words.
+func (ft *Fault) summary() string {
 	words := []string{fmt.Sprintf("%.2gs", ft.At.s()), string(ft.Kind)}
 	for _, w := range []string{ft.Does, ft.Zone, ft.Way} {
 		if w != "" {
--- a/internal/testbed/sweep_test.go
+++ b/internal/testbed/sweep_test.go
@@ -69,7 +69,7 @@
 	}
 	told := 0
 	r, err := Sweep(t.Context(), SweepOptions{
-		From: sweepSeed, To: sweepSeed, Rule: "drains", Jobs: 2, Reduce: 1, Binary: binary, Dir: dir,
+		From: watchLossSeed, To: watchLossSeed, Rule: "drains", Jobs: 2, Reduce: 1, Binary: binary, Dir: dir,
 		Log: slog.New(slog.DiscardHandler), Live: func(int, int, GeneratedRun) { told++ },
 	})
 	if err != nil {
@@ -91,5 +91,5 @@
 	}
 }
 
-// sweepSeed draws watches that break before app servers drain.
-const sweepSeed = 4
+// watchLossSeed draws watches that break before app servers drain.
+const watchLossSeed = 4
