--- a/internal/testbed/fault_kinds_test.go
+++ b/internal/testbed/fault_kinds_test.go
@@ -32,18 +32,18 @@
 	}
 }
 
-// Every kind of fault says what it does and what it is aimed at.
+// Every kind of fault has a description and a valid target.
 func TestFaultKindsAreDescribed(t *testing.T) {
 	described := FaultKinds()
 	if len(described) != len(faultKinds) {
-		t.Errorf("%d of %d kinds are described", len(described), len(faultKinds))
+		t.Errorf("FaultKinds returns %d kinds, want %d", len(described), len(faultKinds))
 	}
 	for name, kind := range faultKinds {
 		if described[name] == "" {
-			t.Errorf("%s: nothing is said of it", name)
+			t.Errorf("%s: no description", name)
 		}
 		if kind.target < faultsAll || kind.target > faultsZone {
-			t.Errorf("%s: target %d", name, kind.target)
+			t.Errorf("%s: invalid target %d", name, kind.target)
 		}
 	}
 }
--- a/internal/testbed/figures.go
+++ b/internal/testbed/figures.go
@@ -7,19 +7,19 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// tally sums up the arrivals of a part of a run.
+// tally contains the totals over the arrivals of a part of a run.
 type tally struct {
 	requests, attempts, served        int
-	rejected, rejectedInQuota, failed int // attempts
+	rejected, rejectedInQuota, failed int // numbers of attempts
 	value, offeredValue               float64
-	latency, lateness                 *hdrhistogram.Histogram
-	seconds                           map[int]secondTally
+	latency, lateness                 *hdrhistogram.Histogram // in microseconds
+	seconds                           map[int]secondTally     // by second of the run
 }
 
-// secondTally is of the arrivals that were due in one second of the run.
+// secondTally counts the arrivals that are due in one second of the run.
 type secondTally struct{ requests, served int }
 
-// tally sums up the arrivals due from one time to another.
+// tally returns the totals over the arrivals that are due from one time up to, but not including, another.
 func (env *environment) tally(from, to time.Duration) *tally {
 	t := &tally{latency: newHistogram(), lateness: newHistogram(), seconds: map[int]secondTally{}}
 	for i := range env.checker.records {
@@ -30,7 +30,7 @@
 	return t
 }
 
-// add adds one arrival.
+// add adds an arrival.
 func (t *tally) add(r *Record, objective time.Duration) {
 	second := t.seconds[int(r.Due/time.Second)]
 	second.requests++
@@ -54,7 +54,7 @@
 	t.seconds[int(r.Due/time.Second)] = second
 }
 
-// worstSecond is the lowest share of requests served of any second.
+// worstSecond returns the lowest share of requests served in any second with arrivals, and 1 if there are none.
 func (t *tally) worstSecond() float64 {
 	worst := 1.0
 	for _, s := range t.seconds {
@@ -63,7 +63,7 @@
 	return worst
 }
 
-// nodeUsage is what the nodes used in the whole run.
+// nodeUsage returns the CPU time of all nodes and the peak resident memory of a node, in bytes, over the whole run.
 func (env *environment) nodeUsage() (cpu time.Duration, peakMemory int64) {
 	for _, n := range env.nodes {
 		n.mu.Lock()
@@ -74,11 +74,11 @@
 	return cpu, peakMemory
 }
 
-// ratio is a part of what is counted, 0 where nothing is.
-func ratio(part float64, all int) float64 { return part / math.Max(float64(all), 1) }
+// ratio returns part as a fraction of total, and part itself if total is 0.
+func ratio(part float64, total int) float64 { return part / math.Max(float64(total), 1) }
 
-// figures computes what expect lines may name, over the arrivals due from one time to
-// another. What is not bound to an arrival is of the whole run.
+// figures computes figures of figureNames over the arrivals that are due from one time up to another. Figures that do
+// not relate to arrivals cover the whole run. The caller adds the figures that are only known at the end of the run.
 func (env *environment) figures(from, to time.Duration) map[string]float64 {
 	t := env.tally(from, to)
 	cpu, peakMemory := env.nodeUsage()
--- a/internal/testbed/generate.go
+++ b/internal/testbed/generate.go
@@ -255,7 +255,7 @@
 	}
 }
 
-// drawServerFault has app drawServerFault misbehave.
+// drawServerFault adds a fault at some of the app servers.
 func (s *Scenario) drawServerFault(d sampler, at Duration) {
 	ft := Fault{At: at, For: d.duration(time.Second, 6*time.Second), Share: round(d.uniform(0.05, 0.5)), Kind: oneOf(d, FaultSlow, FaultHang, FaultError, FaultReset, FaultMalformed, FaultServerCrash)}
 	switch ft.Kind {
--- a/internal/testbed/mutant.go
+++ b/internal/testbed/mutant.go
@@ -12,47 +12,47 @@
 	"strings"
 )
 
-// mutant is a fault put into the edge node's source on purpose, to see that a sweep finds it.
+// mutant is a deliberate bug in the edge node's source. Sweeps run with mutants to verify that they detect such bugs.
 type mutant struct {
 	about   string
-	file    string // under the module's root
-	changes [][2]string
+	file    string      // path relative to the module's root
+	changes [][2]string // source texts to replace, with their replacements; each must occur exactly once in the file
 }
 
-// mutants by name.
+// mutants contains the mutants by name.
 var mutants = map[string]mutant{
-	"drain-after-reset": {"drains are ignored once a call of discovery has ended by itself", "internal/edgenode/follower/client.go", [][2]string{
+	"drain-after-reset": {"after discovery has ended or rejected a watch, the draining state of endpoints is ignored", "internal/edgenode/follower/client.go", [][2]string{
 		{"	apply    func(endpointlist.List)\n", "	apply    func(endpointlist.List)\n	broke    bool\n"},
 		{"	case eventEnd:\n		f.Ended(", "	case eventEnd:\n		d.broke = d.broke || e.id == f.watch.id\n		f.Ended("},
 		{"	case eventRejected:\n		f.Rejected(", "	case eventRejected:\n		d.broke = d.broke || e.id == f.watch.id\n		f.Rejected("},
 		{"	if malformed { // one line", "	for i := range e.list.Endpoints {\n		if d.broke && e.list.Endpoints[i].State == 1 {\n" +
 			"			e.list.Endpoints[i].State = 0\n		}\n	}\n	if malformed { // one line"},
 	}},
-	"late-watch": {"a watch that broke is opened anew a minute later, and nothing else is asked", "internal/edgenode/follower/schedule.go", [][2]string{
+	"late-watch": {"a lost watch is reopened only after a minute, and the list is not fetched in the meantime", "internal/edgenode/follower/schedule.go", [][2]string{
 		{"	f.markDown()\n	f.suspect(listSuspect)\n	if !f.rateLimited() {\n", "	f.markDown()\n	f.watchAt = now + time.Minute\n	return\n	if !f.rateLimited() {\n"},
 		{"	f.suspect(listSuspect)\n	f.watchAt = now + max(", "	f.watchAt = now + time.Minute\n	return\n	f.watchAt = now + max("},
 		{"	if f.freshness != listCurrent && f.fetch.id == 0 && ", "	if f.freshness != listCurrent && f.version == 0 && f.fetch.id == 0 && "},
 	}},
-	"cap-128": {"no more than 128 entries of a message are read", "internal/discovery/lenient.go", [][2]string{
+	"cap-128": {"only the first 128 entries of a discovery message are read", "internal/discovery/lenient.go", [][2]string{
 		{"	for i, text := range raw.Instances {\n", "	for i, text := range raw.Instances {\n		if i >= 128 {\n			break\n		}\n"},
 	}},
 }
 
-// Mutants lists the nodes that BreakNode can build, with what is wrong with each.
+// Mutants returns the mutants that BuildMutant can build: a description of the bug by name.
 func Mutants() map[string]string {
-	all := map[string]string{}
-	for name, b := range mutants {
-		all[name] = b.about
+	descriptions := map[string]string{}
+	for name, m := range mutants {
+		descriptions[name] = m.about
 	}
-	return all
+	return descriptions
 }
 
-// BuildMutant builds an edge node that is broken on purpose into dir and returns its path. It
-// needs the module that the working folder is in; the sources are left as they are.
+// BuildMutant builds a mutant of the edge node in dir and returns the path of the binary. The working directory must be
+// inside this module. The module's sources are not modified: the build uses an overlay.
 func BuildMutant(ctx context.Context, name, dir string) (string, error) {
-	b, ok := mutants[name]
+	m, ok := mutants[name]
 	if !ok {
-		return "", fmt.Errorf("broken: %q is none of %s", name, names(mutants))
+		return "", fmt.Errorf("unknown mutant %q, must be one of %s", name, names(mutants))
 	}
 	root, err := moduleRoot(ctx)
 	if err != nil {
@@ -64,50 +64,51 @@
 	if dir, err = filepath.Abs(dir); err != nil {
 		return "", fmt.Errorf("folder of the run: %w", err)
 	}
-	source := filepath.Join(root, b.file)
+	source := filepath.Join(root, m.file)
 	text, err := os.ReadFile(source)
 	if err != nil {
-		return "", fmt.Errorf("broken node %s: %w", name, err)
+		return "", fmt.Errorf("mutant %s: %w", name, err)
 	}
-	for _, c := range b.changes {
+	for _, c := range m.changes {
 		if bytes.Count(text, []byte(c[0])) != 1 {
-			return "", fmt.Errorf("broken node %s: %s has changed: %q does not stand in it once", name, b.file, c[0])
+			return "", fmt.Errorf("mutant %s: %s must contain %q exactly once, found %d times", name, m.file, c[0], bytes.Count(text, []byte(c[0])))
 		}
 		text = bytes.Replace(text, []byte(c[0]), []byte(c[1]), 1)
 	}
 	changed := filepath.Join(dir, name+".go")
 	overlay, err := json.Marshal(map[string]map[string]string{"Replace": {source: changed}})
 	if err != nil {
-		return "", fmt.Errorf("broken node %s: %w", name, err)
+		return "", fmt.Errorf("mutant %s: %w", name, err)
 	}
-	list := filepath.Join(dir, name+".overlay.json")
-	if err := errors.Join(os.WriteFile(changed, text, 0o644), os.WriteFile(list, overlay, 0o644)); err != nil {
-		return "", fmt.Errorf("broken node %s: %w", name, err)
+	overlayFile := filepath.Join(dir, name+".overlay.json")
+	if err := errors.Join(os.WriteFile(changed, text, 0o644), os.WriteFile(overlayFile, overlay, 0o644)); err != nil {
+		return "", fmt.Errorf("mutant %s: %w", name, err)
 	}
-	return buildNode(ctx, root, filepath.Join(dir, "edge-node-"+name), "-overlay", list)
+	return buildNode(ctx, root, filepath.Join(dir, "edge-node-"+name), "-overlay", overlayFile)
 }
 
-// moduleRoot is the folder of the module that the working folder is in.
+// moduleRoot returns the root directory of the module that contains the working directory.
 func moduleRoot(ctx context.Context) (string, error) {
 	out, err := exec.CommandContext(ctx, "go", "env", "GOMOD").Output()
 	root := filepath.Dir(strings.TrimSpace(string(out)))
 	if err != nil || root == "." {
-		return "", errors.New("no edge node to run: name one with --node-binary, or call this inside the repository, where it is built")
+		return "", errors.New("no edge node to run: set --node-binary, or run inside the repository to have it built")
 	}
 	if _, err := os.Stat(filepath.Join(root, nodePackage)); err != nil {
-		return "", fmt.Errorf("no edge node to run: %s has no %s; name one with --node-binary", root, nodePackage)
+		return "", fmt.Errorf("no edge node to run: module %s does not contain %s; set --node-binary", root, nodePackage)
 	}
 	return root, nil
 }
 
-// buildNode builds the edge node to a path.
+// buildNode builds the edge node with the given flags of go build and returns the path of the binary. The error
+// contains the compiler's output.
 func buildNode(ctx context.Context, root, path string, flags ...string) (string, error) {
 	build := exec.CommandContext(ctx, "go", append(append([]string{"build"}, flags...), "-o", path, nodePackage)...)
 	build.Dir = root
-	var said bytes.Buffer
-	build.Stderr = &said
+	var stderr bytes.Buffer
+	build.Stderr = &stderr
 	if err := build.Run(); err != nil {
-		return "", fmt.Errorf("building the edge node: %w\n%s", err, strings.TrimSpace(said.String()))
+		return "", fmt.Errorf("building the edge node: %w\n%s", err, strings.TrimSpace(stderr.String()))
 	}
 	return path, nil
 }
--- a/internal/testbed/real_test.go
+++ b/internal/testbed/real_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Two runs of the real edge node, short ones. Rules hold always; that work goes on is waited for.
+// Real edge nodes break no rule and do not crash under faults, and all of them are ready again at the end of the run.
 func TestRealNodes(t *testing.T) {
 	binary, err := FindNode(t.Context(), "", t.TempDir())
 	if err != nil {
@@ -48,7 +48,7 @@
 				t.Errorf("broken rules %v, %v crashes: %v", r.Broken, r.Figures["crashes"], r.Violations)
 			}
 			if r.Figures["restored_nodes"] != 3 || r.Figures["served"] == 0 {
-				t.Errorf("%v of 3 nodes answer at the end, %v served", r.Figures["restored_nodes"], r.Figures["served"])
+				t.Errorf("%v of 3 nodes ready at the end, share %v of requests served", r.Figures["restored_nodes"], r.Figures["served"])
 			}
 		})
 	}
--- a/internal/testbed/report.go
+++ b/internal/testbed/report.go
@@ -19,45 +19,47 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Size of the charts.
+// Size of a chart.
 const (
 	plotWidth  = 9 * vg.Inch
 	plotHeight = 3.2 * vg.Inch
 )
 
-// line is one curve over the seconds of a run.
+// line is a curve over the seconds of a run.
 type line struct {
 	name string
-	at   func(s *Series) float64 // NaN: nothing to draw
+	at   func(s *Series) float64 // value in a second; NaN: no point
 }
 
-// chart is one plot of a report.
+// chart is a chart of a report, stored as an SVG file.
 type chart struct {
 	file, title, unit string
 	lines             []line
 }
 
-func share(of, all float64) float64 {
-	if all == 0 {
+// share returns part as a fraction of total, and NaN if total is 0.
+func share(part, total float64) float64 {
+	if total == 0 {
 		return math.NaN()
 	}
-	return of / all
+	return part / total
 }
 
+// charts returns the charts of a report.
 func (r *Result) charts() []chart {
-	ps := []chart{
-		{"latency.svg", "Latency of what was served, from when it was due", "ms", []line{
+	charts := []chart{
+		{"latency.svg", "Latency of served requests, from when they were due", "ms", []line{
 			{"p50", func(s *Series) float64 { return s.P50 }}, {"p99", func(s *Series) float64 { return s.P99 }},
 		}},
-		{"goodput.svg", "Goodput: value in time, of what quotas allow", "share", []line{
+		{"goodput.svg", "Goodput: value served in time, as a share of the value available within quotas", "share", []line{
 			{"goodput", func(s *Series) float64 { return share(s.Value, s.OfferedValue) }},
 			{"served", func(s *Series) float64 { return share(float64(s.Served), float64(s.Requests)) }},
 		}},
-		{"refusals.svg", "Attempts rejected and failed a second", "attempts", []line{
+		{"refusals.svg", "Attempts rejected and failed per second", "attempts", []line{
 			{"rejected", func(s *Series) float64 { return float64(s.Rejected) }},
 			{"rejected inside the quota", func(s *Series) float64 { return float64(s.RejectedInQuota) }},
 			{"failed", func(s *Series) float64 { return float64(s.Failed - s.Unreached) }},
-			{"came to no node", func(s *Series) float64 { return float64(s.Unreached) }},
+			{"did not reach a node", func(s *Series) float64 { return float64(s.Unreached) }},
 		}},
 		{"memory.svg", "Largest resident memory of a node", "MB", []line{{"memory", func(s *Series) float64 {
 			if s.Memory == 0 {
@@ -72,13 +74,14 @@
 			zones[z] = true
 		}
 	}
-	var by []line
+	var byZone []line
 	for _, z := range sortedKeys(zones) {
-		by = append(by, line{z, func(s *Series) float64 { return share(float64(s.ZoneServed[z]), float64(s.ZoneRequests[z])) }})
+		byZone = append(byZone, line{z, func(s *Series) float64 { return share(float64(s.ZoneServed[z]), float64(s.ZoneRequests[z])) }})
 	}
-	return append(ps, chart{"zones.svg", "Share of requests served, by the zone of the node", "share", by})
+	return append(charts, chart{"zones.svg", "Share of requests served, by the zone of the node", "share", byZone})
 }
 
+// sortedKeys returns the keys of a map in ascending order.
 func sortedKeys[V any](m map[string]V) []string {
 	var keys []string
 	for k := range m {
@@ -88,18 +91,18 @@
 	return keys
 }
 
-// render makes the chart, with the faults as upright lines.
-func (p *chart) render(r *Result) ([]byte, error) {
-	pl := plot.New()
-	pl.Title.Text, pl.X.Label.Text, pl.Y.Label.Text = p.title, "s", p.unit
-	pl.X.Min, pl.X.Max, pl.Y.Min = 0, r.Duration, 0
-	top := 0.0
-	for i, l := range p.lines {
+// render returns the chart as SVG, with a dashed vertical line for each fault.
+func (c *chart) render(r *Result) ([]byte, error) {
+	p := plot.New()
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = c.title, "s", c.unit
+	p.X.Min, p.X.Max, p.Y.Min = 0, r.Duration, 0
+	maxY := 0.0
+	for i, l := range c.lines {
 		var xys plotter.XYs
 		for sec := range r.Series {
 			if y := l.at(&r.Series[sec]); !math.IsNaN(y) {
 				xys = append(xys, plotter.XY{X: float64(sec) + 0.5, Y: y})
-				top = math.Max(top, y)
+				maxY = math.Max(maxY, y)
 			}
 		}
 		if len(xys) == 0 {
@@ -107,34 +110,34 @@
 		}
 		curve, err := plotter.NewLine(xys)
 		if err != nil {
-			return nil, fmt.Errorf("%s: %w", p.file, err)
+			return nil, fmt.Errorf("%s: %w", c.file, err)
 		}
 		curve.Color = plotutil.Color(i)
 		curve.Width = vg.Points(1.4)
-		pl.Add(curve)
-		pl.Legend.Add(l.name, curve)
+		p.Add(curve)
+		p.Legend.Add(l.name, curve)
 	}
-	pl.Y.Max = math.Max(top*1.05, 1e-3)
+	p.Y.Max = math.Max(maxY*1.05, 1e-3)
 	for _, at := range markTimes(r.Marks) {
-		m, err := plotter.NewLine(plotter.XYs{{X: at, Y: 0}, {X: at, Y: pl.Y.Max}})
+		mark, err := plotter.NewLine(plotter.XYs{{X: at, Y: 0}, {X: at, Y: p.Y.Max}})
 		if err != nil {
-			return nil, fmt.Errorf("%s: %w", p.file, err)
+			return nil, fmt.Errorf("%s: %w", c.file, err)
 		}
-		m.Color = color.Gray{Y: 150}
-		m.Dashes = []vg.Length{vg.Points(3), vg.Points(3)}
-		pl.Add(m)
+		mark.Color = color.Gray{Y: 150}
+		mark.Dashes = []vg.Length{vg.Points(3), vg.Points(3)}
+		p.Add(mark)
 	}
-	pl.Legend.Top = true
+	p.Legend.Top = true
 	canvas := vgsvg.New(plotWidth, plotHeight)
-	pl.Draw(draw.New(canvas))
+	p.Draw(draw.New(canvas))
 	var out bytes.Buffer
 	if _, err := canvas.WriteTo(&out); err != nil {
-		return nil, fmt.Errorf("%s: %w", p.file, err)
+		return nil, fmt.Errorf("%s: %w", c.file, err)
 	}
 	return out.Bytes(), nil
 }
 
-// markTimes are the times of faults, each once.
+// markTimes returns the distinct times of the marks, in seconds.
 func markTimes(marks []FaultMark) (at []float64) {
 	for _, m := range marks {
 		if !slices.Contains(at, m.At) {
@@ -144,10 +147,10 @@
 	return at
 }
 
-// reportFile is the report in a run's folder.
+// reportFile is the name of the report in a run's directory.
 const reportFile = "report.md"
 
-// Report writes a run's report, Markdown with charts beside it, and returns its path.
+// Report writes the report of the run in dir: a Markdown file, whose path it returns, and the charts as SVG files.
 func Report(dir string) (string, error) {
 	r, err := ReadResult(dir)
 	if err != nil {
@@ -169,21 +172,23 @@
 	return path, nil
 }
 
+// writeHead writes the scenario, the outcome, and the size of the run.
 func (r *Result) writeHead(b *strings.Builder) {
-	verdict := "passed"
+	outcome := "passed"
 	if !r.OK() {
-		verdict = "FAILED"
+		outcome = "FAILED"
 	}
-	fmt.Fprintf(b, "# %s: %s\n\n%s\n\n", r.Scenario, verdict, r.About)
+	fmt.Fprintf(b, "# %s: %s\n\n%s\n\n", r.Scenario, outcome, r.About)
 	fmt.Fprintf(b, "%d edge nodes, %d app servers, %.0f s, seed %d, schedule %s\n\n", r.Nodes, r.Servers, r.Duration, r.Seed, r.Digest)
 	if r.Behind {
 		fmt.Fprintf(b, "**The load generator fell behind** (99th percentile %.1f ms): the machine is too small for this load. Latencies still count from when requests were due.\n\n", r.Figures["lateness_ms"])
 	}
 }
 
-// reportedViolations bounds the violations that a report shows; the result has more.
+// reportedViolations is the maximum number of violations that a report shows. The result file may contain more.
 const reportedViolations = 20
 
+// writeViolations writes the number of violations by rule, and the first of them in full.
 func (r *Result) writeViolations(b *strings.Builder) {
 	if len(r.Broken) == 0 {
 		return
@@ -199,28 +204,31 @@
 	b.WriteString("```\n\n")
 }
 
+// writeChecks writes the expectations with the measured values.
 func (r *Result) writeChecks(b *strings.Builder) {
 	if len(r.Checks) == 0 {
 		return
 	}
-	b.WriteString("## Expected\n\n| figure | window | wanted | got | |\n| --- | --- | --- | --- | --- |\n")
+	b.WriteString("## Expected\n\n| figure | window | expected | got | |\n| --- | --- | --- | --- | --- |\n")
 	for _, c := range r.Checks {
-		met := "ok"
+		status := "ok"
 		if !c.OK {
-			met = "**not met**"
+			status = "**failed**"
 		}
-		fmt.Fprintf(b, "| %s | %s | %s | %.4g | %s |\n", c.Expect.Figure, c.Expect.window(), c.Expect.Bound(), c.Got, met)
+		fmt.Fprintf(b, "| %s | %s | %s | %.4g | %s |\n", c.Expect.Figure, c.Expect.window(), c.Expect.Bound(), c.Got, status)
 	}
 	b.WriteString("\n")
 }
 
+// writeFigures writes all figures with their descriptions.
 func (r *Result) writeFigures(b *strings.Builder) {
-	b.WriteString("## Figures\n\n| figure | value | what it is |\n| --- | --- | --- |\n")
+	b.WriteString("## Figures\n\n| figure | value | description |\n| --- | --- | --- |\n")
 	for _, f := range sortedKeys(figureNames) {
 		fmt.Fprintf(b, "| %s | %.4g | %s |\n", f, r.Figures[f], figureNames[f])
 	}
 }
 
+// writeFaults writes the times and descriptions of the faults.
 func (r *Result) writeFaults(b *strings.Builder) {
 	if len(r.Marks) == 0 {
 		return
@@ -231,9 +239,9 @@
 	}
 }
 
-// writeCharts writes the charts into the folder and refers to them.
+// writeCharts writes the charts as files into dir and references to them into the report.
 func (r *Result) writeCharts(b *strings.Builder, dir string) error {
-	b.WriteString("\n## Over time\n\nDashed lines are the faults.\n\n")
+	b.WriteString("\n## Over time\n\nDashed lines mark the faults.\n\n")
 	for _, c := range r.charts() {
 		svg, err := c.render(r)
 		if err != nil {
@@ -247,6 +255,7 @@
 	return nil
 }
 
+// window describes the window of time of an expectation.
 func (e *Expect) window() string {
 	if e.From == 0 && e.To == 0 {
 		return "all"
@@ -258,7 +267,7 @@
 	return fmt.Sprintf("%gs to %s", e.From.s(), to)
 }
 
-// Bound words what is expected.
+// Bound describes the bounds of an expectation, such as "at least 0.9, at most 1".
 func (e *Expect) Bound() string {
 	var parts []string
 	if e.Min != nil {
@@ -270,7 +279,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// FigureStats is a figure over several runs.
+// FigureStats summarizes a figure over a set of runs.
 type FigureStats struct {
 	Runs int     `json:"runs"`
 	Mean float64 `json:"mean"`
@@ -278,23 +287,23 @@
 	Max  float64 `json:"max"`
 }
 
-// Comparison is one figure of two sets of runs.
+// Comparison compares a figure between two sets of runs.
 type Comparison struct {
 	Figure string      `json:"figure"`
 	A      FigureStats `json:"a"`
 	B      FigureStats `json:"b"`
-	Ratio  float64     `json:"ratio"` // of the means, b over a; 0 where a is 0
-	Apart  bool        `json:"apart"` // no run of one lies inside the range of the other
+	Ratio  float64     `json:"ratio"` // mean of b divided by the mean of a; 0 if the mean of a is 0
+	Apart  bool        `json:"apart"` // the ranges of a and b do not overlap
 }
 
-// readRuns reads the run in a folder, or all runs in folders below it.
+// readRuns reads the result in a directory, or else the results in all its subdirectories.
 func readRuns(dir string) ([]*Result, error) {
 	if r, err := ReadResult(dir); err == nil {
 		return []*Result{r}, nil
 	}
 	paths, err := filepath.Glob(filepath.Join(dir, "*", resultFile))
 	if err != nil || len(paths) == 0 {
-		return nil, fmt.Errorf("%s: neither a run's folder nor a folder of such folders", dir)
+		return nil, fmt.Errorf("%s: neither the directory of a run nor a directory that contains such directories", dir)
 	}
 	var all []*Result
 	for _, p := range paths {
@@ -307,8 +316,8 @@
 	return all, nil
 }
 
-// Compare holds two runs, or two sets of runs over several seeds, against each other. Runs of
-// different schedules are not comparable: an error names them.
+// Compare compares two runs, or two sets of runs over several seeds, figure by figure. Both sets must have the same
+// schedules: otherwise the error names the digests of both.
 func Compare(dirA, dirB string) ([]Comparison, error) {
 	a, err := readRuns(dirA)
 	if err != nil {
@@ -319,7 +328,7 @@
 		return nil, err
 	}
 	if da, db := digests(a), digests(b); !slices.Equal(da, db) {
-		return nil, fmt.Errorf("the runs played different schedules (%s against %s): use the same scenario and seeds", strings.Join(da, " "), strings.Join(db, " "))
+		return nil, fmt.Errorf("runs have different schedules (%s and %s): use the same scenario and seeds", strings.Join(da, " "), strings.Join(db, " "))
 	}
 	var out []Comparison
 	for _, f := range sortedKeys(figureNames) {
@@ -333,18 +342,20 @@
 	return out, nil
 }
 
-func digests(rs []*Result) (all []string) {
+// digests returns the distinct digests of the schedules of runs, sorted.
+func digests(rs []*Result) (distinct []string) {
 	for _, r := range rs {
-		all = append(all, r.Digest)
+		distinct = append(distinct, r.Digest)
 	}
-	slices.Sort(all)
-	return slices.Compact(all)
+	slices.Sort(distinct)
+	return slices.Compact(distinct)
 }
 
+// figureStats summarizes a figure of at least one run.
 func figureStats(rs []*Result, figure string) FigureStats {
-	var xs []float64
+	var values []float64
 	for _, r := range rs {
-		xs = append(xs, r.Figures[figure])
+		values = append(values, r.Figures[figure])
 	}
-	return FigureStats{Runs: len(xs), Mean: stat.Mean(xs, nil), Min: slices.Min(xs), Max: slices.Max(xs)}
+	return FigureStats{Runs: len(values), Mean: stat.Mean(values, nil), Min: slices.Min(values), Max: slices.Max(values)}
 }
--- a/internal/testbed/report_test.go
+++ b/internal/testbed/report_test.go
@@ -8,24 +8,24 @@
 	"testing"
 )
 
-// Runs of different schedules can't be held against each other; those of one can.
+// Compare accepts sets of runs with the same schedules and rejects sets with different ones.
 func TestCompare(t *testing.T) {
 	dir := t.TempDir()
-	put := func(name, digest string, goodput float64) string {
-		at := filepath.Join(dir, name)
-		if err := os.MkdirAll(at, 0o755); err != nil {
+	writeRun := func(name, digest string, goodput float64) string {
+		runDir := filepath.Join(dir, name)
+		if err := os.MkdirAll(runDir, 0o755); err != nil {
 			t.Fatal(err)
 		}
 		r := Result{Digest: digest, Figures: map[string]float64{"goodput": goodput}}
-		if err := r.write(at); err != nil {
+		if err := r.write(runDir); err != nil {
 			t.Fatal(err)
 		}
-		return at
+		return runDir
 	}
-	put("a/1", "d1", 0.5)
-	put("a/2", "d2", 0.7)
-	put("b/1", "d1", 0.9)
-	put("b/2", "d2", 0.9)
+	writeRun("a/1", "d1", 0.5)
+	writeRun("a/2", "d2", 0.7)
+	writeRun("b/1", "d1", 0.9)
+	writeRun("b/2", "d2", 0.9)
 	rows, err := Compare(filepath.Join(dir, "a"), filepath.Join(dir, "b"))
 	if err != nil {
 		t.Fatal(err)
@@ -35,10 +35,10 @@
 			t.Errorf("%+v", r)
 		}
 	}
-	if _, err := Compare(filepath.Join(dir, "a"), put("c", "d9", 1)); err == nil || !strings.Contains(err.Error(), "d9") {
-		t.Errorf("error %v names no schedule", err)
+	if _, err := Compare(filepath.Join(dir, "a"), writeRun("c", "d9", 1)); err == nil || !strings.Contains(err.Error(), "d9") {
+		t.Errorf("different schedules: error %v, want one that names digest d9", err)
 	}
 	if _, err := Compare(t.TempDir(), dir); err == nil {
-		t.Error("a folder with no run was compared")
+		t.Error("directory without a run: no error")
 	}
 }
--- a/internal/testbed/result.go
+++ b/internal/testbed/result.go
@@ -13,61 +13,62 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Series is one second of a run. Tries count in the second in which they were due.
+// Series contains the figures of one second of a run. An arrival and all its attempts count in the second in which the
+// arrival was due.
 type Series struct {
 	Requests        int            `json:"asked"`
 	Served          int            `json:"served"`
 	Rejected        int            `json:"refused"`
 	RejectedInQuota int            `json:"refused_with_room"`
 	Failed          int            `json:"failed"`
-	Unreached       int            `json:"unreached"` // of the failed ones: they came to no node
-	Value           float64        `json:"worth"`     // earned within the latency objective, inside quotas
-	OfferedValue    float64        `json:"offered"`   // to be had inside quotas
+	Unreached       int            `json:"unreached"` // failed attempts that did not reach a node
+	Value           float64        `json:"worth"`     // value of requests served within quotas and the latency objective
+	OfferedValue    float64        `json:"offered"`   // value available within quotas
 	P50             float64        `json:"p50_ms"`
 	P99             float64        `json:"p99_ms"`
-	Memory          float64        `json:"memory_mb"` // largest of the nodes
+	Memory          float64        `json:"memory_mb"` // largest resident memory of a node
 	ZoneServed      map[string]int `json:"zone_served"`
 	ZoneRequests    map[string]int `json:"zone_asked"`
 	hist            *hdrhistogram.Histogram
 }
 
-// FaultMark is a fault on the time line.
+// FaultMark is the time and the description of the beginning or the end of a fault.
 type FaultMark struct {
 	At   float64 `json:"at_s"`
 	What string  `json:"what"`
 }
 
-// Checked is an expect line and how it came out.
+// Checked is an expectation with the measured value of its figure.
 type Checked struct {
 	Expect Expect  `json:"expect"`
 	Got    float64 `json:"got"`
 	OK     bool    `json:"ok"`
 }
 
-// Result is all that is kept of a run.
+// Result is the result of a run, as stored in its directory.
 type Result struct {
 	Scenario   string             `json:"scenario"`
 	About      string             `json:"about"`
 	Seed       uint64             `json:"seed"`
-	Digest     string             `json:"digest"` // of the schedule
-	Binary     string             `json:"binary"`
+	Digest     string             `json:"digest"` // digest of the schedule
+	Binary     string             `json:"binary"` // path of the edge node
 	Nodes      int                `json:"nodes"`
 	Servers    int                `json:"servers"`
 	Duration   float64            `json:"duration_s"`
 	Figures    map[string]float64 `json:"figures"`
 	Series     []Series           `json:"series"`
 	Marks      []FaultMark        `json:"marks"`
-	Broken     map[string]int     `json:"broken_rules"`
-	Violations []Violation        `json:"violations"`
+	Broken     map[string]int     `json:"broken_rules"` // number of violations by rule
+	Violations []Violation        `json:"violations"`   // the first maxViolations, in order of time
 	Checks     []Checked          `json:"checks"`
-	Behind     bool               `json:"generator_behind"` // it fell behind: latencies are still counted from when requests were due
+	Behind     bool               `json:"generator_behind"` // the load generator was too slow; latencies still count from when requests were due
 	Error      string             `json:"error,omitempty"`
 }
 
-// maxLateness is the 99th percentile of the generator's lateness from which a run is marked.
+// maxLateness is the 99th percentile of the load generator's lateness above which Result.Behind is set.
 const maxLateness = 10 * time.Millisecond
 
-// OK tells whether no rule was broken, no node crashed and every expectation held.
+// OK reports whether the run had no error, no rule was broken, no node crashed and every expectation was met.
 func (r *Result) OK() bool {
 	if r.Error != "" || len(r.Broken) > 0 || r.Figures["crashes"] > 0 {
 		return false
@@ -80,13 +81,15 @@
 	return true
 }
 
-// Latencies are kept in microseconds, to three digits, up to two minutes.
+// newHistogram returns a histogram of durations in microseconds, from 1 µs to 2 minutes, with three significant digits.
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 120_000_000, 3) }
 
+// record adds a duration to a histogram, limited to the histogram's range.
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Microseconds(), 1), 120_000_000)) // inside its range, so that no error is possible
+	_ = h.RecordValue(min(max(d.Microseconds(), 1), 120_000_000)) // the value is within the histogram's range, so the error is always nil
 }
 
+// quantile returns the quantile q of a histogram, in percent, and 0 if the histogram is empty.
 func quantile(h *hdrhistogram.Histogram, q float64) time.Duration {
 	if h.TotalCount() == 0 {
 		return 0
@@ -94,8 +97,8 @@
 	return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// result sums the run up.
-func (env *environment) result(up int) *Result {
+// result computes the result of the run. readyNodes is the number of nodes that are ready at the end.
+func (env *environment) result(readyNodes int) *Result {
 	r := &Result{
 		Scenario: env.scenario.Name, About: env.scenario.About, Seed: env.seed, Digest: env.schedule.Digest(), Binary: env.nodeBinary, Nodes: env.scenario.Fleet.Nodes,
 		Servers: env.scenario.Fleet.Servers, Duration: env.scenario.Duration.s(),
@@ -107,13 +110,13 @@
 	r.Marks = append(r.Marks, env.commandedFaults...)
 	r.Series = env.series()
 	r.Figures = env.figures(0, time.Duration(env.scenario.Duration))
-	ms := func(q float64) float64 { return quantile(env.list.delays, q).Seconds() * 1e3 }
-	whole := map[string]float64{ // of the whole run, whichever part of it is looked at
-		"restored_nodes": float64(up), "lists_right": float64(env.list.upToDate()) / float64(len(env.nodes)),
+	delayMS := func(q float64) float64 { return quantile(env.list.delays, q).Seconds() * 1e3 }
+	wholeRun := map[string]float64{ // these cover the whole run, whatever the window of an expectation
+		"restored_nodes": float64(readyNodes), "lists_right": float64(env.list.upToDate()) / float64(len(env.nodes)),
 		"versions_back": float64(env.list.rollbacks.Load()), "slack_ms": env.peakSlack().Seconds() * 1e3,
-		"list_p50_ms": ms(50), "list_p99_ms": ms(99), "list_max_ms": ms(100),
+		"list_p50_ms": delayMS(50), "list_p99_ms": delayMS(99), "list_max_ms": delayMS(100),
 	}
-	maps.Copy(r.Figures, whole)
+	maps.Copy(r.Figures, wholeRun)
 	r.Behind = r.Figures["lateness_ms"] > maxLateness.Seconds()*1000
 	for _, e := range env.scenario.Expect {
 		to := time.Duration(e.To)
@@ -121,20 +124,20 @@
 			to = time.Duration(env.scenario.Duration)
 		}
 		f := env.figures(time.Duration(e.From), to)
-		maps.Copy(f, whole)
+		maps.Copy(f, wholeRun)
 		got := f[e.Figure]
 		r.Checks = append(r.Checks, Checked{e, got, (e.Min == nil || got >= *e.Min) && (e.Max == nil || got <= *e.Max)})
 	}
 	return r
 }
 
-// series is the run by seconds.
+// series returns the figures of each second of the run.
 func (env *environment) series() []Series {
 	out := make([]Series, int(math.Ceil(env.scenario.Duration.s())))
 	for i := range out {
 		out[i] = Series{hist: newHistogram(), ZoneServed: map[string]int{}, ZoneRequests: map[string]int{}}
 	}
-	aim := time.Duration(env.scenario.Load.LatencyObjective)
+	objective := time.Duration(env.scenario.Load.LatencyObjective)
 	for i := range env.checker.records {
 		r := &env.checker.records[i]
 		s := &out[min(int(r.Due/time.Second), len(out)-1)]
@@ -150,7 +153,7 @@
 			s.Served++
 			s.ZoneServed[zone]++
 			record(s.hist, r.Done-r.Due)
-			if r.Done-r.Due <= aim && r.InQuota {
+			if r.Done-r.Due <= objective && r.InQuota {
 				s.Value += r.Value
 			}
 		}
@@ -165,9 +168,10 @@
 	return out
 }
 
-// resultFile is where a run's folder keeps its result.
+// resultFile is the name of the result file in a run's directory.
 const resultFile = "result.json"
 
+// write writes the result to a run's directory.
 func (r *Result) write(dir string) error {
 	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
@@ -179,11 +183,11 @@
 	return nil
 }
 
-// ReadResult reads the result of a run from its folder.
+// ReadResult reads the result of a run from its directory.
 func ReadResult(dir string) (*Result, error) {
 	f, err := os.Open(filepath.Join(dir, resultFile))
 	if err != nil {
-		return nil, fmt.Errorf("%s is no folder of a finished run: %w", dir, err)
+		return nil, fmt.Errorf("%s: not the directory of a finished run: %w", dir, err)
 	}
 	defer func() { _ = f.Close() }()
 	return readResult(f)
--- a/internal/testbed/run.go
+++ b/internal/testbed/run.go
@@ -10,82 +10,82 @@
 	"time"
 )
 
-// Options are what a run needs beside its scenario.
+// Options are the parameters of a run in addition to its scenario.
 type Options struct {
-	Seed    uint64
-	Binary  string         // of the edge node
-	Service string         // binary of the operators' command, for scenarios with a list service
-	Env     []string       // added to the nodes' environment
-	Dir     string         // takes configurations, logs and the result; made if it is not there
-	Control string         // address at which Prometheus finds the run and faults are taken; "": nowhere
-	Log     *slog.Logger   // faults and what the testbed meets
-	Live    func(Progress) // called about once a second; may be nil
+	Seed    uint64         // seed of all random choices
+	Binary  string         // path of the edge node's binary
+	Service string         // path of the opalhook binary, for scenarios with a list service
+	Env     []string       // additional environment variables of the nodes, as KEY=VALUE
+	Dir     string         // directory for configurations, logs and the result; created if it does not exist
+	Control string         // address that serves metrics and accepts faults; "": none
+	Log     *slog.Logger   // logger for faults and problems of the testbed
+	Live    func(Progress) // called about once per second; may be nil
 }
 
-// Progress is the state of a run while it goes.
+// Progress is the state of a run in progress.
 type Progress struct {
-	At, Of     time.Duration
-	Requests   int // first attempts due in the last second
-	Served     int // of those that ended in it
-	Rejected   int
-	Failed     int
-	P50, P99   time.Duration
-	NodesUp    int
-	Violations int
+	At, Of     time.Duration // time since the start of the run, and its whole duration
+	Requests   int           // requests due in the last second
+	Served     int           // requests that were served in the last second
+	Rejected   int           // requests not served that got a response in the last second, after at least one rejection
+	Failed     int           // other requests that got a response in the last second
+	P50, P99   time.Duration // latencies of the requests served in the last second
+	NodesUp    int           // nodes that accept requests
+	Violations int           // rule violations since the start of the run
 }
 
-// Run plays a scenario and leaves its result in the folder. The error is of the testbed itself:
-// what the nodes did wrong is in the result. Whatever ends the run, nothing of it is left
-// running when Run returns.
+// Run executes a scenario and writes its result to the directory of the options. The error reports failures of the
+// testbed itself. Violations by the nodes are part of the result. In all cases, the processes and goroutines of the run
+// have ended when Run returns.
 func Run(ctx context.Context, s *Scenario, o Options) (res *Result, err error) {
 	if err := ensureDescriptorLimit(s.descriptors()); err != nil {
 		return nil, err
 	}
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
-		return nil, fmt.Errorf("folder of the run: %w", err)
+		return nil, fmt.Errorf("directory of the run: %w", err)
 	}
-	w := newEnvironment(ctx, s, o)
-	defer w.end()
-	if err := w.build(); err != nil {
+	env := newEnvironment(ctx, s, o)
+	defer env.end()
+	if err := env.build(); err != nil {
 		return nil, err
 	}
-	if err := w.startNodes(); err != nil {
+	if err := env.startNodes(); err != nil {
 		return nil, err
 	}
 	if o.Control != "" {
-		if err := w.serveControl(o.Control); err != nil {
+		if err := env.serveControl(o.Control); err != nil {
 			return nil, err
 		}
 	}
-	w.startClock()
-	w.work.Go(w.monitorLag)
-	w.work.Go(func() { w.monitorNodes(o.Live) })
-	w.work.Go(w.injectFaults)
-	played := make(chan struct{})
+	env.startClock()
+	env.work.Go(env.monitorLag)
+	env.work.Go(func() { env.monitorNodes(o.Live) })
+	env.work.Go(env.injectFaults)
+	finished := make(chan struct{})
 	go func() {
-		defer close(played)
-		w.generator.run()
+		defer close(finished)
+		env.generator.run()
 	}()
 	select {
-	case <-played:
-	case <-w.ctx.Done():
-		cause := context.Cause(w.ctx)
-		w.end()
-		<-played
+	case <-finished:
+	case <-env.ctx.Done():
+		cause := context.Cause(env.ctx)
+		env.end()
+		<-finished
 		if !errors.Is(cause, context.Canceled) {
 			return nil, cause
 		}
 		return nil, ctx.Err()
 	}
-	w.sample()
-	up := w.awaitRecovery()
-	w.end()
-	res = w.result(up)
+	env.sample()
+	readyNodes := env.awaitRecovery()
+	env.end()
+	res = env.result(readyNodes)
 	return res, res.write(o.Dir)
 }
 
-// startClock sets the clock to zero, and with it what was booked while the nodes started. No
-// request has come yet.
+// startClock sets the run's clock to zero and resets the times recorded while the nodes started. No request has been
+// sent at that time.
 func (env *environment) startClock() {
 	env.begun.Store(int64(time.Since(env.origin)))
 	for _, s := range env.servers {
@@ -99,16 +99,16 @@
 	env.udp.mu.Unlock()
 	env.checker.mu.Lock()
 	for _, m := range env.checker.delivered {
-		for id, k := range m {
-			k.at = 0
-			m[id] = k
+		for id, entry := range m {
+			entry.at = 0
+			m[id] = entry
 		}
 	}
 	env.checker.mu.Unlock()
 }
 
-// ensureDescriptorLimit raises the limit on open files as far as allowed, and tells if that is not
-// enough.
+// ensureDescriptorLimit raises the soft limit on open files to n. It returns an error that names n if the hard limit is
+// lower.
 func ensureDescriptorLimit(n int) error {
 	var l syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &l); err != nil {
@@ -118,7 +118,7 @@
 		return nil
 	}
 	if l.Max < uint64(n) {
-		return fmt.Errorf("the run needs about %d descriptors and the limit is %d: raise it with `ulimit -n %d`, or make the fleet smaller", n, l.Max, n)
+		return fmt.Errorf("the run needs about %d descriptors, but the limit is %d: raise it with `ulimit -n %d`, or use a smaller fleet", n, l.Max, n)
 	}
 	l.Cur = uint64(n)
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &l); err != nil {
@@ -127,18 +127,19 @@
 	return nil
 }
 
-// awaitRecovery waits until every node that no fault has ended for good takes requests again, for as
-// long as a start may take, and counts those that do.
+// awaitRecovery waits for all nodes to accept requests again, and then to have received the final list. It does not
+// wait for nodes that a fault has killed without a restart. Each wait is limited, by readyWithin and listsWithin. The
+// result is the number of nodes that accept requests.
 func (env *environment) awaitRecovery() (up int) {
-	gone := map[int]bool{}
+	killed := map[int]bool{}
 	for _, e := range env.schedule.Faults {
 		if env.scenario.Faults[e.Fault].Kind == FaultKill {
-			gone[e.Target] = !e.End
+			killed[e.Target] = !e.End
 		}
 	}
 	want := len(env.nodes)
-	for _, dead := range gone {
-		if dead {
+	for _, isKilled := range killed {
+		if isKilled {
 			want--
 		}
 	}
@@ -155,7 +156,7 @@
 	return up
 }
 
-// nodesUp counts the nodes that take requests.
+// nodesUp returns the number of nodes that accept requests, as the load generator sees them.
 func (env *environment) nodesUp() (up int) {
 	for _, n := range env.generator.nodes {
 		n.mu.Lock()
@@ -167,7 +168,8 @@
 	return up
 }
 
-// monitorNodes samples the nodes and tells of the progress until the run ends.
+// monitorNodes samples the nodes every 500 ms and calls live, if it is not nil, at every second sample, until the run
+// ends.
 func (env *environment) monitorNodes(live func(Progress)) {
 	for tick := 0; env.sleep(500 * time.Millisecond); tick++ {
 		env.sample()
@@ -177,7 +179,7 @@
 	}
 }
 
-// progress is about the last second.
+// progress returns the state of the run, with counts over the last second.
 func (env *environment) progress() Progress {
 	now := env.now()
 	p := Progress{At: now, Of: time.Duration(env.scenario.Duration), NodesUp: env.nodesUp()}
--- a/internal/testbed/settings.go
+++ b/internal/testbed/settings.go
@@ -7,7 +7,7 @@
 	"path/filepath"
 )
 
-// nodeConfig is the file that PROXY_CONFIG names, in the platform's form.
+// nodeConfig is the content of the configuration file that PROXY_CONFIG names, in the platform's format.
 type nodeConfig struct {
 	Name       string      `json:"name"`
 	Listen     string      `json:"listen"`
@@ -21,30 +21,32 @@
 	Settings   any         `json:"settings"`
 }
 
+// limits are the resource limits of a node.
 type limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
+// object is a JSON object.
 type object = map[string]any
 
-// settings is the object that the platform hands a node.
+// settings returns the settings object that the platform passes to a node.
 func (s *Scenario) settings(node int) object {
 	f, l := &s.Fleet, &s.Load
-	var lanes, tariffs []object
+	var classes, plans []object
 	for _, c := range s.Classes {
-		effect := "retryable"
+		idempotency := "retryable"
 		if c.NonIdempotent {
-			effect = "fragile"
+			idempotency = "fragile"
 		}
-		lanes = append(lanes, object{
-			"name": c.Name, "idempotency": effect, "keyScope": "all", "memorySpan": 5.0, "deadline": l.Deadline.s(),
+		classes = append(classes, object{
+			"name": c.Name, "idempotency": idempotency, "keyScope": "all", "memorySpan": 5.0, "deadline": l.Deadline.s(),
 			"onTime": l.LatencyObjective.s(), "lateWorth": 0.2, "streamed": false, "worth": c.PriorityWeight,
 		})
 	}
 	for _, p := range s.Plans {
-		tariffs = append(tariffs, object{
+		plans = append(plans, object{
 			"name": p.Name, "quotaRate": p.Rate, "peakUnits": p.Burst, "neverOverRate": p.HardLimitRate,
 			"hardBurst": p.HardLimitBurst, "capSlack": p.HardLimitSlack, "worthFactor": p.WeightFactor, "extraWorth": p.OverQuotaValue, "overCost": p.OverQuotaCost, "maxOut": 0,
 		})
@@ -58,7 +60,7 @@
 		"familyInfo": object{"counter": false, "inboxPerS": f.PeerMessagesPerSecond, "meter": 0.0, "postPaid": true, "unitsTop": maxUnits},
 		"feedback":   object{"fields": []string{"outstanding"}, "how": "answers"}, "flavors": []string{"std-4c"},
 		"goal":      object{"whole": 0.65, "worstClass": 0.1, "worstTenant": 0.15, "worstWindow": 0.1},
-		"instances": f.Nodes, "me": node, "lanes": lanes, "localities": f.Zones, "zone": f.zoneOf(node),
+		"instances": f.Nodes, "me": node, "lanes": classes, "localities": f.Zones, "zone": f.zoneOf(node),
 		"penalties": object{"crossZone": 0.0091, "lateFail": 0.08, "peer": 0.03, "waste": 0.05, "handshake": 0.01},
 		"policyLimits": object{
 			"cancel": true, "connIdle": f.ConnIdle.s(), "connectTimeout": 0.25, "cpuUsPerS": 500000, "maxRetryAfter": 0.5,
@@ -69,12 +71,12 @@
 			"answerSlack": answerSlack.Seconds(), "askWithin": pollInterval.Seconds(), "coldFrom": f.SlowStartInitialFraction, "drainGrace": drainGrace.Seconds(),
 			"fallMultiple": f.OverloadFactor, "overloadFor": f.OverloadWindow.s(), "rampTime": f.SlowStartDuration.s(),
 		},
-		"stage": 0, "tariffs": tariffs, "tick": 0.002, "tiers": []string{"devis-pool"}, "weights": "rough",
+		"stage": 0, "tariffs": plans, "tick": 0.002, "tiers": []string{"devis-pool"}, "weights": "rough",
 	}
 }
 
-// writeConfig writes a node's configuration and returns its path. A node that reads the file
-// sees the old one or the new one, whole.
+// writeConfig writes the configuration file of a node and returns its path. The file is replaced atomically, so that the
+// node never reads a partly written one.
 func (env *environment) writeConfig(n *edgeNode) (string, error) {
 	n.config.Lock()
 	defer n.config.Unlock()
@@ -99,9 +101,9 @@
 		return "", fmt.Errorf("configuration of %s: %w", n.name, err)
 	}
 	env.recordDelivered(n.number, c.Known)
-	if env.scenario.Fleet.StaleStartList && !env.list.isDown() { // what its agent has counts from a process's first moment
-		whole, _ := env.list.since(0, true)
-		env.list.markDeliveredTo(n, whole)
+	if env.scenario.Fleet.StaleStartList && !env.list.isDown() { // the agent's current list counts as delivered at once
+		snapshot, _ := env.list.since(0, true)
+		env.list.markDeliveredTo(n, snapshot)
 	}
 	return path, nil
 }
--- a/internal/testbed/slack.go
+++ b/internal/testbed/slack.go
@@ -4,9 +4,9 @@
 	"time"
 )
 
-// slack is what the machine did not give: how long the testbed stood still and a node had no
-// core, of late. Time limits are widened by it, so that a verdict does not depend on what
-// else the machine does.
+// slack returns the time that the machine recently withheld from the testbed and from a node: the testbed's scheduling
+// lag plus the time for which the node was runnable but had no core. Time limits are extended by it, so that the result
+// of a run does not depend on other load of the machine. For a number that is not a node's, it returns the lag alone.
 func (env *environment) slack(node int) time.Duration {
 	env.lagMu.Lock()
 	lag := env.lag
@@ -21,44 +21,47 @@
 	return lag + starved
 }
 
-// peakSlack is the most that slack has been in the run.
+// peakSlack returns the largest slack of the run so far.
 func (env *environment) peakSlack() time.Duration {
 	env.lagMu.Lock()
 	defer env.lagMu.Unlock()
 	return env.withheld
 }
 
-// monitorLag measures how long the testbed stands still. A lag counts for some seconds.
+// monitorLag measures the testbed's scheduling lag until the run ends.
 func (env *environment) monitorLag() {
 	for env.measureLag() {
 	}
 }
 
+// measureLag sleeps for lagTick and updates the lag by the time overslept. The lag decays exponentially, so that a peak
+// still counts for some seconds. It returns false if the run has ended.
 func (env *environment) measureLag() bool {
-	began := time.Now()
+	start := time.Now()
 	if !env.sleep(lagTick) {
 		return false
 	}
-	late := time.Since(began) - lagTick
+	overslept := time.Since(start) - lagTick
 	env.lagMu.Lock()
 	defer env.lagMu.Unlock()
-	env.lag -= env.lag / 500 // falls to a third in five seconds
-	env.lag = max(env.lag, late)
+	env.lag -= env.lag / 500 // decays to about a third in 5 s
+	env.lag = max(env.lag, overslept)
 	return true
 }
 
-// sample reads what the nodes use. What a node was starved of counts for some seconds.
+// sample reads the resource usage of the nodes and updates their peak memory, their starved time and the run's peak
+// slack. Starved time is measured over the last maxSamples samples, which are taken every 500 ms.
 func (env *environment) sample() {
-	const kept = 10
-	most := int64(0)
+	const maxSamples = 10
+	peakMemory := int64(0)
 	defer func() {
 		env.lagMu.Lock()
 		defer env.lagMu.Unlock()
 		for sec := int(env.now() / time.Second); len(env.memory) <= sec; {
 			env.memory = append(env.memory, 0)
 		}
-		last := &env.memory[len(env.memory)-1]
-		*last = max(*last, float64(most)/(1<<20))
+		current := &env.memory[len(env.memory)-1]
+		*current = max(*current, float64(peakMemory)/(1<<20))
 	}()
 	for _, n := range env.nodes {
 		p := n.process()
@@ -72,9 +75,9 @@
 		n.mu.Lock()
 		n.lastUsage = u
 		n.peakMemory = max(n.peakMemory, u.memory)
-		most = max(most, u.memory)
+		peakMemory = max(peakMemory, u.memory)
 		n.usageSamples = append(n.usageSamples, u)
-		if len(n.usageSamples) > kept {
+		if len(n.usageSamples) > maxSamples {
 			n.usageSamples = n.usageSamples[1:]
 		}
 		n.starved = u.starved - n.usageSamples[0].starved
--- a/internal/testbed/sweep.go
+++ b/internal/testbed/sweep.go
@@ -16,84 +16,84 @@
 	"time"
 )
 
-// SweepOptions say which generated scenarios a sweep plays and how.
+// SweepOptions are the parameters of a sweep, which generates and runs one scenario for each seed of a range.
 type SweepOptions struct {
-	From, To uint64        // seeds, both played
-	Rule     string        // one of TargetRules; "": anything
-	Jobs     int           // generated scenarios played at once
-	Budget   time.Duration // no generated scenario begins after it, and no reduction goes on; 0: none
-	Reduce   int           // plays that the reduction of a failing generated scenario may take; 0: it is not reduced
-	Binary   string        // of the edge node
-	Dir      string        // takes a folder for each failing generated scenario, and the report
-	Log      *slog.Logger
-	Live     func(done, of int, t GeneratedRun) // called as generated scenarios end; may be nil
+	From, To uint64                             // range of seeds, inclusive
+	Rule     string                             // rule at which the scenarios are aimed, one of TargetRules; "": faults of all kinds
+	Jobs     int                                // number of scenarios run at the same time
+	Budget   time.Duration                      // time after which no scenario starts and no reduction continues; 0: unlimited
+	Reduce   int                                // maximum number of runs to reduce a failing scenario; 0: no reduction
+	Binary   string                             // path of the edge node's binary
+	Dir      string                             // directory for the report and a subdirectory for each failing scenario
+	Log      *slog.Logger                       // logger of the runs
+	Live     func(done, of int, t GeneratedRun) // called after each run, concurrently if Jobs is above 1; may be nil
 }
 
-// Verdict is what came of a generated scenario.
+// Verdict is the outcome of a generated scenario.
 type Verdict string
 
-// Verdicts. A generated scenario in which no rule was broken counts as passed only where the machine gave the
-// lab and the nodes what they needed: one too slow for the draw judges nothing.
+// Outcomes of a generated scenario. They are keys and values of the report's JSON.
 const (
-	Passed    Verdict = "passed"
-	BrokeRule Verdict = "broke a rule"
-	NotJudged Verdict = "not judged"
-	NotPlayed Verdict = "not played"
+	Passed    Verdict = "passed"       // no rule was broken
+	BrokeRule Verdict = "broke a rule" // a rule was broken or a node crashed
+	NotJudged Verdict = "not judged"   // no rule was broken, but the machine was too slow for that to be conclusive
+	NotPlayed Verdict = "not played"   // the scenario could not be generated or run
 )
 
-// GeneratedRun is one draw and what came of it.
+// GeneratedRun is the result of one generated scenario.
 type GeneratedRun struct {
 	Seed    uint64         `json:"seed"`
 	Verdict Verdict        `json:"verdict"`
-	Rules   map[string]int `json:"rules,omitempty"` // broken ones; "crash" for processes that ended
-	First   string         `json:"first,omitempty"` // of the violations
-	Reason  string         `json:"why,omitempty"`   // it was not judged or played
-	Command string         `json:"again,omitempty"` // the command that plays it again
-	Reduced string         `json:"reduced,omitempty"`
-	Size    string         `json:"size"`
-	Faults  []string       `json:"faults"`
-	slack   time.Duration
+	Rules   map[string]int `json:"rules,omitempty"`   // number of violations by rule; "crash" counts crashed nodes
+	First   string         `json:"first,omitempty"`   // first violation
+	Reason  string         `json:"why,omitempty"`     // why the scenario was not judged or not run
+	Command string         `json:"again,omitempty"`   // command that runs the scenario again
+	Reduced string         `json:"reduced,omitempty"` // summary of the reduced scenario and the command that runs it
+	Size    string         `json:"size"`              // summary of the deployment
+	Faults  []string       `json:"faults"`            // summaries of the faults
+	slack   time.Duration  // largest slack of the run
 }
 
-// SweepReport is all that a sweep played, by seed.
+// SweepReport is the report of a sweep.
 type SweepReport struct {
 	Rule   string          `json:"rule,omitempty"`
 	From   uint64          `json:"from"`
 	To     uint64          `json:"to"`
-	Played int             `json:"played"`
-	Counts map[Verdict]int `json:"verdicts"`
-	Ended  string          `json:"ended,omitempty"` // why before the last seed
-	Runs   []GeneratedRun  `json:"trials"`
+	Played int             `json:"played"`          // number of scenarios in Runs
+	Counts map[Verdict]int `json:"verdicts"`        // number of scenarios by outcome
+	Ended  string          `json:"ended,omitempty"` // why the sweep ended before the last seed
+	Runs   []GeneratedRun  `json:"trials"`          // in order of seeds
 }
 
-// OK tells whether every generated scenario that was played was judged by its rules and kept them; what was
-// not judged is no failure, nor is it a pass.
+// OK reports whether no scenario broke a rule and all could be run. Scenarios that were not judged do not count as
+// failures here, although they have not passed.
 func (r *SweepReport) OK() bool { return r.Counts[BrokeRule] == 0 && r.Counts[NotPlayed] == 0 }
 
-// Sweep plays the generated scenarios of a range of seeds. A signal or the budget ends it early: the report
-// has what was played. The error is of the testbed itself.
+// Sweep generates and runs the scenarios of a range of seeds and writes a report to the directory of the options. If ctx
+// is canceled or the budget is used up, it ends early with a report of the scenarios run until then. The error reports
+// invalid options and failures to write the report.
 func Sweep(ctx context.Context, o SweepOptions) (*SweepReport, error) {
 	if err := o.check(); err != nil {
 		return nil, err
 	}
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
-		return nil, fmt.Errorf("folder of the sweep: %w", err)
+		return nil, fmt.Errorf("directory of the sweep: %w", err)
 	}
 	s := sweeper{options: &o, next: o.From, report: &SweepReport{Rule: o.Rule, From: o.From, To: o.To, Counts: map[Verdict]int{}}}
 	if o.Budget > 0 {
 		s.deadline = time.Now().Add(o.Budget)
 	}
-	var work sync.WaitGroup
+	var jobs sync.WaitGroup
 	for range o.Jobs {
-		work.Go(func() { s.runSeeds(ctx) })
+		jobs.Go(func() { s.runSeeds(ctx) })
 	}
-	work.Wait()
+	jobs.Wait()
 	slices.SortFunc(s.report.Runs, func(a, b GeneratedRun) int { return cmp.Compare(a.Seed, b.Seed) })
 	switch {
 	case ctx.Err() != nil:
 		s.report.Ended = "ended by a signal"
 	case s.next <= o.To:
-		s.report.Ended = fmt.Sprintf("the budget of %v is over", o.Budget)
+		s.report.Ended = fmt.Sprintf("the budget of %v is used up", o.Budget)
 	}
 	if err := s.report.write(o.Dir); err != nil {
 		return nil, err
@@ -101,31 +101,31 @@
 	return s.report, nil
 }
 
-// check returns an error that names the first option that can't be.
+// check returns an error that names the first invalid option.
 func (o *SweepOptions) check() error {
 	switch {
 	case o.From > o.To:
-		return fmt.Errorf("seeds: %d-%d ends before it begins", o.From, o.To)
+		return fmt.Errorf("seeds: must be in ascending order, got %d-%d", o.From, o.To)
 	case o.To-o.From >= maxSeeds:
-		return fmt.Errorf("seeds: %d-%d are over %d", o.From, o.To, maxSeeds)
+		return fmt.Errorf("seeds: must be at most %d seeds, got %d-%d", maxSeeds, o.From, o.To)
 	case o.Jobs < 1:
-		return fmt.Errorf("jobs: %d is below 1", o.Jobs)
+		return fmt.Errorf("jobs: must be at least 1, got %d", o.Jobs)
 	}
 	_, err := GenerateScenario(o.From, o.Rule)
 	return err
 }
 
-// sweeper is a sweep under way, shared by its jobs.
+// sweeper is the state of a sweep in progress. Its jobs share it.
 type sweeper struct {
 	options  *SweepOptions
-	deadline time.Time // after which nothing begins; zero: never
+	deadline time.Time // end of the budget; zero: no limit
 
 	mu     sync.Mutex
-	next   uint64 // seed
+	next   uint64 // next seed to run
 	report *SweepReport
 }
 
-// runSeeds plays seeds until none is left or the sweep ends.
+// runSeeds runs seeds until none is left or the sweep ends.
 func (s *sweeper) runSeeds(ctx context.Context) {
 	for {
 		seed, ok := s.claimSeed(ctx)
@@ -134,7 +134,7 @@
 		}
 		r := s.options.runSeed(ctx, seed, s.deadline)
 		if ctx.Err() != nil && r.Verdict == NotPlayed {
-			return // the signal ended it
+			return // interrupted by the cancellation of ctx
 		}
 		done := s.addRun(r)
 		if s.options.Live != nil {
@@ -143,7 +143,7 @@
 	}
 }
 
-// claimSeed is the next seed to play; ok is false where the sweep ends.
+// claimSeed returns the next seed to run. ok is false if none is left or the sweep must end.
 func (s *sweeper) claimSeed(ctx context.Context) (seed uint64, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -154,7 +154,7 @@
 	return s.next - 1, true
 }
 
-// addRun adds a run to the report and returns how many there are.
+// addRun adds a run to the report and returns the number of runs in it.
 func (s *sweeper) addRun(r GeneratedRun) (done int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -164,10 +164,10 @@
 	return s.report.Played
 }
 
-// sweepFile is where a sweep's folder keeps its report.
+// sweepFile is the name of the report in a sweep's directory.
 const sweepFile = "sweep.json"
 
-// write writes the report into the sweep's folder.
+// write writes the report to the sweep's directory.
 func (r *SweepReport) write(dir string) error {
 	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
@@ -179,42 +179,42 @@
 	return nil
 }
 
-// maxSeeds bounds a range of seeds.
+// maxSeeds is the maximum number of seeds in a range.
 const maxSeeds = 100_000
 
-// maxSlack is what the machine may withhold in a generated scenario that is to count as passed: less than
-// the grace of the shortest rule.
+// maxSlack is the largest slack with which a generated scenario can pass. It is shorter than the shortest grace period
+// of a rule.
 const maxSlack = 200 * time.Millisecond
 
-// runSeed draws, plays and judges one seed, and reduces it if it fails.
-func (o *SweepOptions) runSeed(ctx context.Context, seed uint64, end time.Time) GeneratedRun {
+// runSeed generates and runs the scenario of a seed, and reduces it if it breaks a rule and the deadline is not reached.
+func (o *SweepOptions) runSeed(ctx context.Context, seed uint64, deadline time.Time) GeneratedRun {
 	s, err := GenerateScenario(seed, o.Rule)
 	if err != nil {
 		return GeneratedRun{Seed: seed, Verdict: NotPlayed, Reason: err.Error()}
 	}
 	dir := filepath.Join(o.Dir, fmt.Sprintf("seed-%d", seed))
-	t := o.runOnce(ctx, s, seed, dir)
-	if t.Verdict != BrokeRule {
-		if t.Verdict != NotPlayed {
-			_ = os.RemoveAll(dir) // a folder that stays misleads nobody: the report names what failed
+	run := o.runOnce(ctx, s, seed, dir)
+	if run.Verdict != BrokeRule {
+		if run.Verdict != NotPlayed {
+			_ = os.RemoveAll(dir) // a failure leaves files that are not needed; the report lists the failed runs
 		}
-		return t
+		return run
 	}
 	path := filepath.Join(dir, "scenario.toml")
 	if err := s.write(path); err != nil {
-		t.Reason = err.Error()
-		return t
+		run.Reason = err.Error()
+		return run
 	}
-	t.Command = o.rerunCommand(path, seed)
-	if small, n := o.reduce(ctx, s, seed, t, dir, end); n > 0 {
+	run.Command = o.rerunCommand(path, seed)
+	if reduced, n := o.reduce(ctx, s, seed, run, dir, deadline); n > 0 {
 		path := filepath.Join(dir, "reduced.toml")
-		if err := small.write(path); err != nil {
-			t.Reason = err.Error()
-			return t
+		if err := reduced.write(path); err != nil {
+			run.Reason = err.Error()
+			return run
 		}
-		t.Reduced = fmt.Sprintf("%s, %d faults, %v: %s", small.summary(), len(small.Faults), time.Duration(small.Duration), o.rerunCommand(path, seed))
+		run.Reduced = fmt.Sprintf("%s, %d faults, %v: %s", reduced.summary(), len(reduced.Faults), time.Duration(reduced.Duration), o.rerunCommand(path, seed))
 	}
-	return t
+	return run
 }
 
 // rerunCommand is the rerunCommand that plays a scenario again.
@@ -222,53 +222,54 @@
 	return fmt.Sprintf("opalhook testbed run %s --seed %d --node-binary %s", path, seed, o.Binary)
 }
 
-// runOnce plays a scenario once.
+// runOnce runs a scenario and determines its outcome.
 func (o *SweepOptions) runOnce(ctx context.Context, s *Scenario, seed uint64, dir string) GeneratedRun {
-	t := GeneratedRun{Seed: seed, Verdict: Passed, Size: s.summary()}
+	run := GeneratedRun{Seed: seed, Verdict: Passed, Size: s.summary()}
 	for _, ft := range s.Faults {
-		t.Faults = append(t.Faults, ft.summary())
+		run.Faults = append(run.Faults, ft.summary())
 	}
 	r, err := Run(ctx, s, Options{Seed: seed, Binary: o.Binary, Dir: dir, Log: o.Log})
 	if err != nil {
-		t.Verdict, t.Reason = NotPlayed, err.Error()
-		return t
+		run.Verdict, run.Reason = NotPlayed, err.Error()
+		return run
 	}
-	t.Rules = maps.Clone(r.Broken)
+	run.Rules = maps.Clone(r.Broken)
 	if n := int(r.Figures["crashes"]); n > 0 {
-		t.Rules["crash"] = n
+		run.Rules["crash"] = n
 	}
-	t.slack = time.Duration(r.Figures["slack_ms"] * float64(time.Millisecond))
+	run.slack = time.Duration(r.Figures["slack_ms"] * float64(time.Millisecond))
 	switch {
-	case len(t.Rules) > 0:
-		t.Verdict = BrokeRule
+	case len(run.Rules) > 0:
+		run.Verdict = BrokeRule
 		if len(r.Violations) > 0 {
-			t.First = r.Violations[0].String()
+			run.First = r.Violations[0].String()
 		}
 	case r.Behind:
-		t.Verdict, t.Reason = NotJudged, fmt.Sprintf("the generator was %.0f ms late: the machine is too slow for this draw", r.Figures["lateness_ms"])
-	case t.slack > maxSlack:
-		t.Verdict, t.Reason = NotJudged, fmt.Sprintf("the machine withheld %v: it is too slow for this draw", t.slack.Round(time.Millisecond))
+		run.Verdict, run.Reason = NotJudged, fmt.Sprintf("the load generator was %.0f ms late: the machine is too slow for this scenario", r.Figures["lateness_ms"])
+	case run.slack > maxSlack:
+		run.Verdict, run.Reason = NotJudged, fmt.Sprintf("the machine withheld CPU for %v: it is too slow for this scenario", run.slack.Round(time.Millisecond))
 	}
-	return t
+	return run
 }
 
-// reduce takes away from a failing scenario what it can while the same rule is still broken: its
-// faults and bursts one by one, half of its processes, its last seconds. It returns how many
-// steps were taken.
-func (o *SweepOptions) reduce(ctx context.Context, s *Scenario, seed uint64, failed GeneratedRun, dir string, end time.Time) (small *Scenario, steps int) {
-	plays := 0
-	try := func(change func(c *Scenario) bool) bool {
-		if plays >= o.Reduce || ctx.Err() != nil || !end.IsZero() && time.Now().After(end) {
+// reduce returns a smaller version of a failing scenario and the number of reductions applied. It attempts to remove
+// faults and bursts one by one, to halve the numbers of nodes and app servers, and to shorten the run. It keeps each
+// change with which the scenario still breaks one of the same rules. It makes at most o.Reduce runs and starts none
+// after the deadline.
+func (o *SweepOptions) reduce(ctx context.Context, s *Scenario, seed uint64, failed GeneratedRun, dir string, deadline time.Time) (reduced *Scenario, steps int) {
+	runs := 0
+	attempt := func(change func(c *Scenario) bool) bool {
+		if runs >= o.Reduce || ctx.Err() != nil || !deadline.IsZero() && time.Now().After(deadline) {
 			return false
 		}
 		c := s.clone()
 		if !change(c) || c.validate() != nil {
 			return false
 		}
-		plays++
-		t := o.runOnce(ctx, c, seed, filepath.Join(dir, "smaller"))
+		runs++
+		run := o.runOnce(ctx, c, seed, filepath.Join(dir, "smaller"))
 		for rule := range failed.Rules {
-			if t.Rules[rule] > 0 {
+			if run.Rules[rule] > 0 {
 				s = c
 				steps++
 				return true
@@ -277,27 +278,27 @@
 		return false
 	}
 	for i := len(s.Faults) - 1; i >= 0; i-- {
-		try(func(c *Scenario) bool {
+		attempt(func(c *Scenario) bool {
 			c.Faults = slices.Delete(c.Faults, i, i+1)
 			return len(c.Faults) > 0
 		})
 	}
 	for i := len(s.Load.Bursts) - 1; i >= 0; i-- {
-		try(func(c *Scenario) bool { c.Load.Bursts = slices.Delete(c.Load.Bursts, i, i+1); return true })
+		attempt(func(c *Scenario) bool { c.Load.Bursts = slices.Delete(c.Load.Bursts, i, i+1); return true })
 	}
-	for try(func(c *Scenario) bool { c.Fleet.Nodes /= 2; return c.Fleet.Nodes > 0 }) {
+	for attempt(func(c *Scenario) bool { c.Fleet.Nodes /= 2; return c.Fleet.Nodes > 0 }) {
 	}
-	for try(func(c *Scenario) bool { c.Fleet.Servers /= 2; return c.Fleet.Servers > 1 }) {
+	for attempt(func(c *Scenario) bool { c.Fleet.Servers /= 2; return c.Fleet.Servers > 1 }) {
 	}
-	try(func(c *Scenario) bool {
+	attempt(func(c *Scenario) bool {
 		c.Duration -= Duration(tailAfterFaults / 2)
 		return c.Duration > Duration(time.Second)
 	})
-	_ = os.RemoveAll(filepath.Join(dir, "smaller")) // scratch
+	_ = os.RemoveAll(filepath.Join(dir, "smaller")) // files of the last run; leftovers do no harm
 	return s, steps
 }
 
-// clone is a copy that shares nothing.
+// clone returns a copy whose slices can be changed without effect on the original.
 func (s *Scenario) clone() *Scenario {
 	c := *s
 	c.Fleet.Zones = slices.Clone(s.Fleet.Zones)
@@ -306,18 +307,18 @@
 	return &c
 }
 
-// summary names what is played, in few words.
+// summary describes the deployment and the load in one line.
 func (s *Scenario) summary() string {
 	f := &s.Fleet
 	list := "pushed"
 	if f.ListPolled {
-		list = "asked for"
+		list = "polled"
 	}
 	return fmt.Sprintf("%d nodes, %d servers, %d zones, %.0f/s, deadline %v, lists %s", f.Nodes, f.Servers, len(f.Zones), s.Load.Rate,
 		time.Duration(s.Load.Deadline), list)
 }
 
-// summary names a fault in few words.
+// summary describes a fault in one line: its time, its kind, its main parameters and its duration.
 func (ft *Fault) summary() string {
 	words := []string{fmt.Sprintf("%.2gs", ft.At.s()), string(ft.Kind)}
 	for _, w := range []string{ft.Does, ft.Zone, ft.Way} {
@@ -331,17 +332,17 @@
 	return strings.Join(words, " ")
 }
 
-// ParseSeeds reads a range such as 1-200, or one seed.
+// ParseSeeds parses a range of seeds such as 1-200, or a single seed. The bounds are inclusive.
 func ParseSeeds(text string) (from, to uint64, err error) {
 	first, last, isRange := strings.Cut(text, "-")
 	if !isRange {
 		last = first
 	}
 	if _, err = fmt.Sscanf(first+" "+last+"\n", "%d %d\n", &from, &to); err != nil {
-		return 0, 0, fmt.Errorf("seeds: %q is neither a number nor a range such as 1-200", text)
+		return 0, 0, fmt.Errorf("seeds: must be a number or a range such as 1-200, got %q", text)
 	}
 	if from > to {
-		return 0, 0, errors.New("seeds: " + text + " ends before it begins")
+		return 0, 0, errors.New("seeds: must be in ascending order, got " + text)
 	}
 	return from, to, nil
 }
--- a/internal/testbed/sweep_test.go
+++ b/internal/testbed/sweep_test.go
@@ -15,13 +15,13 @@
 	}
 	for _, text := range []string{"", "x", "1-", "-1", "9-3", "1-2-3", "1.5", "1-99999999999999999999999"} {
 		if _, _, err := ParseSeeds(text); err == nil {
-			t.Errorf("%q is a range", text)
+			t.Errorf("%q: no error", text)
 		}
 	}
 }
 
-// The scenarios of drains: the edge node keeps the rule, and one that is broken on purpose in the way that
-// each is about does not.
+// The edge node obeys the drain rule in the scenarios about drains. Each scenario detects the mutants with the bug that
+// it is meant to detect.
 func TestDrainScenarios(t *testing.T) {
 	dir := t.TempDir()
 	node, err := FindNode(t.Context(), "", dir)
@@ -34,7 +34,7 @@
 			t.Fatal(err)
 		}
 	}
-	for _, c := range []struct{ scenario, broken string }{
+	for _, c := range []struct{ scenario, mutant string }{
 		{"drain-reset", ""},
 		{"drain-reset", "drain-after-reset"},
 		{"drain-reset", "late-watch"},
@@ -43,39 +43,40 @@
 		{"drain-many", ""},
 		{"drain-many", "cap-128"},
 	} {
-		t.Run(c.scenario+"/"+c.broken, func(t *testing.T) {
+		t.Run(c.scenario+"/"+c.mutant, func(t *testing.T) {
 			t.Parallel()
 			s, err := LoadScenario(filepath.Join("..", "..", "scenarios", c.scenario+".toml"))
 			if err != nil {
 				t.Fatal(err)
 			}
-			r, err := Run(t.Context(), s, Options{Seed: 3, Binary: binaries[c.broken], Dir: t.TempDir(), Log: slog.New(slog.DiscardHandler)})
+			r, err := Run(t.Context(), s, Options{Seed: 3, Binary: binaries[c.mutant], Dir: t.TempDir(), Log: slog.New(slog.DiscardHandler)})
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := r.Broken[RuleDrain] > 0; got != (c.broken != "") || c.broken == "" && len(r.Broken) > 0 {
+			if got := r.Broken[RuleDrain] > 0; got != (c.mutant != "") || c.mutant == "" && len(r.Broken) > 0 {
 				t.Errorf("broken rules %v: %v", r.Broken, r.Violations[:min(3, len(r.Violations))])
 			}
 		})
 	}
 }
 
-// A sweep plays its range, says what came of each seed, and reduces what fails.
+// A sweep runs all seeds of its range, reports the outcome of each and reduces a scenario that fails. It rejects invalid
+// options.
 func TestSweep(t *testing.T) {
 	dir := t.TempDir()
 	binary, err := BuildMutant(t.Context(), "late-watch", dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := 0
+	calls := 0
 	r, err := Sweep(t.Context(), SweepOptions{
 		From: watchLossSeed, To: watchLossSeed, Rule: "drains", Jobs: 2, Reduce: 1, Binary: binary, Dir: dir,
-		Log: slog.New(slog.DiscardHandler), Live: func(int, int, GeneratedRun) { told++ },
+		Log: slog.New(slog.DiscardHandler), Live: func(int, int, GeneratedRun) { calls++ },
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Played != 1 || told != 1 || r.Counts[BrokeRule] != 1 || r.OK() || r.Runs[0].Rules[RuleDrain] == 0 || r.Runs[0].Command == "" {
+	if r.Played != 1 || calls != 1 || r.Counts[BrokeRule] != 1 || r.OK() || r.Runs[0].Rules[RuleDrain] == 0 || r.Runs[0].Command == "" {
 		t.Fatalf("report %+v", r)
 	}
 	if _, err := LoadScenario(filepath.Join(dir, "seed-4", "scenario.toml")); err != nil {
@@ -86,10 +87,10 @@
 	}
 	for _, o := range []SweepOptions{{From: 3, To: 2, Jobs: 1}, {From: 1, To: 1, Jobs: 0}, {From: 1, To: 1, Jobs: 1, Rule: "luck"}, {From: 1, To: 1 << 40, Jobs: 1}} {
 		if _, err := Sweep(t.Context(), o); err == nil {
-			t.Errorf("%+v is played", o)
+			t.Errorf("options %+v: no error", o)
 		}
 	}
 }
 
-// watchLossSeed draws watches that break before app servers drain.
+// watchLossSeed generates a scenario in which watches fail before app servers drain.
 const watchLossSeed = 4
