--- a/internal/testbed/fault.go
+++ b/internal/testbed/fault.go
@@ -14,7 +14,8 @@
 		}
 		ft := &env.scenario.Faults[e.Fault]
 		env.log.Info("fault injected", "at", e.At.Seconds(), "fault", ft.describe(e))
-		// Applying a fault may block: a restart waits for the old process to exit. Later events must not wait for it.
+		// Applying a fault may block: a restart waits for the old process to exit. Later events must not wait
+		// for it.
 		env.work.Go(func() {
 			if err := env.applyFault(ft, e); err != nil {
 				select {
@@ -166,7 +167,8 @@
 }
 
 // setLinksCut cuts or restores the links between the nodes and servers inside a group and those outside it.
-// The direction way is "out" (from inside to outside), "in" (from outside to inside), or both for any other value.
+// The direction way is "out" (from inside to outside), "in" (from outside to inside), or both for any other
+// value.
 func (env *environment) setLinksCut(way string, cut bool, nodeInside, serverInside func(int) bool) error {
 	out, in := way != "in", way != "out"
 	for k, r := range env.relays {
@@ -199,9 +201,9 @@
 	return nil
 }
 
-// applyLinkFault begins or ends a FaultLink on the links between the parties that its From and To name. Silence, loss,
-// delay and rate affect only the data sent from From to To. Reset and refuse affect the connections that From opens
-// to To.
+// applyLinkFault begins or ends a FaultLink on the links between the parties that its From and To name.
+// Silence, loss, delay and rate affect only the data sent from From to To. Reset and refuse affect the
+// connections that From opens to To.
 func (env *environment) applyLinkFault(ft *Fault, end bool) error {
 	from, err := env.scenario.parties(ft.From)
 	if err != nil {
@@ -253,8 +255,8 @@
 	return nil
 }
 
-// describe returns a short label of a fault event for logs and reports: the kind, the target or zone, and "ends"
-// if the event ends the fault.
+// describe returns a short label of a fault event for logs and reports: the kind, the target or zone, and
+// "ends" if the event ends the fault.
 func (ft *Fault) describe(e FaultEvent) string {
 	var b strings.Builder
 	b.WriteString(string(ft.Kind))
--- a/internal/testbed/fault_kinds.go
+++ b/internal/testbed/fault_kinds.go
@@ -82,7 +82,8 @@
 	FaultListKill:     {faultsAll, false, "SIGKILL of the list service's leader, or of all replicas if `share` is 1; restarted after `for`"},
 }
 
-// FaultKinds returns a description of each kind of fault. Words in backquotes are the names of fields of a fault.
+// FaultKinds returns a description of each kind of fault. Words in backquotes are the names of fields of a
+// fault.
 func FaultKinds() map[FaultKind]string {
 	all := map[FaultKind]string{}
 	for kind, description := range faultKinds {
@@ -117,8 +118,9 @@
 // route identifies a relayed link by its two parties: from opens the connections, to accepts them.
 type route struct{ from, to party }
 
-// parties resolves a name in a scenario, such as "nodes" or "zone:a", to parties. A zone resolves to its nodes and its
-// app servers. The result of "agent" has number 0, which applyLinkFault replaces by the number of the node.
+// parties resolves a name in a scenario, such as "nodes" or "zone:a", to parties. A zone resolves to its
+// nodes and its app servers. The result of "agent" has number 0, which applyLinkFault replaces by the number
+// of the node.
 func (s *Scenario) parties(name string) ([]party, error) {
 	what, arg, _ := strings.Cut(name, ":")
 	switch what {
--- a/internal/testbed/figures.go
+++ b/internal/testbed/figures.go
@@ -54,7 +54,8 @@
 	t.seconds[int(r.Due/time.Second)] = second
 }
 
-// worstSecond returns the lowest share of requests served in any second with arrivals, and 1 if there are none.
+// worstSecond returns the lowest share of requests served in any second with arrivals, and 1 if there are
+// none.
 func (t *tally) worstSecond() float64 {
 	worst := 1.0
 	for _, s := range t.seconds {
@@ -63,7 +64,8 @@
 	return worst
 }
 
-// nodeUsage returns the CPU time of all nodes and the peak resident memory of a node, in bytes, over the whole run.
+// nodeUsage returns the CPU time of all nodes and the peak resident memory of a node, in bytes, over the
+// whole run.
 func (env *environment) nodeUsage() (cpu time.Duration, peakMemory int64) {
 	for _, n := range env.nodes {
 		n.mu.Lock()
@@ -74,11 +76,12 @@
 	return cpu, peakMemory
 }
 
-// ratio returns part as a fraction of total, and part itself if total is 0.
+// ratio returns part divided by total. A total of 0 counts as 1, so that 0 of 0 results in 0.
 func ratio(part float64, total int) float64 { return part / math.Max(float64(total), 1) }
 
-// figures computes figures of figureNames over the arrivals that are due from one time up to another. Figures that do
-// not relate to arrivals cover the whole run. The caller adds the figures that are only known at the end of the run.
+// figures computes figures of figureNames over the arrivals that are due from one time up to another. Figures
+// that do not relate to arrivals cover the whole run. The caller adds the figures that are only known at the
+// end of the run.
 func (env *environment) figures(from, to time.Duration) map[string]float64 {
 	t := env.tally(from, to)
 	cpu, peakMemory := env.nodeUsage()
--- a/internal/testbed/generate.go
+++ b/internal/testbed/generate.go
@@ -13,12 +13,14 @@
 
 // Bounds of generated scenarios, low enough that a few cores can run several of them at once.
 const (
-	maxGeneratedRate  = 140.0           // requests per second
-	maxRelayedServers = 40              // maximum number of app servers with relays, which number one per pair of node and app server
+	maxGeneratedRate = 140.0 // requests per second
+	// Maximum number of app servers with relays, which number one per pair of node and app server.
+	maxRelayedServers = 40
 	tailAfterFaults   = 5 * time.Second // time from the last event to the end of the run
 	earliestFault     = time.Second     // earliest time of the first event
 	streamDeployment  = 1               // random stream of the deployment
-	streamTimeline    = 2               // random stream of the faults, separate so that a change to one does not alter the other
+	// Random stream of the faults, separate so that a change to one does not alter the other.
+	streamTimeline = 2
 )
 
 // sampler draws the values of a generated scenario.
@@ -59,8 +61,8 @@
 // round rounds to two decimals.
 func round(x float64) float64 { return math.Round(x*100) / 100 }
 
-// GenerateScenario draws a deployment within the limits of the platform's protocol and a sequence of faults. The result
-// depends only on the arguments. rule is one of TargetRules, or "" for faults of all kinds.
+// GenerateScenario draws a deployment within the limits of the platform's protocol and a sequence of faults.
+// The result depends only on the arguments. rule is one of TargetRules, or "" for faults of all kinds.
 func GenerateScenario(seed uint64, rule string) (*Scenario, error) {
 	if rule != "" && !slices.Contains(TargetRules, rule) {
 		return nil, fmt.Errorf("rule: unknown rule %q, must be one of %v", rule, TargetRules)
@@ -79,8 +81,8 @@
 	return &s, nil
 }
 
-// drawDeployment draws the fleet, the classes, the plans and the load. All draw from one random stream, so that a change
-// of their order would change the scenarios of all seeds.
+// drawDeployment draws the fleet, the classes, the plans and the load. All draw from one random stream, so
+// that a change of their order would change the scenarios of all seeds.
 func (s *Scenario) drawDeployment(d sampler, rule string) {
 	s.Fleet.drawSize(d)
 	s.Fleet.drawConditions(d)
@@ -113,7 +115,8 @@
 	f.OverloadFactor, f.OverloadWindow = round(d.uniform(2, 4)), d.duration(1500*time.Millisecond, 3*time.Second)
 }
 
-// drawConditions draws the limits on connections, the load reports, discovery, gossip, and the limits of a node.
+// drawConditions draws the limits on connections, the load reports, discovery, gossip, and the limits of a
+// node.
 func (f *Fleet) drawConditions(d sampler) {
 	f.Connections, f.HandshakeWork, f.ConnIdle = f.Cores*d.integer(100, 800), d.duration(0, 2*time.Millisecond), d.duration(2*time.Second, 30*time.Second)
 	f.ReportEvery, f.ReportDelay = d.duration(100*time.Millisecond, 700*time.Millisecond), d.duration(20*time.Millisecond, 300*time.Millisecond)
@@ -160,8 +163,8 @@
 	l.FailureDetection, l.ShiftEvery = d.duration(500*time.Millisecond, 3*time.Second), d.duration(3*time.Second, 20*time.Second)
 }
 
-// drawTimeline draws one to three disturbances and the duration of the run. A disturbance is a fault, a burst, or several
-// related faults. The run continues for tailAfterFaults after the last of them ends.
+// drawTimeline draws one to three disturbances and the duration of the run. A disturbance is a fault, a
+// burst, or several related faults. The run continues for tailAfterFaults after the last of them ends.
 func (s *Scenario) drawTimeline(d sampler, rule string) {
 	byRule := map[string][]func(sampler, Duration){
 		"drains":   {s.drawDrain},
@@ -212,8 +215,8 @@
 	}
 }
 
-// drawDrain adds a fault of discovery and drains app servers during the fault or after it. It may also kill or restart
-// a node.
+// drawDrain adds a fault of discovery and drains app servers during the fault or after it. It may also kill
+// or restart a node.
 func (s *Scenario) drawDrain(d sampler, at Duration) {
 	s.drawListFault(d, at)
 	last := s.Faults[len(s.Faults)-1]
@@ -230,13 +233,14 @@
 	}
 }
 
-// hasNodeFault reports whether a fault already kills, restarts or stops nodes. Two such faults at once could start a
-// second process of the same node.
+// hasNodeFault reports whether a fault already kills, restarts or stops nodes. Two such faults at once could
+// start a second process of the same node.
 func (s *Scenario) hasNodeFault() bool {
 	return slices.ContainsFunc(s.Faults, func(ft Fault) bool { return slices.Contains([]FaultKind{FaultKill, FaultRestart, FaultStall}, ft.Kind) })
 }
 
-// drawNodeFault kills, stops or restarts nodes, or draws a fault of app servers if nodes already have a fault.
+// drawNodeFault kills, stops or restarts nodes, or draws a fault of app servers if nodes already have a
+// fault.
 func (s *Scenario) drawNodeFault(d sampler, at Duration) {
 	if s.hasNodeFault() {
 		s.drawServerFault(d, at)
@@ -284,8 +288,8 @@
 	s.Load.Bursts = append(s.Load.Bursts, Burst{At: at, For: d.duration(500*time.Millisecond, 4*time.Second), Times: round(d.uniform(1.3, 2.5))})
 }
 
-// drawZoneFault crashes the app servers of a zone or, if the fleet is small enough for relays, may cut the zone off
-// from the others.
+// drawZoneFault crashes the app servers of a zone or, if the fleet is small enough for relays, may cut the
+// zone off from the others.
 func (s *Scenario) drawZoneFault(d sampler, at Duration) {
 	zone := oneOf(d, s.Fleet.Zones...)
 	length := d.duration(time.Second, 5*time.Second)
--- a/internal/testbed/generate_test.go
+++ b/internal/testbed/generate_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// A seed always generates the same scenario, the scenario is valid and survives being written to a file and read back,
-// and the scenarios of many seeds together cover the deployments and faults that the protocol describes.
+// A seed always generates the same scenario, the scenario is valid and survives being written to a file and
+// read back, and the scenarios of many seeds together cover the deployments and faults that the protocol
+// describes.
 func TestGenerateScenario(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "trial.toml")
 	seen := map[string]int{}
--- a/internal/testbed/mutant.go
+++ b/internal/testbed/mutant.go
@@ -12,11 +12,13 @@
 	"strings"
 )
 
-// mutant is a deliberate bug in the edge node's source. Sweeps run with mutants to verify that they detect such bugs.
+// mutant is a deliberate bug in the edge node's source. Sweeps run with mutants to verify that they detect
+// such bugs.
 type mutant struct {
-	about   string
-	file    string      // path relative to the module's root
-	changes [][2]string // source texts to replace, with their replacements; each must occur exactly once in the file
+	about string
+	file  string // path relative to the module's root
+	// Source texts to replace, with their replacements. Each text must occur exactly once in the file.
+	changes [][2]string
 }
 
 // mutants contains the mutants by name.
@@ -47,8 +49,8 @@
 	return descriptions
 }
 
-// BuildMutant builds a mutant of the edge node in dir and returns the path of the binary. The working directory must be
-// inside this module. The module's sources are not modified: the build uses an overlay.
+// BuildMutant builds a mutant of the edge node in dir and returns the path of the binary. The working
+// directory must be inside this module. The module's sources are not modified: the build uses an overlay.
 func BuildMutant(ctx context.Context, name, dir string) (string, error) {
 	m, ok := mutants[name]
 	if !ok {
@@ -100,8 +102,8 @@
 	return root, nil
 }
 
-// buildNode builds the edge node with the given flags of go build and returns the path of the binary. The error
-// contains the compiler's output.
+// buildNode builds the edge node with the given flags of go build and returns the path of the binary. The
+// error contains the compiler's output.
 func buildNode(ctx context.Context, root, path string, flags ...string) (string, error) {
 	build := exec.CommandContext(ctx, "go", append(append([]string{"build"}, flags...), "-o", path, nodePackage)...)
 	build.Dir = root
--- a/internal/testbed/real_test.go
+++ b/internal/testbed/real_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Real edge nodes break no rule and do not crash under faults, and all of them are ready again at the end of the run.
+// Real edge nodes break no rule and do not crash under faults, and all of them are ready again at the end of
+// the run.
 func TestRealNodes(t *testing.T) {
 	binary, err := FindNode(t.Context(), "", t.TempDir())
 	if err != nil {
--- a/internal/testbed/report.go
+++ b/internal/testbed/report.go
@@ -150,7 +150,8 @@
 // reportFile is the name of the report in a run's directory.
 const reportFile = "report.md"
 
-// Report writes the report of the run in dir: a Markdown file, whose path it returns, and the charts as SVG files.
+// Report writes the report of the run in dir: a Markdown file, whose path it returns, and the charts as SVG
+// files.
 func Report(dir string) (string, error) {
 	r, err := ReadResult(dir)
 	if err != nil {
@@ -185,7 +186,8 @@
 	}
 }
 
-// reportedViolations is the maximum number of violations that a report shows. The result file may contain more.
+// reportedViolations is the maximum number of violations that a report shows. The result file may contain
+// more.
 const reportedViolations = 20
 
 // writeViolations writes the number of violations by rule, and the first of them in full.
@@ -316,8 +318,8 @@
 	return all, nil
 }
 
-// Compare compares two runs, or two sets of runs over several seeds, figure by figure. Both sets must have the same
-// schedules: otherwise the error names the digests of both.
+// Compare compares two runs, or two sets of runs over several seeds, figure by figure. Both sets must have
+// the same schedules: otherwise the error names the digests of both.
 func Compare(dirA, dirB string) ([]Comparison, error) {
 	a, err := readRuns(dirA)
 	if err != nil {
--- a/internal/testbed/result.go
+++ b/internal/testbed/result.go
@@ -13,23 +13,24 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Series contains the figures of one second of a run. An arrival and all its attempts count in the second in which the
-// arrival was due.
+// Series contains the figures of one second of a run. An arrival and all its attempts count in the second in
+// which the arrival was due.
 type Series struct {
-	Requests        int            `json:"asked"`
-	Served          int            `json:"served"`
-	Rejected        int            `json:"refused"`
-	RejectedInQuota int            `json:"refused_with_room"`
-	Failed          int            `json:"failed"`
-	Unreached       int            `json:"unreached"` // failed attempts that did not reach a node
-	Value           float64        `json:"worth"`     // value of requests served within quotas and the latency objective
-	OfferedValue    float64        `json:"offered"`   // value available within quotas
-	P50             float64        `json:"p50_ms"`
-	P99             float64        `json:"p99_ms"`
-	Memory          float64        `json:"memory_mb"` // largest resident memory of a node
-	ZoneServed      map[string]int `json:"zone_served"`
-	ZoneRequests    map[string]int `json:"zone_asked"`
-	hist            *hdrhistogram.Histogram
+	Requests        int `json:"asked"`
+	Served          int `json:"served"`
+	Rejected        int `json:"refused"`
+	RejectedInQuota int `json:"refused_with_room"`
+	Failed          int `json:"failed"`
+	Unreached       int `json:"unreached"` // failed attempts that did not reach a node
+	// Value of requests served within quotas and the latency objective.
+	Value        float64        `json:"worth"`
+	OfferedValue float64        `json:"offered"` // value available within quotas
+	P50          float64        `json:"p50_ms"`
+	P99          float64        `json:"p99_ms"`
+	Memory       float64        `json:"memory_mb"` // largest resident memory of a node
+	ZoneServed   map[string]int `json:"zone_served"`
+	ZoneRequests map[string]int `json:"zone_asked"`
+	hist         *hdrhistogram.Histogram
 }
 
 // FaultMark is the time and the description of the beginning or the end of a fault.
@@ -61,8 +62,9 @@
 	Broken     map[string]int     `json:"broken_rules"` // number of violations by rule
 	Violations []Violation        `json:"violations"`   // the first maxViolations, in order of time
 	Checks     []Checked          `json:"checks"`
-	Behind     bool               `json:"generator_behind"` // the load generator was too slow; latencies still count from when requests were due
-	Error      string             `json:"error,omitempty"`
+	// The load generator was too slow; latencies still count from when requests were due.
+	Behind bool   `json:"generator_behind"`
+	Error  string `json:"error,omitempty"`
 }
 
 // maxLateness is the 99th percentile of the load generator's lateness above which Result.Behind is set.
@@ -81,12 +83,14 @@
 	return true
 }
 
-// newHistogram returns a histogram of durations in microseconds, from 1 µs to 2 minutes, with three significant digits.
+// newHistogram returns a histogram of durations in microseconds, from 1 µs to 2 minutes, with three
+// significant digits.
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 120_000_000, 3) }
 
 // record adds a duration to a histogram, limited to the histogram's range.
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Microseconds(), 1), 120_000_000)) // the value is within the histogram's range, so the error is always nil
+	// The value is within the histogram's range, so the error is always nil.
+	_ = h.RecordValue(min(max(d.Microseconds(), 1), 120_000_000))
 }
 
 // quantile returns the quantile q of a histogram, in percent, and 0 if the histogram is empty.
--- a/internal/testbed/run.go
+++ b/internal/testbed/run.go
@@ -24,19 +24,20 @@
 
 // Progress is the state of a run in progress.
 type Progress struct {
-	At, Of     time.Duration // time since the start of the run, and its whole duration
-	Requests   int           // requests due in the last second
-	Served     int           // requests that were served in the last second
-	Rejected   int           // requests not served that got a response in the last second, after at least one rejection
+	At, Of   time.Duration // time since the start of the run, and its whole duration
+	Requests int           // requests due in the last second
+	Served   int           // requests that were served in the last second
+	// Requests not served that got a response in the last second, after at least one rejection.
+	Rejected   int
 	Failed     int           // other requests that got a response in the last second
 	P50, P99   time.Duration // latencies of the requests served in the last second
 	NodesUp    int           // nodes that accept requests
 	Violations int           // rule violations since the start of the run
 }
 
-// Run executes a scenario and writes its result to the directory of the options. The error reports failures of the
-// testbed itself. Violations by the nodes are part of the result. In all cases, the processes and goroutines of the run
-// have ended when Run returns.
+// Run executes a scenario and writes its result to the directory of the options. The error reports failures
+// of the testbed itself. Violations by the nodes are part of the result. In all cases, the processes and
+// goroutines of the run have ended when Run returns.
 func Run(ctx context.Context, s *Scenario, o Options) (res *Result, err error) {
 	if err := ensureDescriptorLimit(s.descriptors()); err != nil {
 		return nil, err
@@ -84,8 +85,8 @@
 	return res, res.write(o.Dir)
 }
 
-// startClock sets the run's clock to zero and resets the times recorded while the nodes started. No request has been
-// sent at that time.
+// startClock sets the run's clock to zero and resets the times recorded while the nodes started. No request
+// has been sent at that time.
 func (env *environment) startClock() {
 	env.begun.Store(int64(time.Since(env.origin)))
 	for _, s := range env.servers {
@@ -107,8 +108,8 @@
 	env.checker.mu.Unlock()
 }
 
-// ensureDescriptorLimit raises the soft limit on open files to n. It returns an error that names n if the hard limit is
-// lower.
+// ensureDescriptorLimit raises the soft limit on open files to n. It returns an error that names n if the
+// hard limit is lower.
 func ensureDescriptorLimit(n int) error {
 	var l syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &l); err != nil {
@@ -127,9 +128,9 @@
 	return nil
 }
 
-// awaitRecovery waits for all nodes to accept requests again, and then to have received the final list. It does not
-// wait for nodes that a fault has killed without a restart. Each wait is limited, by readyWithin and listsWithin. The
-// result is the number of nodes that accept requests.
+// awaitRecovery waits for all nodes to accept requests again, and then to have received the final list. It
+// does not wait for nodes that a fault has killed without a restart. Each wait is limited, by readyWithin and
+// listsWithin. The result is the number of nodes that accept requests.
 func (env *environment) awaitRecovery() (up int) {
 	killed := map[int]bool{}
 	for _, e := range env.schedule.Faults {
@@ -168,8 +169,8 @@
 	return up
 }
 
-// monitorNodes samples the nodes every 500 ms and calls live, if it is not nil, at every second sample, until the run
-// ends.
+// monitorNodes samples the nodes every 500 ms and calls live, if it is not nil, at every second sample, until
+// the run ends.
 func (env *environment) monitorNodes(live func(Progress)) {
 	for tick := 0; env.sleep(500 * time.Millisecond); tick++ {
 		env.sample()
--- a/internal/testbed/scenario.go
+++ b/internal/testbed/scenario.go
@@ -5,11 +5,13 @@
 	"strings"
 )
 
-// Scenario describes one experiment: the fleet, the load on it, the faults with their times, and the expected results.
+// Scenario describes one experiment: the fleet, the load on it, the faults with their times, and the expected
+// results.
 type Scenario struct {
-	Name     string   `toml:"name"`
-	About    string   `toml:"about"`
-	Duration Duration `toml:"duration"` // time after which no request arrives; requests in progress are completed
+	Name  string `toml:"name"`
+	About string `toml:"about"`
+	// Time after which no request arrives; requests in progress are completed.
+	Duration Duration `toml:"duration"`
 	Fleet    Fleet    `toml:"fleet"`
 	Load     Load     `toml:"load"`
 	Classes  []Class  `toml:"class"` // default: one idempotent and one non-idempotent class
@@ -50,54 +52,72 @@
 
 // Fleet describes the edge nodes, the app servers behind them, and discovery.
 type Fleet struct {
-	Nodes                    int      `toml:"nodes"`
-	Servers                  int      `toml:"servers"`
-	Zones                    []string `toml:"zones"` // nodes and app servers are assigned to these in turn
-	Cores                    int      `toml:"cores"` // number of cores of an app server
-	SlotsPerCore             int      `toml:"slots_per_core"`
-	QueuePerCore             int      `toml:"queue_per_core"`
-	ContentionLoss           float64  `toml:"thrash"`         // efficiency lost for each request per core above thrash_at
-	ContentionFrom           float64  `toml:"thrash_at"`      // requests in flight per core above which efficiency falls
-	SlowStartInitialFraction float64  `toml:"cold_from"`      // share of its capacity that a server has when slow start begins
-	SlowStartDuration        Duration `toml:"ramp"`           // duration of slow start
-	OverloadFactor           float64  `toml:"fall_multiple"`  // multiple of its capacity at which a server in slow start fails
-	OverloadWindow           Duration `toml:"fall_for"`       // time over which that multiple is measured
-	Connections              int      `toml:"connections"`    // maximum number of connections of one app server
-	HandshakeWork            Duration `toml:"handshake_work"` // core time that a new connection takes
-	ConnIdle                 Duration `toml:"conn_idle"`
-	ReportEvery              Duration `toml:"report_every"`
-	ReportDelay              Duration `toml:"report_late"`
-	ListDelay                Duration `toml:"list_late"`        // delay from a change of an app server to its delivery by the agents
-	ListReplicas             int      `toml:"list_replicas"`    // replicas of the real list service; 0: the testbed emulates the service
-	ListAgents               bool     `toml:"list_agents"`      // run the real agent between the list service and each node
-	ListPolled               bool     `toml:"list_asked"`       // nodes poll one service shared by the fleet; otherwise an agent pushes lists to each node
-	ListCallsPerS            float64  `toml:"list_calls_per_s"` // calls per second that this service can answer; 0: unlimited
-	StaleStartList           bool     `toml:"stale_known"`      // a restarted node begins with the list from the start of the run
-	NoGossip                 bool     `toml:"no_peers"`         // nodes must not send messages to one another
-	PeerMessagesPerSecond    float64  `toml:"inbox_per_s"`      // datagrams per second that a node accepts
-	PeerLoss                 float64  `toml:"peer_loss"`
-	PeerDelay                Duration `toml:"peer_delay"`
-	CrossDelay               Duration `toml:"cross_delay"` // one-way delay between zones; makes links go through relays
-	MemoryMB                 int      `toml:"memory_mb"`
-	Sockets                  int      `toml:"sockets"`
+	Nodes        int      `toml:"nodes"`
+	Servers      int      `toml:"servers"`
+	Zones        []string `toml:"zones"` // nodes and app servers are assigned to these in turn
+	Cores        int      `toml:"cores"` // number of cores of an app server
+	SlotsPerCore int      `toml:"slots_per_core"`
+	QueuePerCore int      `toml:"queue_per_core"`
+	// Efficiency lost for each request per core above thrash_at.
+	ContentionLoss float64 `toml:"thrash"`
+	// Requests in flight per core above which efficiency falls.
+	ContentionFrom float64 `toml:"thrash_at"`
+	// Share of its capacity that a server has when slow start begins.
+	SlowStartInitialFraction float64  `toml:"cold_from"`
+	SlowStartDuration        Duration `toml:"ramp"` // duration of slow start
+	// Multiple of its capacity at which a server in slow start fails.
+	OverloadFactor float64  `toml:"fall_multiple"`
+	OverloadWindow Duration `toml:"fall_for"` // time over which that multiple is measured
+	// Maximum number of connections of one app server.
+	Connections   int      `toml:"connections"`
+	HandshakeWork Duration `toml:"handshake_work"` // core time that a new connection takes
+	ConnIdle      Duration `toml:"conn_idle"`
+	ReportEvery   Duration `toml:"report_every"`
+	ReportDelay   Duration `toml:"report_late"`
+	// Delay from a change of an app server to its delivery by the agents.
+	ListDelay Duration `toml:"list_late"`
+	// Replicas of the real list service; 0: the testbed emulates the service.
+	ListReplicas int `toml:"list_replicas"`
+	// Run the real agent between the list service and each node.
+	ListAgents bool `toml:"list_agents"`
+	// Nodes poll one service shared by the fleet; otherwise an agent pushes lists to each node.
+	ListPolled bool `toml:"list_asked"`
+	// Calls per second that this service can answer; 0: unlimited.
+	ListCallsPerS float64 `toml:"list_calls_per_s"`
+	// A restarted node begins with the list from the start of the run.
+	StaleStartList        bool     `toml:"stale_known"`
+	NoGossip              bool     `toml:"no_peers"`    // nodes must not send messages to one another
+	PeerMessagesPerSecond float64  `toml:"inbox_per_s"` // datagrams per second that a node accepts
+	PeerLoss              float64  `toml:"peer_loss"`
+	PeerDelay             Duration `toml:"peer_delay"`
+	// One-way delay between zones; makes links go through relays.
+	CrossDelay Duration `toml:"cross_delay"`
+	MemoryMB   int      `toml:"memory_mb"`
+	Sockets    int      `toml:"sockets"`
 }
 
 // Load describes the requests of the clients.
 type Load struct {
-	Rate               float64  `toml:"rate"`        // requests per second within quotas
-	WorkMS             float64  `toml:"work_ms"`     // mean core time of a request, in milliseconds
-	LatencyObjective   Duration `toml:"aim"`         // latency within which a response has its full value
-	Deadline           Duration `toml:"deadline"`    // longest time that a client waits, over all attempts of a request
-	Retries            int      `toml:"retries"`     // maximum number of retries of a request
-	RetryAfterShare    float64  `toml:"honour"`      // share of retries that respect Retry-After
-	MarkRetry          bool     `toml:"mark_retry"`  // retries carry a header that identifies them as such
-	NonIdempotentShare float64  `toml:"unsafe"`      // share of requests that must never be executed twice, for the default classes
-	Skew               float64  `toml:"skew"`        // imbalance of a tenant's requests over its entry nodes; 0: balanced
-	EntryNodeShare     float64  `toml:"spread"`      // share of the nodes that are entry nodes of a tenant; 0: two to four nodes
-	OverQuotaTenants   float64  `toml:"heavy"`       // share of tenants that request three times their quota
-	FailureDetection   Duration `toml:"front_sees"`  // time for which connections to a node must fail until clients avoid it
-	ShiftEvery         Duration `toml:"shift_every"` // interval at which a tenant's busiest entry node changes
-	Bursts             []Burst  `toml:"burst"`
+	Rate             float64  `toml:"rate"`    // requests per second within quotas
+	WorkMS           float64  `toml:"work_ms"` // mean core time of a request, in milliseconds
+	LatencyObjective Duration `toml:"aim"`     // latency within which a response has its full value
+	// Longest time that a client waits, over all attempts of a request.
+	Deadline        Duration `toml:"deadline"`
+	Retries         int      `toml:"retries"`    // maximum number of retries of a request
+	RetryAfterShare float64  `toml:"honour"`     // share of retries that respect Retry-After
+	MarkRetry       bool     `toml:"mark_retry"` // retries carry a header that identifies them as such
+	// Share of requests that must never be executed twice, for the default classes.
+	NonIdempotentShare float64 `toml:"unsafe"`
+	// Imbalance of a tenant's requests over its entry nodes; 0: balanced.
+	Skew float64 `toml:"skew"`
+	// Share of the nodes that are entry nodes of a tenant; 0: two to four nodes.
+	EntryNodeShare   float64 `toml:"spread"`
+	OverQuotaTenants float64 `toml:"heavy"` // share of tenants that request three times their quota
+	// Time for which connections to a node must fail until clients avoid it.
+	FailureDetection Duration `toml:"front_sees"`
+	// Interval at which a tenant's busiest entry node changes.
+	ShiftEvery Duration `toml:"shift_every"`
+	Bursts     []Burst  `toml:"burst"`
 }
 
 // Burst multiplies the request rate for a limited time.
@@ -115,13 +135,15 @@
 	Zone  string    `toml:"zone"`  // zone to which the fault applies, or in which its targets are chosen
 	Count int       `toml:"count"` // number of targets; 0 without a share: one
 	Share float64   `toml:"share"` // share of the nodes or app servers that are targets
-	Size  float64   `toml:"size"`  // slowdown factor, share of requests or datagrams affected, or bytes per second, depending on the kind
-	Step  Duration  `toml:"step"`  // delay between one target and the next
-	Delay Duration  `toml:"late"`  // delay added by list-late and by links with does = "delay"
-	Way   string    `toml:"way"`   // cut-zone and cut-node: both, in or out, relative to the zone or node
-	From  string    `toml:"from"`  // link: clients, node:N, nodes or zone:Z
-	To    string    `toml:"to"`    // link: node:N, nodes, server:N, servers, zone:Z or agent
-	Does  string    `toml:"does"`  // link: silence, reset, refuse, loss, delay or rate; list-words: indent, trickle, half, noise or entry
+	// Slowdown factor, share of requests or datagrams affected, or bytes per second, depending on the kind.
+	Size  float64  `toml:"size"`
+	Step  Duration `toml:"step"` // delay between one target and the next
+	Delay Duration `toml:"late"` // delay added by list-late and by links with does = "delay"
+	Way   string   `toml:"way"`  // cut-zone and cut-node: both, in or out, relative to the zone or node
+	From  string   `toml:"from"` // link: clients, node:N, nodes or zone:Z
+	To    string   `toml:"to"`   // link: node:N, nodes, server:N, servers, zone:Z or agent
+	// Link: silence, reset, refuse, loss, delay or rate; list-words: indent, trickle, half, noise or entry.
+	Does string `toml:"does"`
 }
 
 // Expect bounds a figure of the run, for the requests that are due in a window of time.
--- a/internal/testbed/scenario_file.go
+++ b/internal/testbed/scenario_file.go
@@ -32,8 +32,8 @@
 // s returns the duration in seconds.
 func (d Duration) s() float64 { return time.Duration(d).Seconds() }
 
-// LoadScenario reads and validates a scenario file. Errors name the file, the line and the field, the value received
-// and what is accepted.
+// LoadScenario reads and validates a scenario file. Errors name the file, the line and the field, the value
+// received and what is accepted.
 func LoadScenario(path string) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -72,8 +72,8 @@
 	return &s, nil
 }
 
-// lineOf returns the line number of a field such as fault[2].zone. It returns the line of the field's table if the
-// table lacks the field, and 0 if the text has neither.
+// lineOf returns the line number of a field such as fault[2].zone. It returns the line of the field's table
+// if the table lacks the field, and 0 if the text has neither.
 func lineOf(text []byte, field string) (line int) {
 	p := unstable.Parser{}
 	p.Reset(text)
--- a/internal/testbed/scenario_test.go
+++ b/internal/testbed/scenario_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// An error in a scenario file names the file, the line and the field, the value received and what is accepted.
+// An error in a scenario file names the file, the line and the field, the value received and what is
+// accepted.
 func TestScenarioErrors(t *testing.T) {
 	const head = "name = \"x\"\nduration = \"5s\"\n"
 	for _, c := range []struct{ text, want string }{
--- a/internal/testbed/scenario_validate.go
+++ b/internal/testbed/scenario_validate.go
@@ -113,15 +113,19 @@
 	case s.Name == "":
 		return fieldErrorf("name", "must not be empty")
 	case f.ListAgents && f.ListReplicas == 0:
-		return fieldErrorf("fleet.list_agents", "true requires list_replicas, the replicas that the agents follow, of at least 1 (usually 3 or 5), got 0")
+		return fieldErrorf("fleet.list_agents",
+			"true requires list_replicas, the replicas that the agents follow, of at least 1 (usually 3 or 5), got 0")
 	case f.ListPolled && f.ListReplicas > 0:
-		return fieldErrorf("fleet.list_asked", "must be false with list_replicas, because the list service pushes its lists; list_replicas is %d", f.ListReplicas)
+		return fieldErrorf("fleet.list_asked",
+			"must be false with list_replicas, because the list service pushes its lists; list_replicas is %d", f.ListReplicas)
 	case f.ListCallsPerS > 0 && !f.ListPolled:
-		return fieldErrorf("fleet.list_calls_per_s", "requires list_asked, because only a polled service limits calls, got %v without it", f.ListCallsPerS)
+		return fieldErrorf("fleet.list_calls_per_s",
+			"requires list_asked, because only a polled service limits calls, got %v without it", f.ListCallsPerS)
 	case len(f.Zones) == 0 || len(f.Zones) > 26:
 		return fieldErrorf("fleet.zones", "must contain 1 to 26 zones, got %d", len(f.Zones))
 	case l.Rate*s.Duration.s() > 5e6:
-		return fieldErrorf("load.rate", "must result in at most 5 million requests, got %v per second for %v", l.Rate, time.Duration(s.Duration))
+		return fieldErrorf("load.rate",
+			"must result in at most 5 million requests, got %v per second for %v", l.Rate, time.Duration(s.Duration))
 	}
 	return nil
 }
@@ -148,7 +152,8 @@
 	for i, e := range s.Expect {
 		field := fmt.Sprintf("expect[%d].", i)
 		if _, ok := figureNames[e.Figure]; !ok {
-			return fieldErrorf(field+"figure", "unknown figure %q, must be one of %s", e.Figure, names(figureNames))
+			return fieldErrorf(field+"figure",
+				"unknown figure %q, must be one of %s", e.Figure, names(figureNames))
 		}
 		if e.Min == nil && e.Max == nil {
 			return fieldErrorf(field+"figure", "%s requires min or max, got neither", e.Figure)
@@ -167,7 +172,8 @@
 		field := fmt.Sprintf("class[%d].", i)
 		switch {
 		case !validName(c.Name) || seen[c.Name]:
-			return fieldErrorf(field+"name", "must be unique and consist of letters, digits and hyphens, got %q", c.Name)
+			return fieldErrorf(field+"name",
+				"must be unique and consist of letters, digits and hyphens, got %q", c.Name)
 		case !(c.Share >= 0 && c.Share <= 1):
 			return fieldErrorf(field+"share", "must be between 0 and 1, got %v", c.Share)
 		case !(c.PriorityWeight >= 0 && c.PriorityWeight <= 1e6):
@@ -201,7 +207,8 @@
 			return err
 		}
 		if !validName(p.Name) || seen[p.Name] {
-			return fieldErrorf(field+"name", "must be unique and consist of letters, digits and hyphens, got %q", p.Name)
+			return fieldErrorf(field+"name",
+				"must be unique and consist of letters, digits and hyphens, got %q", p.Name)
 		}
 		seen[p.Name] = true
 		sum += p.Share
@@ -227,31 +234,41 @@
 	case !ok:
 		return fieldErrorf(field+"kind", "unknown kind %q, must be one of %s", ft.Kind, names(faultKinds))
 	case ft.At > s.Duration:
-		return fieldErrorf(field+"at", "must be at most %v, the run's duration, got %v", time.Duration(s.Duration), time.Duration(ft.At))
+		return fieldErrorf(field+"at",
+			"must be at most %v, the run's duration, got %v", time.Duration(s.Duration), time.Duration(ft.At))
 	case kind.target == faultsZone && ft.Zone == "":
-		return fieldErrorf(field+"kind", "%s requires a zone, one of %s", ft.Kind, strings.Join(s.Fleet.Zones, ", "))
+		return fieldErrorf(field+"kind",
+			"%s requires a zone, one of %s", ft.Kind, strings.Join(s.Fleet.Zones, ", "))
 	case ft.Zone != "" && !slices.Contains(s.Fleet.Zones, ft.Zone):
-		return fieldErrorf(field+"zone", "unknown zone %q, must be one of %s", ft.Zone, strings.Join(s.Fleet.Zones, ", "))
+		return fieldErrorf(field+"zone",
+			"unknown zone %q, must be one of %s", ft.Zone, strings.Join(s.Fleet.Zones, ", "))
 	case ft.Count < 0 || ft.Count > targets:
 		return fieldErrorf(field+"count", "must be between 0 and %d, got %d", targets, ft.Count)
 	case ft.Share < 0 || ft.Share > 1:
 		return fieldErrorf(field+"share", "must be between 0 and 1, got %v", ft.Share)
 	case ft.Kind == FaultSlow && ft.Size < 1:
-		return fieldErrorf(field+"kind", "slow requires a size of at least 1, the slowdown factor, got %v", ft.Size)
+		return fieldErrorf(field+"kind",
+			"slow requires a size of at least 1, the slowdown factor, got %v", ft.Size)
 	case slices.Contains([]FaultKind{FaultError, FaultReset, FaultMalformed, FaultPeerLoss}, ft.Kind) && !(ft.Size > 0 && ft.Size <= 1):
-		return fieldErrorf(field+"kind", "%s requires a size above 0 and at most 1, the affected share, got %v", ft.Kind, ft.Size)
+		return fieldErrorf(field+"kind",
+			"%s requires a size above 0 and at most 1, the affected share, got %v", ft.Kind, ft.Size)
 	case ft.Kind == FaultListDelay && ft.Delay <= 0:
-		return fieldErrorf(field+"kind", "%s requires late, a duration above 0, got %v", ft.Kind, time.Duration(ft.Delay))
+		return fieldErrorf(field+"kind",
+			"%s requires late, a duration above 0, got %v", ft.Kind, time.Duration(ft.Delay))
 	case ft.Kind == FaultListKill && ft.Share != 0 && ft.Share != 1:
 		return fieldErrorf(field+"share", "must be 0 (the leader) or 1 (all replicas), got %v", ft.Share)
 	case ft.Kind == FaultListKill && s.Fleet.ListReplicas == 0:
-		return fieldErrorf(field+"kind", "list-kill requires fleet.list_replicas of at least 1 (usually 3 or 5), got 0")
+		return fieldErrorf(field+"kind",
+			"list-kill requires fleet.list_replicas of at least 1 (usually 3 or 5), got 0")
 	case strings.HasPrefix(string(ft.Kind), "list-") && ft.Kind != FaultListKill && ft.Kind != FaultListDown && ft.Kind != FaultListDelay && s.Fleet.ListReplicas > 0:
-		return fieldErrorf(field+"kind", "%s requires the testbed's own list service: leave out fleet.list_replicas, got %d", ft.Kind, s.Fleet.ListReplicas)
+		return fieldErrorf(field+"kind",
+			"%s requires the testbed's own list service: leave out fleet.list_replicas, got %d", ft.Kind, s.Fleet.ListReplicas)
 	case ft.Kind == FaultListEncoding && !slices.Contains(listEncodings, ft.Does):
-		return fieldErrorf(field+"does", "unknown encoding %q, must be one of %s", ft.Does, strings.Join(listEncodings, ", "))
+		return fieldErrorf(field+"does",
+			"unknown encoding %q, must be one of %s", ft.Does, strings.Join(listEncodings, ", "))
 	case ft.Kind == FaultStall && ft.For <= 0:
-		return fieldErrorf(field+"kind", "stall requires for, a duration above 0, got %v", time.Duration(ft.For))
+		return fieldErrorf(field+"kind",
+			"stall requires for, a duration above 0, got %v", time.Duration(ft.For))
 	case !slices.Contains([]string{"", "both", "in", "out"}, ft.Way):
 		return fieldErrorf(field+"way", "must be both, in or out, got %q", ft.Way)
 	}
@@ -269,7 +286,8 @@
 	}
 	to, err := s.parties(ft.To)
 	if err != nil || len(to) == 0 || to[0].kind == partyClients {
-		return fieldErrorf(field+"to", "must be nodes, node:N, servers, server:N, zone:Z or agent, got %q", ft.To)
+		return fieldErrorf(field+"to",
+			"must be nodes, node:N, servers, server:N, zone:Z or agent, got %q", ft.To)
 	}
 	if from[0].kind == partyClients && to[0].kind != partyNode {
 		return fieldErrorf(field+"to", "must be nodes or node:N for links from clients, got %q", ft.To)
@@ -278,18 +296,22 @@
 	case "silence", "reset", "refuse":
 	case "loss":
 		if !(ft.Size > 0 && ft.Size <= 1) {
-			return fieldErrorf(field+"does", "loss requires a size above 0 and at most 1, the share lost, got %v", ft.Size)
+			return fieldErrorf(field+"does",
+				"loss requires a size above 0 and at most 1, the share lost, got %v", ft.Size)
 		}
 	case "delay":
 		if ft.Delay <= 0 {
-			return fieldErrorf(field+"does", "delay requires late, a duration above 0, got %v", time.Duration(ft.Delay))
+			return fieldErrorf(field+"does",
+				"delay requires late, a duration above 0, got %v", time.Duration(ft.Delay))
 		}
 	case "rate":
 		if ft.Size < 1 {
-			return fieldErrorf(field+"does", "rate requires a size of at least 1, in bytes per second, got %v", ft.Size)
+			return fieldErrorf(field+"does",
+				"rate requires a size of at least 1, in bytes per second, got %v", ft.Size)
 		}
 	default:
-		return fieldErrorf(field+"does", "must be silence, reset, refuse, loss, delay or rate, got %q", ft.Does)
+		return fieldErrorf(field+"does",
+			"must be silence, reset, refuse, loss, delay or rate, got %q", ft.Does)
 	}
 	return nil
 }
--- a/internal/testbed/schedule.go
+++ b/internal/testbed/schedule.go
@@ -13,8 +13,8 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Streams of random numbers. Each purpose has its own stream, so that a change in the draws for one purpose does not
-// change the results of the others.
+// Streams of random numbers. Each purpose has its own stream, so that a change in the draws for one purpose
+// does not change the results of the others.
 const (
 	streamTenants = iota + 1
 	streamArrivals
@@ -29,17 +29,19 @@
 func random(seed uint64, stream int) *rand.Rand { return rand.New(rand.NewPCG(seed, uint64(stream))) }
 
 const (
-	maxUnits             = 8    // maximum units of a request
-	estimateCV           = 0.5  // coefficient of variation of a client's estimate of units relative to the actual units
+	maxUnits = 8 // maximum units of a request
+	// Coefficient of variation of a client's estimate of units relative to the actual units.
+	estimateCV           = 0.5
 	workCV               = 0.8  // coefficient of variation of a request's work relative to its units
 	extraUnitProbability = 0.45 // probability of each further unit of a request
 )
 
 // Tenant is a tenant whose clients send requests.
 type Tenant struct {
-	ID             uint64
-	Plan           int
-	EntryNodes     int       // number of its entry nodes, which have consecutive numbers modulo the number of nodes
+	ID   uint64
+	Plan int
+	// Number of its entry nodes, which have consecutive numbers modulo the number of nodes.
+	EntryNodes     int
 	FirstEntryNode int       // number of the first entry node
 	Rate           float64   // requests per second
 	weights        []float64 // relative share of the requests by entry node, before the shift over time
@@ -58,7 +60,8 @@
 	Wait   time.Duration // time that the client waits for a response to an attempt
 }
 
-// Schedule contains the random choices of a run that are made before it begins. The events are in order of time.
+// Schedule contains the random choices of a run that are made before it begins. The events are in order of
+// time.
 type Schedule struct {
 	Tenants  []Tenant
 	Arrivals []Arrival
@@ -104,12 +107,12 @@
 	return float64(n)
 }
 
-// minTenantRate is the lowest rate of a tenant, in requests per second. A lower remainder of a plan's rate is a
-// rounding error, for which no tenant is created.
+// minTenantRate is the lowest rate of a tenant, in requests per second. A lower remainder of a plan's rate is
+// a rounding error, for which no tenant is created.
 const minTenantRate = 1e-9
 
-// drawTenants adds tenants of each plan until their rates add up to the plan's share of the load. The rate of heavy
-// tenants in excess of their quota is not counted in that sum.
+// drawTenants adds tenants of each plan until their rates add up to the plan's share of the load. The rate of
+// heavy tenants in excess of their quota is not counted in that sum.
 func (d *Schedule) drawTenants(s *Scenario, rng *rand.Rand) {
 	for p, plan := range s.Plans {
 		for remaining := s.Load.Rate * plan.Share; remaining > minTenantRate; {
@@ -155,8 +158,9 @@
 	return factor
 }
 
-// drawArrivals draws the arrivals from a Poisson process whose rate varies with the bursts. It draws them at an upper
-// bound of the rate and discards a part of them (thinning). All draws of a discarded arrival are made as well.
+// drawArrivals draws the arrivals from a Poisson process whose rate varies with the bursts. It draws them at
+// an upper bound of the rate and discards a part of them (thinning). All draws of a discarded arrival are
+// made as well.
 func (d *Schedule) drawArrivals(s *Scenario, rng *rand.Rand) {
 	total, maxFactor := 0.0, 1.0
 	sum := make([]float64, len(d.Tenants))
@@ -194,8 +198,8 @@
 	}
 }
 
-// pickClass maps a uniform random number from 0 to 1 to a class, by the classes' shares. The last class has the lowest
-// numbers, and class 0 has all that remain.
+// pickClass maps a uniform random number from 0 to 1 to a class, by the classes' shares. The last class has
+// the lowest numbers, and class 0 has all that remain.
 func (s *Scenario) pickClass(x float64) int {
 	for i := len(s.Classes) - 1; i > 0; i-- {
 		if x -= s.Classes[i].Share; x < 0 {
@@ -205,8 +209,8 @@
 	return 0
 }
 
-// pick maps a uniform random number from 0 to 1 to one of the tenant's entry nodes, by their weights rotated by shift.
-// The result is the number of the node in a fleet of the given size.
+// pick maps a uniform random number from 0 to 1 to one of the tenant's entry nodes, by their weights rotated
+// by shift. The result is the number of the node in a fleet of the given size.
 func (c *Tenant) pick(x float64, shift, nodes int) int {
 	total := 0.0
 	for _, w := range c.weights {
@@ -220,7 +224,8 @@
 	return c.FirstEntryNode % nodes
 }
 
-// drawFaults chooses the targets of each fault and adds an event for each beginning and end, in order of time.
+// drawFaults chooses the targets of each fault and adds an event for each beginning and end, in order of
+// time.
 func (d *Schedule) drawFaults(s *Scenario, rng *rand.Rand) {
 	for i, ft := range s.Faults {
 		kind := faultKinds[ft.Kind]
--- a/internal/testbed/schedule_test.go
+++ b/internal/testbed/schedule_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A seed always draws the same schedule, another seed draws a different one, and the rates, units, entry nodes and
-// faults follow the scenario.
+// A seed always draws the same schedule, another seed draws a different one, and the rates, units, entry
+// nodes and faults follow the scenario.
 func TestDraw(t *testing.T) {
 	s := defaults()
 	s.Name, s.Duration, s.Load.Rate, s.Load.OverQuotaTenants = "x", Duration(60*time.Second), 400, 0
--- a/internal/testbed/settings.go
+++ b/internal/testbed/settings.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// writeConfig writes the configuration file of a node and returns its path. The file is replaced atomically, so that the
-// node never reads a partly written one.
+// writeConfig writes the configuration file of a node and returns its path. The file is replaced atomically,
+// so that the node never reads a partly written one.
 func (env *environment) writeConfig(n *edgeNode) (string, error) {
 	n.config.Lock()
 	defer n.config.Unlock()
@@ -101,7 +101,8 @@
 		return "", fmt.Errorf("configuration of %s: %w", n.name, err)
 	}
 	env.recordDelivered(n.number, c.Known)
-	if env.scenario.Fleet.StaleStartList && !env.list.isDown() { // the agent's current list counts as delivered at once
+	if env.scenario.Fleet.StaleStartList && !env.list.isDown() {
+		// The agent's current list counts as delivered to the new process at once.
 		snapshot, _ := env.list.since(0, true)
 		env.list.markDeliveredTo(n, snapshot)
 	}
--- a/internal/testbed/slack.go
+++ b/internal/testbed/slack.go
@@ -4,9 +4,10 @@
 	"time"
 )
 
-// slack returns the time that the machine recently withheld from the testbed and from a node: the testbed's scheduling
-// lag plus the time for which the node was runnable but had no core. Time limits are extended by it, so that the result
-// of a run does not depend on other load of the machine. For a number that is not a node's, it returns the lag alone.
+// slack returns the time that the machine recently withheld from the testbed and from a node: the testbed's
+// scheduling lag plus the time for which the node was runnable but had no core. Time limits are extended by
+// it, so that the result of a run does not depend on other load of the machine. For a number that is not a
+// node's, it returns the lag alone.
 func (env *environment) slack(node int) time.Duration {
 	env.lagMu.Lock()
 	lag := env.lag
@@ -34,8 +35,8 @@
 	}
 }
 
-// measureLag sleeps for lagTick and updates the lag by the time overslept. The lag decays exponentially, so that a peak
-// still counts for some seconds. It returns false if the run has ended.
+// measureLag sleeps for lagTick and updates the lag by the time overslept. The lag decays exponentially, so
+// that a peak still counts for some seconds. It returns false if the run has ended.
 func (env *environment) measureLag() bool {
 	start := time.Now()
 	if !env.sleep(lagTick) {
@@ -49,8 +50,8 @@
 	return true
 }
 
-// sample reads the resource usage of the nodes and updates their peak memory, their starved time and the run's peak
-// slack. Starved time is measured over the last maxSamples samples, which are taken every 500 ms.
+// sample reads the resource usage of the nodes and updates their peak memory, their starved time and the
+// run's peak slack. Starved time is measured over the last maxSamples samples, which are taken every 500 ms.
 func (env *environment) sample() {
 	const maxSamples = 10
 	peakMemory := int64(0)
--- a/internal/testbed/sweep.go
+++ b/internal/testbed/sweep.go
@@ -18,15 +18,20 @@
 
 // SweepOptions are the parameters of a sweep, which generates and runs one scenario for each seed of a range.
 type SweepOptions struct {
-	From, To uint64                             // range of seeds, inclusive
-	Rule     string                             // rule at which the scenarios are aimed, one of TargetRules; "": faults of all kinds
-	Jobs     int                                // number of scenarios run at the same time
-	Budget   time.Duration                      // time after which no scenario starts and no reduction continues; 0: unlimited
-	Reduce   int                                // maximum number of runs to reduce a failing scenario; 0: no reduction
-	Binary   string                             // path of the edge node's binary
-	Dir      string                             // directory for the report and a subdirectory for each failing scenario
-	Log      *slog.Logger                       // logger of the runs
-	Live     func(done, of int, t GeneratedRun) // called after each run, concurrently if Jobs is above 1; may be nil
+	From, To uint64 // range of seeds, inclusive
+	// Rule at which the scenarios are aimed, one of TargetRules; "": faults of all kinds.
+	Rule string
+	Jobs int // number of scenarios run at the same time
+	// Time after which no scenario starts and no reduction continues; 0: unlimited.
+	Budget time.Duration
+	// Maximum number of runs to reduce a failing scenario; 0: no reduction.
+	Reduce int
+	Binary string // path of the edge node's binary
+	// Directory for the report and a subdirectory for each failing scenario.
+	Dir string
+	Log *slog.Logger // logger of the runs
+	// Called after each run, concurrently if Jobs is above 1; may be nil.
+	Live func(done, of int, t GeneratedRun)
 }
 
 // Verdict is the outcome of a generated scenario.
@@ -36,22 +41,25 @@
 const (
 	Passed    Verdict = "passed"       // no rule was broken
 	BrokeRule Verdict = "broke a rule" // a rule was broken or a node crashed
-	NotJudged Verdict = "not judged"   // no rule was broken, but the machine was too slow for that to be conclusive
-	NotPlayed Verdict = "not played"   // the scenario could not be generated or run
+	// No rule was broken, but the machine was too slow for that to be conclusive.
+	NotJudged Verdict = "not judged"
+	NotPlayed Verdict = "not played" // the scenario could not be generated or run
 )
 
 // GeneratedRun is the result of one generated scenario.
 type GeneratedRun struct {
-	Seed    uint64         `json:"seed"`
-	Verdict Verdict        `json:"verdict"`
-	Rules   map[string]int `json:"rules,omitempty"`   // number of violations by rule; "crash" counts crashed nodes
-	First   string         `json:"first,omitempty"`   // first violation
-	Reason  string         `json:"why,omitempty"`     // why the scenario was not judged or not run
-	Command string         `json:"again,omitempty"`   // command that runs the scenario again
-	Reduced string         `json:"reduced,omitempty"` // summary of the reduced scenario and the command that runs it
-	Size    string         `json:"size"`              // summary of the deployment
-	Faults  []string       `json:"faults"`            // summaries of the faults
-	slack   time.Duration  // largest slack of the run
+	Seed    uint64  `json:"seed"`
+	Verdict Verdict `json:"verdict"`
+	// Number of violations by rule; "crash" counts crashed nodes.
+	Rules   map[string]int `json:"rules,omitempty"`
+	First   string         `json:"first,omitempty"` // first violation
+	Reason  string         `json:"why,omitempty"`   // why the scenario was not judged or not run
+	Command string         `json:"again,omitempty"` // command that runs the scenario again
+	// Summary of the reduced scenario and the command that runs it.
+	Reduced string        `json:"reduced,omitempty"`
+	Size    string        `json:"size"`   // summary of the deployment
+	Faults  []string      `json:"faults"` // summaries of the faults
+	slack   time.Duration // largest slack of the run
 }
 
 // SweepReport is the report of a sweep.
@@ -65,13 +73,13 @@
 	Runs   []GeneratedRun  `json:"trials"`          // in order of seeds
 }
 
-// OK reports whether no scenario broke a rule and all could be run. Scenarios that were not judged do not count as
-// failures here, although they have not passed.
+// OK reports whether no scenario broke a rule and all could be run. Scenarios that were not judged do not
+// count as failures here, although they have not passed.
 func (r *SweepReport) OK() bool { return r.Counts[BrokeRule] == 0 && r.Counts[NotPlayed] == 0 }
 
-// Sweep generates and runs the scenarios of a range of seeds and writes a report to the directory of the options. If ctx
-// is canceled or the budget is used up, it ends early with a report of the scenarios run until then. The error reports
-// invalid options and failures to write the report.
+// Sweep generates and runs the scenarios of a range of seeds and writes a report to the directory of the
+// options. If ctx is canceled or the budget is used up, it ends early with a report of the scenarios run
+// until then. The error reports invalid options and failures to write the report.
 func Sweep(ctx context.Context, o SweepOptions) (*SweepReport, error) {
 	if err := o.check(); err != nil {
 		return nil, err
@@ -182,11 +190,12 @@
 // maxSeeds is the maximum number of seeds in a range.
 const maxSeeds = 100_000
 
-// maxSlack is the largest slack with which a generated scenario can pass. It is shorter than the shortest grace period
-// of a rule.
+// maxSlack is the largest slack with which a generated scenario can pass. It is shorter than the shortest
+// grace period of a rule.
 const maxSlack = 200 * time.Millisecond
 
-// runSeed generates and runs the scenario of a seed, and reduces it if it breaks a rule and the deadline is not reached.
+// runSeed generates and runs the scenario of a seed, and reduces it if it breaks a rule and the deadline is
+// not reached.
 func (o *SweepOptions) runSeed(ctx context.Context, seed uint64, deadline time.Time) GeneratedRun {
 	s, err := GenerateScenario(seed, o.Rule)
 	if err != nil {
@@ -196,7 +205,8 @@
 	run := o.runOnce(ctx, s, seed, dir)
 	if run.Verdict != BrokeRule {
 		if run.Verdict != NotPlayed {
-			_ = os.RemoveAll(dir) // a failure leaves files that are not needed; the report lists the failed runs
+			// A failure leaves files that are not needed; the report lists the failed runs.
+			_ = os.RemoveAll(dir)
 		}
 		return run
 	}
@@ -217,7 +227,7 @@
 	return run
 }
 
-// rerunCommand is the rerunCommand that plays a scenario again.
+// rerunCommand returns the command line that runs a scenario file with a seed.
 func (o *SweepOptions) rerunCommand(path string, seed uint64) string {
 	return fmt.Sprintf("opalhook testbed run %s --seed %d --node-binary %s", path, seed, o.Binary)
 }
@@ -252,10 +262,10 @@
 	return run
 }
 
-// reduce returns a smaller version of a failing scenario and the number of reductions applied. It attempts to remove
-// faults and bursts one by one, to halve the numbers of nodes and app servers, and to shorten the run. It keeps each
-// change with which the scenario still breaks one of the same rules. It makes at most o.Reduce runs and starts none
-// after the deadline.
+// reduce returns a smaller version of a failing scenario and the number of reductions applied. It attempts to
+// remove faults and bursts one by one, to halve the numbers of nodes and app servers, and to shorten the run.
+// It keeps each change with which the scenario still breaks one of the same rules. It makes at most o.Reduce
+// runs and starts none after the deadline.
 func (o *SweepOptions) reduce(ctx context.Context, s *Scenario, seed uint64, failed GeneratedRun, dir string, deadline time.Time) (reduced *Scenario, steps int) {
 	runs := 0
 	attempt := func(change func(c *Scenario) bool) bool {
--- a/internal/testbed/sweep_test.go
+++ b/internal/testbed/sweep_test.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// The edge node obeys the drain rule in the scenarios about drains. Each scenario detects the mutants with the bug that
-// it is meant to detect.
+// The edge node obeys the drain rule in the scenarios about drains. Each scenario detects the mutants with
+// the bug that it is meant to detect.
 func TestDrainScenarios(t *testing.T) {
 	dir := t.TempDir()
 	node, err := FindNode(t.Context(), "", dir)
@@ -60,8 +60,8 @@
 	}
 }
 
-// A sweep runs all seeds of its range, reports the outcome of each and reduces a scenario that fails. It rejects invalid
-// options.
+// A sweep runs all seeds of its range, reports the outcome of each and reduces a scenario that fails. It
+// rejects invalid options.
 func TestSweep(t *testing.T) {
 	dir := t.TempDir()
 	binary, err := BuildMutant(t.Context(), "late-watch", dir)
