--- a/internal/testbed/generate.go
+++ b/internal/testbed/generate.go
@@ -13,14 +13,17 @@
 
 // Bounds of generated scenarios, low enough that a few cores can run several of them at once.
 const (
-	maxGeneratedRate = 140.0 // requests per second
-	// Maximum number of app servers with relays, which number one per pair of node and app server.
-	maxRelayedServers = 40
+	maxGeneratedRate  = 140.0           // requests per second
+	maxRelayedServers = 40              // app servers if links use relays, one per pair of node and server
 	tailAfterFaults   = 5 * time.Second // time from the last event to the end of the run
 	earliestFault     = time.Second     // earliest time of the first event
-	streamDeployment  = 1               // random stream of the deployment
-	// Random stream of the faults, separate so that a change to one does not alter the other.
-	streamTimeline = 2
+)
+
+// Random streams of a generated scenario. They are separate, so that a change to the draws of the deployment
+// does not change the faults of a seed.
+const (
+	streamDeployment = 1
+	streamTimeline   = 2
 )
 
 // sampler draws the values of a generated scenario.
--- a/internal/testbed/result.go
+++ b/internal/testbed/result.go
@@ -16,21 +16,20 @@
 // Series contains the figures of one second of a run. An arrival and all its attempts count in the second in
 // which the arrival was due.
 type Series struct {
-	Requests        int `json:"asked"`
-	Served          int `json:"served"`
-	Rejected        int `json:"refused"`
-	RejectedInQuota int `json:"refused_with_room"`
-	Failed          int `json:"failed"`
-	Unreached       int `json:"unreached"` // failed attempts that did not reach a node
-	// Value of requests served within quotas and the latency objective.
-	Value        float64        `json:"worth"`
-	OfferedValue float64        `json:"offered"` // value available within quotas
-	P50          float64        `json:"p50_ms"`
-	P99          float64        `json:"p99_ms"`
-	Memory       float64        `json:"memory_mb"` // largest resident memory of a node
-	ZoneServed   map[string]int `json:"zone_served"`
-	ZoneRequests map[string]int `json:"zone_asked"`
-	hist         *hdrhistogram.Histogram
+	Requests        int            `json:"asked"`
+	Served          int            `json:"served"`
+	Rejected        int            `json:"refused"`
+	RejectedInQuota int            `json:"refused_with_room"`
+	Failed          int            `json:"failed"`
+	Unreached       int            `json:"unreached"` // failed attempts that did not reach a node
+	Value           float64        `json:"worth"`     // value served within quotas and the latency objective
+	OfferedValue    float64        `json:"offered"`   // value available within quotas
+	P50             float64        `json:"p50_ms"`
+	P99             float64        `json:"p99_ms"`
+	Memory          float64        `json:"memory_mb"` // largest resident memory of a node
+	ZoneServed      map[string]int `json:"zone_served"`
+	ZoneRequests    map[string]int `json:"zone_asked"`
+	hist            *hdrhistogram.Histogram
 }
 
 // FaultMark is the time and the description of the beginning or the end of a fault.
@@ -62,12 +61,12 @@
 	Broken     map[string]int     `json:"broken_rules"` // number of violations by rule
 	Violations []Violation        `json:"violations"`   // the first maxViolations, in order of time
 	Checks     []Checked          `json:"checks"`
-	// The load generator was too slow; latencies still count from when requests were due.
-	Behind bool   `json:"generator_behind"`
-	Error  string `json:"error,omitempty"`
+	Behind     bool               `json:"generator_behind"` // the load generator exceeded maxLateness
+	Error      string             `json:"error,omitempty"`
 }
 
 // maxLateness is the 99th percentile of the load generator's lateness above which Result.Behind is set.
+// Latencies still count from when requests were due.
 const maxLateness = 10 * time.Millisecond
 
 // OK reports whether the run had no error, no rule was broken, no node crashed and every expectation was met.
--- a/internal/testbed/run.go
+++ b/internal/testbed/run.go
@@ -24,12 +24,11 @@
 
 // Progress is the state of a run in progress.
 type Progress struct {
-	At, Of   time.Duration // time since the start of the run, and its whole duration
-	Requests int           // requests due in the last second
-	Served   int           // requests that were served in the last second
-	// Requests not served that got a response in the last second, after at least one rejection.
-	Rejected   int
-	Failed     int           // other requests that got a response in the last second
+	At, Of     time.Duration // time since the start of the run, and its whole duration
+	Requests   int           // requests due in the last second
+	Served     int           // requests served in the last second
+	Rejected   int           // requests not served, with a rejection and a first response in the last second
+	Failed     int           // other requests with a first response in the last second
 	P50, P99   time.Duration // latencies of the requests served in the last second
 	NodesUp    int           // nodes that accept requests
 	Violations int           // rule violations since the start of the run
--- a/internal/testbed/scenario.go
+++ b/internal/testbed/scenario.go
@@ -25,7 +25,7 @@
 	Name           string  `toml:"name"`
 	Share          float64 `toml:"share"`  // share of the requests, from 0 to 1
 	NonIdempotent  bool    `toml:"unsafe"` // a request must never be executed twice
-	PriorityWeight float64 `toml:"worth"`
+	PriorityWeight float64 `toml:"worth"`  // value of a request per unit, before the plan's factor
 }
 
 // method returns the HTTP method of the class's requests.
@@ -45,79 +45,86 @@
 	HardLimitRate  float64 `toml:"ceiling_rate"` // 0: no hard limit
 	HardLimitBurst float64 `toml:"ceiling_burst"`
 	HardLimitSlack float64 `toml:"slack"`
-	WeightFactor   float64 `toml:"price"`
-	OverQuotaValue float64 `toml:"over_worth"`
+	WeightFactor   float64 `toml:"price"`      // factor on the value of a request
+	OverQuotaValue float64 `toml:"over_worth"` // factor on the value of a request over quota
 	OverQuotaCost  float64 `toml:"over_cost"`
 }
 
 // Fleet describes the edge nodes, the app servers behind them, and discovery.
 type Fleet struct {
-	Nodes        int      `toml:"nodes"`
-	Servers      int      `toml:"servers"`
-	Zones        []string `toml:"zones"` // nodes and app servers are assigned to these in turn
-	Cores        int      `toml:"cores"` // number of cores of an app server
-	SlotsPerCore int      `toml:"slots_per_core"`
-	QueuePerCore int      `toml:"queue_per_core"`
-	// Efficiency lost for each request per core above thrash_at.
-	ContentionLoss float64 `toml:"thrash"`
-	// Requests in flight per core above which efficiency falls.
-	ContentionFrom float64 `toml:"thrash_at"`
-	// Share of its capacity that a server has when slow start begins.
-	SlowStartInitialFraction float64  `toml:"cold_from"`
-	SlowStartDuration        Duration `toml:"ramp"` // duration of slow start
-	// Multiple of its capacity at which a server in slow start fails.
-	OverloadFactor float64  `toml:"fall_multiple"`
-	OverloadWindow Duration `toml:"fall_for"` // time over which that multiple is measured
-	// Maximum number of connections of one app server.
-	Connections   int      `toml:"connections"`
+	Nodes   int      `toml:"nodes"`
+	Servers int      `toml:"servers"`
+	Zones   []string `toml:"zones"` // nodes and app servers are assigned to these in turn
+
+	// Capacity of an app server.
+
+	Cores          int     `toml:"cores"`
+	SlotsPerCore   int     `toml:"slots_per_core"` // requests executed at the same time, per core
+	QueuePerCore   int     `toml:"queue_per_core"` // maximum number of waiting requests, per core
+	ContentionLoss float64 `toml:"thrash"`         // efficiency loss per request per core above thrash_at
+	ContentionFrom float64 `toml:"thrash_at"`      // requests per core above which efficiency falls
+
+	// Slow start of an app server. A server in slow start fails if it receives more work within fall_for than
+	// fall_multiple times what it can execute in that time, with an allowance for random variation.
+
+	SlowStartInitialFraction float64  `toml:"cold_from"` // share of the capacity at the start
+	SlowStartDuration        Duration `toml:"ramp"`
+	OverloadFactor           float64  `toml:"fall_multiple"`
+	OverloadWindow           Duration `toml:"fall_for"`
+
+	// Connections to an app server and its load reports.
+
+	Connections   int      `toml:"connections"`    // requests on further connections are rejected
 	HandshakeWork Duration `toml:"handshake_work"` // core time that a new connection takes
-	ConnIdle      Duration `toml:"conn_idle"`
-	ReportEvery   Duration `toml:"report_every"`
-	ReportDelay   Duration `toml:"report_late"`
-	// Delay from a change of an app server to its delivery by the agents.
-	ListDelay Duration `toml:"list_late"`
-	// Replicas of the real list service; 0: the testbed emulates the service.
-	ListReplicas int `toml:"list_replicas"`
-	// Run the real agent between the list service and each node.
-	ListAgents bool `toml:"list_agents"`
-	// Nodes poll one service shared by the fleet; otherwise an agent pushes lists to each node.
-	ListPolled bool `toml:"list_asked"`
-	// Calls per second that this service can answer; 0: unlimited.
-	ListCallsPerS float64 `toml:"list_calls_per_s"`
-	// A restarted node begins with the list from the start of the run.
-	StaleStartList        bool     `toml:"stale_known"`
+	ConnIdle      Duration `toml:"conn_idle"`      // time after which the server closes an idle connection
+	ReportEvery   Duration `toml:"report_every"`   // interval of updates of the reported load; 0: none
+	ReportDelay   Duration `toml:"report_late"`    // age of the reported load
+
+	// Discovery.
+
+	ListDelay      Duration `toml:"list_late"`        // delay until agents send a change of a server
+	ListReplicas   int      `toml:"list_replicas"`    // replicas of the real list service; 0: it is emulated
+	ListAgents     bool     `toml:"list_agents"`      // run the real agent between list service and node
+	ListPolled     bool     `toml:"list_asked"`       // nodes poll one service instead of an agent each
+	ListCallsPerS  float64  `toml:"list_calls_per_s"` // calls that this service can answer; 0: unlimited
+	StaleStartList bool     `toml:"stale_known"`      // restarted nodes begin with the run's first list
+
+	// Gossip among nodes.
+
 	NoGossip              bool     `toml:"no_peers"`    // nodes must not send messages to one another
 	PeerMessagesPerSecond float64  `toml:"inbox_per_s"` // datagrams per second that a node accepts
-	PeerLoss              float64  `toml:"peer_loss"`
-	PeerDelay             Duration `toml:"peer_delay"`
-	// One-way delay between zones; makes links go through relays.
-	CrossDelay Duration `toml:"cross_delay"`
-	MemoryMB   int      `toml:"memory_mb"`
-	Sockets    int      `toml:"sockets"`
+	PeerLoss              float64  `toml:"peer_loss"`   // share of the datagrams lost
+	PeerDelay             Duration `toml:"peer_delay"`  // delay of a datagram
+	CrossDelay            Duration `toml:"cross_delay"` // one-way delay between zones; needs relays
+
+	// Resource limits of a node.
+
+	MemoryMB int `toml:"memory_mb"`
+	Sockets  int `toml:"sockets"`
 }
 
 // Load describes the requests of the clients.
 type Load struct {
-	Rate             float64  `toml:"rate"`    // requests per second within quotas
-	WorkMS           float64  `toml:"work_ms"` // mean core time of a request, in milliseconds
-	LatencyObjective Duration `toml:"aim"`     // latency within which a response has its full value
-	// Longest time that a client waits, over all attempts of a request.
-	Deadline        Duration `toml:"deadline"`
-	Retries         int      `toml:"retries"`    // maximum number of retries of a request
-	RetryAfterShare float64  `toml:"honour"`     // share of retries that respect Retry-After
-	MarkRetry       bool     `toml:"mark_retry"` // retries carry a header that identifies them as such
-	// Share of requests that must never be executed twice, for the default classes.
-	NonIdempotentShare float64 `toml:"unsafe"`
-	// Imbalance of a tenant's requests over its entry nodes; 0: balanced.
-	Skew float64 `toml:"skew"`
-	// Share of the nodes that are entry nodes of a tenant; 0: two to four nodes.
-	EntryNodeShare   float64 `toml:"spread"`
-	OverQuotaTenants float64 `toml:"heavy"` // share of tenants that request three times their quota
-	// Time for which connections to a node must fail until clients avoid it.
-	FailureDetection Duration `toml:"front_sees"`
-	// Interval at which a tenant's busiest entry node changes.
-	ShiftEvery Duration `toml:"shift_every"`
-	Bursts     []Burst  `toml:"burst"`
+	Rate             float64  `toml:"rate"`     // requests per second within quotas
+	WorkMS           float64  `toml:"work_ms"`  // mean core time of a request, in milliseconds
+	LatencyObjective Duration `toml:"aim"`      // latency within which a response counts as goodput
+	Deadline         Duration `toml:"deadline"` // longest time that a client waits, over all attempts
+
+	// Retries by clients.
+
+	Retries         int     `toml:"retries"`    // maximum number of retries of a request
+	RetryAfterShare float64 `toml:"honour"`     // share of retries that respect Retry-After
+	MarkRetry       bool    `toml:"mark_retry"` // retries carry a header that identifies them as such
+
+	// Distribution over classes, tenants and nodes.
+
+	NonIdempotentShare float64  `toml:"unsafe"`      // share of the non-idempotent one of the default classes
+	Skew               float64  `toml:"skew"`        // imbalance between a tenant's nodes; 0: balanced
+	EntryNodeShare     float64  `toml:"spread"`      // share of nodes per tenant; 0: two to four nodes
+	OverQuotaTenants   float64  `toml:"heavy"`       // share of tenants that request three times their quota
+	FailureDetection   Duration `toml:"front_sees"`  // time until clients avoid an unreachable node
+	ShiftEvery         Duration `toml:"shift_every"` // interval at which a tenant's busiest node changes
+	Bursts             []Burst  `toml:"burst"`
 }
 
 // Burst multiplies the request rate for a limited time.
@@ -135,18 +142,20 @@
 	Zone  string    `toml:"zone"`  // zone to which the fault applies, or in which its targets are chosen
 	Count int       `toml:"count"` // number of targets; 0 without a share: one
 	Share float64   `toml:"share"` // share of the nodes or app servers that are targets
-	// Slowdown factor, share of requests or datagrams affected, or bytes per second, depending on the kind.
-	Size  float64  `toml:"size"`
-	Step  Duration `toml:"step"` // delay between one target and the next
-	Delay Duration `toml:"late"` // delay added by list-late and by links with does = "delay"
-	Way   string   `toml:"way"`  // cut-zone and cut-node: both, in or out, relative to the zone or node
-	From  string   `toml:"from"` // link: clients, node:N, nodes or zone:Z
-	To    string   `toml:"to"`   // link: node:N, nodes, server:N, servers, zone:Z or agent
-	// Link: silence, reset, refuse, loss, delay or rate; list-words: indent, trickle, half, noise or entry.
-	Does string `toml:"does"`
+	Size  float64   `toml:"size"`  // slowdown factor, affected share or bytes per second, by kind
+	Step  Duration  `toml:"step"`  // delay between one target and the next
+	Delay Duration  `toml:"late"`  // delay added by list-late and by links with does = "delay"
+	Way   string    `toml:"way"`   // cut-zone and cut-node: both, in or out, relative to the zone or node
+
+	// Link faults: the parties, and the effect on the data sent from one to the other.
+
+	From string `toml:"from"` // clients, node:N, nodes or zone:Z
+	To   string `toml:"to"`   // node:N, nodes, server:N, servers, zone:Z or agent
+	Does string `toml:"does"` // silence, reset, refuse, loss, delay or rate; for list-words an encoding
 }
 
-// Expect bounds a figure of the run, for the requests that are due in a window of time.
+// Expect bounds a figure of the run, computed over the requests that are due in a window of time. Figures
+// that do not relate to requests always cover the whole run.
 type Expect struct {
 	Figure string   `toml:"figure"`
 	Min    *float64 `toml:"min"`
--- a/internal/testbed/schedule.go
+++ b/internal/testbed/schedule.go
@@ -29,19 +29,17 @@
 func random(seed uint64, stream int) *rand.Rand { return rand.New(rand.NewPCG(seed, uint64(stream))) }
 
 const (
-	maxUnits = 8 // maximum units of a request
-	// Coefficient of variation of a client's estimate of units relative to the actual units.
-	estimateCV           = 0.5
+	maxUnits             = 8    // maximum units of a request
+	estimateCV           = 0.5  // coefficient of variation of a client's estimate of units
 	workCV               = 0.8  // coefficient of variation of a request's work relative to its units
 	extraUnitProbability = 0.45 // probability of each further unit of a request
 )
 
 // Tenant is a tenant whose clients send requests.
 type Tenant struct {
-	ID   uint64
-	Plan int
-	// Number of its entry nodes, which have consecutive numbers modulo the number of nodes.
-	EntryNodes     int
+	ID             uint64
+	Plan           int       // index in Scenario.Plans
+	EntryNodes     int       // number of entry nodes; they are numbered consecutively, modulo the fleet's size
 	FirstEntryNode int       // number of the first entry node
 	Rate           float64   // requests per second
 	weights        []float64 // relative share of the requests by entry node, before the shift over time
@@ -49,10 +47,10 @@
 
 // Arrival is a request of a client. Its fields apply to the first attempt.
 type Arrival struct {
-	At     time.Duration
+	At     time.Duration // time at which the request is due
 	ID     string
-	Tenant int
-	Class  int
+	Tenant int           // index in Schedule.Tenants
+	Class  int           // index in Scenario.Classes
 	Node   int           // number of the entry node
 	Units  float64       // units that the app server reports as consumed
 	Guess  float64       // units that the client estimates
@@ -60,8 +58,8 @@
 	Wait   time.Duration // time that the client waits for a response to an attempt
 }
 
-// Schedule contains the random choices of a run that are made before it begins. The events are in order of
-// time.
+// Schedule contains the random choices of a run that are made before it begins. Arrivals and Faults are in
+// order of time.
 type Schedule struct {
 	Tenants  []Tenant
 	Arrivals []Arrival
@@ -107,8 +105,8 @@
 	return float64(n)
 }
 
-// minTenantRate is the lowest rate of a tenant, in requests per second. A lower remainder of a plan's rate is
-// a rounding error, for which no tenant is created.
+// minTenantRate is the largest part of a plan's load, in requests per second, that counts as a rounding
+// error. No tenant is created for it.
 const minTenantRate = 1e-9
 
 // drawTenants adds tenants of each plan until their rates add up to the plan's share of the load. The rate of
--- a/internal/testbed/sweep.go
+++ b/internal/testbed/sweep.go
@@ -18,48 +18,43 @@
 
 // SweepOptions are the parameters of a sweep, which generates and runs one scenario for each seed of a range.
 type SweepOptions struct {
-	From, To uint64 // range of seeds, inclusive
-	// Rule at which the scenarios are aimed, one of TargetRules; "": faults of all kinds.
-	Rule string
-	Jobs int // number of scenarios run at the same time
-	// Time after which no scenario starts and no reduction continues; 0: unlimited.
-	Budget time.Duration
-	// Maximum number of runs to reduce a failing scenario; 0: no reduction.
-	Reduce int
-	Binary string // path of the edge node's binary
-	// Directory for the report and a subdirectory for each failing scenario.
-	Dir string
-	Log *slog.Logger // logger of the runs
-	// Called after each run, concurrently if Jobs is above 1; may be nil.
+	From, To uint64        // range of seeds, inclusive
+	Rule     string        // rule at which the scenarios are aimed, one of TargetRules; "": faults of all kinds
+	Jobs     int           // number of scenarios run at the same time
+	Budget   time.Duration // time after which no scenario or reduction starts; 0: unlimited
+	Reduce   int           // maximum number of runs to reduce a failing scenario; 0: no reduction
+	Binary   string        // path of the edge node's binary
+	Dir      string        // directory for the report and a subdirectory per failing scenario
+	Log      *slog.Logger  // logger of the runs
+
+	// Live is called after each run, concurrently if Jobs is above 1. It may be nil.
 	Live func(done, of int, t GeneratedRun)
 }
 
 // Verdict is the outcome of a generated scenario.
 type Verdict string
 
-// Outcomes of a generated scenario. They are keys and values of the report's JSON.
+// Outcomes of a generated scenario. They are keys and values of the report's JSON. A scenario is NotJudged if
+// the machine was too slow for the absence of violations to be conclusive.
 const (
 	Passed    Verdict = "passed"       // no rule was broken
 	BrokeRule Verdict = "broke a rule" // a rule was broken or a node crashed
-	// No rule was broken, but the machine was too slow for that to be conclusive.
-	NotJudged Verdict = "not judged"
-	NotPlayed Verdict = "not played" // the scenario could not be generated or run
+	NotJudged Verdict = "not judged"   // no rule was broken, but the machine was too slow
+	NotPlayed Verdict = "not played"   // the scenario could not be generated or run
 )
 
 // GeneratedRun is the result of one generated scenario.
 type GeneratedRun struct {
-	Seed    uint64  `json:"seed"`
-	Verdict Verdict `json:"verdict"`
-	// Number of violations by rule; "crash" counts crashed nodes.
-	Rules   map[string]int `json:"rules,omitempty"`
-	First   string         `json:"first,omitempty"` // first violation
-	Reason  string         `json:"why,omitempty"`   // why the scenario was not judged or not run
-	Command string         `json:"again,omitempty"` // command that runs the scenario again
-	// Summary of the reduced scenario and the command that runs it.
-	Reduced string        `json:"reduced,omitempty"`
-	Size    string        `json:"size"`   // summary of the deployment
-	Faults  []string      `json:"faults"` // summaries of the faults
-	slack   time.Duration // largest slack of the run
+	Seed    uint64         `json:"seed"`
+	Verdict Verdict        `json:"verdict"`
+	Rules   map[string]int `json:"rules,omitempty"`   // number of violations by rule, and crashes as "crash"
+	First   string         `json:"first,omitempty"`   // first violation
+	Reason  string         `json:"why,omitempty"`     // why the scenario was not judged or not run
+	Command string         `json:"again,omitempty"`   // command that runs the scenario again
+	Reduced string         `json:"reduced,omitempty"` // reduced scenario, and the command that runs it
+	Size    string         `json:"size"`              // summary of the deployment
+	Faults  []string       `json:"faults"`            // summaries of the faults
+	slack   time.Duration  // largest slack of the run
 }
 
 // SweepReport is the report of a sweep.
