--- a/internal/testbed/generate.go
+++ b/internal/testbed/generate.go
@@ -14,7 +14,7 @@
 // Bounds of generated scenarios, low enough that a few cores can run several of them at once.
 const (
 	maxGeneratedRate  = 140.0           // requests per second
-	maxRelayedServers = 40              // app servers if links use relays, one per pair of node and server
+	maxRelayedServers = 40              // most app servers if links use relays, one per node and server
 	tailAfterFaults   = 5 * time.Second // time from the last event to the end of the run
 	earliestFault     = time.Second     // earliest time of the first event
 )
@@ -167,7 +167,8 @@
 }
 
 // drawTimeline draws one to three disturbances and the duration of the run. A disturbance is a fault, a
-// burst, or several related faults. The run continues for tailAfterFaults after the last of them ends.
+// burst, or several related faults. The run continues for tailAfterFaults after the last of them ends. A
+// silenced watch counts as ended after silentWatchGrace.
 func (s *Scenario) drawTimeline(d sampler, rule string) {
 	byRule := map[string][]func(sampler, Duration){
 		"drains":   {s.drawDrain},
--- a/internal/testbed/mutant.go
+++ b/internal/testbed/mutant.go
@@ -15,7 +15,7 @@
 // mutant is a deliberate bug in the edge node's source. Sweeps run with mutants to verify that they detect
 // such bugs.
 type mutant struct {
-	about string
+	about string // description of the bug
 	file  string // path relative to the module's root
 	// Source texts to replace, with their replacements. Each text must occur exactly once in the file.
 	changes [][2]string
--- a/internal/testbed/result.go
+++ b/internal/testbed/result.go
@@ -61,12 +61,12 @@
 	Broken     map[string]int     `json:"broken_rules"` // number of violations by rule
 	Violations []Violation        `json:"violations"`   // the first maxViolations, in order of time
 	Checks     []Checked          `json:"checks"`
-	Behind     bool               `json:"generator_behind"` // the load generator exceeded maxLateness
+	Behind     bool               `json:"generator_behind"` // the load generator was late by more than maxLateness
 	Error      string             `json:"error,omitempty"`
 }
 
-// maxLateness is the 99th percentile of the load generator's lateness above which Result.Behind is set.
-// Latencies still count from when requests were due.
+// maxLateness is the 99th percentile of the load generator's lateness above which a result reports that the
+// generator was behind. Latencies still count from when requests were due.
 const maxLateness = 10 * time.Millisecond
 
 // OK reports whether the run had no error, no rule was broken, no node crashed and every expectation was met.
@@ -190,7 +190,7 @@
 func ReadResult(dir string) (*Result, error) {
 	f, err := os.Open(filepath.Join(dir, resultFile))
 	if err != nil {
-		return nil, fmt.Errorf("%s: not the directory of a finished run: %w", dir, err)
+		return nil, fmt.Errorf("%s is no folder of a finished run: %w", dir, err)
 	}
 	defer func() { _ = f.Close() }()
 	return readResult(f)
--- a/internal/testbed/run.go
+++ b/internal/testbed/run.go
@@ -128,8 +128,8 @@
 }
 
 // awaitRecovery waits for all nodes to accept requests again, and then to have received the final list. It
-// does not wait for nodes that a fault has killed without a restart. Each wait is limited, by readyWithin and
-// listsWithin. The result is the number of nodes that accept requests.
+// does not wait for nodes that a fault has killed without a restart. Both waits have a time limit. The result
+// is the number of nodes that accept requests.
 func (env *environment) awaitRecovery() (up int) {
 	killed := map[int]bool{}
 	for _, e := range env.schedule.Faults {
--- a/internal/testbed/scenario.go
+++ b/internal/testbed/scenario.go
@@ -8,10 +8,9 @@
 // Scenario describes one experiment: the fleet, the load on it, the faults with their times, and the expected
 // results.
 type Scenario struct {
-	Name  string `toml:"name"`
-	About string `toml:"about"`
-	// Time after which no request arrives; requests in progress are completed.
-	Duration Duration `toml:"duration"`
+	Name     string   `toml:"name"`
+	About    string   `toml:"about"`
+	Duration Duration `toml:"duration"` // time until the last arrival; open requests are completed after it
 	Fleet    Fleet    `toml:"fleet"`
 	Load     Load     `toml:"load"`
 	Classes  []Class  `toml:"class"` // default: one idempotent and one non-idempotent class
--- a/internal/testbed/slack.go
+++ b/internal/testbed/slack.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// measureLag sleeps for lagTick and updates the lag by the time overslept. The lag decays exponentially, so
-// that a peak still counts for some seconds. It returns false if the run has ended.
+// measureLag sleeps for a short interval and updates the lag by the time overslept. The lag decays
+// exponentially, so that a peak still counts for some seconds. It returns false if the run has ended.
 func (env *environment) measureLag() bool {
 	start := time.Now()
 	if !env.sleep(lagTick) {
--- a/internal/testbed/sweep.go
+++ b/internal/testbed/sweep.go
@@ -21,7 +21,7 @@
 	From, To uint64        // range of seeds, inclusive
 	Rule     string        // rule at which the scenarios are aimed, one of TargetRules; "": faults of all kinds
 	Jobs     int           // number of scenarios run at the same time
-	Budget   time.Duration // time after which no scenario or reduction starts; 0: unlimited
+	Budget   time.Duration // time after which no further run starts; 0: unlimited
 	Reduce   int           // maximum number of runs to reduce a failing scenario; 0: no reduction
 	Binary   string        // path of the edge node's binary
 	Dir      string        // directory for the report and a subdirectory per failing scenario
@@ -200,7 +200,7 @@
 	run := o.runOnce(ctx, s, seed, dir)
 	if run.Verdict != BrokeRule {
 		if run.Verdict != NotPlayed {
-			// A failure leaves files that are not needed; the report lists the failed runs.
+			// Directories that cannot be removed do no harm: the report names the scenarios that failed.
 			_ = os.RemoveAll(dir)
 		}
 		return run
@@ -299,7 +299,7 @@
 		c.Duration -= Duration(tailAfterFaults / 2)
 		return c.Duration > Duration(time.Second)
 	})
-	_ = os.RemoveAll(filepath.Join(dir, "smaller")) // files of the last run; leftovers do no harm
+	_ = os.RemoveAll(filepath.Join(dir, "smaller")) // only the files of the last run, not needed any more
 	return s, steps
 }
 
