--- a/cmd/opalhook/agent.go
+++ b/cmd/opalhook/agent.go
@@ -16,18 +16,19 @@
 	"opalhook/internal/agent"
 )
 
-// defaultAgent is where the agent of this machine listens.
+// defaultAgent is the address at which the agent of this machine listens by default.
 const defaultAgent = "127.0.0.1:8510"
 
-// agentCommand runs the agent on a machine.
+// agentCommand returns the command that runs the agent of a machine.
 func agentCommand(s *sharedFlags) *cobra.Command {
 	cfg := agent.Config{Rules: agent.DefaultRules()}
 	var metrics string
 	c := &cobra.Command{
 		Use:   "agent",
-		Short: "Follow the list service for the edge nodes on this machine, until a signal",
-		Long: "Follow the replicas of the list service and serve the platform's discovery protocol to the edge nodes on this machine.\n" +
-			"While the service is unreachable the nodes keep the last list; a list that has shrunk much is accepted once a second replica agrees.",
+		Short: "Run the list service's agent for the edge nodes on this machine",
+		Long: "Watch the list of app servers at a replica of the list service, and serve it to the edge nodes on this machine over the\n" +
+			"platform's discovery protocol, until a signal. While the service is unreachable, nodes keep the last list that they\n" +
+			"received. A list that is much shorter than the previous one is accepted only after a second replica confirms it.",
 		Example: "  opalhook agent --replicas 127.0.0.1:8500,127.0.0.2:8500,127.0.0.3:8500\n  opalhook agent status",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -36,20 +37,20 @@
 		},
 	}
 	c.Flags().StringSliceVar(&cfg.Replicas, "replicas", []string{defaultRegistry}, "HTTP addresses of the list service's replicas")
-	c.Flags().StringVar(&cfg.Listen, "listen", defaultAgent, "address for edge nodes")
-	c.Flags().StringVar(&cfg.Name, "name", "", "name of this machine, which decides the replica that it prefers (default: its host name and address)")
-	c.Flags().StringVar(&metrics, "metrics", "", "address at which Prometheus finds the agent's metrics (default: none)")
+	c.Flags().StringVar(&cfg.Listen, "listen", defaultAgent, "address to listen on for edge nodes")
+	c.Flags().StringVar(&cfg.Name, "name", "", "name of this agent, which determines the replica that it prefers (default: host name and listen address)")
+	c.Flags().StringVar(&metrics, "metrics", "", "address to serve Prometheus metrics on (default: metrics are not served)")
 	c.AddCommand(agentStatus(s))
 	return c
 }
 
-// runAgent runs an agent, named after the machine unless it has a name, and its metrics, if an address is given, until
-// the command ends.
+// runAgent runs an agent until the command's context is cancelled. An agent without a name is named after the host and
+// the address that it listens on. Metrics are served if an address for them is given.
 func runAgent(c *cobra.Command, cfg agent.Config, metrics string) error {
 	if cfg.Name == "" {
 		host, err := os.Hostname()
 		if err != nil {
-			return fmt.Errorf("--name: the machine has none: %w", err)
+			return fmt.Errorf("--name: not given, and the host name cannot be read: %w", err)
 		}
 		cfg.Name = host + " " + cfg.Listen
 	}
@@ -60,7 +61,7 @@
 	return errors.Join(serveAgent(c, a, metrics), a.Close())
 }
 
-// serveAgent says where the agent listens and waits for the command's end.
+// serveAgent prints the address at which the agent listens, and returns once the command's context is cancelled.
 func serveAgent(c *cobra.Command, a *agent.Agent, metrics string) error {
 	if _, err := fmt.Fprintf(c.OutOrStdout(), "discovery for edge nodes at %s\n", a.Addr()); err != nil {
 		return err
@@ -76,7 +77,7 @@
 	var at string
 	c := &cobra.Command{
 		Use:     "status",
-		Short:   "Show which list an agent has and how old it is",
+		Short:   "Show the generation, size and age of an agent's list",
 		Example: "  opalhook agent status --at 127.0.0.1:8510 -o json",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -94,21 +95,21 @@
 	return c
 }
 
-// writeAgentStatus writes what an agent has and how old that is.
+// writeAgentStatus writes an agent's status as a line of text.
 func writeAgentStatus(out io.Writer, status *agent.Status) error {
-	state := "watches a replica"
+	state := "watching a replica"
 	if !status.Watching {
-		state = "watches no replica"
+		state = "not watching any replica"
 	}
 	if status.Suspecting {
-		state += ", keeps its list against a much shorter one (self-preservation)"
+		state += ", holding back a much shorter list (self-preservation)"
 	}
-	_, err := fmt.Fprintf(out, "%s; generation %d, %d app servers, last message %.1f s ago; %d watches by edge nodes, %d calls of replicas so far\n",
+	_, err := fmt.Fprintf(out, "%s; generation %d, %d app servers, last message %.1f s ago; %d watches by edge nodes, %d calls to replicas\n",
 		state, status.Generation, status.Endpoints, status.AgeSeconds, status.NodeWatches, status.ReplicaCalls)
 	return err
 }
 
-// agentGauges are the agent's metrics. Names are fixed: dashboards read them.
+// agentGauges are the agent's metrics. Dashboards depend on their names.
 var agentGauges = []struct {
 	name, help string
 	value      func(agent.Status) float64
@@ -122,7 +123,7 @@
 	{"node_watches", "Watches that edge nodes have open.", func(s agent.Status) float64 { return float64(s.NodeWatches) }},
 }
 
-// agentMetrics are an agent's metrics for Prometheus.
+// agentMetrics returns a registry with an agent's metrics.
 func agentMetrics(a *agent.Agent) *prometheus.Registry {
 	r := prometheus.NewRegistry()
 	for _, g := range agentGauges {
@@ -139,7 +140,7 @@
 	return 0
 }
 
-// serveMetrics serves Prometheus until ctx ends.
+// serveMetrics serves metrics to Prometheus until ctx is cancelled.
 func serveMetrics(ctx context.Context, addr string, r *prometheus.Registry) error {
 	srv := &http.Server{Addr: addr, Handler: promhttp.HandlerFor(r, promhttp.HandlerOpts{}), ReadHeaderTimeout: 3 * time.Second}
 	defer context.AfterFunc(ctx, func() { _ = srv.Close() })()
--- a/cmd/opalhook/main.go
+++ b/cmd/opalhook/main.go
@@ -1,4 +1,5 @@
-// Command opalhook is the operators' command: it runs the testbed and the fleet's own processes.
+// Command opalhook is the operators' command line. It runs replicas and agents of the list service, reads and changes
+// the list of app servers, and runs the testbed.
 package main
 
 import (
@@ -13,20 +14,22 @@
 	"github.com/spf13/cobra"
 )
 
-// errNotMet ends the command with exitNotMet; what was not met has been told.
-var errNotMet = errors.New("not met")
+// errNotMet ends the command with exitNotMet. main prints no message for it: the command has already reported the
+// violated rules and the failed expectations.
+var errNotMet = errors.New("a rule was violated or an expectation was not met")
 
-// badInput is an error of what was asked for: a scenario, a range, a name that can't be.
+// badInput is an error in the user's input, such as an invalid scenario, range or name. It ends the command with
+// exitUsage.
 type badInput struct{ error }
 
 func (e badInput) Unwrap() error { return e.error }
 
 // Exit codes.
 const (
-	exitError  = 1 // it could not be done
-	exitUsage  = 2 // what was asked for can't be
-	exitNotMet = 3 // it was done, and a rule or an expectation was not met
-	exitSignal = 130
+	exitError  = 1   // the command failed
+	exitUsage  = 2   // invalid input
+	exitNotMet = 3   // the command completed, but a rule was violated or an expectation was not met
+	exitSignal = 130 // terminated by a signal, as shells report SIGINT
 )
 
 func main() {
@@ -38,7 +41,7 @@
 	case errors.Is(err, errNotMet):
 		os.Exit(exitNotMet)
 	case ctx.Err() != nil:
-		fmt.Fprintln(os.Stderr, "opalhook: ended by a signal")
+		fmt.Fprintln(os.Stderr, "opalhook: interrupted by a signal")
 		os.Exit(exitSignal)
 	default:
 		fmt.Fprintln(os.Stderr, "opalhook:", err)
@@ -69,19 +72,19 @@
 	var s sharedFlags
 	c := &cobra.Command{
 		Use:           "opalhook",
-		Short:         "Run, watch and test a fleet of opalhook edge nodes",
+		Short:         "Operate and test a fleet of opalhook edge nodes",
 		Example:       "  opalhook up\n  opalhook testbed run scenarios/quiet.toml --seed 1",
 		SilenceErrors: true,
 		SilenceUsage:  true,
 		PersistentPreRunE: func(*cobra.Command, []string) error {
 			if s.output != "text" && s.output != "json" {
-				return fmt.Errorf("--output: %q is none of text, json", s.output)
+				return fmt.Errorf("--output: must be text or json, got %q", s.output)
 			}
 			return nil
 		},
 	}
-	c.PersistentFlags().StringVarP(&s.output, "output", "o", "text", "how results are written: text or json")
-	c.PersistentFlags().BoolVarP(&s.verbose, "verbose", "v", false, "log what goes on, not only what goes wrong")
+	c.PersistentFlags().StringVarP(&s.output, "output", "o", "text", "output format: text or json")
+	c.PersistentFlags().BoolVarP(&s.verbose, "verbose", "v", false, "log informational messages, not only warnings and errors")
 	c.AddCommand(agentCommand(&s), testbedCommand(&s), registryCommand(&s), upCommand(&s))
 	return c
 }
--- a/cmd/opalhook/registry.go
+++ b/cmd/opalhook/registry.go
@@ -14,43 +14,43 @@
 	"opalhook/internal/registry"
 )
 
-// defaultRegistry is where a service on this machine listens.
+// Default addresses of a replica of the list service.
 const (
-	defaultRegistry = "127.0.0.1:8500"
-	defaultRaft     = "127.0.0.1:8501"
+	defaultRegistry = "127.0.0.1:8500" // for clients, over HTTP
+	defaultRaft     = "127.0.0.1:8501" // for the other replicas, over Raft
 )
 
 // registryFlags are the flags that the subcommands of `registry` share.
 type registryFlags struct {
 	*sharedFlags
-	at     []string // HTTP addresses of replicas
-	within time.Duration
+	at     []string      // HTTP addresses of replicas
+	within time.Duration // time limit of a subcommand, including retries
 }
 
-// client is a client of the replicas.
+// client returns a client for the replicas.
 func (f *registryFlags) client() *registry.Client { return &registry.Client{Replicas: f.at} }
 
-// context bounds what a subcommand asks of the service.
+// context returns the command's context with the timeout of --within.
 func (f *registryFlags) context(c *cobra.Command) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(c.Context(), f.within)
 }
 
-// registryCommand is the group of the list service.
+// registryCommand returns the group of commands for the list service.
 func registryCommand(s *sharedFlags) *cobra.Command {
 	f := registryFlags{sharedFlags: s}
 	c := &cobra.Command{
 		Use:     "registry",
-		Short:   "Run the list service, read its list of app servers and change it",
+		Short:   "Run the list service, and read and change its list of app servers",
 		Example: "  opalhook registry serve\n  opalhook registry register s-1 127.0.0.1:9001 --zone a\n  opalhook registry list",
 		Args:    cobra.NoArgs,
 		RunE:    func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
-	c.PersistentFlags().StringSliceVar(&f.at, "at", []string{defaultRegistry}, "HTTP addresses of replicas")
-	c.PersistentFlags().DurationVar(&f.within, "within", 15*time.Second, "how long to go on trying")
+	c.PersistentFlags().StringSliceVar(&f.at, "at", []string{defaultRegistry}, "HTTP addresses of the list service's replicas")
+	c.PersistentFlags().DurationVar(&f.within, "within", 15*time.Second, "time limit, including retries")
 	c.AddCommand(registryServe(s), registryList(&f), registryShow(&f), registryWatch(&f), registryRegister(&f),
-		registryChange(&f, "drain", "Let an instance finish the requests it has", (*registry.Client).Drain),
-		registryChange(&f, "remove", "Take an instance out of the list", (*registry.Client).Remove),
-		registryChange(&f, "renew", "Extend an instance's lease by its term", (*registry.Client).Renew),
+		registryChange(&f, "drain", "Drain an instance: it gets no new requests and finishes its current ones", (*registry.Client).Drain),
+		registryChange(&f, "remove", "Remove an instance from the list", (*registry.Client).Remove),
+		registryChange(&f, "renew", "Renew an instance's lease for its full duration", (*registry.Client).Renew),
 		registryStatus(&f), registryBackup(&f), registryRestore(s), registryDismiss(&f))
 	return c
 }
@@ -59,9 +59,10 @@
 	var cfg registry.Config
 	c := &cobra.Command{
 		Use:   "serve",
-		Short: "Run a replica of the list service until a signal",
-		Long: "Run a replica of the list service. With no flags it is a service of one, on loopback, with its state in a folder.\n" +
-			"Further replicas join it; three or five are wanted.",
+		Short: "Run a replica of the list service",
+		Long: "Run a replica of the list service until a signal. Without flags, the replica is a service of its own that listens on\n" +
+			"loopback and stores its state in a folder. Further replicas join it with --join; run three or five replicas to\n" +
+			"tolerate the failure of one or two.",
 		Example: "  opalhook registry serve\n  opalhook registry serve --listen 127.0.0.2:8500 --raft 127.0.0.2:8501 --data r2 --join 127.0.0.1:8500",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -77,18 +78,18 @@
 			return srv.Close()
 		},
 	}
-	c.Flags().StringVar(&cfg.Dir, "data", "registry-data", "folder of the state")
-	c.Flags().StringVar(&cfg.Listen, "listen", defaultRegistry, "address for readers and writers")
-	c.Flags().StringVar(&cfg.Raft, "raft", defaultRaft, "address for the other replicas")
-	c.Flags().StringVar(&cfg.Join, "join", "", "HTTP address of a replica of the service to join, for a new folder")
-	c.Flags().DurationVar(&cfg.ElectionTimeout, "election-timeout", 0, "without a word of the leader after which another is elected (default 500ms)")
+	c.Flags().StringVar(&cfg.Dir, "data", "registry-data", "folder that stores the replica's state")
+	c.Flags().StringVar(&cfg.Listen, "listen", defaultRegistry, "address to listen on for clients")
+	c.Flags().StringVar(&cfg.Raft, "raft", defaultRaft, "address to listen on for the other replicas")
+	c.Flags().StringVar(&cfg.Join, "join", "", "HTTP address of a replica of the service to join; used only if the state folder is new")
+	c.Flags().DurationVar(&cfg.ElectionTimeout, "election-timeout", 0, "time without contact to the leader after which another leader is elected (default 500ms)")
 	return c
 }
 
 func registryList(f *registryFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:     "list",
-		Short:   "Show the list",
+		Short:   "List all instances",
 		Example: "  opalhook registry list\n  opalhook registry list --at 127.0.0.1:8500,127.0.0.2:8500 -o json",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -115,7 +116,7 @@
 func registryShow(f *registryFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:     "show ID",
-		Short:   "Show one instance as all acknowledged writes have left it",
+		Short:   "Show an instance, including all acknowledged writes",
 		Example: "  opalhook registry show s-1 -o json",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -143,7 +144,7 @@
 	var from uint64
 	c := &cobra.Command{
 		Use:     "watch",
-		Short:   "Show changes of the list as they come, until a signal",
+		Short:   "Print changes to the list as they happen",
 		Example: "  opalhook registry watch\n  opalhook registry watch --from 41 -o json",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -171,20 +172,20 @@
 			return errors.Join(err, werr)
 		},
 	}
-	c.Flags().Uint64Var(&from, "from", 0, "version that is known already; 0: show the full list first")
+	c.Flags().Uint64Var(&from, "from", 0, "generation after which changes are printed; 0: print the full list first")
 	return c
 }
 
-// writeOutcome tells how a write came out.
+// writeOutcome writes the outcome of a change.
 func writeOutcome(s *sharedFlags, c *cobra.Command, o registry.Outcome) error {
 	if s.json() {
 		return writeJSON(c.OutOrStdout(), o)
 	}
-	word := "done"
+	status := "done"
 	if o.Code == registry.Unchanged {
-		word = "nothing to do"
+		status = "no change"
 	}
-	_, err := fmt.Fprintf(c.OutOrStdout(), "%s, generation %d\n", word, o.Generation)
+	_, err := fmt.Fprintf(c.OutOrStdout(), "%s, generation %d\n", status, o.Generation)
 	return err
 }
 
@@ -193,7 +194,7 @@
 	var lease time.Duration
 	c := &cobra.Command{
 		Use:     "register ID ADDRESS",
-		Short:   "Put an instance into the list",
+		Short:   "Add an instance to the list",
 		Example: "  opalhook registry register s-1 127.0.0.1:9001 --zone a --kind std-4c --lease 10s",
 		Args:    cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -210,16 +211,17 @@
 			return writeOutcome(f.sharedFlags, c, o)
 		},
 	}
-	c.Flags().StringVar(&r.Zone, "zone", "", "where it stands")
-	c.Flags().StringVar(&r.MachineType, "kind", "", "kind of its machine")
-	c.Flags().IntVar(&r.Cell, "cell", 0, "its cell")
-	c.Flags().Float64Var(&r.Weight, "weight", 1, "its size beside others'")
-	c.Flags().Int64Var(&r.StartedAtMs, "started-at-ms", 0, "its last start in Unix milliseconds; 0: long ago")
-	c.Flags().Uint64Var(&r.Incarnation, "incarnation", 0, "number that grows with each start (default: the time in microseconds)")
-	c.Flags().DurationVar(&lease, "lease", 0, "it is removed when not renewed for so long; 0: it stays")
+	c.Flags().StringVar(&r.Zone, "zone", "", "zone of the instance")
+	c.Flags().StringVar(&r.MachineType, "kind", "", "machine type of the instance")
+	c.Flags().IntVar(&r.Cell, "cell", 0, "cell of the instance")
+	c.Flags().Float64Var(&r.Weight, "weight", 1, "capacity relative to other instances")
+	c.Flags().Int64Var(&r.StartedAtMs, "started-at-ms", 0, "start time in Unix milliseconds; 0: started long ago")
+	c.Flags().Uint64Var(&r.Incarnation, "incarnation", 0, "number that increases with each start of the instance (default: the Unix time in microseconds)")
+	c.Flags().DurationVar(&lease, "lease", 0, "time without a renewal after which the instance is removed; 0: never")
 	return c
 }
 
+// registryChange returns a command that changes one instance.
 func registryChange(f *registryFlags, verb, short string,
 	do func(*registry.Client, context.Context, registry.InstanceRef) (registry.Outcome, error),
 ) *cobra.Command {
@@ -240,14 +242,14 @@
 			return writeOutcome(f.sharedFlags, c, out)
 		},
 	}
-	c.Flags().Uint64Var(&o.Incarnation, "incarnation", 0, "only this start of it; 0: whichever is there")
+	c.Flags().Uint64Var(&o.Incarnation, "incarnation", 0, "change the instance only if it has this incarnation; 0: any")
 	return c
 }
 
 func registryStatus(f *registryFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:     "status",
-		Short:   "Show each replica: who leads, versions, leases, watches",
+		Short:   "Show each replica's state, leader, generation, leases and watches",
 		Example: "  opalhook registry status --at 127.0.0.1:8500,127.0.0.2:8500",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -262,12 +264,12 @@
 			fmt.Fprintln(&table, "REPLICA\tSTATE\tLEADER\tGENERATION\tENTRIES\tLEASES\tWATCHES\tEXPIRY")
 			for i, st := range all {
 				if errs[i] != nil {
-					fmt.Fprintf(&table, "%s\tno answer: %v\n", cl.Replicas[i], errs[i])
+					fmt.Fprintf(&table, "%s\terror: %v\n", cl.Replicas[i], errs[i])
 					continue
 				}
-				expiry := "runs"
+				expiry := "running"
 				if st.ExpirySuspended {
-					expiry = "PAUSED: many leases run out at once; look at the network before the instances"
+					expiry = "PAUSED: many leases expire at once; check the network before the instances"
 				}
 				fmt.Fprintf(&table, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%s\n", st.Replica, st.State, st.Leader, st.Generation, st.Entries, st.Leases, st.Watches, expiry)
 			}
@@ -279,7 +281,7 @@
 func registryBackup(f *registryFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:     "backup FILE",
-		Short:   "Write the list to a new file",
+		Short:   "Back up the list to a new file",
 		Example: "  opalhook registry backup list-monday.json",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -302,9 +304,9 @@
 	var epoch uint64
 	c := &cobra.Command{
 		Use:   "restore FILE",
-		Short: "Prepare a folder for a service that begins with a backup",
-		Long: "Prepare a folder from which `opalhook registry serve --data FOLDER` begins a new service with the list of a backup,\n" +
-			"in a new epoch: no version of the list before can be mistaken for one of it.",
+		Short: "Restore a backup into the state folder of a new service",
+		Long: "Prepare a folder from which `opalhook registry serve --data FOLDER` starts a new service with the list of a backup.\n" +
+			"The restored list has a new epoch, so that its generations cannot be mistaken for those of the previous list.",
 		Example: "  opalhook registry restore list-monday.json --data new-data",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -312,7 +314,7 @@
 			if err != nil {
 				return fmt.Errorf("backup: %w", err)
 			}
-			defer func() { _ = f.Close() }() // it was read only
+			defer func() { _ = f.Close() }() // opened for reading only
 			if epoch == 0 {
 				epoch = registry.EpochAt(time.Now())
 			}
@@ -323,19 +325,19 @@
 			if s.json() {
 				return writeJSON(c.OutOrStdout(), map[string]any{"epoch": st.Epoch(), "generation": st.Generation(), "entries": st.Len()})
 			}
-			_, err = fmt.Fprintf(c.OutOrStdout(), "%d entries in epoch %d; start it with: opalhook registry serve --data %s\n", st.Len(), st.Epoch(), dir)
+			_, err = fmt.Fprintf(c.OutOrStdout(), "restored %d entries in epoch %d; start the service with: opalhook registry serve --data %s\n", st.Len(), st.Epoch(), dir)
 			return err
 		},
 	}
-	c.Flags().StringVar(&dir, "data", "registry-data", "folder to prepare; it must be new or empty")
-	c.Flags().Uint64Var(&epoch, "epoch", 0, "larger than any epoch the list has been in (default: from the time)")
+	c.Flags().StringVar(&dir, "data", "registry-data", "state folder to create; must be new or empty")
+	c.Flags().Uint64Var(&epoch, "epoch", 0, "epoch of the restored list; must be larger than all its earlier epochs (default: derived from the current time)")
 	return c
 }
 
 func registryDismiss(f *registryFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:     "dismiss REPLICA",
-		Short:   "Take a replica out of the service for good",
+		Short:   "Permanently remove a replica from the service",
 		Example: "  opalhook registry status\n  opalhook registry dismiss r0123456789ab@127.0.0.2:8500",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
--- a/cmd/opalhook/scale.go
+++ b/cmd/opalhook/scale.go
@@ -14,19 +14,19 @@
 	"opalhook/internal/scale"
 )
 
-// testbedScale measures how the program's parts grow with the fleet.
+// testbedScale returns the command that measures how the cost of parts of the program grows with the fleet.
 func testbedScale(s *sharedFlags) *cobra.Command {
 	var names []string
 	var sizes, dir string
 	var seed uint64
 	c := &cobra.Command{
 		Use:   "scale",
-		Short: "Measure how edge nodes and the list service grow with the fleet",
-		Long: "Measure parts of the program at growing sizes: edge nodes without client sockets on a clock of their own, and the list\n" +
-			"service. What is counted is the same for the same seed; what is timed is this machine's. Ctrl-C leaves what was measured.\n\n" +
+		Short: "Measure how edge nodes and the list service scale with the fleet",
+		Long: "Measure parts of the program at increasing sizes: edge nodes without sockets on a simulated clock, and the list service.\n" +
+			"Counts depend only on the seed; times depend on this machine. After Ctrl-C, the report has the sizes measured so far.\n\n" +
 			"Parts:\n" + scaleParts() + "\n" +
-			"The exit code is 0 where all was measured, 2 where what was asked for can't be (a size that would pass half of this\n" +
-			"machine's memory among it), 1 where it could not be measured, 130 where a signal ended it.",
+			"Exit codes: 0 if everything was measured, 2 if --part or --sizes is invalid or a size needs more than half of this\n" +
+			"machine's memory, 1 if a measurement failed, 130 after a signal.",
 		Example: "  opalhook testbed scale\n  opalhook testbed scale --part node-list --sizes 200,2000,20000\n  opalhook testbed scale --part quota --seed 7 -o json",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -46,14 +46,14 @@
 			return errors.Join(err, c.Context().Err())
 		},
 	}
-	c.Flags().StringSliceVar(&names, "part", nil, "parts to measure, one or more (default: all)")
-	c.Flags().StringVar(&sizes, "sizes", "", "sizes to measure, apart by commas, of one part (default: the part's own, up to the plan's)")
-	c.Flags().Uint64Var(&seed, "seed", 1, "of everything that is drawn")
-	c.Flags().StringVar(&dir, "dir", filepath.Join("runs", "scale"), "folder of the plots")
+	c.Flags().StringSliceVar(&names, "part", nil, "parts to measure, separated by commas (default: all)")
+	c.Flags().StringVar(&sizes, "sizes", "", "sizes to measure, separated by commas; needs exactly one --part (default: the sizes of each part)")
+	c.Flags().Uint64Var(&seed, "seed", 1, "seed of all random choices")
+	c.Flags().StringVar(&dir, "dir", filepath.Join("runs", "scale"), "folder to write the plots to")
 	return c
 }
 
-// scaleParts describes the parts for the help.
+// scaleParts returns the description of the parts for the help text.
 func scaleParts() string {
 	var b strings.Builder
 	for _, p := range scale.Parts() {
@@ -62,7 +62,7 @@
 	return b.String()
 }
 
-// parseSizes reads sizes apart by commas; none is none.
+// parseSizes parses sizes separated by commas. An empty text yields no sizes.
 func parseSizes(text string) (sizes []int, err error) {
 	if text == "" {
 		return nil, nil
@@ -70,18 +70,18 @@
 	for _, word := range strings.Split(text, ",") {
 		size, err := strconv.Atoi(strings.TrimSpace(word))
 		if err != nil {
-			return nil, badInput{fmt.Errorf("--sizes: %q is no whole number", word)}
+			return nil, badInput{fmt.Errorf("--sizes: must be whole numbers separated by commas, got %q", word)}
 		}
 		sizes = append(sizes, size)
 	}
 	return sizes, nil
 }
 
-// progressGap is the shortest time between two lines of progress on one size.
+// progressGap is the shortest time between two progress lines of the same size.
 const progressGap = time.Second
 
-// scaleProgress writes a line as a size begins and ends, and now and then between. Progress that nobody can read is
-// no reason to stop the measurement.
+// scaleProgress returns a function that writes a progress line when a size starts, when it ends, and at most once per
+// progressGap in between. Write errors are ignored: they must not stop the measurement.
 func scaleProgress(out io.Writer) func(scale.Progress) {
 	began := time.Now()
 	var last time.Duration
@@ -95,7 +95,7 @@
 	}
 }
 
-// writeScale writes the report and the plots.
+// writeScale writes the report to out and the plots to dir.
 func (s *sharedFlags) writeScale(out io.Writer, report *scale.Report, dir string) error {
 	if s.json() {
 		if err := writeJSON(out, report); err != nil {
--- a/cmd/opalhook/sweep.go
+++ b/cmd/opalhook/sweep.go
@@ -22,33 +22,36 @@
 	options                          testbed.SweepOptions
 }
 
-// testbedSweep plays deployments and faults drawn by seed.
+// testbedSweep returns the command that runs scenarios generated from seeds.
 func testbedSweep(s *sharedFlags) *cobra.Command {
 	var f sweepFlags
 	c := &cobra.Command{
 		Use:   "sweep",
-		Short: "Play generated scenarios, and list the seeds that broke a rule",
-		Long: "Generate a scenario for each seed of a range, a deployment and a time line of faults, play it with real edge nodes, and\n" +
-			"check them against the rules. A seed that breaks one is reduced to fewer faults, processes and seconds while it still does.\n" +
-			"A scenario for which the machine was too slow is not judged, which is no pass. Ctrl-C leaves the report of what was played.\n\n" +
-			"The exit code is 0 where no rule was broken, 3 where one was, 2 where the range or the rule can't be.",
+		Short: "Run generated scenarios and list the seeds that violated a rule",
+		Long: "Generate a scenario (a deployment and a timeline of faults) for each seed of a range, run it with real edge nodes, and\n" +
+			"check the rules. A scenario that violates a rule is reduced to fewer faults, processes and seconds, as long as it still\n" +
+			"violates the rule. A scenario for which this machine is too slow is reported as not judged, which does not count as\n" +
+			"passed. After Ctrl-C, the report has the scenarios that were run.\n\n" +
+			"Exit codes: 0 if no rule was violated, 3 if a rule was violated or a scenario could not be run, 2 if the value of a flag\n" +
+			"is invalid, 1 if the sweep could not be run, 130 after a signal.",
 		Example: "  opalhook testbed sweep --seeds 1-200 --jobs 6\n  opalhook testbed sweep --seeds 1-40 --rule drains --budget 5m -o json\n" +
 			"  opalhook testbed sweep --seeds 1-20 --rule drains --broken late-watch",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return f.sweep(c, s) },
 	}
-	c.Flags().StringVar(&f.seeds, "seeds", "1-20", "range of seeds, A-B, or one seed")
-	c.Flags().StringVar(&f.rule, "rule", "", "rule to strain: "+strings.Join(testbed.TargetRules, ", ")+" (default: anything)")
-	c.Flags().IntVar(&f.options.Jobs, "jobs", 4, "scenarios played at once; each takes one to two cores")
-	c.Flags().DurationVar(&f.options.Budget, "budget", 0, "time after which no scenario begins; 0: none")
-	c.Flags().IntVar(&f.options.Reduce, "reduce", 12, "plays that the reduction of a failing seed may take; 0: it is not reduced")
-	c.Flags().StringVar(&f.binary, "node-binary", "", "edge node to run (default: built from this repository)")
-	c.Flags().StringVar(&f.mutant, "broken", "", "run a mutant, a node that is broken on purpose, to see that it is found: "+mutantNames())
-	c.Flags().StringVar(&f.dir, "dir", filepath.Join("runs", "sweep"), "folder of the sweep")
+	c.Flags().StringVar(&f.seeds, "seeds", "1-20", "range of seeds (A-B), or a single seed")
+	c.Flags().StringVar(&f.rule, "rule", "", "rule that the scenarios should stress: "+strings.Join(testbed.TargetRules, ", ")+" (default: any)")
+	c.Flags().IntVar(&f.options.Jobs, "jobs", 4, "number of scenarios to run at the same time; each uses one to two cores")
+	c.Flags().DurationVar(&f.options.Budget, "budget", 0, "time after which no further scenario is started; 0: no limit")
+	c.Flags().IntVar(&f.options.Reduce, "reduce", 12, "maximum number of runs to reduce a failing scenario; 0: do not reduce")
+	c.Flags().StringVar(&f.binary, "node-binary", "", "path of the edge node's binary (default: built from this repository)")
+	c.Flags().StringVar(&f.mutant, "broken", "", "run a mutant (a node with an injected defect) to verify that the sweep detects it: "+mutantNames())
+	c.Flags().StringVar(&f.dir, "dir", filepath.Join("runs", "sweep"), "folder to write the results to")
 	return c
 }
 
-// sweep plays the seeds and tells what came of them.
+// sweep runs the scenarios of the seeds and writes the report. It returns errNotMet if a scenario violated a rule or
+// could not be run.
 func (f *sweepFlags) sweep(c *cobra.Command, s *sharedFlags) error {
 	if err := f.check(); err != nil {
 		return badInput{err}
@@ -78,7 +81,7 @@
 	return nil
 }
 
-// check reads the range of seeds and checks the others.
+// check parses the range of seeds and validates the other flags.
 func (f *sweepFlags) check() error {
 	o := &f.options
 	var err error
@@ -86,10 +89,10 @@
 		return fmt.Errorf("--%w", err)
 	}
 	if f.rule != "" && !slices.Contains(testbed.TargetRules, f.rule) {
-		return fmt.Errorf("--rule: %q is none of %s", f.rule, strings.Join(testbed.TargetRules, ", "))
+		return fmt.Errorf("--rule: got %q, must be one of %s", f.rule, strings.Join(testbed.TargetRules, ", "))
 	}
 	if o.Jobs < 1 || o.Reduce < 0 || o.Budget < 0 {
-		return fmt.Errorf("--jobs %d, --reduce %d, --budget %v: 1 job or more and nothing below 0 is wanted", o.Jobs, o.Reduce, o.Budget)
+		return fmt.Errorf("--jobs: got %d, must be at least 1; --reduce: got %d, must be at least 0; --budget: got %v, must be at least 0", o.Jobs, o.Reduce, o.Budget)
 	}
 	if f.dir == "" {
 		f.dir = filepath.Join("runs", "sweep")
@@ -97,25 +100,27 @@
 	return nil
 }
 
-// mutantNames lists the nodes that `--broken` can name.
+// mutantNames returns the names that --broken accepts, separated by commas.
 func mutantNames() string {
 	return strings.Join(slices.Sorted(maps.Keys(testbed.Mutants())), ", ")
 }
 
-// sweepNode is the node to run: one that is named, a mutant, or the one built from this repository.
+// sweepNode returns the path of the edge node's binary to run: the given one, a newly built mutant, or one built from
+// this repository.
 func sweepNode(ctx context.Context, binary, mutant, dir string) (string, error) {
 	switch {
 	case mutant == "":
 		return testbed.FindNode(ctx, binary, dir)
 	case binary != "":
-		return "", badInput{fmt.Errorf("--broken: builds a node of its own; leave out --node-binary")}
+		return "", badInput{fmt.Errorf("--broken: cannot be combined with --node-binary, because it builds its own node")}
 	case testbed.Mutants()[mutant] == "":
-		return "", badInput{fmt.Errorf("--broken: %q is none of %s", mutant, mutantNames())}
+		return "", badInput{fmt.Errorf("--broken: got %q, must be one of %s", mutant, mutantNames())}
 	}
 	return testbed.BuildMutant(ctx, mutant, dir)
 }
 
-// sweepProgress writes a line as each generated scenario ends. Progress that nobody can read is no reason to stop the sweep.
+// sweepProgress returns a function that writes a line for each finished scenario. Write errors are ignored: they must
+// not stop the sweep.
 func sweepProgress(out io.Writer) func(done, of int, t testbed.GeneratedRun) {
 	began := time.Now()
 	return func(done, of int, t testbed.GeneratedRun) {
@@ -123,7 +128,8 @@
 	}
 }
 
-// because tells why a generated scenario did not pass: the rules that it broke, or that it was not judged.
+// because formats why a scenario did not pass: the violated rules with the number of violations, and the reason that
+// the sweep reports. The text begins with a colon. It is empty if there is neither.
 func because(t testbed.GeneratedRun) string {
 	var words []string
 	for _, rule := range slices.Sorted(maps.Keys(t.Rules)) {
@@ -138,7 +144,7 @@
 	return ": " + strings.Join(words, ", ")
 }
 
-// sweepTable writes what failed, and the counts.
+// sweepTable writes the scenarios that failed, the number of scenarios by verdict, and the path of the report.
 func sweepTable(out io.Writer, r *testbed.SweepReport, dir string) error {
 	var table strings.Builder
 	head := false
@@ -148,7 +154,7 @@
 		}
 		if !head {
 			head = true
-			fmt.Fprintln(&table, "seed\tverdict\tdeployment\tplay it again with")
+			fmt.Fprintln(&table, "seed\tverdict\tdeployment\treproduce with")
 		}
 		fmt.Fprintf(&table, "%d\t%s%s\t%s\t%s\n", t.Seed, t.Verdict, because(t), t.Size, t.Command)
 		if t.First != "" {
@@ -162,7 +168,7 @@
 		return err
 	}
 	var text strings.Builder
-	fmt.Fprintf(&text, "%d played of seeds %d-%d: %d passed, %d broke a rule, %d not judged, %d not played\n", r.Played, r.From, r.To,
+	fmt.Fprintf(&text, "%d scenarios run of seeds %d-%d: %d passed, %d broke a rule, %d not judged, %d not played\n", r.Played, r.From, r.To,
 		r.Counts[testbed.Passed], r.Counts[testbed.BrokeRule], r.Counts[testbed.NotJudged], r.Counts[testbed.NotPlayed])
 	if r.Ended != "" {
 		fmt.Fprintln(&text, r.Ended)
--- a/cmd/opalhook/testbed.go
+++ b/cmd/opalhook/testbed.go
@@ -16,14 +16,14 @@
 	"opalhook/internal/testbed"
 )
 
-// testbedCommand is the group of experiments with real edge nodes.
+// testbedCommand returns the group of commands that run real edge nodes under load and faults.
 func testbedCommand(s *sharedFlags) *cobra.Command {
 	c := &cobra.Command{
 		Use:     "testbed",
 		Aliases: []string{"lab"}, // the name in earlier versions
-		Short:   "Run real edge nodes under load and faults, and check what they did",
+		Short:   "Run real edge nodes under load and faults, and check their behavior",
 		Example: "  opalhook testbed list\n  opalhook testbed run scenarios/killed.toml --seed 7\n  opalhook testbed report runs/killed-7",
-		Args:    cobra.NoArgs, // or a word that is no subcommand would pass
+		Args:    cobra.NoArgs, // otherwise cobra accepts an unknown subcommand
 		RunE:    func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
 	c.AddCommand(testbedRun(s), testbedFault(s), testbedList(s), testbedReport(s), testbedCompare(s), testbedSweep(s), testbedScale(s))
@@ -37,41 +37,43 @@
 	control, binary, dir string
 }
 
+// testbedRun returns the command that runs a scenario.
 func testbedRun(s *sharedFlags) *cobra.Command {
 	var f runFlags
 	c := &cobra.Command{
 		Use:   "run FILE",
-		Short: "Play a scenario and leave its result in a folder",
-		Long: "Play a scenario with real edge nodes.\n\nThe exit code is 0 where no rule was broken, no node crashed and every expectation held,\n" +
-			"3 where not, 2 where the scenario can't be, 1 where it could not be played.",
+		Short: "Run a scenario and store its result in a folder",
+		Long: "Run a scenario with real edge nodes.\n\nExit codes: 0 if no rule was violated, no node crashed and all expectations were met, 3 otherwise,\n" +
+			"2 if the scenario or --runs is invalid, 1 if the scenario could not be run, 130 after a signal.",
 		Example: "  opalhook testbed run scenarios/zone-cut.toml --seed 7\n  opalhook testbed run scenarios/killed.toml --runs 4 --dir runs/new\n" +
 			"  opalhook testbed run scenarios/killed.toml --node-binary old/edge-node --runs 4 --dir runs/old",
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error { return f.play(c, s, args[0]) },
 	}
-	c.Flags().Uint64Var(&f.seed, "seed", 1, "of everything that is drawn; further runs take the next ones")
-	c.Flags().IntVar(&f.runs, "runs", 1, "how many runs, each with a seed of its own")
-	c.Flags().StringVar(&f.control, "control", "", "loopback address for Prometheus and for `opalhook testbed fault`, such as 127.0.0.1:9911")
-	c.Flags().StringVar(&f.binary, "node-binary", "", "edge node to run (default: built from this repository)")
-	c.Flags().StringVar(&f.dir, "dir", "", "folder of the run (default: runs/NAME-SEED)")
+	c.Flags().Uint64Var(&f.seed, "seed", 1, "seed of all random choices; further runs use the following seeds")
+	c.Flags().IntVar(&f.runs, "runs", 1, "number of runs, each with a different seed")
+	c.Flags().StringVar(&f.control, "control", "", "loopback address to serve metrics and `opalhook testbed fault` on, for example 127.0.0.1:9911 (default: none)")
+	c.Flags().StringVar(&f.binary, "node-binary", "", "path of the edge node's binary (default: built from this repository)")
+	c.Flags().StringVar(&f.dir, "dir", "", "folder to write the results to (default: runs/NAME-SEED)")
 	return c
 }
 
-// play plays a scenario as often as asked for and tells how each run came out.
+// play runs a scenario f.runs times and writes a summary of each run. It returns errNotMet if a run violated a rule or
+// failed an expectation.
 func (f *runFlags) play(c *cobra.Command, s *sharedFlags, file string) error {
 	scenario, err := testbed.LoadScenario(file)
 	if err != nil {
 		return badInput{err}
 	}
 	if f.runs < 1 {
-		return badInput{fmt.Errorf("--runs: %d is below 1", f.runs)}
+		return badInput{fmt.Errorf("--runs: must be at least 1, got %d", f.runs)}
 	}
 	if f.dir == "" {
 		f.dir = filepath.Join("runs", fmt.Sprintf("%s-%d", scenario.Name, f.seed))
 	}
 	program, err := os.Executable()
 	if err != nil {
-		return fmt.Errorf("this program's path: %w", err)
+		return fmt.Errorf("finding the path of this program: %w", err)
 	}
 	node, err := testbed.FindNode(c.Context(), f.binary, f.dir)
 	if err != nil {
@@ -107,14 +109,15 @@
 	return nil
 }
 
+// testbedFault returns the command that injects a fault into a running scenario.
 func testbedFault(s *sharedFlags) *cobra.Command {
 	var at string
 	var f testbed.CommandedFault
 	var last, late time.Duration
 	c := &cobra.Command{
 		Use:     "fault KIND [TARGET]",
-		Short:   "Inject a fault into a run that is under way",
-		Long:    "Inject a fault into a run that was started with --control. The target is the number of a node or an app server.\n\nKinds:\n" + faultHelp(),
+		Short:   "Inject a fault into a running scenario",
+		Long:    "Inject a fault into a scenario that was started with --control. TARGET is the number of an edge node or app server.\n\nKinds:\n" + faultHelp(),
 		Example: "  opalhook up --control 127.0.0.1:9911\n  opalhook testbed fault slow 3 --size 5 --for 10s\n  opalhook testbed fault kill 0 --for 4s",
 		Args:    cobra.RangeArgs(1, 2),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -122,7 +125,7 @@
 			if len(args) > 1 {
 				n, err := strconv.Atoi(args[1])
 				if err != nil {
-					return fmt.Errorf("target: %q is no number of a node or an app server", args[1])
+					return fmt.Errorf("TARGET: must be the number of an edge node or app server, got %q", args[1])
 				}
 				f.Target = n
 			}
@@ -137,19 +140,19 @@
 			return err
 		},
 	}
-	c.Flags().StringVar(&at, "at", "127.0.0.1:9911", "control address of the run")
-	c.Flags().DurationVar(&last, "for", 0, "how long; 0: for the rest of the run")
-	c.Flags().DurationVar(&late, "late", 0, "of delays")
-	c.Flags().Float64Var(&f.Size, "size", 0, "times slower, a share, or bytes a second")
-	c.Flags().StringVar(&f.Zone, "zone", "", "of the faults of zones")
-	c.Flags().StringVar(&f.Way, "way", "", "of cuts: both, in, out")
-	c.Flags().StringVar(&f.From, "from", "", "of links")
-	c.Flags().StringVar(&f.To, "to", "", "of links")
-	c.Flags().StringVar(&f.Does, "does", "", "of links: silence, reset, refuse, loss, delay, rate")
+	c.Flags().StringVar(&at, "at", "127.0.0.1:9911", "control address of the running scenario")
+	c.Flags().DurationVar(&last, "for", 0, "duration of the fault; 0: until the end of the run")
+	c.Flags().DurationVar(&late, "late", 0, "delay that the fault adds")
+	c.Flags().Float64Var(&f.Size, "size", 0, "size of the fault: a slowdown factor, a fraction or a rate in bytes per second, depending on its kind")
+	c.Flags().StringVar(&f.Zone, "zone", "", "zone, for faults that affect a zone")
+	c.Flags().StringVar(&f.Way, "way", "", "direction of a cut: both, in or out")
+	c.Flags().StringVar(&f.From, "from", "", "source of the link, for link faults")
+	c.Flags().StringVar(&f.To, "to", "", "destination of the link, for link faults")
+	c.Flags().StringVar(&f.Does, "does", "", "effect of a link fault: silence, reset, refuse, loss, delay or rate")
 	return c
 }
 
-// faultHelp describes the kinds of faults for the help.
+// faultHelp returns the description of the kinds of faults for the help text.
 func faultHelp() string {
 	kinds := testbed.FaultKinds()
 	var b strings.Builder
@@ -159,7 +162,7 @@
 	return b.String()
 }
 
-// scenarioRow is a scenario file in a list. An Error stands in place of what can't be read.
+// scenarioRow describes a scenario file. Error is set instead of Name and About if the file is invalid.
 type scenarioRow struct {
 	File  string `json:"file"`
 	Name  string `json:"name"`
@@ -194,11 +197,12 @@
 	}
 }
 
-// readScenarios reads the scenario files of a folder. A file that can't be read is a row and an error, and hides no other.
+// readScenarios reads the scenario files of a folder. An invalid file yields a row with an error and is part of the
+// returned error; the other files are read nevertheless.
 func readScenarios(dir string) (rows []scenarioRow, bad error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.toml"))
 	if err != nil || len(paths) == 0 {
-		return nil, fmt.Errorf("no scenario in %s: name the folder that holds *.toml files", dir)
+		return nil, fmt.Errorf("folder %s: contains no scenario files (*.toml)", dir)
 	}
 	for _, p := range paths {
 		scenario, err := testbed.LoadScenario(p)
@@ -215,7 +219,7 @@
 func testbedReport(s *sharedFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:     "report DIR",
-		Short:   "Write a run's report: Markdown with charts",
+		Short:   "Write a report of a run in Markdown, with charts",
 		Example: "  opalhook testbed report runs/zone-cut-7",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -239,8 +243,8 @@
 func testbedCompare(s *sharedFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:     "compare DIR DIR",
-		Short:   "Compare two runs, or two folders of runs",
-		Long:    "Compare two runs, figure by figure, as the ratio of the second to the first.\nA folder of runs over several seeds shows the spread as well.",
+		Short:   "Compare two runs or two folders of runs",
+		Long:    "Compare the figures of two runs, with the ratio of the second run to the first.\nA folder may hold runs with several seeds; the comparison then shows their range as well. A figure is marked as apart\nif the ranges of the two folders do not overlap.",
 		Example: "  opalhook testbed compare runs/old runs/new",
 		Args:    cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -252,7 +256,7 @@
 				return writeJSON(c.OutOrStdout(), rows)
 			}
 			var table strings.Builder
-			fmt.Fprintln(&table, "figure\tfirst (least to most)\tsecond (least to most)\tratio\t")
+			fmt.Fprintln(&table, "figure\tfirst (min to max)\tsecond (min to max)\tratio\t")
 			for _, r := range rows {
 				note := ""
 				if r.Apart {
--- a/cmd/opalhook/testbed_output.go
+++ b/cmd/opalhook/testbed_output.go
@@ -12,11 +12,11 @@
 	"opalhook/internal/testbed"
 )
 
-// rewriteLine has a terminal write over the line that the cursor is on.
+// rewriteLine is the terminal escape sequence that clears the current line and returns to its start.
 const rewriteLine = "\r\x1b[K"
 
-// showProgress returns a function that shows a run's last second: one line that is written over on a terminal, a line
-// each time elsewhere. Progress that nobody can read is no reason to stop the run.
+// showProgress returns a function that shows the figures of the last second of a run. On a terminal it overwrites a
+// single line; otherwise it writes a new line each time. Write errors are ignored: they must not stop the run.
 func showProgress(out *os.File) func(testbed.Progress) {
 	terminal := term.IsTerminal(int(out.Fd()))
 	return func(p testbed.Progress) {
@@ -33,16 +33,18 @@
 	}
 }
 
-// progressLine is a run's last second in a line. Requests are counted when due, what came of them when they ended.
+// progressLine formats the figures of the last second of a run. Requests count in the second in which they are due,
+// their outcomes in the second in which they end.
 func progressLine(p testbed.Progress) string {
 	return fmt.Sprintf("%5.0f of %.0f s  requests %5d  served %5d  rejected %4d  failed %3d  p50 %4d ms  p99 %5d ms  nodes up %d  violations %d",
 		p.At.Seconds(), p.Of.Seconds(), p.Requests, p.Served, p.Rejected, p.Failed, p.P50.Milliseconds(), p.P99.Milliseconds(), p.NodesUp, p.Violations)
 }
 
-// shownViolations bounds the violations in a summary; the result has more.
+// shownViolations is the maximum number of violations in a summary. The result file lists more.
 const shownViolations = 5
 
-// writeSummary writes how a run came out, and where its files are.
+// writeSummary writes the outcome of a run: its main figures, violations and failed expectations, and where its files
+// are.
 func writeSummary(out io.Writer, r *testbed.Result, files string) error {
 	verdict := "passed"
 	if !r.OK() {
--- a/cmd/opalhook/up.go
+++ b/cmd/opalhook/up.go
@@ -12,9 +12,9 @@
 	"opalhook/internal/testbed"
 )
 
-// upRejects says why the demonstration rejects requests; docs/testbed.md has the figures.
-const upRejects = "Rejections are by design: some of the tenants drawn ask for three times their quota, and most of what is beyond\n" +
-	"a quota is rejected, in all from a tenth to a third of the requests."
+// upRejects explains why the demonstration rejects requests; docs/testbed.md has the figures.
+const upRejects = "Rejections are expected: some tenants request three times their quota, and most requests beyond a quota are\n" +
+	"rejected. In total, a tenth to a third of all requests are rejected."
 
 // upFlags are the flags of `up`.
 type upFlags struct {
@@ -22,25 +22,25 @@
 	duration        time.Duration
 }
 
-// upCommand is the first thing that a newcomer runs.
+// upCommand returns the command that runs a demonstration. It works without any flags or files.
 func upCommand(s *sharedFlags) *cobra.Command {
 	var f upFlags
 	c := &cobra.Command{
 		Use:   "up",
-		Short: "Run a small fleet on this machine, with load, until Ctrl-C",
-		Long: "Run a small fleet of edge nodes on loopback addresses, with emulated app servers, list agents and\n" +
-			"clients, and show a line a second. Nothing is left running at the end.\n\n" + upRejects,
+		Short: "Run a small fleet with load on this machine",
+		Long: "Run a small fleet of edge nodes on loopback addresses, with emulated app servers, list agents and clients, until\n" +
+			"Ctrl-C. One progress line is printed per second. All processes are stopped at the end.\n\n" + upRejects,
 		Example: "  opalhook up\n  opalhook up --for 10s",
 		Args:    cobra.NoArgs,
 		RunE:    func(c *cobra.Command, _ []string) error { return f.run(c, s) },
 	}
-	c.Flags().StringVar(&f.control, "control", "", "loopback address for Prometheus and for `opalhook testbed fault`, such as 127.0.0.1:9911")
-	c.Flags().StringVar(&f.binary, "node-binary", "", "edge node to run (default: built from this repository)")
-	c.Flags().DurationVar(&f.duration, "for", time.Hour, "how long it runs at most")
+	c.Flags().StringVar(&f.control, "control", "", "loopback address to serve metrics and `opalhook testbed fault` on, for example 127.0.0.1:9911 (default: none)")
+	c.Flags().StringVar(&f.binary, "node-binary", "", "path of the edge node's binary (default: built from this repository)")
+	c.Flags().DurationVar(&f.duration, "for", time.Hour, "maximum duration")
 	return c
 }
 
-// run builds an edge node if none is named, runs the demonstration and removes its files.
+// run runs the demonstration and removes its files. It builds an edge node unless --node-binary names one.
 func (f *upFlags) run(c *cobra.Command, s *sharedFlags) error {
 	scenario, err := testbed.Demo(f.duration)
 	if err != nil {
@@ -48,11 +48,11 @@
 	}
 	dir, err := os.MkdirTemp("", "opalhook-up-")
 	if err != nil {
-		return fmt.Errorf("folder of the run: %w", err)
+		return fmt.Errorf("creating the folder of the run: %w", err)
 	}
 	defer func() { _ = os.RemoveAll(dir) }() // a temporary folder
-	// What is said on the way is no reason to stop when nobody can read it.
-	_, _ = fmt.Fprintf(c.ErrOrStderr(), "building the edge node; then %d nodes and %d app servers run until Ctrl-C\n%s\n",
+	// Errors of writing to stderr are ignored: they must not stop the run.
+	_, _ = fmt.Fprintf(c.ErrOrStderr(), "building the edge node, then running %d nodes and %d app servers until Ctrl-C\n%s\n",
 		scenario.Fleet.Nodes, scenario.Fleet.Servers, upRejects)
 	node, err := testbed.FindNode(c.Context(), f.binary, dir)
 	if err != nil {
@@ -62,13 +62,13 @@
 		Seed: uint64(time.Now().UnixNano()), Binary: node, Dir: dir, Log: s.logger(), Control: f.control, Live: showProgress(os.Stderr),
 	})
 	if errors.Is(err, context.Canceled) {
-		_, _ = fmt.Fprintln(c.ErrOrStderr(), "\nended: no process is left")
+		_, _ = fmt.Fprintln(c.ErrOrStderr(), "\nstopped: all processes have ended")
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	if err := writeSummary(c.OutOrStdout(), r, "the run's files are removed"); err != nil {
+	if err := writeSummary(c.OutOrStdout(), r, "the run's files have been removed"); err != nil {
 		return err
 	}
 	if !r.OK() {
--- a/internal/scale/clock.go
+++ b/internal/scale/clock.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// clock is a simulated clock with the events that are still to come. Events of the same time run in
-// the order in which they were scheduled.
+// clock is a simulated clock with a queue of scheduled events. Events scheduled for the same time run in the order in
+// which they were scheduled. It is not safe for concurrent use.
 type clock struct {
 	now    time.Duration
 	events eventHeap
@@ -16,17 +16,18 @@
 
 type event struct {
 	at    time.Duration
-	order uint64
+	order uint64 // breaks ties between events scheduled for the same time
 	run   func()
 }
 
-// after schedules an event.
+// after schedules an event to run after a delay. A negative delay counts as 0.
 func (c *clock) after(wait time.Duration, run func()) {
 	c.count++
 	heap.Push(&c.events, event{at: c.now + max(wait, 0), order: c.count, run: run})
 }
 
-// runUntil runs the events up to a time. It returns the context's error when cut off.
+// runUntil runs all events scheduled up to and including end and sets the clock to end. It returns the context's error
+// if the context is cancelled between events.
 func (c *clock) runUntil(ctx context.Context, end time.Duration) error {
 	for len(c.events) > 0 && c.events[0].at <= end {
 		if err := ctx.Err(); err != nil {
@@ -40,7 +41,7 @@
 	return nil
 }
 
-// eventHeap implements heap.Interface: the earliest event is first.
+// eventHeap implements [heap.Interface], with the earliest event first.
 type eventHeap []event
 
 func (h eventHeap) Len() int { return len(h) }
@@ -52,7 +53,7 @@
 func (h *eventHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
-	old[len(old)-1] = event{} // or its closure would be kept alive
+	old[len(old)-1] = event{} // lets the garbage collector free the closure
 	*h = old[:len(old)-1]
 	return last
 }
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -9,23 +9,23 @@
 	"opalhook/balancer"
 )
 
-// Servers of a simulated fleet: how long they take and how often they can't.
+// App servers of a simulated fleet.
 const (
 	minServiceTime        = 6 * time.Millisecond
-	meanExtraServiceTime  = 6 * time.Millisecond // mean of what is drawn on top
-	overloadedFraction    = 0.002
-	errorFraction         = 0.001
+	meanExtraServiceTime  = 6 * time.Millisecond // mean of the exponentially distributed part of the service time
+	overloadedFraction    = 0.002                // fraction of attempts that a server rejects as overloaded
+	errorFraction         = 0.001                // fraction of attempts that a server answers with an error
 	serverZones           = 15
 	serversPerCell        = 21
-	maxReportedInFlight   = 6 // requests in hand that a server reports, at most
-	nonIdempotentFraction = 0.3
+	maxReportedInFlight   = 6   // exclusive upper bound of the in-flight requests in a load report
+	nonIdempotentFraction = 0.3 // fraction of requests
 )
 
-// clientDeadline is the time a client waits over all its attempts.
+// clientDeadline is the time after which a client gives up on a request, over all its attempts.
 const clientDeadline = 4 * time.Second
 
-// fleetSettings are the settings of an edge node of a large fleet: the form's sample with figures for
-// two classes, three plans and an inbox of 40 messages a second.
+// fleetSettings returns the settings of an edge node of a large fleet: two request classes, three plans and at most 40
+// peer messages per second.
 func fleetSettings(nodeCount, nodeIndex int) balancer.Settings {
 	return balancer.Settings{
 		NodeIndex: nodeIndex, NodeCount: nodeCount, Zone: zoneOf(nodeIndex),
@@ -42,9 +42,10 @@
 	}
 }
 
+// zoneOf returns the zone of a node or an app server by its number.
 func zoneOf(number int) string { return "zone-" + strconv.Itoa(number%serverZones) }
 
-// server returns the list's entry of a server by its number; the same each time.
+// server returns the list entry of the app server with the given number. It depends on the number alone.
 func server(number int) balancer.Endpoint {
 	return balancer.Endpoint{
 		ID: fmt.Sprintf("server-%06d", number), Weight: 1, MachineType: "standard",
@@ -52,7 +53,7 @@
 	}
 }
 
-// serverList returns the list of the first servers.
+// serverList returns the list entries of the app servers 0 to count-1.
 func serverList(count int) []balancer.Endpoint {
 	list := make([]balancer.Endpoint, count)
 	for i := range list {
@@ -61,20 +62,20 @@
 	return list
 }
 
-// counts is what an edge node did, or all of a fleet. All are counts and sums that the seed decides.
+// counts are the counters of an edge node, or their sums over a fleet. They depend on the seed alone.
 type counts struct {
 	requests, served, rejected, failed        int
-	duplicateAnswers                          int // final answers to a request that had one
-	unanswered                                int // requests without one after their deadline
+	duplicateAnswers                          int // final responses to a request that already had one
+	unanswered                                int // requests without a final response after their deadline
 	attempts                                  int
-	quotaRequests, quotaGrants, otherMessages int // messages sent
-	bytes                                     int // of them
-	longestMessage                            int // bytes of the longest message
-	arrived, discarded                        int // messages that came to the inbox, and of them those over its rate
-	receivedBytes                             int // bytes of the messages taken in
-	admittedUnits                             float64
-	overQuotaUnits                            float64 // of them, those that the quota did not have
-	rejectedInQuota                           int     // rejections while half of the quota was unused
+	quotaRequests, quotaGrants, otherMessages int     // messages sent, by kind
+	bytes                                     int     // bytes of the messages sent
+	longestMessage                            int     // bytes of the longest message sent
+	arrived, discarded                        int     // messages that reached the inbox, and those discarded because of its rate limit
+	receivedBytes                             int     // bytes of the messages that the inbox accepted
+	admittedUnits                             float64 // units of the requests sent to a server
+	overQuotaUnits                            float64 // admitted units of requests that exceeded the tenant's quota
+	rejectedInQuota                           int     // requests rejected while at least half of the tenant's burst was unused
 }
 
 func (c *counts) add(d *counts) {
@@ -100,8 +101,8 @@
 
 func (c *counts) messages() int { return c.quotaRequests + c.quotaGrants + c.otherMessages }
 
-// fleet is a number of simulated nodes, with real balancers, on one simulated clock. Their clients, servers and links are
-// drawn from one seed, so that the same seed gives the same decisions.
+// fleet is a set of simulated edge nodes with real balancers on one simulated clock. The behavior of clients, app servers
+// and links is generated from one seed, so that the same seed leads to the same decisions.
 type fleet struct {
 	clock      clock
 	rng        *rand.Rand
@@ -109,21 +110,21 @@
 	seed       uint64
 	nodeCount  int
 	entryNodes int
-	inboxRate  float64                // messages a second that an inbox takes
-	nodes      map[int]*simulatedNode // by number; a node that is not simulated takes messages and is silent
-	added      []*simulatedNode       // by the order in which they were added
-	nextID     int
+	inboxRate  float64                // rate limit of each inbox, in messages per second
+	nodes      map[int]*simulatedNode // by number; messages to a node that is not simulated are counted and dropped
+	added      []*simulatedNode       // the same nodes in the order in which they were added
+	nextID     int                    // number of requests so far
 }
 
 func newFleet(seed uint64, nodeCount, entryNodes int) *fleet {
 	rng := rand.New(rand.NewPCG(seed, 0x5ca1e))
 	return &fleet{
 		rng: rng, link: link{rng}, seed: seed, nodeCount: nodeCount, entryNodes: entryNodes,
-		inboxRate: fleetSettings(nodeCount, 0).PeerMessagesPerSecond, nodes: map[int]*simulatedNode{}, clock: clock{now: time.Hour}, // servers started long ago
+		inboxRate: fleetSettings(nodeCount, 0).PeerMessagesPerSecond, nodes: map[int]*simulatedNode{}, clock: clock{now: time.Hour}, // later than the slow start of all servers, which start at 0
 	}
 }
 
-// add makes an edge node and starts its balancer, which has no list yet.
+// add creates an edge node and starts its balancer. The node has no endpoint list yet.
 func (f *fleet) add(number int) (*simulatedNode, error) {
 	settings := fleetSettings(f.nodeCount, number)
 	b, err := balancer.New(settings, f.seed<<16+uint64(number))
@@ -140,7 +141,7 @@
 	return n, nil
 }
 
-// addAll makes all edge nodes, each with the same list.
+// addAll creates all edge nodes of the fleet, each with the list of the first servers.
 func (f *fleet) addAll(servers int) error {
 	for number := range f.nodeCount {
 		n, err := f.add(number)
@@ -152,7 +153,8 @@
 	return nil
 }
 
-// arrive begins the requests of a tenant, each at one of its nodes, until a time.
+// arrive schedules the requests of a tenant until end. Each arrives at a random entry node of the tenant. Requests at
+// nodes that are not simulated are dropped.
 func (f *fleet) arrive(t *tenant, end time.Duration) {
 	wait := time.Duration(f.rng.ExpFloat64() / t.demand * float64(time.Second))
 	if f.clock.now+wait >= end {
@@ -167,7 +169,7 @@
 	})
 }
 
-// total sums what all edge nodes did.
+// total returns the sums of the counters of all simulated nodes.
 func (f *fleet) total() (sum counts) {
 	for _, n := range f.added {
 		sum.add(&n.counts)
@@ -175,7 +177,7 @@
 	return sum
 }
 
-// reset forgets what was counted so far.
+// reset clears the counters and the used endpoints of all simulated nodes.
 func (f *fleet) reset() {
 	for _, n := range f.added {
 		n.counts = counts{}
@@ -183,7 +185,7 @@
 	}
 }
 
-// finish marks the requests that have no final answer; to be called once all deadlines have passed.
+// finish counts the requests without a final response as unanswered. Call it once all deadlines have passed.
 func (f *fleet) finish() {
 	for _, n := range f.added {
 		for _, q := range n.open {
--- a/internal/scale/link.go
+++ b/internal/scale/link.go
@@ -6,36 +6,37 @@
 	"time"
 )
 
-// Peer links, as the platform has them: a message is late, or lost, and an edge node discards what
-// arrives faster than its inbox takes.
+// Links between edge nodes, as the platform provides them: a message is delayed or lost, and an edge node discards
+// messages that exceed the rate limit of its inbox.
 const (
-	maxMessage   = 256 // bytes of a datagram
+	maxMessage   = 256 // bytes
 	minLinkDelay = 2 * time.Millisecond
 	maxLinkDelay = 15 * time.Millisecond
-	linkLoss     = 0.04 // the middle of what the platform may lose, 0 to 0.08
+	linkLoss     = 0.04 // fraction of messages; the middle of the platform's range of 0 to 0.08
 )
 
-// link draws how a message crosses from one edge node to another.
+// link simulates the link between two edge nodes.
 type link struct{ rng *rand.Rand }
 
-// send returns the delay of one message, or false for one that is lost.
+// send returns the delay of a message, and whether it arrives at all.
 func (l link) send() (time.Duration, bool) {
 	delay := minLinkDelay + time.Duration(l.rng.Int64N(int64(maxLinkDelay-minLinkDelay)))
 	return delay, l.rng.Float64() >= linkLoss
 }
 
-// inbox is the bounded reader of an edge node: a token bucket that holds one second's messages.
+// inbox limits the rate at which an edge node accepts messages. It is a token bucket whose burst is the messages of one
+// second.
 type inbox struct {
-	rate   float64 // messages a second
+	rate   float64 // messages per second
 	tokens float64
-	at     time.Duration
+	at     time.Duration // time of the last refill
 }
 
 func newInbox(rate float64, now time.Duration) inbox {
 	return inbox{rate: rate, tokens: rate, at: now}
 }
 
-// accept tells whether a message is taken in; it is discarded otherwise.
+// accept reports whether a message that arrives now is accepted. The other messages are discarded.
 func (b *inbox) accept(now time.Duration) bool {
 	b.tokens = math.Min(b.tokens+b.rate*(now-b.at).Seconds(), b.rate)
 	b.at = now
@@ -46,13 +47,13 @@
 	return true
 }
 
-// messageKind is the first byte of a message between nodes, which says what it is.
+// messageKind is the kind of a message between nodes, which is its first byte.
 type messageKind byte
 
-// Kinds of messages that are counted apart, as the balancer encodes them.
+// Kinds of messages that are counted separately, as the balancer encodes them.
 const (
-	messageQuotaRequest messageKind = 1 // a node asks the quota's owner for a request's units
-	messageQuotaGrant   messageKind = 2 // and is answered
+	messageQuotaRequest messageKind = 1 // a requester asks the owner of a quota for the units of a request
+	messageQuotaGrant   messageKind = 2 // the owner's response
 )
 
 func kindOf(message []byte) messageKind {
--- a/internal/scale/list.go
+++ b/internal/scale/list.go
@@ -12,37 +12,37 @@
 	"opalhook/internal/registry"
 )
 
-// Sizes of the list in entries, up to the plan's.
+// Sizes of the list in entries. The largest is that of the planned fleet.
 var (
 	listSizes = []int{2_000, 20_000, 100_000, 200_000}
 	listSmall = []int{600}
 )
 
-// Proportions of the plan: 200,000 entries in 15 zones, watched by 4,100 edge nodes.
+// Planned fleet: 200,000 app servers in 15 zones, and 4,100 edge nodes that watch the list.
 const (
 	planEntries = 200_000
 	planWatches = 4_100
 	planZones   = 15
 )
 
-// Estimates of memory, with room above what was measured.
+// Memory estimates. They are higher than the measured values.
 const (
-	listEntryMemory = 6 << 10   // of an entry: its state, its encoded forms and those of a snapshot
-	listWatchMemory = 256 << 10 // of a watch: both ends' buffers, also those of the system
-	listBaseMemory  = 64 << 20
+	listEntryMemory = 6 << 10   // per entry: its state, and its encoded forms in memory and in a snapshot
+	listWatchMemory = 256 << 10 // per watch: the buffers of both ends, including the kernel's socket buffers
+	listBaseMemory  = 64 << 20  // independent of the size
 )
 
-// listMemory estimates what replicas with a list of that many entries take.
+// listMemory estimates the memory of a number of replicas of a list, in bytes.
 func listMemory(replicas, entries int) uint64 {
 	return listBaseMemory + uint64(replicas)*uint64(entries)*listEntryMemory
 }
 
-// listServiceMemory estimates what replicas take with the plan's share of watches.
+// listServiceMemory estimates the memory of a number of replicas and of the watches of [watchesOf], in bytes.
 func listServiceMemory(replicas, entries int) uint64 {
 	return listMemory(replicas, entries) + uint64(watchesOf(entries))*listWatchMemory
 }
 
-// rowsOf collects the rows of one part at one size.
+// listRows collects the rows of a part at one size.
 type rowsOf struct {
 	rowWriter
 }
@@ -53,21 +53,21 @@
 }
 func (r *rowsOf) time(quantity string, d time.Duration) { r.add(quantity, d.Seconds(), "s") }
 
-// listSteps tells a measurement's progress and ends it when its context does.
+// listSteps reports the progress of a measurement that consists of steps, and stops it when its context is cancelled.
 type listSteps struct {
 	ctx         context.Context
 	env         Env
 	done, total int
 }
 
-// next begins a step.
+// next reports the start of a step. It returns an error if the context is cancelled.
 func (s *listSteps) next(doing string) error {
 	s.env.Progress(s.done, s.total, doing)
 	s.done++
 	return s.ctx.Err()
 }
 
-// inSteps makes a part's Measure of a measurement that takes a number of steps.
+// measureInSteps returns the [Part.Measure] function of a measurement that consists of a number of steps.
 func inSteps(part string, steps int, measure func(*listSteps, *rowsOf) error) func(context.Context, int, Env) ([]Row, error) {
 	return func(ctx context.Context, size int, env Env) ([]Row, error) {
 		rows := rowsOf{rowWriter{part: part, size: size}}
@@ -76,11 +76,11 @@
 	}
 }
 
-// ListState measures what a list costs a replica that nobody calls.
+// ListState returns the part that measures the memory, snapshots and recovery of a replica without clients.
 func ListState() Part {
 	return Part{
 		Name:    "list-state",
-		Title:   "One replica of the list service, on loopback and with its log on disk: memory, snapshot, restore and recovery.",
+		Title:   "Memory, snapshot, restore and recovery of one replica of the list service, on loopback and with its log on disk.",
 		Size:    "entries in the list, each with a lease",
 		Sizes:   listSizes,
 		Small:   listSmall,
@@ -105,9 +105,9 @@
 	return measureRecovery(at, rows, service)
 }
 
-// measureEncoding fills a state, encodes it and decodes it again. It returns the encoded state.
+// measureEncoding creates a list, encodes it and decodes it again. It returns the encoded list.
 func measureEncoding(at *listSteps, rows *rowsOf) (image []byte, err error) {
-	if err := at.next("filling the list"); err != nil {
+	if err := at.next("creating the list"); err != nil {
 		return nil, err
 	}
 	before := heapInUse()
@@ -131,7 +131,7 @@
 	return image, nil
 }
 
-// measureRestore starts a replica from a backup.
+// measureRestore starts a replica with the list of a backup.
 func measureRestore(at *listSteps, rows *rowsOf, image []byte) (*listReplica, error) {
 	if err := at.next("restoring a backup"); err != nil {
 		return nil, err
@@ -148,7 +148,7 @@
 	return service, nil
 }
 
-// measureSnapshot has a replica write its snapshot.
+// measureSnapshot measures how long a replica takes to write a snapshot.
 func measureSnapshot(at *listSteps, rows *rowsOf, service *listReplica) error {
 	if err := at.next("writing a snapshot"); err != nil {
 		return err
@@ -161,7 +161,7 @@
 	return nil
 }
 
-// measureRecovery ends a replica and starts it from its snapshot.
+// measureRecovery stops a replica and starts it again from its snapshot.
 func measureRecovery(at *listSteps, rows *rowsOf, service *listReplica) error {
 	if err := at.next("recovering"); err != nil {
 		return err
@@ -176,12 +176,12 @@
 	}
 	rows.time("recovery from a snapshot", time.Since(began))
 	if got := service.Generation(); got != generation {
-		return fmt.Errorf("recovered generation %d, not %d", got, generation)
+		return fmt.Errorf("replica recovered at generation %d, want %d", got, generation)
 	}
 	return nil
 }
 
-// heapGrowth is what the live heap is larger than before.
+// heapGrowth returns the growth of the live heap in bytes, or 0 if it has shrunk.
 func heapGrowth(before uint64) uint64 {
 	if now := heapInUse(); now > before {
 		return now - before
@@ -189,21 +189,21 @@
 	return 0
 }
 
-// Figures of the measurements of watches.
+// Parameters of the measurements with watches.
 const (
-	singleChanges  = 3   // that are told one after another
-	zoneWriters    = 64  // clients that write a lost zone's removals at once
-	wholeListReads = 128 // most watches that take the whole list at once
-	lostZone       = 0
+	singleChanges  = 3   // number of changes written one after another
+	zoneWriters    = 64  // number of concurrent clients that remove the entries of the lost zone
+	wholeListReads = 128 // maximum number of watches that receive a complete list at the same time
+	lostZone       = 0   // number of the zone that is lost
 )
 
-// ListService measures what a replica tells its watches. There are as many watches for each entry
-// as in the plan.
+// ListService returns the part that measures how a replica delivers changes and complete lists to its watches. The ratio
+// of watches to entries is that of the planned fleet.
 func ListService() Part {
 	return Part{
 		Name: "list-watches",
-		Title: "One replica of the list service with the plan's share of watches, 41 for each 2,000 entries, over loopback in one process: " +
-			"a change, a zone lost one entry after another, all watches coming back from before it, and whole lists to at most 128 watches.",
+		Title: "Watches of one replica of the list service, over loopback in one process, with 41 watches per 2,000 entries as planned: " +
+			"a single change, the removal of a zone entry by entry, all watches reconnecting from before it, and complete lists to at most 128 watches.",
 		Size:    "entries in the list",
 		Sizes:   listSizes,
 		Small:   listSmall,
@@ -212,7 +212,7 @@
 	}
 }
 
-// watchesOf is the number of watches of a list in the plan's proportions.
+// watchesOf returns the number of watches of a list, in the proportion of the planned fleet.
 func watchesOf(entries int) int { return max(entries*planWatches/planEntries, 1) }
 
 func measureService(at *listSteps, rows *rowsOf) (err error) {
@@ -226,17 +226,17 @@
 	return errors.Join(run.followed(), run.reconnects(), run.snapshots())
 }
 
-// serviceRun is the measurement of one list.
+// serviceRun is a measurement of [ListService] at one size.
 type serviceRun struct {
 	at         *listSteps
 	rows       *rowsOf
 	service    *listReplica
 	writer     *listWriter
 	watches    int
-	beforeZone uint64 // generation before the zone was lost
+	beforeZone uint64 // generation before the first removal of the lost zone
 }
 
-// followed measures changes that reach watches that are open.
+// measureOpenWatches measures the delivery of changes to open watches.
 func (r *serviceRun) followed() error {
 	if err := r.at.next("opening watches"); err != nil {
 		return err
@@ -255,9 +255,9 @@
 	return r.zone(watches)
 }
 
-// singles measures changes that come one after another.
+// measureSingleChanges measures the delivery of changes that are written one after another.
 func (r *serviceRun) singles(watches *listWatches) error {
-	if err := r.at.next("telling single changes"); err != nil {
+	if err := r.at.next("writing single changes"); err != nil {
 		return err
 	}
 	var late []time.Duration
@@ -280,9 +280,9 @@
 	return told.firstError
 }
 
-// zone measures the loss of a zone, one removal for each entry.
+// measureZoneLoss measures the delivery of the removals of a zone, each a separate change.
 func (r *serviceRun) zone(watches *listWatches) error {
-	if err := r.at.next("losing a zone"); err != nil {
+	if err := r.at.next("removing a zone"); err != nil {
 		return err
 	}
 	r.beforeZone = r.service.Generation()
@@ -308,8 +308,8 @@
 	return told.firstError
 }
 
-// opened opens watches from a generation, waits until the last has the list, and closes them. It returns
-// what they were told and how long that took.
+// syncNewWatches opens n watches that start after a generation, waits until all of them have the current list, and closes
+// them. It returns what they received and how long that took.
 func (r *serviceRun) opened(n int, from uint64) (told watchTotals, took time.Duration, err error) {
 	began := time.Now()
 	watches, err := openWatches(r.at.ctx, startsAt(r.service.Addr(), n, from), r.at.env.Seed)
@@ -324,9 +324,10 @@
 	return watches.count(), last.Sub(began), nil
 }
 
-// reconnects measures all watches as they come back together, from before the zone was lost.
+// measureReconnects measures how all watches catch up if they reconnect at the same time, starting from the generation
+// before the zone was lost.
 func (r *serviceRun) reconnects() error {
-	if err := r.at.next("all watches come back"); err != nil {
+	if err := r.at.next("reconnecting all watches"); err != nil {
 		return err
 	}
 	told, took, err := r.opened(r.watches, r.beforeZone)
@@ -340,9 +341,9 @@
 	return told.firstError
 }
 
-// snapshots measures whole lists to watches that begin anew.
+// measureSnapshots measures the delivery of complete lists to new watches.
 func (r *serviceRun) snapshots() error {
-	if err := r.at.next("telling whole lists"); err != nil {
+	if err := r.at.next("sending complete lists"); err != nil {
 		return err
 	}
 	readers := min(r.watches, wholeListReads)
--- a/internal/scale/list_expiry.go
+++ b/internal/scale/list_expiry.go
@@ -8,25 +8,25 @@
 	"opalhook/internal/registry"
 )
 
-// The lease of the zone's instances must outlast the opening of all watches, of which a replica
-// takes 2,000 a second, and the renewal of each lease after it.
+// The leases of the zone must not expire before all watches are open and the leases have been renewed. A replica accepts
+// 2,000 new watches per second.
 const (
 	minZoneLease      = 5 * time.Second
-	zoneLeasePerWatch = 4 * time.Millisecond // for each watch
+	zoneLeasePerWatch = 4 * time.Millisecond
 )
 
-// zoneLease is the lease of the zone's instances in a list of that many entries.
+// zoneLease returns the lease duration of the zone's instances in a list with the given number of entries.
 func zoneLease(entries int) time.Duration {
 	return minZoneLease + time.Duration(watchesOf(entries))*zoneLeasePerWatch
 }
 
-// ListExpiry measures the loss of a zone as the service finds it: the leases of its instances run
-// out together.
+// ListExpiry returns the part that measures how the service detects the loss of a zone: the leases of all its instances
+// expire together.
 func ListExpiry() Part {
 	return Part{
 		Name: "list-expiry",
-		Title: "One replica of the list service with the plan's share of watches, over loopback in one process: all leases of a zone " +
-			"are renewed by 64 clients once the watches are open, and run out; those of the other zones do not.",
+		Title: "Loss of a zone whose leases expire, at one replica of the list service with watches as planned, over loopback in one process: " +
+			"64 clients renew all leases of the zone once the watches are open, and never again.",
 		Size:    "entries in the list, each with a lease",
 		Sizes:   listSizes,
 		Small:   listSmall,
@@ -47,27 +47,27 @@
 	return run.measure()
 }
 
-// expiryRun is the measurement of the expiry of one list's zone.
+// expiryRun is a measurement of [ListExpiry] at one size.
 type expiryRun struct {
 	at      *listSteps
 	rows    *rowsOf
 	service *listReplica
 	writer  *listWriter
-	lease   time.Duration // of the zone's instances
-	before  uint64        // generation before the first lease runs out
+	lease   time.Duration // lease duration of the zone's instances
+	before  uint64        // generation before the first expiry
 }
 
-// earlyExpiryError tells that leases ran out before the last of them was renewed with all watches open.
+// earlyExpiryError reports that a lease expired before all watches were open and all leases had been renewed.
 type earlyExpiryError struct {
 	lease       time.Duration
-	before, now uint64 // generations
+	before, now uint64 // generations of the list: the expected and the actual one
 }
 
 func (e *earlyExpiryError) Error() string {
-	return fmt.Sprintf("leases of %v ran out before all watches were open and the leases renewed: generation %d, not %d", e.lease, e.now, e.before)
+	return fmt.Sprintf("a lease of %v expired before all watches were open and all leases had been renewed: generation is %d, want %d", e.lease, e.now, e.before)
 }
 
-// checkNoneExpired returns an error where a lease has run out.
+// checkNoneExpired returns an [earlyExpiryError] if a lease has expired.
 func (r *expiryRun) checkNoneExpired() error {
 	if now := r.service.Generation(); now != r.before {
 		return &earlyExpiryError{r.lease, r.before, now}
@@ -92,10 +92,10 @@
 	return r.expire(watches, ends)
 }
 
-// leaseEnds bounds when the leases of the zone run out.
+// leaseEnds are the bounds of the times at which the zone's leases expire.
 type leaseEnds struct{ first, last time.Time }
 
-// renew renews each lease of the zone, so that it is known when they run out.
+// renew renews all leases of the zone once, which determines when they expire.
 func (r *expiryRun) renew() (ends leaseEnds, err error) {
 	if err := r.at.next("renewing the zone's leases"); err != nil {
 		return ends, err
@@ -111,9 +111,9 @@
 	return leaseEnds{began.Add(r.lease), renewed.Add(r.lease)}, nil
 }
 
-// expire waits until the zone's leases have run out and all watches were told.
+// expire waits until the zone's leases have expired and all watches have received the removals.
 func (r *expiryRun) expire(watches *listWatches, ends leaseEnds) error {
-	if err := r.at.next("waiting for the zone's leases to run out"); err != nil {
+	if err := r.at.next("waiting for the zone's leases to expire"); err != nil {
 		return err
 	}
 	after, err := r.awaitExpiry()
@@ -136,12 +136,12 @@
 	return told.firstError
 }
 
-// awaitExpiry waits until as few entries are left as the other zones have. The service is asked only
-// where its list has changed.
+// awaitExpiry waits until the list has only the entries of the other zones, and returns the replica's status. It requests
+// the status only when the generation has changed. It returns an [expiryError] if the wait ends early.
 func (r *expiryRun) awaitExpiry() (status registry.Status, err error) {
 	others := r.rows.size - zoneEntries(r.rows.size)
 	status.Entries, status.Generation = r.rows.size, r.before
-	waited := awaitReplica(r.at.ctx, "the zone's leases to run out", func() bool {
+	waited := awaitReplica(r.at.ctx, "the zone's leases to expire", func() bool {
 		if r.service.Generation() != status.Generation {
 			status, err = r.writer.status(r.at.ctx)
 		}
@@ -156,15 +156,15 @@
 	return status, errors.Join(err, &expiryError{status.Entries, others, status.ExpirySuspended, waited})
 }
 
-// expiryError tells that entries stay whose leases have run out.
+// expiryError reports that entries are still in the list although their leases should have expired.
 type expiryError struct {
-	entries, expected int // in the list, and of zones whose leases last
-	suspended         bool
-	why               error
+	entries, expected int   // in the list: the actual and the expected number
+	suspended         bool  // the replica has suspended the expiry of leases
+	why               error // why the wait ended
 }
 
 func (e *expiryError) Error() string {
-	return fmt.Sprintf("%d entries are left, %d of other zones; expiry is paused: %v: %v", e.entries, e.expected, e.suspended, e.why)
+	return fmt.Sprintf("%d entries are left, want %d after the zone's leases have expired; expiry suspended: %v: %v", e.entries, e.expected, e.suspended, e.why)
 }
 
 func (e *expiryError) Unwrap() error { return e.why }
--- a/internal/scale/list_lost.go
+++ b/internal/scale/list_lost.go
@@ -10,15 +10,15 @@
 	"opalhook/internal/registry"
 )
 
-// reconnectStream are the draws of the replicas at which watches come back, beside those of the seed.
+// reconnectStream selects the random stream of the seed that chooses the replicas to which watches reconnect.
 const reconnectStream = 0x105e
 
-// ListLostReplica measures a service of three replicas that loses one with all its watches.
+// ListLostReplica returns the part that measures how a service of three replicas loses a replica that serves all watches.
 func ListLostReplica() Part {
 	return Part{
 		Name: "list-lost-replica",
-		Title: "A service of three replicas over loopback in one process, with the plan's share of watches at one that follows: it ends, its watches " +
-			"come back at once at the other two, drawn, while 64 clients remove a zone one entry after another, over a connection each, at whichever replica leads.",
+		Title: "Loss of a replica in a service of three, over loopback in one process, with watches as planned at a follower. The follower stops and its watches " +
+			"reconnect at once to a random one of the other two, while 64 clients remove a zone entry by entry at the leader, with a new connection for each removal.",
 		Size:    "entries in the list",
 		Sizes:   listSizes,
 		Small:   listSmall,
@@ -46,13 +46,13 @@
 	return run.measure()
 }
 
-// lostRun is the measurement of one loss of a replica.
+// lostRun is a measurement of [ListLostReplica] at one size.
 type lostRun struct {
 	at     *listSteps
 	rows   *rowsOf
-	leader *listReplica // when the other is lost
-	lost   *listReplica // a follower; the watches are open there at first
-	stays  *listReplica // the other one
+	leader *listReplica // the leader at the time of the loss
+	lost   *listReplica // the follower that is stopped; it serves the watches until then
+	stays  *listReplica // the other follower
 	client registry.Client
 }
 
@@ -65,7 +65,7 @@
 	return r.lose(watches)
 }
 
-// open opens watches at the replica that will be lost, and lets them be told a change there.
+// open opens the watches at the replica that will be lost, and waits until all of them have received a first change.
 func (r *lostRun) open() (*listWatches, error) {
 	if err := r.at.next("opening watches"); err != nil {
 		return nil, err
@@ -87,13 +87,13 @@
 	return watches, nil
 }
 
-// lose ends the replica while the zone's entries are removed, and opens its watches at the others.
+// lose stops the replica while the zone's entries are removed, and reconnects its watches to the other replicas.
 func (r *lostRun) lose(watches *listWatches) error {
 	if err := r.at.next("losing a replica"); err != nil {
 		return err
 	}
 	before := watches.count()
-	generation := r.leader.Generation() + uint64(zoneEntries(r.rows.size)) // once all are removed
+	generation := r.leader.Generation() + uint64(zoneEntries(r.rows.size)) // after all removals
 	loss := r.begin()
 	watches.awaitEnd()
 	loss.ended = time.Now()
@@ -113,7 +113,8 @@
 	return r.countReceived(watches, back, before.maxBytes)
 }
 
-// reach waits until all watches that came back have the list as it is, and until they have it without the zone.
+// catchUp waits until all reconnected watches have the current list, and then until they have the given generation,
+// which is that of the list without the zone.
 func (r *lostRun) reach(back *listWatches, loss *replicaLoss, generation uint64) (err error) {
 	loss.upToDate, err = back.awaitGeneration(r.at.ctx, r.leader.Generation())
 	if err := errors.Join(err, loss.wait()); err != nil {
@@ -123,22 +124,22 @@
 	return err
 }
 
-// replicaLoss is the end of a replica, and of a zone meanwhile.
+// replicaLoss records the times of the loss of a replica, and of the removal of a zone in the meantime.
 type replicaLoss struct {
 	began    time.Time
-	ended    time.Time // all watches had
-	open     time.Time // all were again
-	upToDate time.Time // all had the list of when the last was opened
-	written  time.Time // all removals were
-	last     time.Time // all had the list without the zone
+	ended    time.Time // all watches at the lost replica had ended
+	open     time.Time // all watches were open again
+	upToDate time.Time // all watches had the list as it was when the last of them was open again
+	written  time.Time // all removals had been written
+	last     time.Time // all watches had the list without the zone
 
 	work             sync.WaitGroup
-	stopped, removed error
+	stopped, removed error // of stopping the replica, and of removing the zone
 	mu               sync.Mutex
-	longest          time.Duration // of the removals, with all attempts
+	longest          time.Duration // longest removal, including retries; guarded by mu
 }
 
-// addRows adds how long it took.
+// addRows adds the durations of the loss.
 func (l *replicaLoss) addRows(rows *rowsOf) {
 	since := func(quantity string, at time.Time) { rows.time(quantity, at.Sub(l.began)) }
 	since("replica lost, until the last of its watches has ended", l.ended)
@@ -151,6 +152,7 @@
 	rows.time("zone lost meanwhile, from the last removal to the last watch", max(l.last.Sub(l.written), 0))
 }
 
+// begin stops the replica and starts to remove the zone, both in the background.
 func (r *lostRun) begin() *replicaLoss {
 	loss := &replicaLoss{began: time.Now()}
 	loss.work.Go(func() { loss.stopped = r.lost.stop() })
@@ -161,8 +163,7 @@
 	return loss
 }
 
-// removeZone removes the zone's instances. A client goes to the replica that leads, and tries again
-// where the leader changes.
+// removeZone removes the zone's instances at the leader. The client retries if the leader changes.
 func (r *lostRun) removeZone(loss *replicaLoss) error {
 	ctx, cancel := context.WithTimeout(r.at.ctx, serviceWithin)
 	defer cancel()
@@ -174,7 +175,7 @@
 	})
 }
 
-// owner is an instance as it is at the start.
+// firstInstance refers to the first incarnation of an instance.
 func owner(n int) registry.InstanceRef {
 	return registry.InstanceRef{ID: listEntry(n).InstanceID, Incarnation: firstIncarnation}
 }
@@ -185,12 +186,14 @@
 	l.longest = max(l.longest, removal)
 }
 
+// wait waits until the replica has stopped and the zone is removed.
 func (l *replicaLoss) wait() error {
 	l.work.Wait()
 	return errors.Join(l.stopped, l.removed)
 }
 
-// drawReconnects draws a replica for each watch that has ended. It goes on from what it was told last.
+// chooseReconnects chooses a random remaining replica for each watch. The watch continues after the last generation that it
+// received.
 func (r *lostRun) drawReconnects(watches *listWatches) []watchStart {
 	rng := rand.New(rand.NewPCG(r.at.env.Seed, reconnectStream))
 	others := []string{r.leader.Addr(), r.stays.Addr()}
@@ -201,7 +204,7 @@
 	return starts
 }
 
-// countReconnects counts the watches that come back at each replica.
+// countReconnects counts the watches that reconnect to each replica.
 func (r *lostRun) countReconnects(starts []watchStart) {
 	leads := 0
 	for _, start := range starts {
@@ -211,7 +214,7 @@
 	r.rows.count("come back, at the replica that follows", len(starts)-leads)
 }
 
-// countReceived counts what was told to watches at the replica that was lost and then at the others.
+// countReceived counts the messages to the watches at the lost replica and then at the other replicas.
 func (r *lostRun) countReceived(watches, back *listWatches, before uint64) error {
 	var most uint64
 	for i, w := range watches.all {
--- a/internal/scale/list_renew.go
+++ b/internal/scale/list_renew.go
@@ -14,22 +14,22 @@
 	"time"
 )
 
-// Figures of the measurement of renewals.
+// Parameters of the measurement of renewals.
 const (
-	renewClients    = 32     // threads, each with one connection at a time
-	renewalsKept    = 30_000 // over connections that stay open
-	renewalsEach    = 6_000  // over a connection for each
-	renewalsALease  = 3      // in the plan
-	planLeaseTerm   = 10     // seconds, in the plan
+	renewClients    = 32     // clients, each with a thread of its own and one connection at a time
+	renewalsKept    = 30_000 // maximum number of renewals over persistent connections
+	renewalsEach    = 6_000  // maximum number of renewals with a new connection for each
+	renewalsALease  = 3      // planned renewals of a lease during its term
+	planLeaseTerm   = 10     // planned lease duration, in seconds
 	processorThread = 1      // RUSAGE_THREAD of getrusage(2): the calling thread
 )
 
-// ListRenewals measures what the renewals of a list's leases cost the service.
+// ListRenewals returns the part that measures the CPU time that the service spends on lease renewals.
 func ListRenewals() Part {
 	return Part{
 		Name: "list-renewals",
-		Title: "Renewals of all leases of a list over loopback: processor time of the replicas, without that of the clients, " +
-			"and of a second of the plan's renewals, each lease three times in 10 s. With three replicas it is that of all three.",
+		Title: "Lease renewals over loopback: CPU time of the replicas, without that of the clients, per renewal and per second of the " +
+			"planned renewals, in which each lease is renewed three times in 10 s. With three replicas it is the sum of all three.",
 		Size:    "leases",
 		Sizes:   listSizes,
 		Small:   []int{100},
@@ -57,13 +57,13 @@
 	}
 	defer func() { err = errors.Join(err, closeReplicas(followers)) }()
 	rows.time("two replicas join, until they have the list", time.Since(began))
-	if err := awaitReplica(at.ctx, "the first replica to lead", leader.IsLeader); err != nil {
+	if err := awaitReplica(at.ctx, "the first replica to become the leader", leader.IsLeader); err != nil {
 		return err
 	}
 	return renewAll(at, rows, leader.Addr(), "three replicas")
 }
 
-// renewAll measures renewals over connections that stay open, and over one for each.
+// renewAll measures renewals over persistent connections, and with a new connection for each.
 func renewAll(at *listSteps, rows *rowsOf, addr, service string) error {
 	if err := at.next("renewing leases, " + service); err != nil {
 		return err
@@ -85,7 +85,8 @@
 	return nil
 }
 
-// renew renews drawn leases and returns the processor time that the service spent on each.
+// renew renews random leases and returns the CPU time that the service spends on each renewal. That is the CPU time of
+// the process without that of the client threads.
 func renew(at *listSteps, addr string, leases, count int, keep bool) (each time.Duration, err error) {
 	to, err := socketAddress(addr)
 	if err != nil {
@@ -130,11 +131,11 @@
 	return 0
 }
 
-// processorTime is what this process, or this thread, has used of the processors.
+// cpuTime returns the CPU time used so far by this process or by the calling thread. who is RUSAGE_SELF or rusageThread.
 func processorTime(who int) (time.Duration, error) {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(who, &u); err != nil {
-		return 0, fmt.Errorf("processor time: %w", err)
+		return 0, fmt.Errorf("reading the CPU time: %w", err)
 	}
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano()), nil
 }
@@ -147,17 +148,17 @@
 	return &syscall.SockaddrInet4{Port: int(a.Port()), Addr: a.Addr().As4()}, nil
 }
 
-// renewClient renews leases one after another. It has a thread and blocking sockets of its own,
-// so that its processor time can be told from the service's.
+// renewClient renews leases one after another. It runs on its own thread and uses blocking sockets, so that its CPU time
+// can be measured separately from that of the service.
 type renewClient struct {
-	to     syscall.SockaddrInet4 // its own: Connect writes into it
+	to     syscall.SockaddrInet4 // a copy for each client, because Connect writes into it
 	leases int
-	keep   bool
+	keep   bool // keep the connection open between renewals
 	rng    *rand.Rand
-	fd     int
+	fd     int // socket; -1: none
 }
 
-// run sends renewals and returns the processor time that it took itself.
+// run sends a number of renewals and returns the CPU time of its own thread.
 func (c *renewClient) run(ctx context.Context, count int) (spent time.Duration, err error) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -177,7 +178,7 @@
 	return after - before, err
 }
 
-// one renews a drawn lease.
+// renewOne renews a random lease.
 func (c *renewClient) one() error {
 	if c.fd < 0 {
 		if err := c.dial(); err != nil {
@@ -193,7 +194,7 @@
 	for len(request) > 0 {
 		n, err := uninterrupted(syscall.Write, c.fd, request)
 		if err != nil {
-			return fmt.Errorf("write: %w", err)
+			return fmt.Errorf("writing the request: %w", err)
 		}
 		request = request[n:]
 	}
@@ -202,7 +203,7 @@
 		return err
 	}
 	if !strings.HasPrefix(string(answer), "HTTP/1.1 200 ") {
-		return fmt.Errorf("%s: answered %.300s", id, answer)
+		return fmt.Errorf("renewing %s: got response %.300q, want status 200", id, answer)
 	}
 	if !c.keep {
 		c.hangUp()
@@ -210,28 +211,29 @@
 	return nil
 }
 
-// answerEnd ends the body of an answer, a JSON object on a line.
+// responseEnd is the end of a response body, which is a JSON object on a line of its own.
 var answerEnd = []byte("}\n")
 
+// readResponse reads one response, with head and body.
 func (c *renewClient) answer() ([]byte, error) {
 	answer := make([]byte, 0, 1024)
 	for !bytes.HasSuffix(answer, answerEnd) {
 		if len(answer) == cap(answer) {
-			return nil, fmt.Errorf("an answer of over %d bytes: %.300s", cap(answer), answer)
+			return nil, fmt.Errorf("response has more than %d bytes: %.300q", cap(answer), answer)
 		}
 		n, err := uninterrupted(syscall.Read, c.fd, answer[len(answer):cap(answer)])
 		if err == nil && n == 0 {
-			err = errors.New("closed")
+			err = errors.New("connection closed by the service")
 		}
 		if err != nil {
-			return nil, fmt.Errorf("read after %.300q: %w", answer, err)
+			return nil, fmt.Errorf("reading the response after %.300q: %w", answer, err)
 		}
 		answer = answer[:len(answer)+n]
 	}
 	return answer, nil
 }
 
-// uninterrupted calls again when a signal of the runtime came in between.
+// uninterrupted repeats a system call as long as a signal, such as those of the Go runtime, interrupts it.
 func uninterrupted(call func(int, []byte) (int, error), fd int, b []byte) (n int, err error) {
 	for {
 		if n, err = call(fd, b); !errors.Is(err, syscall.EINTR) {
@@ -243,14 +245,14 @@
 func (c *renewClient) dial() (err error) {
 	if c.fd, err = syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0); err != nil {
 		c.fd = -1
-		return fmt.Errorf("socket: %w", err)
+		return fmt.Errorf("creating a socket: %w", err)
 	}
 	wait := syscall.NsecToTimeval(serviceWithin.Nanoseconds())
 	if err := syscall.SetsockoptTimeval(c.fd, syscall.SOL_SOCKET, syscall.SO_RCVTIMEO, &wait); err != nil {
-		return fmt.Errorf("time-out: %w", err)
+		return fmt.Errorf("setting the receive timeout: %w", err)
 	}
 	if err := syscall.Connect(c.fd, &c.to); err != nil {
-		return fmt.Errorf("connect: %w", err)
+		return fmt.Errorf("connecting: %w", err)
 	}
 	return nil
 }
--- a/internal/scale/list_replicas.go
+++ b/internal/scale/list_replicas.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Figures of a service of several replicas.
+// Parameters of a service of several replicas.
 const (
 	serviceReplicas = 3
-	serviceElection = 500 * time.Millisecond // without a word of the leader, as the service has it
+	serviceElection = 500 * time.Millisecond // election timeout; the service's default
 )
 
-// joinReplicas adds replicas to a service of one until it has serviceReplicas.
+// joinReplicas adds replicas to a service of one replica until it has serviceReplicas.
 func joinReplicas(ctx context.Context, leader *listReplica) (followers []*listReplica, err error) {
 	defer func() {
 		if err != nil {
@@ -29,13 +29,13 @@
 	return followers, nil
 }
 
-// joinReplica adds a replica to a service, and waits until it has the list.
+// joinReplica adds a replica to a service and waits until it has the leader's list.
 func joinReplica(ctx context.Context, leader *listReplica) (r *listReplica, err error) {
 	if r, err = newReplica(leader.timeout); err != nil {
 		return nil, err
 	}
 	if err = r.start(ctx, leader.Addr()); err == nil {
-		err = awaitReplica(ctx, "a new replica to have the list", func() bool { return r.Generation() == leader.Generation() })
+		err = awaitReplica(ctx, "a new replica to receive the list", func() bool { return r.Generation() == leader.Generation() })
 	}
 	if err != nil {
 		err = errors.Join(err, r.close())
@@ -43,7 +43,7 @@
 	return r, err
 }
 
-// closeReplicas ends replicas and removes their states.
+// closeReplicas stops replicas and removes their folders.
 func closeReplicas(replicas []*listReplica) error {
 	var errs []error
 	for _, r := range replicas {
--- a/internal/scale/list_service.go
+++ b/internal/scale/list_service.go
@@ -14,20 +14,21 @@
 	"opalhook/internal/registry"
 )
 
-// Bounds of waits; none is expected to come near them.
+// Timeouts and poll intervals. A successful measurement stays far below the timeout.
 const (
 	serviceWithin = time.Minute
 	servicePoll   = time.Millisecond
 )
 
-// electionTimeout of a service of one replica: it has nobody to hear from.
+// electionTimeout is the election timeout of a service of one replica. It can be short, because there are no other
+// replicas whose messages could be late.
 const electionTimeout = 100 * time.Millisecond
 
-// listLease is the plan's lease; the measurements end before a full one has passed or renew none.
+// listLease is the lease duration of instances that are not meant to expire. Measurements end before it has passed.
 const listLease = time.Hour
 
-// listEntry is the instance of a number. Its zone is its number's, so that a zone is spread over
-// the list.
+// listEntry returns the entry of the instance with the given number. Zones alternate by number, so that the entries of a
+// zone are spread over the list.
 func listEntry(n int) registry.Entry {
 	return registry.Entry{
 		InstanceID:  fmt.Sprintf("server-%06d", n),
@@ -41,10 +42,11 @@
 	}
 }
 
-// firstIncarnation is the incarnation of every instance at the start.
+// firstIncarnation is the incarnation of all instances.
 const firstIncarnation = 1
 
-// listState is a list of that many entries. Those of the zone that may be lost have a lease of their own.
+// listState returns a list with a number of entries. The instances of the lost zone have the lease duration zoneLease, all
+// others listLease.
 func listState(entries int, zoneLease time.Duration) (*registry.State, error) {
 	state := registry.NewState(0)
 	for n := range entries {
@@ -54,35 +56,35 @@
 		}
 		o := state.Apply(registry.Command{Kind: registry.Register, Entry: listEntry(n), Incarnation: firstIncarnation, Lease: lease})
 		if o.Code != registry.Done {
-			return nil, fmt.Errorf("entry %d: %s: %s", n, o.Code, o.Message)
+			return nil, fmt.Errorf("registering entry %d: %s: %s", n, o.Code, o.Message)
 		}
 	}
 	return state, nil
 }
 
-// listReplica is a replica of the list service with a folder of its own.
+// listReplica is a replica of the list service with its own temporary folder.
 type listReplica struct {
 	*registry.Server
 	dir          string
-	listen, raft string
-	timeout      time.Duration
+	listen, raft string        // addresses to listen on
+	timeout      time.Duration // election timeout
 }
 
-// newReplica makes a replica that is not started yet.
+// newReplica returns a replica that is not started yet, with the given election timeout.
 func newReplica(timeout time.Duration) (*listReplica, error) {
 	dir, err := os.MkdirTemp("", "opalhook-scale-")
 	if err != nil {
-		return nil, fmt.Errorf("folder of a replica: %w", err)
+		return nil, fmt.Errorf("creating the folder of a replica: %w", err)
 	}
 	return &listReplica{dir: dir, listen: "127.0.0.1:0", raft: "127.0.0.1:0", timeout: timeout}, nil
 }
 
-// startReplica starts a service of one replica that begins with a backup, and waits until it leads.
+// startReplica starts a service of one replica with the list of a backup, and waits until the replica is the leader.
 func startReplica(ctx context.Context, image []byte) (*listReplica, error) {
 	return startFirst(ctx, image, electionTimeout)
 }
 
-// startFirst is startReplica with the time without a word of the leader after which an election begins.
+// startFirst is like startReplica, with the given election timeout.
 func startFirst(ctx context.Context, image []byte, timeout time.Duration) (r *listReplica, err error) {
 	if r, err = newReplica(timeout); err != nil {
 		return nil, err
@@ -98,12 +100,14 @@
 	if err := r.start(ctx, ""); err != nil {
 		return r, err
 	}
-	return r, awaitReplica(ctx, "the replica to lead", r.IsLeader)
+	return r, awaitReplica(ctx, "the replica to become the leader", r.IsLeader)
 }
 
+// state returns the folder of the replica's state.
 func (r *listReplica) state() string { return filepath.Join(r.dir, "state") }
 
-// start starts the replica, at the address that it had if it was started before.
+// start starts the replica, which joins the service at the address join unless that is empty. A replica that is started
+// again listens on the same address as before.
 func (r *listReplica) start(ctx context.Context, join string) error {
 	server, err := registry.Start(ctx, registry.Config{Dir: r.state(), Listen: r.listen, Raft: r.raft, Join: join, ElectionTimeout: r.timeout, Logger: slog.New(slog.DiscardHandler)})
 	if err != nil {
@@ -113,7 +117,7 @@
 	return nil
 }
 
-// stop ends the replica; its state stays.
+// stop stops the replica and keeps its state.
 func (r *listReplica) stop() (err error) {
 	if r.Server != nil {
 		err = r.Close()
@@ -122,12 +126,12 @@
 	return err
 }
 
-// close ends the replica and removes its state.
+// close stops the replica and removes its folder.
 func (r *listReplica) close() error {
 	return errors.Join(r.stop(), os.RemoveAll(r.dir))
 }
 
-// awaitReplica waits until a condition holds.
+// awaitReplica polls a condition until it holds, for at most serviceWithin. what names the condition in errors.
 func awaitReplica(ctx context.Context, what string, holds func() bool) error {
 	ctx, cancel := context.WithTimeout(ctx, serviceWithin)
 	defer cancel()
@@ -143,7 +147,7 @@
 	return nil
 }
 
-// restore starts a service of one replica with a list of that many entries.
+// restore starts a service of one replica with a list of the given number of entries.
 func (s *listSteps) restore(entries int, zoneLease, election time.Duration) (*listReplica, error) {
 	if err := s.next("restoring a list"); err != nil {
 		return nil, err
@@ -155,7 +159,7 @@
 	return startFirst(s.ctx, image, election)
 }
 
-// listSnapshot is the backup of a list of that many entries.
+// listSnapshot returns a backup of a list with the given number of entries.
 func listSnapshot(entries int, zoneLease time.Duration) ([]byte, error) {
 	state, err := listState(entries, zoneLease)
 	if err != nil {
--- a/internal/scale/list_socket.go
+++ b/internal/scale/list_socket.go
@@ -5,7 +5,8 @@
 	"syscall"
 )
 
-// limitReceiveBuffer keeps the system from growing a connection's receive buffer to megabytes.
+// limitReceiveBuffer sets the receive buffer of a socket to watchBuffer bytes. Otherwise the kernel may grow it to several
+// megabytes per connection.
 func limitReceiveBuffer(_ context.Context, _, _ string, raw syscall.RawConn) error {
 	var err error
 	if ctl := raw.Control(func(fd uintptr) {
--- a/internal/scale/list_watch.go
+++ b/internal/scale/list_watch.go
@@ -17,41 +17,41 @@
 	"time"
 )
 
-// watchBuffer bounds what the system holds for a watch at its reader's end.
+// watchBuffer is the size of the kernel's receive buffer for a watch, in bytes.
 const watchBuffer = 64 << 10
 
-// readBuffer is what a watch reads at once.
+// readBuffer is the maximum number of bytes that a watch reads at once.
 const readBuffer = 16 << 10
 
-// watchError is how a watch was told something else than each change once and in order.
+// watchError reports that a watch did not receive each change exactly once and in order.
 type watchError struct {
-	after, got uint64
-	reset      bool
+	after, got uint64 // generations of the previous and of the unexpected message
+	reset      bool   // the unexpected message is a complete list
 }
 
 func (e *watchError) Error() string {
-	return fmt.Sprintf("a watch at generation %d was told %d (whole list: %v)", e.after, e.got, e.reset)
+	return fmt.Sprintf("watch at generation %d received generation %d (complete list: %v) instead of the next change", e.after, e.got, e.reset)
 }
 
-// watchState is what a watch has been told.
+// watchState summarizes the messages that a watch has received.
 type watchState struct {
-	at         uint64      // generation
-	when       time.Time   // when it had come
-	bytes      uint64      // of messages, as chunks of HTTP/1.1; without empty lines
-	snapshots  uint64      // whole lists
-	outOfOrder *watchError // the first thing that was not a change told once and in order
+	at         uint64      // generation of the last message
+	when       time.Time   // when the last message was received
+	bytes      uint64      // size of all messages as HTTP/1.1 chunks, without empty lines
+	snapshots  uint64      // number of complete lists
+	outOfOrder *watchError // first message that was not the expected change
 }
 
-// listWatch follows the list over a connection, as an edge node does, and counts what it is told.
+// listWatch watches the list over a connection, as an edge node does, and counts the messages that it receives.
 type listWatch struct {
 	conn     net.Conn
 	lines    *bufio.Reader
-	read     watchState                 // by the goroutine that reads
-	received atomic.Pointer[watchState] // for the others; not changed once it is there
+	read     watchState                 // state of the reading goroutine
+	received atomic.Pointer[watchState] // published copy for other goroutines; immutable
 }
 
-// openWatch opens a watch that goes on from a generation. A replica that turns it away is asked
-// again when it says, or a drawn while later.
+// openWatch opens a watch of the changes after a generation. If the replica rejects it, openWatch tries again after the
+// time in Retry-After plus a random delay of up to 1 s.
 func openWatch(ctx context.Context, addr string, from uint64, rng *rand.Rand) (*listWatch, error) {
 	for {
 		w, wait, err := dialWatch(ctx, addr, from)
@@ -67,7 +67,8 @@
 	}
 }
 
-// dialWatch tries once. A wait above 0 says when to try again.
+// dialWatch makes one attempt to open a watch. If the replica rejects it, wait is the time in Retry-After, or 0 if the
+// response has none.
 func dialWatch(ctx context.Context, addr string, from uint64) (w *listWatch, wait time.Duration, err error) {
 	d := net.Dialer{ControlContext: limitReceiveBuffer}
 	conn, err := d.DialContext(ctx, "tcp", addr)
@@ -87,7 +88,7 @@
 	for i := 0; ; i++ {
 		line, err := head.ReadString('\n')
 		if err != nil {
-			return nil, 0, fmt.Errorf("head of a watch: %w", err)
+			return nil, 0, fmt.Errorf("reading the response head of a watch: %w", err)
 		}
 		line = strings.TrimSpace(line)
 		if i == 0 {
@@ -105,20 +106,21 @@
 		}
 	}
 	if !strings.Contains(status, " 200 ") {
-		return nil, wait, fmt.Errorf("a watch is answered %s", status)
+		return nil, wait, fmt.Errorf("opening a watch: got response %q, want status 200", status)
 	}
 	w = &listWatch{conn: conn, lines: bufio.NewReaderSize(httputil.NewChunkedReader(head), readBuffer), read: watchState{at: from}}
 	w.publish()
 	return w, 0, nil
 }
 
-// Beginnings of messages. The generation stands first, then whether it is a whole list.
+// Start of a message: the generation, followed by whether the message is a complete list.
 var (
 	messageHead = []byte(`{"generation":`)
 	resetMark   = []byte(`,"reset":true`)
 )
 
-// follow reads until the connection ends. It tells of what has come when there is no more at hand.
+// follow reads messages until the connection ends. Whenever no further complete line is buffered, it publishes the state
+// and calls told.
 func (w *listWatch) follow(told func()) {
 	for {
 		line, err := w.lines.ReadSlice('\n')
@@ -129,7 +131,7 @@
 		reset := false
 		if message {
 			digits := rest[:max(bytes.IndexByte(rest, ','), 0)]
-			generation, _ = strconv.ParseUint(string(digits), 10, 64) // 0 is out of order, and told so
+			generation, _ = strconv.ParseUint(string(digits), 10, 64) // 0 is recorded as out of order
 			reset = bytes.HasPrefix(rest[len(digits):], resetMark)
 		}
 		for errors.Is(err, bufio.ErrBufferFull) {
@@ -139,7 +141,7 @@
 		if err != nil {
 			return
 		}
-		if message { // no empty line
+		if message { // not an empty line
 			w.record(generation, reset, length)
 		}
 		if w.read.bytes != w.received.Load().bytes && !w.anotherLine() {
@@ -149,13 +151,13 @@
 	}
 }
 
-// anotherLine tells whether a line can be read without waiting for it.
+// anotherLine reports whether a complete line is buffered.
 func (w *listWatch) anotherLine() bool {
 	at, err := w.lines.Peek(w.lines.Buffered())
 	return err == nil && bytes.IndexByte(at, '\n') >= 0
 }
 
-// record books a message.
+// record adds a message of the given length in bytes to the state.
 func (w *listWatch) record(generation uint64, reset bool, length int) {
 	r := &w.read
 	if inOrder := generation == r.at+1 || reset && generation >= r.at; !inOrder && r.outOfOrder == nil {
@@ -168,34 +170,36 @@
 	r.at = generation
 }
 
+// publish makes the current state visible to other goroutines.
 func (w *listWatch) publish() {
 	w.read.when = time.Now()
 	told := w.read
 	w.received.Store(&told)
 }
 
-// listWatches are the watches of a fleet.
+// listWatches are the watches of all edge nodes of a fleet.
 type listWatches struct {
 	all      []*listWatch
 	work     sync.WaitGroup
-	progress chan struct{} // something was told since it was last read
+	progress chan struct{} // receives a value after a watch has published its state
 }
 
-// maxConcurrentDials bounds the connections that are being opened, by what a listener queues.
+// maxConcurrentDials is the maximum number of connections that are being opened at the same time. More could overflow
+// the listener's backlog.
 const maxConcurrentDials = 512
 
-// watchStart is where a watch is opened, and from which generation it goes on.
+// watchStart is the address of a replica at which a watch is opened, and the generation after which it starts.
 type watchStart struct {
 	addr string
 	from uint64
 }
 
-// startsAt is a number of watches at one replica.
+// startsAt returns the starts of a number of watches at one replica.
 func startsAt(addr string, count int, from uint64) []watchStart {
 	return slices.Repeat([]watchStart{{addr, from}}, count)
 }
 
-// openWatches opens watches, all at once.
+// openWatches opens watches concurrently. It returns an error if any of them cannot be opened.
 func openWatches(ctx context.Context, starts []watchStart, seed uint64) (*listWatches, error) {
 	ws := &listWatches{all: make([]*listWatch, len(starts)), progress: make(chan struct{}, 1)}
 	errs := make([]error, len(starts))
@@ -231,6 +235,7 @@
 	return nil
 }
 
+// notify wakes up awaitGeneration.
 func (ws *listWatches) notify() {
 	select {
 	case ws.progress <- struct{}{}:
@@ -238,10 +243,10 @@
 	}
 }
 
-// awaitEnd waits until the other end has closed all.
+// awaitEnd waits until the replica has closed all watches.
 func (ws *listWatches) awaitEnd() { ws.work.Wait() }
 
-// close closes all and waits until they are read no more.
+// close closes all watches and waits for their goroutines.
 func (ws *listWatches) close() {
 	for _, w := range ws.all {
 		if w != nil {
@@ -251,7 +256,8 @@
 	ws.work.Wait()
 }
 
-// awaitGeneration waits until all watches have a generation, and returns when the last of them had it.
+// awaitGeneration waits until all watches have reached a generation, for at most 2*serviceWithin, and returns the time at
+// which the last of them had received its latest message.
 func (ws *listWatches) awaitGeneration(ctx context.Context, generation uint64) (last time.Time, err error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*serviceWithin)
 	defer cancel()
@@ -273,7 +279,7 @@
 	return last, nil
 }
 
-// count sums what the watches were told.
+// count returns the totals over all watches.
 func (ws *listWatches) count() (t watchTotals) {
 	t.minBytes = ^uint64(0)
 	for _, w := range ws.all {
@@ -293,11 +299,11 @@
 	return t
 }
 
-// watchTotals are counts over watches.
+// watchTotals are totals over a set of watches.
 type watchTotals struct {
-	minBytes, maxBytes uint64    // bytes of a watch
-	firstWhen          time.Time // when the first watch had what it was told last
-	snapshots          uint64    // whole lists
-	outOfOrder         int       // watches that were told a change twice, out of order or not at all
-	firstError         error     // what the first of these was told
+	minBytes, maxBytes uint64    // smallest and largest number of bytes that a watch received
+	firstWhen          time.Time // earliest time at which a watch received its last message
+	snapshots          uint64    // number of complete lists
+	outOfOrder         int       // number of watches that received a change twice, out of order or not at all
+	firstError         error     // error of the first such watch
 }
--- a/internal/scale/list_write.go
+++ b/internal/scale/list_write.go
@@ -12,7 +12,7 @@
 	"opalhook/internal/registry"
 )
 
-// listWriter writes to one replica that leads, over connections that stay open.
+// listWriter writes changes to the leader over persistent connections.
 type listWriter struct {
 	addr string
 	http *http.Client
@@ -24,22 +24,23 @@
 
 func (w *listWriter) close() { w.http.CloseIdleConnections() }
 
-// drain lets an instance finish what it has.
+// drain drains an instance.
 func (w *listWriter) drain(ctx context.Context, n int) (generation uint64, err error) {
 	return w.send(ctx, http.MethodPost, listEntry(n).InstanceID+"/drain")
 }
 
-// remove takes an instance out of the list.
+// remove removes an instance from the list.
 func (w *listWriter) remove(ctx context.Context, n int) (generation uint64, err error) {
 	return w.send(ctx, http.MethodDelete, listEntry(n).InstanceID)
 }
 
-// renew renews the lease of an instance. The list stays as it is.
+// renew renews the lease of an instance, which does not change the generation of the list.
 func (w *listWriter) renew(ctx context.Context, n int) (generation uint64, err error) {
 	return w.send(ctx, http.MethodPost, listEntry(n).InstanceID+"/renew")
 }
 
-// send sends a change of an instance that is as it was at the start.
+// send sends a change for the first incarnation of an instance and returns the resulting generation. what is the path of
+// the change below the instances.
 func (w *listWriter) send(ctx context.Context, method, what string) (generation uint64, err error) {
 	path := fmt.Sprintf("instances/%s?incarnation=%d", what, firstIncarnation)
 	var o registry.Outcome
@@ -48,18 +49,18 @@
 		return 0, err
 	}
 	if o.Code != registry.Done {
-		return 0, fmt.Errorf("%s: %s: %s %s", what, answered, o.Code, o.Message)
+		return 0, fmt.Errorf("writing %s: got %s: %s %s", what, answered, o.Code, o.Message)
 	}
 	return o.Generation, nil
 }
 
-// status asks the replica for what it says of itself.
+// status requests the replica's status.
 func (w *listWriter) status(ctx context.Context) (status registry.Status, err error) {
 	_, err = w.call(ctx, http.MethodGet, "status", &status)
 	return status, err
 }
 
-// call sends a request and reads its answer, whose HTTP status it returns.
+// call sends a request, decodes the JSON body of the response and returns its HTTP status.
 func (w *listWriter) call(ctx context.Context, method, path string, answer any) (status string, err error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+w.addr+"/registry/"+path, nil)
 	if err != nil {
@@ -75,20 +76,21 @@
 		return "", err
 	}
 	if err := json.Unmarshal(text, answer); err != nil {
-		return "", fmt.Errorf("%s: %s: %w", path, resp.Status, err)
+		return "", fmt.Errorf("decoding the response for %s with status %s: %w", path, resp.Status, err)
 	}
 	return resp.Status, nil
 }
 
-// removeZone removes the instances of the lost zone.
+// removeZone removes the instances of the lost zone, each with a separate change.
 func (w *listWriter) removeZone(ctx context.Context, entries int) error {
 	return eachOfZone(ctx, entries, w.remove)
 }
 
-// zoneEntries is how many entries of a list are of the lost zone.
+// zoneEntries returns the number of entries of the lost zone in a list.
 func zoneEntries(entries int) int { return (entries - lostZone + planZones - 1) / planZones }
 
-// eachOfZone writes something of each instance of the lost zone, by writers that go on one after another.
+// eachOfZone calls write for each instance of the lost zone, by its number, from zoneWriters concurrent goroutines. It
+// stops at the first error and returns it.
 func eachOfZone(ctx context.Context, entries int, write func(context.Context, int) (uint64, error)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
--- a/internal/scale/nodelist.go
+++ b/internal/scale/nodelist.go
@@ -11,28 +11,30 @@
 
 const nodeListName = "node-list"
 
-// The edge node of the plan.
+// Load of an edge node in the planned fleet.
 const (
-	planInstances  = 4100
-	planRequests   = 512.0 // requests a second on a node
-	planEntryNodes = 3     // nodes that a tenant comes in through
+	planInstances  = 4100  // edge nodes
+	planRequests   = 512.0 // requests per second at a node
+	planEntryNodes = 3     // entry nodes of a tenant
 )
 
+// Parameters of the measurement.
 const (
-	measuredNode = planInstances / 2
-	peerServers  = 200 // servers that the peers' lists have: enough for their messages to carry news
-	listWarmup   = 500 * time.Millisecond
-	listRestarts = 20 // restarts, each a drain, a removal and an arrival
-	restartGap   = 50 * time.Millisecond
-	wholeLists   = 3 // lists after the first
+	measuredNode = planInstances / 2      // number of the node
+	peerServers  = 200                    // servers in the peers' lists: enough for their gossip messages to have content
+	listWarmup   = 500 * time.Millisecond // load before the measurement
+	listRestarts = 20                     // server restarts, each a drain, a removal and a new entry
+	restartGap   = 50 * time.Millisecond  // simulated time between changes
+	wholeLists   = 3                      // complete lists after the first one
 	listStages   = 4
-	loadSteps    = 10          // of the load, for the progress
-	shortLoad    = time.Second // measured load where a list is long
-	longLoad     = 4 * time.Second
+	loadSteps    = 10              // parts of the load between progress reports
+	shortLoad    = time.Second     // measured load with a list of more than maxShortList servers
+	longLoad     = 4 * time.Second // measured load with a shorter list
 	maxShortList = 20000
 )
 
-// listLoad is for how long of the simulated time a node is measured: less where each call is dear.
+// listLoad returns the simulated time for which the load is measured. It is shorter for long lists, where each call takes
+// longer.
 func listLoad(servers int) time.Duration {
 	if servers <= maxShortList {
 		return longLoad
@@ -40,11 +42,11 @@
 	return shortLoad
 }
 
-// nodeList is one node of the plan's fleet against the length of the list of servers.
+// nodeList returns the part that measures one node of the planned fleet at increasing lengths of the endpoint list.
 func nodeList() Part {
 	return Part{
 		Name: nodeListName,
-		Title: fmt.Sprintf("One edge node of %d at %g requests a second, spread %d, against the length of the list",
+		Title: fmt.Sprintf("One edge node of %d at %g requests per second, with %d entry nodes for each tenant, against the length of the endpoint list",
 			planInstances, planRequests, planEntryNodes),
 		Size:    "servers in the list",
 		Sizes:   []int{200, 2000, 20000, 200000},
@@ -54,7 +56,7 @@
 	}
 }
 
-// listBench is one measurement of a node.
+// listBench is a measurement of a node at one size.
 type listBench struct {
 	ctx     context.Context
 	env     Env
@@ -62,12 +64,12 @@
 	fleet   *fleet
 	node    *simulatedNode
 	watch   *stopwatch
-	heap    uint64 // before the node was made
-	holding uint64 // heap that the node holds with its list
-	loaded  uint64 // and after the load
-	load    counts // of the measured load
-	met     int    // servers met in it
-	last    int    // number of the last server that the list has named
+	heap    uint64 // live heap before the node was created, in bytes
+	holding uint64 // heap of the node with its list, in bytes
+	loaded  uint64 // heap of the node after the load, in bytes
+	load    counts // counters of the measured load
+	met     int    // number of servers that received attempts in it
+	last    int    // largest number of a server that the list has had so far
 }
 
 func measureNodeList(ctx context.Context, size int, env Env) ([]Row, error) {
@@ -75,7 +77,7 @@
 	stages := []struct {
 		doing string
 		run   func() error
-	}{{"whole list", b.start}, {"requests and messages", b.serve}, {"changes", b.change}, {"whole lists", b.relist}}
+	}{{"first complete list", b.start}, {"requests and messages", b.serve}, {"changes", b.change}, {"further complete lists", b.relist}}
 	for i, stage := range stages {
 		env.Progress(i, listStages, stage.doing)
 		if err := stage.run(); err != nil {
@@ -86,7 +88,7 @@
 	return b.rows(), nil
 }
 
-// start makes the peers, then the measured node with its list.
+// start creates the peers, schedules the requests, and creates the measured node with its list.
 func (b *listBench) start() error {
 	b.fleet = newFleet(b.env.Seed, planInstances, planEntryNodes)
 	var firsts []int
@@ -118,7 +120,7 @@
 	return nil
 }
 
-// serve lets requests and messages come, and waits for the last answers.
+// serve measures the node under load, and then waits until all requests are finished.
 func (b *listBench) serve() error {
 	clock := &b.fleet.clock
 	if err := clock.runUntil(b.ctx, clock.now+listWarmup); err != nil {
@@ -134,7 +136,7 @@
 			return err
 		}
 	}
-	b.node.watch = nil // a node at rest is not what is measured
+	b.node.watch = nil // calls of the idle node are not measured
 	if err := clock.runUntil(b.ctx, clock.now+clientDeadline); err != nil {
 		return err
 	}
@@ -143,7 +145,7 @@
 	return nil
 }
 
-// change drains servers that the node has sent to and lets them come back, then restarts others.
+// change drains servers that the node has used and brings them up again. Then it restarts other servers.
 func (b *listBench) change() error {
 	for _, met := range b.serversMet(listRestarts) {
 		for _, state := range []balancer.EndpointState{balancer.Draining, balancer.Up} {
@@ -156,7 +158,7 @@
 	return b.restart()
 }
 
-// serversMet returns at most so many servers that the node has sent to.
+// usedServers returns at most limit servers to which the node has sent attempts.
 func (b *listBench) serversMet(most int) (met []balancer.Endpoint) {
 	for i := 0; i < b.size && len(met) < most; i++ {
 		if s := server(i); b.node.usedEndpoints[s.ID] {
@@ -166,7 +168,7 @@
 	return met
 }
 
-// restart restarts servers one by one; each comes back under a new name.
+// restart restarts servers one by one. Each returns under a new ID.
 func (b *listBench) restart() error {
 	restarts := min(listRestarts, b.size)
 	for i := range restarts {
@@ -189,20 +191,20 @@
 	return nil
 }
 
-// apply brings one change of the list, and lets some time pass.
+// apply delivers one change of the list and advances the clock by restartGap.
 func (b *listBench) apply(kind callKind, entry balancer.Endpoint) error {
 	b.list(kind, balancer.UpdateDelta, []balancer.Endpoint{entry})
 	return b.fleet.clock.runUntil(b.ctx, b.fleet.clock.now+restartGap)
 }
 
-// list times what the list brings, and nothing else.
+// list delivers a list update to the node and times only this call.
 func (b *listBench) list(kind callKind, form balancer.UpdateKind, entries []balancer.Endpoint) {
 	b.node.watch = b.watch
 	b.node.updateEndpoints(kind, form, entries)
 	b.node.watch = nil
 }
 
-// relist brings the whole list again, as after a watch that was lost.
+// resync delivers the complete list again, as after a lost watch.
 func (b *listBench) relist() error {
 	for range wholeLists {
 		if err := b.ctx.Err(); err != nil {
@@ -213,22 +215,23 @@
 	return nil
 }
 
-// heapAdded is the heap that has come since the measured node was made: its own, and little else.
+// heapAdded returns the growth of the live heap since the measured node was created, in bytes. Most of it belongs to the
+// node.
 func (b *listBench) heapAdded() uint64 {
 	now := heapInUse()
 	return max(now, b.heap) - b.heap
 }
 
-// heapInUse is what lives on the heap.
+// heapInUse returns the size of the live heap in bytes.
 func heapInUse() uint64 {
 	runtime.GC()
-	runtime.GC() // what finalizers and pools held falls to the second
+	runtime.GC() // the second collection frees what finalizers and pools still held in the first
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return m.HeapAlloc
 }
 
-// rows gives what was measured so far.
+// rows returns the rows of everything measured so far.
 func (b *listBench) rows() []Row {
 	r := rowWriter{part: nodeListName, size: b.size}
 	if b.watch == nil {
@@ -261,7 +264,7 @@
 	return r.rows
 }
 
-// countRows gives what was counted, a second of the load: loads are shorter where lists are long.
+// countRows adds the counters as rates per second of the load, because the load is shorter with long lists.
 func (b *listBench) countRows(r *rowWriter) {
 	c := &b.load
 	seconds := listLoad(b.size).Seconds()
@@ -280,8 +283,8 @@
 	r.add("bytes sent", float64(c.bytes)/seconds, "B/s")
 	r.add("requests measured", float64(c.requests), "")
 	r.add("servers met", float64(b.met), "")
-	holds := b.node.balancer.Stats()
-	r.add("servers in the subset", float64(holds.SubsetEndpoints), "")
-	r.add("servers kept in full", float64(holds.TrackedEndpoints), "")
-	r.add("servers of the subset that share a name", float64(holds.HashCollisions), "")
+	stats := b.node.balancer.Stats()
+	r.add("servers in the subset", float64(stats.SubsetEndpoints), "")
+	r.add("servers kept in full", float64(stats.TrackedEndpoints), "")
+	r.add("servers of the subset that share a name", float64(stats.HashCollisions), "")
 }
--- a/internal/scale/parts.go
+++ b/internal/scale/parts.go
@@ -1,6 +1,6 @@
 package scale
 
-// Parts returns the measurements that there are, in the order in which they are measured.
+// Parts returns all parts in the order in which they are measured.
 func Parts() []Part {
 	return []Part{
 		nodeList(),
--- a/internal/scale/plot.go
+++ b/internal/scale/plot.go
@@ -14,18 +14,19 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Size of the charts: one panel for each unit, one below the other.
+// Dimensions of a chart. It has one panel for each unit, one below the other.
 const (
 	panelWidth  = 11 * vg.Inch
-	legendWidth = 3.6 * vg.Inch // right of the curves
+	legendWidth = 3.6 * vg.Inch // to the right of the curves
 	panelHeight = 4 * vg.Inch
 	curveWidth  = 1.2 // points
 )
 
-// WritePlots writes a chart of each part that has something to draw into a folder, and returns the paths.
+// WritePlots writes an SVG chart of each part into dir, which it creates if necessary, and returns the paths. It skips
+// parts without a quantity that has two or more sizes.
 func (r *Report) WritePlots(dir string) ([]string, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return nil, fmt.Errorf("folder of the plots: %w", err)
+		return nil, fmt.Errorf("creating the folder of the plots: %w", err)
 	}
 	var paths []string
 	for i := range r.Parts {
@@ -46,7 +47,7 @@
 	return paths, nil
 }
 
-// render makes the chart of a part, or nil where no quantity has two sizes.
+// render returns the chart of a part as SVG, or nil if no quantity has two or more sizes.
 func (p *PartReport) render() ([]byte, error) {
 	var plots [][]*plot.Plot
 	var legends []plot.Legend
@@ -77,12 +78,12 @@
 	return out.Bytes(), nil
 }
 
-// units are those of the rows, in the order in which they come.
+// units returns the units of the rows, each once, in the order of the rows.
 func (p *PartReport) units() []string {
 	return p.distinct(func(r *Row) string { return r.Unit })
 }
 
-// panel draws the quantities of one unit with logarithmic axes, or returns nil where there are none.
+// panel plots the quantities of one unit on logarithmic axes. It returns a nil plot if no quantity has two or more sizes.
 func (p *PartReport) panel(unit string) (*plot.Plot, plot.Legend, error) {
 	panel, legend := plot.New(), plot.NewLegend()
 	legend.Top = true
@@ -119,7 +120,7 @@
 	return panel, legend, nil
 }
 
-// points are the values of a quantity that a logarithmic axis can show.
+// points returns the positive values of a quantity; a logarithmic axis cannot show others.
 func (p *PartReport) points(quantity, unit string) (points plotter.XYs) {
 	for _, r := range p.Rows {
 		if r.Quantity == quantity && r.Unit == unit && r.Value > 0 {
--- a/internal/scale/quota.go
+++ b/internal/scale/quota.go
@@ -12,24 +12,25 @@
 
 const quotaName = "quota"
 
-// The simulated fleet of the quota measurements.
+// Parameters of the simulated fleet of the quota measurements.
 const (
-	quotaNodes          = 48 // large enough for tenants' quotas to have owners
+	quotaNodes          = 48 // enough for quotas to have owners
 	quotaServersPerNode = 2
-	quotaWarmup         = 3 * time.Second
-	quotaLoad           = 5 * time.Second
-	heapTenants         = 200 // that the heap a tenant is measured with
-	heapArrivals        = time.Second / 4
+	quotaWarmup         = 3 * time.Second // load before the measurement
+	quotaLoad           = 5 * time.Second // measured load
+	heapTenants         = 200             // tenants in the measurement of the heap per tenant
+	heapArrivals        = time.Second / 4 // time in which their requests arrive
 )
 
-// quotaEntryNodes are the numbers of nodes that tenants come in through, measured one after the other.
+// quotaEntryNodes are the numbers of entry nodes of a tenant that are measured one after the other. The report calls this
+// number the spread.
 var quotaEntryNodes = []int{1, 2, 3, 8}
 
-// quota is what the quotas' messages take, and what is admitted beyond quotas.
+// quota returns the part that measures the quota protocol: its messages, and the units admitted beyond quotas.
 func quota() Part {
 	return Part{
 		Name: quotaName,
-		Title: fmt.Sprintf("Quota messages a node in a fleet of %d, inbox %g a second, against requests and spread",
+		Title: fmt.Sprintf("Quota messages per node in a fleet of %d, with an inbox of %g messages per second, against the request rate and the number of entry nodes (spread)",
 			quotaNodes, fleetSettings(1, 0).PeerMessagesPerSecond),
 		Size:    "requests a second on a node",
 		Sizes:   []int{10, 40, 160, 512},
@@ -41,7 +42,7 @@
 
 func measureQuota(ctx context.Context, size int, env Env) ([]Row, error) {
 	r := rowWriter{part: quotaName, size: size}
-	tenants := 0 // the same at each spread
+	tenants := 0 // does not depend on the number of entry nodes
 	for i, spread := range quotaEntryNodes {
 		env.Progress(i, len(quotaEntryNodes), fmt.Sprintf("spread %d", spread))
 		run := quotaRun{seed: env.Seed, nodes: quotaNodes, spread: spread, requestsPerS: float64(size)}
@@ -61,19 +62,19 @@
 	return r.rows, nil
 }
 
-// quotaRun is one run of a fleet under a steady load.
+// quotaRun is one run of a fleet under a constant load.
 type quotaRun struct {
 	seed         uint64
 	nodes        int
-	spread       int
-	requestsPerS float64 // on a node
+	spread       int     // entry nodes of a tenant
+	requestsPerS float64 // requests per second at a node
 
 	tenants int
-	counts  counts  // of all nodes, over quotaLoad
-	quota   float64 // units that the quotas of all tenants gave in that time
+	counts  counts  // counters of all nodes during quotaLoad
+	quota   float64 // units that the quotas of all tenants allow during quotaLoad
 }
 
-// run runs the fleet. What was counted is not valid if it returns an error.
+// run runs the fleet. If it returns an error, the counters are not valid.
 func (q *quotaRun) run(ctx context.Context) error {
 	f := newFleet(q.seed, q.nodes, q.spread)
 	if err := f.addAll(quotaServersPerNode * q.nodes); err != nil {
@@ -107,7 +108,7 @@
 	return nil
 }
 
-// addRows adds what was counted: of messages, a node and second.
+// addRows adds the counters. Those of requests, messages and bytes are rates per node and second.
 func (q *quotaRun) addRows(r *rowWriter) {
 	c := &q.counts
 	add := func(quantity string, value float64, unit string) {
@@ -129,7 +130,7 @@
 	add("longest message", float64(c.longestMessage), "B")
 }
 
-// share is a part of a whole; 0 of nothing.
+// share returns part divided by whole, or 0 if whole is 0.
 func share(part, whole float64) float64 {
 	if whole == 0 {
 		return 0
@@ -137,8 +138,9 @@
 	return part / whole
 }
 
-// heapATenant measures what one tenant takes on one node that has heard of it. Each node of one set gets
-// one request of every tenant, with inboxes that take all messages, so that owners and requesters know them.
+// heapPerTenant measures the heap that a tenant uses on a node that knows it, in bytes. It simulates spread nodes, and each
+// of them receives one request of every tenant. Their inboxes accept all messages, so that both the owners and the
+// requesters of the quotas know the tenants.
 func heapATenant(ctx context.Context, seed uint64, spread int) (float64, error) {
 	f := newFleet(seed, quotaNodes, spread)
 	f.inboxRate = heapTenants * float64(spread) * 4
@@ -159,7 +161,7 @@
 			f.clock.after(time.Duration(f.rng.Int64N(int64(heapArrivals))), func() { n.requestArrives(t) })
 		}
 	}
-	// Timers of requests end with the deadline; stores are kept for longer than that.
+	// After the deadline no request has timers left, but the balancer still stores its data of the tenants.
 	if err := f.clock.runUntil(ctx, f.clock.now+heapArrivals+clientDeadline); err != nil {
 		return 0, err
 	}
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -13,14 +13,14 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Report is all that a run measured.
+// Report is the result of a [Run].
 type Report struct {
 	Seed  uint64       `json:"seed"`
-	Ended string       `json:"ended,omitempty"` // why before the last size
+	Ended string       `json:"ended,omitempty"` // why the run ended before the last size; empty if it completed
 	Parts []PartReport `json:"parts"`
 }
 
-// PartReport is what was measured of one part.
+// PartReport is the result of one part.
 type PartReport struct {
 	Name  string `json:"name"`
 	Title string `json:"title"`
@@ -29,20 +29,20 @@
 	Fits  []Fit  `json:"fits"`
 }
 
-// Fit says how a quantity grows with the size: as Factor x size^Exponent, by least squares of the
-// logarithms.
+// Fit describes how a quantity grows with the size: as Factor x size^Exponent, by a least-squares fit of the logarithms.
 type Fit struct {
 	Quantity string  `json:"quantity"`
 	Exponent float64 `json:"exponent"`
 	Factor   float64 `json:"factor"`
-	R2       float64 `json:"r2"` // share of the variance of the logarithms that the fit explains
-	Sizes    int     `json:"sizes"`
+	R2       float64 `json:"r2"`    // fraction of the variance of the logarithms that the fit explains
+	Sizes    int     `json:"sizes"` // number of sizes in the fit
 }
 
-// fitLeast is the number of sizes from which a fit says something.
+// minFitSizes is the minimum number of sizes for a fit. Two points always fit exactly.
 const fitLeast = 3
 
-// fit makes the fits of all quantities that have enough sizes and no value of nought.
+// fit computes the fits of all quantities with at least minFitSizes positive values. Other values have no logarithm and
+// are ignored.
 func (p *PartReport) fit() {
 	p.Fits = []Fit{}
 	for _, quantity := range p.quantities() {
@@ -64,12 +64,12 @@
 	}
 }
 
-// quantities are the names of the rows, in the order in which they come.
+// quantities returns the quantities of the rows, each once, in the order of the rows.
 func (p *PartReport) quantities() []string {
 	return p.distinct(func(r *Row) string { return r.Quantity })
 }
 
-// distinct are the names that the rows have, each once, in the order in which they come.
+// distinct returns the distinct names of the rows, in the order of the rows.
 func (p *PartReport) distinct(name func(*Row) string) (names []string) {
 	seen := map[string]bool{}
 	for i := range p.Rows {
@@ -81,7 +81,7 @@
 	return names
 }
 
-// sizes are those that have rows, ascending.
+// sizes returns the sizes that have rows, in ascending order.
 func (p *PartReport) sizes() (sizes []int) {
 	for _, r := range p.Rows {
 		sizes = append(sizes, r.Size)
@@ -90,7 +90,7 @@
 	return slices.Compact(sizes)
 }
 
-// row returns the row of a quantity and size, or nil.
+// row returns the row of a quantity at a size, or nil if there is none.
 func (p *PartReport) row(quantity string, size int) *Row {
 	for i := range p.Rows {
 		if r := &p.Rows[i]; r.Quantity == quantity && r.Size == size {
@@ -100,8 +100,8 @@
 	return nil
 }
 
-// WriteText writes the report as text: a table for each part, with a column for each size and the
-// exponent with which each quantity grows.
+// WriteText writes the report as text: a table for each part, with a column for each size and a last column with the
+// exponent by which each quantity grows.
 func (r *Report) WriteText(out io.Writer) error {
 	for i := range r.Parts {
 		if err := r.Parts[i].writeText(out); err != nil {
@@ -109,7 +109,7 @@
 		}
 	}
 	if r.Ended != "" {
-		_, err := fmt.Fprintf(out, "%s: what is above is what was measured\n", r.Ended)
+		_, err := fmt.Fprintf(out, "%s: the tables above have the results until then\n", r.Ended)
 		return err
 	}
 	return nil
@@ -148,7 +148,7 @@
 	return err
 }
 
-// growth words how a quantity grows.
+// growth formats the fit of a quantity, or returns an empty text if it has none.
 func (p *PartReport) growth(quantity string) string {
 	for _, f := range p.Fits {
 		if f.Quantity == quantity {
@@ -158,7 +158,7 @@
 	return ""
 }
 
-// formatValue writes a value with its unit as people read it.
+// formatValue formats a value with its unit for people to read.
 func formatValue(value float64, unit string) string {
 	switch unit {
 	case "s":
@@ -175,7 +175,7 @@
 	return threeDigits(value) + " " + unit
 }
 
-// formatCount writes a whole number as it is and a mean or a factor with three digits.
+// formatCount formats an integer in full, and other values with three significant digits.
 func formatCount(value float64) string {
 	if value == math.Trunc(value) {
 		return strconv.FormatFloat(value, 'f', 0, 64)
@@ -183,7 +183,7 @@
 	return threeDigits(value)
 }
 
-// formatSeconds writes a time with three digits.
+// formatSeconds formats a time with three significant digits in a suitable unit.
 func formatSeconds(seconds float64) string {
 	for _, u := range []struct {
 		name string
@@ -196,7 +196,7 @@
 	return strconv.FormatFloat(seconds*1e9, 'f', 0, 64) + " ns"
 }
 
-// threeDigits writes a number with three digits, or all before the point.
+// threeDigits formats a number with three significant digits. From 100 on it formats all digits before the decimal point.
 func threeDigits(x float64) string {
 	if x >= 100 {
 		return strconv.FormatFloat(x, 'f', 0, 64)
@@ -204,7 +204,7 @@
 	return strconv.FormatFloat(x, 'g', 3, 64)
 }
 
-// formatBytes writes a number of bytes with decimal prefixes.
+// formatBytes formats a number of bytes with decimal prefixes.
 func formatBytes(n float64) string {
 	for _, u := range []struct {
 		name string
--- a/internal/scale/restart.go
+++ b/internal/scale/restart.go
@@ -14,33 +14,34 @@
 	"opalhook/internal/edgenode/follower"
 )
 
-// Figures of a restart.
+// Parameters of a restart.
 const (
-	rackNodes      = 40     // a guess: the plan does not say how many edge nodes share a rack
-	controlRate    = 19_000 // bytes a second that an edge node may spend on control, in the plan
-	restartFor     = 10 * time.Minute
-	restartWithin  = 10 * time.Second // that the settings give a node without a watch to ask
-	restartVersion = 1<<discovery.EpochBits + 1
-	serviceJoins   = 2_000 // watches that a replica lets open a second, and at once
-	partEvery      = time.Second
-	restartMemory  = 4 << 10 // of a node
+	rackNodes      = 40                         // edge nodes in a rack; a guess, because the plan does not say how many share a rack
+	controlRate    = 19_000                     // planned bandwidth of an edge node for control traffic, in bytes per second
+	restartFor     = 10 * time.Minute           // maximum simulated time
+	restartWithin  = 10 * time.Second           // poll interval of a node without a watch, as in the settings
+	restartVersion = 1<<discovery.EpochBits + 1 // generation of the list
+	serviceJoins   = 2_000                      // watches that a replica accepts per second, and in a burst
+	partEvery      = time.Second                // interval at which a node notices that a message is still arriving
+	restartMemory  = 4 << 10                    // estimated memory of a node, in bytes
 )
 
-// RestartFleet measures how all edge nodes get their list when they start at once.
+// RestartFleet returns the part that measures how all edge nodes of the planned fleet get their list if they start at the
+// same time.
 func RestartFleet() Part {
-	return restartPart("restart-fleet", "all edge nodes of the plan", planWatches)
+	return restartPart("restart-fleet", "all edge nodes of the planned fleet", planWatches)
 }
 
-// RestartRack measures how the edge nodes of a rack get their list when they start at once.
+// RestartRack returns the part that measures how the edge nodes of a rack get their list if they start at the same time.
 func RestartRack() Part {
-	return restartPart("restart-rack", fmt.Sprintf("the edge nodes of a rack, guessed to be %d", rackNodes), rackNodes)
+	return restartPart("restart-rack", fmt.Sprintf("the edge nodes of a rack (%d, a guess)", rackNodes), rackNodes)
 }
 
 func restartPart(name, who string, nodes int) Part {
 	return Part{
 		Name: name,
-		Title: fmt.Sprintf("Restart of %s with no list, on a simulated clock: the real follower of the list, a link of %d bytes a second to each, "+
-			"one replica that lets %d watches open a second; ten minutes.", who, controlRate, serviceJoins),
+		Title: fmt.Sprintf("Restart of %s without a cached list, for up to ten minutes on a simulated clock: each has the real follower of the list "+
+			"and a link of %d bytes per second, and one replica accepts %d watches per second.", who, controlRate, serviceJoins),
 		Size:   "entries in the list",
 		Sizes:  []int{200, 350, 2_000, 20_000, 200_000},
 		Small:  []int{200},
@@ -57,7 +58,7 @@
 	}
 }
 
-// wholeListBytes is the length of the message that tells a whole list.
+// snapshotMessageBytes returns the length of the message with the complete list, in bytes.
 func wholeListBytes(entries int) (int, error) {
 	m := discovery.Message{Generation: restartVersion, Reset: true}
 	for n := range entries {
@@ -67,52 +68,53 @@
 	return len(text) + 1, err
 }
 
-// restart is many edge nodes that start at once, on a simulated clock.
+// restart simulates edge nodes that start at the same time, on a simulated clock.
 type restart struct {
 	now     time.Duration
 	nodes   []*simulatedFollower
 	queue   restartQueue
-	message int        // bytes of a whole list
-	opens   joinPace   // of the service
-	rng     *rand.Rand // of the service's advice
-	open    int        // messages on their way
-	most    int        // of these at once
-	turned  int        // calls turned away
+	message int        // length of the message with the complete list, in bytes
+	opens   joinPace   // rate limit of the service for new watches
+	rng     *rand.Rand // for the Retry-After times of the service
+	open    int        // messages that are being sent
+	most    int        // maximum of open so far
+	turned  int        // calls rejected because of the rate limit
 }
 
-// simulatedFollower is an edge node that only follows the list.
+// simulatedFollower is an edge node that does nothing except follow the list.
 type simulatedFollower struct {
 	follower *follower.Follower
-	call     uint64        // the watch that is out; 0: none
-	began    time.Duration // when its message did
-	wakes    uint64        // wakes asked for so far; an event of an earlier one is void
-	calls    int
-	bytes    float64
-	listAt   time.Duration // when it had its list
-	listed   bool
+	call     uint64        // ID of the open watch; 0: none
+	began    time.Duration // when the service started to send its message
+	wakes    uint64        // ID of the last scheduled wake-up; earlier ones are ignored
+	calls    int           // calls opened
+	bytes    float64       // bytes received
+	listAt   time.Duration // when it received its list
+	listed   bool          // has received its list
 }
 
-// restartEvent is something that happens to a node.
+// restartEvent is a scheduled event of a node.
 type restartEvent struct {
 	at    time.Duration
-	order uint64 // among those at one time
-	node  int
+	order uint64 // breaks ties between events scheduled for the same time
+	node  int    // index of the node
 	kind  restartKind
-	id    uint64 // of the call, or of the wake
+	id    uint64 // ID of the wake-up for nodeWakes, of the call otherwise
 }
 
+// restartKind is the kind of an event.
 type restartKind int
 
 const (
-	nodeWakes restartKind = iota
-	partComes
-	messageComes
+	nodeWakes    restartKind = iota // the follower asked to be called at this time
+	partComes                       // a further part of the message has arrived
+	messageComes                    // the message is complete
 )
 
-// restartQueue is a heap of what is to happen, as [heap.Interface] has it.
+// restartQueue is a queue of events. It implements [heap.Interface], with the earliest event first.
 type restartQueue struct {
 	events []restartEvent
-	added  uint64
+	added  uint64 // events added so far
 }
 
 func (q *restartQueue) Len() int      { return len(q.events) }
@@ -130,18 +132,21 @@
 	return e
 }
 
+// add schedules an event.
 func (q *restartQueue) add(e restartEvent) {
 	q.added++
 	e.order = q.added
 	heap.Push(q, e)
 }
 
-// joinPace lets calls through at a pace, with as many at once as in a second.
+// openLimiter limits the rate of new watches to serviceJoins per second, with a burst of the same number. It is a token
+// bucket.
 type joinPace struct {
 	room float64
-	last time.Duration
+	last time.Duration // time of the last refill
 }
 
+// allow reports whether a watch may be opened now.
 func (p *joinPace) allow(now time.Duration) bool {
 	p.room = min(p.room+(now-p.last).Seconds()*serviceJoins, serviceJoins)
 	p.last = now
@@ -152,7 +157,8 @@
 	return true
 }
 
-// newRestart returns nodes of a fleet that are to start at once.
+// newRestart returns a restart of a number of nodes of a fleet. message is the length of the message with the complete
+// list, in bytes.
 func newRestart(nodes, fleet, message int, seed uint64) *restart {
 	r := &restart{message: message, opens: joinPace{room: serviceJoins}, rng: rand.New(rand.NewPCG(seed, 0))}
 	for n := range nodes {
@@ -162,7 +168,7 @@
 	return r
 }
 
-// run plays until all nodes have their list, or for as long as it is told to.
+// run simulates the restart until all nodes have their list, or up to the simulated time until.
 func (r *restart) run(ctx context.Context, until time.Duration, progress func(done, total int, doing string)) error {
 	for n, h := range r.nodes {
 		h.follower.Start(0)
@@ -189,12 +195,12 @@
 	return nil
 }
 
-// apply lets something happen, and returns whether a node has got its list by it.
+// apply processes an event. It returns whether a node has received its list by it.
 func (r *restart) apply(e restartEvent) (listed bool) {
 	h := r.nodes[e.node]
 	switch {
 	case e.kind == nodeWakes && e.id != h.wakes || e.kind != nodeWakes && e.id != h.call || h.listed:
-		return false // of a call or a wake that is no more
+		return false // the call has ended, or a later wake-up was scheduled
 	case e.kind == partComes:
 		h.follower.Received(r.now, e.id, true)
 		r.queue.add(restartEvent{at: r.now + partEvery, node: e.node, kind: partComes, id: e.id})
@@ -209,7 +215,8 @@
 	return false
 }
 
-// step carries out what a node wants.
+// advance advances the follower of node n and executes its commands. When there are no more, it schedules the next
+// wake-up.
 func (r *restart) step(n int) {
 	h := r.nodes[n]
 	for {
@@ -221,7 +228,7 @@
 				r.end(h)
 			}
 		}
-		if len(orders) == 0 { // an answer may have changed what is wanted
+		if len(orders) == 0 { // otherwise the response to a command may lead to further commands
 			h.wakes++
 			r.queue.add(restartEvent{at: max(wake, r.now+1), node: n, kind: nodeWakes, id: h.wakes})
 			return
@@ -229,7 +236,7 @@
 	}
 }
 
-// answer is what the service does with a call.
+// openCall simulates the service's response to a call of node n.
 func (r *restart) answer(n int, o follower.Command) {
 	h := r.nodes[n]
 	h.calls++
@@ -246,12 +253,12 @@
 	r.queue.add(restartEvent{at: r.now + partEvery, node: n, kind: partComes, id: o.ID})
 }
 
-// acceptanceTime is how long a whole list takes over a node's link.
+// transferTime returns the time that the complete list takes over a node's link.
 func (r *restart) acceptanceTime() time.Duration {
 	return time.Duration(math.Ceil(float64(r.message) / controlRate * float64(time.Second)))
 }
 
-// end ends a node's call and books what has come on it.
+// endCall ends the open call of a node, if any, and adds the bytes received on it.
 func (r *restart) end(h *simulatedFollower) {
 	if h.call == 0 {
 		return
@@ -261,6 +268,7 @@
 	r.open--
 }
 
+// rows returns the rows of the restart.
 func (r *restart) rows(part string, size int) []Row {
 	rows := rowsOf{rowWriter{part: part, size: size}}
 	var at []time.Duration
--- a/internal/scale/rows.go
+++ b/internal/scale/rows.go
@@ -1,6 +1,6 @@
 package scale
 
-// rowWriter gathers the rows of one size of a part.
+// rowWriter collects the rows of a part at one size.
 type rowWriter struct {
 	part string
 	size int
@@ -11,14 +11,14 @@
 	w.rows = append(w.rows, Row{Part: w.part, Size: w.size, Quantity: quantity, Value: value, Unit: unit})
 }
 
-// addKnown leaves out what was not measured: a value of 0.
+// addIfMeasured adds a row unless its value is 0, which stands for a quantity that was not measured.
 func (w *rowWriter) addKnown(quantity string, value float64, unit string) {
 	if value > 0 {
 		w.add(quantity, value, unit)
 	}
 }
 
-// time adds a quantile of the calls of a kind, if there were any.
+// time adds a quantile of the durations of a kind of calls, if any such call was timed.
 func (w *rowWriter) time(s *stopwatch, quantity string, kind callKind, share float64) {
 	if seconds, ok := s.quantile(kind, share); ok {
 		w.add(quantity, seconds, "s")
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -10,55 +10,56 @@
 	"github.com/prometheus/procfs"
 )
 
-// Options say what is measured.
+// Options configure a [Run].
 type Options struct {
-	Parts    []Part   // those that there are
-	Names    []string // of the parts to measure; none: all
-	Sizes    []int    // in place of the part's own; only where one part is measured
+	Parts    []Part   // all parts that can be selected
+	Names    []string // names of the parts to measure; empty: all
+	Sizes    []int    // sizes to measure instead of the part's own; requires exactly one part
 	Seed     uint64
-	Memory   uint64           // of the machine in bytes; 0: it is asked
+	Memory   uint64           // total memory of the machine, in bytes; 0: read from the system
 	Progress func(p Progress) // may be nil
 }
 
-// Progress is how far a measurement has come.
+// Progress is the progress of the measurement of a part at a size.
 type Progress struct {
 	Part        string
 	Size        int
-	Done, Total int
-	Doing       string
+	Done, Total int    // steps
+	Doing       string // description of the current step
 }
 
-// InputError is an error of what was asked for.
+// InputError reports an invalid option.
 type InputError struct {
-	Field string // the option's name
-	Why   string
+	Field string // name of the command-line flag for the option
+	Why   string // received value and accepted values
 }
 
 func (e *InputError) Error() string { return e.Field + ": " + e.Why }
 
-// MemoryError tells of a size that would pass the share of the machine's memory that may be used.
+// MemoryError reports a size that needs more memory than a measurement may use.
 type MemoryError struct {
 	Part   string
 	Size   int
-	Need   uint64 // bytes, estimated
-	Most   uint64 // bytes that may be used
-	Memory uint64 // bytes that the machine has
+	Need   uint64 // estimated memory for the size, in bytes
+	Most   uint64 // maximum memory for a measurement, in bytes
+	Memory uint64 // total memory of the machine, in bytes
 }
 
 func (e *MemoryError) Error() string {
-	return fmt.Sprintf("sizes: %s at %d needs about %s; half of this machine's %s is %s",
+	return fmt.Sprintf("sizes: %s at %d needs about %s; at most half of this machine's %s may be used, which is %s",
 		e.Part, e.Size, formatBytes(float64(e.Need)), formatBytes(float64(e.Memory)), formatBytes(float64(e.Most)))
 }
 
-// maxSize is the largest size: far beyond any fleet, and its estimate of memory is no overflow.
+// maxSize is the largest accepted size. It is far larger than any fleet, and memory estimates for it do not overflow.
 const maxSize = 1 << 31
 
-// memoryDivisor is the divisor of the machine's memory that gives what may be used.
+// memoryDivisor divides the machine's memory into the part that a measurement may use. The rest is left to other
+// processes.
 const memoryDivisor = 2
 
-// Run measures the parts one after the other. It returns an [InputError] or a [MemoryError], and
-// measures nothing, where what was asked for can't be. The report has what was measured until the
-// context was cancelled, if it was; an error of a part ends the run as well.
+// Run measures the selected parts one after the other. It returns an [InputError] or a [MemoryError] and measures nothing
+// if an option is invalid or a size needs too much memory. If ctx is cancelled, Run returns the report of the sizes
+// measured so far, with Ended set, and no error. If a part fails, it returns the report so far with the part's error.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	parts, err := o.chosen()
 	if err != nil {
@@ -76,7 +77,7 @@
 		report.Parts = append(report.Parts, result)
 		switch {
 		case err != nil && ctx.Err() != nil && errors.Is(err, ctx.Err()):
-			report.Ended = "cut off while " + p.Name + " was measured"
+			report.Ended = "interrupted while measuring " + p.Name
 			return report, nil
 		case err != nil:
 			return report, fmt.Errorf("%s: %w", p.Name, err)
@@ -105,13 +106,13 @@
 	return nil
 }
 
-// chosen returns the parts to measure, each with the sizes to measure.
+// selectParts returns the parts to measure, each with the sizes to measure.
 func (o *Options) chosen() ([]Part, error) {
 	var parts []Part
 	for _, name := range o.Names {
 		i := slices.IndexFunc(o.Parts, func(p Part) bool { return p.Name == name })
 		if i < 0 {
-			return nil, &InputError{"part", fmt.Sprintf("%q is none of %s", name, strings.Join(o.names(), ", "))}
+			return nil, &InputError{"part", fmt.Sprintf("got %q, must be one of %s", name, strings.Join(o.names(), ", "))}
 		}
 		parts = append(parts, o.Parts[i])
 	}
@@ -122,14 +123,14 @@
 		return parts, nil
 	}
 	if len(parts) != 1 {
-		return nil, &InputError{"sizes", "name one part: each counts sizes of its own"}
+		return nil, &InputError{"sizes", "requires exactly one part, because each part has its own sizes"}
 	}
 	for _, size := range o.Sizes {
 		switch {
 		case size < 1:
-			return nil, &InputError{"sizes", fmt.Sprintf("%d is below 1", size)}
+			return nil, &InputError{"sizes", fmt.Sprintf("must be at least 1, got %d", size)}
 		case size > maxSize:
-			return nil, &InputError{"sizes", fmt.Sprintf("%d is above %d", size, maxSize)}
+			return nil, &InputError{"sizes", fmt.Sprintf("got %d, must be at most %d", size, maxSize)}
 		}
 	}
 	parts[0].Sizes = slices.Compact(slices.Sorted(slices.Values(o.Sizes)))
@@ -143,7 +144,7 @@
 	return names
 }
 
-// checkMemory rejects the first size that would take too much.
+// checkMemory returns a [MemoryError] for the first size that needs more memory than a measurement may use.
 func (o *Options) checkMemory(parts []Part) error {
 	memory := o.Memory
 	if memory == 0 {
@@ -162,18 +163,18 @@
 	return nil
 }
 
-// machineMemory is the memory of this machine in bytes.
+// machineMemory returns the total memory of this machine in bytes.
 func machineMemory() (uint64, error) {
 	proc, err := procfs.NewDefaultFS()
 	if err != nil {
-		return 0, fmt.Errorf("memory of this machine: %w", err)
+		return 0, fmt.Errorf("reading the memory size of this machine: %w", err)
 	}
 	info, err := proc.Meminfo()
 	if err != nil {
-		return 0, fmt.Errorf("memory of this machine: %w", err)
+		return 0, fmt.Errorf("reading the memory size of this machine: %w", err)
 	}
 	if info.MemTotalBytes == nil {
-		return 0, errors.New("memory of this machine: /proc/meminfo has no MemTotal")
+		return 0, errors.New("reading the memory size of this machine: /proc/meminfo has no MemTotal")
 	}
 	return *info.MemTotalBytes, nil
 }
--- a/internal/scale/simulated_node.go
+++ b/internal/scale/simulated_node.go
@@ -8,41 +8,42 @@
 	"opalhook/balancer"
 )
 
-// simulatedNode is an edge node without sockets: a real balancer, and this type as its host.
+// simulatedNode is an edge node without sockets. It hosts a real balancer and implements [balancer.Actions].
 type simulatedNode struct {
 	fleet         *fleet
-	number        int
+	number        int // index in the fleet
 	balancer      *balancer.Balancer
 	classes       []balancer.Class
 	inbox         inbox
-	open          map[string]*openRequest
-	usedEndpoints map[string]bool // servers that were sent to
+	open          map[string]*openRequest // by request ID
+	usedEndpoints map[string]bool         // IDs of the servers that received attempts
 	counts        counts
-	tick          uint64 // token of the node's regular timer: the first that it asked for
-	ticking       bool
-	watch         *stopwatch // times the node's calls; nil: they are not timed
+	tick          uint64     // token of the periodic timer, which is the first timer that the balancer sets
+	ticking       bool       // tick is known
+	watch         *stopwatch // times the calls into the balancer; nil: they are not timed
 }
 
-// openRequest is a request that a node has, until its answer and its last attempt's end.
+// openRequest is a request that has no final response yet, or has attempts in flight.
 type openRequest struct {
 	id           string
 	tenant       *tenant
-	units        float64 // as guessed
-	used         float64 // as the answer says
+	units        float64 // estimated units of the request
+	used         float64 // actual units, which the response reports
 	deadline     time.Duration
-	inQuota      bool // the quota had its units when it was sent
-	finalAnswers int
-	inFlight     int
+	inQuota      bool // the tenant's quota covered the request when it was first sent
+	finalAnswers int  // final responses so far
+	inFlight     int  // attempts in flight
 	attempts     []openAttempt
 }
 
+// openAttempt is an attempt of an open request.
 type openAttempt struct {
-	server string
+	server string // endpoint ID
 	sent   time.Duration
 	done   bool
 }
 
-// requestArrives is a new request of a client of a tenant.
+// receiveRequest simulates the arrival of a request of a tenant, with a random class and number of units.
 func (n *simulatedNode) requestArrives(t *tenant) {
 	f := n.fleet
 	class := &n.classes[0]
@@ -64,14 +65,15 @@
 	n.forgetIfDone(q)
 }
 
-// forgetIfDone forgets a request that has its answer and no attempt out.
+// removeIfDone removes a request that has a final response and no attempts in flight.
 func (n *simulatedNode) forgetIfDone(q *openRequest) {
 	if q.finalAnswers > 0 && q.inFlight == 0 {
 		delete(n.open, q.id)
 	}
 }
 
-// call makes one call of the node and times it where that is wanted.
+// call makes a call into the balancer. If the node has a stopwatch, it records the duration, and adjusts the kind of the
+// call to the actions that the balancer took.
 func (n *simulatedNode) call(kind callKind, event func()) {
 	if n.watch == nil {
 		event()
@@ -92,8 +94,8 @@
 	n.watch.add(kind, took)
 }
 
-// SendAttempt implements [balancer.Actions]: the server answers after a time that is drawn. The send itself takes
-// none, so that it is always on its way in time.
+// SendAttempt implements [balancer.Actions]. The server responds after a random service time. Sending takes no time, so that
+// the attempt always meets sendBy.
 func (n *simulatedNode) SendAttempt(id, serverID string, timeout, _ time.Duration) {
 	q := n.open[id]
 	if q == nil {
@@ -119,7 +121,8 @@
 	f.clock.after(took, func() { n.finishAttempt(q, number, result) })
 }
 
-// chargeQuota checks a request that is first sent on against the true state of its quota.
+// chargeQuota charges a request, when it is first sent to a server, to the exact state of its tenant's quota. If the quota
+// does not cover the request, its units count as over quota.
 func (n *simulatedNode) chargeQuota(q *openRequest) {
 	n.counts.admittedUnits += q.units
 	if q.inQuota = q.tenant.refill(n.fleet.clock.now) >= q.units; q.inQuota {
@@ -129,7 +132,7 @@
 	n.counts.overQuotaUnits += q.units
 }
 
-// drawResult draws what a server makes of an attempt.
+// sampleResult returns a random result of an attempt and its service time.
 func (n *simulatedNode) drawResult() (balancer.Result, time.Duration) {
 	rng := n.fleet.rng
 	took := minServiceTime + time.Duration(rng.ExpFloat64()*float64(meanExtraServiceTime))
@@ -142,7 +145,7 @@
 	return balancer.OK, took
 }
 
-// finishAttempt is the end of an attempt.
+// finishAttempt ends an attempt and reports its outcome to the balancer. It does nothing if the attempt has ended already.
 func (n *simulatedNode) finishAttempt(q *openRequest, number int, result balancer.Result) {
 	a := &q.attempts[number]
 	if a.done {
@@ -168,7 +171,8 @@
 	n.forgetIfDone(q)
 }
 
-// final counts a final answer of the node's own.
+// countFinal counts a final response that the node itself generates. A second one for the same request counts as a
+// duplicate.
 func (n *simulatedNode) final(id string, count *int) {
 	q := n.open[id]
 	if q == nil || q.finalAnswers > 0 {
@@ -180,7 +184,8 @@
 	n.forgetIfDone(q)
 }
 
-// Reject implements [balancer.Actions].
+// Reject implements [balancer.Actions]. It also counts rejections of a request that has not been sent although at least half
+// of the tenant's burst was unused and the quota covered the request.
 func (n *simulatedNode) Reject(id string, _ time.Duration) {
 	if q := n.open[id]; q != nil && len(q.attempts) == 0 {
 		if level := q.tenant.refill(n.fleet.clock.now); level >= max(q.units, q.tenant.plan.Burst/2) {
@@ -193,14 +198,14 @@
 // Fail implements [balancer.Actions].
 func (n *simulatedNode) Fail(id string) { n.final(id, &n.counts.failed) }
 
-// CancelAttempt implements [balancer.Actions]: the attempt ends at once, after this call.
+// CancelAttempt implements [balancer.Actions]. The attempt ends at the current time, but after this call has returned.
 func (n *simulatedNode) CancelAttempt(id string, attempt int) {
 	if q := n.open[id]; q != nil && attempt < len(q.attempts) {
 		n.fleet.clock.after(0, func() { n.finishAttempt(q, attempt, balancer.Cancelled) })
 	}
 }
 
-// SetTimer implements [balancer.Actions].
+// SetTimer implements [balancer.Actions]. The first token is that of the periodic timer.
 func (n *simulatedNode) SetTimer(token uint64, after time.Duration) {
 	if !n.ticking {
 		n.tick, n.ticking = token, true
@@ -214,10 +219,10 @@
 	})
 }
 
-// HealthCheck implements [balancer.Actions]; the settings allow none.
+// HealthCheck implements [balancer.Actions]. It does nothing: the settings permit no health checks.
 func (n *simulatedNode) HealthCheck(string) {}
 
-// SendPeer implements [balancer.Actions]: the message crosses a link.
+// SendPeer implements [balancer.Actions]. It sends the message to one peer or to all.
 func (n *simulatedNode) SendPeer(peer int, message []byte) {
 	if peer != balancer.AllPeers {
 		n.send(peer, message)
@@ -230,6 +235,8 @@
 	}
 }
 
+// send counts a message and delivers a copy after the delay of the link, unless the message is lost or the peer is not
+// simulated.
 func (n *simulatedNode) send(peer int, message []byte) {
 	n.counts.bytes += len(message)
 	n.counts.longestMessage = max(n.counts.longestMessage, len(message))
@@ -250,7 +257,7 @@
 	n.fleet.clock.after(delay, func() { to.receive(n.number, kept) })
 }
 
-// receive takes a message in, if the inbox has room.
+// receive passes a message to the balancer if the inbox accepts it.
 func (n *simulatedNode) receive(from int, message []byte) {
 	n.counts.arrived++
 	if !n.inbox.accept(n.fleet.clock.now) {
@@ -268,13 +275,13 @@
 	n.call(kind, func() { n.balancer.PeerMessage(n.fleet.clock.now, from, message, n) })
 }
 
-// updateEndpoints brings the list of servers or changes of it.
+// updateEndpoints delivers the endpoint list, or changes to it, to the balancer.
 func (n *simulatedNode) updateEndpoints(kind callKind, form balancer.UpdateKind, entries []balancer.Endpoint) {
 	n.call(kind, func() { n.balancer.EndpointsUpdated(n.fleet.clock.now, form, entries, n) })
 }
 
-// WatchEndpoints implements [balancer.Actions]; lists come unasked.
+// WatchEndpoints implements [balancer.Actions]. It does nothing: lists are delivered without a watch.
 func (n *simulatedNode) WatchEndpoints(bool) {}
 
-// Log implements [balancer.Actions].
+// Log implements [balancer.Actions]. It discards the message.
 func (n *simulatedNode) Log(slog.Level, string, ...slog.Attr) {}
--- a/internal/scale/stopwatch.go
+++ b/internal/scale/stopwatch.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// callKind is a kind of calls of a node that is timed apart.
+// callKind classifies the calls into a balancer. Each kind is timed separately.
 type callKind int
 
 const (
-	callRequest                 callKind = iota // a request that was rejected at once, or is of a quota that this node owns, and waits
-	callRequestAdmitted                         // a request for which a server was chosen at once
-	callRequestForwardedToOwner                 // a request for whose units a peer was asked first
+	callRequest                 callKind = iota // any other request: it is rejected at once, or waits on the node that owns its quota
+	callRequestAdmitted                         // a request for which a server was selected at once
+	callRequestForwardedToOwner                 // a request for whose units the node first asks the quota's owner
 	callOutcome                                 // the end of an attempt
-	callQuotaRequest                            // a peer's quota request, and the answer to it
-	callQuotaRejected                           // a peer's answer that led to no send: a rejection, or one that came too late
-	callQuotaGranted                            // a peer's answer, and the choice of a server that it led to
-	callMessage                                 // another message
-	callTick                                    // the regular timer
-	callTimer                                   // another timer
-	callEndpointChange                          // one change of the list
-	callUsedEndpointChange                      // one change of a server that the node has sent to
-	callFirstSnapshot                           // the first whole list
-	callNextSnapshot                            // a whole list after it
+	callQuotaRequest                            // a peer's quota request, including the response to it
+	callQuotaRejected                           // a response to a quota request that led to no attempt: the owner rejected it, or it arrived too late
+	callQuotaGranted                            // a response to a quota request, including the selection of a server
+	callMessage                                 // any other peer message
+	callTick                                    // the periodic timer
+	callTimer                                   // any other timer
+	callEndpointChange                          // a change to one entry of the list
+	callUsedEndpointChange                      // a change to the entry of a server that the node has sent attempts to
+	callFirstSnapshot                           // the first complete list
+	callNextSnapshot                            // a further complete list
 )
 
-// stopwatch keeps how long the calls of a node took.
+// stopwatch records the durations of calls into a balancer.
 type stopwatch struct{ took map[callKind][]time.Duration }
 
 func newStopwatch() *stopwatch { return &stopwatch{took: map[callKind][]time.Duration{}} }
@@ -34,7 +34,7 @@
 	s.took[kind] = append(s.took[kind], took)
 }
 
-// quantile returns a quantile in seconds, or false where nothing was timed.
+// quantile returns a quantile of the durations of a kind of calls, in seconds, or false if no such call was timed.
 func (s *stopwatch) quantile(kind callKind, share float64) (float64, bool) {
 	took := slices.Sorted(slices.Values(s.took[kind]))
 	if len(took) == 0 {
--- a/internal/scale/tenant.go
+++ b/internal/scale/tenant.go
@@ -8,24 +8,25 @@
 	"opalhook/balancer"
 )
 
-// Demand of the tenants, as shares of their plan's rate: most stay well inside, some ask for more.
+// Demand of the tenants, in units per second, as a fraction of their plan's rate. Most tenants stay well within their
+// quota; a few request more than it.
 const (
 	minCalmDemand, maxCalmDemand   = 0.15, 0.5
 	minHeavyDemand, maxHeavyDemand = 1.6, 5.0
-	heavyFraction                  = 0.1
+	heavyFraction                  = 0.1 // fraction of tenants with heavy demand
 )
 
-// maxUnits is the units of the largest request.
+// maxUnits is the largest number of units of a request.
 const maxUnits = 8
 
-// unitFractions are the shares of the requests of 1 unit, 2 units and so on.
+// unitFractions are the fractions of requests with 1 unit, 2 units and so on.
 var unitFractions = [maxUnits]float64{0.5, 0.25, 0.12, 0.06, 0.03, 0.02, 0.01, 0.01}
 
-// planFractions are the shares of the tenants that have each plan of [fleetPlans].
+// planFractions are the fractions of tenants on each plan of [fleetPlans].
 var planFractions = []float64{0.7, 0.25, 0.05}
 
-// fleetPlans are three sizes of tenants, the largest with a hard ceiling. None may go beyond its
-// quota, so that all that is admitted beyond one is the protocol's doing.
+// fleetPlans returns the plans for three sizes of tenants; the largest has a hard limit. No plan permits units beyond the
+// quota, so that units admitted beyond a quota are errors of the distributed quota protocol.
 func fleetPlans() []balancer.Plan {
 	return []balancer.Plan{
 		{Name: "small", Rate: 2.6, Burst: 16, WeightFactor: 0.72},
@@ -34,24 +35,24 @@
 	}
 }
 
-// tenant is a client's account, with the true state of its quota, which no node sees.
+// tenant is a tenant with the exact state of its quota over the whole fleet, which no node knows.
 type tenant struct {
 	key            uint64
 	plan           *balancer.Plan
-	firstEntryNode int     // number of the first node that it comes in through
-	demand         float64 // requests a second
-	tokens         float64 // units left of its quota
+	firstEntryNode int     // number of its first entry node; the others follow it
+	demand         float64 // requests per second
+	tokens         float64 // tokens left of its quota, in units
 	refilledAt     time.Duration
 }
 
-// refill brings the quota up to date and returns its level.
+// refill adds the tokens since the last refill and returns the tokens left.
 func (t *tenant) refill(now time.Duration) float64 {
 	t.tokens = math.Min(t.tokens+t.plan.Rate*(now-t.refilledAt).Seconds(), t.plan.Burst)
 	t.refilledAt = now
 	return t.tokens
 }
 
-// meanUnits is the mean of a request's units.
+// meanUnits returns the mean number of units of a request.
 func meanUnits() (mean float64) {
 	for i, share := range unitFractions {
 		mean += float64(i+1) * share
@@ -59,12 +60,12 @@
 	return mean
 }
 
-// drawUnits draws the units of one request.
+// sampleUnits returns a random number of units for a request.
 func drawUnits(rng *rand.Rand) float64 {
 	return float64(drawIndex(rng, unitFractions[:]) + 1)
 }
 
-// drawIndex draws an index by shares that sum to 1.
+// sampleIndex returns a random index, weighted by fractions that sum to 1.
 func drawIndex(rng *rand.Rand, shares []float64) int {
 	x := rng.Float64()
 	for i, share := range shares {
@@ -75,8 +76,8 @@
 	return len(shares) - 1
 }
 
-// drawTenants draws tenants until they ask for so many requests a second. Their first nodes are
-// drawn from the numbers given. Demands are scaled at the end to meet the rate.
+// sampleTenants generates random tenants until their total demand reaches a rate, then scales all demands so that the
+// total equals it. Their first entry nodes are chosen from firsts.
 func drawTenants(rng *rand.Rand, plans []balancer.Plan, firsts []int, requestsPerS float64) []*tenant {
 	var all []*tenant
 	sum := 0.0
