--- a/cmd/opalhook/agent.go
+++ b/cmd/opalhook/agent.go
@@ -20,7 +20,7 @@
 const defaultAgent = "127.0.0.1:8510"
 
 // agentCommand returns the command that runs the agent of a machine.
-func agentCommand(s *sharedFlags) *cobra.Command {
+func agentCommand(s *globalFlags) *cobra.Command {
 	cfg := agent.Config{Rules: agent.DefaultRules()}
 	var metrics string
 	c := &cobra.Command{
@@ -73,7 +73,7 @@
 	return nil
 }
 
-func agentStatus(s *sharedFlags) *cobra.Command {
+func agentStatus(s *globalFlags) *cobra.Command {
 	var at string
 	c := &cobra.Command{
 		Use:     "status",
@@ -117,8 +117,8 @@
 	{"generation", "Generation of the endpoint list that edge nodes are told.", func(s agent.Status) float64 { return float64(s.Generation) }},
 	{"servers", "App servers in the endpoint list.", func(s agent.Status) float64 { return float64(s.Endpoints) }},
 	{"list_age_seconds", "Time since the last message of a replica.", func(s agent.Status) float64 { return s.AgeSeconds }},
-	{"watching", "1 while a watch of a replica is open.", func(s agent.Status) float64 { return zeroOrOne(s.Watching) }},
-	{"doubting", "1 while a shrunken list is held back by self-preservation.", func(s agent.Status) float64 { return zeroOrOne(s.Suspecting) }},
+	{"watching", "1 while a watch of a replica is open.", func(s agent.Status) float64 { return boolToFloat(s.Watching) }},
+	{"doubting", "1 while a shrunken list is held back by self-preservation.", func(s agent.Status) float64 { return boolToFloat(s.Suspecting) }},
 	{"service_calls_total", "Calls of replicas of the list service.", func(s agent.Status) float64 { return float64(s.ReplicaCalls) }},
 	{"node_watches", "Watches that edge nodes have open.", func(s agent.Status) float64 { return float64(s.NodeWatches) }},
 }
@@ -133,7 +133,7 @@
 	return r
 }
 
-func zeroOrOne(b bool) float64 {
+func boolToFloat(b bool) float64 {
 	if b {
 		return 1
 	}
--- a/cmd/opalhook/main.go
+++ b/cmd/opalhook/main.go
@@ -14,21 +14,21 @@
 	"github.com/spf13/cobra"
 )
 
-// errNotMet ends the command with exitNotMet. main prints no message for it: the command has already reported the
+// errChecksFailed ends the command with exitNotMet. main prints no message for it: the command has already reported the
 // violated rules and the failed expectations.
-var errNotMet = errors.New("a rule was violated or an expectation was not met")
+var errChecksFailed = errors.New("a rule was violated or an expectation was not met")
 
-// badInput is an error in the user's input, such as an invalid scenario, range or name. It ends the command with
+// usageError is an error in the user's input, such as an invalid scenario, range or name. It ends the command with
 // exitUsage.
-type badInput struct{ error }
+type usageError struct{ error }
 
-func (e badInput) Unwrap() error { return e.error }
+func (e usageError) Unwrap() error { return e.error }
 
 // Exit codes.
 const (
 	exitError  = 1   // the command failed
 	exitUsage  = 2   // invalid input
-	exitNotMet = 3   // the command completed, but a rule was violated or an expectation was not met
+	exitChecksFailed = 3   // the command completed, but a rule was violated or an expectation was not met
 	exitSignal = 130 // terminated by a signal, as shells report SIGINT
 )
 
@@ -38,29 +38,29 @@
 	err := root().ExecuteContext(ctx)
 	switch {
 	case err == nil:
-	case errors.Is(err, errNotMet):
-		os.Exit(exitNotMet)
+	case errors.Is(err, errChecksFailed):
+		os.Exit(exitChecksFailed)
 	case ctx.Err() != nil:
 		fmt.Fprintln(os.Stderr, "opalhook: interrupted by a signal")
 		os.Exit(exitSignal)
 	default:
 		fmt.Fprintln(os.Stderr, "opalhook:", err)
-		if errors.As(err, new(badInput)) {
+		if errors.As(err, new(usageError)) {
 			os.Exit(exitUsage)
 		}
 		os.Exit(exitError)
 	}
 }
 
-// sharedFlags are the flags that all subcommands share.
-type sharedFlags struct {
+// globalFlags are the flags that all subcommands share.
+type globalFlags struct {
 	output  string
 	verbose bool
 }
 
-func (s *sharedFlags) json() bool { return s.output == "json" }
+func (s *globalFlags) json() bool { return s.output == "json" }
 
-func (s *sharedFlags) logger() *slog.Logger {
+func (s *globalFlags) logger() *slog.Logger {
 	level := slog.LevelWarn
 	if s.verbose {
 		level = slog.LevelInfo
@@ -69,7 +69,7 @@
 }
 
 func root() *cobra.Command {
-	var s sharedFlags
+	var s globalFlags
 	c := &cobra.Command{
 		Use:           "opalhook",
 		Short:         "Operate and test a fleet of opalhook edge nodes",
--- a/cmd/opalhook/registry.go
+++ b/cmd/opalhook/registry.go
@@ -22,7 +22,7 @@
 
 // registryFlags are the flags that the subcommands of `registry` share.
 type registryFlags struct {
-	*sharedFlags
+	*globalFlags
 	at     []string      // HTTP addresses of replicas
 	within time.Duration // time limit of a subcommand, including retries
 }
@@ -36,8 +36,8 @@
 }
 
 // registryCommand returns the group of commands for the list service.
-func registryCommand(s *sharedFlags) *cobra.Command {
-	f := registryFlags{sharedFlags: s}
+func registryCommand(s *globalFlags) *cobra.Command {
+	f := registryFlags{globalFlags: s}
 	c := &cobra.Command{
 		Use:     "registry",
 		Short:   "Run the list service, and read and change its list of app servers",
@@ -55,7 +55,7 @@
 	return c
 }
 
-func registryServe(s *sharedFlags) *cobra.Command {
+func registryServe(s *globalFlags) *cobra.Command {
 	var cfg registry.Config
 	c := &cobra.Command{
 		Use:   "serve",
@@ -177,7 +177,7 @@
 }
 
 // writeOutcome writes the outcome of a change.
-func writeOutcome(s *sharedFlags, c *cobra.Command, o registry.Outcome) error {
+func writeOutcome(s *globalFlags, c *cobra.Command, o registry.Outcome) error {
 	if s.json() {
 		return writeJSON(c.OutOrStdout(), o)
 	}
@@ -208,7 +208,7 @@
 			if err != nil {
 				return err
 			}
-			return writeOutcome(f.sharedFlags, c, o)
+			return writeOutcome(f.globalFlags, c, o)
 		},
 	}
 	c.Flags().StringVar(&r.Zone, "zone", "", "zone of the instance")
@@ -239,7 +239,7 @@
 			if err != nil {
 				return err
 			}
-			return writeOutcome(f.sharedFlags, c, out)
+			return writeOutcome(f.globalFlags, c, out)
 		},
 	}
 	c.Flags().Uint64Var(&o.Incarnation, "incarnation", 0, "change the instance only if it has this incarnation; 0: any")
@@ -299,7 +299,7 @@
 	}
 }
 
-func registryRestore(s *sharedFlags) *cobra.Command {
+func registryRestore(s *globalFlags) *cobra.Command {
 	var dir string
 	var epoch uint64
 	c := &cobra.Command{
@@ -347,7 +347,7 @@
 			if err != nil {
 				return err
 			}
-			return writeOutcome(f.sharedFlags, c, o)
+			return writeOutcome(f.globalFlags, c, o)
 		},
 	}
 }
--- a/cmd/opalhook/scale.go
+++ b/cmd/opalhook/scale.go
@@ -15,7 +15,7 @@
 )
 
 // testbedScale returns the command that measures how the cost of parts of the program grows with the fleet.
-func testbedScale(s *sharedFlags) *cobra.Command {
+func testbedScale(s *globalFlags) *cobra.Command {
 	var names []string
 	var sizes, dir string
 	var seed uint64
@@ -24,7 +24,7 @@
 		Short: "Measure how edge nodes and the list service scale with the fleet",
 		Long: "Measure parts of the program at increasing sizes: edge nodes without sockets on a simulated clock, and the list service.\n" +
 			"Counts depend only on the seed; times depend on this machine. After Ctrl-C, the report has the sizes measured so far.\n\n" +
-			"Parts:\n" + scaleParts() + "\n" +
+			"Parts:\n" + scalePartsHelp() + "\n" +
 			"Exit codes: 0 if everything was measured, 2 if --part or --sizes is invalid or a size needs more than half of this\n" +
 			"machine's memory, 1 if a measurement failed, 130 after a signal.",
 		Example: "  opalhook testbed scale\n  opalhook testbed scale --part node-list --sizes 200,2000,20000\n  opalhook testbed scale --part quota --seed 7 -o json",
@@ -38,7 +38,7 @@
 				Parts: scale.Parts(), Names: names, Sizes: counts, Seed: seed, Progress: scaleProgress(c.ErrOrStderr()),
 			})
 			if errors.As(err, new(*scale.InputError)) || errors.As(err, new(*scale.MemoryError)) {
-				return badInput{fmt.Errorf("--%w", err)}
+				return usageError{fmt.Errorf("--%w", err)}
 			}
 			if report != nil {
 				err = errors.Join(err, s.writeScale(c.OutOrStdout(), report, dir))
@@ -53,8 +53,8 @@
 	return c
 }
 
-// scaleParts returns the description of the parts for the help text.
-func scaleParts() string {
+// scalePartsHelp returns the description of the parts for the help text.
+func scalePartsHelp() string {
 	var b strings.Builder
 	for _, p := range scale.Parts() {
 		fmt.Fprintf(&b, "  %-12s %s (sizes: %s)\n", p.Name, p.Title, p.Size)
@@ -70,15 +70,15 @@
 	for _, word := range strings.Split(text, ",") {
 		size, err := strconv.Atoi(strings.TrimSpace(word))
 		if err != nil {
-			return nil, badInput{fmt.Errorf("--sizes: must be whole numbers separated by commas, got %q", word)}
+			return nil, usageError{fmt.Errorf("--sizes: must be whole numbers separated by commas, got %q", word)}
 		}
 		sizes = append(sizes, size)
 	}
 	return sizes, nil
 }
 
-// progressGap is the shortest time between two progress lines of the same size.
-const progressGap = time.Second
+// progressInterval is the shortest time between two progress lines of the same size.
+const progressInterval = time.Second
 
 // scaleProgress returns a function that writes a progress line when a size starts, when it ends, and at most once per
 // progressGap in between. Write errors are ignored: they must not stop the measurement.
@@ -87,7 +87,7 @@
 	var last time.Duration
 	return func(p scale.Progress) {
 		now := time.Since(began)
-		if p.Done > 0 && p.Done < p.Total && now-last < progressGap {
+		if p.Done > 0 && p.Done < p.Total && now-last < progressInterval {
 			return
 		}
 		last = now
@@ -96,7 +96,7 @@
 }
 
 // writeScale writes the report to out and the plots to dir.
-func (s *sharedFlags) writeScale(out io.Writer, report *scale.Report, dir string) error {
+func (s *globalFlags) writeScale(out io.Writer, report *scale.Report, dir string) error {
 	if s.json() {
 		if err := writeJSON(out, report); err != nil {
 			return err
--- a/cmd/opalhook/scale_test.go
+++ b/cmd/opalhook/scale_test.go
@@ -23,7 +23,7 @@
 		{"--part", "node-list", "--sizes", "9223372036854775807"},
 	} {
 		out, err := call(t, append([]string{"lab", "scale", "--dir", t.TempDir()}, args...)...)
-		if !errors.As(err, new(badInput)) {
+		if !errors.As(err, new(usageError)) {
 			t.Errorf("%v: error %v is no bad input", args, err)
 		}
 		if out != "" {
--- a/cmd/opalhook/sweep.go
+++ b/cmd/opalhook/sweep.go
@@ -23,7 +23,7 @@
 }
 
 // testbedSweep returns the command that runs scenarios generated from seeds.
-func testbedSweep(s *sharedFlags) *cobra.Command {
+func testbedSweep(s *globalFlags) *cobra.Command {
 	var f sweepFlags
 	c := &cobra.Command{
 		Use:   "sweep",
@@ -52,12 +52,12 @@
 
 // sweep runs the scenarios of the seeds and writes the report. It returns errNotMet if a scenario violated a rule or
 // could not be run.
-func (f *sweepFlags) sweep(c *cobra.Command, s *sharedFlags) error {
+func (f *sweepFlags) sweep(c *cobra.Command, s *globalFlags) error {
 	if err := f.check(); err != nil {
-		return badInput{err}
+		return usageError{err}
 	}
 	var err error
-	if f.options.Binary, err = sweepNode(c.Context(), f.binary, f.mutant, f.dir); err != nil {
+	if f.options.Binary, err = findSweepNode(c.Context(), f.binary, f.mutant, f.dir); err != nil {
 		return err
 	}
 	f.options.Rule, f.options.Dir, f.options.Log, f.options.Live = f.rule, f.dir, s.logger(), sweepProgress(os.Stderr)
@@ -68,7 +68,7 @@
 	if s.json() {
 		err = writeJSON(c.OutOrStdout(), r)
 	} else {
-		err = sweepTable(c.OutOrStdout(), r, f.dir)
+		err = writeSweep(c.OutOrStdout(), r, f.dir)
 	}
 	switch {
 	case err != nil:
@@ -76,7 +76,7 @@
 	case c.Context().Err() != nil:
 		return c.Context().Err()
 	case !r.OK():
-		return errNotMet
+		return errChecksFailed
 	}
 	return nil
 }
@@ -105,16 +105,16 @@
 	return strings.Join(slices.Sorted(maps.Keys(testbed.Mutants())), ", ")
 }
 
-// sweepNode returns the path of the edge node's binary to run: the given one, a newly built mutant, or one built from
+// findSweepNode returns the path of the edge node's binary to run: the given one, a newly built mutant, or one built from
 // this repository.
-func sweepNode(ctx context.Context, binary, mutant, dir string) (string, error) {
+func findSweepNode(ctx context.Context, binary, mutant, dir string) (string, error) {
 	switch {
 	case mutant == "":
 		return testbed.FindNode(ctx, binary, dir)
 	case binary != "":
-		return "", badInput{fmt.Errorf("--broken: cannot be combined with --node-binary, because it builds its own node")}
+		return "", usageError{fmt.Errorf("--broken: cannot be combined with --node-binary, because it builds its own node")}
 	case testbed.Mutants()[mutant] == "":
-		return "", badInput{fmt.Errorf("--broken: got %q, must be one of %s", mutant, mutantNames())}
+		return "", usageError{fmt.Errorf("--broken: got %q, must be one of %s", mutant, mutantNames())}
 	}
 	return testbed.BuildMutant(ctx, mutant, dir)
 }
@@ -124,13 +124,13 @@
 func sweepProgress(out io.Writer) func(done, of int, t testbed.GeneratedRun) {
 	began := time.Now()
 	return func(done, of int, t testbed.GeneratedRun) {
-		_, _ = fmt.Fprintf(out, "%5.0f s  %d of %d  seed %d: %s%s\n", time.Since(began).Seconds(), done, of, t.Seed, t.Verdict, because(t))
+		_, _ = fmt.Fprintf(out, "%5.0f s  %d of %d  seed %d: %s%s\n", time.Since(began).Seconds(), done, of, t.Seed, t.Verdict, failureReason(t))
 	}
 }
 
-// because formats why a scenario did not pass: the violated rules with the number of violations, and the reason that
+// failureReason formats why a scenario did not pass: the violated rules with the number of violations, and the reason that
 // the sweep reports. The text begins with a colon. It is empty if there is neither.
-func because(t testbed.GeneratedRun) string {
+func failureReason(t testbed.GeneratedRun) string {
 	var words []string
 	for _, rule := range slices.Sorted(maps.Keys(t.Rules)) {
 		words = append(words, fmt.Sprintf("%s %d times", rule, t.Rules[rule]))
@@ -144,8 +144,8 @@
 	return ": " + strings.Join(words, ", ")
 }
 
-// sweepTable writes the scenarios that failed, the number of scenarios by verdict, and the path of the report.
-func sweepTable(out io.Writer, r *testbed.SweepReport, dir string) error {
+// writeSweep writes the scenarios that failed, the number of scenarios by verdict, and the path of the report.
+func writeSweep(out io.Writer, r *testbed.SweepReport, dir string) error {
 	var table strings.Builder
 	head := false
 	for _, t := range r.Runs {
@@ -156,7 +156,7 @@
 			head = true
 			fmt.Fprintln(&table, "seed\tverdict\tdeployment\treproduce with")
 		}
-		fmt.Fprintf(&table, "%d\t%s%s\t%s\t%s\n", t.Seed, t.Verdict, because(t), t.Size, t.Command)
+		fmt.Fprintf(&table, "%d\t%s%s\t%s\t%s\n", t.Seed, t.Verdict, failureReason(t), t.Size, t.Command)
 		if t.First != "" {
 			fmt.Fprintf(&table, "\t  %s\t\t\n", strings.TrimSpace(t.First))
 		}
--- a/cmd/opalhook/testbed.go
+++ b/cmd/opalhook/testbed.go
@@ -17,7 +17,7 @@
 )
 
 // testbedCommand returns the group of commands that run real edge nodes under load and faults.
-func testbedCommand(s *sharedFlags) *cobra.Command {
+func testbedCommand(s *globalFlags) *cobra.Command {
 	c := &cobra.Command{
 		Use:     "testbed",
 		Aliases: []string{"lab"}, // the name in earlier versions
@@ -38,7 +38,7 @@
 }
 
 // testbedRun returns the command that runs a scenario.
-func testbedRun(s *sharedFlags) *cobra.Command {
+func testbedRun(s *globalFlags) *cobra.Command {
 	var f runFlags
 	c := &cobra.Command{
 		Use:   "run FILE",
@@ -48,7 +48,7 @@
 		Example: "  opalhook testbed run scenarios/zone-cut.toml --seed 7\n  opalhook testbed run scenarios/killed.toml --runs 4 --dir runs/new\n" +
 			"  opalhook testbed run scenarios/killed.toml --node-binary old/edge-node --runs 4 --dir runs/old",
 		Args: cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error { return f.play(c, s, args[0]) },
+		RunE: func(c *cobra.Command, args []string) error { return f.run(c, s, args[0]) },
 	}
 	c.Flags().Uint64Var(&f.seed, "seed", 1, "seed of all random choices; further runs use the following seeds")
 	c.Flags().IntVar(&f.runs, "runs", 1, "number of runs, each with a different seed")
@@ -58,15 +58,15 @@
 	return c
 }
 
-// play runs a scenario f.runs times and writes a summary of each run. It returns errNotMet if a run violated a rule or
+// run runs a scenario f.runs times and writes a summary of each run. It returns errNotMet if a run violated a rule or
 // failed an expectation.
-func (f *runFlags) play(c *cobra.Command, s *sharedFlags, file string) error {
+func (f *runFlags) run(c *cobra.Command, s *globalFlags, file string) error {
 	scenario, err := testbed.LoadScenario(file)
 	if err != nil {
-		return badInput{err}
+		return usageError{err}
 	}
 	if f.runs < 1 {
-		return badInput{fmt.Errorf("--runs: must be at least 1, got %d", f.runs)}
+		return usageError{fmt.Errorf("--runs: must be at least 1, got %d", f.runs)}
 	}
 	if f.dir == "" {
 		f.dir = filepath.Join("runs", fmt.Sprintf("%s-%d", scenario.Name, f.seed))
@@ -104,13 +104,13 @@
 		}
 	}
 	if slices.ContainsFunc(results, func(r *testbed.Result) bool { return !r.OK() }) {
-		return errNotMet
+		return errChecksFailed
 	}
 	return nil
 }
 
 // testbedFault returns the command that injects a fault into a running scenario.
-func testbedFault(s *sharedFlags) *cobra.Command {
+func testbedFault(s *globalFlags) *cobra.Command {
 	var at string
 	var f testbed.CommandedFault
 	var last, late time.Duration
@@ -170,7 +170,7 @@
 	Error string `json:"error,omitempty"`
 }
 
-func testbedList(s *sharedFlags) *cobra.Command {
+func testbedList(s *globalFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:     "list [FOLDER]",
 		Short:   "List the scenarios in a folder",
@@ -216,7 +216,7 @@
 	return rows, bad
 }
 
-func testbedReport(s *sharedFlags) *cobra.Command {
+func testbedReport(s *globalFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:     "report DIR",
 		Short:   "Write a report of a run in Markdown, with charts",
@@ -240,7 +240,7 @@
 	}
 }
 
-func testbedCompare(s *sharedFlags) *cobra.Command {
+func testbedCompare(s *globalFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:     "compare DIR DIR",
 		Short:   "Compare two runs or two folders of runs",
--- a/cmd/opalhook/testbed_output.go
+++ b/cmd/opalhook/testbed_output.go
@@ -40,8 +40,8 @@
 		p.At.Seconds(), p.Of.Seconds(), p.Requests, p.Served, p.Rejected, p.Failed, p.P50.Milliseconds(), p.P99.Milliseconds(), p.NodesUp, p.Violations)
 }
 
-// shownViolations is the maximum number of violations in a summary. The result file lists more.
-const shownViolations = 5
+// maxShownViolations is the maximum number of violations in a summary. The result file lists more.
+const maxShownViolations = 5
 
 // writeSummary writes the outcome of a run: its main figures, violations and failed expectations, and where its files
 // are.
@@ -56,7 +56,7 @@
 	if r.Behind {
 		fmt.Fprintf(&text, "  the load generator fell behind by %.1f ms (99th percentile): this machine is too small for the load\n", r.Figures["lateness_ms"])
 	}
-	for _, v := range r.Violations[:min(len(r.Violations), shownViolations)] {
+	for _, v := range r.Violations[:min(len(r.Violations), maxShownViolations)] {
 		fmt.Fprintln(&text, " ", v)
 	}
 	for _, k := range r.Checks {
--- a/cmd/opalhook/testbed_output_test.go
+++ b/cmd/opalhook/testbed_output_test.go
@@ -28,7 +28,7 @@
 	}
 	failed := passed
 	failed.Behind = true
-	failed.Violations = make([]testbed.Violation, shownViolations+2)
+	failed.Violations = make([]testbed.Violation, maxShownViolations+2)
 	failed.Checks = []testbed.Checked{{Expect: testbed.Expect{Figure: "served", Max: &most}, Got: 0.898}}
 	for _, c := range []struct {
 		name   string
@@ -37,7 +37,7 @@
 		lines  int
 	}{
 		{"passed", &passed, []string{"quiet seed 7: passed  goodput 0.976  requests served 0.898  attempts rejected 0.207  p99 575 ms  schedule 0123456789abcdef\n", "  runs/a\n"}, 2},
-		{"failed", &failed, []string{"quiet seed 7: FAILED", "too small for the load", "expected served at most 0.5, got 0.898", "  runs/a\n"}, 4 + shownViolations},
+		{"failed", &failed, []string{"quiet seed 7: FAILED", "too small for the load", "expected served at most 0.5, got 0.898", "  runs/a\n"}, 4 + maxShownViolations},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var out strings.Builder
--- a/cmd/opalhook/up.go
+++ b/cmd/opalhook/up.go
@@ -12,8 +12,8 @@
 	"opalhook/internal/testbed"
 )
 
-// upRejects explains why the demonstration rejects requests; docs/testbed.md has the figures.
-const upRejects = "Rejections are expected: some tenants request three times their quota, and most requests beyond a quota are\n" +
+// rejectionsNote explains why the demonstration rejects requests; docs/testbed.md has the figures.
+const rejectionsNote = "Rejections are expected: some tenants request three times their quota, and most requests beyond a quota are\n" +
 	"rejected. In total, a tenth to a third of all requests are rejected."
 
 // upFlags are the flags of `up`.
@@ -23,13 +23,13 @@
 }
 
 // upCommand returns the command that runs a demonstration. It works without any flags or files.
-func upCommand(s *sharedFlags) *cobra.Command {
+func upCommand(s *globalFlags) *cobra.Command {
 	var f upFlags
 	c := &cobra.Command{
 		Use:   "up",
 		Short: "Run a small fleet with load on this machine",
 		Long: "Run a small fleet of edge nodes on loopback addresses, with emulated app servers, list agents and clients, until\n" +
-			"Ctrl-C. One progress line is printed per second. All processes are stopped at the end.\n\n" + upRejects,
+			"Ctrl-C. One progress line is printed per second. All processes are stopped at the end.\n\n" + rejectionsNote,
 		Example: "  opalhook up\n  opalhook up --for 10s",
 		Args:    cobra.NoArgs,
 		RunE:    func(c *cobra.Command, _ []string) error { return f.run(c, s) },
@@ -41,7 +41,7 @@
 }
 
 // run runs the demonstration and removes its files. It builds an edge node unless --node-binary names one.
-func (f *upFlags) run(c *cobra.Command, s *sharedFlags) error {
+func (f *upFlags) run(c *cobra.Command, s *globalFlags) error {
 	scenario, err := testbed.Demo(f.duration)
 	if err != nil {
 		return err
@@ -53,7 +53,7 @@
 	defer func() { _ = os.RemoveAll(dir) }() // a temporary folder
 	// Errors of writing to stderr are ignored: they must not stop the run.
 	_, _ = fmt.Fprintf(c.ErrOrStderr(), "building the edge node, then running %d nodes and %d app servers until Ctrl-C\n%s\n",
-		scenario.Fleet.Nodes, scenario.Fleet.Servers, upRejects)
+		scenario.Fleet.Nodes, scenario.Fleet.Servers, rejectionsNote)
 	node, err := testbed.FindNode(c.Context(), f.binary, dir)
 	if err != nil {
 		return err
@@ -72,7 +72,7 @@
 		return err
 	}
 	if !r.OK() {
-		return errNotMet
+		return errChecksFailed
 	}
 	return nil
 }
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -65,7 +65,7 @@
 // counts are the counters of an edge node, or their sums over a fleet. They depend on the seed alone.
 type counts struct {
 	requests, served, rejected, failed        int
-	duplicateAnswers                          int // final responses to a request that already had one
+	duplicateResponses                          int // final responses to a request that already had one
 	unanswered                                int // requests without a final response after their deadline
 	attempts                                  int
 	quotaRequests, quotaGrants, otherMessages int     // messages sent, by kind
@@ -83,7 +83,7 @@
 	c.served += d.served
 	c.rejected += d.rejected
 	c.failed += d.failed
-	c.duplicateAnswers += d.duplicateAnswers
+	c.duplicateResponses += d.duplicateResponses
 	c.unanswered += d.unanswered
 	c.attempts += d.attempts
 	c.quotaRequests += d.quotaRequests
@@ -124,8 +124,8 @@
 	}
 }
 
-// add creates an edge node and starts its balancer. The node has no endpoint list yet.
-func (f *fleet) add(number int) (*simulatedNode, error) {
+// addNode creates an edge node and starts its balancer. The node has no endpoint list yet.
+func (f *fleet) addNode(number int) (*simulatedNode, error) {
 	settings := fleetSettings(f.nodeCount, number)
 	b, err := balancer.New(settings, f.seed<<16+uint64(number))
 	if err != nil {
@@ -141,10 +141,10 @@
 	return n, nil
 }
 
-// addAll creates all edge nodes of the fleet, each with the list of the first servers.
-func (f *fleet) addAll(servers int) error {
+// addAllNodes creates all edge nodes of the fleet, each with the list of the first servers.
+func (f *fleet) addAllNodes(servers int) error {
 	for number := range f.nodeCount {
-		n, err := f.add(number)
+		n, err := f.addNode(number)
 		if err != nil {
 			return err
 		}
@@ -153,9 +153,9 @@
 	return nil
 }
 
-// arrive schedules the requests of a tenant until end. Each arrives at a random entry node of the tenant. Requests at
+// scheduleArrivals schedules the requests of a tenant until end. Each arrives at a random entry node of the tenant. Requests at
 // nodes that are not simulated are dropped.
-func (f *fleet) arrive(t *tenant, end time.Duration) {
+func (f *fleet) scheduleArrivals(t *tenant, end time.Duration) {
 	wait := time.Duration(f.rng.ExpFloat64() / t.demand * float64(time.Second))
 	if f.clock.now+wait >= end {
 		return
@@ -165,7 +165,7 @@
 		if n := f.nodes[number]; n != nil {
 			n.requestArrives(t)
 		}
-		f.arrive(t, end)
+		f.scheduleArrivals(t, end)
 	})
 }
 
@@ -177,19 +177,19 @@
 	return sum
 }
 
-// reset clears the counters and the used endpoints of all simulated nodes.
-func (f *fleet) reset() {
+// resetCounts clears the counters and the used endpoints of all simulated nodes.
+func (f *fleet) resetCounts() {
 	for _, n := range f.added {
 		n.counts = counts{}
 		clear(n.usedEndpoints)
 	}
 }
 
-// finish counts the requests without a final response as unanswered. Call it once all deadlines have passed.
-func (f *fleet) finish() {
+// countUnanswered counts the requests without a final response as unanswered. Call it once all deadlines have passed.
+func (f *fleet) countUnanswered() {
 	for _, n := range f.added {
 		for _, q := range n.open {
-			if q.finalAnswers == 0 {
+			if q.finalResponses == 0 {
 				n.counts.unanswered++
 			}
 		}
--- a/internal/scale/fleet_test.go
+++ b/internal/scale/fleet_test.go
@@ -12,7 +12,7 @@
 	t.Helper()
 	const nodes, load = 24, 4 * time.Second
 	f := newFleet(seed, nodes, spread)
-	if err := f.addAll(2 * nodes); err != nil {
+	if err := f.addAllNodes(2 * nodes); err != nil {
 		t.Fatal(err)
 	}
 	var firsts []int
@@ -20,13 +20,13 @@
 		firsts = append(firsts, i)
 	}
 	end := f.clock.now + load
-	for _, tenant := range drawTenants(f.rng, fleetPlans(), firsts, requestsPerS*nodes) {
-		f.arrive(tenant, end)
+	for _, tenant := range sampleTenants(f.rng, fleetPlans(), firsts, requestsPerS*nodes) {
+		f.scheduleArrivals(tenant, end)
 	}
 	if err := f.clock.runUntil(t.Context(), end+clientDeadline); err != nil {
 		t.Fatal(err)
 	}
-	f.finish()
+	f.countUnanswered()
 	return f, f.total()
 }
 
@@ -35,9 +35,9 @@
 func TestFleetInvariants(t *testing.T) {
 	for _, spread := range []int{1, 3, 8} {
 		f, c := steadyFleet(t, 1, spread, 40)
-		if c.requests == 0 || c.served+c.rejected+c.failed != c.requests || c.unanswered+c.duplicateAnswers != 0 {
+		if c.requests == 0 || c.served+c.rejected+c.failed != c.requests || c.unanswered+c.duplicateResponses != 0 {
 			t.Errorf("spread %d: %d requests, %d served, %d rejected, %d failed, %d without an answer, %d answered again",
-				spread, c.requests, c.served, c.rejected, c.failed, c.unanswered, c.duplicateAnswers)
+				spread, c.requests, c.served, c.rejected, c.failed, c.unanswered, c.duplicateResponses)
 		}
 		if c.longestMessage > maxMessage {
 			t.Errorf("spread %d: a message of %d bytes", spread, c.longestMessage)
@@ -152,7 +152,7 @@
 func TestDrawTenants(t *testing.T) {
 	f := newFleet(1, 8, 1)
 	sum := 0.0
-	for _, tenant := range drawTenants(f.rng, fleetPlans(), []int{2, 5}, 1000) {
+	for _, tenant := range sampleTenants(f.rng, fleetPlans(), []int{2, 5}, 1000) {
 		sum += tenant.demand
 		if tenant.firstEntryNode != 2 && tenant.firstEntryNode != 5 {
 			t.Fatalf("first entry node %d", tenant.firstEntryNode)
@@ -164,7 +164,7 @@
 	units, most := 0.0, 0.0
 	const draws = 10000
 	for range draws {
-		u := drawUnits(f.rng)
+		u := sampleUnits(f.rng)
 		units, most = units+u, max(most, u)
 	}
 	if mean := units / draws; most != maxUnits || mean < 0.95*meanUnits() || mean > 1.05*meanUnits() {
--- a/internal/scale/link.go
+++ b/internal/scale/link.go
@@ -29,17 +29,17 @@
 type inbox struct {
 	rate   float64 // messages per second
 	tokens float64
-	at     time.Duration // time of the last refill
+	refilledAt     time.Duration // time of the last refill
 }
 
 func newInbox(rate float64, now time.Duration) inbox {
-	return inbox{rate: rate, tokens: rate, at: now}
+	return inbox{rate: rate, tokens: rate, refilledAt: now}
 }
 
 // accept reports whether a message that arrives now is accepted. The other messages are discarded.
 func (b *inbox) accept(now time.Duration) bool {
-	b.tokens = math.Min(b.tokens+b.rate*(now-b.at).Seconds(), b.rate)
-	b.at = now
+	b.tokens = math.Min(b.tokens+b.rate*(now-b.refilledAt).Seconds(), b.rate)
+	b.refilledAt = now
 	if b.tokens < 1 {
 		return false
 	}
--- a/internal/scale/list.go
+++ b/internal/scale/list.go
@@ -15,7 +15,7 @@
 // Sizes of the list in entries. The largest is that of the planned fleet.
 var (
 	listSizes = []int{2_000, 20_000, 100_000, 200_000}
-	listSmall = []int{600}
+	listTestSizes = []int{600}
 )
 
 // Planned fleet: 200,000 app servers in 15 zones, and 4,100 edge nodes that watch the list.
@@ -43,15 +43,15 @@
 }
 
 // listRows collects the rows of a part at one size.
-type rowsOf struct {
+type listRows struct {
 	rowWriter
 }
 
-func (r *rowsOf) count(quantity string, n int) { r.add(quantity, float64(n), "") }
-func (r *rowsOf) bytes(quantity string, n uint64) {
+func (r *listRows) count(quantity string, n int) { r.add(quantity, float64(n), "") }
+func (r *listRows) bytes(quantity string, n uint64) {
 	r.add(quantity, float64(n), "B")
 }
-func (r *rowsOf) time(quantity string, d time.Duration) { r.add(quantity, d.Seconds(), "s") }
+func (r *listRows) time(quantity string, d time.Duration) { r.add(quantity, d.Seconds(), "s") }
 
 // listSteps reports the progress of a measurement that consists of steps, and stops it when its context is cancelled.
 type listSteps struct {
@@ -68,9 +68,9 @@
 }
 
 // measureInSteps returns the [Part.Measure] function of a measurement that consists of a number of steps.
-func inSteps(part string, steps int, measure func(*listSteps, *rowsOf) error) func(context.Context, int, Env) ([]Row, error) {
+func measureInSteps(part string, steps int, measure func(*listSteps, *listRows) error) func(context.Context, int, Env) ([]Row, error) {
 	return func(ctx context.Context, size int, env Env) ([]Row, error) {
-		rows := rowsOf{rowWriter{part: part, size: size}}
+		rows := listRows{rowWriter{part: part, size: size}}
 		err := measure(&listSteps{ctx: ctx, env: env, total: steps}, &rows)
 		return rows.rows, err
 	}
@@ -83,13 +83,13 @@
 		Title:   "Memory, snapshot, restore and recovery of one replica of the list service, on loopback and with its log on disk.",
 		Size:    "entries in the list, each with a lease",
 		Sizes:   listSizes,
-		Small:   listSmall,
+		TestSizes:   listTestSizes,
 		Memory:  func(size int) uint64 { return listMemory(1, size) },
-		Measure: inSteps("list-state", 4, measureState),
+		Measure: measureInSteps("list-state", 4, measureState),
 	}
 }
 
-func measureState(at *listSteps, rows *rowsOf) (err error) {
+func measureState(at *listSteps, rows *listRows) (err error) {
 	image, err := measureEncoding(at, rows)
 	if err != nil {
 		return err
@@ -106,7 +106,7 @@
 }
 
 // measureEncoding creates a list, encodes it and decodes it again. It returns the encoded list.
-func measureEncoding(at *listSteps, rows *rowsOf) (image []byte, err error) {
+func measureEncoding(at *listSteps, rows *listRows) (image []byte, err error) {
 	if err := at.next("creating the list"); err != nil {
 		return nil, err
 	}
@@ -132,7 +132,7 @@
 }
 
 // measureRestore starts a replica with the list of a backup.
-func measureRestore(at *listSteps, rows *rowsOf, image []byte) (*listReplica, error) {
+func measureRestore(at *listSteps, rows *listRows, image []byte) (*listReplica, error) {
 	if err := at.next("restoring a backup"); err != nil {
 		return nil, err
 	}
@@ -149,7 +149,7 @@
 }
 
 // measureSnapshot measures how long a replica takes to write a snapshot.
-func measureSnapshot(at *listSteps, rows *rowsOf, service *listReplica) error {
+func measureSnapshot(at *listSteps, rows *listRows, service *listReplica) error {
 	if err := at.next("writing a snapshot"); err != nil {
 		return err
 	}
@@ -162,7 +162,7 @@
 }
 
 // measureRecovery stops a replica and starts it again from its snapshot.
-func measureRecovery(at *listSteps, rows *rowsOf, service *listReplica) error {
+func measureRecovery(at *listSteps, rows *listRows, service *listReplica) error {
 	if err := at.next("recovering"); err != nil {
 		return err
 	}
@@ -192,8 +192,8 @@
 // Parameters of the measurements with watches.
 const (
 	singleChanges  = 3   // number of changes written one after another
-	zoneWriters    = 64  // number of concurrent clients that remove the entries of the lost zone
-	wholeListReads = 128 // maximum number of watches that receive a complete list at the same time
+	zoneClients    = 64  // number of concurrent clients that remove the entries of the lost zone
+	maxSnapshotReaders = 128 // maximum number of watches that receive a complete list at the same time
 	lostZone       = 0   // number of the zone that is lost
 )
 
@@ -206,30 +206,30 @@
 			"a single change, the removal of a zone entry by entry, all watches reconnecting from before it, and complete lists to at most 128 watches.",
 		Size:    "entries in the list",
 		Sizes:   listSizes,
-		Small:   listSmall,
+		TestSizes:   listTestSizes,
 		Memory:  func(size int) uint64 { return listServiceMemory(1, size) },
-		Measure: inSteps("list-watches", 6, measureService),
+		Measure: measureInSteps("list-watches", 6, measureService),
 	}
 }
 
 // watchesOf returns the number of watches of a list, in the proportion of the planned fleet.
 func watchesOf(entries int) int { return max(entries*planWatches/planEntries, 1) }
 
-func measureService(at *listSteps, rows *rowsOf) (err error) {
+func measureService(at *listSteps, rows *listRows) (err error) {
 	service, err := at.restore(rows.size, listLease, electionTimeout)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, service.close()) }()
-	run := serviceRun{at: at, rows: rows, service: service, writer: newListWriter(service.Addr()), watches: watchesOf(rows.size)}
+	run := serviceRun{steps: at, rows: rows, service: service, writer: newListWriter(service.Addr()), watches: watchesOf(rows.size)}
 	defer run.writer.close()
-	return errors.Join(run.followed(), run.reconnects(), run.snapshots())
+	return errors.Join(run.measureOpenWatches(), run.measureReconnects(), run.measureSnapshots())
 }
 
 // serviceRun is a measurement of [ListService] at one size.
 type serviceRun struct {
-	at         *listSteps
-	rows       *rowsOf
+	steps         *listSteps
+	rows       *listRows
 	service    *listReplica
 	writer     *listWriter
 	watches    int
@@ -237,37 +237,37 @@
 }
 
 // measureOpenWatches measures the delivery of changes to open watches.
-func (r *serviceRun) followed() error {
-	if err := r.at.next("opening watches"); err != nil {
+func (r *serviceRun) measureOpenWatches() error {
+	if err := r.steps.next("opening watches"); err != nil {
 		return err
 	}
 	began := time.Now()
-	watches, err := openWatches(r.at.ctx, startsAt(r.service.Addr(), r.watches, r.service.Generation()), r.at.env.Seed)
+	watches, err := openWatches(r.steps.ctx, startsAt(r.service.Addr(), r.watches, r.service.Generation()), r.steps.env.Seed)
 	if err != nil {
 		return err
 	}
 	defer watches.close()
 	r.rows.count("watches", r.watches)
 	r.rows.time("watches, until all are open", time.Since(began))
-	if err := r.singles(watches); err != nil {
+	if err := r.measureSingleChanges(watches); err != nil {
 		return err
 	}
-	return r.zone(watches)
+	return r.measureZoneLoss(watches)
 }
 
 // measureSingleChanges measures the delivery of changes that are written one after another.
-func (r *serviceRun) singles(watches *listWatches) error {
-	if err := r.at.next("writing single changes"); err != nil {
+func (r *serviceRun) measureSingleChanges(watches *listWatches) error {
+	if err := r.steps.next("writing single changes"); err != nil {
 		return err
 	}
 	var late []time.Duration
 	for n := range singleChanges {
 		began := time.Now()
-		generation, err := r.writer.drain(r.at.ctx, n*planZones+lostZone+1)
+		generation, err := r.writer.drain(r.steps.ctx, n*planZones+lostZone+1)
 		if err != nil {
 			return err
 		}
-		last, err := watches.awaitGeneration(r.at.ctx, generation)
+		last, err := watches.awaitGeneration(r.steps.ctx, generation)
 		if err != nil {
 			return err
 		}
@@ -275,25 +275,25 @@
 	}
 	r.rows.time("first change, to the last watch", late[0])
 	r.rows.time("next two changes, most to the last watch", slices.Max(late[1:]))
-	told := watches.count()
+	told := watches.totals()
 	r.rows.bytes("one change, most to a watch", told.maxBytes/singleChanges)
 	return told.firstError
 }
 
-// measureZoneLoss measures the delivery of the removals of a zone, each a separate change.
-func (r *serviceRun) zone(watches *listWatches) error {
-	if err := r.at.next("removing a zone"); err != nil {
+// measureZoneLoss measures the delivery of the removals of a measureZoneLoss, each a separate change.
+func (r *serviceRun) measureZoneLoss(watches *listWatches) error {
+	if err := r.steps.next("removing a zone"); err != nil {
 		return err
 	}
 	r.beforeZone = r.service.Generation()
-	before := watches.count()
+	before := watches.totals()
 	began := time.Now()
 	lost := zoneEntries(r.rows.size)
-	if err := r.writer.removeZone(r.at.ctx, r.rows.size); err != nil {
+	if err := r.writer.removeZone(r.steps.ctx, r.rows.size); err != nil {
 		return err
 	}
 	written := time.Since(began)
-	last, err := watches.awaitGeneration(r.at.ctx, r.beforeZone+uint64(lost))
+	last, err := watches.awaitGeneration(r.steps.ctx, r.beforeZone+uint64(lost))
 	if err != nil {
 		return err
 	}
@@ -301,7 +301,7 @@
 	r.rows.time("zone lost, all removals written", written)
 	r.rows.time("zone lost, from the first removal to the last watch", last.Sub(began))
 	r.rows.time("zone lost, from the last removal to the last watch", max(last.Sub(began)-written, 0))
-	told := watches.count()
+	told := watches.totals()
 	r.rows.bytes("zone lost, most to a watch", told.maxBytes-before.maxBytes)
 	r.rows.count("watches told otherwise than each change once and in order", told.outOfOrder)
 	r.rows.count("whole lists to watches that were open", int(told.snapshots))
@@ -310,27 +310,27 @@
 
 // syncNewWatches opens n watches that start after a generation, waits until all of them have the current list, and closes
 // them. It returns what they received and how long that took.
-func (r *serviceRun) opened(n int, from uint64) (told watchTotals, took time.Duration, err error) {
+func (r *serviceRun) syncNewWatches(n int, from uint64) (told watchTotals, took time.Duration, err error) {
 	began := time.Now()
-	watches, err := openWatches(r.at.ctx, startsAt(r.service.Addr(), n, from), r.at.env.Seed)
+	watches, err := openWatches(r.steps.ctx, startsAt(r.service.Addr(), n, from), r.steps.env.Seed)
 	if err != nil {
 		return told, 0, err
 	}
 	defer watches.close()
-	last, err := watches.awaitGeneration(r.at.ctx, r.service.Generation())
+	last, err := watches.awaitGeneration(r.steps.ctx, r.service.Generation())
 	if err != nil {
 		return told, 0, err
 	}
-	return watches.count(), last.Sub(began), nil
+	return watches.totals(), last.Sub(began), nil
 }
 
 // measureReconnects measures how all watches catch up if they reconnect at the same time, starting from the generation
 // before the zone was lost.
-func (r *serviceRun) reconnects() error {
-	if err := r.at.next("reconnecting all watches"); err != nil {
+func (r *serviceRun) measureReconnects() error {
+	if err := r.steps.next("reconnecting all watches"); err != nil {
 		return err
 	}
-	told, took, err := r.opened(r.watches, r.beforeZone)
+	told, took, err := r.syncNewWatches(r.watches, r.beforeZone)
 	if err != nil {
 		return err
 	}
@@ -342,12 +342,12 @@
 }
 
 // measureSnapshots measures the delivery of complete lists to new watches.
-func (r *serviceRun) snapshots() error {
-	if err := r.at.next("sending complete lists"); err != nil {
+func (r *serviceRun) measureSnapshots() error {
+	if err := r.steps.next("sending complete lists"); err != nil {
 		return err
 	}
-	readers := min(r.watches, wholeListReads)
-	told, took, err := r.opened(readers, 0)
+	readers := min(r.watches, maxSnapshotReaders)
+	told, took, err := r.syncNewWatches(readers, 0)
 	if err != nil {
 		return err
 	}
--- a/internal/scale/list_expiry.go
+++ b/internal/scale/list_expiry.go
@@ -29,31 +29,31 @@
 			"64 clients renew all leases of the zone once the watches are open, and never again.",
 		Size:    "entries in the list, each with a lease",
 		Sizes:   listSizes,
-		Small:   listSmall,
+		TestSizes:   listTestSizes,
 		Memory:  func(size int) uint64 { return listServiceMemory(1, size) },
-		Measure: inSteps("list-expiry", 4, measureExpiry),
+		Measure: measureInSteps("list-expiry", 4, measureExpiry),
 	}
 }
 
-func measureExpiry(at *listSteps, rows *rowsOf) (err error) {
+func measureExpiry(at *listSteps, rows *listRows) (err error) {
 	lease := zoneLease(rows.size)
 	service, err := at.restore(rows.size, lease, electionTimeout)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, service.close()) }()
-	run := expiryRun{at: at, rows: rows, service: service, writer: newListWriter(service.Addr()), lease: lease, before: service.Generation()}
+	run := expiryRun{steps: at, rows: rows, service: service, writer: newListWriter(service.Addr()), leaseTerm: lease, before: service.Generation()}
 	defer run.writer.close()
 	return run.measure()
 }
 
 // expiryRun is a measurement of [ListExpiry] at one size.
 type expiryRun struct {
-	at      *listSteps
-	rows    *rowsOf
+	steps      *listSteps
+	rows    *listRows
 	service *listReplica
 	writer  *listWriter
-	lease   time.Duration // lease duration of the zone's instances
+	leaseTerm   time.Duration // lease duration of the zone's instances
 	before  uint64        // generation before the first expiry
 }
 
@@ -70,16 +70,16 @@
 // checkNoneExpired returns an [earlyExpiryError] if a lease has expired.
 func (r *expiryRun) checkNoneExpired() error {
 	if now := r.service.Generation(); now != r.before {
-		return &earlyExpiryError{r.lease, r.before, now}
+		return &earlyExpiryError{r.leaseTerm, r.before, now}
 	}
 	return nil
 }
 
 func (r *expiryRun) measure() error {
-	if err := r.at.next("opening watches"); err != nil {
+	if err := r.steps.next("opening watches"); err != nil {
 		return err
 	}
-	watches, err := openWatches(r.at.ctx, startsAt(r.service.Addr(), watchesOf(r.rows.size), r.before), r.at.env.Seed)
+	watches, err := openWatches(r.steps.ctx, startsAt(r.service.Addr(), watchesOf(r.rows.size), r.before), r.steps.env.Seed)
 	if err != nil {
 		return err
 	}
@@ -97,39 +97,39 @@
 
 // renew renews all leases of the zone once, which determines when they expire.
 func (r *expiryRun) renew() (ends leaseEnds, err error) {
-	if err := r.at.next("renewing the zone's leases"); err != nil {
+	if err := r.steps.next("renewing the zone's leases"); err != nil {
 		return ends, err
 	}
 	began := time.Now()
-	err = eachOfZone(r.at.ctx, r.rows.size, r.writer.renew)
+	err = forEachInZone(r.steps.ctx, r.rows.size, r.writer.renew)
 	renewed := time.Now()
 	if err := errors.Join(r.checkNoneExpired(), err); err != nil {
 		return ends, err
 	}
-	r.rows.time("zone's leases", r.lease)
+	r.rows.time("zone's leases", r.leaseTerm)
 	r.rows.time("zone's leases, all renewed for the last time", renewed.Sub(began))
-	return leaseEnds{began.Add(r.lease), renewed.Add(r.lease)}, nil
+	return leaseEnds{began.Add(r.leaseTerm), renewed.Add(r.leaseTerm)}, nil
 }
 
 // expire waits until the zone's leases have expired and all watches have received the removals.
 func (r *expiryRun) expire(watches *listWatches, ends leaseEnds) error {
-	if err := r.at.next("waiting for the zone's leases to expire"); err != nil {
+	if err := r.steps.next("waiting for the zone's leases to expire"); err != nil {
 		return err
 	}
 	after, err := r.awaitExpiry()
 	if err != nil {
 		return err
 	}
-	last, err := watches.awaitGeneration(r.at.ctx, after.Generation)
+	last, err := watches.awaitGeneration(r.steps.ctx, after.Generation)
 	if err != nil {
 		return err
 	}
-	told := watches.count()
+	told := watches.totals()
 	r.rows.count("zone expired, entries", r.rows.size-after.Entries)
 	r.rows.count("zone expired, messages to a watch", int(after.Generation-r.before))
 	r.rows.time("zone expired, from the first lease's end to the last watch", last.Sub(ends.first))
 	r.rows.time("zone expired, from the last lease's end to the last watch", max(last.Sub(ends.last), 0))
-	r.rows.time("zone expired, from the first watch that has it all to the last", last.Sub(told.firstWhen))
+	r.rows.time("zone expired, from the first watch that has it all to the last", last.Sub(told.firstCurrent))
 	r.rows.bytes("zone expired, most to a watch", told.maxBytes)
 	r.rows.count("watches told otherwise than each change once and in order", told.outOfOrder)
 	r.rows.count("whole lists to watches that were open", int(told.snapshots))
@@ -141,16 +141,16 @@
 func (r *expiryRun) awaitExpiry() (status registry.Status, err error) {
 	others := r.rows.size - zoneEntries(r.rows.size)
 	status.Entries, status.Generation = r.rows.size, r.before
-	waited := awaitReplica(r.at.ctx, "the zone's leases to expire", func() bool {
+	waited := awaitReplica(r.steps.ctx, "the zone's leases to expire", func() bool {
 		if r.service.Generation() != status.Generation {
-			status, err = r.writer.status(r.at.ctx)
+			status, err = r.writer.status(r.steps.ctx)
 		}
 		return err != nil || status.Entries <= others
 	})
 	if waited == nil {
 		return status, err
 	}
-	if latest, failed := r.writer.status(r.at.ctx); failed == nil {
+	if latest, failed := r.writer.status(r.steps.ctx); failed == nil {
 		status = latest
 	}
 	return status, errors.Join(err, &expiryError{status.Entries, others, status.ExpirySuspended, waited})
@@ -160,11 +160,11 @@
 type expiryError struct {
 	entries, expected int   // in the list: the actual and the expected number
 	suspended         bool  // the replica has suspended the expiry of leases
-	why               error // why the wait ended
+	cause               error // why the wait ended
 }
 
 func (e *expiryError) Error() string {
-	return fmt.Sprintf("%d entries are left, want %d after the zone's leases have expired; expiry suspended: %v: %v", e.entries, e.expected, e.suspended, e.why)
+	return fmt.Sprintf("%d entries are left, want %d after the zone's leases have expired; expiry suspended: %v: %v", e.entries, e.expected, e.suspended, e.cause)
 }
 
-func (e *expiryError) Unwrap() error { return e.why }
+func (e *expiryError) Unwrap() error { return e.cause }
--- a/internal/scale/list_expiry_test.go
+++ b/internal/scale/list_expiry_test.go
@@ -18,7 +18,7 @@
 func TestListExpiryMeasured(t *testing.T) {
 	t.Parallel()
 	p := ListExpiry()
-	for _, n := range p.Small {
+	for _, n := range p.TestSizes {
 		v := measureList(t, p, n)
 		checkValues(t, v, map[string]float64{
 			"watches":               float64(watchesOf(n)),
@@ -81,7 +81,7 @@
 		}
 	})
 	at := &listSteps{ctx: t.Context(), env: Env{Seed: 1, Progress: func(int, int, string) {}}}
-	return &expiryRun{at: at, rows: &rowsOf{rowWriter{size: entries}}, service: service, writer: writer, lease: lease, before: firstGeneration}
+	return &expiryRun{steps: at, rows: &listRows{rowWriter{size: entries}}, service: service, writer: writer, leaseTerm: lease, before: firstGeneration}
 }
 
 // The zone's entries expire, all of them, and no others.
@@ -130,7 +130,7 @@
 	run := startExpiry(t, 60, listLease)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	run.at.ctx = ctx
+	run.steps.ctx = ctx
 	_, err := run.awaitExpiry()
 	var expiry *expiryError
 	if !errors.As(err, &expiry) || !errors.Is(err, context.Canceled) || expiry.entries != 60 || expiry.expected != 56 || expiry.suspended {
--- a/internal/scale/list_lost.go
+++ b/internal/scale/list_lost.go
@@ -21,14 +21,14 @@
 			"reconnect at once to a random one of the other two, while 64 clients remove a zone entry by entry at the leader, with a new connection for each removal.",
 		Size:    "entries in the list",
 		Sizes:   listSizes,
-		Small:   listSmall,
+		TestSizes:   listTestSizes,
 		Memory:  func(size int) uint64 { return listServiceMemory(serviceReplicas, size) },
-		Measure: inSteps("list-lost-replica", 4, measureLostReplica),
+		Measure: measureInSteps("list-lost-replica", 4, measureLostReplica),
 	}
 }
 
-func measureLostReplica(at *listSteps, rows *rowsOf) (err error) {
-	leader, err := at.restore(rows.size, listLease, serviceElection)
+func measureLostReplica(at *listSteps, rows *listRows) (err error) {
+	leader, err := at.restore(rows.size, listLease, serviceElectionTimeout)
 	if err != nil {
 		return err
 	}
@@ -41,18 +41,18 @@
 		return err
 	}
 	defer func() { err = errors.Join(err, closeReplicas(followers)) }()
-	run := lostRun{at: at, rows: rows, leader: leader, lost: followers[0], stays: followers[1]}
-	run.client.Replicas = []string{leader.Addr(), run.stays.Addr()}
+	run := lostRun{steps: at, rows: rows, leader: leader, lost: followers[0], remaining: followers[1]}
+	run.client.Replicas = []string{leader.Addr(), run.remaining.Addr()}
 	return run.measure()
 }
 
 // lostRun is a measurement of [ListLostReplica] at one size.
 type lostRun struct {
-	at     *listSteps
-	rows   *rowsOf
+	steps     *listSteps
+	rows   *listRows
 	leader *listReplica // the leader at the time of the loss
 	lost   *listReplica // the follower that is stopped; it serves the watches until then
-	stays  *listReplica // the other follower
+	remaining  *listReplica // the other follower
 	client registry.Client
 }
 
@@ -67,17 +67,17 @@
 
 // open opens the watches at the replica that will be lost, and waits until all of them have received a first change.
 func (r *lostRun) open() (*listWatches, error) {
-	if err := r.at.next("opening watches"); err != nil {
+	if err := r.steps.next("opening watches"); err != nil {
 		return nil, err
 	}
 	starts := startsAt(r.lost.Addr(), watchesOf(r.rows.size), r.leader.Generation())
-	watches, err := openWatches(r.at.ctx, starts, r.at.env.Seed)
+	watches, err := openWatches(r.steps.ctx, starts, r.steps.env.Seed)
 	if err != nil {
 		return nil, err
 	}
-	change, err := r.client.Drain(r.at.ctx, owner(lostZone+1))
+	change, err := r.client.Drain(r.steps.ctx, firstInstance(lostZone+1))
 	if err == nil {
-		_, err = watches.awaitGeneration(r.at.ctx, change.Generation)
+		_, err = watches.awaitGeneration(r.steps.ctx, change.Generation)
 	}
 	if err != nil {
 		watches.close()
@@ -89,117 +89,117 @@
 
 // lose stops the replica while the zone's entries are removed, and reconnects its watches to the other replicas.
 func (r *lostRun) lose(watches *listWatches) error {
-	if err := r.at.next("losing a replica"); err != nil {
+	if err := r.steps.next("losing a replica"); err != nil {
 		return err
 	}
-	before := watches.count()
+	before := watches.totals()
 	generation := r.leader.Generation() + uint64(zoneEntries(r.rows.size)) // after all removals
 	loss := r.begin()
 	watches.awaitEnd()
-	loss.ended = time.Now()
-	starts := r.drawReconnects(watches)
-	back, err := openWatches(r.at.ctx, starts, r.at.env.Seed)
+	loss.watchesEnded = time.Now()
+	starts := r.chooseReconnects(watches)
+	back, err := openWatches(r.steps.ctx, starts, r.steps.env.Seed)
 	if err != nil {
 		return errors.Join(err, loss.wait())
 	}
 	defer back.close()
-	loss.open = time.Now()
-	if err := r.reach(back, loss, generation); err != nil {
+	loss.watchesReopened = time.Now()
+	if err := r.catchUp(back, loss, generation); err != nil {
 		return err
 	}
 	loss.addRows(r.rows)
-	r.rows.count("another replica leads than before", oneIf(!r.leader.IsLeader()))
+	r.rows.count("another replica leads than before", boolToInt(!r.leader.IsLeader()))
 	r.countReconnects(starts)
 	return r.countReceived(watches, back, before.maxBytes)
 }
 
 // catchUp waits until all reconnected watches have the current list, and then until they have the given generation,
 // which is that of the list without the zone.
-func (r *lostRun) reach(back *listWatches, loss *replicaLoss, generation uint64) (err error) {
-	loss.upToDate, err = back.awaitGeneration(r.at.ctx, r.leader.Generation())
+func (r *lostRun) catchUp(back *listWatches, loss *replicaLoss, generation uint64) (err error) {
+	loss.caughtUp, err = back.awaitGeneration(r.steps.ctx, r.leader.Generation())
 	if err := errors.Join(err, loss.wait()); err != nil {
 		return err
 	}
-	loss.last, err = back.awaitGeneration(r.at.ctx, generation)
+	loss.complete, err = back.awaitGeneration(r.steps.ctx, generation)
 	return err
 }
 
 // replicaLoss records the times of the loss of a replica, and of the removal of a zone in the meantime.
 type replicaLoss struct {
 	began    time.Time
-	ended    time.Time // all watches at the lost replica had ended
-	open     time.Time // all watches were open again
-	upToDate time.Time // all watches had the list as it was when the last of them was open again
-	written  time.Time // all removals had been written
-	last     time.Time // all watches had the list without the zone
-
-	work             sync.WaitGroup
-	stopped, removed error // of stopping the replica, and of removing the zone
+	watchesEnded    time.Time // all watches at the lost replica had ended
+	watchesReopened     time.Time // all watches were open again
+	caughtUp time.Time // all watches had the list as it was when the last of them was open again
+	zoneRemoved  time.Time // all removals had been written
+	complete     time.Time // all watches had the list without the zone
+
+	running             sync.WaitGroup
+	stopErr, removeErr error // of stopping the replica, and of removing the zone
 	mu               sync.Mutex
-	longest          time.Duration // longest removal, including retries; guarded by mu
+	longestRemoval          time.Duration // longest removal, including retries; guarded by mu
 }
 
 // addRows adds the durations of the loss.
-func (l *replicaLoss) addRows(rows *rowsOf) {
+func (l *replicaLoss) addRows(rows *listRows) {
 	since := func(quantity string, at time.Time) { rows.time(quantity, at.Sub(l.began)) }
-	since("replica lost, until the last of its watches has ended", l.ended)
-	since("replica lost, until all are open at the others", l.open)
-	since("replica lost, until the last has the list of when all were open", l.upToDate)
-	since("replica lost, until the last has the list without the zone", l.last)
+	since("replica lost, until the last of its watches has ended", l.watchesEnded)
+	since("replica lost, until all are open at the others", l.watchesReopened)
+	since("replica lost, until the last has the list of when all were open", l.caughtUp)
+	since("replica lost, until the last has the list without the zone", l.complete)
 	rows.count("zone lost meanwhile, entries", zoneEntries(rows.size))
-	since("zone lost meanwhile, all removals written", l.written)
-	rows.time("zone lost meanwhile, longest of the removals", l.longest)
-	rows.time("zone lost meanwhile, from the last removal to the last watch", max(l.last.Sub(l.written), 0))
+	since("zone lost meanwhile, all removals written", l.zoneRemoved)
+	rows.time("zone lost meanwhile, longest of the removals", l.longestRemoval)
+	rows.time("zone lost meanwhile, from the last removal to the last watch", max(l.complete.Sub(l.zoneRemoved), 0))
 }
 
 // begin stops the replica and starts to remove the zone, both in the background.
 func (r *lostRun) begin() *replicaLoss {
 	loss := &replicaLoss{began: time.Now()}
-	loss.work.Go(func() { loss.stopped = r.lost.stop() })
-	loss.work.Go(func() {
-		loss.removed = r.removeZone(loss)
-		loss.written = time.Now()
+	loss.running.Go(func() { loss.stopErr = r.lost.stop() })
+	loss.running.Go(func() {
+		loss.removeErr = r.removeZone(loss)
+		loss.zoneRemoved = time.Now()
 	})
 	return loss
 }
 
 // removeZone removes the zone's instances at the leader. The client retries if the leader changes.
 func (r *lostRun) removeZone(loss *replicaLoss) error {
-	ctx, cancel := context.WithTimeout(r.at.ctx, serviceWithin)
+	ctx, cancel := context.WithTimeout(r.steps.ctx, serviceTimeout)
 	defer cancel()
-	return eachOfZone(ctx, r.rows.size, func(ctx context.Context, n int) (uint64, error) {
+	return forEachInZone(ctx, r.rows.size, func(ctx context.Context, n int) (uint64, error) {
 		began := time.Now()
-		removed, err := r.client.Remove(ctx, owner(n))
-		loss.took(time.Since(began))
+		removed, err := r.client.Remove(ctx, firstInstance(n))
+		loss.recordRemoval(time.Since(began))
 		return removed.Generation, err
 	})
 }
 
 // firstInstance refers to the first incarnation of an instance.
-func owner(n int) registry.InstanceRef {
+func firstInstance(n int) registry.InstanceRef {
 	return registry.InstanceRef{ID: listEntry(n).InstanceID, Incarnation: firstIncarnation}
 }
 
-func (l *replicaLoss) took(removal time.Duration) {
+func (l *replicaLoss) recordRemoval(removal time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.longest = max(l.longest, removal)
+	l.longestRemoval = max(l.longestRemoval, removal)
 }
 
 // wait waits until the replica has stopped and the zone is removed.
 func (l *replicaLoss) wait() error {
-	l.work.Wait()
-	return errors.Join(l.stopped, l.removed)
+	l.running.Wait()
+	return errors.Join(l.stopErr, l.removeErr)
 }
 
 // chooseReconnects chooses a random remaining replica for each watch. The watch continues after the last generation that it
 // received.
-func (r *lostRun) drawReconnects(watches *listWatches) []watchStart {
-	rng := rand.New(rand.NewPCG(r.at.env.Seed, reconnectStream))
-	others := []string{r.leader.Addr(), r.stays.Addr()}
+func (r *lostRun) chooseReconnects(watches *listWatches) []watchStart {
+	rng := rand.New(rand.NewPCG(r.steps.env.Seed, reconnectStream))
+	others := []string{r.leader.Addr(), r.remaining.Addr()}
 	starts := make([]watchStart, len(watches.all))
 	for i, w := range watches.all {
-		starts[i] = watchStart{others[rng.IntN(len(others))], w.received.Load().at}
+		starts[i] = watchStart{others[rng.IntN(len(others))], w.published.Load().generation}
 	}
 	return starts
 }
@@ -208,7 +208,7 @@
 func (r *lostRun) countReconnects(starts []watchStart) {
 	leads := 0
 	for _, start := range starts {
-		leads += oneIf(start.addr == r.leader.Addr())
+		leads += boolToInt(start.addr == r.leader.Addr())
 	}
 	r.rows.count("come back, at the replica that leads", leads)
 	r.rows.count("come back, at the replica that follows", len(starts)-leads)
@@ -218,9 +218,9 @@
 func (r *lostRun) countReceived(watches, back *listWatches, before uint64) error {
 	var most uint64
 	for i, w := range watches.all {
-		most = max(most, w.received.Load().bytes+back.all[i].received.Load().bytes)
+		most = max(most, w.published.Load().bytes+back.all[i].published.Load().bytes)
 	}
-	old, now := watches.count(), back.count()
+	old, now := watches.totals(), back.totals()
 	r.rows.bytes("come back, most to a watch from the loss on", most-before)
 	r.rows.count("come back, whole lists", int(old.snapshots+now.snapshots))
 	r.rows.count("come back, told otherwise than each change once and in order", old.outOfOrder+now.outOfOrder)
--- a/internal/scale/list_lost_test.go
+++ b/internal/scale/list_lost_test.go
@@ -9,7 +9,7 @@
 func TestListLostReplicaMeasured(t *testing.T) {
 	t.Parallel()
 	p := ListLostReplica()
-	for _, n := range p.Small {
+	for _, n := range p.TestSizes {
 		v := measureList(t, p, n)
 		checkValues(t, v, map[string]float64{
 			"watches":                      float64(watchesOf(n)),
--- a/internal/scale/list_renew.go
+++ b/internal/scale/list_renew.go
@@ -17,11 +17,11 @@
 // Parameters of the measurement of renewals.
 const (
 	renewClients    = 32     // clients, each with a thread of its own and one connection at a time
-	renewalsKept    = 30_000 // maximum number of renewals over persistent connections
-	renewalsEach    = 6_000  // maximum number of renewals with a new connection for each
-	renewalsALease  = 3      // planned renewals of a lease during its term
+	maxKeepAliveRenewals    = 30_000 // maximum number of renewals over persistent connections
+	maxSingleRenewals    = 6_000  // maximum number of renewals with a new connection for each
+	renewalsPerTerm  = 3      // planned renewals of a lease during its term
 	planLeaseTerm   = 10     // planned lease duration, in seconds
-	processorThread = 1      // RUSAGE_THREAD of getrusage(2): the calling thread
+	rusageThread = 1      // RUSAGE_THREAD of getrusage(2): the calling thread
 )
 
 // ListRenewals returns the part that measures the CPU time that the service spends on lease renewals.
@@ -32,14 +32,14 @@
 			"planned renewals, in which each lease is renewed three times in 10 s. With three replicas it is the sum of all three.",
 		Size:    "leases",
 		Sizes:   listSizes,
-		Small:   []int{100},
+		TestSizes:   []int{100},
 		Memory:  func(size int) uint64 { return listMemory(serviceReplicas, size) },
-		Measure: inSteps("list-renewals", 4, measureRenewals),
+		Measure: measureInSteps("list-renewals", 4, measureRenewals),
 	}
 }
 
-func measureRenewals(at *listSteps, rows *rowsOf) (err error) {
-	leader, err := at.restore(rows.size, listLease, serviceElection)
+func measureRenewals(at *listSteps, rows *listRows) (err error) {
+	leader, err := at.restore(rows.size, listLease, serviceElectionTimeout)
 	if err != nil {
 		return err
 	}
@@ -64,7 +64,7 @@
 }
 
 // renewAll measures renewals over persistent connections, and with a new connection for each.
-func renewAll(at *listSteps, rows *rowsOf, addr, service string) error {
+func renewAll(at *listSteps, rows *listRows, addr, service string) error {
 	if err := at.next("renewing leases, " + service); err != nil {
 		return err
 	}
@@ -72,14 +72,14 @@
 		name  string
 		count int
 		keep  bool
-	}{{"connections kept", min(renewalsKept, 2*rows.size), true}, {"a connection each", min(renewalsEach, rows.size), false}} {
+	}{{"connections kept", min(maxKeepAliveRenewals, 2*rows.size), true}, {"a connection each", min(maxSingleRenewals, rows.size), false}} {
 		cost, err := renew(at, addr, rows.size, way.count, way.keep)
 		if err != nil {
 			return fmt.Errorf("renewals, %s, %s: %w", service, way.name, err)
 		}
 		prefix := fmt.Sprintf("renewals, %s, %s: ", service, way.name)
 		rows.time(prefix+"processor time of one", cost)
-		aSecond := float64(rows.size) * renewalsALease / planLeaseTerm
+		aSecond := float64(rows.size) * renewalsPerTerm / planLeaseTerm
 		rows.time(prefix+"processor time of a second of the plan's", time.Duration(aSecond*float64(cost)))
 	}
 	return nil
@@ -96,16 +96,16 @@
 	var clients time.Duration
 	var errs []error
 	var work sync.WaitGroup
-	before, err := processorTime(syscall.RUSAGE_SELF)
+	before, err := cpuTime(syscall.RUSAGE_SELF)
 	if err != nil {
 		return 0, err
 	}
 	sent := 0
 	for i := range renewClients {
-		share := count/renewClients + oneIf(i < count%renewClients)
+		share := count/renewClients + boolToInt(i < count%renewClients)
 		sent += share
 		work.Go(func() {
-			c := renewClient{to: *to, leases: leases, keep: keep, rng: rand.New(rand.NewPCG(at.env.Seed, uint64(i)))}
+			c := renewClient{to: *to, leases: leases, keepAlive: keep, rng: rand.New(rand.NewPCG(at.env.Seed, uint64(i)))}
 			spent, err := c.run(at.ctx, share)
 			mu.Lock()
 			defer mu.Unlock()
@@ -117,14 +117,14 @@
 	if err := errors.Join(errs...); err != nil {
 		return 0, err
 	}
-	after, err := processorTime(syscall.RUSAGE_SELF)
+	after, err := cpuTime(syscall.RUSAGE_SELF)
 	if err != nil {
 		return 0, err
 	}
 	return max(after-before-clients, 0) / time.Duration(max(sent, 1)), nil
 }
 
-func oneIf(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
@@ -132,7 +132,7 @@
 }
 
 // cpuTime returns the CPU time used so far by this process or by the calling thread. who is RUSAGE_SELF or rusageThread.
-func processorTime(who int) (time.Duration, error) {
+func cpuTime(who int) (time.Duration, error) {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(who, &u); err != nil {
 		return 0, fmt.Errorf("reading the CPU time: %w", err)
@@ -153,7 +153,7 @@
 type renewClient struct {
 	to     syscall.SockaddrInet4 // a copy for each client, because Connect writes into it
 	leases int
-	keep   bool // keep the connection open between renewals
+	keepAlive   bool // keep the connection open between renewals
 	rng    *rand.Rand
 	fd     int // socket; -1: none
 }
@@ -162,31 +162,31 @@
 func (c *renewClient) run(ctx context.Context, count int) (spent time.Duration, err error) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	before, err := processorTime(processorThread)
+	before, err := cpuTime(rusageThread)
 	if err != nil {
 		return 0, err
 	}
 	c.fd = -1
 	for range count {
-		if err := errors.Join(ctx.Err(), c.one()); err != nil {
-			c.hangUp()
+		if err := errors.Join(ctx.Err(), c.renewOne()); err != nil {
+			c.closeSocket()
 			return 0, err
 		}
 	}
-	c.hangUp()
-	after, err := processorTime(processorThread)
+	c.closeSocket()
+	after, err := cpuTime(rusageThread)
 	return after - before, err
 }
 
 // renewOne renews a random lease.
-func (c *renewClient) one() error {
+func (c *renewClient) renewOne() error {
 	if c.fd < 0 {
 		if err := c.dial(); err != nil {
 			return err
 		}
 	}
 	closing := ""
-	if !c.keep {
+	if !c.keepAlive {
 		closing = "Connection: close\r\n"
 	}
 	id := listEntry(c.rng.IntN(c.leases)).InstanceID
@@ -198,26 +198,26 @@
 		}
 		request = request[n:]
 	}
-	answer, err := c.answer()
+	answer, err := c.readResponse()
 	if err != nil {
 		return err
 	}
 	if !strings.HasPrefix(string(answer), "HTTP/1.1 200 ") {
 		return fmt.Errorf("renewing %s: got response %.300q, want status 200", id, answer)
 	}
-	if !c.keep {
-		c.hangUp()
+	if !c.keepAlive {
+		c.closeSocket()
 	}
 	return nil
 }
 
 // responseEnd is the end of a response body, which is a JSON object on a line of its own.
-var answerEnd = []byte("}\n")
+var responseEnd = []byte("}\n")
 
 // readResponse reads one response, with head and body.
-func (c *renewClient) answer() ([]byte, error) {
+func (c *renewClient) readResponse() ([]byte, error) {
 	answer := make([]byte, 0, 1024)
-	for !bytes.HasSuffix(answer, answerEnd) {
+	for !bytes.HasSuffix(answer, responseEnd) {
 		if len(answer) == cap(answer) {
 			return nil, fmt.Errorf("response has more than %d bytes: %.300q", cap(answer), answer)
 		}
@@ -247,7 +247,7 @@
 		c.fd = -1
 		return fmt.Errorf("creating a socket: %w", err)
 	}
-	wait := syscall.NsecToTimeval(serviceWithin.Nanoseconds())
+	wait := syscall.NsecToTimeval(serviceTimeout.Nanoseconds())
 	if err := syscall.SetsockoptTimeval(c.fd, syscall.SOL_SOCKET, syscall.SO_RCVTIMEO, &wait); err != nil {
 		return fmt.Errorf("setting the receive timeout: %w", err)
 	}
@@ -257,7 +257,7 @@
 	return nil
 }
 
-func (c *renewClient) hangUp() {
+func (c *renewClient) closeSocket() {
 	if c.fd >= 0 {
 		_ = syscall.Close(c.fd)
 		c.fd = -1
--- a/internal/scale/list_replicas.go
+++ b/internal/scale/list_replicas.go
@@ -9,7 +9,7 @@
 // Parameters of a service of several replicas.
 const (
 	serviceReplicas = 3
-	serviceElection = 500 * time.Millisecond // election timeout; the service's default
+	serviceElectionTimeout = 500 * time.Millisecond // election timeout; the service's default
 )
 
 // joinReplicas adds replicas to a service of one replica until it has serviceReplicas.
@@ -31,7 +31,7 @@
 
 // joinReplica adds a replica to a service and waits until it has the leader's list.
 func joinReplica(ctx context.Context, leader *listReplica) (r *listReplica, err error) {
-	if r, err = newReplica(leader.timeout); err != nil {
+	if r, err = newReplica(leader.electionTimeout); err != nil {
 		return nil, err
 	}
 	if err = r.start(ctx, leader.Addr()); err == nil {
--- a/internal/scale/list_service.go
+++ b/internal/scale/list_service.go
@@ -16,7 +16,7 @@
 
 // Timeouts and poll intervals. A successful measurement stays far below the timeout.
 const (
-	serviceWithin = time.Minute
+	serviceTimeout = time.Minute
 	servicePoll   = time.Millisecond
 )
 
@@ -67,7 +67,7 @@
 	*registry.Server
 	dir          string
 	listen, raft string        // addresses to listen on
-	timeout      time.Duration // election timeout
+	electionTimeout      time.Duration // election timeout
 }
 
 // newReplica returns a replica that is not started yet, with the given election timeout.
@@ -76,16 +76,16 @@
 	if err != nil {
 		return nil, fmt.Errorf("creating the folder of a replica: %w", err)
 	}
-	return &listReplica{dir: dir, listen: "127.0.0.1:0", raft: "127.0.0.1:0", timeout: timeout}, nil
+	return &listReplica{dir: dir, listen: "127.0.0.1:0", raft: "127.0.0.1:0", electionTimeout: timeout}, nil
 }
 
 // startReplica starts a service of one replica with the list of a backup, and waits until the replica is the leader.
 func startReplica(ctx context.Context, image []byte) (*listReplica, error) {
-	return startFirst(ctx, image, electionTimeout)
+	return startReplicaWithTimeout(ctx, image, electionTimeout)
 }
 
-// startFirst is like startReplica, with the given election timeout.
-func startFirst(ctx context.Context, image []byte, timeout time.Duration) (r *listReplica, err error) {
+// startReplicaWithTimeout is like startReplica, with the given election timeout.
+func startReplicaWithTimeout(ctx context.Context, image []byte, timeout time.Duration) (r *listReplica, err error) {
 	if r, err = newReplica(timeout); err != nil {
 		return nil, err
 	}
@@ -94,7 +94,7 @@
 			err = errors.Join(err, r.close())
 		}
 	}()
-	if _, err := registry.Restore(r.state(), bytes.NewReader(image), 1); err != nil {
+	if _, err := registry.Restore(r.stateDir(), bytes.NewReader(image), 1); err != nil {
 		return r, err
 	}
 	if err := r.start(ctx, ""); err != nil {
@@ -103,13 +103,13 @@
 	return r, awaitReplica(ctx, "the replica to become the leader", r.IsLeader)
 }
 
-// state returns the folder of the replica's state.
-func (r *listReplica) state() string { return filepath.Join(r.dir, "state") }
+// stateDir returns the folder of the replica's stateDir.
+func (r *listReplica) stateDir() string { return filepath.Join(r.dir, "state") }
 
 // start starts the replica, which joins the service at the address join unless that is empty. A replica that is started
 // again listens on the same address as before.
 func (r *listReplica) start(ctx context.Context, join string) error {
-	server, err := registry.Start(ctx, registry.Config{Dir: r.state(), Listen: r.listen, Raft: r.raft, Join: join, ElectionTimeout: r.timeout, Logger: slog.New(slog.DiscardHandler)})
+	server, err := registry.Start(ctx, registry.Config{Dir: r.stateDir(), Listen: r.listen, Raft: r.raft, Join: join, ElectionTimeout: r.electionTimeout, Logger: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		return err
 	}
@@ -133,7 +133,7 @@
 
 // awaitReplica polls a condition until it holds, for at most serviceWithin. what names the condition in errors.
 func awaitReplica(ctx context.Context, what string, holds func() bool) error {
-	ctx, cancel := context.WithTimeout(ctx, serviceWithin)
+	ctx, cancel := context.WithTimeout(ctx, serviceTimeout)
 	defer cancel()
 	tick := time.NewTicker(servicePoll)
 	defer tick.Stop()
@@ -156,7 +156,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return startFirst(s.ctx, image, election)
+	return startReplicaWithTimeout(s.ctx, image, election)
 }
 
 // listSnapshot returns a backup of a list with the given number of entries.
--- a/internal/scale/list_socket.go
+++ b/internal/scale/list_socket.go
@@ -10,7 +10,7 @@
 func limitReceiveBuffer(_ context.Context, _, _ string, raw syscall.RawConn) error {
 	var err error
 	if ctl := raw.Control(func(fd uintptr) {
-		err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, watchBuffer)
+		err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, watchReceiveBuffer)
 	}); ctl != nil {
 		return ctl
 	}
--- a/internal/scale/list_test.go
+++ b/internal/scale/list_test.go
@@ -82,7 +82,7 @@
 // Each part has four sizes at least, up to the plan's, and says what they take.
 func TestListPartsCoverThePlan(t *testing.T) {
 	for _, p := range listParts() {
-		if len(p.Sizes) < 4 || !slices.IsSorted(p.Sizes) || p.Sizes[len(p.Sizes)-1] != planEntries || len(p.Small) == 0 || p.Name == "" || p.Title == "" || p.Size == "" {
+		if len(p.Sizes) < 4 || !slices.IsSorted(p.Sizes) || p.Sizes[len(p.Sizes)-1] != planEntries || len(p.TestSizes) == 0 || p.Name == "" || p.Title == "" || p.Size == "" {
 			t.Errorf("%+v", p)
 		}
 		for i, n := range p.Sizes {
@@ -100,7 +100,7 @@
 func TestListStateMeasured(t *testing.T) {
 	t.Parallel()
 	p := ListState()
-	for _, n := range p.Small {
+	for _, n := range p.TestSizes {
 		v := measureList(t, p, n)
 		if each := v["snapshot"] / float64(n); each < 150 || each > 600 {
 			t.Errorf("a snapshot of %v bytes an entry", each)
@@ -118,7 +118,7 @@
 func TestListServiceMeasured(t *testing.T) {
 	t.Parallel()
 	p := ListService()
-	for _, n := range p.Small {
+	for _, n := range p.TestSizes {
 		v := measureList(t, p, n)
 		lost := zoneEntries(n)
 		zone := removalBytes(t, n)
@@ -146,7 +146,7 @@
 func TestListRenewalsMeasured(t *testing.T) {
 	t.Parallel()
 	p := ListRenewals()
-	for _, n := range p.Small {
+	for _, n := range p.TestSizes {
 		v := measureList(t, p, n)
 		for _, service := range []string{"one replica", "three replicas"} {
 			for _, way := range []string{"connections kept", "a connection each"} {
@@ -208,7 +208,7 @@
 	} {
 		for _, piece := range []int{1, 7, 1000} {
 			near, far := net.Pipe()
-			w := &listWatch{conn: near, lines: bufio.NewReaderSize(near, 32), read: watchState{at: 7}}
+			w := &listWatch{conn: near, lines: bufio.NewReaderSize(near, 32), state: watchState{generation: 7}}
 			w.publish()
 			go func() {
 				for part := range slices.Chunk([]byte(c.says), piece) {
@@ -219,8 +219,8 @@
 				_ = far.Close()
 			}()
 			w.follow(func() {})
-			if got := w.received.Load(); (got.outOfOrder != nil) != c.broken || got.at != c.at && !c.broken {
-				t.Errorf("%s in pieces of %d: at %d, %v", name, piece, got.at, got.outOfOrder)
+			if got := w.published.Load(); (got.outOfOrder != nil) != c.broken || got.generation != c.at && !c.broken {
+				t.Errorf("%s in pieces of %d: at %d, %v", name, piece, got.generation, got.outOfOrder)
 			}
 		}
 	}
--- a/internal/scale/list_watch.go
+++ b/internal/scale/list_watch.go
@@ -17,8 +17,8 @@
 	"time"
 )
 
-// watchBuffer is the size of the kernel's receive buffer for a watch, in bytes.
-const watchBuffer = 64 << 10
+// watchReceiveBuffer is the size of the kernel's receive buffer for a watch, in bytes.
+const watchReceiveBuffer = 64 << 10
 
 // readBuffer is the maximum number of bytes that a watch reads at once.
 const readBuffer = 16 << 10
@@ -35,8 +35,8 @@
 
 // watchState summarizes the messages that a watch has received.
 type watchState struct {
-	at         uint64      // generation of the last message
-	when       time.Time   // when the last message was received
+	generation         uint64      // generation of the last message
+	receivedAt       time.Time   // when the last message was received
 	bytes      uint64      // size of all messages as HTTP/1.1 chunks, without empty lines
 	snapshots  uint64      // number of complete lists
 	outOfOrder *watchError // first message that was not the expected change
@@ -46,8 +46,8 @@
 type listWatch struct {
 	conn     net.Conn
 	lines    *bufio.Reader
-	read     watchState                 // state of the reading goroutine
-	received atomic.Pointer[watchState] // published copy for other goroutines; immutable
+	state     watchState                 // state of the reading goroutine
+	published atomic.Pointer[watchState] // published copy for other goroutines; immutable
 }
 
 // openWatch opens a watch of the changes after a generation. If the replica rejects it, openWatch tries again after the
@@ -108,7 +108,7 @@
 	if !strings.Contains(status, " 200 ") {
 		return nil, wait, fmt.Errorf("opening a watch: got response %q, want status 200", status)
 	}
-	w = &listWatch{conn: conn, lines: bufio.NewReaderSize(httputil.NewChunkedReader(head), readBuffer), read: watchState{at: from}}
+	w = &listWatch{conn: conn, lines: bufio.NewReaderSize(httputil.NewChunkedReader(head), readBuffer), state: watchState{generation: from}}
 	w.publish()
 	return w, 0, nil
 }
@@ -116,7 +116,7 @@
 // Start of a message: the generation, followed by whether the message is a complete list.
 var (
 	messageHead = []byte(`{"generation":`)
-	resetMark   = []byte(`,"reset":true`)
+	messageReset   = []byte(`,"reset":true`)
 )
 
 // follow reads messages until the connection ends. Whenever no further complete line is buffered, it publishes the state
@@ -132,7 +132,7 @@
 		if message {
 			digits := rest[:max(bytes.IndexByte(rest, ','), 0)]
 			generation, _ = strconv.ParseUint(string(digits), 10, 64) // 0 is recorded as out of order
-			reset = bytes.HasPrefix(rest[len(digits):], resetMark)
+			reset = bytes.HasPrefix(rest[len(digits):], messageReset)
 		}
 		for errors.Is(err, bufio.ErrBufferFull) {
 			line, err = w.lines.ReadSlice('\n')
@@ -144,43 +144,43 @@
 		if message { // not an empty line
 			w.record(generation, reset, length)
 		}
-		if w.read.bytes != w.received.Load().bytes && !w.anotherLine() {
+		if w.state.bytes != w.published.Load().bytes && !w.lineBuffered() {
 			w.publish()
 			told()
 		}
 	}
 }
 
-// anotherLine reports whether a complete line is buffered.
-func (w *listWatch) anotherLine() bool {
+// lineBuffered reports whether a complete line is buffered.
+func (w *listWatch) lineBuffered() bool {
 	at, err := w.lines.Peek(w.lines.Buffered())
 	return err == nil && bytes.IndexByte(at, '\n') >= 0
 }
 
 // record adds a message of the given length in bytes to the state.
 func (w *listWatch) record(generation uint64, reset bool, length int) {
-	r := &w.read
-	if inOrder := generation == r.at+1 || reset && generation >= r.at; !inOrder && r.outOfOrder == nil {
-		r.outOfOrder = &watchError{r.at, generation, reset}
+	r := &w.state
+	if inOrder := generation == r.generation+1 || reset && generation >= r.generation; !inOrder && r.outOfOrder == nil {
+		r.outOfOrder = &watchError{r.generation, generation, reset}
 	}
 	if reset {
 		r.snapshots++
 	}
 	r.bytes += uint64(length + len(strconv.FormatInt(int64(length), 16)) + 2*len("\r\n"))
-	r.at = generation
+	r.generation = generation
 }
 
 // publish makes the current state visible to other goroutines.
 func (w *listWatch) publish() {
-	w.read.when = time.Now()
-	told := w.read
-	w.received.Store(&told)
+	w.state.receivedAt = time.Now()
+	told := w.state
+	w.published.Store(&told)
 }
 
 // listWatches are the watches of all edge nodes of a fleet.
 type listWatches struct {
 	all      []*listWatch
-	work     sync.WaitGroup
+	readers     sync.WaitGroup
 	progress chan struct{} // receives a value after a watch has published its state
 }
 
@@ -214,7 +214,7 @@
 				w, err = openWatch(ctx, start.addr, start.from, rand.New(rand.NewPCG(seed, uint64(i))))
 			}
 			if ws.all[i], errs[i] = w, err; err == nil {
-				ws.work.Go(func() { w.follow(ws.notify) })
+				ws.readers.Go(func() { w.follow(ws.notify) })
 			}
 		})
 	}
@@ -244,7 +244,7 @@
 }
 
 // awaitEnd waits until the replica has closed all watches.
-func (ws *listWatches) awaitEnd() { ws.work.Wait() }
+func (ws *listWatches) awaitEnd() { ws.readers.Wait() }
 
 // close closes all watches and waits for their goroutines.
 func (ws *listWatches) close() {
@@ -253,19 +253,19 @@
 			_ = w.conn.Close()
 		}
 	}
-	ws.work.Wait()
+	ws.readers.Wait()
 }
 
 // awaitGeneration waits until all watches have reached a generation, for at most 2*serviceWithin, and returns the time at
 // which the last of them had received its latest message.
 func (ws *listWatches) awaitGeneration(ctx context.Context, generation uint64) (last time.Time, err error) {
-	ctx, cancel := context.WithTimeout(ctx, 2*serviceWithin)
+	ctx, cancel := context.WithTimeout(ctx, 2*serviceTimeout)
 	defer cancel()
 	behind := ws.all
 	for len(behind) > 0 {
-		if told := behind[0].received.Load(); told.at >= generation {
-			if told.when.After(last) {
-				last = told.when
+		if told := behind[0].published.Load(); told.generation >= generation {
+			if told.receivedAt.After(last) {
+				last = told.receivedAt
 			}
 			behind = behind[1:]
 			continue
@@ -279,15 +279,15 @@
 	return last, nil
 }
 
-// count returns the totals over all watches.
-func (ws *listWatches) count() (t watchTotals) {
+// totals returns the totals over all watches.
+func (ws *listWatches) totals() (t watchTotals) {
 	t.minBytes = ^uint64(0)
 	for _, w := range ws.all {
-		told := w.received.Load()
+		told := w.published.Load()
 		t.maxBytes, t.minBytes = max(t.maxBytes, told.bytes), min(t.minBytes, told.bytes)
 		t.snapshots += told.snapshots
-		if t.firstWhen.IsZero() || told.when.Before(t.firstWhen) {
-			t.firstWhen = told.when
+		if t.firstCurrent.IsZero() || told.receivedAt.Before(t.firstCurrent) {
+			t.firstCurrent = told.receivedAt
 		}
 		if told.outOfOrder != nil {
 			t.outOfOrder++
@@ -302,7 +302,7 @@
 // watchTotals are totals over a set of watches.
 type watchTotals struct {
 	minBytes, maxBytes uint64    // smallest and largest number of bytes that a watch received
-	firstWhen          time.Time // earliest time at which a watch received its last message
+	firstCurrent          time.Time // earliest time at which a watch received its last message
 	snapshots          uint64    // number of complete lists
 	outOfOrder         int       // number of watches that received a change twice, out of order or not at all
 	firstError         error     // error of the first such watch
--- a/internal/scale/list_write.go
+++ b/internal/scale/list_write.go
@@ -19,7 +19,7 @@
 }
 
 func newListWriter(addr string) *listWriter {
-	return &listWriter{addr, &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: zoneWriters}, Timeout: serviceWithin}}
+	return &listWriter{addr, &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: zoneClients}, Timeout: serviceTimeout}}
 }
 
 func (w *listWriter) close() { w.http.CloseIdleConnections() }
@@ -83,21 +83,21 @@
 
 // removeZone removes the instances of the lost zone, each with a separate change.
 func (w *listWriter) removeZone(ctx context.Context, entries int) error {
-	return eachOfZone(ctx, entries, w.remove)
+	return forEachInZone(ctx, entries, w.remove)
 }
 
 // zoneEntries returns the number of entries of the lost zone in a list.
 func zoneEntries(entries int) int { return (entries - lostZone + planZones - 1) / planZones }
 
-// eachOfZone calls write for each instance of the lost zone, by its number, from zoneWriters concurrent goroutines. It
+// forEachInZone calls write for each instance of the lost zone, by its number, from zoneWriters concurrent goroutines. It
 // stops at the first error and returns it.
-func eachOfZone(ctx context.Context, entries int, write func(context.Context, int) (uint64, error)) error {
+func forEachInZone(ctx context.Context, entries int, write func(context.Context, int) (uint64, error)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	count := zoneEntries(entries)
 	var next atomic.Int64
 	var work sync.WaitGroup
-	for range zoneWriters {
+	for range zoneClients {
 		work.Go(func() {
 			for ctx.Err() == nil {
 				n := int(next.Add(1)) - 1
--- a/internal/scale/nodelist.go
+++ b/internal/scale/nodelist.go
@@ -13,19 +13,19 @@
 
 // Load of an edge node in the planned fleet.
 const (
-	planInstances  = 4100  // edge nodes
+	planNodes  = 4100  // edge nodes
 	planRequests   = 512.0 // requests per second at a node
 	planEntryNodes = 3     // entry nodes of a tenant
 )
 
 // Parameters of the measurement.
 const (
-	measuredNode = planInstances / 2      // number of the node
+	measuredNode = planNodes / 2      // number of the node
 	peerServers  = 200                    // servers in the peers' lists: enough for their gossip messages to have content
 	listWarmup   = 500 * time.Millisecond // load before the measurement
 	listRestarts = 20                     // server restarts, each a drain, a removal and a new entry
 	restartGap   = 50 * time.Millisecond  // simulated time between changes
-	wholeLists   = 3                      // complete lists after the first one
+	repeatedSnapshots   = 3                      // complete lists after the first one
 	listStages   = 4
 	loadSteps    = 10              // parts of the load between progress reports
 	shortLoad    = time.Second     // measured load with a list of more than maxShortList servers
@@ -47,10 +47,10 @@
 	return Part{
 		Name: nodeListName,
 		Title: fmt.Sprintf("One edge node of %d at %g requests per second, with %d entry nodes for each tenant, against the length of the endpoint list",
-			planInstances, planRequests, planEntryNodes),
+			planNodes, planRequests, planEntryNodes),
 		Size:    "servers in the list",
 		Sizes:   []int{200, 2000, 20000, 200000},
-		Small:   []int{50, 200},
+		TestSizes:   []int{50, 200},
 		Memory:  func(size int) uint64 { return 256<<20 + uint64(size)*1024 },
 		Measure: measureNodeList,
 	}
@@ -63,21 +63,21 @@
 	size    int
 	fleet   *fleet
 	node    *simulatedNode
-	watch   *stopwatch
-	heap    uint64 // live heap before the node was created, in bytes
-	holding uint64 // heap of the node with its list, in bytes
-	loaded  uint64 // heap of the node after the load, in bytes
+	stopwatch   *stopwatch
+	heapBefore    uint64 // live heap before the node was created, in bytes
+	heapWithList uint64 // heap of the node with its list, in bytes
+	heapAfterLoad  uint64 // heap of the node after the load, in bytes
 	load    counts // counters of the measured load
-	met     int    // number of servers that received attempts in it
-	last    int    // largest number of a server that the list has had so far
+	usedCount     int    // number of servers that received attempts in it
+	lastServer    int    // largest number of a server that the list has had so far
 }
 
 func measureNodeList(ctx context.Context, size int, env Env) ([]Row, error) {
-	b := &listBench{ctx: ctx, env: env, size: size, last: size - 1}
+	b := &listBench{ctx: ctx, env: env, size: size, lastServer: size - 1}
 	stages := []struct {
 		doing string
 		run   func() error
-	}{{"first complete list", b.start}, {"requests and messages", b.serve}, {"changes", b.change}, {"further complete lists", b.relist}}
+	}{{"first complete list", b.start}, {"requests and messages", b.serve}, {"changes", b.change}, {"further complete lists", b.resync}}
 	for i, stage := range stages {
 		env.Progress(i, listStages, stage.doing)
 		if err := stage.run(); err != nil {
@@ -90,7 +90,7 @@
 
 // start creates the peers, schedules the requests, and creates the measured node with its list.
 func (b *listBench) start() error {
-	b.fleet = newFleet(b.env.Seed, planInstances, planEntryNodes)
+	b.fleet = newFleet(b.env.Seed, planNodes, planEntryNodes)
 	var firsts []int
 	for number := measuredNode - planEntryNodes + 1; number < measuredNode+planEntryNodes; number++ {
 		if number <= measuredNode {
@@ -99,24 +99,24 @@
 		if number == measuredNode {
 			continue
 		}
-		peer, err := b.fleet.add(number)
+		peer, err := b.fleet.addNode(number)
 		if err != nil {
 			return err
 		}
 		peer.updateEndpoints(callFirstSnapshot, balancer.UpdateSnapshot, serverList(min(b.size, peerServers)))
 	}
 	end := b.fleet.clock.now + listWarmup + listLoad(b.size)
-	for _, t := range drawTenants(b.fleet.rng, fleetPlans(), firsts, planRequests*planEntryNodes) {
-		b.fleet.arrive(t, end)
+	for _, t := range sampleTenants(b.fleet.rng, fleetPlans(), firsts, planRequests*planEntryNodes) {
+		b.fleet.scheduleArrivals(t, end)
 	}
-	b.heap = heapInUse()
+	b.heapBefore = heapInUse()
 	var err error
-	if b.node, err = b.fleet.add(measuredNode); err != nil {
+	if b.node, err = b.fleet.addNode(measuredNode); err != nil {
 		return err
 	}
-	b.watch = newStopwatch()
-	b.list(callFirstSnapshot, balancer.UpdateSnapshot, serverList(b.size))
-	b.holding = b.heapAdded()
+	b.stopwatch = newStopwatch()
+	b.deliver(callFirstSnapshot, balancer.UpdateSnapshot, serverList(b.size))
+	b.heapWithList = b.heapAdded()
 	return nil
 }
 
@@ -126,9 +126,9 @@
 	if err := clock.runUntil(b.ctx, clock.now+listWarmup); err != nil {
 		return err
 	}
-	b.fleet.reset()
-	b.node.watch = b.watch
-	defer func() { b.load, b.met = b.node.counts, len(b.node.usedEndpoints) }()
+	b.fleet.resetCounts()
+	b.node.stopwatch = b.stopwatch
+	defer func() { b.load, b.usedCount = b.node.counts, len(b.node.usedEndpoints) }()
 	began, load := clock.now, listLoad(b.size)
 	for step := range time.Duration(loadSteps) {
 		b.env.Progress(1, listStages, fmt.Sprintf("requests and messages, %d of %d", step, loadSteps))
@@ -136,18 +136,18 @@
 			return err
 		}
 	}
-	b.node.watch = nil // calls of the idle node are not measured
+	b.node.stopwatch = nil // calls of the idle node are not measured
 	if err := clock.runUntil(b.ctx, clock.now+clientDeadline); err != nil {
 		return err
 	}
-	b.fleet.finish()
-	b.loaded = b.heapAdded()
+	b.fleet.countUnanswered()
+	b.heapAfterLoad = b.heapAdded()
 	return nil
 }
 
 // change drains servers that the node has used and brings them up again. Then it restarts other servers.
 func (b *listBench) change() error {
-	for _, met := range b.serversMet(listRestarts) {
+	for _, met := range b.usedServers(listRestarts) {
 		for _, state := range []balancer.EndpointState{balancer.Draining, balancer.Up} {
 			met.State = state
 			if err := b.apply(callUsedEndpointChange, met); err != nil {
@@ -159,7 +159,7 @@
 }
 
 // usedServers returns at most limit servers to which the node has sent attempts.
-func (b *listBench) serversMet(most int) (met []balancer.Endpoint) {
+func (b *listBench) usedServers(most int) (met []balancer.Endpoint) {
 	for i := 0; i < b.size && len(met) < most; i++ {
 		if s := server(i); b.node.usedEndpoints[s.ID] {
 			met = append(met, s)
@@ -181,8 +181,8 @@
 		if err := b.apply(callEndpointChange, leaving); err != nil {
 			return err
 		}
-		b.last++
-		arriving := server(b.last)
+		b.lastServer++
+		arriving := server(b.lastServer)
 		arriving.StartedAt = b.fleet.clock.now
 		if err := b.apply(callEndpointChange, arriving); err != nil {
 			return err
@@ -193,24 +193,24 @@
 
 // apply delivers one change of the list and advances the clock by restartGap.
 func (b *listBench) apply(kind callKind, entry balancer.Endpoint) error {
-	b.list(kind, balancer.UpdateDelta, []balancer.Endpoint{entry})
+	b.deliver(kind, balancer.UpdateDelta, []balancer.Endpoint{entry})
 	return b.fleet.clock.runUntil(b.ctx, b.fleet.clock.now+restartGap)
 }
 
-// list delivers a list update to the node and times only this call.
-func (b *listBench) list(kind callKind, form balancer.UpdateKind, entries []balancer.Endpoint) {
-	b.node.watch = b.watch
+// deliver delivers a deliver update to the node and times only this call.
+func (b *listBench) deliver(kind callKind, form balancer.UpdateKind, entries []balancer.Endpoint) {
+	b.node.stopwatch = b.stopwatch
 	b.node.updateEndpoints(kind, form, entries)
-	b.node.watch = nil
+	b.node.stopwatch = nil
 }
 
 // resync delivers the complete list again, as after a lost watch.
-func (b *listBench) relist() error {
-	for range wholeLists {
+func (b *listBench) resync() error {
+	for range repeatedSnapshots {
 		if err := b.ctx.Err(); err != nil {
 			return err
 		}
-		b.list(callNextSnapshot, balancer.UpdateSnapshot, serverList(b.size))
+		b.deliver(callNextSnapshot, balancer.UpdateSnapshot, serverList(b.size))
 	}
 	return nil
 }
@@ -219,7 +219,7 @@
 // node.
 func (b *listBench) heapAdded() uint64 {
 	now := heapInUse()
-	return max(now, b.heap) - b.heap
+	return max(now, b.heapBefore) - b.heapBefore
 }
 
 // heapInUse returns the size of the live heap in bytes.
@@ -234,7 +234,7 @@
 // rows returns the rows of everything measured so far.
 func (b *listBench) rows() []Row {
 	r := rowWriter{part: nodeListName, size: b.size}
-	if b.watch == nil {
+	if b.stopwatch == nil {
 		return nil
 	}
 	for _, q := range []struct {
@@ -243,7 +243,7 @@
 	}{
 		{"request, server chosen", callRequestAdmitted},
 		{"request, peer asked", callRequestForwardedToOwner},
-		{"outcome", callOutcome},
+		{"outcome", callAttemptFinished},
 		{"message, ask answered", callQuotaRequest},
 		{"message, answer and send", callQuotaGranted},
 		{"message, other answer", callQuotaRejected},
@@ -251,13 +251,13 @@
 		{"one change", callEndpointChange},
 		{"one change of a server met", callUsedEndpointChange},
 	} {
-		r.time(b.watch, q.name+", p50", q.kind, 0.5)
-		r.time(b.watch, q.name+", p99", q.kind, 0.99)
+		r.addQuantile(b.stopwatch, q.name+", p50", q.kind, 0.5)
+		r.addQuantile(b.stopwatch, q.name+", p99", q.kind, 0.99)
 	}
-	r.time(b.watch, "whole list, first", callFirstSnapshot, 0.5)
-	r.time(b.watch, "whole list, again", callNextSnapshot, 0.5)
-	r.addKnown("heap, list held", float64(b.holding), "B")
-	r.addKnown("heap, after load", float64(b.loaded), "B")
+	r.addQuantile(b.stopwatch, "whole list, first", callFirstSnapshot, 0.5)
+	r.addQuantile(b.stopwatch, "whole list, again", callNextSnapshot, 0.5)
+	r.addIfMeasured("heap, list held", float64(b.heapWithList), "B")
+	r.addIfMeasured("heap, after load", float64(b.heapAfterLoad), "B")
 	if b.load.requests > 0 {
 		b.countRows(&r)
 	}
@@ -269,7 +269,7 @@
 	c := &b.load
 	seconds := listLoad(b.size).Seconds()
 	rate := func(quantity string, count int) { r.add(quantity, float64(count)/seconds, "1/s") }
-	rate("ticks", len(b.watch.took[callTick]))
+	rate("ticks", len(b.stopwatch.durations[callTick]))
 	rate("requests", c.requests)
 	rate("requests served", c.served)
 	rate("requests refused", c.rejected)
@@ -282,7 +282,7 @@
 	rate("messages discarded", c.discarded)
 	r.add("bytes sent", float64(c.bytes)/seconds, "B/s")
 	r.add("requests measured", float64(c.requests), "")
-	r.add("servers met", float64(b.met), "")
+	r.add("servers met", float64(b.usedCount), "")
 	stats := b.node.balancer.Stats()
 	r.add("servers in the subset", float64(stats.SubsetEndpoints), "")
 	r.add("servers kept in full", float64(stats.TrackedEndpoints), "")
--- a/internal/scale/nodelist_test.go
+++ b/internal/scale/nodelist_test.go
@@ -36,7 +36,7 @@
 // A node's measurement exercises each kind of call, answers what it took, and its inbox holds its bound.
 func TestNodeListSmall(t *testing.T) {
 	p := nodeList()
-	for _, size := range p.Small {
+	for _, size := range p.TestSizes {
 		rows, err := p.Measure(t.Context(), size, quietly(1))
 		if err != nil {
 			t.Fatal(err)
@@ -81,7 +81,7 @@
 
 // The same seed gives the same decisions, another seed gives others.
 func TestNodeListSameSeed(t *testing.T) {
-	size := nodeList().Small[0]
+	size := nodeList().TestSizes[0]
 	var runs [3][]Row
 	for i, seed := range []uint64{5, 5, 6} {
 		rows, err := measureNodeList(t.Context(), size, quietly(seed))
@@ -123,11 +123,11 @@
 func TestHeapGrowsWithTheList(t *testing.T) {
 	var heap [2]float64
 	for i, size := range []int{100, 4000} {
-		b := &listBench{ctx: t.Context(), env: quietly(1), size: size, last: size - 1}
+		b := &listBench{ctx: t.Context(), env: quietly(1), size: size, lastServer: size - 1}
 		if err := b.start(); err != nil {
 			t.Fatal(err)
 		}
-		heap[i] = float64(b.holding)
+		heap[i] = float64(b.heapWithList)
 		if len(b.fleet.added) != 2*planEntryNodes-1 {
 			t.Errorf("%d nodes", len(b.fleet.added))
 		}
--- a/internal/scale/part.go
+++ b/internal/scale/part.go
@@ -14,7 +14,7 @@
 	Title string // one-sentence description, shown above the table
 	Size  string // what a size counts, for example "servers in the list"
 	Sizes []int  // default sizes in ascending order; the largest is that of the planned fleet
-	Small []int  // sizes for tests, which take a fraction of a second each
+	TestSizes []int  // sizes for tests, which take a fraction of a second each
 	// Memory estimates the peak memory that a size needs, in bytes. [Run] rejects sizes that need more than half of
 	// the machine's memory.
 	Memory func(size int) uint64
--- a/internal/scale/quota.go
+++ b/internal/scale/quota.go
@@ -34,7 +34,7 @@
 			quotaNodes, fleetSettings(1, 0).PeerMessagesPerSecond),
 		Size:    "requests a second on a node",
 		Sizes:   []int{10, 40, 160, 512},
-		Small:   []int{1, 2},
+		TestSizes:   []int{1, 2},
 		Memory:  func(size int) uint64 { return 256<<20 + uint64(size)<<20 },
 		Measure: measureQuota,
 	}
@@ -45,11 +45,11 @@
 	tenants := 0 // does not depend on the number of entry nodes
 	for i, spread := range quotaEntryNodes {
 		env.Progress(i, len(quotaEntryNodes), fmt.Sprintf("spread %d", spread))
-		run := quotaRun{seed: env.Seed, nodes: quotaNodes, spread: spread, requestsPerS: float64(size)}
+		run := quotaRun{seed: env.Seed, nodes: quotaNodes, entryNodes: spread, requestsPerS: float64(size)}
 		if err := run.run(ctx); err != nil {
 			return r.rows, err
 		}
-		heap, err := heapATenant(ctx, env.Seed, spread)
+		heap, err := heapPerTenant(ctx, env.Seed, spread)
 		if err != nil {
 			return r.rows, err
 		}
@@ -66,7 +66,7 @@
 type quotaRun struct {
 	seed         uint64
 	nodes        int
-	spread       int     // entry nodes of a tenant
+	entryNodes       int     // entry nodes of a tenant
 	requestsPerS float64 // requests per second at a node
 
 	tenants int
@@ -76,25 +76,25 @@
 
 // run runs the fleet. If it returns an error, the counters are not valid.
 func (q *quotaRun) run(ctx context.Context) error {
-	f := newFleet(q.seed, q.nodes, q.spread)
-	if err := f.addAll(quotaServersPerNode * q.nodes); err != nil {
+	f := newFleet(q.seed, q.nodes, q.entryNodes)
+	if err := f.addAllNodes(quotaServersPerNode * q.nodes); err != nil {
 		return err
 	}
 	firsts := make([]int, q.nodes)
 	for i := range firsts {
 		firsts[i] = i
 	}
-	tenants := drawTenants(f.rng, fleetPlans(), firsts, q.requestsPerS*float64(q.nodes))
+	tenants := sampleTenants(f.rng, fleetPlans(), firsts, q.requestsPerS*float64(q.nodes))
 	q.tenants = len(tenants)
 	end := f.clock.now + quotaWarmup + quotaLoad
 	for _, t := range tenants {
-		f.arrive(t, end)
+		f.scheduleArrivals(t, end)
 		q.quota += t.plan.Rate * quotaLoad.Seconds()
 	}
 	if err := f.clock.runUntil(ctx, end-quotaLoad); err != nil {
 		return err
 	}
-	f.reset()
+	f.resetCounts()
 	if err := f.clock.runUntil(ctx, end); err != nil {
 		return err
 	}
@@ -102,9 +102,9 @@
 	if err := f.clock.runUntil(ctx, end+clientDeadline); err != nil {
 		return err
 	}
-	f.finish()
+	f.countUnanswered()
 	last := f.total()
-	q.counts.unanswered, q.counts.duplicateAnswers = last.unanswered, last.duplicateAnswers
+	q.counts.unanswered, q.counts.duplicateResponses = last.unanswered, last.duplicateResponses
 	return nil
 }
 
@@ -112,7 +112,7 @@
 func (q *quotaRun) addRows(r *rowWriter) {
 	c := &q.counts
 	add := func(quantity string, value float64, unit string) {
-		r.add(fmt.Sprintf("%s, spread %d", quantity, q.spread), value, unit)
+		r.add(fmt.Sprintf("%s, spread %d", quantity, q.entryNodes), value, unit)
 	}
 	rate := func(count int) float64 { return float64(count) / quotaLoad.Seconds() / float64(q.nodes) }
 	add("requests", rate(c.requests), "1/s")
@@ -122,16 +122,16 @@
 	add("bytes sent", rate(c.bytes), "B/s")
 	add("messages arriving", rate(c.arrived), "1/s")
 	add("bytes taken in", rate(c.receivedBytes), "B/s")
-	add("lost at the inbox", share(float64(c.discarded), float64(c.arrived)), "share")
-	add("refused", share(float64(c.rejected), float64(c.requests)), "share")
-	add("refused with half of the quota unused", share(float64(c.rejectedInQuota), float64(c.requests)), "share")
-	add("units beyond quotas, of the quotas", share(c.overQuotaUnits, q.quota), "share")
-	add("units beyond quotas, of those admitted", share(c.overQuotaUnits, c.admittedUnits), "share")
+	add("lost at the inbox", ratio(float64(c.discarded), float64(c.arrived)), "share")
+	add("refused", ratio(float64(c.rejected), float64(c.requests)), "share")
+	add("refused with half of the quota unused", ratio(float64(c.rejectedInQuota), float64(c.requests)), "share")
+	add("units beyond quotas, of the quotas", ratio(c.overQuotaUnits, q.quota), "share")
+	add("units beyond quotas, of those admitted", ratio(c.overQuotaUnits, c.admittedUnits), "share")
 	add("longest message", float64(c.longestMessage), "B")
 }
 
-// share returns part divided by whole, or 0 if whole is 0.
-func share(part, whole float64) float64 {
+// ratio returns part divided by whole, or 0 if whole is 0.
+func ratio(part, whole float64) float64 {
 	if whole == 0 {
 		return 0
 	}
@@ -141,11 +141,11 @@
 // heapPerTenant measures the heap that a tenant uses on a node that knows it, in bytes. It simulates spread nodes, and each
 // of them receives one request of every tenant. Their inboxes accept all messages, so that both the owners and the
 // requesters of the quotas know the tenants.
-func heapATenant(ctx context.Context, seed uint64, spread int) (float64, error) {
+func heapPerTenant(ctx context.Context, seed uint64, spread int) (float64, error) {
 	f := newFleet(seed, quotaNodes, spread)
 	f.inboxRate = heapTenants * float64(spread) * 4
 	for number := range spread {
-		n, err := f.add(number)
+		n, err := f.addNode(number)
 		if err != nil {
 			return 0, err
 		}
--- a/internal/scale/quota_test.go
+++ b/internal/scale/quota_test.go
@@ -11,7 +11,7 @@
 // The messages of quotas hold the platform's bounds, and spreads have rows of their own.
 func TestQuotaSmall(t *testing.T) {
 	p := quota()
-	for _, size := range p.Small {
+	for _, size := range p.TestSizes {
 		rows, err := p.Measure(t.Context(), size, quietly(1))
 		if err != nil {
 			t.Fatal(err)
@@ -41,7 +41,7 @@
 
 // An inbox that loses half of what comes shows in the share that is lost.
 func TestQuotaShowsLossAtTheInbox(t *testing.T) {
-	run := quotaRun{seed: 1, nodes: 24, spread: 3, requestsPerS: 60}
+	run := quotaRun{seed: 1, nodes: 24, entryNodes: 3, requestsPerS: 60}
 	if err := run.run(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -57,7 +57,7 @@
 
 // The same seed gives the same counts.
 func TestQuotaSameSeed(t *testing.T) {
-	size := quota().Small[0]
+	size := quota().TestSizes[0]
 	var runs [2][]Row
 	for i := range runs {
 		rows, err := measureQuota(t.Context(), size, quietly(9))
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -39,7 +39,7 @@
 }
 
 // minFitSizes is the minimum number of sizes for a fit. Two points always fit exactly.
-const fitLeast = 3
+const minFitSizes = 3
 
 // fit computes the fits of all quantities with at least minFitSizes positive values. Other values have no logarithm and
 // are ignored.
@@ -52,7 +52,7 @@
 				x, y = append(x, math.Log(float64(r.Size))), append(y, math.Log(r.Value))
 			}
 		}
-		if len(x) < fitLeast {
+		if len(x) < minFitSizes {
 			continue
 		}
 		intercept, slope := stat.LinearRegression(x, y, nil, false)
--- a/internal/scale/restart.go
+++ b/internal/scale/restart.go
@@ -18,11 +18,11 @@
 const (
 	rackNodes      = 40                         // edge nodes in a rack; a guess, because the plan does not say how many share a rack
 	controlRate    = 19_000                     // planned bandwidth of an edge node for control traffic, in bytes per second
-	restartFor     = 10 * time.Minute           // maximum simulated time
-	restartWithin  = 10 * time.Second           // poll interval of a node without a watch, as in the settings
-	restartVersion = 1<<discovery.EpochBits + 1 // generation of the list
-	serviceJoins   = 2_000                      // watches that a replica accepts per second, and in a burst
-	partEvery      = time.Second                // interval at which a node notices that a message is still arriving
+	maxRestartTime     = 10 * time.Minute           // maximum simulated time
+	restartPollInterval  = 10 * time.Second           // poll interval of a node without a watch, as in the settings
+	restartGeneration = 1<<discovery.EpochBits + 1 // generation of the list
+	watchOpensPerSecond   = 2_000                      // watches that a replica accepts per second, and in a burst
+	partInterval      = time.Second                // interval at which a node notices that a message is still arriving
 	restartMemory  = 4 << 10                    // estimated memory of a node, in bytes
 )
 
@@ -41,26 +41,26 @@
 	return Part{
 		Name: name,
 		Title: fmt.Sprintf("Restart of %s without a cached list, for up to ten minutes on a simulated clock: each has the real follower of the list "+
-			"and a link of %d bytes per second, and one replica accepts %d watches per second.", who, controlRate, serviceJoins),
+			"and a link of %d bytes per second, and one replica accepts %d watches per second.", who, controlRate, watchOpensPerSecond),
 		Size:   "entries in the list",
 		Sizes:  []int{200, 350, 2_000, 20_000, 200_000},
-		Small:  []int{200},
+		TestSizes:  []int{200},
 		Memory: func(size int) uint64 { return listBaseMemory + uint64(nodes)*restartMemory + 2<<10*uint64(size) },
 		Measure: func(ctx context.Context, size int, env Env) ([]Row, error) {
-			bytes, err := wholeListBytes(size)
+			bytes, err := snapshotMessageBytes(size)
 			if err != nil {
 				return nil, err
 			}
 			r := newRestart(nodes, planWatches, bytes, env.Seed)
-			err = r.run(ctx, restartFor, env.Progress)
+			err = r.run(ctx, maxRestartTime, env.Progress)
 			return r.rows(name, size), err
 		},
 	}
 }
 
 // snapshotMessageBytes returns the length of the message with the complete list, in bytes.
-func wholeListBytes(entries int) (int, error) {
-	m := discovery.Message{Generation: restartVersion, Reset: true}
+func snapshotMessageBytes(entries int) (int, error) {
+	m := discovery.Message{Generation: restartGeneration, Reset: true}
 	for n := range entries {
 		m.Instances = append(m.Instances, listEntry(n))
 	}
@@ -74,23 +74,23 @@
 	nodes   []*simulatedFollower
 	queue   restartQueue
 	message int        // length of the message with the complete list, in bytes
-	opens   joinPace   // rate limit of the service for new watches
+	openLimit   openLimiter   // rate limit of the service for new watches
 	rng     *rand.Rand // for the Retry-After times of the service
 	open    int        // messages that are being sent
-	most    int        // maximum of open so far
-	turned  int        // calls rejected because of the rate limit
+	maxOpen    int        // maximum of open so far
+	rejected  int        // calls rejected because of the rate limit
 }
 
 // simulatedFollower is an edge node that does nothing except follow the list.
 type simulatedFollower struct {
 	follower *follower.Follower
 	call     uint64        // ID of the open watch; 0: none
-	began    time.Duration // when the service started to send its message
-	wakes    uint64        // ID of the last scheduled wake-up; earlier ones are ignored
+	callStarted    time.Duration // when the service started to send its message
+	lastWake    uint64        // ID of the last scheduled wake-up; earlier ones are ignored
 	calls    int           // calls opened
 	bytes    float64       // bytes received
-	listAt   time.Duration // when it received its list
-	listed   bool          // has received its list
+	receivedAt   time.Duration // when it received its list
+	hasList   bool          // has received its list
 }
 
 // restartEvent is a scheduled event of a node.
@@ -106,9 +106,9 @@
 type restartKind int
 
 const (
-	nodeWakes    restartKind = iota // the follower asked to be called at this time
-	partComes                       // a further part of the message has arrived
-	messageComes                    // the message is complete
+	wakeUp    restartKind = iota // the follower asked to be called at this time
+	partArrived                       // a further part of the message has arrived
+	messageArrived                    // the message is complete
 )
 
 // restartQueue is a queue of events. It implements [heap.Interface], with the earliest event first.
@@ -141,14 +141,14 @@
 
 // openLimiter limits the rate of new watches to serviceJoins per second, with a burst of the same number. It is a token
 // bucket.
-type joinPace struct {
+type openLimiter struct {
 	room float64
 	last time.Duration // time of the last refill
 }
 
 // allow reports whether a watch may be opened now.
-func (p *joinPace) allow(now time.Duration) bool {
-	p.room = min(p.room+(now-p.last).Seconds()*serviceJoins, serviceJoins)
+func (p *openLimiter) allow(now time.Duration) bool {
+	p.room = min(p.room+(now-p.last).Seconds()*watchOpensPerSecond, watchOpensPerSecond)
 	p.last = now
 	if p.room < 1 {
 		return false
@@ -160,10 +160,10 @@
 // newRestart returns a restart of a number of nodes of a fleet. message is the length of the message with the complete
 // list, in bytes.
 func newRestart(nodes, fleet, message int, seed uint64) *restart {
-	r := &restart{message: message, opens: joinPace{room: serviceJoins}, rng: rand.New(rand.NewPCG(seed, 0))}
+	r := &restart{message: message, openLimit: openLimiter{room: watchOpensPerSecond}, rng: rand.New(rand.NewPCG(seed, 0))}
 	for n := range nodes {
 		rng := rand.New(rand.NewPCG(seed, uint64(n)+1))
-		r.nodes = append(r.nodes, &simulatedFollower{follower: follower.New(follower.Config{FleetSize: fleet, PollInterval: restartWithin, Rand: rng})})
+		r.nodes = append(r.nodes, &simulatedFollower{follower: follower.New(follower.Config{FleetSize: fleet, PollInterval: restartPollInterval, Rand: rng})})
 	}
 	return r
 }
@@ -172,7 +172,7 @@
 func (r *restart) run(ctx context.Context, until time.Duration, progress func(done, total int, doing string)) error {
 	for n, h := range r.nodes {
 		h.follower.Start(0)
-		r.step(n)
+		r.advance(n)
 	}
 	listed := 0
 	for played := 0; r.queue.Len() > 0 && listed < len(r.nodes); played++ {
@@ -187,10 +187,10 @@
 			}
 		}
 		r.now = e.at
-		listed += oneIf(r.apply(e))
+		listed += boolToInt(r.apply(e))
 	}
 	for _, h := range r.nodes {
-		r.end(h)
+		r.endCall(h)
 	}
 	return nil
 }
@@ -199,91 +199,91 @@
 func (r *restart) apply(e restartEvent) (listed bool) {
 	h := r.nodes[e.node]
 	switch {
-	case e.kind == nodeWakes && e.id != h.wakes || e.kind != nodeWakes && e.id != h.call || h.listed:
+	case e.kind == wakeUp && e.id != h.lastWake || e.kind != wakeUp && e.id != h.call || h.hasList:
 		return false // the call has ended, or a later wake-up was scheduled
-	case e.kind == partComes:
+	case e.kind == partArrived:
 		h.follower.Received(r.now, e.id, true)
-		r.queue.add(restartEvent{at: r.now + partEvery, node: e.node, kind: partComes, id: e.id})
-	case e.kind == messageComes:
-		r.end(h)
-		if h.follower.Message(r.now, e.id, follower.Update{Version: restartVersion, Snapshot: true}) {
-			h.listed, h.listAt = true, r.now
+		r.queue.add(restartEvent{at: r.now + partInterval, node: e.node, kind: partArrived, id: e.id})
+	case e.kind == messageArrived:
+		r.endCall(h)
+		if h.follower.Message(r.now, e.id, follower.Update{Version: restartGeneration, Snapshot: true}) {
+			h.hasList, h.receivedAt = true, r.now
 			return true
 		}
 	}
-	r.step(e.node)
+	r.advance(e.node)
 	return false
 }
 
 // advance advances the follower of node n and executes its commands. When there are no more, it schedules the next
 // wake-up.
-func (r *restart) step(n int) {
+func (r *restart) advance(n int) {
 	h := r.nodes[n]
 	for {
 		orders, wake := h.follower.Advance(r.now)
 		for _, o := range orders {
 			if o.Open {
-				r.answer(n, o)
+				r.openCall(n, o)
 			} else if o.ID == h.call {
-				r.end(h)
+				r.endCall(h)
 			}
 		}
 		if len(orders) == 0 { // otherwise the response to a command may lead to further commands
-			h.wakes++
-			r.queue.add(restartEvent{at: max(wake, r.now+1), node: n, kind: nodeWakes, id: h.wakes})
+			h.lastWake++
+			r.queue.add(restartEvent{at: max(wake, r.now+1), node: n, kind: wakeUp, id: h.lastWake})
 			return
 		}
 	}
 }
 
 // openCall simulates the service's response to a call of node n.
-func (r *restart) answer(n int, o follower.Command) {
+func (r *restart) openCall(n int, o follower.Command) {
 	h := r.nodes[n]
 	h.calls++
-	if !r.opens.allow(r.now) {
-		r.turned++
+	if !r.openLimit.allow(r.now) {
+		r.rejected++
 		h.follower.Rejected(r.now, o.ID, time.Duration(1+r.rng.IntN(3))*time.Second)
 		return
 	}
-	h.call, h.began = o.ID, r.now
+	h.call, h.callStarted = o.ID, r.now
 	r.open++
-	r.most = max(r.most, r.open)
+	r.maxOpen = max(r.maxOpen, r.open)
 	h.follower.Received(r.now, o.ID, true)
-	r.queue.add(restartEvent{at: r.now + r.acceptanceTime(), node: n, kind: messageComes, id: o.ID})
-	r.queue.add(restartEvent{at: r.now + partEvery, node: n, kind: partComes, id: o.ID})
+	r.queue.add(restartEvent{at: r.now + r.transferTime(), node: n, kind: messageArrived, id: o.ID})
+	r.queue.add(restartEvent{at: r.now + partInterval, node: n, kind: partArrived, id: o.ID})
 }
 
 // transferTime returns the time that the complete list takes over a node's link.
-func (r *restart) acceptanceTime() time.Duration {
+func (r *restart) transferTime() time.Duration {
 	return time.Duration(math.Ceil(float64(r.message) / controlRate * float64(time.Second)))
 }
 
 // endCall ends the open call of a node, if any, and adds the bytes received on it.
-func (r *restart) end(h *simulatedFollower) {
+func (r *restart) endCall(h *simulatedFollower) {
 	if h.call == 0 {
 		return
 	}
-	h.bytes += min((r.now-h.began).Seconds()*controlRate, float64(r.message))
+	h.bytes += min((r.now-h.callStarted).Seconds()*controlRate, float64(r.message))
 	h.call = 0
 	r.open--
 }
 
 // rows returns the rows of the restart.
 func (r *restart) rows(part string, size int) []Row {
-	rows := rowsOf{rowWriter{part: part, size: size}}
+	rows := listRows{rowWriter{part: part, size: size}}
 	var at []time.Duration
 	calls, total, most := 0, 0.0, 0.0
 	for _, h := range r.nodes {
 		calls += h.calls
 		total += h.bytes
 		most = max(most, h.bytes)
-		if h.listed {
-			at = append(at, h.listAt)
+		if h.hasList {
+			at = append(at, h.receivedAt)
 		}
 	}
 	slices.Sort(at)
 	rows.bytes("whole list", uint64(r.message))
-	rows.time("whole list, at the link's pace", r.acceptanceTime())
+	rows.time("whole list, at the link's pace", r.transferTime())
 	rows.count("nodes", len(r.nodes))
 	rows.count("nodes that have their list", len(at))
 	if len(at) == len(r.nodes) {
@@ -294,7 +294,7 @@
 	rows.add("control to a node, mean", total/float64(len(r.nodes)), "B")
 	rows.add("control to a node, most", most, "B")
 	rows.add("watches opened by a node, mean", float64(calls)/float64(len(r.nodes)), "")
-	rows.count("watches turned away", r.turned)
-	rows.add("most that the replica sends", float64(r.most)*controlRate, "B/s")
+	rows.count("watches turned away", r.rejected)
+	rows.add("most that the replica sends", float64(r.maxOpen)*controlRate, "B/s")
 	return rows.rows
 }
--- a/internal/scale/restart_test.go
+++ b/internal/scale/restart_test.go
@@ -26,12 +26,12 @@
 	for _, nodes := range []int{1, rackNodes, planWatches} {
 		r := played(t, nodes, controlRate, 1, time.Minute) // a second's worth
 		for n, h := range r.nodes {
-			if !h.listed || h.bytes != float64(r.message) || h.listAt < time.Second {
-				t.Fatalf("node %d of %d: has its list: %v, %v bytes of %d, at %v", n, nodes, h.listed, h.bytes, r.message, h.listAt)
+			if !h.hasList || h.bytes != float64(r.message) || h.receivedAt < time.Second {
+				t.Fatalf("node %d of %d: has its list: %v, %v bytes of %d, at %v", n, nodes, h.hasList, h.bytes, r.message, h.receivedAt)
 			}
 		}
-		if most := max(nodes-serviceJoins, 0); r.turned < most || r.turned > 0 && nodes <= serviceJoins || r.most > serviceJoins*3 {
-			t.Errorf("%d nodes: %d calls turned away, %d answered at once", nodes, r.turned, r.most)
+		if most := max(nodes-watchOpensPerSecond, 0); r.rejected < most || r.rejected > 0 && nodes <= watchOpensPerSecond || r.maxOpen > watchOpensPerSecond*3 {
+			t.Errorf("%d nodes: %d calls turned away, %d answered at once", nodes, r.rejected, r.maxOpen)
 		}
 	}
 }
@@ -65,19 +65,19 @@
 
 // The service lets as many calls through as its pace allows, and no more.
 func TestJoinPace(t *testing.T) {
-	p := joinPace{room: serviceJoins}
+	p := openLimiter{room: watchOpensPerSecond}
 	let := 0
 	for at := time.Duration(0); at < 2*time.Second; at += 100 * time.Microsecond {
-		let += oneIf(p.allow(at))
+		let += boolToInt(p.allow(at))
 	}
-	if want := 3 * serviceJoins; let < want-2 || let > want {
+	if want := 3 * watchOpensPerSecond; let < want-2 || let > want {
 		t.Errorf("%d in two seconds, want %d", let, want)
 	}
 }
 
 func TestRestartParts(t *testing.T) {
 	for _, p := range []Part{RestartFleet(), RestartRack()} {
-		for _, n := range p.Small {
+		for _, n := range p.TestSizes {
 			v := measureList(t, p, n)
 			if v["nodes that have their list"] != v["nodes"] || v["control to a node, most"] != v["whole list"] {
 				t.Errorf("%s at %d: %v", p.Name, n, v)
--- a/internal/scale/rows.go
+++ b/internal/scale/rows.go
@@ -12,14 +12,14 @@
 }
 
 // addIfMeasured adds a row unless its value is 0, which stands for a quantity that was not measured.
-func (w *rowWriter) addKnown(quantity string, value float64, unit string) {
+func (w *rowWriter) addIfMeasured(quantity string, value float64, unit string) {
 	if value > 0 {
 		w.add(quantity, value, unit)
 	}
 }
 
-// time adds a quantile of the durations of a kind of calls, if any such call was timed.
-func (w *rowWriter) time(s *stopwatch, quantity string, kind callKind, share float64) {
+// addQuantile adds a quantile of the durations of a kind of calls, if any such call was timed.
+func (w *rowWriter) addQuantile(s *stopwatch, quantity string, kind callKind, share float64) {
 	if seconds, ok := s.quantile(kind, share); ok {
 		w.add(quantity, seconds, "s")
 	}
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -31,23 +31,23 @@
 // InputError reports an invalid option.
 type InputError struct {
 	Field string // name of the command-line flag for the option
-	Why   string // received value and accepted values
+	Reason   string // received value and accepted values
 }
 
-func (e *InputError) Error() string { return e.Field + ": " + e.Why }
+func (e *InputError) Error() string { return e.Field + ": " + e.Reason }
 
 // MemoryError reports a size that needs more memory than a measurement may use.
 type MemoryError struct {
 	Part   string
 	Size   int
 	Need   uint64 // estimated memory for the size, in bytes
-	Most   uint64 // maximum memory for a measurement, in bytes
+	Limit   uint64 // maximum memory for a measurement, in bytes
 	Memory uint64 // total memory of the machine, in bytes
 }
 
 func (e *MemoryError) Error() string {
 	return fmt.Sprintf("sizes: %s at %d needs about %s; at most half of this machine's %s may be used, which is %s",
-		e.Part, e.Size, formatBytes(float64(e.Need)), formatBytes(float64(e.Memory)), formatBytes(float64(e.Most)))
+		e.Part, e.Size, formatBytes(float64(e.Need)), formatBytes(float64(e.Memory)), formatBytes(float64(e.Limit)))
 }
 
 // maxSize is the largest accepted size. It is far larger than any fleet, and memory estimates for it do not overflow.
@@ -61,7 +61,7 @@
 // if an option is invalid or a size needs too much memory. If ctx is cancelled, Run returns the report of the sizes
 // measured so far, with Ended set, and no error. If a part fails, it returns the report so far with the part's error.
 func Run(ctx context.Context, o Options) (*Report, error) {
-	parts, err := o.chosen()
+	parts, err := o.selectParts()
 	if err != nil {
 		return nil, err
 	}
@@ -107,12 +107,12 @@
 }
 
 // selectParts returns the parts to measure, each with the sizes to measure.
-func (o *Options) chosen() ([]Part, error) {
+func (o *Options) selectParts() ([]Part, error) {
 	var parts []Part
 	for _, name := range o.Names {
 		i := slices.IndexFunc(o.Parts, func(p Part) bool { return p.Name == name })
 		if i < 0 {
-			return nil, &InputError{"part", fmt.Sprintf("got %q, must be one of %s", name, strings.Join(o.names(), ", "))}
+			return nil, &InputError{"part", fmt.Sprintf("got %q, must be one of %s", name, strings.Join(o.partNames(), ", "))}
 		}
 		parts = append(parts, o.Parts[i])
 	}
@@ -137,7 +137,7 @@
 	return parts, nil
 }
 
-func (o *Options) names() (names []string) {
+func (o *Options) partNames() (names []string) {
 	for _, p := range o.Parts {
 		names = append(names, p.Name)
 	}
@@ -156,7 +156,7 @@
 	for _, p := range parts {
 		for _, size := range p.Sizes {
 			if need := p.Memory(size); need > memory/memoryDivisor {
-				return &MemoryError{Part: p.Name, Size: size, Need: need, Most: memory / memoryDivisor, Memory: memory}
+				return &MemoryError{Part: p.Name, Size: size, Need: need, Limit: memory / memoryDivisor, Memory: memory}
 			}
 		}
 	}
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -14,7 +14,7 @@
 // squares is a part whose quantity grows as the square of the size, beside one that is nought.
 func squares(measured *[]int) Part {
 	return Part{
-		Name: "squares", Title: "Squares", Size: "things", Sizes: []int{10, 100, 1000}, Small: []int{1},
+		Name: "squares", Title: "Squares", Size: "things", Sizes: []int{10, 100, 1000}, TestSizes: []int{1},
 		Memory: func(size int) uint64 { return uint64(size) * 1000 },
 		Measure: func(_ context.Context, size int, env Env) ([]Row, error) {
 			if measured != nil {
@@ -73,7 +73,7 @@
 	}
 	_, err := Run(t.Context(), Options{Parts: parts[:1], Memory: 1e6})
 	var memory *MemoryError
-	if !errors.As(err, &memory) || *memory != (MemoryError{Part: "squares", Size: 1000, Need: 1e6, Most: 5e5, Memory: 1e6}) {
+	if !errors.As(err, &memory) || *memory != (MemoryError{Part: "squares", Size: 1000, Need: 1e6, Limit: 5e5, Memory: 1e6}) {
 		t.Errorf("error %v", err)
 	}
 	for _, word := range []string{"squares", "1000", "1.00 MB", "500.00 kB"} {
@@ -206,8 +206,8 @@
 			t.Errorf("part %+v", p)
 		}
 		seen[p.Name] = true
-		if len(p.Sizes) < 4 || len(p.Small) == 0 {
-			t.Errorf("%s: sizes %v, small %v", p.Name, p.Sizes, p.Small)
+		if len(p.Sizes) < 4 || len(p.TestSizes) == 0 {
+			t.Errorf("%s: sizes %v, small %v", p.Name, p.Sizes, p.TestSizes)
 		}
 		for i := 1; i < len(p.Sizes); i++ {
 			if p.Sizes[i] <= p.Sizes[i-1] {
--- a/internal/scale/simulated_node.go
+++ b/internal/scale/simulated_node.go
@@ -20,7 +20,7 @@
 	counts        counts
 	tick          uint64     // token of the periodic timer, which is the first timer that the balancer sets
 	ticking       bool       // tick is known
-	watch         *stopwatch // times the calls into the balancer; nil: they are not timed
+	stopwatch         *stopwatch // times the calls into the balancer; nil: they are not timed
 }
 
 // openRequest is a request that has no final response yet, or has attempts in flight.
@@ -31,7 +31,7 @@
 	used         float64 // actual units, which the response reports
 	deadline     time.Duration
 	inQuota      bool // the tenant's quota covered the request when it was first sent
-	finalAnswers int  // final responses so far
+	finalResponses int  // final responses so far
 	inFlight     int  // attempts in flight
 	attempts     []openAttempt
 }
@@ -52,7 +52,7 @@
 	}
 	f.nextID++
 	q := &openRequest{
-		id: strconv.Itoa(f.nextID), tenant: t, units: drawUnits(f.rng), deadline: f.clock.now + class.Deadline,
+		id: strconv.Itoa(f.nextID), tenant: t, units: sampleUnits(f.rng), deadline: f.clock.now + class.Deadline,
 	}
 	q.used = max(1, min(q.units+float64(f.rng.IntN(3)-1), maxUnits))
 	n.open[q.id] = q
@@ -61,13 +61,13 @@
 		ID: q.id, Class: class.Name, Plan: t.plan.Name, Tenant: t.key, Timeout: class.Deadline,
 		Units: q.units, EntryNodes: f.entryNodes, FirstEntryNode: t.firstEntryNode,
 	}
-	n.call(callRequest, func() { n.balancer.RequestArrived(f.clock.now, try, n) })
+	n.call(callOtherRequest, func() { n.balancer.RequestArrived(f.clock.now, try, n) })
 	n.forgetIfDone(q)
 }
 
 // removeIfDone removes a request that has a final response and no attempts in flight.
 func (n *simulatedNode) forgetIfDone(q *openRequest) {
-	if q.finalAnswers > 0 && q.inFlight == 0 {
+	if q.finalResponses > 0 && q.inFlight == 0 {
 		delete(n.open, q.id)
 	}
 }
@@ -75,7 +75,7 @@
 // call makes a call into the balancer. If the node has a stopwatch, it records the duration, and adjusts the kind of the
 // call to the actions that the balancer took.
 func (n *simulatedNode) call(kind callKind, event func()) {
-	if n.watch == nil {
+	if n.stopwatch == nil {
 		event()
 		return
 	}
@@ -84,14 +84,14 @@
 	event()
 	took := time.Since(began)
 	switch {
-	case kind == callRequest && n.counts.attempts > sent:
+	case kind == callOtherRequest && n.counts.attempts > sent:
 		kind = callRequestAdmitted
-	case kind == callRequest && n.counts.quotaRequests > asked:
+	case kind == callOtherRequest && n.counts.quotaRequests > asked:
 		kind = callRequestForwardedToOwner
 	case kind == callQuotaRejected && n.counts.attempts > sent:
 		kind = callQuotaGranted
 	}
-	n.watch.add(kind, took)
+	n.stopwatch.add(kind, took)
 }
 
 // SendAttempt implements [balancer.Actions]. The server responds after a random service time. Sending takes no time, so that
@@ -155,19 +155,19 @@
 	q.inFlight--
 	f := n.fleet
 	o := balancer.Outcome{ID: q.id, Attempt: number, Result: result, EndpointID: a.server, Elapsed: f.clock.now - a.sent}
-	if result == balancer.OK && q.finalAnswers == 0 {
-		q.finalAnswers++
+	if result == balancer.OK && q.finalResponses == 0 {
+		q.finalResponses++
 		n.counts.served++
 		if q.inQuota {
 			q.tenant.tokens += q.units - q.used
 		}
 		o.Units = q.used
 	}
-	o.Answered = q.finalAnswers > 0
+	o.Answered = q.finalResponses > 0
 	if result == balancer.OK || result == balancer.Overloaded || result == balancer.ErrorResponse {
 		o.LoadReport = &balancer.LoadReport{InFlight: float64(f.rng.IntN(maxReportedInFlight)), Queued: -1, Utilization: -1}
 	}
-	n.call(callOutcome, func() { n.balancer.AttemptFinished(f.clock.now, o, n) })
+	n.call(callAttemptFinished, func() { n.balancer.AttemptFinished(f.clock.now, o, n) })
 	n.forgetIfDone(q)
 }
 
@@ -175,11 +175,11 @@
 // duplicate.
 func (n *simulatedNode) final(id string, count *int) {
 	q := n.open[id]
-	if q == nil || q.finalAnswers > 0 {
-		n.counts.duplicateAnswers++
+	if q == nil || q.finalResponses > 0 {
+		n.counts.duplicateResponses++
 		return
 	}
-	q.finalAnswers++
+	q.finalResponses++
 	*count++
 	n.forgetIfDone(q)
 }
--- a/internal/scale/simulated_node_test.go
+++ b/internal/scale/simulated_node_test.go
@@ -12,7 +12,7 @@
 func hostAlone(t *testing.T) (*simulatedNode, *openRequest) {
 	t.Helper()
 	f := newFleet(1, 24, 1)
-	n, err := f.add(0)
+	n, err := f.addNode(0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,7 +36,7 @@
 		n.SendAttempt(q.id, "server", 0, 0) // keeps the request open
 		n.Reject(q.id, 0)
 		second(n, q)
-		if c := n.counts; c.rejected != 1 || c.failed != 0 || c.duplicateAnswers != 1 {
+		if c := n.counts; c.rejected != 1 || c.failed != 0 || c.duplicateResponses != 1 {
 			t.Errorf("%s: %+v", name, c)
 		}
 	}
@@ -54,7 +54,7 @@
 	if q.inFlight != 0 || !q.attempts[0].done || n.counts.served != 0 {
 		t.Errorf("%d out, %+v, %+v", q.inFlight, q.attempts, n.counts)
 	}
-	n.fleet.finish()
+	n.fleet.countUnanswered()
 	if n.counts.unanswered != 1 {
 		t.Errorf("%d unanswered: the balancer knows no such request", n.counts.unanswered)
 	}
--- a/internal/scale/tenant.go
+++ b/internal/scale/tenant.go
@@ -11,7 +11,7 @@
 // Demand of the tenants, in units per second, as a fraction of their plan's rate. Most tenants stay well within their
 // quota; a few request more than it.
 const (
-	minCalmDemand, maxCalmDemand   = 0.15, 0.5
+	minNormalDemand, maxNormalDemand   = 0.15, 0.5
 	minHeavyDemand, maxHeavyDemand = 1.6, 5.0
 	heavyFraction                  = 0.1 // fraction of tenants with heavy demand
 )
@@ -61,12 +61,12 @@
 }
 
 // sampleUnits returns a random number of units for a request.
-func drawUnits(rng *rand.Rand) float64 {
-	return float64(drawIndex(rng, unitFractions[:]) + 1)
+func sampleUnits(rng *rand.Rand) float64 {
+	return float64(sampleIndex(rng, unitFractions[:]) + 1)
 }
 
 // sampleIndex returns a random index, weighted by fractions that sum to 1.
-func drawIndex(rng *rand.Rand, shares []float64) int {
+func sampleIndex(rng *rand.Rand, shares []float64) int {
 	x := rng.Float64()
 	for i, share := range shares {
 		if x -= share; x < 0 {
@@ -78,12 +78,12 @@
 
 // sampleTenants generates random tenants until their total demand reaches a rate, then scales all demands so that the
 // total equals it. Their first entry nodes are chosen from firsts.
-func drawTenants(rng *rand.Rand, plans []balancer.Plan, firsts []int, requestsPerS float64) []*tenant {
+func sampleTenants(rng *rand.Rand, plans []balancer.Plan, firsts []int, requestsPerS float64) []*tenant {
 	var all []*tenant
 	sum := 0.0
 	for sum < requestsPerS {
-		plan := &plans[drawIndex(rng, planFractions)]
-		use := minCalmDemand + (maxCalmDemand-minCalmDemand)*rng.Float64()
+		plan := &plans[sampleIndex(rng, planFractions)]
+		use := minNormalDemand + (maxNormalDemand-minNormalDemand)*rng.Float64()
 		if rng.Float64() < heavyFraction {
 			use = minHeavyDemand + (maxHeavyDemand-minHeavyDemand)*rng.Float64()
 		}
