--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -65,7 +65,7 @@
 // counts are the counters of an edge node, or their sums over a fleet. They depend on the seed alone.
 type counts struct {
 	requests, served, rejected, failed        int
-	duplicateResponses                          int // final responses to a request that already had one
+	duplicateResponses                        int // final responses to a request that already had one
 	unanswered                                int // requests without a final response after their deadline
 	attempts                                  int
 	quotaRequests, quotaGrants, otherMessages int     // messages sent, by kind
@@ -163,7 +163,7 @@
 	f.clock.after(wait, func() {
 		number := (t.firstEntryNode + f.rng.IntN(f.entryNodes)) % f.nodeCount
 		if n := f.nodes[number]; n != nil {
-			n.requestArrives(t)
+			n.receiveRequest(t)
 		}
 		f.scheduleArrivals(t, end)
 	})
--- a/internal/scale/link.go
+++ b/internal/scale/link.go
@@ -27,9 +27,9 @@
 // inbox limits the rate at which an edge node accepts messages. It is a token bucket whose burst is the messages of one
 // second.
 type inbox struct {
-	rate   float64 // messages per second
-	tokens float64
-	refilledAt     time.Duration // time of the last refill
+	rate       float64 // messages per second
+	tokens     float64
+	refilledAt time.Duration // time of the last refill
 }
 
 func newInbox(rate float64, now time.Duration) inbox {
--- a/internal/scale/list.go
+++ b/internal/scale/list.go
@@ -14,15 +14,15 @@
 
 // Sizes of the list in entries. The largest is that of the planned fleet.
 var (
-	listSizes = []int{2_000, 20_000, 100_000, 200_000}
+	listSizes     = []int{2_000, 20_000, 100_000, 200_000}
 	listTestSizes = []int{600}
 )
 
 // Planned fleet: 200,000 app servers in 15 zones, and 4,100 edge nodes that watch the list.
 const (
-	planEntries = 200_000
-	planWatches = 4_100
-	planZones   = 15
+	plannedEntries = 200_000
+	plannedWatches = 4_100
+	plannedZones   = 15
 )
 
 // Memory estimates. They are higher than the measured values.
@@ -79,35 +79,35 @@
 // ListState returns the part that measures the memory, snapshots and recovery of a replica without clients.
 func ListState() Part {
 	return Part{
-		Name:    "list-state",
-		Title:   "Memory, snapshot, restore and recovery of one replica of the list service, on loopback and with its log on disk.",
-		Size:    "entries in the list, each with a lease",
-		Sizes:   listSizes,
-		TestSizes:   listTestSizes,
-		Memory:  func(size int) uint64 { return listMemory(1, size) },
-		Measure: measureInSteps("list-state", 4, measureState),
+		Name:      "list-state",
+		Title:     "Memory, snapshot, restore and recovery of one replica of the list service, on loopback and with its log on disk.",
+		Size:      "entries in the list, each with a lease",
+		Sizes:     listSizes,
+		TestSizes: listTestSizes,
+		Memory:    func(size int) uint64 { return listMemory(1, size) },
+		Measure:   measureInSteps("list-state", 4, measureState),
 	}
 }
 
-func measureState(at *listSteps, rows *listRows) (err error) {
-	image, err := measureEncoding(at, rows)
+func measureState(steps *listSteps, rows *listRows) (err error) {
+	backup, err := measureEncoding(steps, rows)
 	if err != nil {
 		return err
 	}
-	service, err := measureRestore(at, rows, image)
+	service, err := measureRestore(steps, rows, backup)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, service.close()) }()
-	if err := measureSnapshot(at, rows, service); err != nil {
+	if err := measureSnapshot(steps, rows, service); err != nil {
 		return err
 	}
-	return measureRecovery(at, rows, service)
+	return measureRecovery(steps, rows, service)
 }
 
 // measureEncoding creates a list, encodes it and decodes it again. It returns the encoded list.
-func measureEncoding(at *listSteps, rows *listRows) (image []byte, err error) {
-	if err := at.next("creating the list"); err != nil {
+func measureEncoding(steps *listSteps, rows *listRows) (backup []byte, err error) {
+	if err := steps.next("creating the list"); err != nil {
 		return nil, err
 	}
 	before := heapInUse()
@@ -116,65 +116,65 @@
 		return nil, err
 	}
 	rows.bytes("heap of the state", heapGrowth(before))
-	began := time.Now()
-	if image, err = json.Marshal(state); err != nil {
+	start := time.Now()
+	if backup, err = json.Marshal(state); err != nil {
 		return nil, err
 	}
-	rows.time("snapshot, to encode", time.Since(began))
-	rows.bytes("snapshot", uint64(len(image)))
-	began = time.Now()
-	if err := json.Unmarshal(image, new(registry.State)); err != nil {
+	rows.time("snapshot, to encode", time.Since(start))
+	rows.bytes("snapshot", uint64(len(backup)))
+	start = time.Now()
+	if err := json.Unmarshal(backup, new(registry.State)); err != nil {
 		return nil, err
 	}
-	rows.time("snapshot, to decode", time.Since(began))
+	rows.time("snapshot, to decode", time.Since(start))
 	runtime.KeepAlive(state)
-	return image, nil
+	return backup, nil
 }
 
 // measureRestore starts a replica with the list of a backup.
-func measureRestore(at *listSteps, rows *listRows, image []byte) (*listReplica, error) {
-	if err := at.next("restoring a backup"); err != nil {
+func measureRestore(steps *listSteps, rows *listRows, backup []byte) (*listReplica, error) {
+	if err := steps.next("restoring a backup"); err != nil {
 		return nil, err
 	}
 	before := heapInUse()
-	began := time.Now()
-	service, err := startReplica(at.ctx, image)
+	start := time.Now()
+	service, err := startReplica(steps.ctx, backup)
 	if err != nil {
 		return nil, err
 	}
-	rows.time("restore of a backup, until the replica leads", time.Since(began))
+	rows.time("restore of a backup, until the replica leads", time.Since(start))
 	rows.bytes("heap of a replica", heapGrowth(before))
-	runtime.KeepAlive(image)
+	runtime.KeepAlive(backup)
 	return service, nil
 }
 
 // measureSnapshot measures how long a replica takes to write a snapshot.
-func measureSnapshot(at *listSteps, rows *listRows, service *listReplica) error {
-	if err := at.next("writing a snapshot"); err != nil {
+func measureSnapshot(steps *listSteps, rows *listRows, service *listReplica) error {
+	if err := steps.next("writing a snapshot"); err != nil {
 		return err
 	}
-	began := time.Now()
+	start := time.Now()
 	if err := service.Snapshot(); err != nil {
 		return err
 	}
-	rows.time("snapshot, to its file", time.Since(began))
+	rows.time("snapshot, to its file", time.Since(start))
 	return nil
 }
 
 // measureRecovery stops a replica and starts it again from its snapshot.
-func measureRecovery(at *listSteps, rows *listRows, service *listReplica) error {
-	if err := at.next("recovering"); err != nil {
+func measureRecovery(steps *listSteps, rows *listRows, service *listReplica) error {
+	if err := steps.next("recovering"); err != nil {
 		return err
 	}
 	generation := service.Generation()
 	if err := service.stop(); err != nil {
 		return err
 	}
-	began := time.Now()
-	if err := service.start(at.ctx, ""); err != nil {
+	start := time.Now()
+	if err := service.start(steps.ctx, ""); err != nil {
 		return err
 	}
-	rows.time("recovery from a snapshot", time.Since(began))
+	rows.time("recovery from a snapshot", time.Since(start))
 	if got := service.Generation(); got != generation {
 		return fmt.Errorf("replica recovered at generation %d, want %d", got, generation)
 	}
@@ -191,10 +191,10 @@
 
 // Parameters of the measurements with watches.
 const (
-	singleChanges  = 3   // number of changes written one after another
-	zoneClients    = 64  // number of concurrent clients that remove the entries of the lost zone
+	singleChanges      = 3   // number of changes written one after another
+	zoneClients        = 64  // number of concurrent clients that remove the entries of the lost zone
 	maxSnapshotReaders = 128 // maximum number of watches that receive a complete list at the same time
-	lostZone       = 0   // number of the zone that is lost
+	lostZone           = 0   // number of the zone that is lost
 )
 
 // ListService returns the part that measures how a replica delivers changes and complete lists to its watches. The ratio
@@ -204,31 +204,31 @@
 		Name: "list-watches",
 		Title: "Watches of one replica of the list service, over loopback in one process, with 41 watches per 2,000 entries as planned: " +
 			"a single change, the removal of a zone entry by entry, all watches reconnecting from before it, and complete lists to at most 128 watches.",
-		Size:    "entries in the list",
-		Sizes:   listSizes,
-		TestSizes:   listTestSizes,
-		Memory:  func(size int) uint64 { return listServiceMemory(1, size) },
-		Measure: measureInSteps("list-watches", 6, measureService),
+		Size:      "entries in the list",
+		Sizes:     listSizes,
+		TestSizes: listTestSizes,
+		Memory:    func(size int) uint64 { return listServiceMemory(1, size) },
+		Measure:   measureInSteps("list-watches", 6, measureService),
 	}
 }
 
 // watchesOf returns the number of watches of a list, in the proportion of the planned fleet.
-func watchesOf(entries int) int { return max(entries*planWatches/planEntries, 1) }
+func watchesOf(entries int) int { return max(entries*plannedWatches/plannedEntries, 1) }
 
-func measureService(at *listSteps, rows *listRows) (err error) {
-	service, err := at.restore(rows.size, listLease, electionTimeout)
+func measureService(steps *listSteps, rows *listRows) (err error) {
+	service, err := steps.restore(rows.size, listLease, electionTimeout)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, service.close()) }()
-	run := serviceRun{steps: at, rows: rows, service: service, writer: newListWriter(service.Addr()), watches: watchesOf(rows.size)}
+	run := serviceRun{steps: steps, rows: rows, service: service, writer: newListWriter(service.Addr()), watches: watchesOf(rows.size)}
 	defer run.writer.close()
 	return errors.Join(run.measureOpenWatches(), run.measureReconnects(), run.measureSnapshots())
 }
 
 // serviceRun is a measurement of [ListService] at one size.
 type serviceRun struct {
-	steps         *listSteps
+	steps      *listSteps
 	rows       *listRows
 	service    *listReplica
 	writer     *listWriter
@@ -241,14 +241,14 @@
 	if err := r.steps.next("opening watches"); err != nil {
 		return err
 	}
-	began := time.Now()
+	start := time.Now()
 	watches, err := openWatches(r.steps.ctx, startsAt(r.service.Addr(), r.watches, r.service.Generation()), r.steps.env.Seed)
 	if err != nil {
 		return err
 	}
 	defer watches.close()
 	r.rows.count("watches", r.watches)
-	r.rows.time("watches, until all are open", time.Since(began))
+	r.rows.time("watches, until all are open", time.Since(start))
 	if err := r.measureSingleChanges(watches); err != nil {
 		return err
 	}
@@ -260,10 +260,10 @@
 	if err := r.steps.next("writing single changes"); err != nil {
 		return err
 	}
-	var late []time.Duration
+	var delays []time.Duration
 	for n := range singleChanges {
-		began := time.Now()
-		generation, err := r.writer.drain(r.steps.ctx, n*planZones+lostZone+1)
+		start := time.Now()
+		generation, err := r.writer.drain(r.steps.ctx, n*plannedZones+lostZone+1)
 		if err != nil {
 			return err
 		}
@@ -271,57 +271,57 @@
 		if err != nil {
 			return err
 		}
-		late = append(late, last.Sub(began))
+		delays = append(delays, last.Sub(start))
 	}
-	r.rows.time("first change, to the last watch", late[0])
-	r.rows.time("next two changes, most to the last watch", slices.Max(late[1:]))
-	told := watches.totals()
-	r.rows.bytes("one change, most to a watch", told.maxBytes/singleChanges)
-	return told.firstError
+	r.rows.time("first change, to the last watch", delays[0])
+	r.rows.time("next two changes, most to the last watch", slices.Max(delays[1:]))
+	received := watches.totals()
+	r.rows.bytes("one change, most to a watch", received.maxBytes/singleChanges)
+	return received.firstError
 }
 
-// measureZoneLoss measures the delivery of the removals of a measureZoneLoss, each a separate change.
+// measureZoneLoss measures the delivery of the removals of a zone, each a separate change.
 func (r *serviceRun) measureZoneLoss(watches *listWatches) error {
 	if err := r.steps.next("removing a zone"); err != nil {
 		return err
 	}
 	r.beforeZone = r.service.Generation()
 	before := watches.totals()
-	began := time.Now()
+	start := time.Now()
 	lost := zoneEntries(r.rows.size)
 	if err := r.writer.removeZone(r.steps.ctx, r.rows.size); err != nil {
 		return err
 	}
-	written := time.Since(began)
+	written := time.Since(start)
 	last, err := watches.awaitGeneration(r.steps.ctx, r.beforeZone+uint64(lost))
 	if err != nil {
 		return err
 	}
 	r.rows.count("zone lost, entries", lost)
 	r.rows.time("zone lost, all removals written", written)
-	r.rows.time("zone lost, from the first removal to the last watch", last.Sub(began))
-	r.rows.time("zone lost, from the last removal to the last watch", max(last.Sub(began)-written, 0))
-	told := watches.totals()
-	r.rows.bytes("zone lost, most to a watch", told.maxBytes-before.maxBytes)
-	r.rows.count("watches told otherwise than each change once and in order", told.outOfOrder)
-	r.rows.count("whole lists to watches that were open", int(told.snapshots))
-	return told.firstError
+	r.rows.time("zone lost, from the first removal to the last watch", last.Sub(start))
+	r.rows.time("zone lost, from the last removal to the last watch", max(last.Sub(start)-written, 0))
+	received := watches.totals()
+	r.rows.bytes("zone lost, most to a watch", received.maxBytes-before.maxBytes)
+	r.rows.count("watches told otherwise than each change once and in order", received.outOfOrder)
+	r.rows.count("whole lists to watches that were open", int(received.snapshots))
+	return received.firstError
 }
 
 // syncNewWatches opens n watches that start after a generation, waits until all of them have the current list, and closes
 // them. It returns what they received and how long that took.
-func (r *serviceRun) syncNewWatches(n int, from uint64) (told watchTotals, took time.Duration, err error) {
-	began := time.Now()
+func (r *serviceRun) syncNewWatches(n int, from uint64) (received watchTotals, took time.Duration, err error) {
+	start := time.Now()
 	watches, err := openWatches(r.steps.ctx, startsAt(r.service.Addr(), n, from), r.steps.env.Seed)
 	if err != nil {
-		return told, 0, err
+		return received, 0, err
 	}
 	defer watches.close()
 	last, err := watches.awaitGeneration(r.steps.ctx, r.service.Generation())
 	if err != nil {
-		return told, 0, err
+		return received, 0, err
 	}
-	return watches.totals(), last.Sub(began), nil
+	return watches.totals(), last.Sub(start), nil
 }
 
 // measureReconnects measures how all watches catch up if they reconnect at the same time, starting from the generation
@@ -330,15 +330,15 @@
 	if err := r.steps.next("reconnecting all watches"); err != nil {
 		return err
 	}
-	told, took, err := r.syncNewWatches(r.watches, r.beforeZone)
+	received, took, err := r.syncNewWatches(r.watches, r.beforeZone)
 	if err != nil {
 		return err
 	}
 	r.rows.time("all come back, until the last has the list", took)
-	r.rows.bytes("all come back, most to a watch", told.maxBytes)
-	r.rows.count("all come back, whole lists", int(told.snapshots))
-	r.rows.count("all come back, told otherwise than each change once and in order", told.outOfOrder)
-	return told.firstError
+	r.rows.bytes("all come back, most to a watch", received.maxBytes)
+	r.rows.count("all come back, whole lists", int(received.snapshots))
+	r.rows.count("all come back, told otherwise than each change once and in order", received.outOfOrder)
+	return received.firstError
 }
 
 // measureSnapshots measures the delivery of complete lists to new watches.
@@ -347,14 +347,14 @@
 		return err
 	}
 	readers := min(r.watches, maxSnapshotReaders)
-	told, took, err := r.syncNewWatches(readers, 0)
+	received, took, err := r.syncNewWatches(readers, 0)
 	if err != nil {
 		return err
 	}
 	r.rows.count("whole list, watches that take it at once", readers)
 	r.rows.add("whole list, factor from these to all watches", float64(r.watches)/float64(readers), "")
 	r.rows.time("whole list, until the last of these has it", took)
-	r.rows.bytes("whole list, most to a watch", told.maxBytes)
-	r.rows.count("whole list, whole lists told", int(told.snapshots))
-	return told.firstError
+	r.rows.bytes("whole list, most to a watch", received.maxBytes)
+	r.rows.count("whole list, whole lists told", int(received.snapshots))
+	return received.firstError
 }
--- a/internal/scale/list_expiry.go
+++ b/internal/scale/list_expiry.go
@@ -27,34 +27,34 @@
 		Name: "list-expiry",
 		Title: "Loss of a zone whose leases expire, at one replica of the list service with watches as planned, over loopback in one process: " +
 			"64 clients renew all leases of the zone once the watches are open, and never again.",
-		Size:    "entries in the list, each with a lease",
-		Sizes:   listSizes,
-		TestSizes:   listTestSizes,
-		Memory:  func(size int) uint64 { return listServiceMemory(1, size) },
-		Measure: measureInSteps("list-expiry", 4, measureExpiry),
+		Size:      "entries in the list, each with a lease",
+		Sizes:     listSizes,
+		TestSizes: listTestSizes,
+		Memory:    func(size int) uint64 { return listServiceMemory(1, size) },
+		Measure:   measureInSteps("list-expiry", 4, measureExpiry),
 	}
 }
 
-func measureExpiry(at *listSteps, rows *listRows) (err error) {
+func measureExpiry(steps *listSteps, rows *listRows) (err error) {
 	lease := zoneLease(rows.size)
-	service, err := at.restore(rows.size, lease, electionTimeout)
+	service, err := steps.restore(rows.size, lease, electionTimeout)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, service.close()) }()
-	run := expiryRun{steps: at, rows: rows, service: service, writer: newListWriter(service.Addr()), leaseTerm: lease, before: service.Generation()}
+	run := expiryRun{steps: steps, rows: rows, service: service, writer: newListWriter(service.Addr()), leaseTerm: lease, before: service.Generation()}
 	defer run.writer.close()
 	return run.measure()
 }
 
 // expiryRun is a measurement of [ListExpiry] at one size.
 type expiryRun struct {
-	steps      *listSteps
-	rows    *listRows
-	service *listReplica
-	writer  *listWriter
-	leaseTerm   time.Duration // lease duration of the zone's instances
-	before  uint64        // generation before the first expiry
+	steps     *listSteps
+	rows      *listRows
+	service   *listReplica
+	writer    *listWriter
+	leaseTerm time.Duration // lease duration of the zone's instances
+	before    uint64        // generation before the first expiry
 }
 
 // earlyExpiryError reports that a lease expired before all watches were open and all leases had been renewed.
@@ -100,15 +100,15 @@
 	if err := r.steps.next("renewing the zone's leases"); err != nil {
 		return ends, err
 	}
-	began := time.Now()
+	start := time.Now()
 	err = forEachInZone(r.steps.ctx, r.rows.size, r.writer.renew)
 	renewed := time.Now()
 	if err := errors.Join(r.checkNoneExpired(), err); err != nil {
 		return ends, err
 	}
 	r.rows.time("zone's leases", r.leaseTerm)
-	r.rows.time("zone's leases, all renewed for the last time", renewed.Sub(began))
-	return leaseEnds{began.Add(r.leaseTerm), renewed.Add(r.leaseTerm)}, nil
+	r.rows.time("zone's leases, all renewed for the last time", renewed.Sub(start))
+	return leaseEnds{start.Add(r.leaseTerm), renewed.Add(r.leaseTerm)}, nil
 }
 
 // expire waits until the zone's leases have expired and all watches have received the removals.
@@ -124,43 +124,43 @@
 	if err != nil {
 		return err
 	}
-	told := watches.totals()
+	received := watches.totals()
 	r.rows.count("zone expired, entries", r.rows.size-after.Entries)
 	r.rows.count("zone expired, messages to a watch", int(after.Generation-r.before))
 	r.rows.time("zone expired, from the first lease's end to the last watch", last.Sub(ends.first))
 	r.rows.time("zone expired, from the last lease's end to the last watch", max(last.Sub(ends.last), 0))
-	r.rows.time("zone expired, from the first watch that has it all to the last", last.Sub(told.firstCurrent))
-	r.rows.bytes("zone expired, most to a watch", told.maxBytes)
-	r.rows.count("watches told otherwise than each change once and in order", told.outOfOrder)
-	r.rows.count("whole lists to watches that were open", int(told.snapshots))
-	return told.firstError
+	r.rows.time("zone expired, from the first watch that has it all to the last", last.Sub(received.firstCurrent))
+	r.rows.bytes("zone expired, most to a watch", received.maxBytes)
+	r.rows.count("watches told otherwise than each change once and in order", received.outOfOrder)
+	r.rows.count("whole lists to watches that were open", int(received.snapshots))
+	return received.firstError
 }
 
 // awaitExpiry waits until the list has only the entries of the other zones, and returns the replica's status. It requests
 // the status only when the generation has changed. It returns an [expiryError] if the wait ends early.
 func (r *expiryRun) awaitExpiry() (status registry.Status, err error) {
-	others := r.rows.size - zoneEntries(r.rows.size)
+	remaining := r.rows.size - zoneEntries(r.rows.size)
 	status.Entries, status.Generation = r.rows.size, r.before
-	waited := awaitReplica(r.steps.ctx, "the zone's leases to expire", func() bool {
+	waitErr := awaitReplica(r.steps.ctx, "the zone's leases to expire", func() bool {
 		if r.service.Generation() != status.Generation {
 			status, err = r.writer.status(r.steps.ctx)
 		}
-		return err != nil || status.Entries <= others
+		return err != nil || status.Entries <= remaining
 	})
-	if waited == nil {
+	if waitErr == nil {
 		return status, err
 	}
-	if latest, failed := r.writer.status(r.steps.ctx); failed == nil {
+	if latest, statusErr := r.writer.status(r.steps.ctx); statusErr == nil {
 		status = latest
 	}
-	return status, errors.Join(err, &expiryError{status.Entries, others, status.ExpirySuspended, waited})
+	return status, errors.Join(err, &expiryError{status.Entries, remaining, status.ExpirySuspended, waitErr})
 }
 
 // expiryError reports that entries are still in the list although their leases should have expired.
 type expiryError struct {
 	entries, expected int   // in the list: the actual and the expected number
 	suspended         bool  // the replica has suspended the expiry of leases
-	cause               error // why the wait ended
+	cause             error // why the wait ended
 }
 
 func (e *expiryError) Error() string {
--- a/internal/scale/list_lost.go
+++ b/internal/scale/list_lost.go
@@ -19,29 +19,29 @@
 		Name: "list-lost-replica",
 		Title: "Loss of a replica in a service of three, over loopback in one process, with watches as planned at a follower. The follower stops and its watches " +
 			"reconnect at once to a random one of the other two, while 64 clients remove a zone entry by entry at the leader, with a new connection for each removal.",
-		Size:    "entries in the list",
-		Sizes:   listSizes,
-		TestSizes:   listTestSizes,
-		Memory:  func(size int) uint64 { return listServiceMemory(serviceReplicas, size) },
-		Measure: measureInSteps("list-lost-replica", 4, measureLostReplica),
+		Size:      "entries in the list",
+		Sizes:     listSizes,
+		TestSizes: listTestSizes,
+		Memory:    func(size int) uint64 { return listServiceMemory(serviceReplicas, size) },
+		Measure:   measureInSteps("list-lost-replica", 4, measureLostReplica),
 	}
 }
 
-func measureLostReplica(at *listSteps, rows *listRows) (err error) {
-	leader, err := at.restore(rows.size, listLease, serviceElectionTimeout)
+func measureLostReplica(steps *listSteps, rows *listRows) (err error) {
+	leader, err := steps.restore(rows.size, listLease, serviceElectionTimeout)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, leader.close()) }()
-	if err := at.next("adding replicas"); err != nil {
+	if err := steps.next("adding replicas"); err != nil {
 		return err
 	}
-	followers, err := joinReplicas(at.ctx, leader)
+	followers, err := joinReplicas(steps.ctx, leader)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, closeReplicas(followers)) }()
-	run := lostRun{steps: at, rows: rows, leader: leader, lost: followers[0], remaining: followers[1]}
+	run := lostRun{steps: steps, rows: rows, leader: leader, lost: followers[0], remaining: followers[1]}
 	run.client.Replicas = []string{leader.Addr(), run.remaining.Addr()}
 	return run.measure()
 }
@@ -49,11 +49,11 @@
 // lostRun is a measurement of [ListLostReplica] at one size.
 type lostRun struct {
 	steps     *listSteps
-	rows   *listRows
-	leader *listReplica // the leader at the time of the loss
-	lost   *listReplica // the follower that is stopped; it serves the watches until then
-	remaining  *listReplica // the other follower
-	client registry.Client
+	rows      *listRows
+	leader    *listReplica // the leader at the time of the loss
+	lost      *listReplica // the follower that is stopped; it serves the watches until then
+	remaining *listReplica // the other follower
+	client    registry.Client
 }
 
 func (r *lostRun) measure() error {
@@ -98,50 +98,50 @@
 	watches.awaitEnd()
 	loss.watchesEnded = time.Now()
 	starts := r.chooseReconnects(watches)
-	back, err := openWatches(r.steps.ctx, starts, r.steps.env.Seed)
+	reconnected, err := openWatches(r.steps.ctx, starts, r.steps.env.Seed)
 	if err != nil {
 		return errors.Join(err, loss.wait())
 	}
-	defer back.close()
+	defer reconnected.close()
 	loss.watchesReopened = time.Now()
-	if err := r.catchUp(back, loss, generation); err != nil {
+	if err := r.catchUp(reconnected, loss, generation); err != nil {
 		return err
 	}
 	loss.addRows(r.rows)
 	r.rows.count("another replica leads than before", boolToInt(!r.leader.IsLeader()))
 	r.countReconnects(starts)
-	return r.countReceived(watches, back, before.maxBytes)
+	return r.countReceived(watches, reconnected, before.maxBytes)
 }
 
 // catchUp waits until all reconnected watches have the current list, and then until they have the given generation,
 // which is that of the list without the zone.
-func (r *lostRun) catchUp(back *listWatches, loss *replicaLoss, generation uint64) (err error) {
-	loss.caughtUp, err = back.awaitGeneration(r.steps.ctx, r.leader.Generation())
+func (r *lostRun) catchUp(reconnected *listWatches, loss *replicaLoss, generation uint64) (err error) {
+	loss.caughtUp, err = reconnected.awaitGeneration(r.steps.ctx, r.leader.Generation())
 	if err := errors.Join(err, loss.wait()); err != nil {
 		return err
 	}
-	loss.complete, err = back.awaitGeneration(r.steps.ctx, generation)
+	loss.complete, err = reconnected.awaitGeneration(r.steps.ctx, generation)
 	return err
 }
 
 // replicaLoss records the times of the loss of a replica, and of the removal of a zone in the meantime.
 type replicaLoss struct {
-	began    time.Time
+	start           time.Time
 	watchesEnded    time.Time // all watches at the lost replica had ended
-	watchesReopened     time.Time // all watches were open again
-	caughtUp time.Time // all watches had the list as it was when the last of them was open again
-	zoneRemoved  time.Time // all removals had been written
-	complete     time.Time // all watches had the list without the zone
+	watchesReopened time.Time // all watches were open again
+	caughtUp        time.Time // all watches had the list as it was when the last of them was open again
+	zoneRemoved     time.Time // all removals had been written
+	complete        time.Time // all watches had the list without the zone
 
-	running             sync.WaitGroup
+	running            sync.WaitGroup
 	stopErr, removeErr error // of stopping the replica, and of removing the zone
-	mu               sync.Mutex
-	longestRemoval          time.Duration // longest removal, including retries; guarded by mu
+	mu                 sync.Mutex
+	longestRemoval     time.Duration // longest removal, including retries; guarded by mu
 }
 
 // addRows adds the durations of the loss.
 func (l *replicaLoss) addRows(rows *listRows) {
-	since := func(quantity string, at time.Time) { rows.time(quantity, at.Sub(l.began)) }
+	since := func(quantity string, at time.Time) { rows.time(quantity, at.Sub(l.start)) }
 	since("replica lost, until the last of its watches has ended", l.watchesEnded)
 	since("replica lost, until all are open at the others", l.watchesReopened)
 	since("replica lost, until the last has the list of when all were open", l.caughtUp)
@@ -154,7 +154,7 @@
 
 // begin stops the replica and starts to remove the zone, both in the background.
 func (r *lostRun) begin() *replicaLoss {
-	loss := &replicaLoss{began: time.Now()}
+	loss := &replicaLoss{start: time.Now()}
 	loss.running.Go(func() { loss.stopErr = r.lost.stop() })
 	loss.running.Go(func() {
 		loss.removeErr = r.removeZone(loss)
@@ -168,9 +168,9 @@
 	ctx, cancel := context.WithTimeout(r.steps.ctx, serviceTimeout)
 	defer cancel()
 	return forEachInZone(ctx, r.rows.size, func(ctx context.Context, n int) (uint64, error) {
-		began := time.Now()
+		start := time.Now()
 		removed, err := r.client.Remove(ctx, firstInstance(n))
-		loss.recordRemoval(time.Since(began))
+		loss.recordRemoval(time.Since(start))
 		return removed.Generation, err
 	})
 }
@@ -196,33 +196,33 @@
 // received.
 func (r *lostRun) chooseReconnects(watches *listWatches) []watchStart {
 	rng := rand.New(rand.NewPCG(r.steps.env.Seed, reconnectStream))
-	others := []string{r.leader.Addr(), r.remaining.Addr()}
+	candidates := []string{r.leader.Addr(), r.remaining.Addr()}
 	starts := make([]watchStart, len(watches.all))
 	for i, w := range watches.all {
-		starts[i] = watchStart{others[rng.IntN(len(others))], w.published.Load().generation}
+		starts[i] = watchStart{candidates[rng.IntN(len(candidates))], w.published.Load().generation}
 	}
 	return starts
 }
 
 // countReconnects counts the watches that reconnect to each replica.
 func (r *lostRun) countReconnects(starts []watchStart) {
-	leads := 0
+	atLeader := 0
 	for _, start := range starts {
-		leads += boolToInt(start.addr == r.leader.Addr())
+		atLeader += boolToInt(start.addr == r.leader.Addr())
 	}
-	r.rows.count("come back, at the replica that leads", leads)
-	r.rows.count("come back, at the replica that follows", len(starts)-leads)
+	r.rows.count("come back, at the replica that leads", atLeader)
+	r.rows.count("come back, at the replica that follows", len(starts)-atLeader)
 }
 
 // countReceived counts the messages to the watches at the lost replica and then at the other replicas.
-func (r *lostRun) countReceived(watches, back *listWatches, before uint64) error {
-	var most uint64
+func (r *lostRun) countReceived(watches, reconnected *listWatches, before uint64) error {
+	var maxBytes uint64
 	for i, w := range watches.all {
-		most = max(most, w.published.Load().bytes+back.all[i].published.Load().bytes)
+		maxBytes = max(maxBytes, w.published.Load().bytes+reconnected.all[i].published.Load().bytes)
 	}
-	old, now := watches.totals(), back.totals()
-	r.rows.bytes("come back, most to a watch from the loss on", most-before)
-	r.rows.count("come back, whole lists", int(old.snapshots+now.snapshots))
-	r.rows.count("come back, told otherwise than each change once and in order", old.outOfOrder+now.outOfOrder)
-	return errors.Join(old.firstError, now.firstError)
+	beforeLoss, afterLoss := watches.totals(), reconnected.totals()
+	r.rows.bytes("come back, most to a watch from the loss on", maxBytes-before)
+	r.rows.count("come back, whole lists", int(beforeLoss.snapshots+afterLoss.snapshots))
+	r.rows.count("come back, told otherwise than each change once and in order", beforeLoss.outOfOrder+afterLoss.outOfOrder)
+	return errors.Join(beforeLoss.firstError, afterLoss.firstError)
 }
--- a/internal/scale/list_renew.go
+++ b/internal/scale/list_renew.go
@@ -16,12 +16,12 @@
 
 // Parameters of the measurement of renewals.
 const (
-	renewClients    = 32     // clients, each with a thread of its own and one connection at a time
-	maxKeepAliveRenewals    = 30_000 // maximum number of renewals over persistent connections
+	renewClients         = 32     // clients, each with a thread of its own and one connection at a time
+	maxKeepAliveRenewals = 30_000 // maximum number of renewals over persistent connections
 	maxSingleRenewals    = 6_000  // maximum number of renewals with a new connection for each
-	renewalsPerTerm  = 3      // planned renewals of a lease during its term
-	planLeaseTerm   = 10     // planned lease duration, in seconds
-	rusageThread = 1      // RUSAGE_THREAD of getrusage(2): the calling thread
+	renewalsPerTerm      = 3      // planned renewals of a lease during its term
+	plannedLeaseSeconds  = 10     // planned lease duration, in seconds
+	rusageThread         = 1      // RUSAGE_THREAD of getrusage(2): the calling thread
 )
 
 // ListRenewals returns the part that measures the CPU time that the service spends on lease renewals.
@@ -30,90 +30,90 @@
 		Name: "list-renewals",
 		Title: "Lease renewals over loopback: CPU time of the replicas, without that of the clients, per renewal and per second of the " +
 			"planned renewals, in which each lease is renewed three times in 10 s. With three replicas it is the sum of all three.",
-		Size:    "leases",
-		Sizes:   listSizes,
-		TestSizes:   []int{100},
-		Memory:  func(size int) uint64 { return listMemory(serviceReplicas, size) },
-		Measure: measureInSteps("list-renewals", 4, measureRenewals),
+		Size:      "leases",
+		Sizes:     listSizes,
+		TestSizes: []int{100},
+		Memory:    func(size int) uint64 { return listMemory(serviceReplicas, size) },
+		Measure:   measureInSteps("list-renewals", 4, measureRenewals),
 	}
 }
 
-func measureRenewals(at *listSteps, rows *listRows) (err error) {
-	leader, err := at.restore(rows.size, listLease, serviceElectionTimeout)
+func measureRenewals(steps *listSteps, rows *listRows) (err error) {
+	leader, err := steps.restore(rows.size, listLease, serviceElectionTimeout)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, leader.close()) }()
-	if err := renewAll(at, rows, leader.Addr(), "one replica"); err != nil {
+	if err := renewAll(steps, rows, leader.Addr(), "one replica"); err != nil {
 		return err
 	}
-	if err := at.next("adding replicas"); err != nil {
+	if err := steps.next("adding replicas"); err != nil {
 		return err
 	}
-	began := time.Now()
-	followers, err := joinReplicas(at.ctx, leader)
+	start := time.Now()
+	followers, err := joinReplicas(steps.ctx, leader)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, closeReplicas(followers)) }()
-	rows.time("two replicas join, until they have the list", time.Since(began))
-	if err := awaitReplica(at.ctx, "the first replica to become the leader", leader.IsLeader); err != nil {
+	rows.time("two replicas join, until they have the list", time.Since(start))
+	if err := awaitReplica(steps.ctx, "the first replica to become the leader", leader.IsLeader); err != nil {
 		return err
 	}
-	return renewAll(at, rows, leader.Addr(), "three replicas")
+	return renewAll(steps, rows, leader.Addr(), "three replicas")
 }
 
 // renewAll measures renewals over persistent connections, and with a new connection for each.
-func renewAll(at *listSteps, rows *listRows, addr, service string) error {
-	if err := at.next("renewing leases, " + service); err != nil {
+func renewAll(steps *listSteps, rows *listRows, addr, service string) error {
+	if err := steps.next("renewing leases, " + service); err != nil {
 		return err
 	}
-	for _, way := range []struct {
-		name  string
-		count int
-		keep  bool
+	for _, mode := range []struct {
+		name      string
+		count     int
+		keepAlive bool
 	}{{"connections kept", min(maxKeepAliveRenewals, 2*rows.size), true}, {"a connection each", min(maxSingleRenewals, rows.size), false}} {
-		cost, err := renew(at, addr, rows.size, way.count, way.keep)
+		cost, err := renew(steps, addr, rows.size, mode.count, mode.keepAlive)
 		if err != nil {
-			return fmt.Errorf("renewals, %s, %s: %w", service, way.name, err)
+			return fmt.Errorf("renewals, %s, %s: %w", service, mode.name, err)
 		}
-		prefix := fmt.Sprintf("renewals, %s, %s: ", service, way.name)
+		prefix := fmt.Sprintf("renewals, %s, %s: ", service, mode.name)
 		rows.time(prefix+"processor time of one", cost)
-		aSecond := float64(rows.size) * renewalsPerTerm / planLeaseTerm
-		rows.time(prefix+"processor time of a second of the plan's", time.Duration(aSecond*float64(cost)))
+		perSecond := float64(rows.size) * renewalsPerTerm / plannedLeaseSeconds
+		rows.time(prefix+"processor time of a second of the plan's", time.Duration(perSecond*float64(cost)))
 	}
 	return nil
 }
 
 // renew renews random leases and returns the CPU time that the service spends on each renewal. That is the CPU time of
 // the process without that of the client threads.
-func renew(at *listSteps, addr string, leases, count int, keep bool) (each time.Duration, err error) {
+func renew(steps *listSteps, addr string, leases, count int, keepAlive bool) (perRenewal time.Duration, err error) {
 	to, err := socketAddress(addr)
 	if err != nil {
 		return 0, err
 	}
 	var mu sync.Mutex
-	var clients time.Duration
+	var clientTime time.Duration
 	var errs []error
-	var work sync.WaitGroup
+	var wg sync.WaitGroup
 	before, err := cpuTime(syscall.RUSAGE_SELF)
 	if err != nil {
 		return 0, err
 	}
 	sent := 0
 	for i := range renewClients {
-		share := count/renewClients + boolToInt(i < count%renewClients)
-		sent += share
-		work.Go(func() {
-			c := renewClient{to: *to, leases: leases, keepAlive: keep, rng: rand.New(rand.NewPCG(at.env.Seed, uint64(i)))}
-			spent, err := c.run(at.ctx, share)
+		renewals := count/renewClients + boolToInt(i < count%renewClients)
+		sent += renewals
+		wg.Go(func() {
+			c := renewClient{to: *to, leases: leases, keepAlive: keepAlive, rng: rand.New(rand.NewPCG(steps.env.Seed, uint64(i)))}
+			used, err := c.run(steps.ctx, renewals)
 			mu.Lock()
 			defer mu.Unlock()
-			clients += spent
+			clientTime += used
 			errs = append(errs, err)
 		})
 	}
-	work.Wait()
+	wg.Wait()
 	if err := errors.Join(errs...); err != nil {
 		return 0, err
 	}
@@ -121,7 +121,7 @@
 	if err != nil {
 		return 0, err
 	}
-	return max(after-before-clients, 0) / time.Duration(max(sent, 1)), nil
+	return max(after-before-clientTime, 0) / time.Duration(max(sent, 1)), nil
 }
 
 func boolToInt(b bool) int {
@@ -151,15 +151,15 @@
 // renewClient renews leases one after another. It runs on its own thread and uses blocking sockets, so that its CPU time
 // can be measured separately from that of the service.
 type renewClient struct {
-	to     syscall.SockaddrInet4 // a copy for each client, because Connect writes into it
-	leases int
-	keepAlive   bool // keep the connection open between renewals
-	rng    *rand.Rand
-	fd     int // socket; -1: none
+	to        syscall.SockaddrInet4 // a copy for each client, because Connect writes into it
+	leases    int
+	keepAlive bool // keep the connection open between renewals
+	rng       *rand.Rand
+	fd        int // socket; -1: none
 }
 
 // run sends a number of renewals and returns the CPU time of its own thread.
-func (c *renewClient) run(ctx context.Context, count int) (spent time.Duration, err error) {
+func (c *renewClient) run(ctx context.Context, count int) (used time.Duration, err error) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	before, err := cpuTime(rusageThread)
@@ -198,12 +198,12 @@
 		}
 		request = request[n:]
 	}
-	answer, err := c.readResponse()
+	response, err := c.readResponse()
 	if err != nil {
 		return err
 	}
-	if !strings.HasPrefix(string(answer), "HTTP/1.1 200 ") {
-		return fmt.Errorf("renewing %s: got response %.300q, want status 200", id, answer)
+	if !strings.HasPrefix(string(response), "HTTP/1.1 200 ") {
+		return fmt.Errorf("renewing %s: got response %.300q, want status 200", id, response)
 	}
 	if !c.keepAlive {
 		c.closeSocket()
@@ -216,21 +216,21 @@
 
 // readResponse reads one response, with head and body.
 func (c *renewClient) readResponse() ([]byte, error) {
-	answer := make([]byte, 0, 1024)
-	for !bytes.HasSuffix(answer, responseEnd) {
-		if len(answer) == cap(answer) {
-			return nil, fmt.Errorf("response has more than %d bytes: %.300q", cap(answer), answer)
+	response := make([]byte, 0, 1024)
+	for !bytes.HasSuffix(response, responseEnd) {
+		if len(response) == cap(response) {
+			return nil, fmt.Errorf("response has more than %d bytes: %.300q", cap(response), response)
 		}
-		n, err := uninterrupted(syscall.Read, c.fd, answer[len(answer):cap(answer)])
+		n, err := uninterrupted(syscall.Read, c.fd, response[len(response):cap(response)])
 		if err == nil && n == 0 {
 			err = errors.New("connection closed by the service")
 		}
 		if err != nil {
-			return nil, fmt.Errorf("reading the response after %.300q: %w", answer, err)
+			return nil, fmt.Errorf("reading the response after %.300q: %w", response, err)
 		}
-		answer = answer[:len(answer)+n]
+		response = response[:len(response)+n]
 	}
-	return answer, nil
+	return response, nil
 }
 
 // uninterrupted repeats a system call as long as a signal, such as those of the Go runtime, interrupts it.
--- a/internal/scale/list_replicas.go
+++ b/internal/scale/list_replicas.go
@@ -8,7 +8,7 @@
 
 // Parameters of a service of several replicas.
 const (
-	serviceReplicas = 3
+	serviceReplicas        = 3
 	serviceElectionTimeout = 500 * time.Millisecond // election timeout; the service's default
 )
 
--- a/internal/scale/list_service.go
+++ b/internal/scale/list_service.go
@@ -17,7 +17,7 @@
 // Timeouts and poll intervals. A successful measurement stays far below the timeout.
 const (
 	serviceTimeout = time.Minute
-	servicePoll   = time.Millisecond
+	servicePoll    = time.Millisecond
 )
 
 // electionTimeout is the election timeout of a service of one replica. It can be short, because there are no other
@@ -33,7 +33,7 @@
 	return registry.Entry{
 		InstanceID:  fmt.Sprintf("server-%06d", n),
 		HostPort:    fmt.Sprintf("10.%d.%d.%d:8080", n>>16, n>>8&0xff, n&0xff),
-		Zone:        fmt.Sprintf("zone-%02d", n%planZones),
+		Zone:        fmt.Sprintf("zone-%02d", n%plannedZones),
 		MachineType: "standard-8",
 		Cell:        n % 64,
 		Lifecycle:   registry.Up,
@@ -51,7 +51,7 @@
 	state := registry.NewState(0)
 	for n := range entries {
 		lease := listLease
-		if n%planZones == lostZone {
+		if n%plannedZones == lostZone {
 			lease = zoneLease
 		}
 		o := state.Apply(registry.Command{Kind: registry.Register, Entry: listEntry(n), Incarnation: firstIncarnation, Lease: lease})
@@ -65,9 +65,9 @@
 // listReplica is a replica of the list service with its own temporary folder.
 type listReplica struct {
 	*registry.Server
-	dir          string
-	listen, raft string        // addresses to listen on
-	electionTimeout      time.Duration // election timeout
+	dir             string
+	listen, raft    string        // addresses to listen on
+	electionTimeout time.Duration // election timeout
 }
 
 // newReplica returns a replica that is not started yet, with the given election timeout.
@@ -80,12 +80,12 @@
 }
 
 // startReplica starts a service of one replica with the list of a backup, and waits until the replica is the leader.
-func startReplica(ctx context.Context, image []byte) (*listReplica, error) {
-	return startReplicaWithTimeout(ctx, image, electionTimeout)
+func startReplica(ctx context.Context, backup []byte) (*listReplica, error) {
+	return startReplicaWithTimeout(ctx, backup, electionTimeout)
 }
 
 // startReplicaWithTimeout is like startReplica, with the given election timeout.
-func startReplicaWithTimeout(ctx context.Context, image []byte, timeout time.Duration) (r *listReplica, err error) {
+func startReplicaWithTimeout(ctx context.Context, backup []byte, timeout time.Duration) (r *listReplica, err error) {
 	if r, err = newReplica(timeout); err != nil {
 		return nil, err
 	}
@@ -94,7 +94,7 @@
 			err = errors.Join(err, r.close())
 		}
 	}()
-	if _, err := registry.Restore(r.stateDir(), bytes.NewReader(image), 1); err != nil {
+	if _, err := registry.Restore(r.stateDir(), bytes.NewReader(backup), 1); err != nil {
 		return r, err
 	}
 	if err := r.start(ctx, ""); err != nil {
@@ -103,7 +103,7 @@
 	return r, awaitReplica(ctx, "the replica to become the leader", r.IsLeader)
 }
 
-// stateDir returns the folder of the replica's stateDir.
+// stateDir returns the folder of the replica's state.
 func (r *listReplica) stateDir() string { return filepath.Join(r.dir, "state") }
 
 // start starts the replica, which joins the service at the address join unless that is empty. A replica that is started
@@ -131,13 +131,13 @@
 	return errors.Join(r.stop(), os.RemoveAll(r.dir))
 }
 
-// awaitReplica polls a condition until it holds, for at most serviceWithin. what names the condition in errors.
-func awaitReplica(ctx context.Context, what string, holds func() bool) error {
+// awaitReplica polls a condition until it holds, for at most serviceTimeout. what names the condition in errors.
+func awaitReplica(ctx context.Context, what string, condition func() bool) error {
 	ctx, cancel := context.WithTimeout(ctx, serviceTimeout)
 	defer cancel()
 	tick := time.NewTicker(servicePoll)
 	defer tick.Stop()
-	for !holds() {
+	for !condition() {
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("waiting for %s: %w", what, ctx.Err())
@@ -148,15 +148,15 @@
 }
 
 // restore starts a service of one replica with a list of the given number of entries.
-func (s *listSteps) restore(entries int, zoneLease, election time.Duration) (*listReplica, error) {
+func (s *listSteps) restore(entries int, zoneLease, electionTimeout time.Duration) (*listReplica, error) {
 	if err := s.next("restoring a list"); err != nil {
 		return nil, err
 	}
-	image, err := listSnapshot(entries, zoneLease)
+	backup, err := listSnapshot(entries, zoneLease)
 	if err != nil {
 		return nil, err
 	}
-	return startReplicaWithTimeout(s.ctx, image, election)
+	return startReplicaWithTimeout(s.ctx, backup, electionTimeout)
 }
 
 // listSnapshot returns a backup of a list with the given number of entries.
--- a/internal/scale/list_test.go
+++ b/internal/scale/list_test.go
@@ -52,7 +52,7 @@
 
 // removedZone is the lost zone's entries as watches are told of them.
 func removedZone(entries int) (zone []discovery.Entry) {
-	for n := lostZone; n < entries; n += planZones {
+	for n := lostZone; n < entries; n += plannedZones {
 		e := listEntry(n)
 		e.Lifecycle = registry.Removed
 		zone = append(zone, e)
@@ -82,7 +82,7 @@
 // Each part has four sizes at least, up to the plan's, and says what they take.
 func TestListPartsCoverThePlan(t *testing.T) {
 	for _, p := range listParts() {
-		if len(p.Sizes) < 4 || !slices.IsSorted(p.Sizes) || p.Sizes[len(p.Sizes)-1] != planEntries || len(p.TestSizes) == 0 || p.Name == "" || p.Title == "" || p.Size == "" {
+		if len(p.Sizes) < 4 || !slices.IsSorted(p.Sizes) || p.Sizes[len(p.Sizes)-1] != plannedEntries || len(p.TestSizes) == 0 || p.Name == "" || p.Title == "" || p.Size == "" {
 			t.Errorf("%+v", p)
 		}
 		for i, n := range p.Sizes {
@@ -91,7 +91,7 @@
 			}
 		}
 	}
-	if n := watchesOf(planEntries); n != planWatches {
+	if n := watchesOf(plannedEntries); n != plannedWatches {
 		t.Errorf("%d watches at the plan's size", n)
 	}
 }
--- a/internal/scale/list_watch.go
+++ b/internal/scale/list_watch.go
@@ -35,8 +35,8 @@
 
 // watchState summarizes the messages that a watch has received.
 type watchState struct {
-	generation         uint64      // generation of the last message
-	receivedAt       time.Time   // when the last message was received
+	generation uint64      // generation of the last message
+	receivedAt time.Time   // when the last message was received
 	bytes      uint64      // size of all messages as HTTP/1.1 chunks, without empty lines
 	snapshots  uint64      // number of complete lists
 	outOfOrder *watchError // first message that was not the expected change
@@ -44,10 +44,10 @@
 
 // listWatch watches the list over a connection, as an edge node does, and counts the messages that it receives.
 type listWatch struct {
-	conn     net.Conn
-	lines    *bufio.Reader
-	state     watchState                 // state of the reading goroutine
-	published atomic.Pointer[watchState] // published copy for other goroutines; immutable
+	conn      net.Conn
+	lines     *bufio.Reader
+	state     watchState                 // owned by the reading goroutine
+	published atomic.Pointer[watchState] // copy of state for other goroutines; immutable
 }
 
 // openWatch opens a watch of the changes after a generation. If the replica rejects it, openWatch tries again after the
@@ -115,13 +115,13 @@
 
 // Start of a message: the generation, followed by whether the message is a complete list.
 var (
-	messageHead = []byte(`{"generation":`)
-	messageReset   = []byte(`,"reset":true`)
+	messageHead  = []byte(`{"generation":`)
+	messageReset = []byte(`,"reset":true`)
 )
 
 // follow reads messages until the connection ends. Whenever no further complete line is buffered, it publishes the state
-// and calls told.
-func (w *listWatch) follow(told func()) {
+// and calls notify.
+func (w *listWatch) follow(notify func()) {
 	for {
 		line, err := w.lines.ReadSlice('\n')
 		length := len(line)
@@ -146,15 +146,15 @@
 		}
 		if w.state.bytes != w.published.Load().bytes && !w.lineBuffered() {
 			w.publish()
-			told()
+			notify()
 		}
 	}
 }
 
 // lineBuffered reports whether a complete line is buffered.
 func (w *listWatch) lineBuffered() bool {
-	at, err := w.lines.Peek(w.lines.Buffered())
-	return err == nil && bytes.IndexByte(at, '\n') >= 0
+	buffered, err := w.lines.Peek(w.lines.Buffered())
+	return err == nil && bytes.IndexByte(buffered, '\n') >= 0
 }
 
 // record adds a message of the given length in bytes to the state.
@@ -173,14 +173,14 @@
 // publish makes the current state visible to other goroutines.
 func (w *listWatch) publish() {
 	w.state.receivedAt = time.Now()
-	told := w.state
-	w.published.Store(&told)
+	state := w.state
+	w.published.Store(&state)
 }
 
 // listWatches are the watches of all edge nodes of a fleet.
 type listWatches struct {
 	all      []*listWatch
-	readers     sync.WaitGroup
+	readers  sync.WaitGroup
 	progress chan struct{} // receives a value after a watch has published its state
 }
 
@@ -204,12 +204,12 @@
 	ws := &listWatches{all: make([]*listWatch, len(starts)), progress: make(chan struct{}, 1)}
 	errs := make([]error, len(starts))
 	var opening sync.WaitGroup
-	room := make(chan struct{}, maxConcurrentDials)
+	slots := make(chan struct{}, maxConcurrentDials)
 	for i, start := range starts {
 		opening.Go(func() {
-			room <- struct{}{}
+			slots <- struct{}{}
 			w, wait, err := dialWatch(ctx, start.addr, start.from)
-			<-room
+			<-slots
 			if wait > 0 {
 				w, err = openWatch(ctx, start.addr, start.from, rand.New(rand.NewPCG(seed, uint64(i))))
 			}
@@ -256,16 +256,16 @@
 	ws.readers.Wait()
 }
 
-// awaitGeneration waits until all watches have reached a generation, for at most 2*serviceWithin, and returns the time at
+// awaitGeneration waits until all watches have reached a generation, for at most 2*serviceTimeout, and returns the time at
 // which the last of them had received its latest message.
 func (ws *listWatches) awaitGeneration(ctx context.Context, generation uint64) (last time.Time, err error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*serviceTimeout)
 	defer cancel()
 	behind := ws.all
 	for len(behind) > 0 {
-		if told := behind[0].published.Load(); told.generation >= generation {
-			if told.receivedAt.After(last) {
-				last = told.receivedAt
+		if state := behind[0].published.Load(); state.generation >= generation {
+			if state.receivedAt.After(last) {
+				last = state.receivedAt
 			}
 			behind = behind[1:]
 			continue
@@ -283,16 +283,16 @@
 func (ws *listWatches) totals() (t watchTotals) {
 	t.minBytes = ^uint64(0)
 	for _, w := range ws.all {
-		told := w.published.Load()
-		t.maxBytes, t.minBytes = max(t.maxBytes, told.bytes), min(t.minBytes, told.bytes)
-		t.snapshots += told.snapshots
-		if t.firstCurrent.IsZero() || told.receivedAt.Before(t.firstCurrent) {
-			t.firstCurrent = told.receivedAt
+		state := w.published.Load()
+		t.maxBytes, t.minBytes = max(t.maxBytes, state.bytes), min(t.minBytes, state.bytes)
+		t.snapshots += state.snapshots
+		if t.firstCurrent.IsZero() || state.receivedAt.Before(t.firstCurrent) {
+			t.firstCurrent = state.receivedAt
 		}
-		if told.outOfOrder != nil {
+		if state.outOfOrder != nil {
 			t.outOfOrder++
 			if t.firstError == nil {
-				t.firstError = told.outOfOrder
+				t.firstError = state.outOfOrder
 			}
 		}
 	}
@@ -302,7 +302,7 @@
 // watchTotals are totals over a set of watches.
 type watchTotals struct {
 	minBytes, maxBytes uint64    // smallest and largest number of bytes that a watch received
-	firstCurrent          time.Time // earliest time at which a watch received its last message
+	firstCurrent       time.Time // earliest time at which a watch received its last message
 	snapshots          uint64    // number of complete lists
 	outOfOrder         int       // number of watches that received a change twice, out of order or not at all
 	firstError         error     // error of the first such watch
--- a/internal/scale/list_write.go
+++ b/internal/scale/list_write.go
@@ -44,12 +44,12 @@
 func (w *listWriter) send(ctx context.Context, method, what string) (generation uint64, err error) {
 	path := fmt.Sprintf("instances/%s?incarnation=%d", what, firstIncarnation)
 	var o registry.Outcome
-	answered, err := w.call(ctx, method, path, &o)
+	httpStatus, err := w.call(ctx, method, path, &o)
 	if err != nil {
 		return 0, err
 	}
 	if o.Code != registry.Done {
-		return 0, fmt.Errorf("writing %s: got %s: %s %s", what, answered, o.Code, o.Message)
+		return 0, fmt.Errorf("writing %s: got %s: %s %s", what, httpStatus, o.Code, o.Message)
 	}
 	return o.Generation, nil
 }
@@ -61,7 +61,7 @@
 }
 
 // call sends a request, decodes the JSON body of the response and returns its HTTP status.
-func (w *listWriter) call(ctx context.Context, method, path string, answer any) (status string, err error) {
+func (w *listWriter) call(ctx context.Context, method, path string, result any) (status string, err error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+w.addr+"/registry/"+path, nil)
 	if err != nil {
 		return "", err
@@ -75,7 +75,7 @@
 	if err != nil {
 		return "", err
 	}
-	if err := json.Unmarshal(text, answer); err != nil {
+	if err := json.Unmarshal(text, result); err != nil {
 		return "", fmt.Errorf("decoding the response for %s with status %s: %w", path, resp.Status, err)
 	}
 	return resp.Status, nil
@@ -87,29 +87,29 @@
 }
 
 // zoneEntries returns the number of entries of the lost zone in a list.
-func zoneEntries(entries int) int { return (entries - lostZone + planZones - 1) / planZones }
+func zoneEntries(entries int) int { return (entries - lostZone + plannedZones - 1) / plannedZones }
 
-// forEachInZone calls write for each instance of the lost zone, by its number, from zoneWriters concurrent goroutines. It
+// forEachInZone calls write for each instance of the lost zone, by its number, from zoneClients concurrent goroutines. It
 // stops at the first error and returns it.
 func forEachInZone(ctx context.Context, entries int, write func(context.Context, int) (uint64, error)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	count := zoneEntries(entries)
 	var next atomic.Int64
-	var work sync.WaitGroup
+	var wg sync.WaitGroup
 	for range zoneClients {
-		work.Go(func() {
+		wg.Go(func() {
 			for ctx.Err() == nil {
 				n := int(next.Add(1)) - 1
 				if n >= count {
 					return
 				}
-				if _, err := write(ctx, n*planZones+lostZone); err != nil {
+				if _, err := write(ctx, n*plannedZones+lostZone); err != nil {
 					cancel(err)
 				}
 			}
 		})
 	}
-	work.Wait()
+	wg.Wait()
 	return context.Cause(ctx)
 }
--- a/internal/scale/nodelist.go
+++ b/internal/scale/nodelist.go
@@ -13,24 +13,24 @@
 
 // Load of an edge node in the planned fleet.
 const (
-	planNodes  = 4100  // edge nodes
-	planRequests   = 512.0 // requests per second at a node
-	planEntryNodes = 3     // entry nodes of a tenant
+	plannedNodes       = 4100  // edge nodes
+	plannedRequestRate = 512.0 // requests per second at a node
+	plannedEntryNodes  = 3     // entry nodes of a tenant
 )
 
 // Parameters of the measurement.
 const (
-	measuredNode = planNodes / 2      // number of the node
-	peerServers  = 200                    // servers in the peers' lists: enough for their gossip messages to have content
-	listWarmup   = 500 * time.Millisecond // load before the measurement
-	listRestarts = 20                     // server restarts, each a drain, a removal and a new entry
-	restartGap   = 50 * time.Millisecond  // simulated time between changes
-	repeatedSnapshots   = 3                      // complete lists after the first one
-	listStages   = 4
-	loadSteps    = 10              // parts of the load between progress reports
-	shortLoad    = time.Second     // measured load with a list of more than maxShortList servers
-	longLoad     = 4 * time.Second // measured load with a shorter list
-	maxShortList = 20000
+	measuredNode      = plannedNodes / 2       // number of the node
+	peerServers       = 200                    // servers in the peers' lists: enough for their gossip messages to have content
+	listWarmup        = 500 * time.Millisecond // load before the measurement
+	listRestarts      = 20                     // server restarts, each a drain, a removal and a new entry
+	restartGap        = 50 * time.Millisecond  // simulated time between changes
+	repeatedSnapshots = 3                      // complete lists after the first one
+	listStages        = 4                      // stages of the measurement, for progress reports
+	loadSteps         = 10                     // parts of the load between progress reports
+	shortLoad         = time.Second            // measured load with a list of more than maxShortList servers
+	longLoad          = 4 * time.Second        // measured load with a shorter list
+	maxShortList      = 20000                  // servers
 )
 
 // listLoad returns the simulated time for which the load is measured. It is shorter for long lists, where each call takes
@@ -47,27 +47,27 @@
 	return Part{
 		Name: nodeListName,
 		Title: fmt.Sprintf("One edge node of %d at %g requests per second, with %d entry nodes for each tenant, against the length of the endpoint list",
-			planNodes, planRequests, planEntryNodes),
-		Size:    "servers in the list",
-		Sizes:   []int{200, 2000, 20000, 200000},
-		TestSizes:   []int{50, 200},
-		Memory:  func(size int) uint64 { return 256<<20 + uint64(size)*1024 },
-		Measure: measureNodeList,
+			plannedNodes, plannedRequestRate, plannedEntryNodes),
+		Size:      "servers in the list",
+		Sizes:     []int{200, 2000, 20000, 200000},
+		TestSizes: []int{50, 200},
+		Memory:    func(size int) uint64 { return 256<<20 + uint64(size)*1024 },
+		Measure:   measureNodeList,
 	}
 }
 
 // listBench is a measurement of a node at one size.
 type listBench struct {
-	ctx     context.Context
-	env     Env
-	size    int
-	fleet   *fleet
-	node    *simulatedNode
-	stopwatch   *stopwatch
+	ctx           context.Context
+	env           Env
+	size          int
+	fleet         *fleet
+	node          *simulatedNode
+	stopwatch     *stopwatch
 	heapBefore    uint64 // live heap before the node was created, in bytes
-	heapWithList uint64 // heap of the node with its list, in bytes
-	heapAfterLoad  uint64 // heap of the node after the load, in bytes
-	load    counts // counters of the measured load
+	heapWithList  uint64 // heap of the node with its list, in bytes
+	heapAfterLoad uint64 // heap of the node after the load, in bytes
+	load          counts // counters of the measured load
 	usedCount     int    // number of servers that received attempts in it
 	lastServer    int    // largest number of a server that the list has had so far
 }
@@ -90,11 +90,11 @@
 
 // start creates the peers, schedules the requests, and creates the measured node with its list.
 func (b *listBench) start() error {
-	b.fleet = newFleet(b.env.Seed, planNodes, planEntryNodes)
-	var firsts []int
-	for number := measuredNode - planEntryNodes + 1; number < measuredNode+planEntryNodes; number++ {
+	b.fleet = newFleet(b.env.Seed, plannedNodes, plannedEntryNodes)
+	var firstEntryNodes []int
+	for number := measuredNode - plannedEntryNodes + 1; number < measuredNode+plannedEntryNodes; number++ {
 		if number <= measuredNode {
-			firsts = append(firsts, number)
+			firstEntryNodes = append(firstEntryNodes, number)
 		}
 		if number == measuredNode {
 			continue
@@ -106,7 +106,7 @@
 		peer.updateEndpoints(callFirstSnapshot, balancer.UpdateSnapshot, serverList(min(b.size, peerServers)))
 	}
 	end := b.fleet.clock.now + listWarmup + listLoad(b.size)
-	for _, t := range sampleTenants(b.fleet.rng, fleetPlans(), firsts, planRequests*planEntryNodes) {
+	for _, t := range sampleTenants(b.fleet.rng, fleetPlans(), firstEntryNodes, plannedRequestRate*plannedEntryNodes) {
 		b.fleet.scheduleArrivals(t, end)
 	}
 	b.heapBefore = heapInUse()
@@ -129,10 +129,10 @@
 	b.fleet.resetCounts()
 	b.node.stopwatch = b.stopwatch
 	defer func() { b.load, b.usedCount = b.node.counts, len(b.node.usedEndpoints) }()
-	began, load := clock.now, listLoad(b.size)
+	start, load := clock.now, listLoad(b.size)
 	for step := range time.Duration(loadSteps) {
 		b.env.Progress(1, listStages, fmt.Sprintf("requests and messages, %d of %d", step, loadSteps))
-		if err := clock.runUntil(b.ctx, began+load*(step+1)/loadSteps); err != nil {
+		if err := clock.runUntil(b.ctx, start+load*(step+1)/loadSteps); err != nil {
 			return err
 		}
 	}
@@ -147,10 +147,10 @@
 
 // change drains servers that the node has used and brings them up again. Then it restarts other servers.
 func (b *listBench) change() error {
-	for _, met := range b.usedServers(listRestarts) {
+	for _, used := range b.usedServers(listRestarts) {
 		for _, state := range []balancer.EndpointState{balancer.Draining, balancer.Up} {
-			met.State = state
-			if err := b.apply(callUsedEndpointChange, met); err != nil {
+			used.State = state
+			if err := b.apply(callUsedEndpointChange, used); err != nil {
 				return err
 			}
 		}
@@ -159,13 +159,13 @@
 }
 
 // usedServers returns at most limit servers to which the node has sent attempts.
-func (b *listBench) usedServers(most int) (met []balancer.Endpoint) {
-	for i := 0; i < b.size && len(met) < most; i++ {
+func (b *listBench) usedServers(limit int) (used []balancer.Endpoint) {
+	for i := 0; i < b.size && len(used) < limit; i++ {
 		if s := server(i); b.node.usedEndpoints[s.ID] {
-			met = append(met, s)
+			used = append(used, s)
 		}
 	}
-	return met
+	return used
 }
 
 // restart restarts servers one by one. Each returns under a new ID.
@@ -197,7 +197,7 @@
 	return b.fleet.clock.runUntil(b.ctx, b.fleet.clock.now+restartGap)
 }
 
-// deliver delivers a deliver update to the node and times only this call.
+// deliver delivers a list update to the node and times only this call.
 func (b *listBench) deliver(kind callKind, form balancer.UpdateKind, entries []balancer.Endpoint) {
 	b.node.stopwatch = b.stopwatch
 	b.node.updateEndpoints(kind, form, entries)
--- a/internal/scale/nodelist_test.go
+++ b/internal/scale/nodelist_test.go
@@ -51,7 +51,7 @@
 			}
 		}
 		requests := value(t, rows, "requests")
-		if requests < 0.9*planRequests || requests > 1.1*planRequests {
+		if requests < 0.9*plannedRequestRate || requests > 1.1*plannedRequestRate {
 			t.Errorf("size %d: %v requests a second", size, requests)
 		}
 		inboxes := fleetSettings(1, 0).PeerMessagesPerSecond * (1 + 1/listLoad(size).Seconds()) // and a second's messages in store
@@ -128,7 +128,7 @@
 			t.Fatal(err)
 		}
 		heap[i] = float64(b.heapWithList)
-		if len(b.fleet.added) != 2*planEntryNodes-1 {
+		if len(b.fleet.added) != 2*plannedEntryNodes-1 {
 			t.Errorf("%d nodes", len(b.fleet.added))
 		}
 	}
--- a/internal/scale/part.go
+++ b/internal/scale/part.go
@@ -10,10 +10,10 @@
 
 // Part is a group of measurements that share the meaning of their size.
 type Part struct {
-	Name  string // name on the command line
-	Title string // one-sentence description, shown above the table
-	Size  string // what a size counts, for example "servers in the list"
-	Sizes []int  // default sizes in ascending order; the largest is that of the planned fleet
+	Name      string // name on the command line
+	Title     string // one-sentence description, shown above the table
+	Size      string // what a size counts, for example "servers in the list"
+	Sizes     []int  // default sizes in ascending order; the largest is that of the planned fleet
 	TestSizes []int  // sizes for tests, which take a fraction of a second each
 	// Memory estimates the peak memory that a size needs, in bytes. [Run] rejects sizes that need more than half of
 	// the machine's memory.
--- a/internal/scale/quota.go
+++ b/internal/scale/quota.go
@@ -32,30 +32,30 @@
 		Name: quotaName,
 		Title: fmt.Sprintf("Quota messages per node in a fleet of %d, with an inbox of %g messages per second, against the request rate and the number of entry nodes (spread)",
 			quotaNodes, fleetSettings(1, 0).PeerMessagesPerSecond),
-		Size:    "requests a second on a node",
-		Sizes:   []int{10, 40, 160, 512},
-		TestSizes:   []int{1, 2},
-		Memory:  func(size int) uint64 { return 256<<20 + uint64(size)<<20 },
-		Measure: measureQuota,
+		Size:      "requests a second on a node",
+		Sizes:     []int{10, 40, 160, 512},
+		TestSizes: []int{1, 2},
+		Memory:    func(size int) uint64 { return 256<<20 + uint64(size)<<20 },
+		Measure:   measureQuota,
 	}
 }
 
 func measureQuota(ctx context.Context, size int, env Env) ([]Row, error) {
 	r := rowWriter{part: quotaName, size: size}
 	tenants := 0 // does not depend on the number of entry nodes
-	for i, spread := range quotaEntryNodes {
-		env.Progress(i, len(quotaEntryNodes), fmt.Sprintf("spread %d", spread))
-		run := quotaRun{seed: env.Seed, nodes: quotaNodes, entryNodes: spread, requestsPerS: float64(size)}
+	for i, entryNodes := range quotaEntryNodes {
+		env.Progress(i, len(quotaEntryNodes), fmt.Sprintf("spread %d", entryNodes))
+		run := quotaRun{seed: env.Seed, nodes: quotaNodes, entryNodes: entryNodes, requestsPerS: float64(size)}
 		if err := run.run(ctx); err != nil {
 			return r.rows, err
 		}
-		heap, err := heapPerTenant(ctx, env.Seed, spread)
+		heap, err := heapPerTenant(ctx, env.Seed, entryNodes)
 		if err != nil {
 			return r.rows, err
 		}
 		run.addRows(&r)
 		tenants = run.tenants
-		r.add(fmt.Sprintf("heap a tenant on a node, spread %d", spread), heap, "B")
+		r.add(fmt.Sprintf("heap a tenant on a node, spread %d", entryNodes), heap, "B")
 	}
 	r.add("tenants of the fleet", float64(tenants), "")
 	env.Progress(len(quotaEntryNodes), len(quotaEntryNodes), "done")
@@ -66,7 +66,7 @@
 type quotaRun struct {
 	seed         uint64
 	nodes        int
-	entryNodes       int     // entry nodes of a tenant
+	entryNodes   int     // entry nodes of a tenant
 	requestsPerS float64 // requests per second at a node
 
 	tenants int
@@ -80,11 +80,11 @@
 	if err := f.addAllNodes(quotaServersPerNode * q.nodes); err != nil {
 		return err
 	}
-	firsts := make([]int, q.nodes)
-	for i := range firsts {
-		firsts[i] = i
+	firstEntryNodes := make([]int, q.nodes)
+	for i := range firstEntryNodes {
+		firstEntryNodes[i] = i
 	}
-	tenants := sampleTenants(f.rng, fleetPlans(), firsts, q.requestsPerS*float64(q.nodes))
+	tenants := sampleTenants(f.rng, fleetPlans(), firstEntryNodes, q.requestsPerS*float64(q.nodes))
 	q.tenants = len(tenants)
 	end := f.clock.now + quotaWarmup + quotaLoad
 	for _, t := range tenants {
@@ -103,8 +103,8 @@
 		return err
 	}
 	f.countUnanswered()
-	last := f.total()
-	q.counts.unanswered, q.counts.duplicateResponses = last.unanswered, last.duplicateResponses
+	final := f.total()
+	q.counts.unanswered, q.counts.duplicateResponses = final.unanswered, final.duplicateResponses
 	return nil
 }
 
@@ -138,13 +138,13 @@
 	return part / whole
 }
 
-// heapPerTenant measures the heap that a tenant uses on a node that knows it, in bytes. It simulates spread nodes, and each
+// heapPerTenant measures the heap that a tenant uses on a node that knows it, in bytes. It simulates entryNodes nodes, and each
 // of them receives one request of every tenant. Their inboxes accept all messages, so that both the owners and the
 // requesters of the quotas know the tenants.
-func heapPerTenant(ctx context.Context, seed uint64, spread int) (float64, error) {
-	f := newFleet(seed, quotaNodes, spread)
-	f.inboxRate = heapTenants * float64(spread) * 4
-	for number := range spread {
+func heapPerTenant(ctx context.Context, seed uint64, entryNodes int) (float64, error) {
+	f := newFleet(seed, quotaNodes, entryNodes)
+	f.inboxRate = heapTenants * float64(entryNodes) * 4
+	for number := range entryNodes {
 		n, err := f.addNode(number)
 		if err != nil {
 			return 0, err
@@ -158,7 +158,7 @@
 		t := &tenants[i]
 		*t = tenant{key: uint64(i), plan: &plans[0], tokens: plans[0].Burst, refilledAt: f.clock.now}
 		for _, n := range f.added {
-			f.clock.after(time.Duration(f.rng.Int64N(int64(heapArrivals))), func() { n.requestArrives(t) })
+			f.clock.after(time.Duration(f.rng.Int64N(int64(heapArrivals))), func() { n.receiveRequest(t) })
 		}
 	}
 	// After the deadline no request has timers left, but the balancer still stores its data of the tenants.
@@ -168,5 +168,5 @@
 	f.clock.events = slices.Clone(f.clock.events)
 	after := max(heapInUse(), before)
 	runtime.KeepAlive(f)
-	return float64(after-before) / float64(heapTenants*spread), nil
+	return float64(after-before) / float64(heapTenants*entryNodes), nil
 }
--- a/internal/scale/restart.go
+++ b/internal/scale/restart.go
@@ -16,20 +16,20 @@
 
 // Parameters of a restart.
 const (
-	rackNodes      = 40                         // edge nodes in a rack; a guess, because the plan does not say how many share a rack
-	controlRate    = 19_000                     // planned bandwidth of an edge node for control traffic, in bytes per second
-	maxRestartTime     = 10 * time.Minute           // maximum simulated time
-	restartPollInterval  = 10 * time.Second           // poll interval of a node without a watch, as in the settings
-	restartGeneration = 1<<discovery.EpochBits + 1 // generation of the list
-	watchOpensPerSecond   = 2_000                      // watches that a replica accepts per second, and in a burst
-	partInterval      = time.Second                // interval at which a node notices that a message is still arriving
-	restartMemory  = 4 << 10                    // estimated memory of a node, in bytes
+	rackNodes           = 40                         // edge nodes in a rack; a guess, because the plan does not say how many share a rack
+	controlRate         = 19_000                     // planned bandwidth of an edge node for control traffic, in bytes per second
+	maxRestartTime      = 10 * time.Minute           // maximum simulated time
+	restartPollInterval = 10 * time.Second           // poll interval of a node without a watch, as in the settings
+	restartGeneration   = 1<<discovery.EpochBits + 1 // generation of the list
+	watchOpensPerSecond = 2_000                      // watches that a replica accepts per second, and in a burst
+	partInterval        = time.Second                // interval at which a node notices that a message is still arriving
+	restartMemory       = 4 << 10                    // estimated memory of a node, in bytes
 )
 
 // RestartFleet returns the part that measures how all edge nodes of the planned fleet get their list if they start at the
 // same time.
 func RestartFleet() Part {
-	return restartPart("restart-fleet", "all edge nodes of the planned fleet", planWatches)
+	return restartPart("restart-fleet", "all edge nodes of the planned fleet", plannedWatches)
 }
 
 // RestartRack returns the part that measures how the edge nodes of a rack get their list if they start at the same time.
@@ -42,16 +42,16 @@
 		Name: name,
 		Title: fmt.Sprintf("Restart of %s without a cached list, for up to ten minutes on a simulated clock: each has the real follower of the list "+
 			"and a link of %d bytes per second, and one replica accepts %d watches per second.", who, controlRate, watchOpensPerSecond),
-		Size:   "entries in the list",
-		Sizes:  []int{200, 350, 2_000, 20_000, 200_000},
-		TestSizes:  []int{200},
-		Memory: func(size int) uint64 { return listBaseMemory + uint64(nodes)*restartMemory + 2<<10*uint64(size) },
+		Size:      "entries in the list",
+		Sizes:     []int{200, 350, 2_000, 20_000, 200_000},
+		TestSizes: []int{200},
+		Memory:    func(size int) uint64 { return listBaseMemory + uint64(nodes)*restartMemory + 2<<10*uint64(size) },
 		Measure: func(ctx context.Context, size int, env Env) ([]Row, error) {
 			bytes, err := snapshotMessageBytes(size)
 			if err != nil {
 				return nil, err
 			}
-			r := newRestart(nodes, planWatches, bytes, env.Seed)
+			r := newRestart(nodes, plannedWatches, bytes, env.Seed)
 			err = r.run(ctx, maxRestartTime, env.Progress)
 			return r.rows(name, size), err
 		},
@@ -70,27 +70,27 @@
 
 // restart simulates edge nodes that start at the same time, on a simulated clock.
 type restart struct {
-	now     time.Duration
-	nodes   []*simulatedFollower
-	queue   restartQueue
-	message int        // length of the message with the complete list, in bytes
-	openLimit   openLimiter   // rate limit of the service for new watches
-	rng     *rand.Rand // for the Retry-After times of the service
-	open    int        // messages that are being sent
-	maxOpen    int        // maximum of open so far
-	rejected  int        // calls rejected because of the rate limit
+	now       time.Duration
+	nodes     []*simulatedFollower
+	queue     restartQueue
+	message   int         // length of the message with the complete list, in bytes
+	openLimit openLimiter // rate limit of the service for new watches
+	rng       *rand.Rand  // for the Retry-After times of the service
+	open      int         // messages that are being sent
+	maxOpen   int         // maximum of open so far
+	rejected  int         // calls rejected because of the rate limit
 }
 
 // simulatedFollower is an edge node that does nothing except follow the list.
 type simulatedFollower struct {
-	follower *follower.Follower
-	call     uint64        // ID of the open watch; 0: none
-	callStarted    time.Duration // when the service started to send its message
+	follower    *follower.Follower
+	call        uint64        // ID of the open watch; 0: none
+	callStarted time.Duration // when the service started to send its message
 	lastWake    uint64        // ID of the last scheduled wake-up; earlier ones are ignored
-	calls    int           // calls opened
-	bytes    float64       // bytes received
-	receivedAt   time.Duration // when it received its list
-	hasList   bool          // has received its list
+	calls       int           // calls opened
+	bytes       float64       // bytes received
+	receivedAt  time.Duration // when it received its list
+	hasList     bool          // has received its list
 }
 
 // restartEvent is a scheduled event of a node.
@@ -99,14 +99,14 @@
 	order uint64 // breaks ties between events scheduled for the same time
 	node  int    // index of the node
 	kind  restartKind
-	id    uint64 // ID of the wake-up for nodeWakes, of the call otherwise
+	id    uint64 // ID of the wake-up for wakeUp, of the call otherwise
 }
 
 // restartKind is the kind of an event.
 type restartKind int
 
 const (
-	wakeUp    restartKind = iota // the follower asked to be called at this time
+	wakeUp         restartKind = iota // the follower asked to be called at this time
 	partArrived                       // a further part of the message has arrived
 	messageArrived                    // the message is complete
 )
@@ -139,28 +139,28 @@
 	heap.Push(q, e)
 }
 
-// openLimiter limits the rate of new watches to serviceJoins per second, with a burst of the same number. It is a token
+// openLimiter limits the rate of new watches to watchOpensPerSecond per second, with a burst of the same number. It is a token
 // bucket.
 type openLimiter struct {
-	room float64
-	last time.Duration // time of the last refill
+	tokens     float64
+	refilledAt time.Duration // time of the last refill
 }
 
 // allow reports whether a watch may be opened now.
 func (p *openLimiter) allow(now time.Duration) bool {
-	p.room = min(p.room+(now-p.last).Seconds()*watchOpensPerSecond, watchOpensPerSecond)
-	p.last = now
-	if p.room < 1 {
+	p.tokens = min(p.tokens+(now-p.refilledAt).Seconds()*watchOpensPerSecond, watchOpensPerSecond)
+	p.refilledAt = now
+	if p.tokens < 1 {
 		return false
 	}
-	p.room--
+	p.tokens--
 	return true
 }
 
 // newRestart returns a restart of a number of nodes of a fleet. message is the length of the message with the complete
 // list, in bytes.
 func newRestart(nodes, fleet, message int, seed uint64) *restart {
-	r := &restart{message: message, openLimit: openLimiter{room: watchOpensPerSecond}, rng: rand.New(rand.NewPCG(seed, 0))}
+	r := &restart{message: message, openLimit: openLimiter{tokens: watchOpensPerSecond}, rng: rand.New(rand.NewPCG(seed, 0))}
 	for n := range nodes {
 		rng := rand.New(rand.NewPCG(seed, uint64(n)+1))
 		r.nodes = append(r.nodes, &simulatedFollower{follower: follower.New(follower.Config{FleetSize: fleet, PollInterval: restartPollInterval, Rand: rng})})
@@ -170,44 +170,44 @@
 
 // run simulates the restart until all nodes have their list, or up to the simulated time until.
 func (r *restart) run(ctx context.Context, until time.Duration, progress func(done, total int, doing string)) error {
-	for n, h := range r.nodes {
-		h.follower.Start(0)
+	for n, node := range r.nodes {
+		node.follower.Start(0)
 		r.advance(n)
 	}
-	listed := 0
-	for played := 0; r.queue.Len() > 0 && listed < len(r.nodes); played++ {
+	withList := 0
+	for processed := 0; r.queue.Len() > 0 && withList < len(r.nodes); processed++ {
 		e := heap.Pop(&r.queue).(restartEvent)
 		if e.at > until {
 			break
 		}
-		if played%10_000 == 0 {
+		if processed%10_000 == 0 {
 			progress(int(e.at.Seconds()), int(until.Seconds()), "simulated seconds")
 			if err := ctx.Err(); err != nil {
 				return err
 			}
 		}
 		r.now = e.at
-		listed += boolToInt(r.apply(e))
+		withList += boolToInt(r.apply(e))
 	}
-	for _, h := range r.nodes {
-		r.endCall(h)
+	for _, node := range r.nodes {
+		r.endCall(node)
 	}
 	return nil
 }
 
 // apply processes an event. It returns whether a node has received its list by it.
-func (r *restart) apply(e restartEvent) (listed bool) {
-	h := r.nodes[e.node]
+func (r *restart) apply(e restartEvent) (hasList bool) {
+	node := r.nodes[e.node]
 	switch {
-	case e.kind == wakeUp && e.id != h.lastWake || e.kind != wakeUp && e.id != h.call || h.hasList:
+	case e.kind == wakeUp && e.id != node.lastWake || e.kind != wakeUp && e.id != node.call || node.hasList:
 		return false // the call has ended, or a later wake-up was scheduled
 	case e.kind == partArrived:
-		h.follower.Received(r.now, e.id, true)
+		node.follower.Received(r.now, e.id, true)
 		r.queue.add(restartEvent{at: r.now + partInterval, node: e.node, kind: partArrived, id: e.id})
 	case e.kind == messageArrived:
-		r.endCall(h)
-		if h.follower.Message(r.now, e.id, follower.Update{Version: restartGeneration, Snapshot: true}) {
-			h.hasList, h.receivedAt = true, r.now
+		r.endCall(node)
+		if node.follower.Message(r.now, e.id, follower.Update{Version: restartGeneration, Snapshot: true}) {
+			node.hasList, node.receivedAt = true, r.now
 			return true
 		}
 	}
@@ -218,39 +218,39 @@
 // advance advances the follower of node n and executes its commands. When there are no more, it schedules the next
 // wake-up.
 func (r *restart) advance(n int) {
-	h := r.nodes[n]
+	node := r.nodes[n]
 	for {
-		orders, wake := h.follower.Advance(r.now)
-		for _, o := range orders {
-			if o.Open {
-				r.openCall(n, o)
-			} else if o.ID == h.call {
-				r.endCall(h)
+		commands, wake := node.follower.Advance(r.now)
+		for _, command := range commands {
+			if command.Open {
+				r.openCall(n, command)
+			} else if command.ID == node.call {
+				r.endCall(node)
 			}
 		}
-		if len(orders) == 0 { // otherwise the response to a command may lead to further commands
-			h.lastWake++
-			r.queue.add(restartEvent{at: max(wake, r.now+1), node: n, kind: wakeUp, id: h.lastWake})
+		if len(commands) == 0 { // otherwise the response to a command may lead to further commands
+			node.lastWake++
+			r.queue.add(restartEvent{at: max(wake, r.now+1), node: n, kind: wakeUp, id: node.lastWake})
 			return
 		}
 	}
 }
 
 // openCall simulates the service's response to a call of node n.
-func (r *restart) openCall(n int, o follower.Command) {
-	h := r.nodes[n]
-	h.calls++
+func (r *restart) openCall(n int, command follower.Command) {
+	node := r.nodes[n]
+	node.calls++
 	if !r.openLimit.allow(r.now) {
 		r.rejected++
-		h.follower.Rejected(r.now, o.ID, time.Duration(1+r.rng.IntN(3))*time.Second)
+		node.follower.Rejected(r.now, command.ID, time.Duration(1+r.rng.IntN(3))*time.Second)
 		return
 	}
-	h.call, h.callStarted = o.ID, r.now
+	node.call, node.callStarted = command.ID, r.now
 	r.open++
 	r.maxOpen = max(r.maxOpen, r.open)
-	h.follower.Received(r.now, o.ID, true)
-	r.queue.add(restartEvent{at: r.now + r.transferTime(), node: n, kind: messageArrived, id: o.ID})
-	r.queue.add(restartEvent{at: r.now + partInterval, node: n, kind: partArrived, id: o.ID})
+	node.follower.Received(r.now, command.ID, true)
+	r.queue.add(restartEvent{at: r.now + r.transferTime(), node: n, kind: messageArrived, id: command.ID})
+	r.queue.add(restartEvent{at: r.now + partInterval, node: n, kind: partArrived, id: command.ID})
 }
 
 // transferTime returns the time that the complete list takes over a node's link.
@@ -259,12 +259,12 @@
 }
 
 // endCall ends the open call of a node, if any, and adds the bytes received on it.
-func (r *restart) endCall(h *simulatedFollower) {
-	if h.call == 0 {
+func (r *restart) endCall(node *simulatedFollower) {
+	if node.call == 0 {
 		return
 	}
-	h.bytes += min((r.now-h.callStarted).Seconds()*controlRate, float64(r.message))
-	h.call = 0
+	node.bytes += min((r.now-node.callStarted).Seconds()*controlRate, float64(r.message))
+	node.call = 0
 	r.open--
 }
 
@@ -272,13 +272,13 @@
 func (r *restart) rows(part string, size int) []Row {
 	rows := listRows{rowWriter{part: part, size: size}}
 	var at []time.Duration
-	calls, total, most := 0, 0.0, 0.0
-	for _, h := range r.nodes {
-		calls += h.calls
-		total += h.bytes
-		most = max(most, h.bytes)
-		if h.hasList {
-			at = append(at, h.receivedAt)
+	calls, total, maxBytes := 0, 0.0, 0.0
+	for _, node := range r.nodes {
+		calls += node.calls
+		total += node.bytes
+		maxBytes = max(maxBytes, node.bytes)
+		if node.hasList {
+			at = append(at, node.receivedAt)
 		}
 	}
 	slices.Sort(at)
@@ -292,7 +292,7 @@
 	}
 	rows.time("simulated", r.now)
 	rows.add("control to a node, mean", total/float64(len(r.nodes)), "B")
-	rows.add("control to a node, most", most, "B")
+	rows.add("control to a node, most", maxBytes, "B")
 	rows.add("watches opened by a node, mean", float64(calls)/float64(len(r.nodes)), "")
 	rows.count("watches turned away", r.rejected)
 	rows.add("most that the replica sends", float64(r.maxOpen)*controlRate, "B/s")
--- a/internal/scale/restart_test.go
+++ b/internal/scale/restart_test.go
@@ -13,7 +13,7 @@
 // played is a restart that has been played.
 func played(t *testing.T, nodes, message int, seed uint64, until time.Duration) *restart {
 	t.Helper()
-	r := newRestart(nodes, planWatches, message, seed)
+	r := newRestart(nodes, plannedWatches, message, seed)
 	if err := r.run(t.Context(), until, quiet); err != nil {
 		t.Fatal(err)
 	}
@@ -23,7 +23,7 @@
 // A list that a link carries within a follower's patience reaches each node once, no sooner than
 // the link allows.
 func TestRestartedNodesGetTheirList(t *testing.T) {
-	for _, nodes := range []int{1, rackNodes, planWatches} {
+	for _, nodes := range []int{1, rackNodes, plannedWatches} {
 		r := played(t, nodes, controlRate, 1, time.Minute) // a second's worth
 		for n, h := range r.nodes {
 			if !h.hasList || h.bytes != float64(r.message) || h.receivedAt < time.Second {
@@ -65,7 +65,7 @@
 
 // The service lets as many calls through as its pace allows, and no more.
 func TestJoinPace(t *testing.T) {
-	p := openLimiter{room: watchOpensPerSecond}
+	p := openLimiter{tokens: watchOpensPerSecond}
 	let := 0
 	for at := time.Duration(0); at < 2*time.Second; at += 100 * time.Microsecond {
 		let += boolToInt(p.allow(at))
--- a/internal/scale/rows.go
+++ b/internal/scale/rows.go
@@ -19,8 +19,8 @@
 }
 
 // addQuantile adds a quantile of the durations of a kind of calls, if any such call was timed.
-func (w *rowWriter) addQuantile(s *stopwatch, quantity string, kind callKind, share float64) {
-	if seconds, ok := s.quantile(kind, share); ok {
+func (w *rowWriter) addQuantile(s *stopwatch, quantity string, kind callKind, fraction float64) {
+	if seconds, ok := s.quantile(kind, fraction); ok {
 		w.add(quantity, seconds, "s")
 	}
 }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -30,8 +30,8 @@
 
 // InputError reports an invalid option.
 type InputError struct {
-	Field string // name of the command-line flag for the option
-	Reason   string // received value and accepted values
+	Field  string // name of the command-line flag for the option
+	Reason string // received value and accepted values
 }
 
 func (e *InputError) Error() string { return e.Field + ": " + e.Reason }
@@ -41,7 +41,7 @@
 	Part   string
 	Size   int
 	Need   uint64 // estimated memory for the size, in bytes
-	Limit   uint64 // maximum memory for a measurement, in bytes
+	Limit  uint64 // maximum memory for a measurement, in bytes
 	Memory uint64 // total memory of the machine, in bytes
 }
 
--- a/internal/scale/simulated_node.go
+++ b/internal/scale/simulated_node.go
@@ -10,41 +10,41 @@
 
 // simulatedNode is an edge node without sockets. It hosts a real balancer and implements [balancer.Actions].
 type simulatedNode struct {
-	fleet         *fleet
-	number        int // index in the fleet
-	balancer      *balancer.Balancer
-	classes       []balancer.Class
-	inbox         inbox
-	open          map[string]*openRequest // by request ID
-	usedEndpoints map[string]bool         // IDs of the servers that received attempts
-	counts        counts
-	tick          uint64     // token of the periodic timer, which is the first timer that the balancer sets
-	ticking       bool       // tick is known
-	stopwatch         *stopwatch // times the calls into the balancer; nil: they are not timed
+	fleet            *fleet
+	number           int // index in the fleet
+	balancer         *balancer.Balancer
+	classes          []balancer.Class
+	inbox            inbox
+	open             map[string]*openRequest // by request ID
+	usedEndpoints    map[string]bool         // IDs of the servers that received attempts
+	counts           counts
+	periodicTimer    uint64     // token of the periodic timer: the first timer that the balancer sets
+	hasPeriodicTimer bool       // periodicTimer is set
+	stopwatch        *stopwatch // times the calls into the balancer; nil: they are not timed
 }
 
 // openRequest is a request that has no final response yet, or has attempts in flight.
 type openRequest struct {
-	id           string
-	tenant       *tenant
-	units        float64 // estimated units of the request
-	used         float64 // actual units, which the response reports
-	deadline     time.Duration
-	inQuota      bool // the tenant's quota covered the request when it was first sent
-	finalResponses int  // final responses so far
-	inFlight     int  // attempts in flight
-	attempts     []openAttempt
+	id             string
+	tenant         *tenant
+	units          float64 // estimated units of the request
+	used           float64 // actual units, which the response reports
+	deadline       time.Duration
+	inQuota        bool // the tenant's quota covered the request when it was first sent
+	finalResponses int
+	inFlight       int // attempts in flight
+	attempts       []openAttempt
 }
 
 // openAttempt is an attempt of an open request.
 type openAttempt struct {
 	server string // endpoint ID
-	sent   time.Duration
+	sentAt time.Duration
 	done   bool
 }
 
 // receiveRequest simulates the arrival of a request of a tenant, with a random class and number of units.
-func (n *simulatedNode) requestArrives(t *tenant) {
+func (n *simulatedNode) receiveRequest(t *tenant) {
 	f := n.fleet
 	class := &n.classes[0]
 	if f.rng.Float64() < nonIdempotentFraction {
@@ -57,16 +57,16 @@
 	q.used = max(1, min(q.units+float64(f.rng.IntN(3)-1), maxUnits))
 	n.open[q.id] = q
 	n.counts.requests++
-	try := balancer.Request{
+	request := balancer.Request{
 		ID: q.id, Class: class.Name, Plan: t.plan.Name, Tenant: t.key, Timeout: class.Deadline,
 		Units: q.units, EntryNodes: f.entryNodes, FirstEntryNode: t.firstEntryNode,
 	}
-	n.call(callOtherRequest, func() { n.balancer.RequestArrived(f.clock.now, try, n) })
-	n.forgetIfDone(q)
+	n.call(callOtherRequest, func() { n.balancer.RequestArrived(f.clock.now, request, n) })
+	n.removeIfDone(q)
 }
 
 // removeIfDone removes a request that has a final response and no attempts in flight.
-func (n *simulatedNode) forgetIfDone(q *openRequest) {
+func (n *simulatedNode) removeIfDone(q *openRequest) {
 	if q.finalResponses > 0 && q.inFlight == 0 {
 		delete(n.open, q.id)
 	}
@@ -79,19 +79,19 @@
 		event()
 		return
 	}
-	asked, sent := n.counts.quotaRequests, n.counts.attempts
-	began := time.Now()
+	quotaRequestsBefore, attemptsBefore := n.counts.quotaRequests, n.counts.attempts
+	start := time.Now()
 	event()
-	took := time.Since(began)
+	elapsed := time.Since(start)
 	switch {
-	case kind == callOtherRequest && n.counts.attempts > sent:
+	case kind == callOtherRequest && n.counts.attempts > attemptsBefore:
 		kind = callRequestAdmitted
-	case kind == callOtherRequest && n.counts.quotaRequests > asked:
+	case kind == callOtherRequest && n.counts.quotaRequests > quotaRequestsBefore:
 		kind = callRequestForwardedToOwner
-	case kind == callQuotaRejected && n.counts.attempts > sent:
+	case kind == callQuotaRejected && n.counts.attempts > attemptsBefore:
 		kind = callQuotaGranted
 	}
-	n.stopwatch.add(kind, took)
+	n.stopwatch.add(kind, elapsed)
 }
 
 // SendAttempt implements [balancer.Actions]. The server responds after a random service time. Sending takes no time, so that
@@ -108,17 +108,17 @@
 		n.chargeQuota(q)
 	}
 	number := len(q.attempts)
-	q.attempts = append(q.attempts, openAttempt{server: serverID, sent: f.clock.now})
+	q.attempts = append(q.attempts, openAttempt{server: serverID, sentAt: f.clock.now})
 	q.inFlight++
 	left := q.deadline - f.clock.now
 	if timeout > 0 {
 		left = min(left, timeout)
 	}
-	result, took := n.drawResult()
-	if took > left {
-		result, took = balancer.TimedOut, left
+	result, elapsed := n.sampleResult()
+	if elapsed > left {
+		result, elapsed = balancer.TimedOut, left
 	}
-	f.clock.after(took, func() { n.finishAttempt(q, number, result) })
+	f.clock.after(elapsed, func() { n.finishAttempt(q, number, result) })
 }
 
 // chargeQuota charges a request, when it is first sent to a server, to the exact state of its tenant's quota. If the quota
@@ -133,16 +133,16 @@
 }
 
 // sampleResult returns a random result of an attempt and its service time.
-func (n *simulatedNode) drawResult() (balancer.Result, time.Duration) {
+func (n *simulatedNode) sampleResult() (balancer.Result, time.Duration) {
 	rng := n.fleet.rng
-	took := minServiceTime + time.Duration(rng.ExpFloat64()*float64(meanExtraServiceTime))
+	serviceTime := minServiceTime + time.Duration(rng.ExpFloat64()*float64(meanExtraServiceTime))
 	switch x := rng.Float64(); {
 	case x < overloadedFraction:
 		return balancer.Overloaded, minServiceTime / 2
 	case x < overloadedFraction+errorFraction:
-		return balancer.ErrorResponse, took
+		return balancer.ErrorResponse, serviceTime
 	}
-	return balancer.OK, took
+	return balancer.OK, serviceTime
 }
 
 // finishAttempt ends an attempt and reports its outcome to the balancer. It does nothing if the attempt has ended already.
@@ -154,7 +154,7 @@
 	a.done = true
 	q.inFlight--
 	f := n.fleet
-	o := balancer.Outcome{ID: q.id, Attempt: number, Result: result, EndpointID: a.server, Elapsed: f.clock.now - a.sent}
+	o := balancer.Outcome{ID: q.id, Attempt: number, Result: result, EndpointID: a.server, Elapsed: f.clock.now - a.sentAt}
 	if result == balancer.OK && q.finalResponses == 0 {
 		q.finalResponses++
 		n.counts.served++
@@ -168,12 +168,12 @@
 		o.LoadReport = &balancer.LoadReport{InFlight: float64(f.rng.IntN(maxReportedInFlight)), Queued: -1, Utilization: -1}
 	}
 	n.call(callAttemptFinished, func() { n.balancer.AttemptFinished(f.clock.now, o, n) })
-	n.forgetIfDone(q)
+	n.removeIfDone(q)
 }
 
 // countFinal counts a final response that the node itself generates. A second one for the same request counts as a
 // duplicate.
-func (n *simulatedNode) final(id string, count *int) {
+func (n *simulatedNode) countFinal(id string, count *int) {
 	q := n.open[id]
 	if q == nil || q.finalResponses > 0 {
 		n.counts.duplicateResponses++
@@ -181,7 +181,7 @@
 	}
 	q.finalResponses++
 	*count++
-	n.forgetIfDone(q)
+	n.removeIfDone(q)
 }
 
 // Reject implements [balancer.Actions]. It also counts rejections of a request that has not been sent although at least half
@@ -192,11 +192,11 @@
 			n.counts.rejectedInQuota++
 		}
 	}
-	n.final(id, &n.counts.rejected)
+	n.countFinal(id, &n.counts.rejected)
 }
 
 // Fail implements [balancer.Actions].
-func (n *simulatedNode) Fail(id string) { n.final(id, &n.counts.failed) }
+func (n *simulatedNode) Fail(id string) { n.countFinal(id, &n.counts.failed) }
 
 // CancelAttempt implements [balancer.Actions]. The attempt ends at the current time, but after this call has returned.
 func (n *simulatedNode) CancelAttempt(id string, attempt int) {
@@ -207,12 +207,12 @@
 
 // SetTimer implements [balancer.Actions]. The first token is that of the periodic timer.
 func (n *simulatedNode) SetTimer(token uint64, after time.Duration) {
-	if !n.ticking {
-		n.tick, n.ticking = token, true
+	if !n.hasPeriodicTimer {
+		n.periodicTimer, n.hasPeriodicTimer = token, true
 	}
 	n.fleet.clock.after(after, func() {
 		kind := callTimer
-		if token == n.tick {
+		if token == n.periodicTimer {
 			kind = callTick
 		}
 		n.call(kind, func() { n.balancer.TimerFired(n.fleet.clock.now, token, n) })
@@ -253,8 +253,8 @@
 	if to == nil || !arrives {
 		return
 	}
-	kept := append([]byte(nil), message...)
-	n.fleet.clock.after(delay, func() { to.receive(n.number, kept) })
+	copied := append([]byte(nil), message...)
+	n.fleet.clock.after(delay, func() { to.receive(n.number, copied) })
 }
 
 // receive passes a message to the balancer if the inbox accepts it.
--- a/internal/scale/stopwatch.go
+++ b/internal/scale/stopwatch.go
@@ -9,10 +9,10 @@
 type callKind int
 
 const (
-	callOtherRequest                 callKind = iota // any other request: it is rejected at once, or waits on the node that owns its quota
+	callOtherRequest            callKind = iota // any other request: it is rejected at once, or waits on the node that owns its quota
 	callRequestAdmitted                         // a request for which a server was selected at once
 	callRequestForwardedToOwner                 // a request for whose units the node first asks the quota's owner
-	callAttemptFinished                                 // the end of an attempt
+	callAttemptFinished                         // the end of an attempt
 	callQuotaRequest                            // a peer's quota request, including the response to it
 	callQuotaRejected                           // a response to a quota request that led to no attempt: the owner rejected it, or it arrived too late
 	callQuotaGranted                            // a response to a quota request, including the selection of a server
@@ -35,10 +35,10 @@
 }
 
 // quantile returns a quantile of the durations of a kind of calls, in seconds, or false if no such call was timed.
-func (s *stopwatch) quantile(kind callKind, share float64) (float64, bool) {
+func (s *stopwatch) quantile(kind callKind, fraction float64) (float64, bool) {
 	took := slices.Sorted(slices.Values(s.durations[kind]))
 	if len(took) == 0 {
 		return 0, false
 	}
-	return took[min(int(share*float64(len(took))), len(took)-1)].Seconds(), true
+	return took[min(int(fraction*float64(len(took))), len(took)-1)].Seconds(), true
 }
--- a/internal/scale/tenant.go
+++ b/internal/scale/tenant.go
@@ -11,9 +11,9 @@
 // Demand of the tenants, in units per second, as a fraction of their plan's rate. Most tenants stay well within their
 // quota; a few request more than it.
 const (
-	minNormalDemand, maxNormalDemand   = 0.15, 0.5
-	minHeavyDemand, maxHeavyDemand = 1.6, 5.0
-	heavyFraction                  = 0.1 // fraction of tenants with heavy demand
+	minNormalDemand, maxNormalDemand = 0.15, 0.5
+	minHeavyDemand, maxHeavyDemand   = 1.6, 5.0
+	heavyFraction                    = 0.1 // fraction of tenants with heavy demand
 )
 
 // maxUnits is the largest number of units of a request.
@@ -54,8 +54,8 @@
 
 // meanUnits returns the mean number of units of a request.
 func meanUnits() (mean float64) {
-	for i, share := range unitFractions {
-		mean += float64(i+1) * share
+	for i, fraction := range unitFractions {
+		mean += float64(i+1) * fraction
 	}
 	return mean
 }
@@ -66,30 +66,30 @@
 }
 
 // sampleIndex returns a random index, weighted by fractions that sum to 1.
-func sampleIndex(rng *rand.Rand, shares []float64) int {
+func sampleIndex(rng *rand.Rand, weights []float64) int {
 	x := rng.Float64()
-	for i, share := range shares {
-		if x -= share; x < 0 {
+	for i, fraction := range weights {
+		if x -= fraction; x < 0 {
 			return i
 		}
 	}
-	return len(shares) - 1
+	return len(weights) - 1
 }
 
 // sampleTenants generates random tenants until their total demand reaches a rate, then scales all demands so that the
 // total equals it. Their first entry nodes are chosen from firsts.
-func sampleTenants(rng *rand.Rand, plans []balancer.Plan, firsts []int, requestsPerS float64) []*tenant {
+func sampleTenants(rng *rand.Rand, plans []balancer.Plan, firstEntryNodes []int, requestsPerS float64) []*tenant {
 	var all []*tenant
 	sum := 0.0
 	for sum < requestsPerS {
 		plan := &plans[sampleIndex(rng, planFractions)]
-		use := minNormalDemand + (maxNormalDemand-minNormalDemand)*rng.Float64()
+		demandFraction := minNormalDemand + (maxNormalDemand-minNormalDemand)*rng.Float64()
 		if rng.Float64() < heavyFraction {
-			use = minHeavyDemand + (maxHeavyDemand-minHeavyDemand)*rng.Float64()
+			demandFraction = minHeavyDemand + (maxHeavyDemand-minHeavyDemand)*rng.Float64()
 		}
 		t := &tenant{
-			key: uint64(len(all)), plan: plan, firstEntryNode: firsts[rng.IntN(len(firsts))],
-			demand: use * plan.Rate / meanUnits(), tokens: plan.Burst,
+			key: uint64(len(all)), plan: plan, firstEntryNode: firstEntryNodes[rng.IntN(len(firstEntryNodes))],
+			demand: demandFraction * plan.Rate / meanUnits(), tokens: plan.Burst,
 		}
 		sum += t.demand
 		all = append(all, t)
