--- a/cmd/opalhook/agent.go
+++ b/cmd/opalhook/agent.go
@@ -44,8 +44,8 @@
 	return c
 }
 
-// runAgent runs an agent until the command's context is cancelled. An agent without a name is named after the host and
-// the address that it listens on. Metrics are served if an address for them is given.
+// runAgent runs an agent until the command's context is cancelled. An agent without a name is named after the
+// host and the address that it listens on. Metrics are served if an address for them is given.
 func runAgent(c *cobra.Command, cfg agent.Config, metrics string) error {
 	if cfg.Name == "" {
 		host, err := os.Hostname()
@@ -61,7 +61,8 @@
 	return errors.Join(serveAgent(c, a, metrics), a.Close())
 }
 
-// serveAgent prints the address at which the agent listens, and returns once the command's context is cancelled.
+// serveAgent prints the address at which the agent listens, and returns once the command's context is
+// cancelled.
 func serveAgent(c *cobra.Command, a *agent.Agent, metrics string) error {
 	if _, err := fmt.Fprintf(c.OutOrStdout(), "discovery for edge nodes at %s\n", a.Addr()); err != nil {
 		return err
--- a/cmd/opalhook/main.go
+++ b/cmd/opalhook/main.go
@@ -1,5 +1,5 @@
-// Command opalhook is the operators' command line. It runs replicas and agents of the list service, reads and changes
-// the list of app servers, and runs the testbed.
+// Command opalhook is the operators' command line. It runs replicas and agents of the list service, reads and
+// changes the list of app servers, and runs the testbed.
 package main
 
 import (
@@ -14,22 +14,22 @@
 	"github.com/spf13/cobra"
 )
 
-// errChecksFailed ends the command with exitNotMet. main prints no message for it: the command has already reported the
-// violated rules and the failed expectations.
+// errChecksFailed ends the command with exitNotMet. main prints no message for it: the command has already
+// reported the violated rules and the failed expectations.
 var errChecksFailed = errors.New("a rule was violated or an expectation was not met")
 
-// usageError is an error in the user's input, such as an invalid scenario, range or name. It ends the command with
-// exitUsage.
+// usageError is an error in the user's input, such as an invalid scenario, range or name. It ends the command
+// with exitUsage.
 type usageError struct{ error }
 
 func (e usageError) Unwrap() error { return e.error }
 
 // Exit codes.
 const (
-	exitError  = 1   // the command failed
-	exitUsage  = 2   // invalid input
+	exitError        = 1   // the command failed
+	exitUsage        = 2   // invalid input
 	exitChecksFailed = 3   // the command completed, but a rule was violated or an expectation was not met
-	exitSignal = 130 // terminated by a signal, as shells report SIGINT
+	exitSignal       = 130 // terminated by a signal, as shells report SIGINT
 )
 
 func main() {
--- a/cmd/opalhook/main_test.go
+++ b/cmd/opalhook/main_test.go
@@ -11,7 +11,7 @@
 	"github.com/spf13/cobra"
 )
 
-// call runs the command as a shell would and returns what it writes.
+// call runs the command with arguments and returns its output to stdout and stderr, and its error.
 func call(t *testing.T, args ...string) (string, error) {
 	t.Helper()
 	c := root()
@@ -23,23 +23,23 @@
 	return out.String(), err
 }
 
-// Every command says what it does and shows how it is called.
-func TestCommandsExplainThemselves(t *testing.T) {
-	var look func(c *cobra.Command)
-	look = func(c *cobra.Command) {
+// Every command has a short description and an example.
+func TestCommandsHaveHelp(t *testing.T) {
+	var check func(c *cobra.Command)
+	check = func(c *cobra.Command) {
 		if c.Short == "" || !strings.Contains(c.Example, "opalhook") {
 			t.Errorf("%s: no description or no example", c.CommandPath())
 		}
 		for _, sub := range c.Commands() {
-			look(sub)
+			check(sub)
 		}
 	}
-	look(root())
+	check(root())
 }
 
-// A script reads the list of scenarios; a broken one among them is an error that names it and
-// hides no other.
-func TestListForScripts(t *testing.T) {
+// An invalid scenario file makes the command fail with an error that names the file, but the JSON output
+// still lists all files.
+func TestListJSONWithInvalidScenario(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{"good.toml": "name = \"good\"\n", "bad.toml": "name = \"bad\"\nnodes = 1\n"} {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
@@ -56,22 +56,22 @@
 	}
 }
 
-// Arguments that can't be are told with what was expected, before anything starts.
-func TestBadArguments(t *testing.T) {
+// Invalid arguments lead to an error that names the argument and what is accepted.
+func TestInvalidArguments(t *testing.T) {
 	for _, c := range []struct {
 		args []string
 		want string
 	}{
-		{[]string{"lab", "list", "-o", "xml"}, "none of text, json"},
+		{[]string{"lab", "list", "-o", "xml"}, "--output: must be text or json, got \"xml\""},
 		{[]string{"lab", "run", "nowhere.toml"}, "nowhere.toml"},
-		{[]string{"lab", "run", "../../scenarios/quiet.toml", "--runs", "0"}, "--runs"},
+		{[]string{"lab", "run", "../../scenarios/quiet.toml", "--runs", "0"}, "--runs: must be at least 1, got 0"},
 		{[]string{"lab", "run", "../../scenarios/quiet.toml", "--node-binary", "main.go", "--dir", t.TempDir()}, "no program"},
 		{[]string{"lab", "report", t.TempDir()}, "no folder of a finished run"},
 		{[]string{"lab", "fly"}, "fly"},
-		{[]string{"lab", "scale", "--part", "moons"}, "--part: \"moons\" is none of node-list"},
-		{[]string{"lab", "scale", "--part", "quota", "--sizes", "10,many"}, "--sizes: \"many\""},
-		{[]string{"lab", "scale", "--part", "quota", "--sizes", "10,0"}, "--sizes: 0 is below 1"},
-		{[]string{"lab", "scale", "--sizes", "10"}, "--sizes: name one part"},
+		{[]string{"lab", "scale", "--part", "moons"}, "--part: got \"moons\", must be one of node-list"},
+		{[]string{"lab", "scale", "--part", "quota", "--sizes", "10,many"}, "--sizes: must be whole numbers separated by commas, got \"many\""},
+		{[]string{"lab", "scale", "--part", "quota", "--sizes", "10,0"}, "--sizes: must be at least 1, got 0"},
+		{[]string{"lab", "scale", "--sizes", "10"}, "--sizes: requires exactly one part"},
 		{[]string{"up", "--for", "10ms"}, "duration"},
 	} {
 		if _, err := call(t, c.args...); err == nil || !strings.Contains(err.Error(), c.want) {
--- a/cmd/opalhook/scale.go
+++ b/cmd/opalhook/scale.go
@@ -80,8 +80,8 @@
 // progressInterval is the shortest time between two progress lines of the same size.
 const progressInterval = time.Second
 
-// scaleProgress returns a function that writes a progress line when a size starts, when it ends, and at most once per
-// progressGap in between. Write errors are ignored: they must not stop the measurement.
+// scaleProgress returns a function that writes a progress line when a size starts, when it ends, and at most
+// once per progressGap in between. Write errors are ignored: they must not stop the measurement.
 func scaleProgress(out io.Writer) func(scale.Progress) {
 	began := time.Now()
 	var last time.Duration
--- a/cmd/opalhook/scale_test.go
+++ b/cmd/opalhook/scale_test.go
@@ -12,8 +12,9 @@
 	"opalhook/internal/scale"
 )
 
-// What can't be measured is bad input, which ends the command with its own exit code.
-func TestScaleBadInput(t *testing.T) {
+// Invalid parts and sizes, and sizes that need too much memory, are usage errors, which have their own exit
+// code.
+func TestScaleUsageErrors(t *testing.T) {
 	for _, args := range [][]string{
 		{"--part", "moons"},
 		{"--part", "quota", "--sizes", "0"},
@@ -24,10 +25,10 @@
 	} {
 		out, err := call(t, append([]string{"lab", "scale", "--dir", t.TempDir()}, args...)...)
 		if !errors.As(err, new(usageError)) {
-			t.Errorf("%v: error %v is no bad input", args, err)
+			t.Errorf("%v: error %v, want a usageError", args, err)
 		}
 		if out != "" {
-			t.Errorf("%v: wrote %q", args, out)
+			t.Errorf("%v: wrote %q, want no output", args, out)
 		}
 	}
 	_, err := call(t, "lab", "scale", "--part", "node-list", "--sizes", "2000000000")
@@ -37,8 +38,8 @@
 	}
 }
 
-// A person gets a table and plots, with the progress apart from both.
-func TestScaleTable(t *testing.T) {
+// The text output has a table and the paths of the plots. Progress goes to stderr only.
+func TestScaleText(t *testing.T) {
 	dir := t.TempDir()
 	c := root()
 	var out, progress strings.Builder
@@ -48,8 +49,8 @@
 	if err := c.ExecuteContext(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	picture := filepath.Join(dir, "node-list.svg")
-	for _, want := range []string{"node-list: ", "servers in the list", "request, server chosen, p50", picture} {
+	plotPath := filepath.Join(dir, "node-list.svg")
+	for _, want := range []string{"node-list: ", "servers in the list", "request, server chosen, p50", plotPath} {
 		if !strings.Contains(out.String(), want) {
 			t.Errorf("no %q in:\n%s", want, out.String())
 		}
@@ -57,13 +58,13 @@
 	if !strings.Contains(progress.String(), "node-list at 60: 4 of 4") || strings.Contains(out.String(), "4 of 4") {
 		t.Errorf("progress %q", progress.String())
 	}
-	if info, err := os.Stat(picture); err != nil || info.Size() == 0 {
+	if info, err := os.Stat(plotPath); err != nil || info.Size() == 0 {
 		t.Errorf("plot: %v", err)
 	}
 }
 
-// A script gets the rows.
-func TestScaleForScripts(t *testing.T) {
+// The JSON output is the report.
+func TestScaleJSON(t *testing.T) {
 	c := root()
 	var out, progress strings.Builder
 	c.SetOut(&out)
@@ -81,32 +82,32 @@
 	}
 }
 
-// cutOff cancels a context as soon as a text has been written.
-type cutOff struct {
+// cancelOnText is a writer that cancels a context as soon as a text is written to it.
+type cancelOnText struct {
 	text   string
 	cancel context.CancelFunc
 }
 
-func (c cutOff) Write(b []byte) (int, error) {
+func (c cancelOnText) Write(b []byte) (int, error) {
 	if strings.Contains(string(b), c.text) {
 		c.cancel()
 	}
 	return len(b), nil
 }
 
-// A signal leaves the table of what was measured, and is told as one.
-func TestScaleCutOffLeavesTheTable(t *testing.T) {
+// An interrupted measurement writes the table of the sizes measured so far, and returns the context's error.
+func TestScaleInterrupted(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	c := root()
 	var out strings.Builder
 	c.SetOut(&out)
-	c.SetErr(cutOff{"node-list at 60: 0 of 4", cancel})
+	c.SetErr(cancelOnText{"node-list at 60: 0 of 4", cancel})
 	c.SetArgs([]string{"lab", "scale", "--part", "node-list", "--sizes", "50,60,70", "--dir", t.TempDir()})
 	if err := c.ExecuteContext(ctx); !errors.Is(err, context.Canceled) {
 		t.Errorf("error %v", err)
 	}
-	for _, want := range []string{"one change, p99", "cut off while node-list was measured"} {
+	for _, want := range []string{"one change, p99", "interrupted while measuring node-list"} {
 		if !strings.Contains(out.String(), want) {
 			t.Errorf("no %q in:\n%s", want, out.String())
 		}
--- a/cmd/opalhook/sweep.go
+++ b/cmd/opalhook/sweep.go
@@ -50,8 +50,8 @@
 	return c
 }
 
-// sweep runs the scenarios of the seeds and writes the report. It returns errNotMet if a scenario violated a rule or
-// could not be run.
+// sweep runs the scenarios of the seeds and writes the report. It returns errNotMet if a scenario violated a
+// rule or could not be run.
 func (f *sweepFlags) sweep(c *cobra.Command, s *globalFlags) error {
 	if err := f.check(); err != nil {
 		return usageError{err}
@@ -105,8 +105,8 @@
 	return strings.Join(slices.Sorted(maps.Keys(testbed.Mutants())), ", ")
 }
 
-// findSweepNode returns the path of the edge node's binary to run: the given one, a newly built mutant, or one built from
-// this repository.
+// findSweepNode returns the path of the edge node's binary to run: the given one, a newly built mutant, or
+// one built from this repository.
 func findSweepNode(ctx context.Context, binary, mutant, dir string) (string, error) {
 	switch {
 	case mutant == "":
@@ -119,8 +119,8 @@
 	return testbed.BuildMutant(ctx, mutant, dir)
 }
 
-// sweepProgress returns a function that writes a line for each finished scenario. Write errors are ignored: they must
-// not stop the sweep.
+// sweepProgress returns a function that writes a line for each finished scenario. Write errors are ignored:
+// they must not stop the sweep.
 func sweepProgress(out io.Writer) func(done, of int, t testbed.GeneratedRun) {
 	began := time.Now()
 	return func(done, of int, t testbed.GeneratedRun) {
@@ -128,8 +128,8 @@
 	}
 }
 
-// failureReason formats why a scenario did not pass: the violated rules with the number of violations, and the reason that
-// the sweep reports. The text begins with a colon. It is empty if there is neither.
+// failureReason formats why a scenario did not pass: the violated rules with the number of violations, and
+// the reason that the sweep reports. The text begins with a colon. It is empty if there is neither.
 func failureReason(t testbed.GeneratedRun) string {
 	var words []string
 	for _, rule := range slices.Sorted(maps.Keys(t.Rules)) {
@@ -144,7 +144,8 @@
 	return ": " + strings.Join(words, ", ")
 }
 
-// writeSweep writes the scenarios that failed, the number of scenarios by verdict, and the path of the report.
+// writeSweep writes the scenarios that failed, the number of scenarios by verdict, and the path of the
+// report.
 func writeSweep(out io.Writer, r *testbed.SweepReport, dir string) error {
 	var table strings.Builder
 	head := false
--- a/cmd/opalhook/testbed.go
+++ b/cmd/opalhook/testbed.go
@@ -58,8 +58,8 @@
 	return c
 }
 
-// run runs a scenario f.runs times and writes a summary of each run. It returns errNotMet if a run violated a rule or
-// failed an expectation.
+// run runs a scenario f.runs times and writes a summary of each run. It returns errNotMet if a run violated a
+// rule or failed an expectation.
 func (f *runFlags) run(c *cobra.Command, s *globalFlags, file string) error {
 	scenario, err := testbed.LoadScenario(file)
 	if err != nil {
@@ -197,8 +197,8 @@
 	}
 }
 
-// readScenarios reads the scenario files of a folder. An invalid file yields a row with an error and is part of the
-// returned error; the other files are read nevertheless.
+// readScenarios reads the scenario files of a folder. An invalid file yields a row with an error and is part
+// of the returned error; the other files are read nevertheless.
 func readScenarios(dir string) (rows []scenarioRow, bad error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.toml"))
 	if err != nil || len(paths) == 0 {
--- a/cmd/opalhook/testbed_output.go
+++ b/cmd/opalhook/testbed_output.go
@@ -15,8 +15,9 @@
 // rewriteLine is the terminal escape sequence that clears the current line and returns to its start.
 const rewriteLine = "\r\x1b[K"
 
-// showProgress returns a function that shows the figures of the last second of a run. On a terminal it overwrites a
-// single line; otherwise it writes a new line each time. Write errors are ignored: they must not stop the run.
+// showProgress returns a function that shows the figures of the last second of a run. On a terminal it
+// overwrites a single line; otherwise it writes a new line each time. Write errors are ignored: they must not
+// stop the run.
 func showProgress(out *os.File) func(testbed.Progress) {
 	terminal := term.IsTerminal(int(out.Fd()))
 	return func(p testbed.Progress) {
@@ -33,8 +34,8 @@
 	}
 }
 
-// progressLine formats the figures of the last second of a run. Requests count in the second in which they are due,
-// their outcomes in the second in which they end.
+// progressLine formats the figures of the last second of a run. Requests count in the second in which they
+// are due, their outcomes in the second in which they end.
 func progressLine(p testbed.Progress) string {
 	return fmt.Sprintf("%5.0f of %.0f s  requests %5d  served %5d  rejected %4d  failed %3d  p50 %4d ms  p99 %5d ms  nodes up %d  violations %d",
 		p.At.Seconds(), p.Of.Seconds(), p.Requests, p.Served, p.Rejected, p.Failed, p.P50.Milliseconds(), p.P99.Milliseconds(), p.NodesUp, p.Violations)
@@ -43,8 +44,8 @@
 // maxShownViolations is the maximum number of violations in a summary. The result file lists more.
 const maxShownViolations = 5
 
-// writeSummary writes the outcome of a run: its main figures, violations and failed expectations, and where its files
-// are.
+// writeSummary writes the outcome of a run: its main figures, violations and failed expectations, and where
+// its files are.
 func writeSummary(out io.Writer, r *testbed.Result, files string) error {
 	verdict := "passed"
 	if !r.OK() {
--- a/cmd/opalhook/testbed_output_test.go
+++ b/cmd/opalhook/testbed_output_test.go
@@ -21,7 +21,7 @@
 }
 
 func TestWriteSummary(t *testing.T) {
-	most := 0.5
+	maxServed := 0.5
 	passed := testbed.Result{
 		Scenario: "quiet", Seed: 7, Digest: "0123456789abcdef",
 		Figures: map[string]float64{"goodput": 0.976, "served": 0.898, "refused": 0.207, "p99_ms": 575},
@@ -29,7 +29,7 @@
 	failed := passed
 	failed.Behind = true
 	failed.Violations = make([]testbed.Violation, maxShownViolations+2)
-	failed.Checks = []testbed.Checked{{Expect: testbed.Expect{Figure: "served", Max: &most}, Got: 0.898}}
+	failed.Checks = []testbed.Checked{{Expect: testbed.Expect{Figure: "served", Max: &maxServed}, Got: 0.898}}
 	for _, c := range []struct {
 		name   string
 		result *testbed.Result
@@ -56,21 +56,21 @@
 	}
 }
 
-// full is an output that takes no more.
-type full struct{}
+// failingWriter is a writer whose writes all fail.
+type failingWriter struct{}
 
-var errFull = errors.New("no space left")
+var errWrite = errors.New("no space left")
 
-func (full) Write([]byte) (int, error) { return 0, errFull }
+func (failingWriter) Write([]byte) (int, error) { return 0, errWrite }
 
-// An output that takes no more ends the command with an error.
-func TestOutputErrorsAreReturned(t *testing.T) {
+// Errors of writing the output are returned, so that the command fails.
+func TestWriteErrorsAreReturned(t *testing.T) {
 	for name, write := range map[string]func() error{
-		"table":   func() error { return writeTable(full{}, "a\tb\n") },
-		"json":    func() error { return writeJSON(full{}, 1) },
-		"summary": func() error { return writeSummary(full{}, &testbed.Result{}, "") },
+		"table":   func() error { return writeTable(failingWriter{}, "a\tb\n") },
+		"json":    func() error { return writeJSON(failingWriter{}, 1) },
+		"summary": func() error { return writeSummary(failingWriter{}, &testbed.Result{}, "") },
 	} {
-		if err := write(); !errors.Is(err, errFull) {
+		if err := write(); !errors.Is(err, errWrite) {
 			t.Errorf("%s: error %v", name, err)
 		}
 	}
--- a/internal/scale/clock.go
+++ b/internal/scale/clock.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// clock is a simulated clock with a queue of scheduled events. Events scheduled for the same time run in the order in
-// which they were scheduled. It is not safe for concurrent use.
+// clock is a simulated clock with a queue of scheduled events. Events scheduled for the same time run in the
+// order in which they were scheduled. It is not safe for concurrent use.
 type clock struct {
 	now    time.Duration
 	events eventHeap
@@ -26,8 +26,8 @@
 	heap.Push(&c.events, event{at: c.now + max(wait, 0), order: c.count, run: run})
 }
 
-// runUntil runs all events scheduled up to and including end and sets the clock to end. It returns the context's error
-// if the context is cancelled between events.
+// runUntil runs all events scheduled up to and including end and sets the clock to end. It returns the
+// context's error if the context is cancelled between events.
 func (c *clock) runUntil(ctx context.Context, end time.Duration) error {
 	for len(c.events) > 0 && c.events[0].at <= end {
 		if err := ctx.Err(); err != nil {
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -24,8 +24,8 @@
 // clientDeadline is the time after which a client gives up on a request, over all its attempts.
 const clientDeadline = 4 * time.Second
 
-// fleetSettings returns the settings of an edge node of a large fleet: two request classes, three plans and at most 40
-// peer messages per second.
+// fleetSettings returns the settings of an edge node of a large fleet: two request classes, three plans and
+// at most 40 peer messages per second.
 func fleetSettings(nodeCount, nodeIndex int) balancer.Settings {
 	return balancer.Settings{
 		NodeIndex: nodeIndex, NodeCount: nodeCount, Zone: zoneOf(nodeIndex),
@@ -101,8 +101,8 @@
 
 func (c *counts) messages() int { return c.quotaRequests + c.quotaGrants + c.otherMessages }
 
-// fleet is a set of simulated edge nodes with real balancers on one simulated clock. The behavior of clients, app servers
-// and links is generated from one seed, so that the same seed leads to the same decisions.
+// fleet is a set of simulated edge nodes with real balancers on one simulated clock. The behavior of clients,
+// app servers and links is generated from one seed, so that the same seed leads to the same decisions.
 type fleet struct {
 	clock      clock
 	rng        *rand.Rand
@@ -153,8 +153,8 @@
 	return nil
 }
 
-// scheduleArrivals schedules the requests of a tenant until end. Each arrives at a random entry node of the tenant. Requests at
-// nodes that are not simulated are dropped.
+// scheduleArrivals schedules the requests of a tenant until end. Each arrives at a random entry node of the
+// tenant. Requests at nodes that are not simulated are dropped.
 func (f *fleet) scheduleArrivals(t *tenant, end time.Duration) {
 	wait := time.Duration(f.rng.ExpFloat64() / t.demand * float64(time.Second))
 	if f.clock.now+wait >= end {
@@ -185,7 +185,8 @@
 	}
 }
 
-// countUnanswered counts the requests without a final response as unanswered. Call it once all deadlines have passed.
+// countUnanswered counts the requests without a final response as unanswered. Call it once all deadlines have
+// passed.
 func (f *fleet) countUnanswered() {
 	for _, n := range f.added {
 		for _, q := range n.open {
--- a/internal/scale/fleet_test.go
+++ b/internal/scale/fleet_test.go
@@ -7,20 +7,21 @@
 	"time"
 )
 
-// steadyFleet runs a fleet without a pause in the counting, so that its sums must meet.
-func steadyFleet(t *testing.T, seed uint64, spread int, requestsPerS float64) (*fleet, counts) {
+// runFleet runs a fleet under constant load until all requests are finished. Counters are never reset, so
+// that their sums must be consistent.
+func runFleet(t *testing.T, seed uint64, entryNodes int, requestsPerS float64) (*fleet, counts) {
 	t.Helper()
 	const nodes, load = 24, 4 * time.Second
-	f := newFleet(seed, nodes, spread)
+	f := newFleet(seed, nodes, entryNodes)
 	if err := f.addAllNodes(2 * nodes); err != nil {
 		t.Fatal(err)
 	}
-	var firsts []int
+	var firstEntryNodes []int
 	for i := range nodes {
-		firsts = append(firsts, i)
+		firstEntryNodes = append(firstEntryNodes, i)
 	}
 	end := f.clock.now + load
-	for _, tenant := range sampleTenants(f.rng, fleetPlans(), firsts, requestsPerS*nodes) {
+	for _, tenant := range sampleTenants(f.rng, fleetPlans(), firstEntryNodes, requestsPerS*nodes) {
 		f.scheduleArrivals(tenant, end)
 	}
 	if err := f.clock.runUntil(t.Context(), end+clientDeadline); err != nil {
@@ -30,43 +31,44 @@
 	return f, f.total()
 }
 
-// Every request gets exactly one final answer, no message is too long, no inbox takes in more than its
-// rate, and no message comes from nowhere, whatever the spread.
+// With any number of entry nodes, every request gets exactly one final response, messages do not exceed the
+// maximum length, inboxes accept at most their rate, and no more messages arrive than were sent. A single
+// entry node sends no messages and does not exceed quotas.
 func TestFleetInvariants(t *testing.T) {
-	for _, spread := range []int{1, 3, 8} {
-		f, c := steadyFleet(t, 1, spread, 40)
+	for _, entryNodes := range []int{1, 3, 8} {
+		f, c := runFleet(t, 1, entryNodes, 40)
 		if c.requests == 0 || c.served+c.rejected+c.failed != c.requests || c.unanswered+c.duplicateResponses != 0 {
-			t.Errorf("spread %d: %d requests, %d served, %d rejected, %d failed, %d without an answer, %d answered again",
-				spread, c.requests, c.served, c.rejected, c.failed, c.unanswered, c.duplicateResponses)
+			t.Errorf("%d entry nodes: %d requests: %d served, %d rejected, %d failed; %d unanswered, %d duplicate responses",
+				entryNodes, c.requests, c.served, c.rejected, c.failed, c.unanswered, c.duplicateResponses)
 		}
 		if c.longestMessage > maxMessage {
-			t.Errorf("spread %d: a message of %d bytes", spread, c.longestMessage)
+			t.Errorf("%d entry nodes: longest message has %d bytes, want at most %d", entryNodes, c.longestMessage, maxMessage)
 		}
 		if c.arrived > c.messages() {
-			t.Errorf("spread %d: %d of %d messages arrived", spread, c.arrived, c.messages())
+			t.Errorf("%d entry nodes: %d messages arrived, but only %d were sent", entryNodes, c.arrived, c.messages())
 		}
 		seconds := (f.clock.now - time.Hour).Seconds()
 		for _, n := range f.added {
-			if taken := float64(n.counts.arrived - n.counts.discarded); taken > f.inboxRate*(seconds+1) {
-				t.Errorf("spread %d: node %d took %v messages in %v s", spread, n.number, taken, seconds)
+			if accepted := float64(n.counts.arrived - n.counts.discarded); accepted > f.inboxRate*(seconds+1) {
+				t.Errorf("%d entry nodes: node %d accepted %v messages in %v s", entryNodes, n.number, accepted, seconds)
 			}
 			if len(n.open) > 0 {
-				t.Errorf("spread %d: node %d still holds %d requests", spread, n.number, len(n.open))
+				t.Errorf("%d entry nodes: node %d still has %d open requests", entryNodes, n.number, len(n.open))
 			}
 		}
-		if spread > 1 && (c.quotaRequests == 0 || c.quotaGrants == 0) {
-			t.Errorf("spread %d: %d quota requests, %d grants", spread, c.quotaRequests, c.quotaGrants)
+		if entryNodes > 1 && (c.quotaRequests == 0 || c.quotaGrants == 0) {
+			t.Errorf("%d entry nodes: %d quota requests and %d grants, want some of both", entryNodes, c.quotaRequests, c.quotaGrants)
 		}
-		if spread == 1 && c.messages() > 0 {
-			t.Errorf("spread 1: %d messages", c.messages())
+		if entryNodes == 1 && c.messages() > 0 {
+			t.Errorf("1 entry node: %d messages, want none", c.messages())
 		}
-		if c.overQuotaUnits > c.admittedUnits || spread == 1 && c.overQuotaUnits > 0 {
-			t.Errorf("spread %d: %v of %v units beyond quotas", spread, c.overQuotaUnits, c.admittedUnits)
+		if c.overQuotaUnits > c.admittedUnits || entryNodes == 1 && c.overQuotaUnits > 0 {
+			t.Errorf("%d entry nodes: %v of %v admitted units exceed quotas", entryNodes, c.overQuotaUnits, c.admittedUnits)
 		}
 	}
 }
 
-// A sum has every count of what is added. The values stand without names, so that none can be left out.
+// add adds every field. The values are given without field names, so that a new field cannot be left out.
 func TestCountsAddEveryField(t *testing.T) {
 	one := counts{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18}
 	var sum counts
@@ -76,52 +78,53 @@
 	}
 }
 
-// The same seed gives the same decisions.
-func TestFleetSameSeed(t *testing.T) {
-	_, first := steadyFleet(t, 3, 3, 20)
-	_, again := steadyFleet(t, 3, 3, 20)
-	if first != again {
-		t.Errorf("one seed, two results:\n%+v\n%+v", first, again)
+// The same seed leads to the same counters, another seed to different ones.
+func TestFleetIsDeterministic(t *testing.T) {
+	_, first := runFleet(t, 3, 3, 20)
+	_, second := runFleet(t, 3, 3, 20)
+	if first != second {
+		t.Errorf("two runs with the same seed differ:\n%+v\n%+v", first, second)
 	}
-	if _, other := steadyFleet(t, 4, 3, 20); other == first {
-		t.Errorf("two seeds, one result: %+v", other)
+	if _, other := runFleet(t, 4, 3, 20); other == first {
+		t.Errorf("runs with different seeds are equal: %+v", other)
 	}
 }
 
-// Messages beyond the inbox's rate are discarded, and room comes back with time.
-func TestInboxHoldsItsRate(t *testing.T) {
+// The inbox discards messages that exceed its rate, and accepts messages again as time passes.
+func TestInboxLimitsRate(t *testing.T) {
 	b := newInbox(40, 0)
-	taken := 0
-	for i := range 1000 { // 100 a second for 10 s
+	accepted := 0
+	for i := range 1000 { // 100 messages per second for 10 s
 		if b.accept(time.Duration(i) * 10 * time.Millisecond) {
-			taken++
+			accepted++
 		}
 	}
-	if most := 40 * 11; taken > most || taken < most-2 {
-		t.Errorf("%d of 1000 messages taken in, want %d", taken, most)
+	if limit := 40 * 11; accepted > limit || accepted < limit-2 {
+		t.Errorf("%d of 1000 messages accepted, want %d to %d", accepted, limit-2, limit)
 	}
 }
 
-// Links lose and delay as they are said to.
-func TestLinkBounds(t *testing.T) {
+// Links delay messages within the bounds and lose the specified fraction.
+func TestLinkDelayAndLoss(t *testing.T) {
 	f := newFleet(1, 2, 1)
 	lost := 0
 	const messages = 20000
 	for range messages {
 		delay, arrives := f.link.send()
 		if delay < minLinkDelay || delay >= maxLinkDelay {
-			t.Fatalf("delay %v", delay)
+			t.Fatalf("delay %v, want from %v to below %v", delay, minLinkDelay, maxLinkDelay)
 		}
 		if !arrives {
 			lost++
 		}
 	}
 	if got := float64(lost) / messages; got < 0.9*linkLoss || got > 1.1*linkLoss {
-		t.Errorf("%v of the messages lost, want %v", got, linkLoss)
+		t.Errorf("fraction of lost messages is %v, want about %v", got, linkLoss)
 	}
 }
 
-// Events run by time, those of one time in the order in which they were scheduled, none after the end.
+// Events run in the order of their time, and events with the same time in the order in which they were
+// scheduled. Events after the end do not run.
 func TestClockOrder(t *testing.T) {
 	var c clock
 	var ran []int
@@ -144,30 +147,31 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if err := c.runUntil(ctx, 20); !errors.Is(err, context.Canceled) || len(ran) != len(want) {
-		t.Errorf("cut off: %v, ran %v", err, ran)
+		t.Errorf("cancelled run: error %v, ran %v", err, ran)
 	}
 }
 
-// Tenants ask for the rate that is wanted, and never for more units than the largest request has.
-func TestDrawTenants(t *testing.T) {
+// The total demand of the tenants is the given rate, their first entry nodes are among the given ones, and no
+// request has more than maxUnits units.
+func TestSampleTenants(t *testing.T) {
 	f := newFleet(1, 8, 1)
 	sum := 0.0
 	for _, tenant := range sampleTenants(f.rng, fleetPlans(), []int{2, 5}, 1000) {
 		sum += tenant.demand
 		if tenant.firstEntryNode != 2 && tenant.firstEntryNode != 5 {
-			t.Fatalf("first entry node %d", tenant.firstEntryNode)
+			t.Fatalf("first entry node %d, want 2 or 5", tenant.firstEntryNode)
 		}
 	}
 	if sum < 999.9 || sum > 1000.1 {
-		t.Errorf("%v requests a second", sum)
+		t.Errorf("total demand is %v requests per second, want 1000", sum)
 	}
-	units, most := 0.0, 0.0
-	const draws = 10000
-	for range draws {
+	units, maxSampled := 0.0, 0.0
+	const samples = 10000
+	for range samples {
 		u := sampleUnits(f.rng)
-		units, most = units+u, max(most, u)
+		units, maxSampled = units+u, max(maxSampled, u)
 	}
-	if mean := units / draws; most != maxUnits || mean < 0.95*meanUnits() || mean > 1.05*meanUnits() {
-		t.Errorf("units of %v in the mean, %v at most", mean, most)
+	if mean := units / samples; maxSampled != maxUnits || mean < 0.95*meanUnits() || mean > 1.05*meanUnits() {
+		t.Errorf("units have mean %v and maximum %v, want about %v and %v", mean, maxSampled, meanUnits(), maxUnits)
 	}
 }
--- a/internal/scale/link.go
+++ b/internal/scale/link.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Links between edge nodes, as the platform provides them: a message is delayed or lost, and an edge node discards
-// messages that exceed the rate limit of its inbox.
+// Links between edge nodes, as the platform provides them: a message is delayed or lost, and an edge node
+// discards messages that exceed the rate limit of its inbox.
 const (
 	maxMessage   = 256 // bytes
 	minLinkDelay = 2 * time.Millisecond
@@ -24,8 +24,8 @@
 	return delay, l.rng.Float64() >= linkLoss
 }
 
-// inbox limits the rate at which an edge node accepts messages. It is a token bucket whose burst is the messages of one
-// second.
+// inbox limits the rate at which an edge node accepts messages. It is a token bucket whose burst is the
+// messages of one second.
 type inbox struct {
 	rate       float64 // messages per second
 	tokens     float64
--- a/internal/scale/list.go
+++ b/internal/scale/list.go
@@ -53,7 +53,8 @@
 }
 func (r *listRows) time(quantity string, d time.Duration) { r.add(quantity, d.Seconds(), "s") }
 
-// listSteps reports the progress of a measurement that consists of steps, and stops it when its context is cancelled.
+// listSteps reports the progress of a measurement that consists of steps, and stops it when its context is
+// cancelled.
 type listSteps struct {
 	ctx         context.Context
 	env         Env
@@ -197,8 +198,8 @@
 	lostZone           = 0   // number of the zone that is lost
 )
 
-// ListService returns the part that measures how a replica delivers changes and complete lists to its watches. The ratio
-// of watches to entries is that of the planned fleet.
+// ListService returns the part that measures how a replica delivers changes and complete lists to its
+// watches. The ratio of watches to entries is that of the planned fleet.
 func ListService() Part {
 	return Part{
 		Name: "list-watches",
@@ -308,8 +309,8 @@
 	return received.firstError
 }
 
-// syncNewWatches opens n watches that start after a generation, waits until all of them have the current list, and closes
-// them. It returns what they received and how long that took.
+// syncNewWatches opens n watches that start after a generation, waits until all of them have the current
+// list, and closes them. It returns what they received and how long that took.
 func (r *serviceRun) syncNewWatches(n int, from uint64) (received watchTotals, took time.Duration, err error) {
 	start := time.Now()
 	watches, err := openWatches(r.steps.ctx, startsAt(r.service.Addr(), n, from), r.steps.env.Seed)
@@ -324,8 +325,8 @@
 	return watches.totals(), last.Sub(start), nil
 }
 
-// measureReconnects measures how all watches catch up if they reconnect at the same time, starting from the generation
-// before the zone was lost.
+// measureReconnects measures how all watches catch up if they reconnect at the same time, starting from the
+// generation before the zone was lost.
 func (r *serviceRun) measureReconnects() error {
 	if err := r.steps.next("reconnecting all watches"); err != nil {
 		return err
--- a/internal/scale/list_expiry.go
+++ b/internal/scale/list_expiry.go
@@ -8,8 +8,8 @@
 	"opalhook/internal/registry"
 )
 
-// The leases of the zone must not expire before all watches are open and the leases have been renewed. A replica accepts
-// 2,000 new watches per second.
+// The leases of the zone must not expire before all watches are open and the leases have been renewed. A
+// replica accepts 2,000 new watches per second.
 const (
 	minZoneLease      = 5 * time.Second
 	zoneLeasePerWatch = 4 * time.Millisecond
@@ -20,8 +20,8 @@
 	return minZoneLease + time.Duration(watchesOf(entries))*zoneLeasePerWatch
 }
 
-// ListExpiry returns the part that measures how the service detects the loss of a zone: the leases of all its instances
-// expire together.
+// ListExpiry returns the part that measures how the service detects the loss of a zone: the leases of all its
+// instances expire together.
 func ListExpiry() Part {
 	return Part{
 		Name: "list-expiry",
@@ -136,8 +136,9 @@
 	return received.firstError
 }
 
-// awaitExpiry waits until the list has only the entries of the other zones, and returns the replica's status. It requests
-// the status only when the generation has changed. It returns an [expiryError] if the wait ends early.
+// awaitExpiry waits until the list has only the entries of the other zones, and returns the replica's status.
+// It requests the status only when the generation has changed. It returns an [expiryError] if the wait ends
+// early.
 func (r *expiryRun) awaitExpiry() (status registry.Status, err error) {
 	remaining := r.rows.size - zoneEntries(r.rows.size)
 	status.Entries, status.Generation = r.rows.size, r.before
--- a/internal/scale/list_expiry_test.go
+++ b/internal/scale/list_expiry_test.go
@@ -13,9 +13,9 @@
 	"opalhook/internal/registry"
 )
 
-// A zone whose leases run out is told in few messages, each once and in order, in the bytes of its
-// entries and no more; entries of other zones stay.
-func TestListExpiryMeasured(t *testing.T) {
+// If the leases of a zone expire, watches receive at most one message per entry, once and in order, and only
+// the bytes of the zone's entries. They receive no complete lists.
+func TestListExpiry(t *testing.T) {
 	t.Parallel()
 	p := ListExpiry()
 	for _, n := range p.TestSizes {
@@ -28,7 +28,7 @@
 		})
 		messages := v["zone expired, messages to a watch"]
 		if messages < 1 || messages > float64(zoneEntries(n)) {
-			t.Errorf("%v messages for %d entries", messages, zoneEntries(n))
+			t.Errorf("%v messages for %d expired entries", messages, zoneEntries(n))
 		}
 		checkExpiryBytes(t, v["zone expired, most to a watch"], int(messages), removedZone(n))
 		for _, q := range []string{
@@ -36,40 +36,42 @@
 			"zone expired, from the first watch that has it all to the last",
 		} {
 			if got, ok := v[q]; !ok || got < 0 {
-				t.Errorf("%s: %v", q, got)
+				t.Errorf("%s: got %v, want a time of at least 0", q, got)
 			}
 		}
 	}
 }
 
-// checkExpiryBytes compares bytes with those of messages that hold the entries between them. How many
-// each message holds is open, and so are the digits of its length.
+// checkExpiryBytes checks the number of bytes of messages that together contain the given entries. The
+// distribution of the entries over the messages is unknown, and so is the number of digits of each chunk's
+// length.
 func checkExpiryBytes(t *testing.T, got float64, messages int, entries []discovery.Entry) {
 	t.Helper()
-	const moreDigits = 2 // of a length in hexadecimal: an empty message has 2, one with all entries 4
+	const extraDigits = 2 // length in hexadecimal: 2 digits for an empty message, 4 for one with all entries
 	frame := messageBytes(t, discovery.Message{Generation: firstGeneration, Instances: []discovery.Entry{}})
 	commas := len(entries) - messages
-	least := float64(messages)*frame + float64(commas)
+	minBytes := float64(messages)*frame + float64(commas)
 	for _, e := range entries {
 		text, err := json.Marshal(e)
 		if err != nil {
 			t.Fatal(err)
 		}
-		least += float64(len(text))
+		minBytes += float64(len(text))
 	}
-	if most := least + float64(messages*moreDigits); got < least || got > most {
-		t.Errorf("%v bytes in %d messages, not from %v to %v", got, messages, least, most)
+	if maxBytes := minBytes + float64(messages*extraDigits); got < minBytes || got > maxBytes {
+		t.Errorf("%v bytes in %d messages, want %v to %v", got, messages, minBytes, maxBytes)
 	}
 }
 
-// startExpiry starts a service whose zone has a lease.
+// startExpiry starts a service with a list, in which the instances of the lost zone have the given lease
+// duration.
 func startExpiry(t *testing.T, entries int, lease time.Duration) *expiryRun {
 	t.Helper()
-	image, err := listSnapshot(entries, lease)
+	backup, err := listSnapshot(entries, lease)
 	if err != nil {
 		t.Fatal(err)
 	}
-	service, err := startReplica(t.Context(), image)
+	service, err := startReplica(t.Context(), backup)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,12 +82,12 @@
 			t.Error(err)
 		}
 	})
-	at := &listSteps{ctx: t.Context(), env: Env{Seed: 1, Progress: func(int, int, string) {}}}
-	return &expiryRun{steps: at, rows: &listRows{rowWriter{size: entries}}, service: service, writer: writer, leaseTerm: lease, before: firstGeneration}
+	steps := &listSteps{ctx: t.Context(), env: Env{Seed: 1, Progress: func(int, int, string) {}}}
+	return &expiryRun{steps: steps, rows: &listRows{rowWriter{size: entries}}, service: service, writer: writer, leaseTerm: lease, before: firstGeneration}
 }
 
-// The zone's entries expire, all of them, and no others.
-func TestExpiryLeavesOtherZones(t *testing.T) {
+// All entries of the zone expire, and entries of other zones stay.
+func TestExpiryKeepsOtherZones(t *testing.T) {
 	t.Parallel()
 	const entries = 60
 	run := startExpiry(t, entries, zoneLease(entries))
@@ -98,11 +100,11 @@
 	}
 	want := slices.DeleteFunc(serviceEntries(entries), func(e discovery.Entry) bool { return e.Zone == listEntry(lostZone).Zone })
 	if !slices.Equal(list.Instances, want) {
-		t.Errorf("%v, want %v", list.Instances, want)
+		t.Errorf("list has instances %v, want %v", list.Instances, want)
 	}
 }
 
-// serviceEntries is a list as it is before a zone is lost.
+// serviceEntries returns the entries of a list before a zone is lost.
 func serviceEntries(count int) (list []discovery.Entry) {
 	for n := range count {
 		list = append(list, listEntry(n))
@@ -110,22 +112,22 @@
 	return list
 }
 
-// Leases that run out before they are renewed are no expiry measured.
-func TestExpiryBeforeTheRenewalsFails(t *testing.T) {
+// The measurement fails with an earlyExpiryError if leases expire before they are renewed.
+func TestExpiryBeforeRenewalFails(t *testing.T) {
 	t.Parallel()
 	run := startExpiry(t, 60, registry.MinLease)
-	if err := awaitReplica(t.Context(), "the leases to run out", func() bool { return run.service.Generation() > run.before }); err != nil {
+	if err := awaitReplica(t.Context(), "the leases to expire", func() bool { return run.service.Generation() > run.before }); err != nil {
 		t.Fatal(err)
 	}
 	_, err := run.renew()
 	var early *earlyExpiryError
 	if !errors.As(err, &early) || early.before != run.before || early.now <= early.before || early.lease != registry.MinLease {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want an earlyExpiryError", err)
 	}
 }
 
-// An expiry that does not come ends with what is known of it.
-func TestExpiryThatDoesNotComeFails(t *testing.T) {
+// If the leases do not expire, the wait ends with an expiryError that has the number of entries.
+func TestMissingExpiryFails(t *testing.T) {
 	t.Parallel()
 	run := startExpiry(t, 60, listLease)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -134,6 +136,6 @@
 	_, err := run.awaitExpiry()
 	var expiry *expiryError
 	if !errors.As(err, &expiry) || !errors.Is(err, context.Canceled) || expiry.entries != 60 || expiry.expected != 56 || expiry.suspended {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want an expiryError for 60 entries instead of 56", err)
 	}
 }
--- a/internal/scale/list_lost.go
+++ b/internal/scale/list_lost.go
@@ -13,7 +13,8 @@
 // reconnectStream selects the random stream of the seed that chooses the replicas to which watches reconnect.
 const reconnectStream = 0x105e
 
-// ListLostReplica returns the part that measures how a service of three replicas loses a replica that serves all watches.
+// ListLostReplica returns the part that measures how a service of three replicas loses a replica that serves
+// all watches.
 func ListLostReplica() Part {
 	return Part{
 		Name: "list-lost-replica",
@@ -65,7 +66,8 @@
 	return r.lose(watches)
 }
 
-// open opens the watches at the replica that will be lost, and waits until all of them have received a first change.
+// open opens the watches at the replica that will be lost, and waits until all of them have received a first
+// change.
 func (r *lostRun) open() (*listWatches, error) {
 	if err := r.steps.next("opening watches"); err != nil {
 		return nil, err
@@ -87,7 +89,8 @@
 	return watches, nil
 }
 
-// lose stops the replica while the zone's entries are removed, and reconnects its watches to the other replicas.
+// lose stops the replica while the zone's entries are removed, and reconnects its watches to the other
+// replicas.
 func (r *lostRun) lose(watches *listWatches) error {
 	if err := r.steps.next("losing a replica"); err != nil {
 		return err
@@ -113,8 +116,8 @@
 	return r.countReceived(watches, reconnected, before.maxBytes)
 }
 
-// catchUp waits until all reconnected watches have the current list, and then until they have the given generation,
-// which is that of the list without the zone.
+// catchUp waits until all reconnected watches have the current list, and then until they have the given
+// generation, which is that of the list without the zone.
 func (r *lostRun) catchUp(reconnected *listWatches, loss *replicaLoss, generation uint64) (err error) {
 	loss.caughtUp, err = reconnected.awaitGeneration(r.steps.ctx, r.leader.Generation())
 	if err := errors.Join(err, loss.wait()); err != nil {
@@ -192,8 +195,8 @@
 	return errors.Join(l.stopErr, l.removeErr)
 }
 
-// chooseReconnects chooses a random remaining replica for each watch. The watch continues after the last generation that it
-// received.
+// chooseReconnects chooses a random remaining replica for each watch. The watch continues after the last
+// generation that it received.
 func (r *lostRun) chooseReconnects(watches *listWatches) []watchStart {
 	rng := rand.New(rand.NewPCG(r.steps.env.Seed, reconnectStream))
 	candidates := []string{r.leader.Addr(), r.remaining.Addr()}
--- a/internal/scale/list_lost_test.go
+++ b/internal/scale/list_lost_test.go
@@ -4,9 +4,9 @@
 	"testing"
 )
 
-// Watches of a lost replica come back at the other two, and are told each change once and in order
-// across the loss, as changes and in the bytes of these.
-func TestListLostReplicaMeasured(t *testing.T) {
+// All watches of a lost replica reconnect to the other two. Over the loss they receive each change once and
+// in order, only the bytes of the changes, and no complete lists.
+func TestListLostReplica(t *testing.T) {
 	t.Parallel()
 	p := ListLostReplica()
 	for _, n := range p.TestSizes {
@@ -20,22 +20,22 @@
 		})
 		leader, follower := v["come back, at the replica that leads"], v["come back, at the replica that follows"]
 		if leader == 0 || follower == 0 || leader+follower != v["watches"] {
-			t.Errorf("%v and %v of %v watches came back", leader, follower, v["watches"])
+			t.Errorf("%v watches reconnected to the leader and %v to the follower, want some at both and %v in total", leader, follower, v["watches"])
 		}
 		ended, open := v["replica lost, until the last of its watches has ended"], v["replica lost, until all are open at the others"]
 		if ended <= 0 || open < ended {
-			t.Errorf("ended after %v, open after %v", ended, open)
+			t.Errorf("watches ended after %v s and were open again after %v s", ended, open)
 		}
 		for _, q := range []string{
 			"replica lost, until the last has the list of when all were open", "replica lost, until the last has the list without the zone",
 			"zone lost meanwhile, all removals written", "zone lost meanwhile, longest of the removals",
 		} {
 			if v[q] <= 0 {
-				t.Errorf("%s: %v", q, v[q])
+				t.Errorf("%s: got %v, want a time above 0", q, v[q])
 			}
 		}
 		if leads, ok := v["another replica leads than before"]; !ok || leads > 1 {
-			t.Errorf("another replica leads: %v", leads)
+			t.Errorf("another replica leads than before: got %v, want 0 or 1", leads)
 		}
 	}
 }
--- a/internal/scale/list_renew.go
+++ b/internal/scale/list_renew.go
@@ -85,8 +85,8 @@
 	return nil
 }
 
-// renew renews random leases and returns the CPU time that the service spends on each renewal. That is the CPU time of
-// the process without that of the client threads.
+// renew renews random leases and returns the CPU time that the service spends on each renewal. That is the
+// CPU time of the process without that of the client threads.
 func renew(steps *listSteps, addr string, leases, count int, keepAlive bool) (perRenewal time.Duration, err error) {
 	to, err := socketAddress(addr)
 	if err != nil {
@@ -131,7 +131,8 @@
 	return 0
 }
 
-// cpuTime returns the CPU time used so far by this process or by the calling thread. who is RUSAGE_SELF or rusageThread.
+// cpuTime returns the CPU time used so far by this process or by the calling thread. who is RUSAGE_SELF or
+// rusageThread.
 func cpuTime(who int) (time.Duration, error) {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(who, &u); err != nil {
@@ -148,8 +149,8 @@
 	return &syscall.SockaddrInet4{Port: int(a.Port()), Addr: a.Addr().As4()}, nil
 }
 
-// renewClient renews leases one after another. It runs on its own thread and uses blocking sockets, so that its CPU time
-// can be measured separately from that of the service.
+// renewClient renews leases one after another. It runs on its own thread and uses blocking sockets, so that
+// its CPU time can be measured separately from that of the service.
 type renewClient struct {
 	to        syscall.SockaddrInet4 // a copy for each client, because Connect writes into it
 	leases    int
--- a/internal/scale/list_service.go
+++ b/internal/scale/list_service.go
@@ -20,15 +20,16 @@
 	servicePoll    = time.Millisecond
 )
 
-// electionTimeout is the election timeout of a service of one replica. It can be short, because there are no other
-// replicas whose messages could be late.
+// electionTimeout is the election timeout of a service of one replica. It can be short, because there are no
+// other replicas whose messages could be late.
 const electionTimeout = 100 * time.Millisecond
 
-// listLease is the lease duration of instances that are not meant to expire. Measurements end before it has passed.
+// listLease is the lease duration of instances that are not meant to expire. Measurements end before it has
+// passed.
 const listLease = time.Hour
 
-// listEntry returns the entry of the instance with the given number. Zones alternate by number, so that the entries of a
-// zone are spread over the list.
+// listEntry returns the entry of the instance with the given number. Zones alternate by number, so that the
+// entries of a zone are spread over the list.
 func listEntry(n int) registry.Entry {
 	return registry.Entry{
 		InstanceID:  fmt.Sprintf("server-%06d", n),
@@ -45,8 +46,8 @@
 // firstIncarnation is the incarnation of all instances.
 const firstIncarnation = 1
 
-// listState returns a list with a number of entries. The instances of the lost zone have the lease duration zoneLease, all
-// others listLease.
+// listState returns a list with a number of entries. The instances of the lost zone have the lease duration
+// zoneLease, all others listLease.
 func listState(entries int, zoneLease time.Duration) (*registry.State, error) {
 	state := registry.NewState(0)
 	for n := range entries {
@@ -79,7 +80,8 @@
 	return &listReplica{dir: dir, listen: "127.0.0.1:0", raft: "127.0.0.1:0", electionTimeout: timeout}, nil
 }
 
-// startReplica starts a service of one replica with the list of a backup, and waits until the replica is the leader.
+// startReplica starts a service of one replica with the list of a backup, and waits until the replica is the
+// leader.
 func startReplica(ctx context.Context, backup []byte) (*listReplica, error) {
 	return startReplicaWithTimeout(ctx, backup, electionTimeout)
 }
@@ -106,8 +108,8 @@
 // stateDir returns the folder of the replica's state.
 func (r *listReplica) stateDir() string { return filepath.Join(r.dir, "state") }
 
-// start starts the replica, which joins the service at the address join unless that is empty. A replica that is started
-// again listens on the same address as before.
+// start starts the replica, which joins the service at the address join unless that is empty. A replica that
+// is started again listens on the same address as before.
 func (r *listReplica) start(ctx context.Context, join string) error {
 	server, err := registry.Start(ctx, registry.Config{Dir: r.stateDir(), Listen: r.listen, Raft: r.raft, Join: join, ElectionTimeout: r.electionTimeout, Logger: slog.New(slog.DiscardHandler)})
 	if err != nil {
@@ -131,7 +133,8 @@
 	return errors.Join(r.stop(), os.RemoveAll(r.dir))
 }
 
-// awaitReplica polls a condition until it holds, for at most serviceTimeout. what names the condition in errors.
+// awaitReplica polls a condition until it holds, for at most serviceTimeout. what names the condition in
+// errors.
 func awaitReplica(ctx context.Context, what string, condition func() bool) error {
 	ctx, cancel := context.WithTimeout(ctx, serviceTimeout)
 	defer cancel()
--- a/internal/scale/list_watch.go
+++ b/internal/scale/list_watch.go
@@ -42,7 +42,8 @@
 	outOfOrder *watchError // first message that was not the expected change
 }
 
-// listWatch watches the list over a connection, as an edge node does, and counts the messages that it receives.
+// listWatch watches the list over a connection, as an edge node does, and counts the messages that it
+// receives.
 type listWatch struct {
 	conn      net.Conn
 	lines     *bufio.Reader
@@ -50,8 +51,8 @@
 	published atomic.Pointer[watchState] // copy of state for other goroutines; immutable
 }
 
-// openWatch opens a watch of the changes after a generation. If the replica rejects it, openWatch tries again after the
-// time in Retry-After plus a random delay of up to 1 s.
+// openWatch opens a watch of the changes after a generation. If the replica rejects it, openWatch tries again
+// after the time in Retry-After plus a random delay of up to 1 s.
 func openWatch(ctx context.Context, addr string, from uint64, rng *rand.Rand) (*listWatch, error) {
 	for {
 		w, wait, err := dialWatch(ctx, addr, from)
@@ -67,8 +68,8 @@
 	}
 }
 
-// dialWatch makes one attempt to open a watch. If the replica rejects it, wait is the time in Retry-After, or 0 if the
-// response has none.
+// dialWatch makes one attempt to open a watch. If the replica rejects it, wait is the time in Retry-After, or
+// 0 if the response has none.
 func dialWatch(ctx context.Context, addr string, from uint64) (w *listWatch, wait time.Duration, err error) {
 	d := net.Dialer{ControlContext: limitReceiveBuffer}
 	conn, err := d.DialContext(ctx, "tcp", addr)
@@ -119,8 +120,8 @@
 	messageReset = []byte(`,"reset":true`)
 )
 
-// follow reads messages until the connection ends. Whenever no further complete line is buffered, it publishes the state
-// and calls notify.
+// follow reads messages until the connection ends. Whenever no further complete line is buffered, it
+// publishes the state and calls notify.
 func (w *listWatch) follow(notify func()) {
 	for {
 		line, err := w.lines.ReadSlice('\n')
@@ -184,11 +185,12 @@
 	progress chan struct{} // receives a value after a watch has published its state
 }
 
-// maxConcurrentDials is the maximum number of connections that are being opened at the same time. More could overflow
-// the listener's backlog.
+// maxConcurrentDials is the maximum number of connections that are being opened at the same time. More could
+// overflow the listener's backlog.
 const maxConcurrentDials = 512
 
-// watchStart is the address of a replica at which a watch is opened, and the generation after which it starts.
+// watchStart is the address of a replica at which a watch is opened, and the generation after which it
+// starts.
 type watchStart struct {
 	addr string
 	from uint64
@@ -256,8 +258,8 @@
 	ws.readers.Wait()
 }
 
-// awaitGeneration waits until all watches have reached a generation, for at most 2*serviceTimeout, and returns the time at
-// which the last of them had received its latest message.
+// awaitGeneration waits until all watches have reached a generation, for at most 2*serviceTimeout, and
+// returns the time at which the last of them had received its latest message.
 func (ws *listWatches) awaitGeneration(ctx context.Context, generation uint64) (last time.Time, err error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*serviceTimeout)
 	defer cancel()
--- a/internal/scale/list_write.go
+++ b/internal/scale/list_write.go
@@ -39,8 +39,8 @@
 	return w.send(ctx, http.MethodPost, listEntry(n).InstanceID+"/renew")
 }
 
-// send sends a change for the first incarnation of an instance and returns the resulting generation. what is the path of
-// the change below the instances.
+// send sends a change for the first incarnation of an instance and returns the resulting generation. what is
+// the path of the change below the instances.
 func (w *listWriter) send(ctx context.Context, method, what string) (generation uint64, err error) {
 	path := fmt.Sprintf("instances/%s?incarnation=%d", what, firstIncarnation)
 	var o registry.Outcome
@@ -89,8 +89,8 @@
 // zoneEntries returns the number of entries of the lost zone in a list.
 func zoneEntries(entries int) int { return (entries - lostZone + plannedZones - 1) / plannedZones }
 
-// forEachInZone calls write for each instance of the lost zone, by its number, from zoneClients concurrent goroutines. It
-// stops at the first error and returns it.
+// forEachInZone calls write for each instance of the lost zone, by its number, from zoneClients concurrent
+// goroutines. It stops at the first error and returns it.
 func forEachInZone(ctx context.Context, entries int, write func(context.Context, int) (uint64, error)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
--- a/internal/scale/nodelist.go
+++ b/internal/scale/nodelist.go
@@ -33,8 +33,8 @@
 	maxShortList      = 20000                  // servers
 )
 
-// listLoad returns the simulated time for which the load is measured. It is shorter for long lists, where each call takes
-// longer.
+// listLoad returns the simulated time for which the load is measured. It is shorter for long lists, where
+// each call takes longer.
 func listLoad(servers int) time.Duration {
 	if servers <= maxShortList {
 		return longLoad
@@ -42,7 +42,8 @@
 	return shortLoad
 }
 
-// nodeList returns the part that measures one node of the planned fleet at increasing lengths of the endpoint list.
+// nodeList returns the part that measures one node of the planned fleet at increasing lengths of the endpoint
+// list.
 func nodeList() Part {
 	return Part{
 		Name: nodeListName,
@@ -215,8 +216,8 @@
 	return nil
 }
 
-// heapAdded returns the growth of the live heap since the measured node was created, in bytes. Most of it belongs to the
-// node.
+// heapAdded returns the growth of the live heap since the measured node was created, in bytes. Most of it
+// belongs to the node.
 func (b *listBench) heapAdded() uint64 {
 	now := heapInUse()
 	return max(now, b.heapBefore) - b.heapBefore
--- a/internal/scale/nodelist_test.go
+++ b/internal/scale/nodelist_test.go
@@ -8,36 +8,37 @@
 	"testing"
 )
 
-// quietly is what a measurement is given when nobody watches.
-func quietly(seed uint64) Env {
+// silentEnv returns an environment that ignores progress.
+func silentEnv(seed uint64) Env {
 	return Env{Seed: seed, Progress: func(int, int, string) {}}
 }
 
-// value returns the value of a quantity; a test fails that names one that is not there.
+// value returns the value of a quantity. The test fails if there is no such row.
 func value(t *testing.T, rows []Row, quantity string) float64 {
 	t.Helper()
 	i := slices.IndexFunc(rows, func(r Row) bool { return r.Quantity == quantity })
 	if i < 0 {
-		t.Fatalf("no %q among the rows", quantity)
+		t.Fatalf("%q: no row", quantity)
 	}
 	return rows[i].Value
 }
 
-// decided are the rows that the seed decides: neither times nor the heap.
-func decided(rows []Row) (kept []Row) {
+// deterministicRows returns the rows that depend on the seed alone, which are neither times nor heap sizes.
+func deterministicRows(rows []Row) (result []Row) {
 	for _, r := range rows {
 		if r.Unit != "s" && !strings.HasPrefix(r.Quantity, "heap") {
-			kept = append(kept, r)
+			result = append(result, r)
 		}
 	}
-	return kept
+	return result
 }
 
-// A node's measurement exercises each kind of call, answers what it took, and its inbox holds its bound.
-func TestNodeListSmall(t *testing.T) {
+// The measurement times each kind of call, the node serves most requests, and its inbox accepts at most its
+// rate.
+func TestNodeList(t *testing.T) {
 	p := nodeList()
 	for _, size := range p.TestSizes {
-		rows, err := p.Measure(t.Context(), size, quietly(1))
+		rows, err := p.Measure(t.Context(), size, silentEnv(1))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -47,63 +48,63 @@
 			"whole list, again", "heap, list held", "heap, after load",
 		} {
 			if value(t, rows, q) <= 0 {
-				t.Errorf("size %d: %s is not above 0", size, q)
+				t.Errorf("size %d: %s: want a value above 0", size, q)
 			}
 		}
 		requests := value(t, rows, "requests")
 		if requests < 0.9*plannedRequestRate || requests > 1.1*plannedRequestRate {
-			t.Errorf("size %d: %v requests a second", size, requests)
+			t.Errorf("size %d: %v requests per second, want about %v", size, requests, plannedRequestRate)
 		}
-		inboxes := fleetSettings(1, 0).PeerMessagesPerSecond * (1 + 1/listLoad(size).Seconds()) // and a second's messages in store
-		if taken := value(t, rows, "messages taken in"); taken == 0 || taken > inboxes {
-			t.Errorf("size %d: %v messages a second taken in, more than %v", size, taken, inboxes)
+		maxAccepted := fleetSettings(1, 0).PeerMessagesPerSecond * (1 + 1/listLoad(size).Seconds()) // rate plus burst
+		if accepted := value(t, rows, "messages taken in"); accepted == 0 || accepted > maxAccepted {
+			t.Errorf("size %d: %v messages per second accepted, want above 0 and at most %v", size, accepted, maxAccepted)
 		}
 		if ticks := value(t, rows, "ticks"); ticks < 5 || ticks > 20 {
-			t.Errorf("size %d: %v ticks a second: another timer is taken for the regular one", size, ticks)
+			t.Errorf("size %d: %v ticks per second, want 5 to 20: another timer counts as the periodic one", size, ticks)
 		}
 		if value(t, rows, "requests served") < requests/2 {
 			t.Errorf("size %d: %v of %v requests served", size, value(t, rows, "requests served"), requests)
 		}
-		subset, kept := value(t, rows, "servers in the subset"), value(t, rows, "servers kept in full")
-		if subset < 1 || kept < subset || kept > 2*subset+1 {
-			t.Errorf("size %d: %v servers in the subset, %v kept in full", size, subset, kept)
+		subset, tracked := value(t, rows, "servers in the subset"), value(t, rows, "servers kept in full")
+		if subset < 1 || tracked < subset || tracked > 2*subset+1 {
+			t.Errorf("size %d: %v servers in the subset, %v servers tracked", size, subset, tracked)
 		}
-		if met := value(t, rows, "servers met"); met < 1 || met > float64(size) {
-			t.Errorf("size %d: %v servers met", size, met)
+		if used := value(t, rows, "servers met"); used < 1 || used > float64(size) {
+			t.Errorf("size %d: %v servers used, want 1 to %d", size, used, size)
 		}
 		for _, r := range rows {
 			if r.Part != p.Name || r.Size != size || r.Value < 0 {
-				t.Errorf("row %+v", r)
+				t.Errorf("size %d: unexpected row %+v", size, r)
 			}
 		}
 	}
 }
 
-// The same seed gives the same decisions, another seed gives others.
-func TestNodeListSameSeed(t *testing.T) {
+// The same seed leads to the same counts, another seed to different ones.
+func TestNodeListIsDeterministic(t *testing.T) {
 	size := nodeList().TestSizes[0]
 	var runs [3][]Row
 	for i, seed := range []uint64{5, 5, 6} {
-		rows, err := measureNodeList(t.Context(), size, quietly(seed))
+		rows, err := measureNodeList(t.Context(), size, silentEnv(seed))
 		if err != nil {
 			t.Fatal(err)
 		}
-		runs[i] = decided(rows)
+		runs[i] = deterministicRows(rows)
 	}
 	if !slices.Equal(runs[0], runs[1]) {
-		t.Errorf("one seed, two results:\n%v\n%v", runs[0], runs[1])
+		t.Errorf("two runs with the same seed differ:\n%v\n%v", runs[0], runs[1])
 	}
 	if slices.Equal(runs[0], runs[2]) {
-		t.Errorf("two seeds, one result: %v", runs[0])
+		t.Errorf("runs with different seeds are equal: %v", runs[0])
 	}
 }
 
-// A measurement that is cut off keeps what it has.
-func TestNodeListCutOff(t *testing.T) {
+// A cancelled measurement returns the rows measured so far.
+func TestNodeListCancelled(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	env := Env{Seed: 1, Progress: func(done, _ int, _ string) {
-		if done == 2 { // the load was measured
+		if done == 2 { // the load has been measured
 			cancel()
 		}
 	}}
@@ -112,27 +113,27 @@
 		t.Fatalf("error %v", err)
 	}
 	if value(t, rows, "requests served") == 0 {
-		t.Error("the load that was measured is not kept")
+		t.Error("the rows of the measured load are missing")
 	}
 	if slices.ContainsFunc(rows, func(r Row) bool { return r.Quantity == "whole list, again" }) {
-		t.Error("a quantity that was not measured is reported")
+		t.Error("there is a row of a quantity that was not measured")
 	}
 }
 
-// What is called the heap of a node grows with its list.
+// The measured heap of a node grows with its list.
 func TestHeapGrowsWithTheList(t *testing.T) {
 	var heap [2]float64
 	for i, size := range []int{100, 4000} {
-		b := &listBench{ctx: t.Context(), env: quietly(1), size: size, lastServer: size - 1}
+		b := &listBench{ctx: t.Context(), env: silentEnv(1), size: size, lastServer: size - 1}
 		if err := b.start(); err != nil {
 			t.Fatal(err)
 		}
 		heap[i] = float64(b.heapWithList)
 		if len(b.fleet.added) != 2*plannedEntryNodes-1 {
-			t.Errorf("%d nodes", len(b.fleet.added))
+			t.Errorf("%d nodes, want %d", len(b.fleet.added), 2*plannedEntryNodes-1)
 		}
 	}
 	if heap[1] <= heap[0] {
-		t.Errorf("%v bytes with 100 servers, %v with 4000", heap[0], heap[1])
+		t.Errorf("heap has %v bytes with 100 servers, %v bytes with 4000", heap[0], heap[1])
 	}
 }
--- a/internal/scale/part.go
+++ b/internal/scale/part.go
@@ -1,9 +1,9 @@
-// Package scale measures how the cost of parts of the program grows with the fleet. It measures edge nodes without
-// sockets, thousands of them in one process on a simulated clock, and the list service.
+// Package scale measures how the cost of parts of the program grows with the fleet. It measures edge nodes
+// without sockets, thousands of them in one process on a simulated clock, and the list service.
 //
-// A [Part] is a group of measurements. It is measured at several sizes, one after the other, and yields [Row]s, each
-// with one quantity at one size. Counts and sizes in bytes are the same for the same seed; times (unit "s") and the heap
-// depend on the machine.
+// A [Part] is a group of measurements. It is measured at several sizes, one after the other, and yields
+// [Row]s, each with one quantity at one size. Counts and sizes in bytes are the same for the same seed; times
+// (unit "s") and the heap depend on the machine.
 package scale
 
 import "context"
@@ -15,10 +15,11 @@
 	Size      string // what a size counts, for example "servers in the list"
 	Sizes     []int  // default sizes in ascending order; the largest is that of the planned fleet
 	TestSizes []int  // sizes for tests, which take a fraction of a second each
-	// Memory estimates the peak memory that a size needs, in bytes. [Run] rejects sizes that need more than half of
-	// the machine's memory.
+	// Memory estimates the peak memory that a size needs, in bytes. [Run] rejects sizes that need more than
+	// half of the machine's memory.
 	Memory func(size int) uint64
-	// Measure measures one size. If ctx is cancelled, it returns the rows measured so far and the context's error.
+	// Measure measures one size. If ctx is cancelled, it returns the rows measured so far and the context's
+	// error.
 	Measure func(ctx context.Context, size int, env Env) ([]Row, error)
 }
 
--- a/internal/scale/plot.go
+++ b/internal/scale/plot.go
@@ -22,8 +22,8 @@
 	curveWidth  = 1.2 // points
 )
 
-// WritePlots writes an SVG chart of each part into dir, which it creates if necessary, and returns the paths. It skips
-// parts without a quantity that has two or more sizes.
+// WritePlots writes an SVG chart of each part into dir, which it creates if necessary, and returns the paths.
+// It skips parts without a quantity that has two or more sizes.
 func (r *Report) WritePlots(dir string) ([]string, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, fmt.Errorf("creating the folder of the plots: %w", err)
@@ -83,7 +83,8 @@
 	return p.distinct(func(r *Row) string { return r.Unit })
 }
 
-// panel plots the quantities of one unit on logarithmic axes. It returns a nil plot if no quantity has two or more sizes.
+// panel plots the quantities of one unit on logarithmic axes. It returns a nil plot if no quantity has two or
+// more sizes.
 func (p *PartReport) panel(unit string) (*plot.Plot, plot.Legend, error) {
 	panel, legend := plot.New(), plot.NewLegend()
 	legend.Top = true
--- a/internal/scale/quota.go
+++ b/internal/scale/quota.go
@@ -22,11 +22,12 @@
 	heapArrivals        = time.Second / 4 // time in which their requests arrive
 )
 
-// quotaEntryNodes are the numbers of entry nodes of a tenant that are measured one after the other. The report calls this
-// number the spread.
+// quotaEntryNodes are the numbers of entry nodes of a tenant that are measured one after the other. The
+// report calls this number the spread.
 var quotaEntryNodes = []int{1, 2, 3, 8}
 
-// quota returns the part that measures the quota protocol: its messages, and the units admitted beyond quotas.
+// quota returns the part that measures the quota protocol: its messages, and the units admitted beyond
+// quotas.
 func quota() Part {
 	return Part{
 		Name: quotaName,
@@ -138,9 +139,9 @@
 	return part / whole
 }
 
-// heapPerTenant measures the heap that a tenant uses on a node that knows it, in bytes. It simulates entryNodes nodes, and each
-// of them receives one request of every tenant. Their inboxes accept all messages, so that both the owners and the
-// requesters of the quotas know the tenants.
+// heapPerTenant measures the heap that a tenant uses on a node that knows it, in bytes. It simulates
+// entryNodes nodes, and each of them receives one request of every tenant. Their inboxes accept all messages,
+// so that both the owners and the requesters of the quotas know the tenants.
 func heapPerTenant(ctx context.Context, seed uint64, entryNodes int) (float64, error) {
 	f := newFleet(seed, quotaNodes, entryNodes)
 	f.inboxRate = heapTenants * float64(entryNodes) * 4
--- a/internal/scale/quota_test.go
+++ b/internal/scale/quota_test.go
@@ -8,71 +8,72 @@
 	"testing"
 )
 
-// The messages of quotas hold the platform's bounds, and spreads have rows of their own.
-func TestQuotaSmall(t *testing.T) {
+// Each number of entry nodes (spread) has its own rows. Quota messages do not exceed the maximum length, and
+// a single entry node sends no quota requests and does not exceed quotas.
+func TestQuota(t *testing.T) {
 	p := quota()
 	for _, size := range p.TestSizes {
-		rows, err := p.Measure(t.Context(), size, quietly(1))
+		rows, err := p.Measure(t.Context(), size, silentEnv(1))
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, spread := range quotaEntryNodes {
 			of := func(quantity string) float64 { return value(t, rows, fmt.Sprintf("%s, spread %d", quantity, spread)) }
 			if got := of("requests"); got < 0.7*float64(size) || got > 1.3*float64(size) {
-				t.Errorf("size %d, spread %d: %v requests a second", size, spread, got)
+				t.Errorf("size %d, spread %d: %v requests per second, want about %d", size, spread, got, size)
 			}
 			if got := of("longest message"); got > maxMessage {
-				t.Errorf("size %d, spread %d: a message of %v bytes", size, spread, got)
+				t.Errorf("size %d, spread %d: longest message has %v bytes, want at most %d", size, spread, got, maxMessage)
 			}
 			for _, quantity := range []string{"lost at the inbox", "refused", "refused with half of the quota unused", "units beyond quotas, of those admitted"} {
 				if got := of(quantity); got < 0 || got > 1 {
-					t.Errorf("size %d, spread %d: %s is a share of %v", size, spread, quantity, got)
+					t.Errorf("size %d, spread %d: %s: got %v, want 0 to 1", size, spread, quantity, got)
 				}
 			}
-			if asks, heap := of("asks sent"), of("heap a tenant on a node"); (asks > 0) != (spread > 1) || heap <= 0 {
-				t.Errorf("size %d, spread %d: %v asks a second, %v bytes a tenant", size, spread, asks, heap)
+			if quotaRequests, heap := of("asks sent"), of("heap a tenant on a node"); (quotaRequests > 0) != (spread > 1) || heap <= 0 {
+				t.Errorf("size %d, spread %d: %v quota requests per second, %v bytes per tenant", size, spread, quotaRequests, heap)
 			}
 			if spread == 1 && of("units beyond quotas, of the quotas") != 0 {
-				t.Errorf("size %d: one node alone admits beyond quotas", size)
+				t.Errorf("size %d: a single entry node admits units beyond quotas", size)
 			}
 		}
 	}
 }
 
-// An inbox that loses half of what comes shows in the share that is lost.
-func TestQuotaShowsLossAtTheInbox(t *testing.T) {
+// Under high load, inboxes accept at most their rate, and the discarded messages are counted.
+func TestQuotaCountsDiscardedMessages(t *testing.T) {
 	run := quotaRun{seed: 1, nodes: 24, entryNodes: 3, requestsPerS: 60}
 	if err := run.run(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	c := &run.counts
 	seconds := quotaLoad.Seconds()
-	if taken := float64(c.arrived - c.discarded); taken > fleetSettings(1, 0).PeerMessagesPerSecond*(seconds+1)*24 {
-		t.Errorf("%v messages taken in", taken)
+	if accepted := float64(c.arrived - c.discarded); accepted > fleetSettings(1, 0).PeerMessagesPerSecond*(seconds+1)*24 {
+		t.Errorf("%v messages accepted, which exceeds the rate of the inboxes", accepted)
 	}
 	if c.discarded == 0 {
-		t.Error("nothing was lost at the inboxes, which is what this load is for")
+		t.Error("no messages were discarded; the load of this test must exceed the rate of the inboxes")
 	}
 }
 
-// The same seed gives the same counts.
-func TestQuotaSameSeed(t *testing.T) {
+// The same seed leads to the same counts.
+func TestQuotaIsDeterministic(t *testing.T) {
 	size := quota().TestSizes[0]
 	var runs [2][]Row
 	for i := range runs {
-		rows, err := measureQuota(t.Context(), size, quietly(9))
+		rows, err := measureQuota(t.Context(), size, silentEnv(9))
 		if err != nil {
 			t.Fatal(err)
 		}
-		runs[i] = decided(rows)
+		runs[i] = deterministicRows(rows)
 	}
 	if !slices.Equal(runs[0], runs[1]) {
-		t.Errorf("one seed, two results:\n%v\n%v", runs[0], runs[1])
+		t.Errorf("two runs with the same seed differ:\n%v\n%v", runs[0], runs[1])
 	}
 }
 
-// A measurement that is cut off keeps the spreads that it has.
-func TestQuotaCutOff(t *testing.T) {
+// A cancelled measurement returns the rows of the numbers of entry nodes measured so far.
+func TestQuotaCancelled(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	env := Env{Seed: 1, Progress: func(done, _ int, _ string) {
@@ -86,6 +87,6 @@
 	}
 	value(t, rows, "requests, spread 2")
 	if slices.ContainsFunc(rows, func(r Row) bool { return r.Quantity == "requests, spread 3" }) {
-		t.Error("a spread that was not measured is reported")
+		t.Error("there is a row of a number of entry nodes that was not measured")
 	}
 }
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -29,7 +29,8 @@
 	Fits  []Fit  `json:"fits"`
 }
 
-// Fit describes how a quantity grows with the size: as Factor x size^Exponent, by a least-squares fit of the logarithms.
+// Fit describes how a quantity grows with the size: as Factor x size^Exponent, by a least-squares fit of the
+// logarithms.
 type Fit struct {
 	Quantity string  `json:"quantity"`
 	Exponent float64 `json:"exponent"`
@@ -41,8 +42,8 @@
 // minFitSizes is the minimum number of sizes for a fit. Two points always fit exactly.
 const minFitSizes = 3
 
-// fit computes the fits of all quantities with at least minFitSizes positive values. Other values have no logarithm and
-// are ignored.
+// fit computes the fits of all quantities with at least minFitSizes positive values. Other values have no
+// logarithm and are ignored.
 func (p *PartReport) fit() {
 	p.Fits = []Fit{}
 	for _, quantity := range p.quantities() {
@@ -100,8 +101,8 @@
 	return nil
 }
 
-// WriteText writes the report as text: a table for each part, with a column for each size and a last column with the
-// exponent by which each quantity grows.
+// WriteText writes the report as text: a table for each part, with a column for each size and a last column
+// with the exponent by which each quantity grows.
 func (r *Report) WriteText(out io.Writer) error {
 	for i := range r.Parts {
 		if err := r.Parts[i].writeText(out); err != nil {
@@ -196,7 +197,8 @@
 	return strconv.FormatFloat(seconds*1e9, 'f', 0, 64) + " ns"
 }
 
-// threeDigits formats a number with three significant digits. From 100 on it formats all digits before the decimal point.
+// threeDigits formats a number with three significant digits. From 100 on it formats all digits before the
+// decimal point.
 func threeDigits(x float64) string {
 	if x >= 100 {
 		return strconv.FormatFloat(x, 'f', 0, 64)
--- a/internal/scale/restart.go
+++ b/internal/scale/restart.go
@@ -26,13 +26,14 @@
 	restartMemory       = 4 << 10                    // estimated memory of a node, in bytes
 )
 
-// RestartFleet returns the part that measures how all edge nodes of the planned fleet get their list if they start at the
-// same time.
+// RestartFleet returns the part that measures how all edge nodes of the planned fleet get their list if they
+// start at the same time.
 func RestartFleet() Part {
 	return restartPart("restart-fleet", "all edge nodes of the planned fleet", plannedWatches)
 }
 
-// RestartRack returns the part that measures how the edge nodes of a rack get their list if they start at the same time.
+// RestartRack returns the part that measures how the edge nodes of a rack get their list if they start at the
+// same time.
 func RestartRack() Part {
 	return restartPart("restart-rack", fmt.Sprintf("the edge nodes of a rack (%d, a guess)", rackNodes), rackNodes)
 }
@@ -139,26 +140,26 @@
 	heap.Push(q, e)
 }
 
-// openLimiter limits the rate of new watches to watchOpensPerSecond per second, with a burst of the same number. It is a token
-// bucket.
+// openLimiter limits the rate of new watches to watchOpensPerSecond per second, with a burst of the same
+// number. It is a token bucket.
 type openLimiter struct {
 	tokens     float64
 	refilledAt time.Duration // time of the last refill
 }
 
 // allow reports whether a watch may be opened now.
-func (p *openLimiter) allow(now time.Duration) bool {
-	p.tokens = min(p.tokens+(now-p.refilledAt).Seconds()*watchOpensPerSecond, watchOpensPerSecond)
-	p.refilledAt = now
-	if p.tokens < 1 {
+func (l *openLimiter) allow(now time.Duration) bool {
+	l.tokens = min(l.tokens+(now-l.refilledAt).Seconds()*watchOpensPerSecond, watchOpensPerSecond)
+	l.refilledAt = now
+	if l.tokens < 1 {
 		return false
 	}
-	p.tokens--
+	l.tokens--
 	return true
 }
 
-// newRestart returns a restart of a number of nodes of a fleet. message is the length of the message with the complete
-// list, in bytes.
+// newRestart returns a restart of a number of nodes of a fleet. message is the length of the message with the
+// complete list, in bytes.
 func newRestart(nodes, fleet, message int, seed uint64) *restart {
 	r := &restart{message: message, openLimit: openLimiter{tokens: watchOpensPerSecond}, rng: rand.New(rand.NewPCG(seed, 0))}
 	for n := range nodes {
@@ -215,8 +216,8 @@
 	return false
 }
 
-// advance advances the follower of node n and executes its commands. When there are no more, it schedules the next
-// wake-up.
+// advance advances the follower of node n and executes its commands. When there are no more, it schedules the
+// next wake-up.
 func (r *restart) advance(n int) {
 	node := r.nodes[n]
 	for {
--- a/internal/scale/restart_test.go
+++ b/internal/scale/restart_test.go
@@ -8,85 +8,87 @@
 	"time"
 )
 
-func quiet(int, int, string) {}
+// ignoreProgress is a progress function that does nothing.
+func ignoreProgress(int, int, string) {}
 
-// played is a restart that has been played.
-func played(t *testing.T, nodes, message int, seed uint64, until time.Duration) *restart {
+// runRestart runs a restart and returns it.
+func runRestart(t *testing.T, nodes, message int, seed uint64, until time.Duration) *restart {
 	t.Helper()
 	r := newRestart(nodes, plannedWatches, message, seed)
-	if err := r.run(t.Context(), until, quiet); err != nil {
+	if err := r.run(t.Context(), until, ignoreProgress); err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-// A list that a link carries within a follower's patience reaches each node once, no sooner than
-// the link allows.
-func TestRestartedNodesGetTheirList(t *testing.T) {
+// If a node's link can transfer the list before the follower gives up, each node receives the list exactly
+// once, and no sooner than the link permits.
+func TestRestartedNodesReceiveList(t *testing.T) {
 	for _, nodes := range []int{1, rackNodes, plannedWatches} {
-		r := played(t, nodes, controlRate, 1, time.Minute) // a second's worth
-		for n, h := range r.nodes {
-			if !h.hasList || h.bytes != float64(r.message) || h.receivedAt < time.Second {
-				t.Fatalf("node %d of %d: has its list: %v, %v bytes of %d, at %v", n, nodes, h.hasList, h.bytes, r.message, h.receivedAt)
+		r := runRestart(t, nodes, controlRate, 1, time.Minute) // the list takes one second
+		for n, node := range r.nodes {
+			if !node.hasList || node.bytes != float64(r.message) || node.receivedAt < time.Second {
+				t.Fatalf("node %d of %d: has its list: %v; %v of %d bytes; received at %v", n, nodes, node.hasList, node.bytes, r.message, node.receivedAt)
 			}
 		}
-		if most := max(nodes-watchOpensPerSecond, 0); r.rejected < most || r.rejected > 0 && nodes <= watchOpensPerSecond || r.maxOpen > watchOpensPerSecond*3 {
-			t.Errorf("%d nodes: %d calls turned away, %d answered at once", nodes, r.rejected, r.maxOpen)
+		if minRejected := max(nodes-watchOpensPerSecond, 0); r.rejected < minRejected || r.rejected > 0 && nodes <= watchOpensPerSecond || r.maxOpen > watchOpensPerSecond*3 {
+			t.Errorf("%d nodes: %d calls rejected, at most %d open at the same time", nodes, r.rejected, r.maxOpen)
 		}
 	}
 }
 
-// No node takes more than its link carries, however its calls end.
-func TestRestartKeepsToTheLink(t *testing.T) {
+// No node receives more bytes than its link can transfer, whether its calls complete or time out.
+func TestRestartRespectsLinkRate(t *testing.T) {
 	for _, message := range []int{controlRate / 2, 10 * controlRate, 1000 * controlRate} {
 		until := 2 * time.Minute
-		r := played(t, 100, message, 2, until)
-		for n, h := range r.nodes {
-			if most := controlRate * until.Seconds(); h.bytes > most || h.call != 0 {
-				t.Errorf("node %d took %v bytes, %v are the most", n, h.bytes, most)
+		r := runRestart(t, 100, message, 2, until)
+		for n, node := range r.nodes {
+			if maxBytes := controlRate * until.Seconds(); node.bytes > maxBytes || node.call != 0 {
+				t.Errorf("node %d received %v bytes, want at most %v; open call %d, want none", n, node.bytes, maxBytes, node.call)
 			}
 		}
 		if r.open != 0 {
-			t.Errorf("%d calls are open at the end", r.open)
+			t.Errorf("%d calls are open at the end, want none", r.open)
 		}
 	}
 }
 
-// The same seed gives the same restart.
+// The same seed leads to the same rows, another seed to different ones.
 func TestRestartIsDeterministic(t *testing.T) {
-	rows := func(seed uint64) []Row { return played(t, 2500, 5*controlRate, seed, 30*time.Second).rows("p", 1) }
+	rows := func(seed uint64) []Row { return runRestart(t, 2500, 5*controlRate, seed, 30*time.Second).rows("p", 1) }
 	if a, b := rows(7), rows(7); !reflect.DeepEqual(a, b) {
-		t.Errorf("two plays of one seed:\n%v\n%v", a, b)
+		t.Errorf("two runs with the same seed differ:\n%v\n%v", a, b)
 	}
 	if reflect.DeepEqual(rows(7), rows(8)) {
-		t.Error("another seed plays the same")
+		t.Error("runs with different seeds are equal")
 	}
 }
 
-// The service lets as many calls through as its pace allows, and no more.
-func TestJoinPace(t *testing.T) {
+// The limiter permits a burst of one second's watches and then its rate.
+func TestOpenLimiter(t *testing.T) {
 	p := openLimiter{tokens: watchOpensPerSecond}
-	let := 0
+	allowed := 0
 	for at := time.Duration(0); at < 2*time.Second; at += 100 * time.Microsecond {
-		let += boolToInt(p.allow(at))
+		allowed += boolToInt(p.allow(at))
 	}
-	if want := 3 * watchOpensPerSecond; let < want-2 || let > want {
-		t.Errorf("%d in two seconds, want %d", let, want)
+	if want := 3 * watchOpensPerSecond; allowed < want-2 || allowed > want {
+		t.Errorf("%d watches allowed in two seconds, want %d to %d", allowed, want-2, want)
 	}
 }
 
+// All nodes receive the complete list once, and a cancelled measurement returns the context's error.
 func TestRestartParts(t *testing.T) {
 	for _, p := range []Part{RestartFleet(), RestartRack()} {
 		for _, n := range p.TestSizes {
 			v := measureList(t, p, n)
 			if v["nodes that have their list"] != v["nodes"] || v["control to a node, most"] != v["whole list"] {
-				t.Errorf("%s at %d: %v", p.Name, n, v)
+				t.Errorf("%s at %d: not all nodes received the list once: %v", p.Name, n, v)
 			}
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
-		if _, err := p.Measure(ctx, p.Sizes[0], Env{Progress: quiet}); !errors.Is(err, context.Canceled) {
-			t.Errorf("%s cut off: %v", p.Name, err)
+		if _, err := p.Measure(ctx, p.Sizes[0], Env{Progress: ignoreProgress}); !errors.Is(err, context.Canceled) {
+			t.Errorf("%s cancelled: error %v, want context.Canceled", p.Name, err)
 		}
 	}
 }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -50,16 +50,18 @@
 		e.Part, e.Size, formatBytes(float64(e.Need)), formatBytes(float64(e.Memory)), formatBytes(float64(e.Limit)))
 }
 
-// maxSize is the largest accepted size. It is far larger than any fleet, and memory estimates for it do not overflow.
+// maxSize is the largest accepted size. It is far larger than any fleet, and memory estimates for it do not
+// overflow.
 const maxSize = 1 << 31
 
-// memoryDivisor divides the machine's memory into the part that a measurement may use. The rest is left to other
-// processes.
+// memoryDivisor divides the machine's memory into the part that a measurement may use. The rest is left to
+// other processes.
 const memoryDivisor = 2
 
-// Run measures the selected parts one after the other. It returns an [InputError] or a [MemoryError] and measures nothing
-// if an option is invalid or a size needs too much memory. If ctx is cancelled, Run returns the report of the sizes
-// measured so far, with Ended set, and no error. If a part fails, it returns the report so far with the part's error.
+// Run measures the selected parts one after the other. It returns an [InputError] or a [MemoryError] and
+// measures nothing if an option is invalid or a size needs too much memory. If ctx is cancelled, Run returns
+// the report of the sizes measured so far, with Ended set, and no error. If a part fails, it returns the
+// report so far with the part's error.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	parts, err := o.selectParts()
 	if err != nil {
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -11,7 +11,8 @@
 	"testing"
 )
 
-// squares is a part whose quantity grows as the square of the size, beside one that is nought.
+// squares returns a part with a quantity that grows as the square of the size, and a quantity that is always
+// 0. It appends the measured sizes to measured, unless that is nil.
 func squares(measured *[]int) Part {
 	return Part{
 		Name: "squares", Title: "Squares", Size: "things", Sizes: []int{10, 100, 1000}, TestSizes: []int{1},
@@ -26,7 +27,8 @@
 	}
 }
 
-func TestRunMeasuresWhatWasAskedFor(t *testing.T) {
+// Run measures the selected part at the given sizes, in ascending order and without duplicates.
+func TestRunMeasuresSelectedSizes(t *testing.T) {
 	var measured []int
 	var progress []Progress
 	report, err := Run(t.Context(), Options{
@@ -37,7 +39,7 @@
 		t.Fatal(err)
 	}
 	if len(measured) != 3 || measured[0] != 20 || measured[2] != 40 {
-		t.Errorf("measured %v", measured)
+		t.Errorf("measured sizes %v, want 20, 30 and 40", measured)
 	}
 	if len(progress) != 3 || progress[0] != (Progress{"squares", 20, 1, 1, "done"}) {
 		t.Errorf("progress %v", progress)
@@ -51,7 +53,8 @@
 	}
 }
 
-func TestRunRejectsBadInputFirst(t *testing.T) {
+// Run reports invalid options and sizes that need too much memory before it measures anything.
+func TestRunRejectsInvalidOptions(t *testing.T) {
 	var measured []int
 	parts := []Part{squares(&measured), {Name: "other"}}
 	for _, c := range []struct {
@@ -68,38 +71,39 @@
 		_, err := Run(t.Context(), c.o)
 		var input *InputError
 		if !errors.As(err, &input) || input.Field != c.field {
-			t.Errorf("%+v: error %v, want one of %s", c.o, err, c.field)
+			t.Errorf("%+v: error %v, want an InputError for %s", c.o, err, c.field)
 		}
 	}
 	_, err := Run(t.Context(), Options{Parts: parts[:1], Memory: 1e6})
 	var memory *MemoryError
 	if !errors.As(err, &memory) || *memory != (MemoryError{Part: "squares", Size: 1000, Need: 1e6, Limit: 5e5, Memory: 1e6}) {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want a MemoryError", err)
 	}
 	for _, word := range []string{"squares", "1000", "1.00 MB", "500.00 kB"} {
 		if err == nil || !strings.Contains(err.Error(), word) {
-			t.Errorf("error %v does not name %s", err, word)
+			t.Errorf("error %v does not contain %q", err, word)
 		}
 	}
 	if len(measured) > 0 {
-		t.Errorf("measured %v", measured)
+		t.Errorf("measured sizes %v, want none", measured)
 	}
 }
 
-func TestRunThatIsCutOffKeepsWhatItHas(t *testing.T) {
+// An interrupted run returns the report of the rows measured so far, and says where it was interrupted.
+func TestRunInterrupted(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	slow := squares(nil)
-	whole := slow.Measure
-	slow.Measure = func(ctx context.Context, size int, env Env) ([]Row, error) {
-		rows, _ := whole(ctx, size, env)
+	interrupted := squares(nil)
+	measure := interrupted.Measure
+	interrupted.Measure = func(ctx context.Context, size int, env Env) ([]Row, error) {
+		rows, _ := measure(ctx, size, env)
 		if size == 100 {
 			cancel()
 			return rows[:1], ctx.Err()
 		}
 		return rows, nil
 	}
-	report, err := Run(ctx, Options{Parts: []Part{slow, {Name: "other", Memory: func(int) uint64 { return 0 }}}})
+	report, err := Run(ctx, Options{Parts: []Part{interrupted, {Name: "other", Memory: func(int) uint64 { return 0 }}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -110,23 +114,25 @@
 	if err := report.WriteText(&out); err != nil {
 		t.Fatal(err)
 	}
-	for _, want := range []string{"10000 s", "100 s", "cut off while squares"} {
+	for _, want := range []string{"10000 s", "100 s", "interrupted while measuring squares"} {
 		if !strings.Contains(out.String(), want) {
 			t.Errorf("no %q in:\n%s", want, out.String())
 		}
 	}
 }
 
-func TestRunTellsOfAFailure(t *testing.T) {
-	bad := squares(nil)
-	bad.Measure = func(context.Context, int, Env) ([]Row, error) { return nil, errors.New("no servers") }
-	report, err := Run(t.Context(), Options{Parts: []Part{bad}})
+// If a part fails, Run returns its error with the part and the size, and the report so far.
+func TestRunReturnsPartError(t *testing.T) {
+	failing := squares(nil)
+	failing.Measure = func(context.Context, int, Env) ([]Row, error) { return nil, errors.New("no servers") }
+	report, err := Run(t.Context(), Options{Parts: []Part{failing}})
 	if err == nil || err.Error() != "squares: size 10: no servers" || report == nil {
 		t.Errorf("report %v, error %v", report, err)
 	}
 }
 
-func TestReportForms(t *testing.T) {
+// A report can be written as text, JSON and plots. JSON can be decoded again.
+func TestReportFormats(t *testing.T) {
 	report, err := Run(t.Context(), Options{Parts: []Part{squares(nil)}})
 	if err != nil {
 		t.Fatal(err)
@@ -145,22 +151,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var back Report
-	if err := json.Unmarshal(written, &back); err != nil || len(back.Parts) != 1 || back.Parts[0].Rows[0] != report.Parts[0].Rows[0] {
+	var decoded Report
+	if err := json.Unmarshal(written, &decoded); err != nil || len(decoded.Parts) != 1 || decoded.Parts[0].Rows[0] != report.Parts[0].Rows[0] {
 		t.Errorf("%s: %v", written, err)
 	}
 	paths, err := report.WritePlots(t.TempDir())
 	if err != nil || len(paths) != 1 {
 		t.Fatalf("plots %v: %v", paths, err)
 	}
-	picture, err := os.ReadFile(paths[0])
-	if err != nil || !strings.Contains(string(picture), "<svg") || !strings.Contains(string(picture), "square") {
-		t.Errorf("%s is no picture of the squares: %v", paths[0], err)
+	chart, err := os.ReadFile(paths[0])
+	if err != nil || !strings.Contains(string(chart), "<svg") || !strings.Contains(string(chart), "square") {
+		t.Errorf("%s is not an SVG plot of the squares: %v", paths[0], err)
 	}
 }
 
-// One size alone has no curve; nothing is drawn and nothing fails.
-func TestNoPlotOfOneSize(t *testing.T) {
+// A part with a single size has no curves. WritePlots skips it without an error.
+func TestNoPlotForSingleSize(t *testing.T) {
 	report, err := Run(t.Context(), Options{Parts: []Part{squares(nil)}, Sizes: []int{7}})
 	if err != nil {
 		t.Fatal(err)
@@ -170,7 +176,7 @@
 	}
 }
 
-func TestValuesAreReadable(t *testing.T) {
+func TestFormatValue(t *testing.T) {
 	for _, c := range []struct {
 		value float64
 		unit  string
@@ -193,25 +199,25 @@
 		{9.876, "1/s", "9.88 1/s"},
 	} {
 		if got := formatValue(c.value, c.unit); got != c.want {
-			t.Errorf("%v %s is written %q, want %q", c.value, c.unit, got, c.want)
+			t.Errorf("%v %s: got %q, want %q", c.value, c.unit, got, c.want)
 		}
 	}
 }
 
-// Every part can be named, says what it measures, and has the sizes that its measurement needs.
-func TestPartsAreWhole(t *testing.T) {
+// All fields of every part are set, names are unique, and there are at least four sizes in ascending order.
+func TestPartsAreComplete(t *testing.T) {
 	seen := map[string]bool{}
 	for _, p := range Parts() {
 		if p.Name == "" || seen[p.Name] || p.Title == "" || p.Size == "" || p.Measure == nil || p.Memory == nil {
-			t.Errorf("part %+v", p)
+			t.Errorf("incomplete part %+v", p)
 		}
 		seen[p.Name] = true
 		if len(p.Sizes) < 4 || len(p.TestSizes) == 0 {
-			t.Errorf("%s: sizes %v, small %v", p.Name, p.Sizes, p.TestSizes)
+			t.Errorf("%s: sizes %v, test sizes %v", p.Name, p.Sizes, p.TestSizes)
 		}
 		for i := 1; i < len(p.Sizes); i++ {
 			if p.Sizes[i] <= p.Sizes[i-1] {
-				t.Errorf("%s: sizes %v do not ascend", p.Name, p.Sizes)
+				t.Errorf("%s: sizes %v are not in ascending order", p.Name, p.Sizes)
 			}
 		}
 	}
--- a/internal/scale/simulated_node.go
+++ b/internal/scale/simulated_node.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// call makes a call into the balancer. If the node has a stopwatch, it records the duration, and adjusts the kind of the
-// call to the actions that the balancer took.
+// call makes a call into the balancer. If the node has a stopwatch, it records the duration, and adjusts the
+// kind of the call to the actions that the balancer took.
 func (n *simulatedNode) call(kind callKind, event func()) {
 	if n.stopwatch == nil {
 		event()
@@ -94,8 +94,8 @@
 	n.stopwatch.add(kind, elapsed)
 }
 
-// SendAttempt implements [balancer.Actions]. The server responds after a random service time. Sending takes no time, so that
-// the attempt always meets sendBy.
+// SendAttempt implements [balancer.Actions]. The server responds after a random service time. Sending takes
+// no time, so that the attempt always meets sendBy.
 func (n *simulatedNode) SendAttempt(id, serverID string, timeout, _ time.Duration) {
 	q := n.open[id]
 	if q == nil {
@@ -121,8 +121,8 @@
 	f.clock.after(elapsed, func() { n.finishAttempt(q, number, result) })
 }
 
-// chargeQuota charges a request, when it is first sent to a server, to the exact state of its tenant's quota. If the quota
-// does not cover the request, its units count as over quota.
+// chargeQuota charges a request, when it is first sent to a server, to the exact state of its tenant's quota.
+// If the quota does not cover the request, its units count as over quota.
 func (n *simulatedNode) chargeQuota(q *openRequest) {
 	n.counts.admittedUnits += q.units
 	if q.inQuota = q.tenant.refill(n.fleet.clock.now) >= q.units; q.inQuota {
@@ -145,7 +145,8 @@
 	return balancer.OK, serviceTime
 }
 
-// finishAttempt ends an attempt and reports its outcome to the balancer. It does nothing if the attempt has ended already.
+// finishAttempt ends an attempt and reports its outcome to the balancer. It does nothing if the attempt has
+// ended already.
 func (n *simulatedNode) finishAttempt(q *openRequest, number int, result balancer.Result) {
 	a := &q.attempts[number]
 	if a.done {
@@ -171,8 +172,8 @@
 	n.removeIfDone(q)
 }
 
-// countFinal counts a final response that the node itself generates. A second one for the same request counts as a
-// duplicate.
+// countFinal counts a final response that the node itself generates. A second one for the same request counts
+// as a duplicate.
 func (n *simulatedNode) countFinal(id string, count *int) {
 	q := n.open[id]
 	if q == nil || q.finalResponses > 0 {
@@ -184,8 +185,8 @@
 	n.removeIfDone(q)
 }
 
-// Reject implements [balancer.Actions]. It also counts rejections of a request that has not been sent although at least half
-// of the tenant's burst was unused and the quota covered the request.
+// Reject implements [balancer.Actions]. It also counts rejections of a request that has not been sent
+// although at least half of the tenant's burst was unused and the quota covered the request.
 func (n *simulatedNode) Reject(id string, _ time.Duration) {
 	if q := n.open[id]; q != nil && len(q.attempts) == 0 {
 		if level := q.tenant.refill(n.fleet.clock.now); level >= max(q.units, q.tenant.plan.Burst/2) {
@@ -198,7 +199,8 @@
 // Fail implements [balancer.Actions].
 func (n *simulatedNode) Fail(id string) { n.countFinal(id, &n.counts.failed) }
 
-// CancelAttempt implements [balancer.Actions]. The attempt ends at the current time, but after this call has returned.
+// CancelAttempt implements [balancer.Actions]. The attempt ends at the current time, but after this call has
+// returned.
 func (n *simulatedNode) CancelAttempt(id string, attempt int) {
 	if q := n.open[id]; q != nil && attempt < len(q.attempts) {
 		n.fleet.clock.after(0, func() { n.finishAttempt(q, attempt, balancer.Cancelled) })
@@ -235,8 +237,8 @@
 	}
 }
 
-// send counts a message and delivers a copy after the delay of the link, unless the message is lost or the peer is not
-// simulated.
+// send counts a message and delivers a copy after the delay of the link, unless the message is lost or the
+// peer is not simulated.
 func (n *simulatedNode) send(peer int, message []byte) {
 	n.counts.bytes += len(message)
 	n.counts.longestMessage = max(n.counts.longestMessage, len(message))
--- a/internal/scale/simulated_node_test.go
+++ b/internal/scale/simulated_node_test.go
@@ -8,8 +8,9 @@
 	"opalhook/balancer"
 )
 
-// hostAlone returns a node without a list, and a request that it has.
-func hostAlone(t *testing.T) (*simulatedNode, *openRequest) {
+// nodeWithRequest returns a node without an endpoint list, and an open request of it that its balancer does
+// not know.
+func nodeWithRequest(t *testing.T) (*simulatedNode, *openRequest) {
 	t.Helper()
 	f := newFleet(1, 24, 1)
 	n, err := f.addNode(0)
@@ -25,14 +26,14 @@
 	return n, q
 }
 
-// A final answer too many, of whatever kind, is counted as such.
-func TestNodeCountsFinalAnswersOnce(t *testing.T) {
+// A second final response to a request, or one to an unknown request, counts as a duplicate only.
+func TestNodeCountsDuplicateResponses(t *testing.T) {
 	for name, second := range map[string]func(n *simulatedNode, q *openRequest){
-		"refused twice":         func(n *simulatedNode, q *openRequest) { n.Reject(q.id, 0) },
-		"failed after":          func(n *simulatedNode, q *openRequest) { n.Fail(q.id) },
-		"of a request not held": func(n *simulatedNode, _ *openRequest) { n.Reject("other", 0) },
+		"rejected twice":           func(n *simulatedNode, q *openRequest) { n.Reject(q.id, 0) },
+		"failed after rejection":   func(n *simulatedNode, q *openRequest) { n.Fail(q.id) },
+		"unknown request rejected": func(n *simulatedNode, _ *openRequest) { n.Reject("other", 0) },
 	} {
-		n, q := hostAlone(t)
+		n, q := nodeWithRequest(t)
 		n.SendAttempt(q.id, "server", 0, 0) // keeps the request open
 		n.Reject(q.id, 0)
 		second(n, q)
@@ -42,9 +43,9 @@
 	}
 }
 
-// An attempt that the node gives up ends as cancelled, once, and a late answer changes nothing.
-func TestNodeEndsEachAttemptOnce(t *testing.T) {
-	n, q := hostAlone(t)
+// An attempt that is cancelled twice ends once, and a later response has no effect.
+func TestNodeEndsCancelledAttemptOnce(t *testing.T) {
+	n, q := nodeWithRequest(t)
 	n.SendAttempt(q.id, "server", 0, 0)
 	n.CancelAttempt(q.id, 0)
 	n.CancelAttempt(q.id, 0)
@@ -52,16 +53,17 @@
 		t.Fatal(err)
 	}
 	if q.inFlight != 0 || !q.attempts[0].done || n.counts.served != 0 {
-		t.Errorf("%d out, %+v, %+v", q.inFlight, q.attempts, n.counts)
+		t.Errorf("%d attempts in flight, attempts %+v, counters %+v", q.inFlight, q.attempts, n.counts)
 	}
 	n.fleet.countUnanswered()
 	if n.counts.unanswered != 1 {
-		t.Errorf("%d unanswered: the balancer knows no such request", n.counts.unanswered)
+		t.Errorf("%d unanswered requests, want 1: the balancer does not know the request", n.counts.unanswered)
 	}
 }
 
-// The true quota fills at its rate up to its burst, and what it can't cover counts as beyond it.
-func TestTrueQuota(t *testing.T) {
+// A tenant's quota refills at its rate up to its burst. The units of a request that it does not cover count
+// as over quota.
+func TestTenantQuota(t *testing.T) {
 	plan := &balancer.Plan{Rate: 2, Burst: 10}
 	q := &tenant{plan: plan, tokens: 10}
 	q.tokens -= 10
@@ -70,14 +72,14 @@
 		want float64
 	}{{time.Second, 2}, {time.Second, 2}, {3 * time.Second, 6}, {time.Minute, 10}} {
 		if got := q.refill(c.at); math.Abs(got-c.want) > 1e-9 {
-			t.Errorf("level %v at %v, want %v", got, c.at, c.want)
+			t.Errorf("%v tokens at %v, want %v", got, c.at, c.want)
 		}
 	}
-	n, r := hostAlone(t)
+	n, r := nodeWithRequest(t)
 	r.tenant.tokens = 6
 	n.chargeQuota(r)
 	n.chargeQuota(r)
 	if n.counts.admittedUnits != 8 || n.counts.overQuotaUnits != 4 || math.Abs(r.tenant.tokens-2) > 1e-9 {
-		t.Errorf("%+v, level %v", n.counts, r.tenant.tokens)
+		t.Errorf("counters %+v, %v tokens left", n.counts, r.tenant.tokens)
 	}
 }
--- a/internal/scale/stopwatch.go
+++ b/internal/scale/stopwatch.go
@@ -34,7 +34,8 @@
 	s.durations[kind] = append(s.durations[kind], took)
 }
 
-// quantile returns a quantile of the durations of a kind of calls, in seconds, or false if no such call was timed.
+// quantile returns a quantile of the durations of a kind of calls, in seconds, or false if no such call was
+// timed.
 func (s *stopwatch) quantile(kind callKind, fraction float64) (float64, bool) {
 	took := slices.Sorted(slices.Values(s.durations[kind]))
 	if len(took) == 0 {
--- a/internal/scale/tenant.go
+++ b/internal/scale/tenant.go
@@ -8,8 +8,8 @@
 	"opalhook/balancer"
 )
 
-// Demand of the tenants, in units per second, as a fraction of their plan's rate. Most tenants stay well within their
-// quota; a few request more than it.
+// Demand of the tenants, in units per second, as a fraction of their plan's rate. Most tenants stay well
+// within their quota; a few request more than it.
 const (
 	minNormalDemand, maxNormalDemand = 0.15, 0.5
 	minHeavyDemand, maxHeavyDemand   = 1.6, 5.0
@@ -25,8 +25,8 @@
 // planFractions are the fractions of tenants on each plan of [fleetPlans].
 var planFractions = []float64{0.7, 0.25, 0.05}
 
-// fleetPlans returns the plans for three sizes of tenants; the largest has a hard limit. No plan permits units beyond the
-// quota, so that units admitted beyond a quota are errors of the distributed quota protocol.
+// fleetPlans returns the plans for three sizes of tenants; the largest has a hard limit. No plan permits
+// units beyond the quota, so that units admitted beyond a quota are errors of the distributed quota protocol.
 func fleetPlans() []balancer.Plan {
 	return []balancer.Plan{
 		{Name: "small", Rate: 2.6, Burst: 16, WeightFactor: 0.72},
@@ -76,8 +76,8 @@
 	return len(weights) - 1
 }
 
-// sampleTenants generates random tenants until their total demand reaches a rate, then scales all demands so that the
-// total equals it. Their first entry nodes are chosen from firsts.
+// sampleTenants generates random tenants until their total demand reaches a rate, then scales all demands so
+// that the total equals it. Their first entry nodes are chosen from firsts.
 func sampleTenants(rng *rand.Rand, plans []balancer.Plan, firstEntryNodes []int, requestsPerS float64) []*tenant {
 	var all []*tenant
 	sum := 0.0
