--- a/cmd/opalhook/agent.go
+++ b/cmd/opalhook/agent.go
@@ -75,14 +75,14 @@
 }
 
 func agentStatus(s *globalFlags) *cobra.Command {
-	var at string
+	var addr string
 	c := &cobra.Command{
 		Use:     "status",
 		Short:   "Show the generation, size and age of an agent's list",
 		Example: "  opalhook agent status --at 127.0.0.1:8510 -o json",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			status, err := agent.FetchStatus(c.Context(), at)
+			status, err := agent.FetchStatus(c.Context(), addr)
 			if err != nil {
 				return fmt.Errorf("--at: %w", err)
 			}
@@ -92,7 +92,7 @@
 			return writeAgentStatus(c.OutOrStdout(), &status)
 		},
 	}
-	c.Flags().StringVar(&at, "at", defaultAgent, "address of the agent")
+	c.Flags().StringVar(&addr, "at", defaultAgent, "address of the agent")
 	return c
 }
 
--- a/cmd/opalhook/main.go
+++ b/cmd/opalhook/main.go
@@ -14,8 +14,8 @@
 	"github.com/spf13/cobra"
 )
 
-// errChecksFailed ends the command with exitNotMet. main prints no message for it: the command has already
-// reported the violated rules and the failed expectations.
+// errChecksFailed ends the command with exitChecksFailed. main prints no message for it: the command has
+// already reported the violated rules and the failed expectations.
 var errChecksFailed = errors.New("a rule was violated or an expectation was not met")
 
 // usageError is an error in the user's input, such as an invalid scenario, range or name. It ends the command
--- a/cmd/opalhook/main_test.go
+++ b/cmd/opalhook/main_test.go
@@ -48,7 +48,7 @@
 	}
 	out, err := call(t, "lab", "list", dir, "-o", "json")
 	if err == nil || !strings.Contains(err.Error(), "bad.toml:2: nodes: no such key") {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want one that names bad.toml", err)
 	}
 	var rows []struct{ Name, Error string }
 	if err := json.Unmarshal([]byte(out), &rows); err != nil || len(rows) != 2 || rows[1].Name != "good" {
--- a/cmd/opalhook/registry.go
+++ b/cmd/opalhook/registry.go
@@ -217,7 +217,7 @@
 	c.Flags().Float64Var(&r.Weight, "weight", 1, "capacity relative to other instances")
 	c.Flags().Int64Var(&r.StartedAtMs, "started-at-ms", 0, "start time in Unix milliseconds; 0: started long ago")
 	c.Flags().Uint64Var(&r.Incarnation, "incarnation", 0, "number that increases with each start of the instance (default: the Unix time in microseconds)")
-	c.Flags().DurationVar(&lease, "lease", 0, "time without a renewal after which the instance is removed; 0: never")
+	c.Flags().DurationVar(&lease, "lease", 0, "remove the instance if its lease is not renewed for this long; 0: the instance has no lease")
 	return c
 }
 
--- a/cmd/opalhook/scale.go
+++ b/cmd/opalhook/scale.go
@@ -16,7 +16,7 @@
 
 // testbedScale returns the command that measures how the cost of parts of the program grows with the fleet.
 func testbedScale(s *globalFlags) *cobra.Command {
-	var names []string
+	var parts []string
 	var sizes, dir string
 	var seed uint64
 	c := &cobra.Command{
@@ -30,12 +30,12 @@
 		Example: "  opalhook testbed scale\n  opalhook testbed scale --part node-list --sizes 200,2000,20000\n  opalhook testbed scale --part quota --seed 7 -o json",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			counts, err := parseSizes(sizes)
+			sizeList, err := parseSizes(sizes)
 			if err != nil {
 				return err
 			}
 			report, err := scale.Run(c.Context(), scale.Options{
-				Parts: scale.Parts(), Names: names, Sizes: counts, Seed: seed, Progress: scaleProgress(c.ErrOrStderr()),
+				Parts: scale.Parts(), Names: parts, Sizes: sizeList, Seed: seed, Progress: scaleProgress(c.ErrOrStderr()),
 			})
 			if errors.As(err, new(*scale.InputError)) || errors.As(err, new(*scale.MemoryError)) {
 				return usageError{fmt.Errorf("--%w", err)}
@@ -46,7 +46,7 @@
 			return errors.Join(err, c.Context().Err())
 		},
 	}
-	c.Flags().StringSliceVar(&names, "part", nil, "parts to measure, separated by commas (default: all)")
+	c.Flags().StringSliceVar(&parts, "part", nil, "parts to measure, separated by commas (default: all)")
 	c.Flags().StringVar(&sizes, "sizes", "", "sizes to measure, separated by commas; needs exactly one --part (default: the sizes of each part)")
 	c.Flags().Uint64Var(&seed, "seed", 1, "seed of all random choices")
 	c.Flags().StringVar(&dir, "dir", filepath.Join("runs", "scale"), "folder to write the plots to")
@@ -67,10 +67,10 @@
 	if text == "" {
 		return nil, nil
 	}
-	for _, word := range strings.Split(text, ",") {
-		size, err := strconv.Atoi(strings.TrimSpace(word))
+	for _, field := range strings.Split(text, ",") {
+		size, err := strconv.Atoi(strings.TrimSpace(field))
 		if err != nil {
-			return nil, usageError{fmt.Errorf("--sizes: must be whole numbers separated by commas, got %q", word)}
+			return nil, usageError{fmt.Errorf("--sizes: must be whole numbers separated by commas, got %q", field)}
 		}
 		sizes = append(sizes, size)
 	}
@@ -81,12 +81,12 @@
 const progressInterval = time.Second
 
 // scaleProgress returns a function that writes a progress line when a size starts, when it ends, and at most
-// once per progressGap in between. Write errors are ignored: they must not stop the measurement.
+// once per progressInterval in between. Write errors are ignored: they must not stop the measurement.
 func scaleProgress(out io.Writer) func(scale.Progress) {
-	began := time.Now()
+	start := time.Now()
 	var last time.Duration
 	return func(p scale.Progress) {
-		now := time.Since(began)
+		now := time.Since(start)
 		if p.Done > 0 && p.Done < p.Total && now-last < progressInterval {
 			return
 		}
--- a/cmd/opalhook/scale_test.go
+++ b/cmd/opalhook/scale_test.go
@@ -34,7 +34,7 @@
 	_, err := call(t, "lab", "scale", "--part", "node-list", "--sizes", "2000000000")
 	var memory *scale.MemoryError
 	if !errors.As(err, &memory) || memory.Part != "node-list" || memory.Size != 2000000000 {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want a MemoryError for node-list at 2000000000", err)
 	}
 }
 
@@ -56,7 +56,7 @@
 		}
 	}
 	if !strings.Contains(progress.String(), "node-list at 60: 4 of 4") || strings.Contains(out.String(), "4 of 4") {
-		t.Errorf("progress %q", progress.String())
+		t.Errorf("progress %q, output:\n%s", progress.String(), out.String())
 	}
 	if info, err := os.Stat(plotPath); err != nil || info.Size() == 0 {
 		t.Errorf("plot: %v", err)
@@ -78,7 +78,7 @@
 		t.Fatalf("%q: %v", out.String(), err)
 	}
 	if report.Seed != 4 || len(report.Parts) != 1 || len(report.Parts[0].Rows) == 0 || report.Parts[0].Rows[0].Size != 50 {
-		t.Errorf("report %+v", report)
+		t.Errorf("unexpected report %+v", report)
 	}
 }
 
@@ -105,7 +105,7 @@
 	c.SetErr(cancelOnText{"node-list at 60: 0 of 4", cancel})
 	c.SetArgs([]string{"lab", "scale", "--part", "node-list", "--sizes", "50,60,70", "--dir", t.TempDir()})
 	if err := c.ExecuteContext(ctx); !errors.Is(err, context.Canceled) {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want context.Canceled", err)
 	}
 	for _, want := range []string{"one change, p99", "interrupted while measuring node-list"} {
 		if !strings.Contains(out.String(), want) {
--- a/cmd/opalhook/sweep.go
+++ b/cmd/opalhook/sweep.go
@@ -50,8 +50,8 @@
 	return c
 }
 
-// sweep runs the scenarios of the seeds and writes the report. It returns errNotMet if a scenario violated a
-// rule or could not be run.
+// sweep runs the scenarios of the seeds and writes the report. It returns errChecksFailed if a scenario
+// violated a rule or could not be run.
 func (f *sweepFlags) sweep(c *cobra.Command, s *globalFlags) error {
 	if err := f.check(); err != nil {
 		return usageError{err}
@@ -121,48 +121,48 @@
 
 // sweepProgress returns a function that writes a line for each finished scenario. Write errors are ignored:
 // they must not stop the sweep.
-func sweepProgress(out io.Writer) func(done, of int, t testbed.GeneratedRun) {
-	began := time.Now()
-	return func(done, of int, t testbed.GeneratedRun) {
-		_, _ = fmt.Fprintf(out, "%5.0f s  %d of %d  seed %d: %s%s\n", time.Since(began).Seconds(), done, of, t.Seed, t.Verdict, failureReason(t))
+func sweepProgress(out io.Writer) func(done, of int, run testbed.GeneratedRun) {
+	start := time.Now()
+	return func(done, of int, run testbed.GeneratedRun) {
+		_, _ = fmt.Fprintf(out, "%5.0f s  %d of %d  seed %d: %s%s\n", time.Since(start).Seconds(), done, of, run.Seed, run.Verdict, failureReason(run))
 	}
 }
 
 // failureReason formats why a scenario did not pass: the violated rules with the number of violations, and
 // the reason that the sweep reports. The text begins with a colon. It is empty if there is neither.
-func failureReason(t testbed.GeneratedRun) string {
-	var words []string
-	for _, rule := range slices.Sorted(maps.Keys(t.Rules)) {
-		words = append(words, fmt.Sprintf("%s %d times", rule, t.Rules[rule]))
+func failureReason(run testbed.GeneratedRun) string {
+	var reasons []string
+	for _, rule := range slices.Sorted(maps.Keys(run.Rules)) {
+		reasons = append(reasons, fmt.Sprintf("%s %d times", rule, run.Rules[rule]))
 	}
-	if t.Reason != "" {
-		words = append(words, t.Reason)
+	if run.Reason != "" {
+		reasons = append(reasons, run.Reason)
 	}
-	if len(words) == 0 {
+	if len(reasons) == 0 {
 		return ""
 	}
-	return ": " + strings.Join(words, ", ")
+	return ": " + strings.Join(reasons, ", ")
 }
 
 // writeSweep writes the scenarios that failed, the number of scenarios by verdict, and the path of the
 // report.
 func writeSweep(out io.Writer, r *testbed.SweepReport, dir string) error {
 	var table strings.Builder
-	head := false
-	for _, t := range r.Runs {
-		if t.Verdict != testbed.BrokeRule && t.Verdict != testbed.NotPlayed {
+	headerWritten := false
+	for _, run := range r.Runs {
+		if run.Verdict != testbed.BrokeRule && run.Verdict != testbed.NotPlayed {
 			continue
 		}
-		if !head {
-			head = true
+		if !headerWritten {
+			headerWritten = true
 			fmt.Fprintln(&table, "seed\tverdict\tdeployment\treproduce with")
 		}
-		fmt.Fprintf(&table, "%d\t%s%s\t%s\t%s\n", t.Seed, t.Verdict, failureReason(t), t.Size, t.Command)
-		if t.First != "" {
-			fmt.Fprintf(&table, "\t  %s\t\t\n", strings.TrimSpace(t.First))
+		fmt.Fprintf(&table, "%d\t%s%s\t%s\t%s\n", run.Seed, run.Verdict, failureReason(run), run.Size, run.Command)
+		if run.First != "" {
+			fmt.Fprintf(&table, "\t  %s\t\t\n", strings.TrimSpace(run.First))
 		}
-		if t.Reduced != "" {
-			fmt.Fprintf(&table, "\t  reduced\t%s\t\n", t.Reduced)
+		if run.Reduced != "" {
+			fmt.Fprintf(&table, "\t  reduced\t%s\t\n", run.Reduced)
 		}
 	}
 	if err := writeTable(out, table.String()); err != nil {
--- a/cmd/opalhook/testbed.go
+++ b/cmd/opalhook/testbed.go
@@ -52,14 +52,14 @@
 	}
 	c.Flags().Uint64Var(&f.seed, "seed", 1, "seed of all random choices; further runs use the following seeds")
 	c.Flags().IntVar(&f.runs, "runs", 1, "number of runs, each with a different seed")
-	c.Flags().StringVar(&f.control, "control", "", "loopback address to serve metrics and `opalhook testbed fault` on, for example 127.0.0.1:9911 (default: none)")
+	c.Flags().StringVar(&f.control, "control", "", "loopback `address` for Prometheus metrics and for the command \"opalhook testbed fault\", for example 127.0.0.1:9911 (default: none)")
 	c.Flags().StringVar(&f.binary, "node-binary", "", "path of the edge node's binary (default: built from this repository)")
 	c.Flags().StringVar(&f.dir, "dir", "", "folder to write the results to (default: runs/NAME-SEED)")
 	return c
 }
 
-// run runs a scenario f.runs times and writes a summary of each run. It returns errNotMet if a run violated a
-// rule or failed an expectation.
+// run runs a scenario f.runs times and writes a summary of each run. It returns errChecksFailed if a run
+// violated a rule or failed an expectation.
 func (f *runFlags) run(c *cobra.Command, s *globalFlags, file string) error {
 	scenario, err := testbed.LoadScenario(file)
 	if err != nil {
@@ -111,9 +111,9 @@
 
 // testbedFault returns the command that injects a fault into a running scenario.
 func testbedFault(s *globalFlags) *cobra.Command {
-	var at string
+	var addr string
 	var f testbed.CommandedFault
-	var last, late time.Duration
+	var duration, delay time.Duration
 	c := &cobra.Command{
 		Use:     "fault KIND [TARGET]",
 		Short:   "Inject a fault into a running scenario",
@@ -121,7 +121,7 @@
 		Example: "  opalhook up --control 127.0.0.1:9911\n  opalhook testbed fault slow 3 --size 5 --for 10s\n  opalhook testbed fault kill 0 --for 4s",
 		Args:    cobra.RangeArgs(1, 2),
 		RunE: func(c *cobra.Command, args []string) error {
-			f.Kind, f.For, f.Delay = testbed.FaultKind(args[0]), testbed.Duration(last), testbed.Duration(late)
+			f.Kind, f.For, f.Delay = testbed.FaultKind(args[0]), testbed.Duration(duration), testbed.Duration(delay)
 			if len(args) > 1 {
 				n, err := strconv.Atoi(args[1])
 				if err != nil {
@@ -129,20 +129,20 @@
 				}
 				f.Target = n
 			}
-			what, err := testbed.InjectFault(c.Context(), at, f)
+			description, err := testbed.InjectFault(c.Context(), addr, f)
 			if err != nil {
 				return err
 			}
 			if s.json() {
-				return writeJSON(c.OutOrStdout(), map[string]string{"fault": what})
+				return writeJSON(c.OutOrStdout(), map[string]string{"fault": description})
 			}
-			_, err = fmt.Fprintln(c.OutOrStdout(), what)
+			_, err = fmt.Fprintln(c.OutOrStdout(), description)
 			return err
 		},
 	}
-	c.Flags().StringVar(&at, "at", "127.0.0.1:9911", "control address of the running scenario")
-	c.Flags().DurationVar(&last, "for", 0, "duration of the fault; 0: until the end of the run")
-	c.Flags().DurationVar(&late, "late", 0, "delay that the fault adds")
+	c.Flags().StringVar(&addr, "at", "127.0.0.1:9911", "control address of the running scenario")
+	c.Flags().DurationVar(&duration, "for", 0, "duration of the fault; 0: until the end of the run")
+	c.Flags().DurationVar(&delay, "late", 0, "delay that the fault adds")
 	c.Flags().Float64Var(&f.Size, "size", 0, "size of the fault: a slowdown factor, a fraction or a rate in bytes per second, depending on its kind")
 	c.Flags().StringVar(&f.Zone, "zone", "", "zone, for faults that affect a zone")
 	c.Flags().StringVar(&f.Way, "way", "", "direction of a cut: both, in or out")
@@ -181,25 +181,25 @@
 			if len(args) > 0 {
 				dir = args[0]
 			}
-			rows, bad := readScenarios(dir)
+			rows, errs := readScenarios(dir)
 			if len(rows) == 0 {
-				return bad
+				return errs
 			}
 			if s.json() {
-				return errors.Join(writeJSON(c.OutOrStdout(), rows), bad)
+				return errors.Join(writeJSON(c.OutOrStdout(), rows), errs)
 			}
 			var table strings.Builder
 			for _, r := range rows {
 				fmt.Fprintf(&table, "%s\t%s\n", r.File, r.About)
 			}
-			return errors.Join(writeTable(c.OutOrStdout(), table.String()), bad)
+			return errors.Join(writeTable(c.OutOrStdout(), table.String()), errs)
 		},
 	}
 }
 
 // readScenarios reads the scenario files of a folder. An invalid file yields a row with an error and is part
 // of the returned error; the other files are read nevertheless.
-func readScenarios(dir string) (rows []scenarioRow, bad error) {
+func readScenarios(dir string) (rows []scenarioRow, errs error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.toml"))
 	if err != nil || len(paths) == 0 {
 		return nil, fmt.Errorf("folder %s: contains no scenario files (*.toml)", dir)
@@ -207,13 +207,13 @@
 	for _, p := range paths {
 		scenario, err := testbed.LoadScenario(p)
 		if err != nil {
-			bad = errors.Join(bad, err)
+			errs = errors.Join(errs, err)
 			rows = append(rows, scenarioRow{File: p, Error: err.Error()})
 			continue
 		}
 		rows = append(rows, scenarioRow{File: p, Name: scenario.Name, About: scenario.About})
 	}
-	return rows, bad
+	return rows, errs
 }
 
 func testbedReport(s *globalFlags) *cobra.Command {
--- a/cmd/opalhook/testbed_output.go
+++ b/cmd/opalhook/testbed_output.go
@@ -47,12 +47,12 @@
 // writeSummary writes the outcome of a run: its main figures, violations and failed expectations, and where
 // its files are.
 func writeSummary(out io.Writer, r *testbed.Result, files string) error {
-	verdict := "passed"
+	outcome := "passed"
 	if !r.OK() {
-		verdict = "FAILED"
+		outcome = "FAILED"
 	}
 	var text strings.Builder
-	fmt.Fprintf(&text, "%s seed %d: %s  goodput %.3f  requests served %.3f  attempts rejected %.3f  p99 %.0f ms  schedule %s\n", r.Scenario, r.Seed, verdict,
+	fmt.Fprintf(&text, "%s seed %d: %s  goodput %.3f  requests served %.3f  attempts rejected %.3f  p99 %.0f ms  schedule %s\n", r.Scenario, r.Seed, outcome,
 		r.Figures["goodput"], r.Figures["served"], r.Figures["refused"], r.Figures["p99_ms"], r.Digest)
 	if r.Behind {
 		fmt.Fprintf(&text, "  the load generator fell behind by %.1f ms (99th percentile): this machine is too small for the load\n", r.Figures["lateness_ms"])
@@ -60,9 +60,9 @@
 	for _, v := range r.Violations[:min(len(r.Violations), maxShownViolations)] {
 		fmt.Fprintln(&text, " ", v)
 	}
-	for _, k := range r.Checks {
-		if !k.OK {
-			fmt.Fprintf(&text, "  expected %s %s, got %.4g\n", k.Expect.Figure, k.Expect.Bound(), k.Got)
+	for _, check := range r.Checks {
+		if !check.OK {
+			fmt.Fprintf(&text, "  expected %s %s, got %.4g\n", check.Expect.Figure, check.Expect.Bound(), check.Got)
 		}
 	}
 	fmt.Fprintf(&text, "  %s\n", files)
--- a/cmd/opalhook/up.go
+++ b/cmd/opalhook/up.go
@@ -34,7 +34,7 @@
 		Args:    cobra.NoArgs,
 		RunE:    func(c *cobra.Command, _ []string) error { return f.run(c, s) },
 	}
-	c.Flags().StringVar(&f.control, "control", "", "loopback address to serve metrics and `opalhook testbed fault` on, for example 127.0.0.1:9911 (default: none)")
+	c.Flags().StringVar(&f.control, "control", "", "loopback `address` for Prometheus metrics and for the command \"opalhook testbed fault\", for example 127.0.0.1:9911 (default: none)")
 	c.Flags().StringVar(&f.binary, "node-binary", "", "path of the edge node's binary (default: built from this repository)")
 	c.Flags().DurationVar(&f.duration, "for", time.Hour, "maximum duration")
 	return c
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -9,11 +9,11 @@
 	"opalhook/balancer"
 )
 
-// App servers of a simulated fleet.
+// Parameters of the app servers and requests of a simulated fleet.
 const (
 	minServiceTime        = 6 * time.Millisecond
 	meanExtraServiceTime  = 6 * time.Millisecond // mean of the exponentially distributed part of the service time
-	overloadedFraction    = 0.002                // fraction of attempts that a server rejects as overloaded
+	overloadedFraction    = 0.002                // fraction of attempts that a server rejects because of overload
 	errorFraction         = 0.001                // fraction of attempts that a server answers with an error
 	serverZones           = 15
 	serversPerCell        = 21
@@ -120,7 +120,8 @@
 	rng := rand.New(rand.NewPCG(seed, 0x5ca1e))
 	return &fleet{
 		rng: rng, link: link{rng}, seed: seed, nodeCount: nodeCount, entryNodes: entryNodes,
-		inboxRate: fleetSettings(nodeCount, 0).PeerMessagesPerSecond, nodes: map[int]*simulatedNode{}, clock: clock{now: time.Hour}, // later than the slow start of all servers, which start at 0
+		inboxRate: fleetSettings(nodeCount, 0).PeerMessagesPerSecond, nodes: map[int]*simulatedNode{},
+		clock: clock{now: time.Hour}, // servers start at 0, so that their slow start is over
 	}
 }
 
--- a/internal/scale/list.go
+++ b/internal/scale/list.go
@@ -32,17 +32,18 @@
 	listBaseMemory  = 64 << 20  // independent of the size
 )
 
-// listMemory estimates the memory of a number of replicas of a list, in bytes.
+// listMemory estimates the memory of a number of replicas, each with a list of the given number of entries,
+// in bytes.
 func listMemory(replicas, entries int) uint64 {
 	return listBaseMemory + uint64(replicas)*uint64(entries)*listEntryMemory
 }
 
-// listServiceMemory estimates the memory of a number of replicas and of the watches of [watchesOf], in bytes.
+// listServiceMemory is like listMemory, and includes the watches of the list.
 func listServiceMemory(replicas, entries int) uint64 {
 	return listMemory(replicas, entries) + uint64(watchesOf(entries))*listWatchMemory
 }
 
-// listRows collects the rows of a part at one size.
+// listRows is a rowWriter with methods for counts, sizes in bytes and durations.
 type listRows struct {
 	rowWriter
 }
@@ -234,7 +235,7 @@
 	service    *listReplica
 	writer     *listWriter
 	watches    int
-	beforeZone uint64 // generation before the first removal of the lost zone
+	beforeZone uint64 // generation before the first entry of the zone is removed
 }
 
 // measureOpenWatches measures the delivery of changes to open watches.
--- a/internal/scale/list_lost.go
+++ b/internal/scale/list_lost.go
@@ -13,8 +13,8 @@
 // reconnectStream selects the random stream of the seed that chooses the replicas to which watches reconnect.
 const reconnectStream = 0x105e
 
-// ListLostReplica returns the part that measures how a service of three replicas loses a replica that serves
-// all watches.
+// ListLostReplica returns the part that measures the loss of one of three replicas, which serves all watches
+// until then.
 func ListLostReplica() Part {
 	return Part{
 		Name: "list-lost-replica",
@@ -129,7 +129,7 @@
 
 // replicaLoss records the times of the loss of a replica, and of the removal of a zone in the meantime.
 type replicaLoss struct {
-	start           time.Time
+	start           time.Time // start of the shutdown of the replica and of the removals
 	watchesEnded    time.Time // all watches at the lost replica had ended
 	watchesReopened time.Time // all watches were open again
 	caughtUp        time.Time // all watches had the list as it was when the last of them was open again
@@ -137,7 +137,7 @@
 	complete        time.Time // all watches had the list without the zone
 
 	running            sync.WaitGroup
-	stopErr, removeErr error // of stopping the replica, and of removing the zone
+	stopErr, removeErr error // errors of stopping the replica and of removing the zone
 	mu                 sync.Mutex
 	longestRemoval     time.Duration // longest removal, including retries; guarded by mu
 }
@@ -195,8 +195,8 @@
 	return errors.Join(l.stopErr, l.removeErr)
 }
 
-// chooseReconnects chooses a random remaining replica for each watch. The watch continues after the last
-// generation that it received.
+// chooseReconnects chooses one of the two other replicas at random for each watch. The watch continues after
+// the last generation that it received.
 func (r *lostRun) chooseReconnects(watches *listWatches) []watchStart {
 	rng := rand.New(rand.NewPCG(r.steps.env.Seed, reconnectStream))
 	candidates := []string{r.leader.Addr(), r.remaining.Addr()}
@@ -207,7 +207,7 @@
 	return starts
 }
 
-// countReconnects counts the watches that reconnect to each replica.
+// countReconnects adds the numbers of watches that reconnect to the leader and to the follower.
 func (r *lostRun) countReconnects(starts []watchStart) {
 	atLeader := 0
 	for _, start := range starts {
@@ -217,7 +217,9 @@
 	r.rows.count("come back, at the replica that follows", len(starts)-atLeader)
 }
 
-// countReceived counts the messages to the watches at the lost replica and then at the other replicas.
+// countReceived adds rows for the messages that the watches receive at the lost replica and, after it, at the
+// others. before is the largest number of bytes that a watch had received before the loss. It returns an
+// error if a watch did not receive each change once and in order.
 func (r *lostRun) countReceived(watches, reconnected *listWatches, before uint64) error {
 	var maxBytes uint64
 	for i, w := range watches.all {
--- a/internal/scale/list_socket.go
+++ b/internal/scale/list_socket.go
@@ -5,8 +5,8 @@
 	"syscall"
 )
 
-// limitReceiveBuffer sets the receive buffer of a socket to watchBuffer bytes. Otherwise the kernel may grow
-// it to several megabytes per connection.
+// limitReceiveBuffer sets the receive buffer of a socket to watchReceiveBuffer bytes. Otherwise the kernel
+// may grow it to several megabytes per connection.
 func limitReceiveBuffer(_ context.Context, _, _ string, raw syscall.RawConn) error {
 	var err error
 	if ctl := raw.Control(func(fd uintptr) {
--- a/internal/scale/nodelist_test.go
+++ b/internal/scale/nodelist_test.go
@@ -110,7 +110,7 @@
 	}}
 	rows, err := measureNodeList(ctx, 50, env)
 	if !errors.Is(err, context.Canceled) {
-		t.Fatalf("error %v", err)
+		t.Fatalf("error %v, want context.Canceled", err)
 	}
 	if value(t, rows, "requests served") == 0 {
 		t.Error("the rows of the measured load are missing")
--- a/internal/scale/plot.go
+++ b/internal/scale/plot.go
@@ -65,11 +65,11 @@
 	}
 	plots[0][0].Title.Text = p.Title
 	chart := vgsvg.New(panelWidth, panelHeight*vg.Length(len(plots)))
-	whole := draw.New(chart)
+	canvas := draw.New(chart)
 	tiles := draw.Tiles{Rows: len(plots), Cols: 1}
-	for i, row := range plot.Align(plots, tiles, draw.Crop(whole, 0, -legendWidth, 0, 0)) {
+	for i, row := range plot.Align(plots, tiles, draw.Crop(canvas, 0, -legendWidth, 0, 0)) {
 		plots[i][0].Draw(row[0])
-		legends[i].Draw(tiles.At(whole, 0, i))
+		legends[i].Draw(tiles.At(canvas, 0, i))
 	}
 	var out bytes.Buffer
 	if _, err := chart.WriteTo(&out); err != nil {
@@ -101,15 +101,15 @@
 		if len(points) < 2 {
 			continue
 		}
-		line, marks, err := plotter.NewLinePoints(points)
+		line, markers, err := plotter.NewLinePoints(points)
 		if err != nil {
 			return nil, legend, err
 		}
 		line.Color, line.Width = plotutil.Color(curves), vg.Points(curveWidth)
 		line.Dashes = plotutil.Dashes(curves / len(plotutil.DefaultColors))
-		marks.Color, marks.Shape = line.Color, plotutil.Shape(curves)
-		panel.Add(line, marks)
-		legend.Add(quantity, line, marks)
+		markers.Color, markers.Shape = line.Color, plotutil.Shape(curves)
+		panel.Add(line, markers)
+		legend.Add(quantity, line, markers)
 		curves++
 	}
 	if curves == 0 {
--- a/internal/scale/quota.go
+++ b/internal/scale/quota.go
@@ -131,12 +131,12 @@
 	add("longest message", float64(c.longestMessage), "B")
 }
 
-// ratio returns part divided by whole, or 0 if whole is 0.
-func ratio(part, whole float64) float64 {
-	if whole == 0 {
+// ratio returns part divided by total, or 0 if total is 0.
+func ratio(part, total float64) float64 {
+	if total == 0 {
 		return 0
 	}
-	return part / whole
+	return part / total
 }
 
 // heapPerTenant measures the heap that a tenant uses on a node that knows it, in bytes. It simulates
--- a/internal/scale/quota_test.go
+++ b/internal/scale/quota_test.go
@@ -83,7 +83,7 @@
 	}}
 	rows, err := measureQuota(ctx, 1, env)
 	if !errors.Is(err, context.Canceled) {
-		t.Fatalf("error %v", err)
+		t.Fatalf("error %v, want context.Canceled", err)
 	}
 	value(t, rows, "requests, spread 2")
 	if slices.ContainsFunc(rows, func(r Row) bool { return r.Quantity == "requests, spread 3" }) {
--- a/internal/scale/restart.go
+++ b/internal/scale/restart.go
@@ -22,7 +22,7 @@
 	restartPollInterval = 10 * time.Second           // poll interval of a node without a watch, as in the settings
 	restartGeneration   = 1<<discovery.EpochBits + 1 // generation of the list
 	watchOpensPerSecond = 2_000                      // watches that a replica accepts per second, and in a burst
-	partInterval        = time.Second                // interval at which a node notices that a message is still arriving
+	partInterval        = time.Second                // interval at which a node reports to its follower that part of a message has arrived
 	restartMemory       = 4 << 10                    // estimated memory of a node, in bytes
 )
 
@@ -140,8 +140,8 @@
 	heap.Push(q, e)
 }
 
-// openLimiter limits the rate of new watches to watchOpensPerSecond per second, with a burst of the same
-// number. It is a token bucket.
+// openLimiter limits the rate of new watches to watchOpensPerSecond. It is a token bucket whose burst is the
+// watches of one second.
 type openLimiter struct {
 	tokens     float64
 	refilledAt time.Duration // time of the last refill
@@ -196,12 +196,12 @@
 	return nil
 }
 
-// apply processes an event. It returns whether a node has received its list by it.
+// apply processes an event. It reports whether the event has completed the list of a node.
 func (r *restart) apply(e restartEvent) (hasList bool) {
 	node := r.nodes[e.node]
 	switch {
 	case e.kind == wakeUp && e.id != node.lastWake || e.kind != wakeUp && e.id != node.call || node.hasList:
-		return false // the call has ended, or a later wake-up was scheduled
+		return false // the call has ended, a later wake-up was scheduled, or the node has its list
 	case e.kind == partArrived:
 		node.follower.Received(r.now, e.id, true)
 		r.queue.add(restartEvent{at: r.now + partInterval, node: e.node, kind: partArrived, id: e.id})
--- a/internal/scale/stopwatch.go
+++ b/internal/scale/stopwatch.go
@@ -9,13 +9,13 @@
 type callKind int
 
 const (
-	callOtherRequest            callKind = iota // any other request: it is rejected at once, or waits on the node that owns its quota
+	callOtherRequest            callKind = iota // a request of neither kind below: it is rejected at once, or waits on the node that owns its quota
 	callRequestAdmitted                         // a request for which a server was selected at once
 	callRequestForwardedToOwner                 // a request for whose units the node first asks the quota's owner
 	callAttemptFinished                         // the end of an attempt
 	callQuotaRequest                            // a peer's quota request, including the response to it
 	callQuotaRejected                           // a response to a quota request that led to no attempt: the owner rejected it, or it arrived too late
-	callQuotaGranted                            // a response to a quota request, including the selection of a server
+	callQuotaGranted                            // a response to a quota request that led to an attempt, including the selection of a server
 	callMessage                                 // any other peer message
 	callTick                                    // the periodic timer
 	callTimer                                   // any other timer
--- a/internal/scale/tenant.go
+++ b/internal/scale/tenant.go
@@ -77,7 +77,7 @@
 }
 
 // sampleTenants generates random tenants until their total demand reaches a rate, then scales all demands so
-// that the total equals it. Their first entry nodes are chosen from firsts.
+// that the total equals it. Their first entry nodes are chosen from firstEntryNodes.
 func sampleTenants(rng *rand.Rand, plans []balancer.Plan, firstEntryNodes []int, requestsPerS float64) []*tenant {
 	var all []*tenant
 	sum := 0.0
