--- a/cmd/opalhook/main_test.go
+++ b/cmd/opalhook/main_test.go
@@ -71,7 +71,7 @@
 		{[]string{"lab", "scale", "--part", "moons"}, "--part: got \"moons\", must be one of node-list"},
 		{[]string{"lab", "scale", "--part", "quota", "--sizes", "10,many"}, "--sizes: must be whole numbers separated by commas, got \"many\""},
 		{[]string{"lab", "scale", "--part", "quota", "--sizes", "10,0"}, "--sizes: must be at least 1, got 0"},
-		{[]string{"lab", "scale", "--sizes", "10"}, "--sizes: requires exactly one part"},
+		{[]string{"lab", "scale", "--sizes", "10"}, "--sizes: requires exactly one part, because each part has its own sizes; got "},
 		{[]string{"up", "--for", "10ms"}, "duration"},
 	} {
 		if _, err := call(t, c.args...); err == nil || !strings.Contains(err.Error(), c.want) {
--- a/cmd/opalhook/testbed.go
+++ b/cmd/opalhook/testbed.go
@@ -202,7 +202,7 @@
 func readScenarios(dir string) (rows []scenarioRow, errs error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.toml"))
 	if err != nil || len(paths) == 0 {
-		return nil, fmt.Errorf("folder %s: contains no scenario files (*.toml)", dir)
+		return nil, fmt.Errorf("no scenario files (*.toml) in folder %s; name the folder that contains them", dir)
 	}
 	for _, p := range paths {
 		scenario, err := testbed.LoadScenario(p)
--- a/internal/scale/quota_test.go
+++ b/internal/scale/quota_test.go
@@ -18,22 +18,22 @@
 			t.Fatal(err)
 		}
 		for _, spread := range quotaEntryNodes {
-			of := func(quantity string) float64 { return value(t, rows, fmt.Sprintf("%s, spread %d", quantity, spread)) }
-			if got := of("requests"); got < 0.7*float64(size) || got > 1.3*float64(size) {
+			get := func(quantity string) float64 { return value(t, rows, fmt.Sprintf("%s, spread %d", quantity, spread)) }
+			if got := get("requests"); got < 0.7*float64(size) || got > 1.3*float64(size) {
 				t.Errorf("size %d, spread %d: %v requests per second, want about %d", size, spread, got, size)
 			}
-			if got := of("longest message"); got > maxMessage {
+			if got := get("longest message"); got > maxMessage {
 				t.Errorf("size %d, spread %d: longest message has %v bytes, want at most %d", size, spread, got, maxMessage)
 			}
 			for _, quantity := range []string{"lost at the inbox", "refused", "refused with half of the quota unused", "units beyond quotas, of those admitted"} {
-				if got := of(quantity); got < 0 || got > 1 {
+				if got := get(quantity); got < 0 || got > 1 {
 					t.Errorf("size %d, spread %d: %s: got %v, want 0 to 1", size, spread, quantity, got)
 				}
 			}
-			if quotaRequests, heap := of("asks sent"), of("heap a tenant on a node"); (quotaRequests > 0) != (spread > 1) || heap <= 0 {
+			if quotaRequests, heap := get("asks sent"), get("heap a tenant on a node"); (quotaRequests > 0) != (spread > 1) || heap <= 0 {
 				t.Errorf("size %d, spread %d: %v quota requests per second, %v bytes per tenant", size, spread, quotaRequests, heap)
 			}
-			if spread == 1 && of("units beyond quotas, of the quotas") != 0 {
+			if spread == 1 && get("units beyond quotas, of the quotas") != 0 {
 				t.Errorf("size %d: a single entry node admits units beyond quotas", size)
 			}
 		}
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -125,7 +125,7 @@
 		return parts, nil
 	}
 	if len(parts) != 1 {
-		return nil, &InputError{"sizes", "requires exactly one part, because each part has its own sizes"}
+		return nil, &InputError{"sizes", fmt.Sprintf("requires exactly one part, because each part has its own sizes; got %d parts", len(parts))}
 	}
 	for _, size := range o.Sizes {
 		switch {
