--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -9,23 +9,23 @@
 	"opalhook/balancer"
 )
 
-// Servers of a simulated fleet: how long they take and how often they can't.
+// Parameters of the app servers and requests of a simulated fleet.
 const (
 	minServiceTime        = 6 * time.Millisecond
-	meanExtraServiceTime  = 6 * time.Millisecond // mean of what is drawn on top
-	overloadedFraction    = 0.002
-	errorFraction         = 0.001
+	meanExtraServiceTime  = 6 * time.Millisecond // mean of the exponentially distributed part of the service time
+	overloadedFraction    = 0.002                // fraction of attempts that a server rejects because of overload
+	errorFraction         = 0.001                // fraction of attempts that a server answers with an error
 	serverZones           = 15
 	serversPerCell        = 21
-	maxReportedInFlight   = 6 // requests in hand that a server reports, at most
-	nonIdempotentFraction = 0.3
+	maxReportedInFlight   = 6   // exclusive upper bound of the in-flight requests in a load report
+	nonIdempotentFraction = 0.3 // fraction of requests
 )
 
-// clientDeadline is the time a client waits over all its attempts.
+// clientDeadline is the time after which a client gives up on a request, over all its attempts.
 const clientDeadline = 4 * time.Second
 
-// fleetSettings are the settings of an edge node of a large fleet: the form's sample with figures for
-// two classes, three plans and an inbox of 40 messages a second.
+// fleetSettings returns the settings of an edge node of a large fleet: two request classes, three plans and
+// at most 40 peer messages per second.
 func fleetSettings(nodeCount, nodeIndex int) balancer.Settings {
 	return balancer.Settings{
 		NodeIndex: nodeIndex, NodeCount: nodeCount, Zone: zoneOf(nodeIndex),
@@ -42,9 +42,10 @@
 	}
 }
 
+// zoneOf returns the zone of a node or an app server by its number.
 func zoneOf(number int) string { return "zone-" + strconv.Itoa(number%serverZones) }
 
-// server returns the list's entry of a server by its number; the same each time.
+// server returns the list entry of the app server with the given number. It depends on the number alone.
 func server(number int) balancer.Endpoint {
 	return balancer.Endpoint{
 		ID: fmt.Sprintf("server-%06d", number), Weight: 1, MachineType: "standard",
@@ -52,7 +53,7 @@
 	}
 }
 
-// serverList returns the list of the first servers.
+// serverList returns the list entries of the app servers 0 to count-1.
 func serverList(count int) []balancer.Endpoint {
 	list := make([]balancer.Endpoint, count)
 	for i := range list {
@@ -61,20 +62,20 @@
 	return list
 }
 
-// counts is what an edge node did, or all of a fleet. All are counts and sums that the seed decides.
+// counts are the counters of an edge node, or their sums over a fleet. They depend on the seed alone.
 type counts struct {
 	requests, served, rejected, failed        int
-	duplicateAnswers                          int // final answers to a request that had one
-	unanswered                                int // requests without one after their deadline
+	duplicateResponses                        int // final responses to a request that already had one
+	unanswered                                int // requests without a final response after their deadline
 	attempts                                  int
-	quotaRequests, quotaGrants, otherMessages int // messages sent
-	bytes                                     int // of them
-	longestMessage                            int // bytes of the longest message
-	arrived, discarded                        int // messages that came to the inbox, and of them those over its rate
-	receivedBytes                             int // bytes of the messages taken in
-	admittedUnits                             float64
-	overQuotaUnits                            float64 // of them, those that the quota did not have
-	rejectedInQuota                           int     // rejections while half of the quota was unused
+	quotaRequests, quotaGrants, otherMessages int     // messages sent, by kind
+	bytes                                     int     // bytes of the messages sent
+	longestMessage                            int     // bytes of the longest message sent
+	arrived, discarded                        int     // messages that reached the inbox, and those discarded because of its rate limit
+	receivedBytes                             int     // bytes of the messages that the inbox accepted
+	admittedUnits                             float64 // units of the requests sent to a server
+	overQuotaUnits                            float64 // admitted units of requests that exceeded the tenant's quota
+	rejectedInQuota                           int     // requests rejected while at least half of the tenant's burst was unused
 }
 
 func (c *counts) add(d *counts) {
@@ -82,7 +83,7 @@
 	c.served += d.served
 	c.rejected += d.rejected
 	c.failed += d.failed
-	c.duplicateAnswers += d.duplicateAnswers
+	c.duplicateResponses += d.duplicateResponses
 	c.unanswered += d.unanswered
 	c.attempts += d.attempts
 	c.quotaRequests += d.quotaRequests
@@ -100,8 +101,8 @@
 
 func (c *counts) messages() int { return c.quotaRequests + c.quotaGrants + c.otherMessages }
 
-// fleet is a number of simulated nodes, with real balancers, on one simulated clock. Their clients, servers and links are
-// drawn from one seed, so that the same seed gives the same decisions.
+// fleet is a set of simulated edge nodes with real balancers on one simulated clock. The behavior of clients,
+// app servers and links is generated from one seed, so that the same seed leads to the same decisions.
 type fleet struct {
 	clock      clock
 	rng        *rand.Rand
@@ -109,22 +110,23 @@
 	seed       uint64
 	nodeCount  int
 	entryNodes int
-	inboxRate  float64                // messages a second that an inbox takes
-	nodes      map[int]*simulatedNode // by number; a node that is not simulated takes messages and is silent
-	added      []*simulatedNode       // by the order in which they were added
-	nextID     int
+	inboxRate  float64                // rate limit of each inbox, in messages per second
+	nodes      map[int]*simulatedNode // by number; messages to a node that is not simulated are counted and dropped
+	added      []*simulatedNode       // the same nodes in the order in which they were added
+	nextID     int                    // number of requests so far
 }
 
 func newFleet(seed uint64, nodeCount, entryNodes int) *fleet {
 	rng := rand.New(rand.NewPCG(seed, 0x5ca1e))
 	return &fleet{
 		rng: rng, link: link{rng}, seed: seed, nodeCount: nodeCount, entryNodes: entryNodes,
-		inboxRate: fleetSettings(nodeCount, 0).PeerMessagesPerSecond, nodes: map[int]*simulatedNode{}, clock: clock{now: time.Hour}, // servers started long ago
+		inboxRate: fleetSettings(nodeCount, 0).PeerMessagesPerSecond, nodes: map[int]*simulatedNode{},
+		clock: clock{now: time.Hour}, // servers start at 0, so that their slow start is over
 	}
 }
 
-// add makes an edge node and starts its balancer, which has no list yet.
-func (f *fleet) add(number int) (*simulatedNode, error) {
+// addNode creates an edge node and starts its balancer. The node has no endpoint list yet.
+func (f *fleet) addNode(number int) (*simulatedNode, error) {
 	settings := fleetSettings(f.nodeCount, number)
 	b, err := balancer.New(settings, f.seed<<16+uint64(number))
 	if err != nil {
@@ -140,10 +142,10 @@
 	return n, nil
 }
 
-// addAll makes all edge nodes, each with the same list.
-func (f *fleet) addAll(servers int) error {
+// addAllNodes creates all edge nodes of the fleet, each with the list of the first servers.
+func (f *fleet) addAllNodes(servers int) error {
 	for number := range f.nodeCount {
-		n, err := f.add(number)
+		n, err := f.addNode(number)
 		if err != nil {
 			return err
 		}
@@ -152,8 +154,9 @@
 	return nil
 }
 
-// arrive begins the requests of a tenant, each at one of its nodes, until a time.
-func (f *fleet) arrive(t *tenant, end time.Duration) {
+// scheduleArrivals schedules the requests of a tenant until end. Each arrives at a random entry node of the
+// tenant. Requests at nodes that are not simulated are dropped.
+func (f *fleet) scheduleArrivals(t *tenant, end time.Duration) {
 	wait := time.Duration(f.rng.ExpFloat64() / t.demand * float64(time.Second))
 	if f.clock.now+wait >= end {
 		return
@@ -161,13 +164,13 @@
 	f.clock.after(wait, func() {
 		number := (t.firstEntryNode + f.rng.IntN(f.entryNodes)) % f.nodeCount
 		if n := f.nodes[number]; n != nil {
-			n.requestArrives(t)
+			n.receiveRequest(t)
 		}
-		f.arrive(t, end)
+		f.scheduleArrivals(t, end)
 	})
 }
 
-// total sums what all edge nodes did.
+// total returns the sums of the counters of all simulated nodes.
 func (f *fleet) total() (sum counts) {
 	for _, n := range f.added {
 		sum.add(&n.counts)
@@ -175,19 +178,20 @@
 	return sum
 }
 
-// reset forgets what was counted so far.
-func (f *fleet) reset() {
+// resetCounts clears the counters and the used endpoints of all simulated nodes.
+func (f *fleet) resetCounts() {
 	for _, n := range f.added {
 		n.counts = counts{}
 		clear(n.usedEndpoints)
 	}
 }
 
-// finish marks the requests that have no final answer; to be called once all deadlines have passed.
-func (f *fleet) finish() {
+// countUnanswered counts the requests without a final response as unanswered. Call it once all deadlines have
+// passed.
+func (f *fleet) countUnanswered() {
 	for _, n := range f.added {
 		for _, q := range n.open {
-			if q.finalAnswers == 0 {
+			if q.finalResponses == 0 {
 				n.counts.unanswered++
 			}
 		}
--- a/internal/scale/list_expiry.go
+++ b/internal/scale/list_expiry.go
@@ -8,78 +8,78 @@
 	"opalhook/internal/registry"
 )
 
-// The lease of the zone's instances must outlast the opening of all watches, of which a replica
-// takes 2,000 a second, and the renewal of each lease after it.
+// The leases of the zone must not expire before all watches are open and the leases have been renewed. A
+// replica accepts 2,000 new watches per second.
 const (
 	minZoneLease      = 5 * time.Second
-	zoneLeasePerWatch = 4 * time.Millisecond // for each watch
+	zoneLeasePerWatch = 4 * time.Millisecond
 )
 
-// zoneLease is the lease of the zone's instances in a list of that many entries.
+// zoneLease returns the lease duration of the zone's instances in a list with the given number of entries.
 func zoneLease(entries int) time.Duration {
 	return minZoneLease + time.Duration(watchesOf(entries))*zoneLeasePerWatch
 }
 
-// ListExpiry measures the loss of a zone as the service finds it: the leases of its instances run
-// out together.
+// ListExpiry returns the part that measures how the service detects the loss of a zone: the leases of all its
+// instances expire together.
 func ListExpiry() Part {
 	return Part{
 		Name: "list-expiry",
-		Title: "One replica of the list service with the plan's share of watches, over loopback in one process: all leases of a zone " +
-			"are renewed by 64 clients once the watches are open, and run out; those of the other zones do not.",
-		Size:    "entries in the list, each with a lease",
-		Sizes:   listSizes,
-		Small:   listSmall,
-		Memory:  func(size int) uint64 { return listServiceMemory(1, size) },
-		Measure: inSteps("list-expiry", 4, measureExpiry),
+		Title: "Loss of a zone whose leases expire, at one replica of the list service with watches as planned, over loopback in one process: " +
+			"64 clients renew all leases of the zone once the watches are open, and never again.",
+		Size:      "entries in the list, each with a lease",
+		Sizes:     listSizes,
+		TestSizes: listTestSizes,
+		Memory:    func(size int) uint64 { return listServiceMemory(1, size) },
+		Measure:   measureInSteps("list-expiry", 4, measureExpiry),
 	}
 }
 
-func measureExpiry(at *listSteps, rows *rowsOf) (err error) {
+func measureExpiry(steps *listSteps, rows *listRows) (err error) {
 	lease := zoneLease(rows.size)
-	service, err := at.restore(rows.size, lease, electionTimeout)
+	service, err := steps.restore(rows.size, lease, electionTimeout)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, service.close()) }()
-	run := expiryRun{at: at, rows: rows, service: service, writer: newListWriter(service.Addr()), lease: lease, before: service.Generation()}
+	run := expiryRun{steps: steps, rows: rows, service: service, writer: newListWriter(service.Addr()), leaseTerm: lease, before: service.Generation()}
 	defer run.writer.close()
 	return run.measure()
 }
 
-// expiryRun is the measurement of the expiry of one list's zone.
+// expiryRun is a measurement of [ListExpiry] at one size.
 type expiryRun struct {
-	at      *listSteps
-	rows    *rowsOf
-	service *listReplica
-	writer  *listWriter
-	lease   time.Duration // of the zone's instances
-	before  uint64        // generation before the first lease runs out
+	steps     *listSteps
+	rows      *listRows
+	service   *listReplica
+	writer    *listWriter
+	leaseTerm time.Duration // lease duration of the zone's instances
+	before    uint64        // generation before the first expiry
 }
 
-// earlyExpiryError tells that leases ran out before the last of them was renewed with all watches open.
+// earlyExpiryError reports that a lease expired before all watches were open and all leases had been renewed.
 type earlyExpiryError struct {
 	lease       time.Duration
-	before, now uint64 // generations
+	before, now uint64 // generations of the list: the expected and the actual one
 }
 
 func (e *earlyExpiryError) Error() string {
-	return fmt.Sprintf("leases of %v ran out before all watches were open and the leases renewed: generation %d, not %d", e.lease, e.now, e.before)
+	return fmt.Sprintf("a lease of %v expired before all watches were open and all leases had been renewed: generation is %d, want %d", e.lease, e.now, e.before)
 }
 
-// checkNoneExpired returns an error where a lease has run out.
+// checkNoneExpired returns an [earlyExpiryError] if a lease has expired.
 func (r *expiryRun) checkNoneExpired() error {
 	if now := r.service.Generation(); now != r.before {
-		return &earlyExpiryError{r.lease, r.before, now}
+		return &earlyExpiryError{r.leaseTerm, r.before, now}
 	}
 	return nil
 }
 
 func (r *expiryRun) measure() error {
-	if err := r.at.next("opening watches"); err != nil {
+	if err := r.steps.next("opening watches"); err != nil {
 		return err
 	}
-	watches, err := openWatches(r.at.ctx, startsAt(r.service.Addr(), watchesOf(r.rows.size), r.before), r.at.env.Seed)
+	watches, err := openWatches(r.steps.ctx, startsAt(r.service.Addr(), watchesOf(r.rows.size), r.before), r.steps.env.Seed)
 	if err != nil {
 		return err
 	}
@@ -92,79 +92,80 @@
 	return r.expire(watches, ends)
 }
 
-// leaseEnds bounds when the leases of the zone run out.
+// leaseEnds are the bounds of the times at which the zone's leases expire.
 type leaseEnds struct{ first, last time.Time }
 
-// renew renews each lease of the zone, so that it is known when they run out.
+// renew renews all leases of the zone once, which determines when they expire.
 func (r *expiryRun) renew() (ends leaseEnds, err error) {
-	if err := r.at.next("renewing the zone's leases"); err != nil {
+	if err := r.steps.next("renewing the zone's leases"); err != nil {
 		return ends, err
 	}
-	began := time.Now()
-	err = eachOfZone(r.at.ctx, r.rows.size, r.writer.renew)
+	start := time.Now()
+	err = forEachInZone(r.steps.ctx, r.rows.size, r.writer.renew)
 	renewed := time.Now()
 	if err := errors.Join(r.checkNoneExpired(), err); err != nil {
 		return ends, err
 	}
-	r.rows.time("zone's leases", r.lease)
-	r.rows.time("zone's leases, all renewed for the last time", renewed.Sub(began))
-	return leaseEnds{began.Add(r.lease), renewed.Add(r.lease)}, nil
+	r.rows.time("zone's leases", r.leaseTerm)
+	r.rows.time("zone's leases, all renewed for the last time", renewed.Sub(start))
+	return leaseEnds{start.Add(r.leaseTerm), renewed.Add(r.leaseTerm)}, nil
 }
 
-// expire waits until the zone's leases have run out and all watches were told.
+// expire waits until the zone's leases have expired and all watches have received the removals.
 func (r *expiryRun) expire(watches *listWatches, ends leaseEnds) error {
-	if err := r.at.next("waiting for the zone's leases to run out"); err != nil {
+	if err := r.steps.next("waiting for the zone's leases to expire"); err != nil {
 		return err
 	}
 	after, err := r.awaitExpiry()
 	if err != nil {
 		return err
 	}
-	last, err := watches.awaitGeneration(r.at.ctx, after.Generation)
+	last, err := watches.awaitGeneration(r.steps.ctx, after.Generation)
 	if err != nil {
 		return err
 	}
-	told := watches.count()
+	received := watches.totals()
 	r.rows.count("zone expired, entries", r.rows.size-after.Entries)
 	r.rows.count("zone expired, messages to a watch", int(after.Generation-r.before))
 	r.rows.time("zone expired, from the first lease's end to the last watch", last.Sub(ends.first))
 	r.rows.time("zone expired, from the last lease's end to the last watch", max(last.Sub(ends.last), 0))
-	r.rows.time("zone expired, from the first watch that has it all to the last", last.Sub(told.firstWhen))
-	r.rows.bytes("zone expired, most to a watch", told.maxBytes)
-	r.rows.count("watches told otherwise than each change once and in order", told.outOfOrder)
-	r.rows.count("whole lists to watches that were open", int(told.snapshots))
-	return told.firstError
+	r.rows.time("zone expired, from the first watch that has it all to the last", last.Sub(received.firstCurrent))
+	r.rows.bytes("zone expired, most to a watch", received.maxBytes)
+	r.rows.count("watches told otherwise than each change once and in order", received.outOfOrder)
+	r.rows.count("whole lists to watches that were open", int(received.snapshots))
+	return received.firstError
 }
 
-// awaitExpiry waits until as few entries are left as the other zones have. The service is asked only
-// where its list has changed.
+// awaitExpiry waits until the list has only the entries of the other zones, and returns the replica's status.
+// It requests the status only when the generation has changed. It returns an [expiryError] if the wait ends
+// early.
 func (r *expiryRun) awaitExpiry() (status registry.Status, err error) {
-	others := r.rows.size - zoneEntries(r.rows.size)
+	remaining := r.rows.size - zoneEntries(r.rows.size)
 	status.Entries, status.Generation = r.rows.size, r.before
-	waited := awaitReplica(r.at.ctx, "the zone's leases to run out", func() bool {
+	waitErr := awaitReplica(r.steps.ctx, "the zone's leases to expire", func() bool {
 		if r.service.Generation() != status.Generation {
-			status, err = r.writer.status(r.at.ctx)
+			status, err = r.writer.status(r.steps.ctx)
 		}
-		return err != nil || status.Entries <= others
+		return err != nil || status.Entries <= remaining
 	})
-	if waited == nil {
+	if waitErr == nil {
 		return status, err
 	}
-	if latest, failed := r.writer.status(r.at.ctx); failed == nil {
+	if latest, statusErr := r.writer.status(r.steps.ctx); statusErr == nil {
 		status = latest
 	}
-	return status, errors.Join(err, &expiryError{status.Entries, others, status.ExpirySuspended, waited})
+	return status, errors.Join(err, &expiryError{status.Entries, remaining, status.ExpirySuspended, waitErr})
 }
 
-// expiryError tells that entries stay whose leases have run out.
+// expiryError reports that entries are still in the list although their leases should have expired.
 type expiryError struct {
-	entries, expected int // in the list, and of zones whose leases last
-	suspended         bool
-	why               error
+	entries, expected int   // in the list: the actual and the expected number
+	suspended         bool  // the replica has suspended the expiry of leases
+	cause             error // why the wait ended
 }
 
 func (e *expiryError) Error() string {
-	return fmt.Sprintf("%d entries are left, %d of other zones; expiry is paused: %v: %v", e.entries, e.expected, e.suspended, e.why)
+	return fmt.Sprintf("%d entries are left, want %d after the zone's leases have expired; expiry suspended: %v: %v", e.entries, e.expected, e.suspended, e.cause)
 }
 
-func (e *expiryError) Unwrap() error { return e.why }
+func (e *expiryError) Unwrap() error { return e.cause }
--- a/internal/scale/list_renew.go
+++ b/internal/scale/list_renew.go
@@ -14,127 +14,129 @@
 	"time"
 )
 
-// Figures of the measurement of renewals.
+// Parameters of the measurement of renewals.
 const (
-	renewClients    = 32     // threads, each with one connection at a time
-	renewalsKept    = 30_000 // over connections that stay open
-	renewalsEach    = 6_000  // over a connection for each
-	renewalsALease  = 3      // in the plan
-	planLeaseTerm   = 10     // seconds, in the plan
-	processorThread = 1      // RUSAGE_THREAD of getrusage(2): the calling thread
+	renewClients         = 32     // clients, each with a thread of its own and one connection at a time
+	maxKeepAliveRenewals = 30_000 // maximum number of renewals over persistent connections
+	maxSingleRenewals    = 6_000  // maximum number of renewals with a new connection for each
+	renewalsPerTerm      = 3      // planned renewals of a lease during its term
+	plannedLeaseSeconds  = 10     // planned lease duration, in seconds
+	rusageThread         = 1      // RUSAGE_THREAD of getrusage(2): the calling thread
 )
 
-// ListRenewals measures what the renewals of a list's leases cost the service.
+// ListRenewals returns the part that measures the CPU time that the service spends on lease renewals.
 func ListRenewals() Part {
 	return Part{
 		Name: "list-renewals",
-		Title: "Renewals of all leases of a list over loopback: processor time of the replicas, without that of the clients, " +
-			"and of a second of the plan's renewals, each lease three times in 10 s. With three replicas it is that of all three.",
-		Size:    "leases",
-		Sizes:   listSizes,
-		Small:   []int{100},
-		Memory:  func(size int) uint64 { return listMemory(serviceReplicas, size) },
-		Measure: inSteps("list-renewals", 4, measureRenewals),
+		Title: "Lease renewals over loopback: CPU time of the replicas, without that of the clients, per renewal and per second of the " +
+			"planned renewals, in which each lease is renewed three times in 10 s. With three replicas it is the sum of all three.",
+		Size:      "leases",
+		Sizes:     listSizes,
+		TestSizes: []int{100},
+		Memory:    func(size int) uint64 { return listMemory(serviceReplicas, size) },
+		Measure:   measureInSteps("list-renewals", 4, measureRenewals),
 	}
 }
 
-func measureRenewals(at *listSteps, rows *rowsOf) (err error) {
-	leader, err := at.restore(rows.size, listLease, serviceElection)
+func measureRenewals(steps *listSteps, rows *listRows) (err error) {
+	leader, err := steps.restore(rows.size, listLease, serviceElectionTimeout)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, leader.close()) }()
-	if err := renewAll(at, rows, leader.Addr(), "one replica"); err != nil {
+	if err := renewAll(steps, rows, leader.Addr(), "one replica"); err != nil {
 		return err
 	}
-	if err := at.next("adding replicas"); err != nil {
+	if err := steps.next("adding replicas"); err != nil {
 		return err
 	}
-	began := time.Now()
-	followers, err := joinReplicas(at.ctx, leader)
+	start := time.Now()
+	followers, err := joinReplicas(steps.ctx, leader)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, closeReplicas(followers)) }()
-	rows.time("two replicas join, until they have the list", time.Since(began))
-	if err := awaitReplica(at.ctx, "the first replica to lead", leader.IsLeader); err != nil {
+	rows.time("two replicas join, until they have the list", time.Since(start))
+	if err := awaitReplica(steps.ctx, "the first replica to become the leader", leader.IsLeader); err != nil {
 		return err
 	}
-	return renewAll(at, rows, leader.Addr(), "three replicas")
+	return renewAll(steps, rows, leader.Addr(), "three replicas")
 }
 
-// renewAll measures renewals over connections that stay open, and over one for each.
-func renewAll(at *listSteps, rows *rowsOf, addr, service string) error {
-	if err := at.next("renewing leases, " + service); err != nil {
+// renewAll measures renewals over persistent connections, and with a new connection for each.
+func renewAll(steps *listSteps, rows *listRows, addr, service string) error {
+	if err := steps.next("renewing leases, " + service); err != nil {
 		return err
 	}
-	for _, way := range []struct {
-		name  string
-		count int
-		keep  bool
-	}{{"connections kept", min(renewalsKept, 2*rows.size), true}, {"a connection each", min(renewalsEach, rows.size), false}} {
-		cost, err := renew(at, addr, rows.size, way.count, way.keep)
+	for _, mode := range []struct {
+		name      string
+		count     int
+		keepAlive bool
+	}{{"connections kept", min(maxKeepAliveRenewals, 2*rows.size), true}, {"a connection each", min(maxSingleRenewals, rows.size), false}} {
+		cost, err := renew(steps, addr, rows.size, mode.count, mode.keepAlive)
 		if err != nil {
-			return fmt.Errorf("renewals, %s, %s: %w", service, way.name, err)
+			return fmt.Errorf("renewals, %s, %s: %w", service, mode.name, err)
 		}
-		prefix := fmt.Sprintf("renewals, %s, %s: ", service, way.name)
+		prefix := fmt.Sprintf("renewals, %s, %s: ", service, mode.name)
 		rows.time(prefix+"processor time of one", cost)
-		aSecond := float64(rows.size) * renewalsALease / planLeaseTerm
-		rows.time(prefix+"processor time of a second of the plan's", time.Duration(aSecond*float64(cost)))
+		perSecond := float64(rows.size) * renewalsPerTerm / plannedLeaseSeconds
+		rows.time(prefix+"processor time of a second of the plan's", time.Duration(perSecond*float64(cost)))
 	}
 	return nil
 }
 
-// renew renews drawn leases and returns the processor time that the service spent on each.
-func renew(at *listSteps, addr string, leases, count int, keep bool) (each time.Duration, err error) {
+// renew renews random leases and returns the CPU time that the service spends on each renewal. That is the
+// CPU time of the process without that of the client threads.
+func renew(steps *listSteps, addr string, leases, count int, keepAlive bool) (perRenewal time.Duration, err error) {
 	to, err := socketAddress(addr)
 	if err != nil {
 		return 0, err
 	}
 	var mu sync.Mutex
-	var clients time.Duration
+	var clientTime time.Duration
 	var errs []error
-	var work sync.WaitGroup
-	before, err := processorTime(syscall.RUSAGE_SELF)
+	var wg sync.WaitGroup
+	before, err := cpuTime(syscall.RUSAGE_SELF)
 	if err != nil {
 		return 0, err
 	}
 	sent := 0
 	for i := range renewClients {
-		share := count/renewClients + oneIf(i < count%renewClients)
-		sent += share
-		work.Go(func() {
-			c := renewClient{to: *to, leases: leases, keep: keep, rng: rand.New(rand.NewPCG(at.env.Seed, uint64(i)))}
-			spent, err := c.run(at.ctx, share)
+		renewals := count/renewClients + boolToInt(i < count%renewClients)
+		sent += renewals
+		wg.Go(func() {
+			c := renewClient{to: *to, leases: leases, keepAlive: keepAlive, rng: rand.New(rand.NewPCG(steps.env.Seed, uint64(i)))}
+			used, err := c.run(steps.ctx, renewals)
 			mu.Lock()
 			defer mu.Unlock()
-			clients += spent
+			clientTime += used
 			errs = append(errs, err)
 		})
 	}
-	work.Wait()
+	wg.Wait()
 	if err := errors.Join(errs...); err != nil {
 		return 0, err
 	}
-	after, err := processorTime(syscall.RUSAGE_SELF)
+	after, err := cpuTime(syscall.RUSAGE_SELF)
 	if err != nil {
 		return 0, err
 	}
-	return max(after-before-clients, 0) / time.Duration(max(sent, 1)), nil
+	return max(after-before-clientTime, 0) / time.Duration(max(sent, 1)), nil
 }
 
-func oneIf(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// processorTime is what this process, or this thread, has used of the processors.
-func processorTime(who int) (time.Duration, error) {
+// cpuTime returns the CPU time used so far by this process or by the calling thread. who is RUSAGE_SELF or
+// rusageThread.
+func cpuTime(who int) (time.Duration, error) {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(who, &u); err != nil {
-		return 0, fmt.Errorf("processor time: %w", err)
+		return 0, fmt.Errorf("reading the CPU time: %w", err)
 	}
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano()), nil
 }
@@ -147,45 +149,45 @@
 	return &syscall.SockaddrInet4{Port: int(a.Port()), Addr: a.Addr().As4()}, nil
 }
 
-// renewClient renews leases one after another. It has a thread and blocking sockets of its own,
-// so that its processor time can be told from the service's.
+// renewClient renews leases one after another. It runs on its own thread and uses blocking sockets, so that
+// its CPU time can be measured separately from that of the service.
 type renewClient struct {
-	to     syscall.SockaddrInet4 // its own: Connect writes into it
-	leases int
-	keep   bool
-	rng    *rand.Rand
-	fd     int
+	to        syscall.SockaddrInet4 // a copy for each client, because Connect writes into it
+	leases    int
+	keepAlive bool // keep the connection open between renewals
+	rng       *rand.Rand
+	fd        int // socket; -1: none
 }
 
-// run sends renewals and returns the processor time that it took itself.
-func (c *renewClient) run(ctx context.Context, count int) (spent time.Duration, err error) {
+// run sends a number of renewals and returns the CPU time of its own thread.
+func (c *renewClient) run(ctx context.Context, count int) (used time.Duration, err error) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	before, err := processorTime(processorThread)
+	before, err := cpuTime(rusageThread)
 	if err != nil {
 		return 0, err
 	}
 	c.fd = -1
 	for range count {
-		if err := errors.Join(ctx.Err(), c.one()); err != nil {
-			c.hangUp()
+		if err := errors.Join(ctx.Err(), c.renewOne()); err != nil {
+			c.closeSocket()
 			return 0, err
 		}
 	}
-	c.hangUp()
-	after, err := processorTime(processorThread)
+	c.closeSocket()
+	after, err := cpuTime(rusageThread)
 	return after - before, err
 }
 
-// one renews a drawn lease.
-func (c *renewClient) one() error {
+// renewOne renews a random lease.
+func (c *renewClient) renewOne() error {
 	if c.fd < 0 {
 		if err := c.dial(); err != nil {
 			return err
 		}
 	}
 	closing := ""
-	if !c.keep {
+	if !c.keepAlive {
 		closing = "Connection: close\r\n"
 	}
 	id := listEntry(c.rng.IntN(c.leases)).InstanceID
@@ -193,45 +195,46 @@
 	for len(request) > 0 {
 		n, err := uninterrupted(syscall.Write, c.fd, request)
 		if err != nil {
-			return fmt.Errorf("write: %w", err)
+			return fmt.Errorf("writing the request: %w", err)
 		}
 		request = request[n:]
 	}
-	answer, err := c.answer()
+	response, err := c.readResponse()
 	if err != nil {
 		return err
 	}
-	if !strings.HasPrefix(string(answer), "HTTP/1.1 200 ") {
-		return fmt.Errorf("%s: answered %.300s", id, answer)
+	if !strings.HasPrefix(string(response), "HTTP/1.1 200 ") {
+		return fmt.Errorf("renewing %s: got response %.300q, want status 200", id, response)
 	}
-	if !c.keep {
-		c.hangUp()
+	if !c.keepAlive {
+		c.closeSocket()
 	}
 	return nil
 }
 
-// answerEnd ends the body of an answer, a JSON object on a line.
-var answerEnd = []byte("}\n")
+// responseEnd is the end of a response body, which is a JSON object on a line of its own.
+var responseEnd = []byte("}\n")
 
-func (c *renewClient) answer() ([]byte, error) {
-	answer := make([]byte, 0, 1024)
-	for !bytes.HasSuffix(answer, answerEnd) {
-		if len(answer) == cap(answer) {
-			return nil, fmt.Errorf("an answer of over %d bytes: %.300s", cap(answer), answer)
+// readResponse reads one response, with head and body.
+func (c *renewClient) readResponse() ([]byte, error) {
+	response := make([]byte, 0, 1024)
+	for !bytes.HasSuffix(response, responseEnd) {
+		if len(response) == cap(response) {
+			return nil, fmt.Errorf("response has more than %d bytes: %.300q", cap(response), response)
 		}
-		n, err := uninterrupted(syscall.Read, c.fd, answer[len(answer):cap(answer)])
+		n, err := uninterrupted(syscall.Read, c.fd, response[len(response):cap(response)])
 		if err == nil && n == 0 {
-			err = errors.New("closed")
+			err = errors.New("connection closed by the service")
 		}
 		if err != nil {
-			return nil, fmt.Errorf("read after %.300q: %w", answer, err)
+			return nil, fmt.Errorf("reading the response after %.300q: %w", response, err)
 		}
-		answer = answer[:len(answer)+n]
+		response = response[:len(response)+n]
 	}
-	return answer, nil
+	return response, nil
 }
 
-// uninterrupted calls again when a signal of the runtime came in between.
+// uninterrupted repeats a system call as long as a signal, such as those of the Go runtime, interrupts it.
 func uninterrupted(call func(int, []byte) (int, error), fd int, b []byte) (n int, err error) {
 	for {
 		if n, err = call(fd, b); !errors.Is(err, syscall.EINTR) {
@@ -243,19 +246,19 @@
 func (c *renewClient) dial() (err error) {
 	if c.fd, err = syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0); err != nil {
 		c.fd = -1
-		return fmt.Errorf("socket: %w", err)
+		return fmt.Errorf("creating a socket: %w", err)
 	}
-	wait := syscall.NsecToTimeval(serviceWithin.Nanoseconds())
+	wait := syscall.NsecToTimeval(serviceTimeout.Nanoseconds())
 	if err := syscall.SetsockoptTimeval(c.fd, syscall.SOL_SOCKET, syscall.SO_RCVTIMEO, &wait); err != nil {
-		return fmt.Errorf("time-out: %w", err)
+		return fmt.Errorf("setting the receive timeout: %w", err)
 	}
 	if err := syscall.Connect(c.fd, &c.to); err != nil {
-		return fmt.Errorf("connect: %w", err)
+		return fmt.Errorf("connecting: %w", err)
 	}
 	return nil
 }
 
-func (c *renewClient) hangUp() {
+func (c *renewClient) closeSocket() {
 	if c.fd >= 0 {
 		_ = syscall.Close(c.fd)
 		c.fd = -1
--- a/internal/scale/list_socket.go
+++ b/internal/scale/list_socket.go
@@ -5,11 +5,12 @@
 	"syscall"
 )
 
-// limitReceiveBuffer keeps the system from growing a connection's receive buffer to megabytes.
+// limitReceiveBuffer sets the receive buffer of a socket to watchReceiveBuffer bytes. Otherwise the kernel
+// may grow it to several megabytes per connection.
 func limitReceiveBuffer(_ context.Context, _, _ string, raw syscall.RawConn) error {
 	var err error
 	if ctl := raw.Control(func(fd uintptr) {
-		err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, watchBuffer)
+		err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, watchReceiveBuffer)
 	}); ctl != nil {
 		return ctl
 	}
--- a/internal/scale/nodelist.go
+++ b/internal/scale/nodelist.go
@@ -11,28 +11,30 @@
 
 const nodeListName = "node-list"
 
-// The edge node of the plan.
+// Load of an edge node in the planned fleet.
 const (
-	planInstances  = 4100
-	planRequests   = 512.0 // requests a second on a node
-	planEntryNodes = 3     // nodes that a tenant comes in through
+	plannedNodes       = 4100  // edge nodes
+	plannedRequestRate = 512.0 // requests per second at a node
+	plannedEntryNodes  = 3     // entry nodes of a tenant
 )
 
+// Parameters of the measurement.
 const (
-	measuredNode = planInstances / 2
-	peerServers  = 200 // servers that the peers' lists have: enough for their messages to carry news
-	listWarmup   = 500 * time.Millisecond
-	listRestarts = 20 // restarts, each a drain, a removal and an arrival
-	restartGap   = 50 * time.Millisecond
-	wholeLists   = 3 // lists after the first
-	listStages   = 4
-	loadSteps    = 10          // of the load, for the progress
-	shortLoad    = time.Second // measured load where a list is long
-	longLoad     = 4 * time.Second
-	maxShortList = 20000
+	measuredNode      = plannedNodes / 2       // number of the node
+	peerServers       = 200                    // servers in the peers' lists: enough for their gossip messages to have content
+	listWarmup        = 500 * time.Millisecond // load before the measurement
+	listRestarts      = 20                     // server restarts, each a drain, a removal and a new entry
+	restartGap        = 50 * time.Millisecond  // simulated time between changes
+	repeatedSnapshots = 3                      // complete lists after the first one
+	listStages        = 4                      // stages of the measurement, for progress reports
+	loadSteps         = 10                     // parts of the load between progress reports
+	shortLoad         = time.Second            // measured load with a list of more than maxShortList servers
+	longLoad          = 4 * time.Second        // measured load with a shorter list
+	maxShortList      = 20000                  // servers
 )
 
-// listLoad is for how long of the simulated time a node is measured: less where each call is dear.
+// listLoad returns the simulated time for which the load is measured. It is shorter for long lists, where
+// each call takes longer.
 func listLoad(servers int) time.Duration {
 	if servers <= maxShortList {
 		return longLoad
@@ -40,42 +42,43 @@
 	return shortLoad
 }
 
-// nodeList is one node of the plan's fleet against the length of the list of servers.
+// nodeList returns the part that measures one node of the planned fleet at increasing lengths of the endpoint
+// list.
 func nodeList() Part {
 	return Part{
 		Name: nodeListName,
-		Title: fmt.Sprintf("One edge node of %d at %g requests a second, spread %d, against the length of the list",
-			planInstances, planRequests, planEntryNodes),
-		Size:    "servers in the list",
-		Sizes:   []int{200, 2000, 20000, 200000},
-		Small:   []int{50, 200},
-		Memory:  func(size int) uint64 { return 256<<20 + uint64(size)*1024 },
-		Measure: measureNodeList,
+		Title: fmt.Sprintf("One edge node of %d at %g requests per second, with %d entry nodes for each tenant, against the length of the endpoint list",
+			plannedNodes, plannedRequestRate, plannedEntryNodes),
+		Size:      "servers in the list",
+		Sizes:     []int{200, 2000, 20000, 200000},
+		TestSizes: []int{50, 200},
+		Memory:    func(size int) uint64 { return 256<<20 + uint64(size)*1024 },
+		Measure:   measureNodeList,
 	}
 }
 
-// listBench is one measurement of a node.
+// listBench is a measurement of a node at one size.
 type listBench struct {
-	ctx     context.Context
-	env     Env
-	size    int
-	fleet   *fleet
-	node    *simulatedNode
-	watch   *stopwatch
-	heap    uint64 // before the node was made
-	holding uint64 // heap that the node holds with its list
-	loaded  uint64 // and after the load
-	load    counts // of the measured load
-	met     int    // servers met in it
-	last    int    // number of the last server that the list has named
+	ctx           context.Context
+	env           Env
+	size          int
+	fleet         *fleet
+	node          *simulatedNode
+	stopwatch     *stopwatch
+	heapBefore    uint64 // live heap before the node was created, in bytes
+	heapWithList  uint64 // heap of the node with its list, in bytes
+	heapAfterLoad uint64 // heap of the node after the load, in bytes
+	load          counts // counters of the measured load
+	usedCount     int    // number of servers that received attempts in it
+	lastServer    int    // largest number of a server that the list has had so far
 }
 
 func measureNodeList(ctx context.Context, size int, env Env) ([]Row, error) {
-	b := &listBench{ctx: ctx, env: env, size: size, last: size - 1}
+	b := &listBench{ctx: ctx, env: env, size: size, lastServer: size - 1}
 	stages := []struct {
 		doing string
 		run   func() error
-	}{{"whole list", b.start}, {"requests and messages", b.serve}, {"changes", b.change}, {"whole lists", b.relist}}
+	}{{"first complete list", b.start}, {"requests and messages", b.serve}, {"changes", b.change}, {"further complete lists", b.resync}}
 	for i, stage := range stages {
 		env.Progress(i, listStages, stage.doing)
 		if err := stage.run(); err != nil {
@@ -86,69 +89,69 @@
 	return b.rows(), nil
 }
 
-// start makes the peers, then the measured node with its list.
+// start creates the peers, schedules the requests, and creates the measured node with its list.
 func (b *listBench) start() error {
-	b.fleet = newFleet(b.env.Seed, planInstances, planEntryNodes)
-	var firsts []int
-	for number := measuredNode - planEntryNodes + 1; number < measuredNode+planEntryNodes; number++ {
+	b.fleet = newFleet(b.env.Seed, plannedNodes, plannedEntryNodes)
+	var firstEntryNodes []int
+	for number := measuredNode - plannedEntryNodes + 1; number < measuredNode+plannedEntryNodes; number++ {
 		if number <= measuredNode {
-			firsts = append(firsts, number)
+			firstEntryNodes = append(firstEntryNodes, number)
 		}
 		if number == measuredNode {
 			continue
 		}
-		peer, err := b.fleet.add(number)
+		peer, err := b.fleet.addNode(number)
 		if err != nil {
 			return err
 		}
 		peer.updateEndpoints(callFirstSnapshot, balancer.UpdateSnapshot, serverList(min(b.size, peerServers)))
 	}
 	end := b.fleet.clock.now + listWarmup + listLoad(b.size)
-	for _, t := range drawTenants(b.fleet.rng, fleetPlans(), firsts, planRequests*planEntryNodes) {
-		b.fleet.arrive(t, end)
+	for _, t := range sampleTenants(b.fleet.rng, fleetPlans(), firstEntryNodes, plannedRequestRate*plannedEntryNodes) {
+		b.fleet.scheduleArrivals(t, end)
 	}
-	b.heap = heapInUse()
+	b.heapBefore = heapInUse()
 	var err error
-	if b.node, err = b.fleet.add(measuredNode); err != nil {
+	if b.node, err = b.fleet.addNode(measuredNode); err != nil {
 		return err
 	}
-	b.watch = newStopwatch()
-	b.list(callFirstSnapshot, balancer.UpdateSnapshot, serverList(b.size))
-	b.holding = b.heapAdded()
+	b.stopwatch = newStopwatch()
+	b.deliver(callFirstSnapshot, balancer.UpdateSnapshot, serverList(b.size))
+	b.heapWithList = b.heapAdded()
 	return nil
 }
 
-// serve lets requests and messages come, and waits for the last answers.
+// serve measures the node under load, and then waits until all requests are finished.
 func (b *listBench) serve() error {
 	clock := &b.fleet.clock
 	if err := clock.runUntil(b.ctx, clock.now+listWarmup); err != nil {
 		return err
 	}
-	b.fleet.reset()
-	b.node.watch = b.watch
-	defer func() { b.load, b.met = b.node.counts, len(b.node.usedEndpoints) }()
-	began, load := clock.now, listLoad(b.size)
+	b.fleet.resetCounts()
+	b.node.stopwatch = b.stopwatch
+	defer func() { b.load, b.usedCount = b.node.counts, len(b.node.usedEndpoints) }()
+	start, load := clock.now, listLoad(b.size)
 	for step := range time.Duration(loadSteps) {
 		b.env.Progress(1, listStages, fmt.Sprintf("requests and messages, %d of %d", step, loadSteps))
-		if err := clock.runUntil(b.ctx, began+load*(step+1)/loadSteps); err != nil {
+		if err := clock.runUntil(b.ctx, start+load*(step+1)/loadSteps); err != nil {
 			return err
 		}
 	}
-	b.node.watch = nil // a node at rest is not what is measured
+	b.node.stopwatch = nil // calls of the idle node are not measured
 	if err := clock.runUntil(b.ctx, clock.now+clientDeadline); err != nil {
 		return err
 	}
-	b.fleet.finish()
-	b.loaded = b.heapAdded()
+	b.fleet.countUnanswered()
+	b.heapAfterLoad = b.heapAdded()
 	return nil
 }
 
-// change drains servers that the node has sent to and lets them come back, then restarts others.
+// change drains servers that the node has used and brings them up again. Then it restarts other servers.
 func (b *listBench) change() error {
-	for _, met := range b.serversMet(listRestarts) {
+	for _, used := range b.usedServers(listRestarts) {
 		for _, state := range []balancer.EndpointState{balancer.Draining, balancer.Up} {
-			met.State = state
-			if err := b.apply(callUsedEndpointChange, met); err != nil {
+			used.State = state
+			if err := b.apply(callUsedEndpointChange, used); err != nil {
 				return err
 			}
 		}
@@ -156,17 +159,17 @@
 	return b.restart()
 }
 
-// serversMet returns at most so many servers that the node has sent to.
-func (b *listBench) serversMet(most int) (met []balancer.Endpoint) {
-	for i := 0; i < b.size && len(met) < most; i++ {
+// usedServers returns at most limit servers to which the node has sent attempts.
+func (b *listBench) usedServers(limit int) (used []balancer.Endpoint) {
+	for i := 0; i < b.size && len(used) < limit; i++ {
 		if s := server(i); b.node.usedEndpoints[s.ID] {
-			met = append(met, s)
+			used = append(used, s)
 		}
 	}
-	return met
+	return used
 }
 
-// restart restarts servers one by one; each comes back under a new name.
+// restart restarts servers one by one. Each returns under a new ID.
 func (b *listBench) restart() error {
 	restarts := min(listRestarts, b.size)
 	for i := range restarts {
@@ -179,8 +182,8 @@
 		if err := b.apply(callEndpointChange, leaving); err != nil {
 			return err
 		}
-		b.last++
-		arriving := server(b.last)
+		b.lastServer++
+		arriving := server(b.lastServer)
 		arriving.StartedAt = b.fleet.clock.now
 		if err := b.apply(callEndpointChange, arriving); err != nil {
 			return err
@@ -189,49 +192,50 @@
 	return nil
 }
 
-// apply brings one change of the list, and lets some time pass.
+// apply delivers one change of the list and advances the clock by restartGap.
 func (b *listBench) apply(kind callKind, entry balancer.Endpoint) error {
-	b.list(kind, balancer.UpdateDelta, []balancer.Endpoint{entry})
+	b.deliver(kind, balancer.UpdateDelta, []balancer.Endpoint{entry})
 	return b.fleet.clock.runUntil(b.ctx, b.fleet.clock.now+restartGap)
 }
 
-// list times what the list brings, and nothing else.
-func (b *listBench) list(kind callKind, form balancer.UpdateKind, entries []balancer.Endpoint) {
-	b.node.watch = b.watch
+// deliver delivers a list update to the node and times only this call.
+func (b *listBench) deliver(kind callKind, form balancer.UpdateKind, entries []balancer.Endpoint) {
+	b.node.stopwatch = b.stopwatch
 	b.node.updateEndpoints(kind, form, entries)
-	b.node.watch = nil
+	b.node.stopwatch = nil
 }
 
-// relist brings the whole list again, as after a watch that was lost.
-func (b *listBench) relist() error {
-	for range wholeLists {
+// resync delivers the complete list again, as after a lost watch.
+func (b *listBench) resync() error {
+	for range repeatedSnapshots {
 		if err := b.ctx.Err(); err != nil {
 			return err
 		}
-		b.list(callNextSnapshot, balancer.UpdateSnapshot, serverList(b.size))
+		b.deliver(callNextSnapshot, balancer.UpdateSnapshot, serverList(b.size))
 	}
 	return nil
 }
 
-// heapAdded is the heap that has come since the measured node was made: its own, and little else.
+// heapAdded returns the growth of the live heap since the measured node was created, in bytes. Most of it
+// belongs to the node.
 func (b *listBench) heapAdded() uint64 {
 	now := heapInUse()
-	return max(now, b.heap) - b.heap
+	return max(now, b.heapBefore) - b.heapBefore
 }
 
-// heapInUse is what lives on the heap.
+// heapInUse returns the size of the live heap in bytes.
 func heapInUse() uint64 {
 	runtime.GC()
-	runtime.GC() // what finalizers and pools held falls to the second
+	runtime.GC() // the second collection frees what finalizers and pools still held in the first
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return m.HeapAlloc
 }
 
-// rows gives what was measured so far.
+// rows returns the rows of everything measured so far.
 func (b *listBench) rows() []Row {
 	r := rowWriter{part: nodeListName, size: b.size}
-	if b.watch == nil {
+	if b.stopwatch == nil {
 		return nil
 	}
 	for _, q := range []struct {
@@ -240,7 +244,7 @@
 	}{
 		{"request, server chosen", callRequestAdmitted},
 		{"request, peer asked", callRequestForwardedToOwner},
-		{"outcome", callOutcome},
+		{"outcome", callAttemptFinished},
 		{"message, ask answered", callQuotaRequest},
 		{"message, answer and send", callQuotaGranted},
 		{"message, other answer", callQuotaRejected},
@@ -248,25 +252,25 @@
 		{"one change", callEndpointChange},
 		{"one change of a server met", callUsedEndpointChange},
 	} {
-		r.time(b.watch, q.name+", p50", q.kind, 0.5)
-		r.time(b.watch, q.name+", p99", q.kind, 0.99)
+		r.addQuantile(b.stopwatch, q.name+", p50", q.kind, 0.5)
+		r.addQuantile(b.stopwatch, q.name+", p99", q.kind, 0.99)
 	}
-	r.time(b.watch, "whole list, first", callFirstSnapshot, 0.5)
-	r.time(b.watch, "whole list, again", callNextSnapshot, 0.5)
-	r.addKnown("heap, list held", float64(b.holding), "B")
-	r.addKnown("heap, after load", float64(b.loaded), "B")
+	r.addQuantile(b.stopwatch, "whole list, first", callFirstSnapshot, 0.5)
+	r.addQuantile(b.stopwatch, "whole list, again", callNextSnapshot, 0.5)
+	r.addIfMeasured("heap, list held", float64(b.heapWithList), "B")
+	r.addIfMeasured("heap, after load", float64(b.heapAfterLoad), "B")
 	if b.load.requests > 0 {
 		b.countRows(&r)
 	}
 	return r.rows
 }
 
-// countRows gives what was counted, a second of the load: loads are shorter where lists are long.
+// countRows adds the counters as rates per second of the load, because the load is shorter with long lists.
 func (b *listBench) countRows(r *rowWriter) {
 	c := &b.load
 	seconds := listLoad(b.size).Seconds()
 	rate := func(quantity string, count int) { r.add(quantity, float64(count)/seconds, "1/s") }
-	rate("ticks", len(b.watch.took[callTick]))
+	rate("ticks", len(b.stopwatch.durations[callTick]))
 	rate("requests", c.requests)
 	rate("requests served", c.served)
 	rate("requests refused", c.rejected)
@@ -279,9 +283,9 @@
 	rate("messages discarded", c.discarded)
 	r.add("bytes sent", float64(c.bytes)/seconds, "B/s")
 	r.add("requests measured", float64(c.requests), "")
-	r.add("servers met", float64(b.met), "")
-	holds := b.node.balancer.Stats()
-	r.add("servers in the subset", float64(holds.SubsetEndpoints), "")
-	r.add("servers kept in full", float64(holds.TrackedEndpoints), "")
-	r.add("servers of the subset that share a name", float64(holds.HashCollisions), "")
+	r.add("servers met", float64(b.usedCount), "")
+	stats := b.node.balancer.Stats()
+	r.add("servers in the subset", float64(stats.SubsetEndpoints), "")
+	r.add("servers kept in full", float64(stats.TrackedEndpoints), "")
+	r.add("servers of the subset that share a name", float64(stats.HashCollisions), "")
 }
--- a/internal/scale/plot.go
+++ b/internal/scale/plot.go
@@ -14,18 +14,19 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Size of the charts: one panel for each unit, one below the other.
+// Dimensions of a chart. It has one panel for each unit, one below the other.
 const (
 	panelWidth  = 11 * vg.Inch
-	legendWidth = 3.6 * vg.Inch // right of the curves
+	legendWidth = 3.6 * vg.Inch // to the right of the curves
 	panelHeight = 4 * vg.Inch
 	curveWidth  = 1.2 // points
 )
 
-// WritePlots writes a chart of each part that has something to draw into a folder, and returns the paths.
+// WritePlots writes an SVG chart of each part into dir, which it creates if necessary, and returns the paths.
+// It skips parts without a quantity that has two or more sizes.
 func (r *Report) WritePlots(dir string) ([]string, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return nil, fmt.Errorf("folder of the plots: %w", err)
+		return nil, fmt.Errorf("creating the folder of the plots: %w", err)
 	}
 	var paths []string
 	for i := range r.Parts {
@@ -46,7 +47,7 @@
 	return paths, nil
 }
 
-// render makes the chart of a part, or nil where no quantity has two sizes.
+// render returns the chart of a part as SVG, or nil if no quantity has two or more sizes.
 func (p *PartReport) render() ([]byte, error) {
 	var plots [][]*plot.Plot
 	var legends []plot.Legend
@@ -64,11 +65,11 @@
 	}
 	plots[0][0].Title.Text = p.Title
 	chart := vgsvg.New(panelWidth, panelHeight*vg.Length(len(plots)))
-	whole := draw.New(chart)
+	canvas := draw.New(chart)
 	tiles := draw.Tiles{Rows: len(plots), Cols: 1}
-	for i, row := range plot.Align(plots, tiles, draw.Crop(whole, 0, -legendWidth, 0, 0)) {
+	for i, row := range plot.Align(plots, tiles, draw.Crop(canvas, 0, -legendWidth, 0, 0)) {
 		plots[i][0].Draw(row[0])
-		legends[i].Draw(tiles.At(whole, 0, i))
+		legends[i].Draw(tiles.At(canvas, 0, i))
 	}
 	var out bytes.Buffer
 	if _, err := chart.WriteTo(&out); err != nil {
@@ -77,12 +78,13 @@
 	return out.Bytes(), nil
 }
 
-// units are those of the rows, in the order in which they come.
+// units returns the units of the rows, each once, in the order of the rows.
 func (p *PartReport) units() []string {
 	return p.distinct(func(r *Row) string { return r.Unit })
 }
 
-// panel draws the quantities of one unit with logarithmic axes, or returns nil where there are none.
+// panel plots the quantities of one unit on logarithmic axes. It returns a nil plot if no quantity has two or
+// more sizes.
 func (p *PartReport) panel(unit string) (*plot.Plot, plot.Legend, error) {
 	panel, legend := plot.New(), plot.NewLegend()
 	legend.Top = true
@@ -99,15 +101,15 @@
 		if len(points) < 2 {
 			continue
 		}
-		line, marks, err := plotter.NewLinePoints(points)
+		line, markers, err := plotter.NewLinePoints(points)
 		if err != nil {
 			return nil, legend, err
 		}
 		line.Color, line.Width = plotutil.Color(curves), vg.Points(curveWidth)
 		line.Dashes = plotutil.Dashes(curves / len(plotutil.DefaultColors))
-		marks.Color, marks.Shape = line.Color, plotutil.Shape(curves)
-		panel.Add(line, marks)
-		legend.Add(quantity, line, marks)
+		markers.Color, markers.Shape = line.Color, plotutil.Shape(curves)
+		panel.Add(line, markers)
+		legend.Add(quantity, line, markers)
 		curves++
 	}
 	if curves == 0 {
@@ -119,7 +121,7 @@
 	return panel, legend, nil
 }
 
-// points are the values of a quantity that a logarithmic axis can show.
+// points returns the positive values of a quantity; a logarithmic axis cannot show others.
 func (p *PartReport) points(quantity, unit string) (points plotter.XYs) {
 	for _, r := range p.Rows {
 		if r.Quantity == quantity && r.Unit == unit && r.Value > 0 {
--- a/internal/scale/restart.go
+++ b/internal/scale/restart.go
@@ -14,52 +14,54 @@
 	"opalhook/internal/edgenode/follower"
 )
 
-// Figures of a restart.
+// Parameters of a restart.
 const (
-	rackNodes      = 40     // a guess: the plan does not say how many edge nodes share a rack
-	controlRate    = 19_000 // bytes a second that an edge node may spend on control, in the plan
-	restartFor     = 10 * time.Minute
-	restartWithin  = 10 * time.Second // that the settings give a node without a watch to ask
-	restartVersion = 1<<discovery.EpochBits + 1
-	serviceJoins   = 2_000 // watches that a replica lets open a second, and at once
-	partEvery      = time.Second
-	restartMemory  = 4 << 10 // of a node
+	rackNodes           = 40                         // edge nodes in a rack; a guess, because the plan does not say how many share a rack
+	controlRate         = 19_000                     // planned bandwidth of an edge node for control traffic, in bytes per second
+	maxRestartTime      = 10 * time.Minute           // maximum simulated time
+	restartPollInterval = 10 * time.Second           // poll interval of a node without a watch, as in the settings
+	restartGeneration   = 1<<discovery.EpochBits + 1 // generation of the list
+	watchOpensPerSecond = 2_000                      // watches that a replica accepts per second, and in a burst
+	partInterval        = time.Second                // interval at which a node reports to its follower that part of a message has arrived
+	restartMemory       = 4 << 10                    // estimated memory of a node, in bytes
 )
 
-// RestartFleet measures how all edge nodes get their list when they start at once.
+// RestartFleet returns the part that measures how all edge nodes of the planned fleet get their list if they
+// start at the same time.
 func RestartFleet() Part {
-	return restartPart("restart-fleet", "all edge nodes of the plan", planWatches)
+	return restartPart("restart-fleet", "all edge nodes of the planned fleet", plannedWatches)
 }
 
-// RestartRack measures how the edge nodes of a rack get their list when they start at once.
+// RestartRack returns the part that measures how the edge nodes of a rack get their list if they start at the
+// same time.
 func RestartRack() Part {
-	return restartPart("restart-rack", fmt.Sprintf("the edge nodes of a rack, guessed to be %d", rackNodes), rackNodes)
+	return restartPart("restart-rack", fmt.Sprintf("the edge nodes of a rack (%d, a guess)", rackNodes), rackNodes)
 }
 
 func restartPart(name, who string, nodes int) Part {
 	return Part{
 		Name: name,
-		Title: fmt.Sprintf("Restart of %s with no list, on a simulated clock: the real follower of the list, a link of %d bytes a second to each, "+
-			"one replica that lets %d watches open a second; ten minutes.", who, controlRate, serviceJoins),
-		Size:   "entries in the list",
-		Sizes:  []int{200, 350, 2_000, 20_000, 200_000},
-		Small:  []int{200},
-		Memory: func(size int) uint64 { return listBaseMemory + uint64(nodes)*restartMemory + 2<<10*uint64(size) },
+		Title: fmt.Sprintf("Restart of %s without a cached list, for up to ten minutes on a simulated clock: each has the real follower of the list "+
+			"and a link of %d bytes per second, and one replica accepts %d watches per second.", who, controlRate, watchOpensPerSecond),
+		Size:      "entries in the list",
+		Sizes:     []int{200, 350, 2_000, 20_000, 200_000},
+		TestSizes: []int{200},
+		Memory:    func(size int) uint64 { return listBaseMemory + uint64(nodes)*restartMemory + 2<<10*uint64(size) },
 		Measure: func(ctx context.Context, size int, env Env) ([]Row, error) {
-			bytes, err := wholeListBytes(size)
+			bytes, err := snapshotMessageBytes(size)
 			if err != nil {
 				return nil, err
 			}
-			r := newRestart(nodes, planWatches, bytes, env.Seed)
-			err = r.run(ctx, restartFor, env.Progress)
+			r := newRestart(nodes, plannedWatches, bytes, env.Seed)
+			err = r.run(ctx, maxRestartTime, env.Progress)
 			return r.rows(name, size), err
 		},
 	}
 }
 
-// wholeListBytes is the length of the message that tells a whole list.
-func wholeListBytes(entries int) (int, error) {
-	m := discovery.Message{Generation: restartVersion, Reset: true}
+// snapshotMessageBytes returns the length of the message with the complete list, in bytes.
+func snapshotMessageBytes(entries int) (int, error) {
+	m := discovery.Message{Generation: restartGeneration, Reset: true}
 	for n := range entries {
 		m.Instances = append(m.Instances, listEntry(n))
 	}
@@ -67,52 +69,53 @@
 	return len(text) + 1, err
 }
 
-// restart is many edge nodes that start at once, on a simulated clock.
+// restart simulates edge nodes that start at the same time, on a simulated clock.
 type restart struct {
-	now     time.Duration
-	nodes   []*simulatedFollower
-	queue   restartQueue
-	message int        // bytes of a whole list
-	opens   joinPace   // of the service
-	rng     *rand.Rand // of the service's advice
-	open    int        // messages on their way
-	most    int        // of these at once
-	turned  int        // calls turned away
+	now       time.Duration
+	nodes     []*simulatedFollower
+	queue     restartQueue
+	message   int         // length of the message with the complete list, in bytes
+	openLimit openLimiter // rate limit of the service for new watches
+	rng       *rand.Rand  // for the Retry-After times of the service
+	open      int         // messages that are being sent
+	maxOpen   int         // maximum of open so far
+	rejected  int         // calls rejected because of the rate limit
 }
 
-// simulatedFollower is an edge node that only follows the list.
+// simulatedFollower is an edge node that does nothing except follow the list.
 type simulatedFollower struct {
-	follower *follower.Follower
-	call     uint64        // the watch that is out; 0: none
-	began    time.Duration // when its message did
-	wakes    uint64        // wakes asked for so far; an event of an earlier one is void
-	calls    int
-	bytes    float64
-	listAt   time.Duration // when it had its list
-	listed   bool
+	follower    *follower.Follower
+	call        uint64        // ID of the open watch; 0: none
+	callStarted time.Duration // when the service started to send its message
+	lastWake    uint64        // ID of the last scheduled wake-up; earlier ones are ignored
+	calls       int           // calls opened
+	bytes       float64       // bytes received
+	receivedAt  time.Duration // when it received its list
+	hasList     bool          // has received its list
 }
 
-// restartEvent is something that happens to a node.
+// restartEvent is a scheduled event of a node.
 type restartEvent struct {
 	at    time.Duration
-	order uint64 // among those at one time
-	node  int
+	order uint64 // breaks ties between events scheduled for the same time
+	node  int    // index of the node
 	kind  restartKind
-	id    uint64 // of the call, or of the wake
+	id    uint64 // ID of the wake-up for wakeUp, of the call otherwise
 }
 
+// restartKind is the kind of an event.
 type restartKind int
 
 const (
-	nodeWakes restartKind = iota
-	partComes
-	messageComes
+	wakeUp         restartKind = iota // the follower asked to be called at this time
+	partArrived                       // a further part of the message has arrived
+	messageArrived                    // the message is complete
 )
 
-// restartQueue is a heap of what is to happen, as [heap.Interface] has it.
+// restartQueue is a queue of events. It implements [heap.Interface], with the earliest event first.
 type restartQueue struct {
 	events []restartEvent
-	added  uint64
+	added  uint64 // events added so far
 }
 
 func (q *restartQueue) Len() int      { return len(q.events) }
@@ -130,152 +133,158 @@
 	return e
 }
 
+// add schedules an event.
 func (q *restartQueue) add(e restartEvent) {
 	q.added++
 	e.order = q.added
 	heap.Push(q, e)
 }
 
-// joinPace lets calls through at a pace, with as many at once as in a second.
-type joinPace struct {
-	room float64
-	last time.Duration
+// openLimiter limits the rate of new watches to watchOpensPerSecond. It is a token bucket whose burst is the
+// watches of one second.
+type openLimiter struct {
+	tokens     float64
+	refilledAt time.Duration // time of the last refill
 }
 
-func (p *joinPace) allow(now time.Duration) bool {
-	p.room = min(p.room+(now-p.last).Seconds()*serviceJoins, serviceJoins)
-	p.last = now
-	if p.room < 1 {
+// allow reports whether a watch may be opened now.
+func (l *openLimiter) allow(now time.Duration) bool {
+	l.tokens = min(l.tokens+(now-l.refilledAt).Seconds()*watchOpensPerSecond, watchOpensPerSecond)
+	l.refilledAt = now
+	if l.tokens < 1 {
 		return false
 	}
-	p.room--
+	l.tokens--
 	return true
 }
 
-// newRestart returns nodes of a fleet that are to start at once.
+// newRestart returns a restart of a number of nodes of a fleet. message is the length of the message with the
+// complete list, in bytes.
 func newRestart(nodes, fleet, message int, seed uint64) *restart {
-	r := &restart{message: message, opens: joinPace{room: serviceJoins}, rng: rand.New(rand.NewPCG(seed, 0))}
+	r := &restart{message: message, openLimit: openLimiter{tokens: watchOpensPerSecond}, rng: rand.New(rand.NewPCG(seed, 0))}
 	for n := range nodes {
 		rng := rand.New(rand.NewPCG(seed, uint64(n)+1))
-		r.nodes = append(r.nodes, &simulatedFollower{follower: follower.New(follower.Config{FleetSize: fleet, PollInterval: restartWithin, Rand: rng})})
+		r.nodes = append(r.nodes, &simulatedFollower{follower: follower.New(follower.Config{FleetSize: fleet, PollInterval: restartPollInterval, Rand: rng})})
 	}
 	return r
 }
 
-// run plays until all nodes have their list, or for as long as it is told to.
+// run simulates the restart until all nodes have their list, or up to the simulated time until.
 func (r *restart) run(ctx context.Context, until time.Duration, progress func(done, total int, doing string)) error {
-	for n, h := range r.nodes {
-		h.follower.Start(0)
-		r.step(n)
+	for n, node := range r.nodes {
+		node.follower.Start(0)
+		r.advance(n)
 	}
-	listed := 0
-	for played := 0; r.queue.Len() > 0 && listed < len(r.nodes); played++ {
+	withList := 0
+	for processed := 0; r.queue.Len() > 0 && withList < len(r.nodes); processed++ {
 		e := heap.Pop(&r.queue).(restartEvent)
 		if e.at > until {
 			break
 		}
-		if played%10_000 == 0 {
+		if processed%10_000 == 0 {
 			progress(int(e.at.Seconds()), int(until.Seconds()), "simulated seconds")
 			if err := ctx.Err(); err != nil {
 				return err
 			}
 		}
 		r.now = e.at
-		listed += oneIf(r.apply(e))
+		withList += boolToInt(r.apply(e))
 	}
-	for _, h := range r.nodes {
-		r.end(h)
+	for _, node := range r.nodes {
+		r.endCall(node)
 	}
 	return nil
 }
 
-// apply lets something happen, and returns whether a node has got its list by it.
-func (r *restart) apply(e restartEvent) (listed bool) {
-	h := r.nodes[e.node]
+// apply processes an event. It reports whether the event has completed the list of a node.
+func (r *restart) apply(e restartEvent) (hasList bool) {
+	node := r.nodes[e.node]
 	switch {
-	case e.kind == nodeWakes && e.id != h.wakes || e.kind != nodeWakes && e.id != h.call || h.listed:
-		return false // of a call or a wake that is no more
-	case e.kind == partComes:
-		h.follower.Received(r.now, e.id, true)
-		r.queue.add(restartEvent{at: r.now + partEvery, node: e.node, kind: partComes, id: e.id})
-	case e.kind == messageComes:
-		r.end(h)
-		if h.follower.Message(r.now, e.id, follower.Update{Version: restartVersion, Snapshot: true}) {
-			h.listed, h.listAt = true, r.now
+	case e.kind == wakeUp && e.id != node.lastWake || e.kind != wakeUp && e.id != node.call || node.hasList:
+		return false // the call has ended, a later wake-up was scheduled, or the node has its list
+	case e.kind == partArrived:
+		node.follower.Received(r.now, e.id, true)
+		r.queue.add(restartEvent{at: r.now + partInterval, node: e.node, kind: partArrived, id: e.id})
+	case e.kind == messageArrived:
+		r.endCall(node)
+		if node.follower.Message(r.now, e.id, follower.Update{Version: restartGeneration, Snapshot: true}) {
+			node.hasList, node.receivedAt = true, r.now
 			return true
 		}
 	}
-	r.step(e.node)
+	r.advance(e.node)
 	return false
 }
 
-// step carries out what a node wants.
-func (r *restart) step(n int) {
-	h := r.nodes[n]
+// advance advances the follower of node n and executes its commands. When there are no more, it schedules the
+// next wake-up.
+func (r *restart) advance(n int) {
+	node := r.nodes[n]
 	for {
-		orders, wake := h.follower.Advance(r.now)
-		for _, o := range orders {
-			if o.Open {
-				r.answer(n, o)
-			} else if o.ID == h.call {
-				r.end(h)
+		commands, wake := node.follower.Advance(r.now)
+		for _, command := range commands {
+			if command.Open {
+				r.openCall(n, command)
+			} else if command.ID == node.call {
+				r.endCall(node)
 			}
 		}
-		if len(orders) == 0 { // an answer may have changed what is wanted
-			h.wakes++
-			r.queue.add(restartEvent{at: max(wake, r.now+1), node: n, kind: nodeWakes, id: h.wakes})
+		if len(commands) == 0 { // otherwise the response to a command may lead to further commands
+			node.lastWake++
+			r.queue.add(restartEvent{at: max(wake, r.now+1), node: n, kind: wakeUp, id: node.lastWake})
 			return
 		}
 	}
 }
 
-// answer is what the service does with a call.
-func (r *restart) answer(n int, o follower.Command) {
-	h := r.nodes[n]
-	h.calls++
-	if !r.opens.allow(r.now) {
-		r.turned++
-		h.follower.Rejected(r.now, o.ID, time.Duration(1+r.rng.IntN(3))*time.Second)
+// openCall simulates the service's response to a call of node n.
+func (r *restart) openCall(n int, command follower.Command) {
+	node := r.nodes[n]
+	node.calls++
+	if !r.openLimit.allow(r.now) {
+		r.rejected++
+		node.follower.Rejected(r.now, command.ID, time.Duration(1+r.rng.IntN(3))*time.Second)
 		return
 	}
-	h.call, h.began = o.ID, r.now
+	node.call, node.callStarted = command.ID, r.now
 	r.open++
-	r.most = max(r.most, r.open)
-	h.follower.Received(r.now, o.ID, true)
-	r.queue.add(restartEvent{at: r.now + r.acceptanceTime(), node: n, kind: messageComes, id: o.ID})
-	r.queue.add(restartEvent{at: r.now + partEvery, node: n, kind: partComes, id: o.ID})
+	r.maxOpen = max(r.maxOpen, r.open)
+	node.follower.Received(r.now, command.ID, true)
+	r.queue.add(restartEvent{at: r.now + r.transferTime(), node: n, kind: messageArrived, id: command.ID})
+	r.queue.add(restartEvent{at: r.now + partInterval, node: n, kind: partArrived, id: command.ID})
 }
 
-// acceptanceTime is how long a whole list takes over a node's link.
-func (r *restart) acceptanceTime() time.Duration {
+// transferTime returns the time that the complete list takes over a node's link.
+func (r *restart) transferTime() time.Duration {
 	return time.Duration(math.Ceil(float64(r.message) / controlRate * float64(time.Second)))
 }
 
-// end ends a node's call and books what has come on it.
-func (r *restart) end(h *simulatedFollower) {
-	if h.call == 0 {
+// endCall ends the open call of a node, if any, and adds the bytes received on it.
+func (r *restart) endCall(node *simulatedFollower) {
+	if node.call == 0 {
 		return
 	}
-	h.bytes += min((r.now-h.began).Seconds()*controlRate, float64(r.message))
-	h.call = 0
+	node.bytes += min((r.now-node.callStarted).Seconds()*controlRate, float64(r.message))
+	node.call = 0
 	r.open--
 }
 
+// rows returns the rows of the restart.
 func (r *restart) rows(part string, size int) []Row {
-	rows := rowsOf{rowWriter{part: part, size: size}}
+	rows := listRows{rowWriter{part: part, size: size}}
 	var at []time.Duration
-	calls, total, most := 0, 0.0, 0.0
-	for _, h := range r.nodes {
-		calls += h.calls
-		total += h.bytes
-		most = max(most, h.bytes)
-		if h.listed {
-			at = append(at, h.listAt)
+	calls, total, maxBytes := 0, 0.0, 0.0
+	for _, node := range r.nodes {
+		calls += node.calls
+		total += node.bytes
+		maxBytes = max(maxBytes, node.bytes)
+		if node.hasList {
+			at = append(at, node.receivedAt)
 		}
 	}
 	slices.Sort(at)
 	rows.bytes("whole list", uint64(r.message))
-	rows.time("whole list, at the link's pace", r.acceptanceTime())
+	rows.time("whole list, at the link's pace", r.transferTime())
 	rows.count("nodes", len(r.nodes))
 	rows.count("nodes that have their list", len(at))
 	if len(at) == len(r.nodes) {
@@ -284,9 +293,9 @@
 	}
 	rows.time("simulated", r.now)
 	rows.add("control to a node, mean", total/float64(len(r.nodes)), "B")
-	rows.add("control to a node, most", most, "B")
+	rows.add("control to a node, most", maxBytes, "B")
 	rows.add("watches opened by a node, mean", float64(calls)/float64(len(r.nodes)), "")
-	rows.count("watches turned away", r.turned)
-	rows.add("most that the replica sends", float64(r.most)*controlRate, "B/s")
+	rows.count("watches turned away", r.rejected)
+	rows.add("most that the replica sends", float64(r.maxOpen)*controlRate, "B/s")
 	return rows.rows
 }
