--- a/cmd/edge-node/main_test.go
+++ b/cmd/edge-node/main_test.go
@@ -119,9 +119,10 @@
 }
 
 // Guards against a SIGHUP that ends the process, or has no effect, because it arrives before the program
-// handles the signal. The deploy file's command starts the program, and the signal arrives with its first
-// instruction. The program must then use the configuration that the signal announced.
-func TestHangupFromTheFirstInstruction(t *testing.T) {
+// handles the signal. The deploy file's command starts the program, and the test sends the signal as soon as
+// the program is executed. The program must then use the configuration file that was replaced before the
+// signal.
+func TestHangupDuringStart(t *testing.T) {
 	command, dir := deployedCommand(t)
 	config := func(discovery string) string {
 		return fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"1",
--- a/internal/edgenode/client_conn.go
+++ b/internal/edgenode/client_conn.go
@@ -26,8 +26,8 @@
 // flight.
 var errReadAheadFull = errors.New("too many bytes received while a request is in flight")
 
-// clientConn is a client's connection. It is in the table until it is closed. It replaces the Read and Close
-// of the [net.Conn] that it wraps.
+// clientConn is a client's connection. It is in the table until it is closed. It overrides Read and Close of
+// the [net.Conn] that it embeds.
 type clientConn struct {
 	net.Conn
 	raw        syscall.RawConn
@@ -91,19 +91,18 @@
 	return c.err
 }
 
-// receive waits for bytes and reads them from the socket. It reads nothing from a connection that was closed
-// or evicted, and returns an error there that net/http does not answer with a response. nextRequest means
-// that the caller is waiting for the next request, so that a connection whose response was written becomes
-// idle.
+// receive waits for bytes and reads them from the socket. If the connection was closed or evicted, it reads
+// nothing and returns an error for which net/http sends no response. nextRequest means that the caller is
+// waiting for the next request, so that a connection whose response was written becomes idle.
 func (c *clientConn) receive(p []byte, nextRequest bool) (n int, err error) {
-	failed := c.raw.Read(func(fd uintptr) (done bool) {
+	rawErr := c.raw.Read(func(fd uintptr) (done bool) {
 		c.table.mu.Lock()
 		defer c.table.mu.Unlock()
 		n, err, done = c.receiveOnce(fd, p, nextRequest)
 		return done
 	})
-	if failed != nil {
-		return 0, failed
+	if rawErr != nil {
+		return 0, rawErr
 	}
 	return n, err
 }
@@ -133,7 +132,7 @@
 	return n, c.err, true
 }
 
-// readOnce calls read(2), again if a signal interrupts it.
+// readOnce calls read(2) and repeats the call if a signal interrupts it.
 func readOnce(fd uintptr, p []byte) (n int, err error) {
 	for {
 		if n, err = syscall.Read(int(fd), p); err != syscall.EINTR {
--- a/internal/edgenode/client_listener.go
+++ b/internal/edgenode/client_listener.go
@@ -45,8 +45,9 @@
 	}
 }
 
-// Accept returns the next connection that the table has room for. It closes the connection that the table
-// evicts in its favor, or the new connection if the table can evict no other.
+// Accept returns the next connection that the table has room for. If the table evicts another connection to
+// make room, Accept closes that one. If the table can evict no other, Accept closes the new connection and
+// waits for the next one.
 func (l *clientListener) Accept() (net.Conn, error) {
 	for {
 		nc, err := l.accept()
@@ -68,8 +69,8 @@
 	}
 }
 
-// accept returns the next connection. Once closeWhenQueueEmpty was called, it closes the listener when the
-// queue is empty or maxQueueWait is over.
+// accept returns the next connection. Once closeWhenQueueEmpty has been called, accept closes the listener
+// when the queue is empty or maxQueueWait is over.
 func (l *clientListener) accept() (net.Conn, error) {
 	for {
 		closingSince, now := l.closingSince.Load(), time.Now()
--- a/internal/edgenode/client_request.go
+++ b/internal/edgenode/client_request.go
@@ -114,8 +114,8 @@
 	return values[0], nil
 }
 
-// checkNames checks that the id is well-formed, that the class and the plan exist, and that the path begins
-// with the class.
+// checkNames checks that the id is well-formed, that the class and the plan exist, and that the target is a
+// path that begins with the class.
 func (f *frontend) checkNames(r *http.Request, q balancer.Request) error {
 	_, known := f.classes[q.Class]
 	first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
--- a/internal/edgenode/client_response.go
+++ b/internal/edgenode/client_response.go
@@ -55,9 +55,9 @@
 	}
 	if r.ContentLength != 0 {
 		w.Header().Set("Connection", "close")
-		// Before net/http closes the connection it reads a short rest of the body, since the client could
-		// miss the response otherwise. The deadline ends that read if the client never sends the rest.
-		// Setting the deadline fails only on a closed connection.
+		// Before net/http closes the connection, it reads the rest of the body if that is short. Otherwise
+		// the client could miss the response. The deadline ends that read if the client never sends the
+		// rest. Setting the deadline fails only on a closed connection.
 		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(unreadBodyTimeout))
 	}
 	writeText(w, malformed.status, err.Error())
--- a/internal/edgenode/config.go
+++ b/internal/edgenode/config.go
@@ -38,10 +38,10 @@
 	listWait         time.Duration           // longest wait for the first list from discovery
 }
 
-// How long a new process waits for its first list from discovery before it accepts clients. An agent, which
-// pushes lists, answers within milliseconds; the wait is bounded because an agent that is down must not keep
-// the node from serving. The wait for a polled list service is shorter, because the service may have nothing
-// new to report.
+// Time limits of the wait for the first list from discovery, during which a new process accepts no clients.
+// An agent, which pushes lists, answers within milliseconds. The wait is limited, because an agent that is
+// down must not keep the node from serving. The wait for a polled list service is shorter, because the
+// service may have nothing new to report.
 const (
 	pushedListWait = time.Second
 	polledListWait = 250 * time.Millisecond
@@ -148,6 +148,7 @@
 	}
 }
 
+// parseIdentity parses the name, the addresses for clients and of discovery, and the seed.
 func (file *configFile) parseIdentity(c *Config) (err error) {
 	if c.Name = file.Name; c.Name == "" {
 		return errors.New("name: must not be empty")
--- a/internal/edgenode/conn_cross_test.go
+++ b/internal/edgenode/conn_cross_test.go
@@ -104,9 +104,9 @@
 // Guards against the loss of a request that arrives while the node closes idle connections. The check for
 // idle connections runs just before the request is read, or just after it. The request must be answered in
 // both cases.
-func TestRequestCrossesTheClosingOfIdleConnections(t *testing.T) {
+func TestRequestDuringCloseIdleIsAnswered(t *testing.T) {
 	for _, before := range []bool{true, false} {
-		s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+		s := nodetest.NewAppServer(t, nodetest.Respond(nodetest.OKResponse))
 		var checking atomic.Bool
 		_, addr := serveHooked(t, testConfig(s.Endpoint("a")), func(f *frontend, c *clientConn) {
 			check := func() {
@@ -121,10 +121,10 @@
 			c.raw = hook
 		})
 		c := nodetest.Dial(t, addr)
-		c.Ask(request("check", "t1"))
+		c.Do(request("check", "t1"))
 		checking.Store(true)
-		if a := c.Ask(request("check", "t2")); a.Status != http.StatusOK {
-			t.Errorf("check before the read %v: response %+v", before, a)
+		if a := c.Do(request("check", "t2")); a.Status != http.StatusOK {
+			t.Errorf("check before the read %v: response %+v, want status 200", before, a)
 		}
 	}
 }
@@ -132,7 +132,7 @@
 // Guards against reading a request from a connection that was evicted just before. The request must stay
 // unread and unanswered, so that its client can tell that it may send the request again.
 func TestRequestAfterTheCloseStaysUnread(t *testing.T) {
-	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	s := nodetest.NewAppServer(t, nodetest.Respond(nodetest.OKResponse))
 	unread := make(chan bool, 1)
 	var evicting atomic.Bool
 	_, addr := serveHooked(t, testConfig(s.Endpoint("a")), func(f *frontend, c *clientConn) {
@@ -154,7 +154,7 @@
 		}}
 	})
 	c := nodetest.Dial(t, addr)
-	c.Ask(request("check", "t1"))
+	c.Do(request("check", "t1"))
 	evicting.Store(true)
 	c.Send(request("check", "t2"))
 	if !nodetest.Await(t, "end of the read", unread) {
@@ -196,12 +196,12 @@
 
 // Guards against closing a connection as idle just before its response is written.
 func TestConnectionIsNotIdleWhileItsResponseIsWritten(t *testing.T) {
-	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	s := nodetest.NewAppServer(t, nodetest.Respond(nodetest.OKResponse))
 	_, addr := serveHooked(t, testConfig(s.Endpoint("a")), func(f *frontend, c *clientConn) {
 		c.Conn = &hookedWriteConn{TCPConn: c.Conn.(*net.TCPConn), beforeWrite: func() { f.conns.closeIdle() }}
 	})
-	if a := nodetest.Dial(t, addr).Ask(request("check", "t1")); a.Status != http.StatusOK {
-		t.Errorf("response %+v", a)
+	if a := nodetest.Dial(t, addr).Do(request("check", "t1")); a.Status != http.StatusOK {
+		t.Errorf("response %+v, want status 200", a)
 	}
 }
 
@@ -244,7 +244,7 @@
 // Guards against a reset that destroys a response. Closing a connection with unread bytes resets it, which
 // happens when bytes arrive after a request too late to be read.
 func TestUnreadBytesDoNotResetTheResponse(t *testing.T) {
-	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	s := nodetest.NewAppServer(t, nodetest.Respond(nodetest.OKResponse))
 	var c *nodetest.Client
 	f, addr := serveHooked(t, testConfig(s.Endpoint("a")), func(f *frontend, conn *clientConn) {
 		conn.Conn = &hookedWriteConn{TCPConn: conn.Conn.(*net.TCPConn), afterWatch: func() {
@@ -254,8 +254,8 @@
 	})
 	f.draining.Store(true) // so that the connection closes after the response
 	c = nodetest.Dial(t, addr)
-	if a := c.Ask(request("check", "t1")); a.Status != http.StatusOK || !a.Close {
-		t.Errorf("response %+v", a)
+	if a := c.Do(request("check", "t1")); a.Status != http.StatusOK || !a.Close {
+		t.Errorf("response %+v, want status 200 and a close", a)
 	}
 	if _, err := c.Reader.ReadByte(); err != io.EOF {
 		t.Errorf("after the response: %v, want %v", err, io.EOF)
@@ -266,7 +266,7 @@
 // Guards against requests that stay in flight after their client disconnected. The request waits for the
 // connection of its first attempt, while the client closes or resets its connection or closes only the
 // sending side. Bytes that the client sent after the request must not hide that.
-func TestClientLeavesBeforeTheFirstAttempt(t *testing.T) {
+func TestClientDisconnectsBeforeTheFirstAttempt(t *testing.T) {
 	blocked := nodetest.Blocked(t)
 	var servers []endpointlist.Endpoint
 	for i := range 300 { // enough endpoints that no request is rejected because of the attempts in progress
@@ -324,11 +324,11 @@
 
 // Bytes that a client sends while its request is in flight are kept as its next request, up to maxReadAhead.
 // A client that sends more has its request failed.
-func TestBytesBehindARequest(t *testing.T) {
+func TestBytesAfterARequest(t *testing.T) {
 	hold := make(chan struct{})
 	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		<-hold
-		return nodetest.Say(nodetest.OKResponse)(c, r, body)
+		return nodetest.Respond(nodetest.OKResponse)(c, r, body)
 	})
 	f, addr := serveHooked(t, testConfig(s.Endpoint("a")), func(*frontend, *clientConn) {})
 	c, flood := nodetest.Dial(t, addr), nodetest.Dial(t, addr)
@@ -345,7 +345,7 @@
 	close(hold)
 	for i := range 2 {
 		if a := c.Receive(); a.Status != http.StatusOK {
-			t.Errorf("request %d: response %+v", i, a)
+			t.Errorf("request %d: response %+v, want status 200", i, a)
 		}
 	}
 }
@@ -353,7 +353,7 @@
 // A request that arrives byte by byte is served like any other. A request whose client disconnects before it
 // is complete is not passed on.
 func TestRequestSentByteByByte(t *testing.T) {
-	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	s := nodetest.NewAppServer(t, nodetest.Respond(nodetest.OKResponse))
 	n := run(t, testConfig(s.Endpoint("a")))
 	c := nodetest.Dial(t, n.addr)
 	for i, class := range []string{"check", "book"} {
@@ -361,7 +361,7 @@
 			c.Send(string(b))
 		}
 		if a := c.Receive(); a.Status != http.StatusOK {
-			t.Errorf("class %s: response %+v", class, a)
+			t.Errorf("class %s: response %+v, want status 200", class, a)
 		}
 	}
 	text := request("book", "gone")
@@ -370,8 +370,8 @@
 		partial.Send(text[:i])
 		_ = partial.Close()
 	}
-	if a := c.Ask(request("check", "last")); a.Status != http.StatusOK {
-		t.Errorf("after the incomplete requests: response %+v", a)
+	if a := c.Do(request("check", "last")); a.Status != http.StatusOK {
+		t.Errorf("after the incomplete requests: response %+v, want status 200", a)
 	}
 	if got := len(s.Requests()); got != 3 {
 		t.Errorf("%d requests were passed on, want 3", got)
--- a/internal/edgenode/conn_table.go
+++ b/internal/edgenode/conn_table.go
@@ -6,16 +6,17 @@
 )
 
 // connTable limits the number of client connections, so that the process never runs out of file descriptors.
-// A new connection is always accepted. If that exceeds the limit, the table evicts the connection with the
-// highest eviction rank, but never one with a request in flight. If no other connection can be evicted, the
-// new one is closed. Its methods are safe for concurrent use, except those whose caller holds the mutex.
+// The listener accepts every new connection. If that exceeds the limit, the table evicts the connection with
+// the highest eviction rank, but never one with a request in flight. If no other connection can be evicted,
+// the new one is closed. The table's methods are safe for concurrent use, except those whose caller holds the
+// mutex.
 //
 // The states of connections ensure that no request is lost when the node closes a connection just as the
 // request arrives:
 //
 //   - Reading bytes and changing the state are one step under the mutex ([clientConn.receiveOnce]). No bytes
 //     can therefore be read between the check of a connection and its close. Bytes that arrive later stay
-//     unread, which tells the client that it may send the request again.
+//     unread, so the client may send the request again.
 //   - A connection becomes idle only when net/http starts to read the next request, which is after the
 //     response was written completely. A connection whose response is being written is not closed as idle.
 //   - A connection that ends with unread bytes after its response lingers: an immediate close would reset it,
--- a/internal/edgenode/conn_table_test.go
+++ b/internal/edgenode/conn_table_test.go
@@ -54,26 +54,26 @@
 // Clients that open many connections and send nothing must neither keep other clients out nor cause
 // connections in use to be evicted.
 func TestSilentClientsAreEvicted(t *testing.T) {
-	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	s := nodetest.NewAppServer(t, nodetest.Respond(nodetest.OKResponse))
 	f, addr := serveWithLimit(t, 8, s.Endpoint("a"))
 	kept := nodetest.Dial(t, addr)
-	if a := kept.Ask(readyRequest); a.Status != 200 {
-		t.Errorf("before the silent connections: response %+v", a)
+	if a := kept.Do(readyRequest); a.Status != 200 {
+		t.Errorf("before the silent connections: response %+v, want status 200", a)
 	}
 	var silent []*nodetest.Client
 	for i := range 40 {
 		silent = append(silent, nodetest.Dial(t, addr))
 		if i%10 == 0 {
-			if a := nodetest.Dial(t, addr).Ask(request("check", fmt.Sprint("t", i))); a.Status != 200 || a.Close {
-				t.Errorf("after silent connection %d: response %+v", i, a)
+			if a := nodetest.Dial(t, addr).Do(request("check", fmt.Sprint("t", i))); a.Status != 200 || a.Close {
+				t.Errorf("after silent connection %d: response %+v, want status 200 without a close", i, a)
 			}
 		}
 	}
 	for i := range 20 {
 		wantEOF(t, fmt.Sprint("silent connection ", i), silent[i])
 	}
-	if a := kept.Ask(request("check", "kept")); a.Status != 200 {
-		t.Errorf("on the connection in use: response %+v", a)
+	if a := kept.Do(request("check", "kept")); a.Status != 200 {
+		t.Errorf("on the connection in use: response %+v, want status 200", a)
 	}
 	f.conns.mu.Lock()
 	defer f.conns.mu.Unlock()
@@ -99,14 +99,14 @@
 		}
 	}
 	nodetest.Eventually(t, "all connections accepted", newConnsAre(4))
-	if a := first.Ask(readyRequest); a.Status != 200 || a.Close {
-		t.Errorf("with only new connections besides: response %+v", a)
+	if a := first.Do(readyRequest); a.Status != 200 || a.Close {
+		t.Errorf("with only new connections besides: response %+v, want status 200 without a close", a)
 	}
-	if a := others[0].Ask(readyRequest); a.Status != 200 || a.Close {
-		t.Errorf("with half of the table in use: response %+v", a)
+	if a := others[0].Do(readyRequest); a.Status != 200 || a.Close {
+		t.Errorf("with half of the table in use: response %+v, want status 200 without a close", a)
 	}
-	if a := others[1].Ask(readyRequest); a.Status != 200 || !a.Close {
-		t.Errorf("with three quarters of the table in use: response %+v", a)
+	if a := others[1].Do(readyRequest); a.Status != 200 || !a.Close {
+		t.Errorf("with three quarters of the table in use: response %+v, want status 200 and a close", a)
 	}
 	wantEOF(t, "after the response", others[1])
 	for _, c := range []*nodetest.Client{first, others[0], others[2]} {
@@ -129,7 +129,7 @@
 	hold := make(chan struct{})
 	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		<-hold
-		return nodetest.Say(nodetest.OKResponse)(c, r, body)
+		return nodetest.Respond(nodetest.OKResponse)(c, r, body)
 	})
 	// The limit is so large that no response announces a close.
 	f, addr := serveWithLimit(t, 100, s.Endpoint("a"), s.Endpoint("b"))
@@ -139,8 +139,8 @@
 	nodetest.Eventually(t, "first request at the app server", func() bool { return len(s.Requests()) == 1 })
 	partial.Send("GET /check")
 	nodetest.Eventually(t, "part of a header received", func() bool { return f.conns.age(connReading, readingGrace) == 1 })
-	if a := idle.Ask(readyRequest); a.Status != 200 {
-		t.Errorf("readiness check: response %+v", a)
+	if a := idle.Do(readyRequest); a.Status != 200 {
+		t.Errorf("readiness check: response %+v, want status 200", a)
 	}
 	nodetest.Eventually(t, "connection idle", func() bool { return f.conns.age(connIdle, idleGrace) == 1 })
 	f.conns.mu.Lock()
@@ -157,7 +157,7 @@
 	close(hold)
 	for i, c := range []*nodetest.Client{busy, second, third} {
 		if a := c.Receive(); a.Status != 200 {
-			t.Errorf("request %d: response %+v", i, a)
+			t.Errorf("request %d: response %+v, want status 200", i, a)
 		}
 	}
 }
--- a/internal/edgenode/crowd_test.go
+++ b/internal/edgenode/crowd_test.go
@@ -66,9 +66,9 @@
 	})
 }
 
-// runLimited runs an edge node in a process with a limit on file descriptors until the test ends. known is
+// runLimited runs an edge node in a process with a limit on file descriptors until the test ends. cached is
 // its cached list. It returns the address for clients and the log.
-func runLimited(t *testing.T, descriptors int, discovery string, known ...endpointlist.Endpoint) (addr string, logs *nodetest.Buffer) {
+func runLimited(t *testing.T, descriptors int, discovery string, cached ...endpointlist.Endpoint) (addr string, logs *nodetest.Buffer) {
 	t.Helper()
 	ln := nodetest.Listen(t)
 	file, err := ln.File()
@@ -79,7 +79,7 @@
 	path := t.TempDir() + "/config.json"
 	config := map[string]any{
 		"name": "n0", "listen": ln.Addr().String(), "discovery": discovery, "seed": "1",
-		"limits": map[string]any{"sockets": descriptors}, "known": json.RawMessage(nodetest.ListJSON(7, true, known...)),
+		"limits": map[string]any{"sockets": descriptors}, "known": json.RawMessage(nodetest.ListJSON(7, true, cached...)),
 		"settings": json.RawMessage(`{"instances":1,"registryMode":"push",
 			"lanes":[{"name":"check","idempotency":"retryable","onTime":20,"deadline":20}],
 			"tariffs":[{"name":"wide","rate":1000000,"burst":1000000}]}`),
@@ -108,7 +108,7 @@
 			if err != nil {
 				t.Errorf("edge node process: %v, logged %s", err, logs)
 			}
-		case <-time.After(nodetest.Patience):
+		case <-time.After(nodetest.WaitTimeout):
 			_ = cmd.Process.Kill()
 			t.Errorf("edge node process did not end in time, logged %s", logs)
 		}
@@ -162,16 +162,16 @@
 	sendHeartbeats(ctx, w)
 }
 
-// goDown begins the outage and waits for the first call that stays unanswered.
-func (d *outageDiscovery) goDown(t *testing.T) {
+// beginOutage begins the outage and waits for the first call that stays unanswered.
+func (d *outageDiscovery) beginOutage(t *testing.T) {
 	t.Helper()
 	d.down.Store(true)
 	close(d.outage)
 	nodetest.Await(t, "call during the outage", d.unanswered)
 }
 
-// comeBack ends the outage and replaces the list.
-func (d *outageDiscovery) comeBack(list string) {
+// endOutage ends the outage and replaces the list.
+func (d *outageDiscovery) endOutage(list string) {
 	d.list.Store(&list)
 	d.down.Store(false)
 }
@@ -221,13 +221,13 @@
 // once discovery is back.
 func TestIdleClientsLeaveRoomForDiscoveryAndServers(t *testing.T) {
 	const descriptors, clients = 128, 300
-	oldServer, newServer := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse)), nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	oldServer, newServer := nodetest.NewAppServer(t, nodetest.Respond(nodetest.OKResponse)), nodetest.NewAppServer(t, nodetest.Respond(nodetest.OKResponse))
 	agent := newOutageDiscovery(t, nodetest.ListJSON(8, true, oldServer.Endpoint("a")))
 	addr, logs := runLimited(t, descriptors, agent.addr.String(), oldServer.Endpoint("a"))
-	if a := nodetest.Dial(t, addr).Ask(request("check", "before")); a.Status != http.StatusOK {
-		t.Fatalf("before the outage: response %+v", a)
+	if a := nodetest.Dial(t, addr).Do(request("check", "before")); a.Status != http.StatusOK {
+		t.Fatalf("before the outage: response %+v, want status 200", a)
 	}
-	agent.goDown(t)
+	agent.beginOutage(t)
 	fillWithIdleClients(t, addr, clients, maxClientConns(descriptors))
 	sent := 0
 	awaitServed := func(what string) {
@@ -237,7 +237,7 @@
 		})
 	}
 	awaitServed("request served during the outage")
-	agent.comeBack(nodetest.ListJSON(9, true, newServer.Endpoint("b")))
+	agent.endOutage(nodetest.ListJSON(9, true, newServer.Endpoint("b")))
 	nodetest.Eventually(t, "new app server used", func() bool {
 		awaitServed("request served after the outage")
 		return len(newServer.Requests()) > 0
--- a/internal/edgenode/drain_test.go
+++ b/internal/edgenode/drain_test.go
@@ -11,35 +11,35 @@
 	"opalhook/internal/edgenode/nodetest"
 )
 
-// In a drain the node is not ready, but still answers new requests, on connections that close after the
-// response. It finishes the requests in flight, then the process ends.
+// During a drain the node is not ready, but it still answers new requests and closes their connections after
+// the response. It finishes the requests in flight, then the process ends.
 func TestDrain(t *testing.T) {
 	hold := make(chan struct{})
 	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if strings.HasPrefix(r.RequestURI, "/book") {
 			<-hold
 		}
-		return nodetest.Say(nodetest.OKResponse)(c, r, body)
+		return nodetest.Respond(nodetest.OKResponse)(c, r, body)
 	})
 	cfg := testConfig(s.Endpoint("a"))
 	cfg.drainPeriod = 4 * time.Second
 	n := run(t, cfg)
 	idle, pending := nodetest.Dial(t, n.addr), nodetest.Dial(t, n.addr)
-	if a := idle.Ask("GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n"); a.Status != 200 || a.Close {
-		t.Errorf("before the drain: response %+v", a)
+	if a := idle.Do("GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n"); a.Status != 200 || a.Close {
+		t.Errorf("before the drain: response %+v, want status 200 without a close", a)
 	}
 	pending.Send(request("book", "t1"))
 	nodetest.Eventually(t, "request at the app server", func() bool { return len(s.Requests()) == 1 })
 	n.stop()
 	nodetest.Eventually(t, "draining", func() bool { return strings.Contains(n.logs.String(), "draining") })
-	if a := idle.Ask(request("check", "t2")); a.Status != 200 || !a.Close {
-		t.Errorf("on an old connection: response %+v", a)
+	if a := idle.Do(request("check", "t2")); a.Status != 200 || !a.Close {
+		t.Errorf("on an old connection: response %+v, want status 200 and a close", a)
 	}
-	if a := nodetest.Dial(t, n.addr).Ask(request("check", "t3")); a.Status != 200 || !a.Close {
-		t.Errorf("on a new connection: response %+v", a)
+	if a := nodetest.Dial(t, n.addr).Do(request("check", "t3")); a.Status != 200 || !a.Close {
+		t.Errorf("on a new connection: response %+v, want status 200 and a close", a)
 	}
-	if a := nodetest.Dial(t, n.addr).Ask("GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n"); a.Status != 503 {
-		t.Errorf("readiness check: response %+v", a)
+	if a := nodetest.Dial(t, n.addr).Do("GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n"); a.Status != 503 {
+		t.Errorf("readiness check: response %+v, want status 503", a)
 	}
 	nodetest.Eventually(t, "listener closed", func() bool {
 		c, err := net.Dial("tcp", n.addr)
@@ -50,26 +50,26 @@
 	})
 	close(hold)
 	if a := pending.Receive(); a.Status != 200 || !a.Close {
-		t.Errorf("request from before the drain: response %+v", a)
+		t.Errorf("request from before the drain: response %+v, want status 200 and a close", a)
 	}
 	select {
 	case err := <-n.done:
 		if n.done <- nil; err != nil { // the clean-up of the test receives it
 			t.Error(err)
 		}
-	case <-time.After(nodetest.Patience):
+	case <-time.After(nodetest.WaitTimeout):
 		t.Error("the node did not end in time")
 	}
 }
 
 // A request whose header arrives partly before and partly after the listener closes is answered. A connection
 // that is idle then is closed.
-func TestRequestThatComesAsTheDrainEndsIsAnswered(t *testing.T) {
-	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+func TestRequestAtTheEndOfADrainIsAnswered(t *testing.T) {
+	s := nodetest.NewAppServer(t, nodetest.Respond(nodetest.OKResponse))
 	n := run(t, testConfig(s.Endpoint("a")))
 	sending, idle := nodetest.Dial(t, n.addr), nodetest.Dial(t, n.addr)
-	sending.Ask(request("check", "t1"))
-	idle.Ask(request("check", "t2"))
+	sending.Do(request("check", "t1"))
+	idle.Do(request("check", "t2"))
 	text := request("check", "t3")
 	sending.Send(text[:20])
 	n.stop()
@@ -78,7 +78,7 @@
 	}
 	sending.Send(text[20:])
 	if a := sending.Receive(); a.Status != http.StatusOK || !a.Close {
-		t.Errorf("response %+v", a)
+		t.Errorf("response %+v, want status 200 and a close", a)
 	}
 }
 
@@ -99,7 +99,7 @@
 	serveClients(t, f, ln) // accepts the first connection only now
 	for i, c := range clients {
 		if a := c.Receive(); a.Status != http.StatusOK {
-			t.Errorf("client %d: response %+v", i, a)
+			t.Errorf("client %d: response %+v, want status 200", i, a)
 		}
 	}
 	nodetest.Await(t, "listener closed", closed)
@@ -123,11 +123,11 @@
 
 // Requests that arrive at the end of a drain must be answered before the process may be killed, however long
 // their clients would wait.
-func TestLateRequestOfADrainIsDue(t *testing.T) {
-	f, addr := serveHooked(t, testConfig(nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse)).Endpoint("a")), func(*frontend, *clientConn) {})
+func TestDrainDeadlineLimitsRequests(t *testing.T) {
+	f, addr := serveHooked(t, testConfig(nodetest.NewAppServer(t, nodetest.Respond(nodetest.OKResponse)).Endpoint("a")), func(*frontend, *clientConn) {})
 	past := time.Now()
 	f.drainDeadline.Store(&past)
-	if a := nodetest.Dial(t, addr).Ask(request("check", "t1")); a.Status != http.StatusTooManyRequests {
+	if a := nodetest.Dial(t, addr).Do(request("check", "t1")); a.Status != http.StatusTooManyRequests {
 		t.Errorf("response %+v, want a rejection", a)
 	}
 }
--- a/internal/edgenode/follower/client.go
+++ b/internal/edgenode/follower/client.go
@@ -46,12 +46,12 @@
 
 // callEvent is one event of a call: data that was received, or the end of the call.
 type callEvent struct {
-	id          uint64 // of the call
+	id          uint64 // id of the call
 	kind        callEventKind
 	list        endpointlist.List // a message, or the draining and removed endpoints of a malformed one
 	fieldErrors []error           // one for each malformed field of a message
 	err         error             // why the call ended
-	retryAfter  time.Duration     // of a rejection; 0: not given
+	retryAfter  time.Duration     // Retry-After of a rejection; 0: not given
 }
 
 type callEventKind int
@@ -74,7 +74,7 @@
 		follower:      f,
 		apply:         apply,
 		log:           log,
-		DialContext:   (&net.Dialer{Timeout: MaxCallDuration}).DialContext,
+		DialContext:   (&net.Dialer{Timeout: CallTimeout}).DialContext,
 		addresses:     make(chan netip.AddrPort),
 		events:        make(chan callEvent),
 		responded:     make(chan struct{}),
@@ -83,7 +83,7 @@
 	}
 }
 
-// Responded returns a channel that is closed once discovery has sent a list, or a heartbeat which says that
+// Responded returns a channel that is closed once discovery has sent a list, or a heartbeat, which means that
 // the list has not changed.
 func (d *Client) Responded() <-chan struct{} { return d.responded }
 
@@ -147,7 +147,7 @@
 		return
 	}
 	switch current {
-	case discoveryThrottling:
+	case discoveryRejecting:
 		d.log.Warn("discovery rejects calls", "err", cause)
 	case discoveryUnreachable:
 		d.log.Warn("discovery watch lost", "err", cause)
--- a/internal/edgenode/follower/follower.go
+++ b/internal/edgenode/follower/follower.go
@@ -1,5 +1,5 @@
 // Package follower keeps an edge node's list of endpoints current. [Follower] is a pure state machine that
-// decides which calls of discovery are open: it takes events and returns commands. [Client] is its host and
+// decides which calls to discovery are open: it takes events and returns commands. [Client] is its host and
 // supplies the clock and the sockets.
 package follower
 
@@ -9,9 +9,10 @@
 )
 
 // Follower is the state machine that keeps an edge node's endpoint list current. Its host reports the events
-// of discovery calls to it and carries out the commands that [Follower.Advance] returns. It has no clock, no
-// socket and no source of randomness other than those that it is given. [Client] is its host in an edge
-// node. Times are durations since an arbitrary origin. A Follower must not be used concurrently.
+// of discovery calls to it and carries out the commands that [Follower.Advance] returns. It has no socket and
+// no clock: the host passes the current time to the methods, as a duration since an arbitrary origin. Its
+// only source of randomness is [Config.Rand]. [Client] is its host in an edge node. A Follower must not be
+// used concurrently.
 //
 // There are two kinds of calls. A watch stays open and delivers changes. A fetch returns the complete list,
 // either at once or not at all. There are also two kinds of discovery, which the settings choose:
@@ -23,16 +24,16 @@
 //     size of the fleet. Meanwhile one watch stays open with a longer timeout, for an agent that answers
 //     late.
 //   - Lists are polled. One service answers the calls of the whole fleet one after the other and has a short
-//     queue. Nodes whose watches it drops all at once must not return all at once, and nodes that it rejects
-//     must call less often the more of them there are. A node makes one call at a time, at a random time
-//     within a backoff window that grows with the fleet. A change that a watch misses counts as delivered
+//     queue. Nodes whose watches it drops all at once must not return all at once, and rejected nodes must
+//     call less often the larger the fleet is. A node makes one call at a time, at a random time within a
+//     backoff window that grows with the fleet. A change that a watch misses counts as delivered
 //     once the watch has been silent for deliveryLimit, so the first new call is made before that.
 //
 // An agent that rejects calls evidently has a queue, so the node then calls it like a service.
 type Follower struct {
 	config Config
 
-	generation   uint64 // of the list that the node has
+	generation   uint64 // generation of the list that the node has
 	freshness    freshness
 	reachability reachability
 	reopenWatch  bool // replace the open watch by one from the current generation or from 0
@@ -40,9 +41,9 @@
 	watch, fetch     call
 	watchAt, fetchAt time.Duration // earliest time at which the next watch or fetch is opened
 	lastContact      time.Duration // time of the latest message or heartbeat, at first that of Start
-	backoffWindow    time.Duration // random window of the next call; 0: the first window
+	backoffWindow    time.Duration // window for the random time of the next call; 0: the first window
 	rereadAt         time.Duration // when a malformed list is read again; 0: never
-	rereadInterval   time.Duration // from this reading of a malformed list to the next; 0: the first
+	rereadInterval   time.Duration // wait before a malformed list is next read again; 0: none
 	lastID           uint64        // id of the latest call
 }
 
@@ -51,11 +52,11 @@
 	Pushed       bool          // an agent on the node's machine pushes the list; false: it is polled
 	FleetSize    int           // number of edge nodes
 	PollInterval time.Duration // how often a node without a watch must poll the service; 0: not set
-	Version      uint64        // generation of the list that the node has at the start; 0: none
+	Generation   uint64        // generation of the list that the node has at the start; 0: none
 	Rand         *rand.Rand    // source of the random times; not shared with others
 }
 
-// freshness says whether the node's list may be outdated.
+// freshness is the state of the node's list: whether it may be outdated.
 type freshness int
 
 const (
@@ -70,7 +71,7 @@
 const (
 	discoveryReachable   reachability = iota
 	discoveryUnreachable              // a call failed or a watch was silent since the last contact
-	discoveryThrottling               // a call was rejected since the last contact
+	discoveryRejecting                // a call was rejected since the last contact
 )
 
 // callKind is the kind of a call.
@@ -81,12 +82,12 @@
 	fetchCall
 )
 
-// call is an open call of discovery. The zero value stands for no call.
+// call is an open call to discovery. The zero value stands for no call.
 type call struct {
 	id             uint64 // 0: no call
 	kind           callKind
-	from           uint64 // generation from which a watch continues; 0: the complete list
-	opened         time.Duration
+	from           uint64        // generation from which a watch continues; 0: the complete list
+	opened         time.Duration // when the call was opened
 	answered       bool          // a response with status 200 has begun
 	confirmed      bool          // a complete message or a heartbeat was received
 	lastActivity   time.Duration // when data was last received, or when the call was opened
@@ -94,7 +95,7 @@
 	messageStarted time.Duration // when the first part of that message was received
 }
 
-// Command tells the host to open or close a call.
+// Command is one call that the host must open or close.
 type Command struct {
 	Open  bool   // open the call; false: close it
 	Watch bool   // open a watch; false: fetch the complete list
@@ -110,7 +111,7 @@
 }
 
 // New returns a follower. It does nothing until [Follower.Start] is called.
-func New(c Config) *Follower { return &Follower{config: c, generation: c.Version} }
+func New(c Config) *Follower { return &Follower{config: c, generation: c.Generation} }
 
 // Start starts the follower. The list that the node has may be outdated.
 func (f *Follower) Start(now time.Duration) {
@@ -139,7 +140,7 @@
 // rateLimited reports whether the node has to limit its calls because they take up capacity that other nodes
 // need. That is the case for a polled service, and for an agent that rejects calls.
 func (f *Follower) rateLimited() bool {
-	return !f.config.Pushed || f.reachability == discoveryThrottling
+	return !f.config.Pushed || f.reachability == discoveryRejecting
 }
 
 // suspect records that the list may be outdated. A worse state that was recorded earlier stays.
@@ -157,7 +158,7 @@
 	return nil
 }
 
-// With the following methods the host reports the events of calls. Events of calls that are no longer open
+// The host reports the events of calls with the following methods. Events of calls that are no longer open
 // are ignored.
 
 // Received reports that data was received on a call: the headers of its response or, if partial is set, part
@@ -173,8 +174,7 @@
 	}
 }
 
-// Heartbeat reports that an empty line was received on a call. On a fetch it has no
-// meaning and is ignored.
+// Heartbeat reports that an empty line was received on a call. On a fetch it has no meaning and is ignored.
 func (f *Follower) Heartbeat(now time.Duration, id uint64) {
 	if c := f.callByID(id); c != nil && c.kind == watchCall {
 		f.confirmWatch(now, c)
@@ -196,7 +196,7 @@
 	f.lastContact, f.reachability, f.backoffWindow = now, discoveryReachable, 0
 }
 
-// markUnreachable records that discovery does not respond. A rejecting discovery stays recorded as rejecting.
+// markUnreachable records that discovery does not respond. The state discoveryRejecting stays.
 func (f *Follower) markUnreachable() { f.reachability = max(f.reachability, discoveryUnreachable) }
 
 // Message reports that a complete message was received on a call. It returns whether the host is to apply the
@@ -222,8 +222,8 @@
 	return true
 }
 
-// completeFetch ends the fetch, to which discovery has responded with a generation of the list. It returns
-// false if the watch has delivered a later generation since the fetch was opened.
+// completeFetch ends the fetch after a list of the given generation was received on it. It returns false if
+// the watch has delivered a later generation since the fetch was opened.
 func (f *Follower) completeFetch(now time.Duration, generation uint64) bool {
 	openedAt := f.fetch.opened
 	f.fetch = call{}
@@ -265,6 +265,6 @@
 		return
 	}
 	*c = call{}
-	f.reachability = discoveryThrottling
+	f.reachability = discoveryRejecting
 	f.scheduleReopenAfterRejection(now, retryAfter)
 }
--- a/internal/edgenode/follower/follower_test.go
+++ b/internal/edgenode/follower/follower_test.go
@@ -12,15 +12,15 @@
 	"opalhook/internal/edgenode/endpointlist"
 )
 
-// maxDrainDelay is the longest time from when a drain counts as delivered to when the node learns of it. The
-// protocol allows 550 ms, grace and slack together, so this limit is stricter.
+// maxDrainDelay is the longest permitted time from the delivery of a drain, as the protocol defines it, until
+// the node applies it. The protocol allows 550 ms, grace and slack together, so this limit is stricter.
 const maxDrainDelay = 400 * time.Millisecond
 
 // A change that an agent has must reach the node within maxDrainDelay, whatever has happened to the watch
 // and whatever the size of the fleet.
 func TestPushedListArrivesInTime(t *testing.T) {
-	// spoilChanges encodes the messages of watches with encode. Complete lists are well-formed.
-	spoilChanges := func(encode func(message string) []chunk) func(s *simulation) {
+	// encodeChanges encodes the messages of watches with encode. Complete lists are well-formed.
+	encodeChanges := func(encode func(message string) []chunk) func(s *simulation) {
 		return func(s *simulation) {
 			s.encode = func(m string, snapshot bool) []chunk {
 				if snapshot {
@@ -31,8 +31,8 @@
 			s.startDrain()
 		}
 	}
-	spoilLine := func(spoil func(message string) string) func(s *simulation) {
-		return spoilChanges(func(m string) []chunk { return []chunk{{0, spoil(m) + "\n"}} })
+	corruptLine := func(corrupt func(message string) string) func(s *simulation) {
+		return encodeChanges(func(m string) []chunk { return []chunk{{0, corrupt(m) + "\n"}} })
 	}
 	// silentFor makes the agent silent for d. With loseCalls, the calls of that time stay silent afterwards.
 	silentFor := func(d time.Duration, loseCalls bool) func(s *simulation) {
@@ -68,7 +68,7 @@
 			s.startDrain()
 		}, 0},
 		{"agent silent for 8 s", silentFor(8*time.Second, false), 0},
-		{"agent silent for 8 s, and for ever on the calls of that time", silentFor(8*time.Second, true), 0},
+		{"agent silent for 8 s, and calls of that time never answered", silentFor(8*time.Second, true), 0},
 		{"agent silent for 61 s", silentFor(61*time.Second, false), 0},
 		{"agent refuses connections for 20 s", func(s *simulation) {
 			s.dialErr = errors.New("refused")
@@ -77,11 +77,11 @@
 			s.dialErr = nil
 			s.startDrain()
 		}, 0},
-		{"message truncated at its end", spoilLine(func(m string) string { return m[:len(m)-2] }), 0},
-		{"message truncated in a name", spoilLine(func(m string) string { return m[:len(m)/2] }), 0},
-		{"binary data", spoilLine(func(m string) string { return "\x00\x01" + m }), 0},
-		{"malformed id", spoilLine(func(m string) string { return strings.Replace(m, `"a"`, `7`, 1) }), 0},
-		{"malformed lifecycle", spoilLine(func(m string) string { return strings.Replace(m, `"draining"`, `[`, 1) }), 0},
+		{"message truncated at its end", corruptLine(func(m string) string { return m[:len(m)-2] }), 0},
+		{"message truncated in a name", corruptLine(func(m string) string { return m[:len(m)/2] }), 0},
+		{"binary data", corruptLine(func(m string) string { return "\x00\x01" + m }), 0},
+		{"malformed id", corruptLine(func(m string) string { return strings.Replace(m, `"a"`, `7`, 1) }), 0},
+		{"malformed lifecycle", corruptLine(func(m string) string { return strings.Replace(m, `"draining"`, `[`, 1) }), 0},
 		{"indented", func(s *simulation) {
 			s.encode = func(m string, _ bool) []chunk {
 				return []chunk{{0, strings.NewReplacer("{", "{\r\n  ", ",", ",\r\n  ", "}", "\r\n}").Replace(m) + "\r\n"}}
@@ -97,7 +97,7 @@
 			}
 			s.startDrain()
 		}, 0},
-		{"pause within the message", spoilChanges(func(m string) []chunk {
+		{"pause within the message", encodeChanges(func(m string) []chunk {
 			return []chunk{{0, m[:20]}, {2 * time.Second, m[20:] + "\n"}}
 		}), 0},
 	} {
@@ -158,7 +158,7 @@
 			s.advance(5500 * time.Millisecond)
 			before := len(s.callTimes)
 			if before != fleet {
-				t.Errorf("%d calls of %d nodes with working watches, want one of each node", before, fleet)
+				t.Errorf("%d calls by %d nodes with working watches, want one by each node", before, fleet)
 			}
 			begin(s)
 			s.startDrain()
@@ -205,9 +205,9 @@
 			s.startDrain()
 			accepting := s.now
 			s.advance(time.Minute)
-			if delay := s.drainDelay(accepting); delay < 0 || delay > 2*defaultPollInterval+MaxCallDuration {
+			if delay := s.drainDelay(accepting); delay < 0 || delay > 2*defaultPollInterval+CallTimeout {
 				t.Errorf("%d nodes, pushed %v: last node learned of the drain %v after the rejections, want at most %v",
-					fleet, pushed, delay, 2*defaultPollInterval+MaxCallDuration)
+					fleet, pushed, delay, 2*defaultPollInterval+CallTimeout)
 			}
 		}
 	}
@@ -266,7 +266,7 @@
 // Guards against a stale list: a watch may deliver a newer generation while a fetch is open. The fetch's
 // older list must not replace it.
 func TestStaleFetchIsNotApplied(t *testing.T) {
-	f := New(Config{Pushed: true, FleetSize: 1, Rand: rand.New(rand.NewPCG(1, 1)), Version: 4})
+	f := New(Config{Pushed: true, FleetSize: 1, Rand: rand.New(rand.NewPCG(1, 1)), Generation: 4})
 	f.Start(0)
 	f.Advance(0)
 	fetch := f.fetch.id
--- a/internal/edgenode/follower/schedule.go
+++ b/internal/edgenode/follower/schedule.go
@@ -6,16 +6,17 @@
 const (
 	// heartbeatInterval is the interval of the empty lines that an idle watch receives.
 	heartbeatInterval = 2 * time.Second
-	// deliveryLimit is how long after a watch went silent the changes that it misses count as delivered.
+	// deliveryLimit is the time from the start of a watch's silence until the changes that it misses count
+	// as delivered.
 	deliveryLimit = 6 * time.Second
 )
 
-// MaxCallDuration is the time after which an unanswered call, or a silent watch of an agent, is closed. It
-// is also the time limit for connecting.
-const MaxCallDuration = 3 * time.Second
+// CallTimeout is the time limit for connecting, for a fetch, for silence on the watch of an agent, and for
+// each message on that watch.
+const CallTimeout = 3 * time.Second
 
-// Timing of the calls. Pushed stands for the calls of an agent, polled for those of the service or of an
-// agent that rejects calls.
+// Timing of the calls. Pushed stands for calls to an agent, polled for calls to the service or to an agent
+// that rejects calls.
 const (
 	// Silence after which a pushed watch is suspect, and a polled watch is closed.
 	pushedIdleTimeout = heartbeatInterval + 300*time.Millisecond
@@ -30,19 +31,20 @@
 	responseAllowance   = time.Second            // part of deliveryLimit left for a call's response
 	fleetCallInterval   = 100 * time.Millisecond // mean interval between calls over the whole fleet
 	smallFleetMaxWindow = time.Second            // largest backoff window of a small fleet
-	maxWindowFactor     = 2                      // a large fleet's largest backoff window / its first
+	maxWindowFactor     = 2                      // ratio of the largest to the first window of a large fleet
 	maxRereadInterval   = time.Minute            // between readings of a list that stays malformed
 	defaultPollInterval = 10 * time.Second       // used if the settings give none
 )
 
-// schedule collects the decisions of one call of Advance.
+// schedule collects the decisions of one call to Advance.
 type schedule struct {
 	now      time.Duration
 	commands []Command
-	next     time.Duration // latest time of the next call of Advance
+	next     time.Duration // latest time of the next call to Advance
 }
 
-// due reports whether a time has been reached. If not, Advance must be called again by then.
+// due reports whether a time has been reached. If not, due limits next to that time, so that Advance is
+// called again by then.
 func (s *schedule) due(at time.Duration) bool {
 	if at > s.now {
 		s.next = min(s.next, at)
@@ -52,7 +54,7 @@
 
 // Advance returns the commands that are due and the latest time at which it must be called again.
 func (f *Follower) Advance(now time.Duration) (commands []Command, next time.Duration) {
-	s := &schedule{now: now, next: now + MaxCallDuration}
+	s := &schedule{now: now, next: now + CallTimeout}
 	f.rereadIfDue(s)
 	f.closeWatchIfDue(s)
 	f.closeFetchIfDue(s)
@@ -110,7 +112,7 @@
 			f.markUnreachable()
 		}
 	}
-	if s.due(w.lastActivity+MaxCallDuration) || w.partial && s.due(w.messageStarted+MaxCallDuration) {
+	if s.due(w.lastActivity+CallTimeout) || w.partial && s.due(w.messageStarted+CallTimeout) {
 		f.abandonWatch(s)
 	}
 }
@@ -125,7 +127,7 @@
 func (f *Follower) closeFetchIfDue(s *schedule) {
 	c := &f.fetch
 	if c.id != 0 &&
-		(s.due(c.lastActivity+pushedMessageTimeout) || s.due(c.opened+MaxCallDuration) || f.rateLimited()) {
+		(s.due(c.lastActivity+pushedMessageTimeout) || s.due(c.opened+CallTimeout) || f.rateLimited()) {
 		f.close(s, c)
 	}
 }
@@ -235,12 +237,12 @@
 }
 
 // firstBackoffWindow returns the first backoff window of rate-limited calls. It is proportional to the fleet
-// size, so that the fleet as a whole makes one call each fleetCallInterval on average.
+// size, so that the fleet as a whole makes one call per fleetCallInterval on average.
 func (f *Follower) firstBackoffWindow() time.Duration {
 	return time.Duration(f.config.FleetSize) * fleetCallInterval
 }
 
-// fetchInterval returns a random interval between two calls of an agent.
+// fetchInterval returns a random interval between two calls to an agent.
 func (f *Follower) fetchInterval() time.Duration {
 	return f.randomDuration(maxFetchInterval/2) + maxFetchInterval/2
 }
--- a/internal/edgenode/follower/sim_test.go
+++ b/internal/edgenode/follower/sim_test.go
@@ -77,7 +77,7 @@
 		n := &simNode{sim: s}
 		n.client = NewClient(netip.MustParseAddrPort("127.0.0.1:1"), New(Config{
 			Pushed: pushed, FleetSize: fleet, PollInterval: defaultPollInterval,
-			Rand: rand.New(rand.NewPCG(uint64(i), 1)), Version: 1,
+			Rand: rand.New(rand.NewPCG(uint64(i), 1)), Generation: 1,
 		}), n.apply, slog.New(slog.DiscardHandler))
 		s.nodes = append(s.nodes, n)
 		s.after(latency+time.Duration(i)*time.Millisecond/10, func() { n.client.follower.Start(s.now); n.step() })
--- a/internal/edgenode/frontend.go
+++ b/internal/edgenode/frontend.go
@@ -21,7 +21,7 @@
 
 // Time limits of a client's connection.
 const (
-	headerTimeout     = 1500 * time.Millisecond // for a header, from the connection or the first byte on
+	headerTimeout     = 1500 * time.Millisecond // for a header; begins at the accept or its first byte
 	bodyTimeout       = time.Second             // for the body
 	unreadBodyTimeout = 250 * time.Millisecond  // for the rest of the body of a malformed request
 	writeTimeout      = 10 * time.Second        // for writing a response, in addition to maxWait
@@ -31,9 +31,9 @@
 // maxHeaderBytes is the largest header of a request, in bytes.
 const maxHeaderBytes = 16 << 10
 
-// Timing of a drain. The protocol ("Figures") defines for how long clients still connect, and when the
-// process may be killed: min(maxWait, maxKillDelay) + killDelayMargin after the start of the drain, at the
-// earliest.
+// Timing of a drain. The protocol (section "Figures") defines how long clients may still connect after the
+// drain begins. It also defines that the process is killed no earlier than min(maxWait, maxKillDelay) +
+// killDelayMargin after that.
 const (
 	drainListenPeriod = 500 * time.Millisecond // listener stays open; clients may connect for up to 0.4 s
 	drainPollInterval = 5 * time.Millisecond   // between two checks for idle connections
@@ -46,7 +46,8 @@
 const reservedDescriptors = 48
 
 // maxServerConns and maxClientConns divide the file descriptors equally between connections to app servers
-// and to clients. That is enough for the app servers, because a request has at most one attempt in progress.
+// and to clients. Without hedging that is enough for the app servers, because a request has at most one
+// attempt in progress. An attempt beyond the limit is not sent.
 func maxServerConns(sockets int) int { return (sockets - reservedDescriptors) / 2 }
 func maxClientConns(sockets int) int { return (sockets - reservedDescriptors) / 2 }
 
@@ -68,7 +69,7 @@
 	conns         *connTable
 	ready         atomic.Bool
 	draining      atomic.Bool
-	drainDeadline atomic.Pointer[time.Time] // for new requests; nil until the listener closes
+	drainDeadline atomic.Pointer[time.Time] // deadline of new requests; nil until the listener closes
 	classes       map[string]balancer.Class // by name
 	plans         map[string]bool           // names of all plans
 }
@@ -113,9 +114,9 @@
 }
 
 // drain stops serving and returns once all requests have been answered. For drainPeriod it still accepts
-// connections, whose requests are answered and which close after the response. Then it closes the listener
-// and waits for the requests in flight. Closing the listener at once would lose the requests of clients that
-// are just connecting.
+// connections and answers their requests, but closes each connection after the response. Then it closes the
+// listener and waits for the requests in flight. Closing the listener at once would lose the requests of
+// clients that are just connecting.
 //
 // drain does not use [http.Server.Shutdown], which drops without a response each request whose header was
 // read just as Shutdown begins.
--- a/internal/edgenode/frontend_test.go
+++ b/internal/edgenode/frontend_test.go
@@ -21,10 +21,10 @@
 	got := make(chan *http.Request, 1)
 	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		got <- r
-		return nodetest.Say("HTTP/1.1 200 OK\r\nContent-Type: a/b\r\nX-Secret: 1\r\nContent-Length: 4\r\n\r\nbody")(c, r, body)
+		return nodetest.Respond("HTTP/1.1 200 OK\r\nContent-Type: a/b\r\nX-Secret: 1\r\nContent-Length: 4\r\n\r\nbody")(c, r, body)
 	})
 	n := run(t, testConfig(s.Endpoint("a")))
-	a := nodetest.Dial(t, n.addr).Ask(request("book", "t1", "Connection", "keep-alive, X-Hop", "X-Hop", "1", "TE", "trailers"))
+	a := nodetest.Dial(t, n.addr).Do(request("book", "t1", "Connection", "keep-alive, X-Hop", "X-Hop", "1", "TE", "trailers"))
 	if a.Status != 200 || a.Body != "body" || a.Header.Get("Content-Type") != "a/b" {
 		t.Errorf("response %+v", a)
 	}
@@ -49,7 +49,7 @@
 // A malformed request is answered with an error that clients do not mistake for a rejection, and is not
 // passed on. The connection either closes or remains usable for the next request.
 func TestBadRequests(t *testing.T) {
-	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	s := nodetest.NewAppServer(t, nodetest.Respond(nodetest.OKResponse))
 	cfg := testConfig(s.Endpoint("a"))
 	cfg.Settings.NodeCount, cfg.Settings.MaxUnits = 2, 8
 	n := run(t, cfg)
@@ -107,7 +107,7 @@
 		{"method of another class", "check", []string{"", "POST " + path + " HTTP/1.1", "Content-Length", "4", "body", "slot"}, 405},
 	} {
 		client := nodetest.Dial(t, n.addr)
-		if a := client.Ask(request(c.class, "t1", c.replace...)); a.Status != c.status {
+		if a := client.Do(request(c.class, "t1", c.replace...)); a.Status != c.status {
 			t.Errorf("%s: status %d, want %d, body %s", c.name, a.Status, c.status, a.Body)
 		} else if c.status == 405 && a.Header.Get("Allow") != "GET" {
 			t.Errorf("%s: Allow %q", c.name, a.Header.Get("Allow"))
@@ -117,8 +117,8 @@
 			if _, err := client.Reader.ReadByte(); err != io.EOF {
 				t.Errorf("%s: after the last response: %v, want EOF", c.name, err)
 			}
-		} else if a := client.Ask("GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n"); a.Status != 200 {
-			t.Errorf("%s: next request on the connection: status %d", c.name, a.Status)
+		} else if a := client.Do("GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n"); a.Status != 200 {
+			t.Errorf("%s: next request on the connection: status %d, want 200", c.name, a.Status)
 		}
 	}
 }
@@ -139,13 +139,13 @@
 }
 
 func TestBodyLimit(t *testing.T) {
-	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	s := nodetest.NewAppServer(t, nodetest.Respond(nodetest.OKResponse))
 	n := run(t, testConfig(s.Endpoint("a")))
 	largest := strings.Repeat("x", maxBody)
-	if a := nodetest.Dial(t, n.addr).Ask(request("book", "t1", "Content-Length", strconv.Itoa(maxBody), "body", largest)); a.Status != 200 {
-		t.Errorf("largest body: status %d", a.Status)
+	if a := nodetest.Dial(t, n.addr).Do(request("book", "t1", "Content-Length", strconv.Itoa(maxBody), "body", largest)); a.Status != 200 {
+		t.Errorf("largest body: status %d, want 200", a.Status)
 	}
-	if a := nodetest.Dial(t, n.addr).Ask(request("book", "t2", "Content-Length", strconv.Itoa(maxBody+1), "body", largest+"x")); a.Status != 413 || !a.Close {
+	if a := nodetest.Dial(t, n.addr).Do(request("book", "t2", "Content-Length", strconv.Itoa(maxBody+1), "body", largest+"x")); a.Status != 413 || !a.Close {
 		t.Errorf("one byte over the limit: status %d, closed %v", a.Status, a.Close)
 	}
 	if got := len(s.Requests()); got != 1 {
@@ -184,20 +184,20 @@
 	n := run(t, cfg)
 	c := nodetest.Dial(t, n.addr)
 	nodetest.SetDeadline(t, c)
-	if a := c.Ask(request("check", "t1", "X-Expires-In", "1000000")); a.Status != 429 && a.Status != 502 {
+	if a := c.Do(request("check", "t1", "X-Expires-In", "1000000")); a.Status != 429 && a.Status != 502 {
 		t.Errorf("status %d, want 429 or 502", a.Status)
 	}
 }
 
 // A request over its tenant's quota is rejected, with the time after which the client may retry.
 func TestRejection(t *testing.T) {
-	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	s := nodetest.NewAppServer(t, nodetest.Respond(nodetest.OKResponse))
 	n := run(t, testConfig(s.Endpoint("a")))
 	c := nodetest.Dial(t, n.addr)
-	if a := c.Ask(request("check", "t1", "X-Contract", "tight")); a.Status != 200 {
-		t.Errorf("within the quota: status %d", a.Status)
+	if a := c.Do(request("check", "t1", "X-Contract", "tight")); a.Status != 200 {
+		t.Errorf("within the quota: status %d, want 200", a.Status)
 	}
-	a := c.Ask(request("check", "t2", "X-Contract", "tight"))
+	a := c.Do(request("check", "t2", "X-Contract", "tight"))
 	wait, err := strconv.ParseFloat(a.Header.Get("Retry-After"), 64)
 	if a.Status != 429 || err != nil || wait <= 0 || wait > 2 {
 		t.Errorf("over the quota: status %d, Retry-After %q", a.Status, a.Header.Get("Retry-After"))
@@ -207,12 +207,12 @@
 	}
 }
 
-// A request at an app server that never responds ends at the client's deadline. It fails instead of being
+// A request to an app server that never responds ends at the client's deadline. It fails instead of being
 // rejected, since it has an idempotency key and may have taken effect.
 func TestUnresponsiveServer(t *testing.T) {
 	s := nodetest.NewAppServer(t, func(net.Conn, *http.Request, []byte) bool { select {} })
 	n := run(t, testConfig(s.Endpoint("a")))
-	a := nodetest.Dial(t, n.addr).Ask(request("book", "t1", "X-Expires-In", "2"))
+	a := nodetest.Dial(t, n.addr).Do(request("book", "t1", "X-Expires-In", "2"))
 	if a.Status != 502 {
 		t.Errorf("status %d, want 502", a.Status)
 	}
@@ -259,15 +259,15 @@
 			resets.Add(1)
 			return false
 		}
-		return nodetest.Say(nodetest.OKResponse)(c, r, body)
+		return nodetest.Respond(nodetest.OKResponse)(c, r, body)
 	})
-	good := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	good := nodetest.NewAppServer(t, nodetest.Respond(nodetest.OKResponse))
 	n := run(t, testConfig(bad.Endpoint("a"), good.Endpoint("b")))
 	c := nodetest.Dial(t, n.addr)
 	i := 0
 	sendNext := func() nodetest.Response {
 		i++
-		return c.Ask(request("check", fmt.Sprint("t", i)))
+		return c.Do(request("check", fmt.Sprint("t", i)))
 	}
 	for range 20 { // first attempts earn the balancer the budget for retries
 		sendNext()
@@ -279,8 +279,8 @@
 	})
 }
 
-// A panic in the balancer or in the frontend fails one request, which is answered. A panic in the balancer is
-// logged with its stack.
+// A request is answered even if the balancer or the frontend panics while handling it. A panic in the
+// balancer is logged with its stack.
 func TestPanicIsAnswered(t *testing.T) {
 	f := idleFrontend(t, testConfig())
 	logs := &nodetest.Buffer{}
@@ -291,13 +291,13 @@
 	n.mu.Unlock()
 	ln := nodetest.Listen(t)
 	serveClients(t, f, newClientListener(ln, f.conns))
-	a := nodetest.Dial(t, ln.Addr().String()).Ask(request("check", "t1"))
+	a := nodetest.Dial(t, ln.Addr().String()).Do(request("check", "t1"))
 	if a.Status != 502 || !strings.Contains(logs.String(), "balancer.(*Balancer).RequestArrived") {
 		t.Errorf("panic in the balancer: status %d, logged %q", a.Status, logs.String())
 	}
 	// A panic in the frontend.
 	f.settings = nil
-	if a := nodetest.Dial(t, ln.Addr().String()).Ask(request("check", "t2")); a.Status != 500 {
+	if a := nodetest.Dial(t, ln.Addr().String()).Do(request("check", "t2")); a.Status != 500 {
 		t.Errorf("panic in the frontend: status %d, want 500", a.Status)
 	}
 }
--- a/internal/edgenode/gone_test.go
+++ b/internal/edgenode/gone_test.go
@@ -23,8 +23,8 @@
 	})
 }
 
-// hookWrites makes a node call hook just before each write of an attempt to a connection that it opens from
-// now on.
+// hookWrites makes a node call hook before each write to an app server. It affects only connections that the
+// node opens after this call.
 func hookWrites(n *Node, hook func()) {
 	dial := n.upstream.DialContext
 	n.upstream.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -37,9 +37,9 @@
 }
 
 // Guards against attempts that begin after their client has disconnected. It covers the first attempt and a
-// retry. The balancer starts a retry when the attempt before fails, and its connection may open only after
-// the client has disconnected.
-func TestNoAttemptBeginsForAClientThatHasClosed(t *testing.T) {
+// retry. The balancer starts a retry when the previous attempt fails, and the connection of the retry may
+// open only after the client has disconnected.
+func TestNoAttemptAfterClientDisconnect(t *testing.T) {
 	for _, class := range []string{"check", "book"} {
 		for _, retry := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, retry: %v", class, retry), func(t *testing.T) {
@@ -50,13 +50,13 @@
 						(*hook)()
 						return false
 					}
-					return nodetest.Say(nodetest.OKResponse)(c, r, body)
+					return nodetest.Respond(nodetest.OKResponse)(c, r, body)
 				})
-				second := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+				second := nodetest.NewAppServer(t, nodetest.Respond(nodetest.OKResponse))
 				f, addr := serveHooked(t, testConfig(first.Endpoint("a")), func(*frontend, *clientConn) {})
 				n := nodeOf(f)
 				for i := range 20 { // first attempts earn the budget for retries
-					nodetest.Dial(t, addr).Ask(request("check", fmt.Sprint("t", i)))
+					nodetest.Dial(t, addr).Do(request("check", fmt.Sprint("t", i)))
 				}
 				c := nodetest.Dial(t, addr)
 				closed, noticed := make(chan struct{}), make(chan struct{})
--- a/internal/edgenode/harness_test.go
+++ b/internal/edgenode/harness_test.go
@@ -69,7 +69,7 @@
 			if err != nil {
 				t.Errorf("run: %v", err)
 			}
-		case <-time.After(nodetest.Patience):
+		case <-time.After(nodetest.WaitTimeout):
 			t.Error("the node did not end in time")
 		}
 	})
@@ -90,9 +90,8 @@
 	})
 }
 
-// request returns the text of a valid request of a class. replace has pairs of a header's name and the value
-// that it gets instead. A value of "" removes the header. The name "" replaces the request line, the name
-// "body" the body.
+// request returns the text of a valid request of a class. replace holds pairs of a header name and its new
+// value. The value "" removes the header. The name "" replaces the request line, the name "body" the body.
 func request(class, id string, replace ...string) string {
 	headers := map[string]string{
 		"Host": "app.svc", "X-Trace-Id": id, "X-Qos": class, "X-Contract": "wide",
--- a/internal/edgenode/inflight.go
+++ b/internal/edgenode/inflight.go
@@ -112,14 +112,15 @@
 		return
 	}
 	request.answered = true
-	// Withdrawn first: an attempt whose connection opens late must not write the request after the response.
+	// The message is withdrawn first: an attempt whose connection opens late must not write the request after
+	// the response has been sent.
 	n.upstream.Withdraw(&request.message)
 	request.response <- response
 	n.releaseRequest(request)
 }
 
-// releaseRequest forgets a request if it is answered and all of its attempts have ended. The caller holds the
-// mutex.
+// releaseRequest removes a request from the requests in flight if it is answered and all of its attempts have
+// ended. The caller holds the mutex.
 func (n *Node) releaseRequest(request *inflightRequest) {
 	if request.answered && request.openAttempts == 0 && n.inflight[request.id] == request {
 		delete(n.inflight, request.id)
--- a/internal/edgenode/inflight_test.go
+++ b/internal/edgenode/inflight_test.go
@@ -38,7 +38,7 @@
 	n.close()
 	_ = client.Close()
 	nodetest.Await(t, "handler of the request in flight returned", handled)
-	if a := nodetest.Dial(t, ln.Addr().String()).Ask(request("check", "late")); a.Status != http.StatusBadGateway {
+	if a := nodetest.Dial(t, ln.Addr().String()).Do(request("check", "late")); a.Status != http.StatusBadGateway {
 		t.Errorf("request to a closed node: response %+v, want status %d", a, http.StatusBadGateway)
 	}
 	nodetest.Await(t, "handler of the late request returned", handled)
@@ -47,7 +47,7 @@
 // A request that has its final response must not be sent any more, even if its attempt was not cancelled and
 // has a connection.
 func TestNothingIsSentAfterTheFinalResponse(t *testing.T) {
-	server := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	server := nodetest.NewAppServer(t, nodetest.Respond(nodetest.OKResponse))
 	n, err := newNode(t.Context(), testConfig(server.Endpoint("a")), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -97,13 +97,13 @@
 	hold := make(chan struct{})
 	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		<-hold
-		return nodetest.Say(nodetest.OKResponse)(c, r, body)
+		return nodetest.Respond(nodetest.OKResponse)(c, r, body)
 	})
 	n := run(t, testConfig(s.Endpoint("a")))
 	c := nodetest.Dial(t, n.addr)
 	c.Send(request("check", "t1"))
 	nodetest.Eventually(t, "first request at the app server", func() bool { return len(s.Requests()) == 1 })
-	if a := nodetest.Dial(t, n.addr).Ask(request("check", "t1")); a.Status != 409 {
+	if a := nodetest.Dial(t, n.addr).Do(request("check", "t1")); a.Status != 409 {
 		t.Errorf("status %d, want 409", a.Status)
 	}
 	close(hold)
--- a/internal/edgenode/node.go
+++ b/internal/edgenode/node.go
@@ -64,8 +64,8 @@
 	}, nil
 }
 
-// now returns the time of the node's clock, as the time since the Unix epoch, so that it compares to the
-// start times in endpoint lists. The clock is monotonic: it adds the monotonic time since startedAt to
+// now returns the time of the node's clock, as the time since the Unix epoch, so that it can be compared with
+// the start times in endpoint lists. The clock is monotonic: it adds the monotonic time since startedAt to
 // startedAt.
 func (n *Node) now() time.Duration {
 	return time.Duration(n.startedAt.UnixNano()) + time.Since(n.startedAt)
@@ -141,7 +141,7 @@
 	n.updateEndpoints(l, kind)
 }
 
-// receivePeerMessage passes a message of the peer with index from to the balancer.
+// receivePeerMessage passes a message of a peer to the balancer. from is the node index of the peer.
 func (n *Node) receivePeerMessage(from int, message []byte) {
 	n.handleEvent(func(now time.Duration, out balancer.Actions) { n.balancer.PeerMessage(now, from, message, out) })
 }
--- a/internal/edgenode/nodetest/close.go
+++ b/internal/edgenode/nodetest/close.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// WantClosed waits until the peer of a connection has closed or reset it. It fails the test after [Patience].
+// WantClosed waits until the peer of a connection has closed or reset it. It fails the test after
+// [WaitTimeout].
 func WantClosed(t *testing.T, c net.Conn) {
 	t.Helper()
 	Eventually(t, "connection closed by the node", func() bool {
--- a/internal/edgenode/nodetest/nodetest.go
+++ b/internal/edgenode/nodetest/nodetest.go
@@ -21,12 +21,12 @@
 	"opalhook/internal/edgenode/endpointlist"
 )
 
-// Patience is the time limit of every wait in a test. It is far longer than any wait should take, so that a
-// busy machine does not fail a test.
-const Patience = 30 * time.Second
+// WaitTimeout is the time limit of every wait in a test. It is far longer than any wait should take, so that
+// a busy machine does not fail a test.
+const WaitTimeout = 30 * time.Second
 
-// ServeFunc answers one request, whose body has been read completely. If it returns false, the app server
-// closes the connection.
+// ServeFunc writes the response to one request to c. The body of the request has been read completely. If the
+// function returns false, the app server closes the connection.
 type ServeFunc func(c net.Conn, r *http.Request, body []byte) bool
 
 // AppServer is an app server on a loopback socket.
@@ -110,8 +110,8 @@
 // AddrOf returns the address of a listener.
 func AddrOf(ln net.Listener) netip.AddrPort { return ln.Addr().(*net.TCPAddr).AddrPort() }
 
-// Say returns a ServeFunc that answers with the text and keeps the connection open.
-func Say(text string) ServeFunc {
+// Respond returns a ServeFunc that answers with the text and keeps the connection open.
+func Respond(text string) ServeFunc {
 	return func(c net.Conn, _ *http.Request, _ []byte) bool {
 		_, err := io.WriteString(c, text)
 		return err == nil
@@ -171,10 +171,10 @@
 	return &Client{Conn: c, Reader: bufio.NewReader(c), t: t}
 }
 
-// SetDeadline makes reads and writes on a connection fail after [Patience].
+// SetDeadline makes reads and writes on a connection fail after [WaitTimeout].
 func SetDeadline(t testing.TB, c net.Conn) {
 	t.Helper()
-	if err := c.SetDeadline(time.Now().Add(Patience)); err != nil {
+	if err := c.SetDeadline(time.Now().Add(WaitTimeout)); err != nil {
 		t.Errorf("set deadline of a connection: %v", err)
 	}
 }
@@ -218,29 +218,29 @@
 	return Response{resp.StatusCode, resp.Header, string(body), resp.Close}
 }
 
-// Ask writes a request and reads its response.
-func (c *Client) Ask(text string) Response {
+// Do writes a request and reads its response.
+func (c *Client) Do(text string) Response {
 	c.t.Helper()
 	c.Send(text)
 	return c.Receive()
 }
 
-// Eventually waits until cond returns true. It fails the test after [Patience]. what names the condition.
+// Eventually waits until cond returns true. It fails the test after [WaitTimeout]. what names the condition.
 func Eventually(t *testing.T, what string, cond func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Patience); !cond(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(WaitTimeout); !cond(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
-// Await receives a value from a channel. It fails the test after [Patience]. what names the awaited event.
+// Await receives a value from a channel. It fails the test after [WaitTimeout]. what names the awaited event.
 func Await[T any](t testing.TB, what string, from <-chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-from:
-	case <-time.After(Patience):
+	case <-time.After(WaitTimeout):
 		t.Fatalf("timed out waiting for: %s", what)
 	}
 	return v
@@ -277,8 +277,8 @@
 	close(e.done)
 }
 
-// Drained reports whether the socket of a connection holds no unread bytes.
-func Drained(t testing.TB, c net.Conn) bool {
+// ReceiveBufferEmpty reports whether the socket of a connection holds no unread bytes.
+func ReceiveBufferEmpty(t testing.TB, c net.Conn) bool {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
@@ -294,8 +294,9 @@
 	return empty
 }
 
-// ListJSON returns a message of discovery with the servers as entries. full marks it as the complete list.
-func ListJSON(generation int, full bool, servers ...endpointlist.Endpoint) string {
+// ListJSON returns a message of discovery with the servers as entries. snapshot marks the message as the
+// complete list.
+func ListJSON(generation int, snapshot bool, servers ...endpointlist.Endpoint) string {
 	type entry map[string]any
 	list := []entry{}
 	lifecycles := map[balancer.EndpointState]string{balancer.Up: "up", balancer.Draining: "draining", balancer.Removed: "removed"}
@@ -305,7 +306,7 @@
 			"cell": s.Cell, "lifecycle": lifecycles[s.State], "weight": s.Weight, "startedAtMs": s.StartedAt.Milliseconds(),
 		})
 	}
-	b, err := json.Marshal(map[string]any{"generation": generation, "reset": full, "instances": list})
+	b, err := json.Marshal(map[string]any{"generation": generation, "reset": snapshot, "instances": list})
 	if err != nil {
 		panic(fmt.Sprint("marshal test list: ", err))
 	}
--- a/internal/edgenode/process_test.go
+++ b/internal/edgenode/process_test.go
@@ -18,7 +18,7 @@
 // A SIGTERM before the node is ready ends it, without opening the listener.
 func TestEndBeforeReady(t *testing.T) {
 	cfg := testConfig()
-	cfg.listWait = nodetest.Patience
+	cfg.listWait = nodetest.WaitTimeout
 	var called chan struct{}
 	cfg.Discovery, called = silentAgent(t)
 	ctx, stop := context.WithCancel(context.Background())
@@ -28,7 +28,7 @@
 			return nil, errors.New("the listener was opened")
 		})
 	}()
-	nodetest.Await(t, "call of the agent", called)
+	nodetest.Await(t, "call to the agent", called)
 	stop()
 	if err := nodetest.Await(t, "end of the node", done); err != nil {
 		t.Error(err)
@@ -55,9 +55,9 @@
 // A reload takes effect at any time, also before the node is ready and while it drains.
 func TestReloadAtAnyMoment(t *testing.T) {
 	t.Run("before it is ready", func(t *testing.T) {
-		s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+		s := nodetest.NewAppServer(t, nodetest.Respond(nodetest.OKResponse))
 		cfg := testConfig()
-		cfg.listWait = nodetest.Patience
+		cfg.listWait = nodetest.WaitTimeout
 		var called chan struct{}
 		cfg.Discovery, called = silentAgent(t)
 		moved := *cfg
@@ -65,17 +65,17 @@
 			func(_ int, _ string, w io.Writer, ctx context.Context) { sendHeartbeats(ctx, w) })
 		cfg.reload = func() (*Config, error) { return &moved, nil }
 		n := run(t, cfg)
-		nodetest.Await(t, "call of the first agent", called)
+		nodetest.Await(t, "call to the first agent", called)
 		n.reload <- syscall.SIGHUP
-		if a := nodetest.Dial(t, n.addr).Ask(request("check", "t1")); a.Status != http.StatusOK {
-			t.Errorf("response %+v", a)
+		if a := nodetest.Dial(t, n.addr).Do(request("check", "t1")); a.Status != http.StatusOK {
+			t.Errorf("response %+v, want status 200", a)
 		}
 	})
 	t.Run("while it drains", func(t *testing.T) {
 		hold := make(chan struct{})
 		s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 			<-hold
-			return nodetest.Say(nodetest.OKResponse)(c, r, body)
+			return nodetest.Respond(nodetest.OKResponse)(c, r, body)
 		})
 		cfg := testConfig(s.Endpoint("a"))
 		moved := *cfg
@@ -89,32 +89,32 @@
 		n.stop()
 		nodetest.Eventually(t, "draining", func() bool { return strings.Contains(n.logs.String(), "draining") })
 		n.reload <- syscall.SIGHUP
-		nodetest.Await(t, "call of the new agent", called)
+		nodetest.Await(t, "call to the new agent", called)
 		close(hold)
 		if a := c.Receive(); a.Status != http.StatusOK {
-			t.Errorf("response %+v", a)
+			t.Errorf("response %+v, want status 200", a)
 		}
 	})
 }
 
 // An agent that accepts calls and never answers does not keep a node from serving with its cached list.
-func TestSilentDiscoveryKeepsNobodyWaiting(t *testing.T) {
-	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+func TestNodeServesDespiteSilentDiscovery(t *testing.T) {
+	s := nodetest.NewAppServer(t, nodetest.Respond(nodetest.OKResponse))
 	cfg := testConfig(s.Endpoint("a"))
 	cfg.Discovery, _ = silentAgent(t)
 	cfg.listWait = polledListWait
 	n := run(t, cfg)
-	if a := nodetest.Dial(t, n.addr).Ask(request("check", "t1")); a.Status != http.StatusOK {
-		t.Errorf("response %+v", a)
+	if a := nodetest.Dial(t, n.addr).Do(request("check", "t1")); a.Status != http.StatusOK {
+		t.Errorf("response %+v, want status 200", a)
 	}
 }
 
 // A node serves requests with its cached list while discovery is down.
 func TestNodeServesFromCachedList(t *testing.T) {
-	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	s := nodetest.NewAppServer(t, nodetest.Respond(nodetest.OKResponse))
 	n := run(t, testConfig(s.Endpoint("a"))) // nothing listens on the address of discovery
 	nodetest.Eventually(t, "failure of discovery logged", func() bool { return strings.Contains(n.logs.String(), `msg="discovery watch lost"`) })
-	if a := nodetest.Dial(t, n.addr).Ask(request("check", "t1")); a.Status != 200 {
-		t.Errorf("status %d", a.Status)
+	if a := nodetest.Dial(t, n.addr).Do(request("check", "t1")); a.Status != 200 {
+		t.Errorf("status %d, want 200", a.Status)
 	}
 }
--- a/internal/edgenode/ready_test.go
+++ b/internal/edgenode/ready_test.go
@@ -57,7 +57,7 @@
 			return nil, errors.New("refused")
 		},
 		"does not respond": func(context.Context, string, string) (net.Conn, error) {
-			time.Sleep(follower.MaxCallDuration)
+			time.Sleep(follower.CallTimeout)
 			return nil, errors.New("no answer")
 		},
 		"closes connections":   dialDiscovery(0, ""),
@@ -74,7 +74,7 @@
 					t.Fatal(err)
 				}
 				synctest.Test(t, func(t *testing.T) {
-					defer time.Sleep(2 * hour) // until the slowest answer was given
+					defer time.Sleep(2 * hour) // longer than the slowest answer takes
 					late := 0
 					for i := range nodes {
 						if took := timeToListen(t, cfg, uint64(i), dial, reloads); took > readyWithin {
--- a/internal/edgenode/repeat_test.go
+++ b/internal/edgenode/repeat_test.go
@@ -12,19 +12,20 @@
 	"opalhook/internal/edgenode/upstream"
 )
 
-// A retry of a request with an idempotency key must be written completely before the endpoints forget the
-// key. This bound counts from the first attempt that may have run, and must reach the write of the retry.
-func TestRetryCarriesItsDeadline(t *testing.T) {
+// A retry of a request with an idempotency key must be written completely before the endpoints discard the
+// key, which they keep for DedupWindow. The node must pass the balancer's time limit, which counts from the
+// first attempt that may have run, to the write of the retry.
+func TestRetryIsLimitedToTheDedupWindow(t *testing.T) {
 	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if r.Method == "POST" {
-			return nodetest.Say("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n")(c, r, body)
+			return nodetest.Respond("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n")(c, r, body)
 		}
-		return nodetest.Say(nodetest.OKResponse)(c, r, body)
+		return nodetest.Respond(nodetest.OKResponse)(c, r, body)
 	})
 	n := nodeOf(idleFrontend(t, testConfig(s.Endpoint("a"), s.Endpoint("b"))))
 	handle := func(id, class, method string) *inflightRequest {
 		q := balancer.Request{ID: id, Class: class, Plan: "wide", Timeout: 10 * time.Second, Units: 1, EntryNodes: 1}
-		request := n.startRequest(q, upstream.Message{Method: method, Target: "/" + class, ID: id}, time.Now().Add(nodetest.Patience))
+		request := n.startRequest(q, upstream.Message{Method: method, Target: "/" + class, ID: id}, time.Now().Add(nodetest.WaitTimeout))
 		nodetest.Await(t, "response", request.response)
 		return request
 	}
--- a/internal/edgenode/run.go
+++ b/internal/edgenode/run.go
@@ -37,7 +37,7 @@
 	background sync.WaitGroup // goroutines that must end before Run returns
 }
 
-// runWithListener does what [Run] does, on the listener that listen returns.
+// runWithListener implements [Run]. It calls listen to open the listener for clients.
 func runWithListener(ctx context.Context, cfg *Config, reload <-chan os.Signal, logger *slog.Logger, listen func() (*net.TCPListener, error)) error {
 	logger = logger.With("node", cfg.Name)
 	nodeCtx, stop := context.WithCancel(context.Background())
@@ -90,7 +90,7 @@
 		Pushed:       !p.cfg.Settings.PollEndpoints,
 		FleetSize:    p.cfg.Settings.NodeCount,
 		PollInterval: p.cfg.Settings.PollInterval,
-		Version:      p.cfg.CachedList.Generation,
+		Generation:   p.cfg.CachedList.Generation,
 		Rand:         rand.New(rand.NewPCG(p.cfg.Seed, p.cfg.CachedList.Generation)),
 	})
 }
--- a/internal/edgenode/side_test.go
+++ b/internal/edgenode/side_test.go
@@ -30,7 +30,7 @@
 	var calls atomic.Int32
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/registry/instances" {
-			t.Errorf("unexpected call of %s", r.URL)
+			t.Errorf("unexpected call to %s", r.URL)
 		}
 		if r.URL.Query().Get("watch") == "" {
 			_, _ = io.WriteString(w, list())
@@ -71,7 +71,7 @@
 
 // After a new list arrives on the watch, requests go only to the app server in it.
 func TestWatchMovesTraffic(t *testing.T) {
-	oldServer, newServer := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse)), nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	oldServer, newServer := nodetest.NewAppServer(t, nodetest.Respond(nodetest.OKResponse)), nodetest.NewAppServer(t, nodetest.Respond(nodetest.OKResponse))
 	cfg := testConfig(oldServer.Endpoint("a"))
 	cfg.Discovery = serveDiscovery(t, func() string { return nodetest.ListJSON(8, true, newServer.Endpoint("b")) }, func(n int, _ string, w io.Writer, ctx context.Context) {
 		_, _ = fmt.Fprintf(w, "%s\n", nodetest.ListJSON(8, true, newServer.Endpoint("b")))
@@ -82,11 +82,11 @@
 	i := 0
 	nodetest.Eventually(t, "new app server used", func() bool {
 		i++
-		c.Ask(request("check", fmt.Sprint("t", i)))
+		c.Do(request("check", fmt.Sprint("t", i)))
 		return len(newServer.Requests()) > 0
 	})
 	before := len(oldServer.Requests())
-	c.Ask(request("check", "last"))
+	c.Do(request("check", "last"))
 	if len(oldServer.Requests()) != before {
 		t.Error("an app server that left the list was still used")
 	}
@@ -95,10 +95,10 @@
 // A new process accepts no client before the agent has sent its list. The cached list may be out of date, and
 // its use would send requests to app servers that have left.
 func TestNewProcessWaitsForTheAgentsList(t *testing.T) {
-	oldServer, newServer := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse)), nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	oldServer, newServer := nodetest.NewAppServer(t, nodetest.Respond(nodetest.OKResponse)), nodetest.NewAppServer(t, nodetest.Respond(nodetest.OKResponse))
 	answer, opened := make(chan struct{}), make(chan bool, 1) // answer: closed to let the agent answer
 	cfg := testConfig(oldServer.Endpoint("a"))
-	cfg.listWait = nodetest.Patience
+	cfg.listWait = nodetest.WaitTimeout
 	list := nodetest.ListJSON(8, true, newServer.Endpoint("b"))
 	called := make(chan struct{}, 100)
 	cfg.Discovery = serveDiscovery(t, func() string { called <- struct{}{}; <-answer; return list }, func(n int, _ string, w io.Writer, ctx context.Context) {
@@ -120,14 +120,14 @@
 			return ln, nil
 		})
 	}()
-	nodetest.Await(t, "call of the agent", called)
+	nodetest.Await(t, "call to the agent", called)
 	close(answer)
 	if !nodetest.Await(t, "listener opened", opened) {
 		t.Error("the listener was opened before the agent sent its list")
 	}
 	c := nodetest.Dial(t, ln.Addr().String())
-	if a := c.Ask(request("check", "t1")); a.Status != http.StatusOK {
-		t.Errorf("response %+v", a)
+	if a := c.Do(request("check", "t1")); a.Status != http.StatusOK {
+		t.Errorf("response %+v, want status 200", a)
 	}
 	if len(oldServer.Requests()) > 0 || len(newServer.Requests()) != 1 {
 		t.Errorf("%d requests to the app server of the cached list, want 0; %d to that of the agent's list, want 1", len(oldServer.Requests()), len(newServer.Requests()))
@@ -138,11 +138,11 @@
 	}
 }
 
-// A reload moves the watch to the new agent at once. The node does not ask that agent for the changes after a
-// generation of the old agent, because generations of different agents do not compare. An invalid
+// A reload moves the watch to the new agent at once. The node does not request from that agent the changes
+// after a generation of the old agent, because generations of different agents cannot be compared. An invalid
 // configuration changes nothing.
 func TestReloadMovesTheWatch(t *testing.T) {
-	oldServer, newServer := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse)), nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	oldServer, newServer := nodetest.NewAppServer(t, nodetest.Respond(nodetest.OKResponse)), nodetest.NewAppServer(t, nodetest.Respond(nodetest.OKResponse))
 	watched, ended := make(chan struct{}, 100), make(chan struct{}, 100) // watches of the first agent
 	first := serveDiscovery(t, func() string { return nodetest.ListJSON(900, true, oldServer.Endpoint("a")) }, func(_ int, _ string, w io.Writer, ctx context.Context) {
 		_, _ = fmt.Fprintf(w, "%s\n", nodetest.ListJSON(900, true, oldServer.Endpoint("a")))
@@ -184,7 +184,7 @@
 	i := 0
 	nodetest.Eventually(t, "app server of the new agent's list used", func() bool {
 		i++
-		c.Ask(request("check", fmt.Sprint("t", i)))
+		c.Do(request("check", fmt.Sprint("t", i)))
 		return len(newServer.Requests()) > 0
 	})
 }
@@ -278,13 +278,13 @@
 	}
 }
 
-// The node's clock reads Unix time, so that it compares to the start times of app servers, and never goes
-// back.
+// The node's clock returns Unix time, so that it can be compared with the start times of app servers, and
+// never goes back.
 func TestClock(t *testing.T) {
 	n := nodeOf(idleFrontend(t, testConfig()))
 	before := time.Duration(time.Now().UnixNano())
 	now := n.now()
-	if d := now - before; d < -time.Second || d > nodetest.Patience || n.now() < now {
+	if d := now - before; d < -time.Second || d > nodetest.WaitTimeout || n.now() < now {
 		t.Errorf("the clock differs from Unix time by %v, or went back", d)
 	}
 }
--- a/internal/edgenode/silent_server_test.go
+++ b/internal/edgenode/silent_server_test.go
@@ -39,8 +39,8 @@
 	sendNext := func() (byPreferred bool) {
 		n++
 		before := served.Load()
-		if a := c.Ask(request("check", fmt.Sprint("q", n))); a.Status != http.StatusOK {
-			t.Fatalf("request %d: status %d", n, a.Status)
+		if a := c.Do(request("check", fmt.Sprint("q", n))); a.Status != http.StatusOK {
+			t.Fatalf("request %d: status %d, want 200", n, a.Status)
 		}
 		return served.Load() > before
 	}
@@ -60,7 +60,7 @@
 		t.Errorf("%d requests to an unresponsive app server, want 0", got)
 	}
 	unresponsive.Store(false)
-	for end := time.Now().Add(nodetest.Patience); served.Load() == before; sendNext() {
+	for end := time.Now().Add(nodetest.WaitTimeout); served.Load() == before; sendNext() {
 		if time.Now().After(end) {
 			t.Fatal("the app server responds again but gets no request")
 		}
@@ -79,7 +79,7 @@
 
 // Guards against treating an app server as restarted because it refuses a new connection, while it still
 // responds on an old one. A restarted app server counts as cold and gets only a fraction of the requests.
-func TestRefusedConnectionIsNoRestart(t *testing.T) {
+func TestRefusedConnectionIsNotARestart(t *testing.T) {
 	arrived, release := make(chan struct{}), make(chan struct{})
 	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, _ []byte) bool {
 		if r.Header.Get("X-Trace-Id") == "held" {
@@ -97,16 +97,16 @@
 	c.Send(request("check", "held")) // on the only connection to the app server
 	nodetest.Await(t, "first request at the app server", arrived)
 	_ = s.Listener.Close()
-	if a := other.Ask(request("check", "refused")); a.Status != http.StatusTooManyRequests {
+	if a := other.Do(request("check", "refused")); a.Status != http.StatusTooManyRequests {
 		t.Fatalf("request without a connection: status %d, want 429", a.Status)
 	}
 	close(release)
 	if a := c.Receive(); a.Status != http.StatusOK {
-		t.Fatalf("first request: status %d", a.Status)
+		t.Fatalf("first request: status %d, want 200", a.Status)
 	}
 	for i := range 20 {
-		if a := c.Ask(request("check", fmt.Sprint("next", i))); a.Status != http.StatusOK {
-			t.Fatalf("request %d after the response on the old connection: status %d", i, a.Status)
+		if a := c.Do(request("check", fmt.Sprint("next", i))); a.Status != http.StatusOK {
+			t.Fatalf("request %d after the response on the old connection: status %d, want 200", i, a.Status)
 		}
 	}
 }
--- a/internal/edgenode/upstream/attempt_test.go
+++ b/internal/edgenode/upstream/attempt_test.go
@@ -45,7 +45,7 @@
 		"reset":           func(c net.Conn) { nodetest.ResetConn(c) },
 		"half-closed":     func(c net.Conn) { _ = c.(*net.TCPConn).CloseWrite() },
 	} {
-		s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+		s := nodetest.NewAppServer(t, nodetest.Respond(nodetest.OKResponse))
 		pool := newTestPool(s.Endpoint("a"))
 		exchange(t, pool, "a")
 		pool.ageIdle()
@@ -55,9 +55,9 @@
 			change(server)
 			nodetest.Eventually(t, "change seen by the client", func() bool { return !c.isIdle() })
 		}}
-		rep, res := exchange(t, pool, "a")
-		if res != balancer.OK || string(rep.Body) != "body" {
-			t.Errorf("%s: result %v, body %q; want %v, %q", name, res, rep.Body, balancer.OK, "body")
+		response, result := exchange(t, pool, "a")
+		if result != balancer.OK || string(response.Body) != "body" {
+			t.Errorf("%s: result %v, body %q; want %v, %q", name, result, response.Body, balancer.OK, "body")
 		}
 		if n := len(s.Requests()); n != 2 || pool.open != 1 {
 			t.Errorf("%s: server got %d requests, %d connections open; want 2 and 1", name, n, pool.open)
@@ -67,7 +67,7 @@
 
 // Guards against the reuse of a connection on which an erroneous second response may still arrive.
 func TestReuseDelayAfterResponse(t *testing.T) {
-	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	s := nodetest.NewAppServer(t, nodetest.Respond(nodetest.OKResponse))
 	pool := newTestPool(s.Endpoint("a"))
 	exchange(t, pool, "a")
 	b := pool.backends["a"]
@@ -108,7 +108,7 @@
 		"server at another address": {change: updateEntry(func(entry *endpointlist.Endpoint) { entry.Addr = netip.MustParseAddrPort("127.0.0.1:1") }), want: errNotUp},
 		"entry unchanged":           {change: updateEntry(func(*endpointlist.Endpoint) {})},
 	} {
-		s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+		s := nodetest.NewAppServer(t, nodetest.Respond(nodetest.OKResponse))
 		pool := newTestPool(s.Endpoint("a"))
 		conn, err := pool.acquire(t.Context(), "a", nil)
 		if err != nil {
@@ -133,16 +133,16 @@
 // Guards against a retry to a server that has restarted, or is in another zone, since the retry was decided
 // on: WriteLimits.Backend is no longer current then.
 func TestRetryGoesToTheSelectedServer(t *testing.T) {
-	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	s := nodetest.NewAppServer(t, nodetest.Respond(nodetest.OKResponse))
 	pool := newTestPool(s.Endpoint("a"))
 	limits := WriteLimits{Backend: pool.Lookup("a")}
 	restarted := s.Endpoint("a")
 	restarted.StartedAt = time.Hour
 	closeAll(pool.update([]endpointlist.Endpoint{restarted}, false))
-	_, res := pool.Exchange(t.Context(), "a", &getRequest, limits)
-	wantResult(t, res, balancer.ConnectFailed)
-	_, res = pool.Exchange(t.Context(), "a", &getRequest, WriteLimits{Backend: pool.Lookup("a")})
-	wantResult(t, res, balancer.OK)
+	_, result := pool.Exchange(t.Context(), "a", &getRequest, limits)
+	wantResult(t, result, balancer.ConnectFailed)
+	_, result = pool.Exchange(t.Context(), "a", &getRequest, WriteLimits{Backend: pool.Lookup("a")})
+	wantResult(t, result, balancer.OK)
 	if n := len(s.Requests()); n != 1 {
 		t.Errorf("%d requests arrived, want 1", n)
 	}
@@ -188,7 +188,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), nodetest.Patience)
+	ctx, cancel := context.WithTimeout(t.Context(), nodetest.WaitTimeout)
 	defer cancel()
 	if err := conn.writeRemainder(ctx, WriteLimits{CompleteBefore: time.Now().Add(50 * time.Millisecond)},
 		longRequest.Body); !errors.Is(err, errTooLate) || ctx.Err() != nil {
@@ -201,8 +201,8 @@
 		t.Errorf("%d bytes arrived, want fewer than the request has", n)
 	}
 	// After the limit no request begins.
-	_, res := pool.Exchange(ctx, "a", &getRequest, WriteLimits{CompleteBefore: time.Now()})
-	wantResult(t, res, balancer.NotSent)
+	_, result := pool.Exchange(ctx, "a", &getRequest, WriteLimits{CompleteBefore: time.Now()})
+	wantResult(t, result, balancer.NotSent)
 }
 
 // A response that arrives before the request is completely written cannot belong to it. The attempt must end
@@ -215,15 +215,15 @@
 	} {
 		entry, conns := newSlowServer(t)
 		pool := newTestPool(entry)
-		result := make(chan balancer.Result, 1)
+		results := make(chan balancer.Result, 1)
 		go func() {
-			_, res := pool.Exchange(context.Background(), "a", &longRequest, WriteLimits{})
-			result <- res
+			_, result := pool.Exchange(context.Background(), "a", &longRequest, WriteLimits{})
+			results <- result
 		}()
 		c := nodetest.Await(t, "a connection", conns)
 		_, _ = io.ReadFull(c, make([]byte, 100))
 		_, _ = io.WriteString(c, text)
-		wantResult(t, nodetest.Await(t, "a result", result), balancer.ConnectFailed)
+		wantResult(t, nodetest.Await(t, "a result", results), balancer.ConnectFailed)
 	}
 }
 
@@ -231,21 +231,21 @@
 func TestLongRequest(t *testing.T) {
 	entry, conns := newSlowServer(t)
 	pool := newTestPool(entry)
-	result := make(chan balancer.Result, 1)
+	results := make(chan balancer.Result, 1)
 	go func() {
-		_, res := pool.Exchange(context.Background(), "a", &longRequest,
+		_, result := pool.Exchange(context.Background(), "a", &longRequest,
 			WriteLimits{CompleteBefore: time.Now().Add(time.Hour)})
-		result <- res
+		results <- result
 	}()
 	c := nodetest.Await(t, "a connection", conns)
-	s := nodetest.ServeConn(c, nodetest.Say(nodetest.OKResponse))
-	wantResult(t, nodetest.Await(t, "a result", result), balancer.OK)
+	s := nodetest.ServeConn(c, nodetest.Respond(nodetest.OKResponse))
+	wantResult(t, nodetest.Await(t, "a result", results), balancer.OK)
 	pool.ageIdle()
 	go func() {
-		_, res := pool.Exchange(context.Background(), "a", &getRequest, WriteLimits{})
-		result <- res
+		_, result := pool.Exchange(context.Background(), "a", &getRequest, WriteLimits{})
+		results <- result
 	}()
-	wantResult(t, nodetest.Await(t, "a result on the same connection", result), balancer.OK)
+	wantResult(t, nodetest.Await(t, "a result on the same connection", results), balancer.OK)
 	if n := len(s.Requests()); n != 2 {
 		t.Errorf("%d requests on the connection, want 2", n)
 	}
@@ -273,8 +273,8 @@
 		}
 		done := make(chan outcome, 1)
 		go func() {
-			rep, res := pool.Exchange(context.Background(), "a", &getRequest, WriteLimits{})
-			done <- outcome{rep, res}
+			response, result := pool.Exchange(context.Background(), "a", &getRequest, WriteLimits{})
+			done <- outcome{response, result}
 		}()
 		server, err := ln.Accept()
 		if err != nil {
--- a/internal/edgenode/upstream/pool.go
+++ b/internal/edgenode/upstream/pool.go
@@ -20,9 +20,11 @@
 	// reuseDelay is the shortest time between a response on a connection and the next request on it. A
 	// server's erroneous second response to the same request may arrive this late.
 	reuseDelay = 20 * time.Millisecond
-	// idleLimitDoublingPeriod is the time after which a reduced idle limit doubles, again and again.
+	// idleLimitDoublingPeriod is the period in which a reduced idle limit doubles.
 	idleLimitDoublingPeriod = 10 * time.Second
-	maxIdleLimitDoublings   = 20
+	// maxIdleLimitDoublings is the number of doublings after which maxIdle applies again. It keeps the shift
+	// in idleLimitFor from overflowing.
+	maxIdleLimitDoublings = 20
 )
 
 // Frequency at which expired idle connections are closed.
@@ -43,7 +45,7 @@
 	raw         syscall.RawConn
 	reader      *responseReader
 	buffered    *bufio.Reader // reads from reader
-	backend     *Backend      // to which the connection is released while the server is up
+	backend     *Backend      // server of the connection
 	idleSince   time.Time
 	connectedAt time.Time
 
--- a/internal/edgenode/upstream/pool_test.go
+++ b/internal/edgenode/upstream/pool_test.go
@@ -32,7 +32,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := nodetest.NewAppServer(t, func(conn net.Conn, r *http.Request, body []byte) bool {
 				if r.Header.Get("X-Trace-Id") == "fine" {
-					return nodetest.Say(nodetest.OKResponse)(conn, r, body)
+					return nodetest.Respond(nodetest.OKResponse)(conn, r, body)
 				}
 				time.Sleep(c.delay) // the server executes the request
 				nodetest.ResetOnClose(conn)
@@ -41,15 +41,15 @@
 			pool := newTestPool(s.Endpoint("a"))
 			b := pool.backends["a"]
 			okRequest := &Message{Method: "GET", Target: "/check", ID: "fine"}
-			ctx, cancel := context.WithTimeout(context.Background(), nodetest.Patience)
+			ctx, cancel := context.WithTimeout(context.Background(), nodetest.WaitTimeout)
 			defer cancel()
 			idleAfterExchange := func(d time.Duration) {
 				pool.Exchange(ctx, "a", okRequest, WriteLimits{})
 				b.idle[0].idleSince = time.Now().Add(-d)
 			}
 			idleAfterExchange(c.idleFor)
-			_, res := exchange(t, pool, "a")
-			wantResult(t, res, balancer.Reset)
+			_, result := exchange(t, pool, "a")
+			wantResult(t, result, balancer.Reset)
 			if got := b.idleLimit != 0; got != c.shortens {
 				t.Fatalf("idle limit %v, shortened: %v, want %v", b.idleLimit, got, c.shortens)
 			}
@@ -72,14 +72,14 @@
 	hold := make(chan struct{})
 	s := nodetest.NewAppServer(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
 		<-hold
-		return nodetest.Say(nodetest.OKResponse)(c, nil, nil)
+		return nodetest.Respond(nodetest.OKResponse)(c, nil, nil)
 	})
 	pool := newTestPool(s.Endpoint("a"))
 	done := make(chan balancer.Result, 2)
 	for range 2 {
 		go func() {
-			_, res := pool.Exchange(context.Background(), "a", &getRequest, WriteLimits{})
-			done <- res
+			_, result := pool.Exchange(context.Background(), "a", &getRequest, WriteLimits{})
+			done <- result
 		}()
 	}
 	nodetest.Eventually(t, "two requests at the server", func() bool { return len(s.Requests()) == 2 })
@@ -101,15 +101,15 @@
 // Guards against a request on an idle connection that the server has closed. It would end with a reset,
 // after which a request with an idempotency key may not be freely retried.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
-	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	s := nodetest.NewAppServer(t, nodetest.Respond(nodetest.OKResponse))
 	pool := newTestPool(s.Endpoint("a"))
 	exchange(t, pool, "a")
 	_ = (<-s.Conns).Close()
 	c := pool.backends["a"].idle[0]
 	nodetest.Eventually(t, "close seen by the client", func() bool { return !c.isIdle() })
 	pool.ageIdle()
-	_, res := exchange(t, pool, "a")
-	wantResult(t, res, balancer.OK)
+	_, result := exchange(t, pool, "a")
+	wantResult(t, result, balancer.OK)
 	if pool.open != 1 {
 		t.Errorf("%d connections open, want 1", pool.open)
 	}
@@ -118,7 +118,7 @@
 // A connection that has been idle for almost as long as servers allow is closed, both when a request would
 // use it and by ReapIdle.
 func TestExpiredConnectionsAreClosed(t *testing.T) {
-	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	s := nodetest.NewAppServer(t, nodetest.Respond(nodetest.OKResponse))
 	pool := newTestPool(s.Endpoint("a"))
 	exchange(t, pool, "a")
 	pool.backends["a"].idle[0].idleSince = time.Now().Add(-pool.maxIdle)
@@ -142,10 +142,10 @@
 func TestDialTimeout(t *testing.T) {
 	pool := New(settings.Transport{ConnIdle: time.Minute, ConnectTimeout: 50 * time.Millisecond}, 100)
 	pool.update([]endpointlist.Endpoint{{Endpoint: balancer.Endpoint{ID: "a"}, Addr: nodetest.Blocked(t)}}, true)
-	ctx, cancel := context.WithTimeout(context.Background(), nodetest.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), nodetest.WaitTimeout)
 	defer cancel()
-	_, res := pool.Exchange(ctx, "a", &getRequest, WriteLimits{})
-	wantResult(t, res, balancer.ConnectFailed)
+	_, result := pool.Exchange(ctx, "a", &getRequest, WriteLimits{})
+	wantResult(t, result, balancer.ConnectFailed)
 	if ctx.Err() != nil || pool.open != 0 {
 		t.Errorf("context error %v, %d connections open; want nil, 0", ctx.Err(), pool.open)
 	}
@@ -158,7 +158,7 @@
 		if r.Header.Get("X-Trace-Id") == "silent" {
 			select {}
 		}
-		return nodetest.Say(nodetest.OKResponse)(c, r, body)
+		return nodetest.Respond(nodetest.OKResponse)(c, r, body)
 	})
 	pool := newTestPool(s.Endpoint("a"))
 	c, err := pool.acquire(context.Background(), "a", nil)
@@ -167,14 +167,14 @@
 	}
 	exchange(t, pool, "a")
 	pool.release(c)
-	ctx, result := nodetest.NewEndingContext(), make(chan balancer.Result, 1)
+	ctx, results := nodetest.NewEndingContext(), make(chan balancer.Result, 1)
 	go func() {
-		_, res := pool.Exchange(ctx, "a", &Message{Method: "GET", Target: "/check", ID: "silent"}, WriteLimits{})
-		result <- res
+		_, result := pool.Exchange(ctx, "a", &Message{Method: "GET", Target: "/check", ID: "silent"}, WriteLimits{})
+		results <- result
 	}()
 	nodetest.Eventually(t, "request at the server", func() bool { return len(s.Requests()) == 2 })
 	ctx.End(context.DeadlineExceeded)
-	wantResult(t, nodetest.Await(t, "a result", result), balancer.TimedOut)
+	wantResult(t, nodetest.Await(t, "a result", results), balancer.TimedOut)
 	nodetest.WantClosed(t, nodetest.Await(t, "a connection", s.Conns))
 	nodetest.WantClosed(t, nodetest.Await(t, "a second connection", s.Conns))
 	if pool.open != 0 {
@@ -212,14 +212,14 @@
 					<-hold
 				}
 				first = false
-				return nodetest.Say(nodetest.OKResponse)(c, nil, nil)
+				return nodetest.Respond(nodetest.OKResponse)(c, nil, nil)
 			})
 			pool := newTestPool(s.Endpoint("a"))
 			exchange(t, pool, "a") // leaves one idle connection
 			done := make(chan balancer.Result)
 			go func() {
-				_, res := pool.Exchange(context.Background(), "a", &getRequest, WriteLimits{})
-				done <- res
+				_, result := pool.Exchange(context.Background(), "a", &getRequest, WriteLimits{})
+				done <- result
 			}()
 			nodetest.Eventually(t, "second request at the server", func() bool { return len(s.Requests()) == 2 })
 			closeAll(pool.update(change(s.Endpoint("a"))))
@@ -235,7 +235,7 @@
 
 // Guards against a request to a server that began to drain while the connection to it was being opened.
 func TestDrainDuringDial(t *testing.T) {
-	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	s := nodetest.NewAppServer(t, nodetest.Respond(nodetest.OKResponse))
 	pool := newTestPool(s.Endpoint("a"))
 	b := pool.backends["a"]
 	draining := s.Endpoint("a")
@@ -245,8 +245,8 @@
 	if _, err := pool.dial(context.Background(), b); !errors.Is(err, errNotUp) {
 		t.Errorf("error %v, want %v", err, errNotUp)
 	}
-	_, res := exchange(t, pool, "a")
-	wantResult(t, res, balancer.ConnectFailed)
+	_, result := exchange(t, pool, "a")
+	wantResult(t, result, balancer.ConnectFailed)
 	if len(s.Requests()) != 0 || pool.open != 0 {
 		t.Errorf("requests %q, %d connections open; want none", s.Requests(), pool.open)
 	}
@@ -255,20 +255,20 @@
 // At the connection limit an idle connection is evicted. If none is idle, the attempt is not sent, and its
 // result does not count against the server.
 func TestConnectionLimit(t *testing.T) {
-	a, b := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse)),
-		nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	a, b := nodetest.NewAppServer(t, nodetest.Respond(nodetest.OKResponse)),
+		nodetest.NewAppServer(t, nodetest.Respond(nodetest.OKResponse))
 	pool := newTestPool(a.Endpoint("a"), b.Endpoint("b"))
 	pool.maxOpen = 1
 	exchange(t, pool, "a")
-	_, res := exchange(t, pool, "b")
-	wantResult(t, res, balancer.OK)
+	_, result := exchange(t, pool, "b")
+	wantResult(t, result, balancer.OK)
 	nodetest.WantClosed(t, nodetest.Await(t, "a connection", a.Conns))
 	busy, err := pool.acquire(context.Background(), "b", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, res = exchange(t, pool, "a")
-	wantResult(t, res, balancer.NotSent)
+	_, result = exchange(t, pool, "a")
+	wantResult(t, result, balancer.NotSent)
 	pool.release(busy)
 	if pool.open != 1 {
 		t.Errorf("%d connections open, want 1", pool.open)
--- a/internal/edgenode/upstream/response.go
+++ b/internal/edgenode/upstream/response.go
@@ -44,7 +44,7 @@
 // bodies, and in time, against incomplete responses.
 type responseReader struct {
 	conn        net.Conn
-	ctx         context.Context // of the exchange
+	ctx         context.Context // context of the exchange
 	remaining   int             // bytes left of the response's size limit
 	started     bool            // part of the response was received
 	hasDeadline bool            // the deadline for the rest of the response is set
@@ -119,7 +119,7 @@
 		return Response{}, balancer.ErrorResponse, false
 	}
 	c.reader.clearDeadline()
-	// Data after the response belongs to no request. The next request would take it for its response.
+	// Data after the response belongs to no request. The next exchange would read it as its response.
 	reuse = !resp.Close && c.buffered.Buffered() == 0
 	return newResponse(resp, body), resultOf(resp), reuse
 }
--- a/internal/edgenode/upstream/response_test.go
+++ b/internal/edgenode/upstream/response_test.go
@@ -35,12 +35,12 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			s := nodetest.NewAppServer(t, nodetest.Say(c.text))
+			s := nodetest.NewAppServer(t, nodetest.Respond(c.text))
 			pool := newTestPool(s.Endpoint("a"))
-			rep, res := exchange(t, pool, "a")
-			wantResult(t, res, c.want)
-			if res == balancer.OK && string(rep.Body) != "body" {
-				t.Errorf("body %q, want %q", rep.Body, "body")
+			response, result := exchange(t, pool, "a")
+			wantResult(t, result, c.want)
+			if result == balancer.OK && string(response.Body) != "body" {
+				t.Errorf("body %q, want %q", response.Body, "body")
 			}
 			if got := len(pool.backends["a"].idle) == 1; got != c.reused {
 				t.Errorf("connection is kept: %v, want %v", got, c.reused)
@@ -56,10 +56,10 @@
 		"": 0, "X-Settled: 3\r\n": 3, "X-Settled: 8\r\n": 8, "X-Settled: 9\r\n": 0,
 		"X-Settled: -1\r\n": 0, "X-Settled: many\r\n": 0, "X-Settled: 1e300\r\n": 0, "X-Settled: NaN\r\n": 0,
 	} {
-		s := nodetest.NewAppServer(t, nodetest.Say("HTTP/1.1 200 OK\r\n"+text+"Content-Length: 4\r\n\r\nbody"))
-		rep, res := exchange(t, newTestPool(s.Endpoint("a")), "a")
-		wantResult(t, res, balancer.OK)
-		if got := rep.SettledUnits(8); got != want {
+		s := nodetest.NewAppServer(t, nodetest.Respond("HTTP/1.1 200 OK\r\n"+text+"Content-Length: 4\r\n\r\nbody"))
+		response, result := exchange(t, newTestPool(s.Endpoint("a")), "a")
+		wantResult(t, result, balancer.OK)
+		if got := response.SettledUnits(8); got != want {
 			t.Errorf("%q: %v units, want %v", text, got, want)
 		}
 	}
@@ -77,8 +77,8 @@
 			return false
 		})
 		pool := newTestPool(s.Endpoint("a"))
-		_, res := exchange(t, pool, "a")
-		wantResult(t, res, balancer.Reset)
+		_, result := exchange(t, pool, "a")
+		wantResult(t, result, balancer.Reset)
 	}
 }
 
@@ -100,16 +100,16 @@
 		name  string
 		serve func(net.Conn, *http.Request, []byte) bool
 	}{
-		{"binary data", nodetest.Say("\x85\x14\xe8 no HTTP\r\n\r\n")},
-		{"another protocol", nodetest.Say("ICY 200 OK\r\nContent-Length: 4" + body)},
-		{"status is not a number", nodetest.Say("HTTP/1.1 2x0 OK\r\nContent-Length: 4" + body)},
-		{"line without colon", nodetest.Say("HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 4" + body)},
-		{"two lengths", nodetest.Say("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4" + body)},
-		{"negative length", nodetest.Say("HTTP/1.1 200 OK\r\nContent-Length: -1\r\nContent-Length: 4" + body)},
-		{"bad chunk", nodetest.Say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\nabcde\r\n0\r\n\r\n")},
-		{"no length", nodetest.Say("HTTP/1.1 200 OK" + body)},
-		{"body shorter than its length", nodetest.Say("HTTP/1.1 200 OK\r\nContent-Length: 5" + body)},
-		{"incomplete headers", nodetest.Say("HTTP/1.1 200 OK\r\nContent-")},
+		{"binary data", nodetest.Respond("\x85\x14\xe8 no HTTP\r\n\r\n")},
+		{"another protocol", nodetest.Respond("ICY 200 OK\r\nContent-Length: 4" + body)},
+		{"status is not a number", nodetest.Respond("HTTP/1.1 2x0 OK\r\nContent-Length: 4" + body)},
+		{"line without colon", nodetest.Respond("HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 4" + body)},
+		{"two lengths", nodetest.Respond("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4" + body)},
+		{"negative length", nodetest.Respond("HTTP/1.1 200 OK\r\nContent-Length: -1\r\nContent-Length: 4" + body)},
+		{"bad chunk", nodetest.Respond("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\nabcde\r\n0\r\n\r\n")},
+		{"no length", nodetest.Respond("HTTP/1.1 200 OK" + body)},
+		{"body shorter than its length", nodetest.Respond("HTTP/1.1 200 OK\r\nContent-Length: 5" + body)},
+		{"incomplete headers", nodetest.Respond("HTTP/1.1 200 OK\r\nContent-")},
 		{"endless headers", endless("X-Pad: pppppppppppppppppppppppp\r\n")},
 		{"endless line", endless("pppppppppppppppppppppppp")},
 		{"endless 1xx responses", endless("\r\nHTTP/1.1 103 Early Hints\r\n")},
@@ -120,7 +120,7 @@
 			t.Parallel()
 			s := nodetest.NewAppServer(t, func(conn net.Conn, r *http.Request, body []byte) bool {
 				if r.Header.Get("X-Trace-Id") == "fine" {
-					return nodetest.Say(nodetest.OKResponse)(conn, r, body)
+					return nodetest.Respond(nodetest.OKResponse)(conn, r, body)
 				}
 				return c.serve(conn, r, body)
 			})
@@ -129,16 +129,16 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			_, res := exchange(t, pool, "a")
-			wantResult(t, res, balancer.ErrorResponse)
+			_, result := exchange(t, pool, "a")
+			wantResult(t, result, balancer.ErrorResponse)
 			pool.release(spare)
 			if b := pool.backends["a"]; len(b.idle) != 1 || pool.open != 1 {
 				t.Errorf("%d connections idle, %d open, want only the other one", len(b.idle), pool.open)
 			}
-			ctx, cancel := context.WithTimeout(context.Background(), nodetest.Patience)
+			ctx, cancel := context.WithTimeout(context.Background(), nodetest.WaitTimeout)
 			defer cancel()
-			if _, res := pool.Exchange(ctx, "a", &Message{Method: "GET", Target: "/check", ID: "fine"}, WriteLimits{}); res != balancer.OK {
-				t.Errorf("next request: result %d, want %d", res, balancer.OK)
+			if _, result := pool.Exchange(ctx, "a", &Message{Method: "GET", Target: "/check", ID: "fine"}, WriteLimits{}); result != balancer.OK {
+				t.Errorf("next request: result %d, want %d", result, balancer.OK)
 			}
 		})
 	}
@@ -150,7 +150,7 @@
 	written := make(chan struct{}, 1)
 	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		defer func() { written <- struct{}{} }()
-		return nodetest.Say("HTTP/1.1 200 OK\r\n")(c, r, body)
+		return nodetest.Respond("HTTP/1.1 200 OK\r\n")(c, r, body)
 	})
 	pool := newTestPool(s.Endpoint("a"))
 	spare, err := pool.acquire(context.Background(), "a", nil)
@@ -165,15 +165,15 @@
 	pool.open++
 	pool.release(other)
 	pool.ageIdle()
-	ctx, result := nodetest.NewEndingContext(), make(chan balancer.Result, 1)
+	ctx, results := nodetest.NewEndingContext(), make(chan balancer.Result, 1)
 	go func() {
-		_, res := pool.Exchange(ctx, "a", &getRequest, WriteLimits{})
-		result <- res
+		_, result := pool.Exchange(ctx, "a", &getRequest, WriteLimits{})
+		results <- result
 	}()
 	nodetest.Await(t, "part of a response", written)
-	nodetest.Eventually(t, "the part to be read", func() bool { return nodetest.Drained(t, other.Conn) })
+	nodetest.Eventually(t, "the part to be read", func() bool { return nodetest.ReceiveBufferEmpty(t, other.Conn) })
 	ctx.End(context.DeadlineExceeded)
-	wantResult(t, nodetest.Await(t, "a result", result), balancer.ErrorResponse)
+	wantResult(t, nodetest.Await(t, "a result", results), balancer.ErrorResponse)
 	if len(pool.backends["a"].idle) != 1 {
 		t.Error("the other idle connection was closed")
 	}
@@ -184,11 +184,11 @@
 	s := nodetest.NewAppServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n")
 		time.Sleep(responseRestTimeout * 3 / 2) // the server executes the request
-		return nodetest.Say(nodetest.OKResponse)(c, r, body)
+		return nodetest.Respond(nodetest.OKResponse)(c, r, body)
 	})
 	pool := newTestPool(s.Endpoint("a"))
-	_, res := exchange(t, pool, "a")
-	wantResult(t, res, balancer.OK)
+	_, result := exchange(t, pool, "a")
+	wantResult(t, result, balancer.OK)
 }
 
 func TestParseLoadReport(t *testing.T) {
--- a/internal/edgenode/upstream/upstream.go
+++ b/internal/edgenode/upstream/upstream.go
@@ -20,7 +20,7 @@
 )
 
 // staleResetWindow is the longest time from the write of a request to a reset that is attributed to the idle
-// time of the connection: the server had dropped it before the request.
+// time of the connection: the server had dropped the connection before the request.
 const staleResetWindow = 20 * time.Millisecond
 
 // Pool holds the connections to app servers. It does not use the client of net/http, which silently sends a
@@ -40,8 +40,8 @@
 }
 
 // Backend is an app server as the endpoint list describes it, with its idle connections. If the server's
-// address, start time, zone or cell changes, it becomes another Backend, because a selection of the server
-// no longer applies. The fields are guarded by the pool's mutex.
+// address, start time, zone or cell changes, it becomes another Backend, because the balancer's earlier
+// selection of the server no longer applies. The fields are guarded by the pool's mutex.
 type Backend struct {
 	addr      netip.AddrPort
 	startedAt time.Duration
@@ -50,8 +50,8 @@
 	up        bool
 	idle      []*conn // ordered by idleSince; the last one was used most recently
 
-	// idleLimit is a reduced limit on the idle time of connections. It has doubled each
-	// idleLimitDoublingPeriod since idleLimitSetAt. 0 means that maxIdle applies.
+	// idleLimit is a reduced limit on the idle time of connections, as set at idleLimitSetAt. The limit in
+	// effect doubles each idleLimitDoublingPeriod after that; see idleLimitFor. 0 means that maxIdle applies.
 	idleLimit      time.Duration
 	idleLimitSetAt time.Time
 }
@@ -165,7 +165,7 @@
 	conn          *conn
 	request       *http.Request
 	writtenAt     time.Time
-	stopInterrupt func() bool // detaches the connection from the context; false: the context has ended before
+	stopInterrupt func() bool // detaches the connection from the context; false: the context has ended
 }
 
 // send writes a request on an idle or new connection. If an idle connection turns out to be closed before
--- a/internal/edgenode/upstream/upstream_test.go
+++ b/internal/edgenode/upstream/upstream_test.go
@@ -25,7 +25,7 @@
 
 func exchange(t *testing.T, pool *Pool, server string) (Response, balancer.Result) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), nodetest.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), nodetest.WaitTimeout)
 	defer cancel()
 	return pool.Exchange(ctx, server, &getRequest, WriteLimits{})
 }
@@ -39,12 +39,12 @@
 
 // An attempt whose deadline passes before it is written must not count against its server.
 func TestExpiredDeadlineIsNotSent(t *testing.T) {
-	s := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	s := nodetest.NewAppServer(t, nodetest.Respond(nodetest.OKResponse))
 	pool := newTestPool(s.Endpoint("a"))
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(-time.Second))
 	defer cancel()
-	_, res := pool.Exchange(ctx, "a", &getRequest, WriteLimits{})
-	wantResult(t, res, balancer.NotSent)
+	_, result := pool.Exchange(ctx, "a", &getRequest, WriteLimits{})
+	wantResult(t, result, balancer.NotSent)
 }
 
 // Guards against a silent second transmission: a request on a reused connection that breaks must end as a
@@ -60,11 +60,11 @@
 		return false
 	})
 	pool := newTestPool(s.Endpoint("a"))
-	_, res := exchange(t, pool, "a")
-	wantResult(t, res, balancer.OK)
+	_, result := exchange(t, pool, "a")
+	wantResult(t, result, balancer.OK)
 	pool.ageIdle()
-	_, res = exchange(t, pool, "a")
-	wantResult(t, res, balancer.Reset)
+	_, result = exchange(t, pool, "a")
+	wantResult(t, result, balancer.Reset)
 	if n := len(s.Requests()); n != 2 {
 		t.Errorf("%d requests arrived, want 2", n)
 	}
@@ -78,14 +78,14 @@
 	} {
 		s := nodetest.NewAppServer(t, func(net.Conn, *http.Request, []byte) bool { select {} })
 		pool := newTestPool(s.Endpoint("a"))
-		ctx, result := nodetest.NewEndingContext(), make(chan balancer.Result, 1)
+		ctx, results := nodetest.NewEndingContext(), make(chan balancer.Result, 1)
 		go func() {
-			_, res := pool.Exchange(ctx, "a", &getRequest, WriteLimits{})
-			result <- res
+			_, result := pool.Exchange(ctx, "a", &getRequest, WriteLimits{})
+			results <- result
 		}()
 		nodetest.Eventually(t, "request at the server", func() bool { return len(s.Requests()) == 1 })
 		ctx.End(reason)
-		wantResult(t, nodetest.Await(t, "a result", result), want)
+		wantResult(t, nodetest.Await(t, "a result", results), want)
 		nodetest.WantClosed(t, nodetest.Await(t, "a connection", s.Conns))
 		if pool.open != 0 {
 			t.Errorf("%d connections open, want 0", pool.open)
@@ -96,7 +96,7 @@
 // A withdrawn message and a cancelled attempt are not written any more, even if their connection is already
 // acquired. Other requests are still sent.
 func TestWithdrawnMessageIsNotSent(t *testing.T) {
-	srv := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	srv := nodetest.NewAppServer(t, nodetest.Respond(nodetest.OKResponse))
 	pool := newTestPool(srv.Endpoint("a"))
 	c, err := pool.acquire(t.Context(), "a", nil)
 	if err != nil {
@@ -132,10 +132,10 @@
 // Guards against a request to a draining server: if the server begins to drain after the request has
 // acquired its connection, idle or new, and before the first byte, the request must not be written.
 func TestDrainBeforeTheFirstByte(t *testing.T) {
-	srv := nodetest.NewAppServer(t, nodetest.Say(nodetest.OKResponse))
+	srv := nodetest.NewAppServer(t, nodetest.Respond(nodetest.OKResponse))
 	for _, reused := range []bool{false, true} {
 		entry := srv.Endpoint("a")
-		pool := New(settings.Transport{ConnIdle: time.Minute, ConnectTimeout: nodetest.Patience}, 10)
+		pool := New(settings.Transport{ConnIdle: time.Minute, ConnectTimeout: nodetest.WaitTimeout}, 10)
 		pool.update([]endpointlist.Endpoint{entry}, true)
 		if reused {
 			if _, result := pool.Exchange(t.Context(), "a",
