--- a/cmd/opalhook/main_test.go
+++ b/cmd/opalhook/main_test.go
@@ -47,7 +47,7 @@
 		}
 	}
 	out, err := call(t, "lab", "list", dir, "-o", "json")
-	if err == nil || !strings.Contains(err.Error(), "bad.toml:2: nodes: no such key") {
+	if err == nil || !strings.Contains(err.Error(), "bad.toml:2: nodes: unknown key") {
 		t.Errorf("error %v, want one that names bad.toml", err)
 	}
 	var rows []struct{ Name, Error string }
@@ -65,8 +65,8 @@
 		{[]string{"lab", "list", "-o", "xml"}, "--output: must be text or json, got \"xml\""},
 		{[]string{"lab", "run", "nowhere.toml"}, "nowhere.toml"},
 		{[]string{"lab", "run", "../../scenarios/quiet.toml", "--runs", "0"}, "--runs: must be at least 1, got 0"},
-		{[]string{"lab", "run", "../../scenarios/quiet.toml", "--node-binary", "main.go", "--dir", t.TempDir()}, "no program"},
-		{[]string{"lab", "report", t.TempDir()}, "no folder of a finished run"},
+		{[]string{"lab", "run", "../../scenarios/quiet.toml", "--node-binary", "main.go", "--dir", t.TempDir()}, "main.go is not an executable file"},
+		{[]string{"lab", "report", t.TempDir()}, "does not contain a finished run"},
 		{[]string{"lab", "fly"}, "fly"},
 		{[]string{"lab", "scale", "--part", "moons"}, "--part: got \"moons\", must be one of node-list"},
 		{[]string{"lab", "scale", "--part", "quota", "--sizes", "10,many"}, "--sizes: must be whole numbers separated by commas, got \"many\""},
--- a/internal/testbed/result.go
+++ b/internal/testbed/result.go
@@ -190,7 +190,7 @@
 func ReadResult(dir string) (*Result, error) {
 	f, err := os.Open(filepath.Join(dir, resultFile))
 	if err != nil {
-		return nil, fmt.Errorf("%s is no folder of a finished run: %w", dir, err)
+		return nil, fmt.Errorf("%s does not contain a finished run: %w", dir, err)
 	}
 	defer func() { _ = f.Close() }()
 	return readResult(f)
--- a/internal/testbed/scenario_file.go
+++ b/internal/testbed/scenario_file.go
@@ -51,7 +51,7 @@
 		var unknown *toml.StrictMissingError
 		if errors.As(err, &unknown) && len(unknown.Errors) > 0 {
 			row, _ := unknown.Errors[0].Position()
-			return nil, fmt.Errorf("%s:%d: %s: no such key", name, row, strings.Join(unknown.Errors[0].Key(), "."))
+			return nil, fmt.Errorf("%s:%d: %s: unknown key", name, row, strings.Join(unknown.Errors[0].Key(), "."))
 		}
 		var at *toml.DecodeError
 		if errors.As(err, &at) {
--- a/internal/testbed/scenario_test.go
+++ b/internal/testbed/scenario_test.go
@@ -11,7 +11,7 @@
 func TestScenarioErrors(t *testing.T) {
 	const head = "name = \"x\"\nduration = \"5s\"\n"
 	for _, c := range []struct{ text, want string }{
-		{head + "colour = 1\n", "x.toml:3: colour: no such key"},
+		{head + "colour = 1\n", "x.toml:3: colour: unknown key"},
 		{head + "[fleet]\nnodes = \"many\"\n", "x.toml:4"},
 		{head + "[fleet]\n\nnodes = 0\n", "x.toml:5: fleet.nodes: must be between 1 and 1024, got 0"},
 		{head + "[load]\nrate = nan\n", "x.toml:4: load.rate: must be between 0.1 and 100000, got NaN"},
