--- a/internal/scale/list.go
+++ b/internal/scale/list.go
@@ -12,102 +12,104 @@
 	"opalhook/internal/registry"
 )
 
-// Sizes of the list in entries, up to the plan's.
+// Sizes of the list in entries. The largest is that of the planned fleet.
 var (
-	listSizes = []int{2_000, 20_000, 100_000, 200_000}
-	listSmall = []int{600}
+	listSizes     = []int{2_000, 20_000, 100_000, 200_000}
+	listTestSizes = []int{600}
 )
 
-// Proportions of the plan: 200,000 entries in 15 zones, watched by 4,100 edge nodes.
+// Planned fleet: 200,000 app servers in 15 zones, and 4,100 edge nodes that watch the list.
 const (
-	planEntries = 200_000
-	planWatches = 4_100
-	planZones   = 15
+	plannedEntries = 200_000
+	plannedWatches = 4_100
+	plannedZones   = 15
 )
 
-// Estimates of memory, with room above what was measured.
+// Memory estimates. They are higher than the measured values.
 const (
-	listEntryMemory = 6 << 10   // of an entry: its state, its encoded forms and those of a snapshot
-	listWatchMemory = 256 << 10 // of a watch: both ends' buffers, also those of the system
-	listBaseMemory  = 64 << 20
+	listEntryMemory = 6 << 10   // per entry: its state, and its encoded forms in memory and in a snapshot
+	listWatchMemory = 256 << 10 // per watch: the buffers of both ends, including the kernel's socket buffers
+	listBaseMemory  = 64 << 20  // independent of the size
 )
 
-// listMemory estimates what replicas with a list of that many entries take.
+// listMemory estimates the memory of a number of replicas, each with a list of the given number of entries,
+// in bytes.
 func listMemory(replicas, entries int) uint64 {
 	return listBaseMemory + uint64(replicas)*uint64(entries)*listEntryMemory
 }
 
-// listServiceMemory estimates what replicas take with the plan's share of watches.
+// listServiceMemory is like listMemory, and includes the watches of the list.
 func listServiceMemory(replicas, entries int) uint64 {
 	return listMemory(replicas, entries) + uint64(watchesOf(entries))*listWatchMemory
 }
 
-// rowsOf collects the rows of one part at one size.
-type rowsOf struct {
+// listRows is a rowWriter with methods for counts, sizes in bytes and durations.
+type listRows struct {
 	rowWriter
 }
 
-func (r *rowsOf) count(quantity string, n int) { r.add(quantity, float64(n), "") }
-func (r *rowsOf) bytes(quantity string, n uint64) {
+func (r *listRows) count(quantity string, n int) { r.add(quantity, float64(n), "") }
+func (r *listRows) bytes(quantity string, n uint64) {
 	r.add(quantity, float64(n), "B")
 }
-func (r *rowsOf) time(quantity string, d time.Duration) { r.add(quantity, d.Seconds(), "s") }
+func (r *listRows) time(quantity string, d time.Duration) { r.add(quantity, d.Seconds(), "s") }
 
-// listSteps tells a measurement's progress and ends it when its context does.
+// listSteps reports the progress of a measurement that consists of steps, and stops it when its context is
+// cancelled.
 type listSteps struct {
 	ctx         context.Context
 	env         Env
 	done, total int
 }
 
-// next begins a step.
+// next reports the start of a step. It returns an error if the context is cancelled.
 func (s *listSteps) next(doing string) error {
 	s.env.Progress(s.done, s.total, doing)
 	s.done++
 	return s.ctx.Err()
 }
 
-// inSteps makes a part's Measure of a measurement that takes a number of steps.
-func inSteps(part string, steps int, measure func(*listSteps, *rowsOf) error) func(context.Context, int, Env) ([]Row, error) {
+// measureInSteps returns the [Part.Measure] function of a measurement that consists of a number of steps.
+func measureInSteps(part string, steps int, measure func(*listSteps, *listRows) error) func(context.Context, int, Env) ([]Row, error) {
 	return func(ctx context.Context, size int, env Env) ([]Row, error) {
-		rows := rowsOf{rowWriter{part: part, size: size}}
+		rows := listRows{rowWriter{part: part, size: size}}
 		err := measure(&listSteps{ctx: ctx, env: env, total: steps}, &rows)
 		return rows.rows, err
 	}
 }
 
-// ListState measures what a list costs a replica that nobody calls.
+// ListState returns the part that measures the memory, snapshots and recovery of a replica without clients.
 func ListState() Part {
 	return Part{
-		Name:    "list-state",
-		Title:   "One replica of the list service, on loopback and with its log on disk: memory, snapshot, restore and recovery.",
-		Size:    "entries in the list, each with a lease",
-		Sizes:   listSizes,
-		Small:   listSmall,
-		Memory:  func(size int) uint64 { return listMemory(1, size) },
-		Measure: inSteps("list-state", 4, measureState),
+		Name:      "list-state",
+		Title:     "Memory, snapshot, restore and recovery of one replica of the list service, on loopback and with its log on disk.",
+		Size:      "entries in the list, each with a lease",
+		Sizes:     listSizes,
+		TestSizes: listTestSizes,
+		Memory:    func(size int) uint64 { return listMemory(1, size) },
+		Measure:   measureInSteps("list-state", 4, measureState),
 	}
 }
 
-func measureState(at *listSteps, rows *rowsOf) (err error) {
-	image, err := measureEncoding(at, rows)
+func measureState(steps *listSteps, rows *listRows) (err error) {
+	backup, err := measureEncoding(steps, rows)
 	if err != nil {
 		return err
 	}
-	service, err := measureRestore(at, rows, image)
+	service, err := measureRestore(steps, rows, backup)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, service.close()) }()
-	if err := measureSnapshot(at, rows, service); err != nil {
+	if err := measureSnapshot(steps, rows, service); err != nil {
 		return err
 	}
-	return measureRecovery(at, rows, service)
+	return measureRecovery(steps, rows, service)
 }
 
-// measureEncoding fills a state, encodes it and decodes it again. It returns the encoded state.
-func measureEncoding(at *listSteps, rows *rowsOf) (image []byte, err error) {
-	if err := at.next("filling the list"); err != nil {
+// measureEncoding creates a list, encodes it and decodes it again. It returns the encoded list.
+func measureEncoding(steps *listSteps, rows *listRows) (backup []byte, err error) {
+	if err := steps.next("creating the list"); err != nil {
 		return nil, err
 	}
 	before := heapInUse()
@@ -116,72 +118,72 @@
 		return nil, err
 	}
 	rows.bytes("heap of the state", heapGrowth(before))
-	began := time.Now()
-	if image, err = json.Marshal(state); err != nil {
+	start := time.Now()
+	if backup, err = json.Marshal(state); err != nil {
 		return nil, err
 	}
-	rows.time("snapshot, to encode", time.Since(began))
-	rows.bytes("snapshot", uint64(len(image)))
-	began = time.Now()
-	if err := json.Unmarshal(image, new(registry.State)); err != nil {
+	rows.time("snapshot, to encode", time.Since(start))
+	rows.bytes("snapshot", uint64(len(backup)))
+	start = time.Now()
+	if err := json.Unmarshal(backup, new(registry.State)); err != nil {
 		return nil, err
 	}
-	rows.time("snapshot, to decode", time.Since(began))
+	rows.time("snapshot, to decode", time.Since(start))
 	runtime.KeepAlive(state)
-	return image, nil
+	return backup, nil
 }
 
-// measureRestore starts a replica from a backup.
-func measureRestore(at *listSteps, rows *rowsOf, image []byte) (*listReplica, error) {
-	if err := at.next("restoring a backup"); err != nil {
+// measureRestore starts a replica with the list of a backup.
+func measureRestore(steps *listSteps, rows *listRows, backup []byte) (*listReplica, error) {
+	if err := steps.next("restoring a backup"); err != nil {
 		return nil, err
 	}
 	before := heapInUse()
-	began := time.Now()
-	service, err := startReplica(at.ctx, image)
+	start := time.Now()
+	service, err := startReplica(steps.ctx, backup)
 	if err != nil {
 		return nil, err
 	}
-	rows.time("restore of a backup, until the replica leads", time.Since(began))
+	rows.time("restore of a backup, until the replica leads", time.Since(start))
 	rows.bytes("heap of a replica", heapGrowth(before))
-	runtime.KeepAlive(image)
+	runtime.KeepAlive(backup)
 	return service, nil
 }
 
-// measureSnapshot has a replica write its snapshot.
-func measureSnapshot(at *listSteps, rows *rowsOf, service *listReplica) error {
-	if err := at.next("writing a snapshot"); err != nil {
+// measureSnapshot measures how long a replica takes to write a snapshot.
+func measureSnapshot(steps *listSteps, rows *listRows, service *listReplica) error {
+	if err := steps.next("writing a snapshot"); err != nil {
 		return err
 	}
-	began := time.Now()
+	start := time.Now()
 	if err := service.Snapshot(); err != nil {
 		return err
 	}
-	rows.time("snapshot, to its file", time.Since(began))
+	rows.time("snapshot, to its file", time.Since(start))
 	return nil
 }
 
-// measureRecovery ends a replica and starts it from its snapshot.
-func measureRecovery(at *listSteps, rows *rowsOf, service *listReplica) error {
-	if err := at.next("recovering"); err != nil {
+// measureRecovery stops a replica and starts it again from its snapshot.
+func measureRecovery(steps *listSteps, rows *listRows, service *listReplica) error {
+	if err := steps.next("recovering"); err != nil {
 		return err
 	}
 	generation := service.Generation()
 	if err := service.stop(); err != nil {
 		return err
 	}
-	began := time.Now()
-	if err := service.start(at.ctx, ""); err != nil {
+	start := time.Now()
+	if err := service.start(steps.ctx, ""); err != nil {
 		return err
 	}
-	rows.time("recovery from a snapshot", time.Since(began))
+	rows.time("recovery from a snapshot", time.Since(start))
 	if got := service.Generation(); got != generation {
-		return fmt.Errorf("recovered generation %d, not %d", got, generation)
+		return fmt.Errorf("replica recovered at generation %d, want %d", got, generation)
 	}
 	return nil
 }
 
-// heapGrowth is what the live heap is larger than before.
+// heapGrowth returns the growth of the live heap in bytes, or 0 if it has shrunk.
 func heapGrowth(before uint64) uint64 {
 	if now := heapInUse(); now > before {
 		return now - before
@@ -189,171 +191,172 @@
 	return 0
 }
 
-// Figures of the measurements of watches.
+// Parameters of the measurements with watches.
 const (
-	singleChanges  = 3   // that are told one after another
-	zoneWriters    = 64  // clients that write a lost zone's removals at once
-	wholeListReads = 128 // most watches that take the whole list at once
-	lostZone       = 0
+	singleChanges      = 3   // number of changes written one after another
+	zoneClients        = 64  // number of concurrent clients that remove the entries of the lost zone
+	maxSnapshotReaders = 128 // maximum number of watches that receive a complete list at the same time
+	lostZone           = 0   // number of the zone that is lost
 )
 
-// ListService measures what a replica tells its watches. There are as many watches for each entry
-// as in the plan.
+// ListService returns the part that measures how a replica delivers changes and complete lists to its
+// watches. The ratio of watches to entries is that of the planned fleet.
 func ListService() Part {
 	return Part{
 		Name: "list-watches",
-		Title: "One replica of the list service with the plan's share of watches, 41 for each 2,000 entries, over loopback in one process: " +
-			"a change, a zone lost one entry after another, all watches coming back from before it, and whole lists to at most 128 watches.",
-		Size:    "entries in the list",
-		Sizes:   listSizes,
-		Small:   listSmall,
-		Memory:  func(size int) uint64 { return listServiceMemory(1, size) },
-		Measure: inSteps("list-watches", 6, measureService),
+		Title: "Watches of one replica of the list service, over loopback in one process, with 41 watches per 2,000 entries as planned: " +
+			"a single change, the removal of a zone entry by entry, all watches reconnecting from before it, and complete lists to at most 128 watches.",
+		Size:      "entries in the list",
+		Sizes:     listSizes,
+		TestSizes: listTestSizes,
+		Memory:    func(size int) uint64 { return listServiceMemory(1, size) },
+		Measure:   measureInSteps("list-watches", 6, measureService),
 	}
 }
 
-// watchesOf is the number of watches of a list in the plan's proportions.
-func watchesOf(entries int) int { return max(entries*planWatches/planEntries, 1) }
+// watchesOf returns the number of watches of a list, in the proportion of the planned fleet.
+func watchesOf(entries int) int { return max(entries*plannedWatches/plannedEntries, 1) }
 
-func measureService(at *listSteps, rows *rowsOf) (err error) {
-	service, err := at.restore(rows.size, listLease, electionTimeout)
+func measureService(steps *listSteps, rows *listRows) (err error) {
+	service, err := steps.restore(rows.size, listLease, electionTimeout)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, service.close()) }()
-	run := serviceRun{at: at, rows: rows, service: service, writer: newListWriter(service.Addr()), watches: watchesOf(rows.size)}
+	run := serviceRun{steps: steps, rows: rows, service: service, writer: newListWriter(service.Addr()), watches: watchesOf(rows.size)}
 	defer run.writer.close()
-	return errors.Join(run.followed(), run.reconnects(), run.snapshots())
+	return errors.Join(run.measureOpenWatches(), run.measureReconnects(), run.measureSnapshots())
 }
 
-// serviceRun is the measurement of one list.
+// serviceRun is a measurement of [ListService] at one size.
 type serviceRun struct {
-	at         *listSteps
-	rows       *rowsOf
+	steps      *listSteps
+	rows       *listRows
 	service    *listReplica
 	writer     *listWriter
 	watches    int
-	beforeZone uint64 // generation before the zone was lost
+	beforeZone uint64 // generation before the first entry of the zone is removed
 }
 
-// followed measures changes that reach watches that are open.
-func (r *serviceRun) followed() error {
-	if err := r.at.next("opening watches"); err != nil {
+// measureOpenWatches measures the delivery of changes to open watches.
+func (r *serviceRun) measureOpenWatches() error {
+	if err := r.steps.next("opening watches"); err != nil {
 		return err
 	}
-	began := time.Now()
-	watches, err := openWatches(r.at.ctx, startsAt(r.service.Addr(), r.watches, r.service.Generation()), r.at.env.Seed)
+	start := time.Now()
+	watches, err := openWatches(r.steps.ctx, startsAt(r.service.Addr(), r.watches, r.service.Generation()), r.steps.env.Seed)
 	if err != nil {
 		return err
 	}
 	defer watches.close()
 	r.rows.count("watches", r.watches)
-	r.rows.time("watches, until all are open", time.Since(began))
-	if err := r.singles(watches); err != nil {
+	r.rows.time("watches, until all are open", time.Since(start))
+	if err := r.measureSingleChanges(watches); err != nil {
 		return err
 	}
-	return r.zone(watches)
+	return r.measureZoneLoss(watches)
 }
 
-// singles measures changes that come one after another.
-func (r *serviceRun) singles(watches *listWatches) error {
-	if err := r.at.next("telling single changes"); err != nil {
+// measureSingleChanges measures the delivery of changes that are written one after another.
+func (r *serviceRun) measureSingleChanges(watches *listWatches) error {
+	if err := r.steps.next("writing single changes"); err != nil {
 		return err
 	}
-	var late []time.Duration
+	var delays []time.Duration
 	for n := range singleChanges {
-		began := time.Now()
-		generation, err := r.writer.drain(r.at.ctx, n*planZones+lostZone+1)
+		start := time.Now()
+		generation, err := r.writer.drain(r.steps.ctx, n*plannedZones+lostZone+1)
 		if err != nil {
 			return err
 		}
-		last, err := watches.awaitGeneration(r.at.ctx, generation)
+		last, err := watches.awaitGeneration(r.steps.ctx, generation)
 		if err != nil {
 			return err
 		}
-		late = append(late, last.Sub(began))
+		delays = append(delays, last.Sub(start))
 	}
-	r.rows.time("first change, to the last watch", late[0])
-	r.rows.time("next two changes, most to the last watch", slices.Max(late[1:]))
-	told := watches.count()
-	r.rows.bytes("one change, most to a watch", told.maxBytes/singleChanges)
-	return told.firstError
+	r.rows.time("first change, to the last watch", delays[0])
+	r.rows.time("next two changes, most to the last watch", slices.Max(delays[1:]))
+	received := watches.totals()
+	r.rows.bytes("one change, most to a watch", received.maxBytes/singleChanges)
+	return received.firstError
 }
 
-// zone measures the loss of a zone, one removal for each entry.
-func (r *serviceRun) zone(watches *listWatches) error {
-	if err := r.at.next("losing a zone"); err != nil {
+// measureZoneLoss measures the delivery of the removals of a zone, each a separate change.
+func (r *serviceRun) measureZoneLoss(watches *listWatches) error {
+	if err := r.steps.next("removing a zone"); err != nil {
 		return err
 	}
 	r.beforeZone = r.service.Generation()
-	before := watches.count()
-	began := time.Now()
+	before := watches.totals()
+	start := time.Now()
 	lost := zoneEntries(r.rows.size)
-	if err := r.writer.removeZone(r.at.ctx, r.rows.size); err != nil {
+	if err := r.writer.removeZone(r.steps.ctx, r.rows.size); err != nil {
 		return err
 	}
-	written := time.Since(began)
-	last, err := watches.awaitGeneration(r.at.ctx, r.beforeZone+uint64(lost))
+	written := time.Since(start)
+	last, err := watches.awaitGeneration(r.steps.ctx, r.beforeZone+uint64(lost))
 	if err != nil {
 		return err
 	}
 	r.rows.count("zone lost, entries", lost)
 	r.rows.time("zone lost, all removals written", written)
-	r.rows.time("zone lost, from the first removal to the last watch", last.Sub(began))
-	r.rows.time("zone lost, from the last removal to the last watch", max(last.Sub(began)-written, 0))
-	told := watches.count()
-	r.rows.bytes("zone lost, most to a watch", told.maxBytes-before.maxBytes)
-	r.rows.count("watches told otherwise than each change once and in order", told.outOfOrder)
-	r.rows.count("whole lists to watches that were open", int(told.snapshots))
-	return told.firstError
+	r.rows.time("zone lost, from the first removal to the last watch", last.Sub(start))
+	r.rows.time("zone lost, from the last removal to the last watch", max(last.Sub(start)-written, 0))
+	received := watches.totals()
+	r.rows.bytes("zone lost, most to a watch", received.maxBytes-before.maxBytes)
+	r.rows.count("watches told otherwise than each change once and in order", received.outOfOrder)
+	r.rows.count("whole lists to watches that were open", int(received.snapshots))
+	return received.firstError
 }
 
-// opened opens watches from a generation, waits until the last has the list, and closes them. It returns
-// what they were told and how long that took.
-func (r *serviceRun) opened(n int, from uint64) (told watchTotals, took time.Duration, err error) {
-	began := time.Now()
-	watches, err := openWatches(r.at.ctx, startsAt(r.service.Addr(), n, from), r.at.env.Seed)
+// syncNewWatches opens n watches that start after a generation, waits until all of them have the current
+// list, and closes them. It returns what they received and how long that took.
+func (r *serviceRun) syncNewWatches(n int, from uint64) (received watchTotals, took time.Duration, err error) {
+	start := time.Now()
+	watches, err := openWatches(r.steps.ctx, startsAt(r.service.Addr(), n, from), r.steps.env.Seed)
 	if err != nil {
-		return told, 0, err
+		return received, 0, err
 	}
 	defer watches.close()
-	last, err := watches.awaitGeneration(r.at.ctx, r.service.Generation())
+	last, err := watches.awaitGeneration(r.steps.ctx, r.service.Generation())
 	if err != nil {
-		return told, 0, err
+		return received, 0, err
 	}
-	return watches.count(), last.Sub(began), nil
+	return watches.totals(), last.Sub(start), nil
 }
 
-// reconnects measures all watches as they come back together, from before the zone was lost.
-func (r *serviceRun) reconnects() error {
-	if err := r.at.next("all watches come back"); err != nil {
+// measureReconnects measures how all watches catch up if they reconnect at the same time, starting from the
+// generation before the zone was lost.
+func (r *serviceRun) measureReconnects() error {
+	if err := r.steps.next("reconnecting all watches"); err != nil {
 		return err
 	}
-	told, took, err := r.opened(r.watches, r.beforeZone)
+	received, took, err := r.syncNewWatches(r.watches, r.beforeZone)
 	if err != nil {
 		return err
 	}
 	r.rows.time("all come back, until the last has the list", took)
-	r.rows.bytes("all come back, most to a watch", told.maxBytes)
-	r.rows.count("all come back, whole lists", int(told.snapshots))
-	r.rows.count("all come back, told otherwise than each change once and in order", told.outOfOrder)
-	return told.firstError
+	r.rows.bytes("all come back, most to a watch", received.maxBytes)
+	r.rows.count("all come back, whole lists", int(received.snapshots))
+	r.rows.count("all come back, told otherwise than each change once and in order", received.outOfOrder)
+	return received.firstError
 }
 
-// snapshots measures whole lists to watches that begin anew.
-func (r *serviceRun) snapshots() error {
-	if err := r.at.next("telling whole lists"); err != nil {
+// measureSnapshots measures the delivery of complete lists to new watches.
+func (r *serviceRun) measureSnapshots() error {
+	if err := r.steps.next("sending complete lists"); err != nil {
 		return err
 	}
-	readers := min(r.watches, wholeListReads)
-	told, took, err := r.opened(readers, 0)
+	readers := min(r.watches, maxSnapshotReaders)
+	received, took, err := r.syncNewWatches(readers, 0)
 	if err != nil {
 		return err
 	}
 	r.rows.count("whole list, watches that take it at once", readers)
 	r.rows.add("whole list, factor from these to all watches", float64(r.watches)/float64(readers), "")
 	r.rows.time("whole list, until the last of these has it", took)
-	r.rows.bytes("whole list, most to a watch", told.maxBytes)
-	r.rows.count("whole list, whole lists told", int(told.snapshots))
-	return told.firstError
+	r.rows.bytes("whole list, most to a watch", received.maxBytes)
+	r.rows.count("whole list, whole lists told", int(received.snapshots))
+	return received.firstError
 }
--- a/internal/scale/list_lost.go
+++ b/internal/scale/list_lost.go
@@ -10,50 +10,51 @@
 	"opalhook/internal/registry"
 )
 
-// reconnectStream are the draws of the replicas at which watches come back, beside those of the seed.
+// reconnectStream selects the random stream of the seed that chooses the replicas to which watches reconnect.
 const reconnectStream = 0x105e
 
-// ListLostReplica measures a service of three replicas that loses one with all its watches.
+// ListLostReplica returns the part that measures the loss of one of three replicas, which serves all watches
+// until then.
 func ListLostReplica() Part {
 	return Part{
 		Name: "list-lost-replica",
-		Title: "A service of three replicas over loopback in one process, with the plan's share of watches at one that follows: it ends, its watches " +
-			"come back at once at the other two, drawn, while 64 clients remove a zone one entry after another, over a connection each, at whichever replica leads.",
-		Size:    "entries in the list",
-		Sizes:   listSizes,
-		Small:   listSmall,
-		Memory:  func(size int) uint64 { return listServiceMemory(serviceReplicas, size) },
-		Measure: inSteps("list-lost-replica", 4, measureLostReplica),
+		Title: "Loss of a replica in a service of three, over loopback in one process, with watches as planned at a follower. The follower stops and its watches " +
+			"reconnect at once to a random one of the other two, while 64 clients remove a zone entry by entry at the leader, with a new connection for each removal.",
+		Size:      "entries in the list",
+		Sizes:     listSizes,
+		TestSizes: listTestSizes,
+		Memory:    func(size int) uint64 { return listServiceMemory(serviceReplicas, size) },
+		Measure:   measureInSteps("list-lost-replica", 4, measureLostReplica),
 	}
 }
 
-func measureLostReplica(at *listSteps, rows *rowsOf) (err error) {
-	leader, err := at.restore(rows.size, listLease, serviceElection)
+func measureLostReplica(steps *listSteps, rows *listRows) (err error) {
+	leader, err := steps.restore(rows.size, listLease, serviceElectionTimeout)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, leader.close()) }()
-	if err := at.next("adding replicas"); err != nil {
+	if err := steps.next("adding replicas"); err != nil {
 		return err
 	}
-	followers, err := joinReplicas(at.ctx, leader)
+	followers, err := joinReplicas(steps.ctx, leader)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, closeReplicas(followers)) }()
-	run := lostRun{at: at, rows: rows, leader: leader, lost: followers[0], stays: followers[1]}
-	run.client.Replicas = []string{leader.Addr(), run.stays.Addr()}
+	run := lostRun{steps: steps, rows: rows, leader: leader, lost: followers[0], remaining: followers[1]}
+	run.client.Replicas = []string{leader.Addr(), run.remaining.Addr()}
 	return run.measure()
 }
 
-// lostRun is the measurement of one loss of a replica.
+// lostRun is a measurement of [ListLostReplica] at one size.
 type lostRun struct {
-	at     *listSteps
-	rows   *rowsOf
-	leader *listReplica // when the other is lost
-	lost   *listReplica // a follower; the watches are open there at first
-	stays  *listReplica // the other one
-	client registry.Client
+	steps     *listSteps
+	rows      *listRows
+	leader    *listReplica // the leader at the time of the loss
+	lost      *listReplica // the follower that is stopped; it serves the watches until then
+	remaining *listReplica // the other follower
+	client    registry.Client
 }
 
 func (r *lostRun) measure() error {
@@ -65,19 +66,20 @@
 	return r.lose(watches)
 }
 
-// open opens watches at the replica that will be lost, and lets them be told a change there.
+// open opens the watches at the replica that will be lost, and waits until all of them have received a first
+// change.
 func (r *lostRun) open() (*listWatches, error) {
-	if err := r.at.next("opening watches"); err != nil {
+	if err := r.steps.next("opening watches"); err != nil {
 		return nil, err
 	}
 	starts := startsAt(r.lost.Addr(), watchesOf(r.rows.size), r.leader.Generation())
-	watches, err := openWatches(r.at.ctx, starts, r.at.env.Seed)
+	watches, err := openWatches(r.steps.ctx, starts, r.steps.env.Seed)
 	if err != nil {
 		return nil, err
 	}
-	change, err := r.client.Drain(r.at.ctx, owner(lostZone+1))
+	change, err := r.client.Drain(r.steps.ctx, firstInstance(lostZone+1))
 	if err == nil {
-		_, err = watches.awaitGeneration(r.at.ctx, change.Generation)
+		_, err = watches.awaitGeneration(r.steps.ctx, change.Generation)
 	}
 	if err != nil {
 		watches.close()
@@ -87,139 +89,145 @@
 	return watches, nil
 }
 
-// lose ends the replica while the zone's entries are removed, and opens its watches at the others.
+// lose stops the replica while the zone's entries are removed, and reconnects its watches to the other
+// replicas.
 func (r *lostRun) lose(watches *listWatches) error {
-	if err := r.at.next("losing a replica"); err != nil {
+	if err := r.steps.next("losing a replica"); err != nil {
 		return err
 	}
-	before := watches.count()
-	generation := r.leader.Generation() + uint64(zoneEntries(r.rows.size)) // once all are removed
+	before := watches.totals()
+	generation := r.leader.Generation() + uint64(zoneEntries(r.rows.size)) // after all removals
 	loss := r.begin()
 	watches.awaitEnd()
-	loss.ended = time.Now()
-	starts := r.drawReconnects(watches)
-	back, err := openWatches(r.at.ctx, starts, r.at.env.Seed)
+	loss.watchesEnded = time.Now()
+	starts := r.chooseReconnects(watches)
+	reconnected, err := openWatches(r.steps.ctx, starts, r.steps.env.Seed)
 	if err != nil {
 		return errors.Join(err, loss.wait())
 	}
-	defer back.close()
-	loss.open = time.Now()
-	if err := r.reach(back, loss, generation); err != nil {
+	defer reconnected.close()
+	loss.watchesReopened = time.Now()
+	if err := r.catchUp(reconnected, loss, generation); err != nil {
 		return err
 	}
 	loss.addRows(r.rows)
-	r.rows.count("another replica leads than before", oneIf(!r.leader.IsLeader()))
+	r.rows.count("another replica leads than before", boolToInt(!r.leader.IsLeader()))
 	r.countReconnects(starts)
-	return r.countReceived(watches, back, before.maxBytes)
+	return r.countReceived(watches, reconnected, before.maxBytes)
 }
 
-// reach waits until all watches that came back have the list as it is, and until they have it without the zone.
-func (r *lostRun) reach(back *listWatches, loss *replicaLoss, generation uint64) (err error) {
-	loss.upToDate, err = back.awaitGeneration(r.at.ctx, r.leader.Generation())
+// catchUp waits until all reconnected watches have the current list, and then until they have the given
+// generation, which is that of the list without the zone.
+func (r *lostRun) catchUp(reconnected *listWatches, loss *replicaLoss, generation uint64) (err error) {
+	loss.caughtUp, err = reconnected.awaitGeneration(r.steps.ctx, r.leader.Generation())
 	if err := errors.Join(err, loss.wait()); err != nil {
 		return err
 	}
-	loss.last, err = back.awaitGeneration(r.at.ctx, generation)
+	loss.complete, err = reconnected.awaitGeneration(r.steps.ctx, generation)
 	return err
 }
 
-// replicaLoss is the end of a replica, and of a zone meanwhile.
+// replicaLoss records the times of the loss of a replica, and of the removal of a zone in the meantime.
 type replicaLoss struct {
-	began    time.Time
-	ended    time.Time // all watches had
-	open     time.Time // all were again
-	upToDate time.Time // all had the list of when the last was opened
-	written  time.Time // all removals were
-	last     time.Time // all had the list without the zone
-
-	work             sync.WaitGroup
-	stopped, removed error
-	mu               sync.Mutex
-	longest          time.Duration // of the removals, with all attempts
-}
-
-// addRows adds how long it took.
-func (l *replicaLoss) addRows(rows *rowsOf) {
-	since := func(quantity string, at time.Time) { rows.time(quantity, at.Sub(l.began)) }
-	since("replica lost, until the last of its watches has ended", l.ended)
-	since("replica lost, until all are open at the others", l.open)
-	since("replica lost, until the last has the list of when all were open", l.upToDate)
-	since("replica lost, until the last has the list without the zone", l.last)
+	start           time.Time // start of the shutdown of the replica and of the removals
+	watchesEnded    time.Time // all watches at the lost replica had ended
+	watchesReopened time.Time // all watches were open again
+	caughtUp        time.Time // all watches had the list as it was when the last of them was open again
+	zoneRemoved     time.Time // all removals had been written
+	complete        time.Time // all watches had the list without the zone
+
+	running            sync.WaitGroup
+	stopErr, removeErr error // errors of stopping the replica and of removing the zone
+	mu                 sync.Mutex
+	longestRemoval     time.Duration // longest removal, including retries; guarded by mu
+}
+
+// addRows adds the durations of the loss.
+func (l *replicaLoss) addRows(rows *listRows) {
+	since := func(quantity string, at time.Time) { rows.time(quantity, at.Sub(l.start)) }
+	since("replica lost, until the last of its watches has ended", l.watchesEnded)
+	since("replica lost, until all are open at the others", l.watchesReopened)
+	since("replica lost, until the last has the list of when all were open", l.caughtUp)
+	since("replica lost, until the last has the list without the zone", l.complete)
 	rows.count("zone lost meanwhile, entries", zoneEntries(rows.size))
-	since("zone lost meanwhile, all removals written", l.written)
-	rows.time("zone lost meanwhile, longest of the removals", l.longest)
-	rows.time("zone lost meanwhile, from the last removal to the last watch", max(l.last.Sub(l.written), 0))
+	since("zone lost meanwhile, all removals written", l.zoneRemoved)
+	rows.time("zone lost meanwhile, longest of the removals", l.longestRemoval)
+	rows.time("zone lost meanwhile, from the last removal to the last watch", max(l.complete.Sub(l.zoneRemoved), 0))
 }
 
+// begin stops the replica and starts to remove the zone, both in the background.
 func (r *lostRun) begin() *replicaLoss {
-	loss := &replicaLoss{began: time.Now()}
-	loss.work.Go(func() { loss.stopped = r.lost.stop() })
-	loss.work.Go(func() {
-		loss.removed = r.removeZone(loss)
-		loss.written = time.Now()
+	loss := &replicaLoss{start: time.Now()}
+	loss.running.Go(func() { loss.stopErr = r.lost.stop() })
+	loss.running.Go(func() {
+		loss.removeErr = r.removeZone(loss)
+		loss.zoneRemoved = time.Now()
 	})
 	return loss
 }
 
-// removeZone removes the zone's instances. A client goes to the replica that leads, and tries again
-// where the leader changes.
+// removeZone removes the zone's instances at the leader. The client retries if the leader changes.
 func (r *lostRun) removeZone(loss *replicaLoss) error {
-	ctx, cancel := context.WithTimeout(r.at.ctx, serviceWithin)
+	ctx, cancel := context.WithTimeout(r.steps.ctx, serviceTimeout)
 	defer cancel()
-	return eachOfZone(ctx, r.rows.size, func(ctx context.Context, n int) (uint64, error) {
-		began := time.Now()
-		removed, err := r.client.Remove(ctx, owner(n))
-		loss.took(time.Since(began))
+	return forEachInZone(ctx, r.rows.size, func(ctx context.Context, n int) (uint64, error) {
+		start := time.Now()
+		removed, err := r.client.Remove(ctx, firstInstance(n))
+		loss.recordRemoval(time.Since(start))
 		return removed.Generation, err
 	})
 }
 
-// owner is an instance as it is at the start.
-func owner(n int) registry.InstanceRef {
+// firstInstance refers to the first incarnation of an instance.
+func firstInstance(n int) registry.InstanceRef {
 	return registry.InstanceRef{ID: listEntry(n).InstanceID, Incarnation: firstIncarnation}
 }
 
-func (l *replicaLoss) took(removal time.Duration) {
+func (l *replicaLoss) recordRemoval(removal time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.longest = max(l.longest, removal)
+	l.longestRemoval = max(l.longestRemoval, removal)
 }
 
+// wait waits until the replica has stopped and the zone is removed.
 func (l *replicaLoss) wait() error {
-	l.work.Wait()
-	return errors.Join(l.stopped, l.removed)
+	l.running.Wait()
+	return errors.Join(l.stopErr, l.removeErr)
 }
 
-// drawReconnects draws a replica for each watch that has ended. It goes on from what it was told last.
-func (r *lostRun) drawReconnects(watches *listWatches) []watchStart {
-	rng := rand.New(rand.NewPCG(r.at.env.Seed, reconnectStream))
-	others := []string{r.leader.Addr(), r.stays.Addr()}
+// chooseReconnects chooses one of the two other replicas at random for each watch. The watch continues after
+// the last generation that it received.
+func (r *lostRun) chooseReconnects(watches *listWatches) []watchStart {
+	rng := rand.New(rand.NewPCG(r.steps.env.Seed, reconnectStream))
+	candidates := []string{r.leader.Addr(), r.remaining.Addr()}
 	starts := make([]watchStart, len(watches.all))
 	for i, w := range watches.all {
-		starts[i] = watchStart{others[rng.IntN(len(others))], w.received.Load().at}
+		starts[i] = watchStart{candidates[rng.IntN(len(candidates))], w.published.Load().generation}
 	}
 	return starts
 }
 
-// countReconnects counts the watches that come back at each replica.
+// countReconnects adds the numbers of watches that reconnect to the leader and to the follower.
 func (r *lostRun) countReconnects(starts []watchStart) {
-	leads := 0
+	atLeader := 0
 	for _, start := range starts {
-		leads += oneIf(start.addr == r.leader.Addr())
+		atLeader += boolToInt(start.addr == r.leader.Addr())
 	}
-	r.rows.count("come back, at the replica that leads", leads)
-	r.rows.count("come back, at the replica that follows", len(starts)-leads)
+	r.rows.count("come back, at the replica that leads", atLeader)
+	r.rows.count("come back, at the replica that follows", len(starts)-atLeader)
 }
 
-// countReceived counts what was told to watches at the replica that was lost and then at the others.
-func (r *lostRun) countReceived(watches, back *listWatches, before uint64) error {
-	var most uint64
+// countReceived adds rows for the messages that the watches receive at the lost replica and, after it, at the
+// others. before is the largest number of bytes that a watch had received before the loss. It returns an
+// error if a watch did not receive each change once and in order.
+func (r *lostRun) countReceived(watches, reconnected *listWatches, before uint64) error {
+	var maxBytes uint64
 	for i, w := range watches.all {
-		most = max(most, w.received.Load().bytes+back.all[i].received.Load().bytes)
+		maxBytes = max(maxBytes, w.published.Load().bytes+reconnected.all[i].published.Load().bytes)
 	}
-	old, now := watches.count(), back.count()
-	r.rows.bytes("come back, most to a watch from the loss on", most-before)
-	r.rows.count("come back, whole lists", int(old.snapshots+now.snapshots))
-	r.rows.count("come back, told otherwise than each change once and in order", old.outOfOrder+now.outOfOrder)
-	return errors.Join(old.firstError, now.firstError)
+	beforeLoss, afterLoss := watches.totals(), reconnected.totals()
+	r.rows.bytes("come back, most to a watch from the loss on", maxBytes-before)
+	r.rows.count("come back, whole lists", int(beforeLoss.snapshots+afterLoss.snapshots))
+	r.rows.count("come back, told otherwise than each change once and in order", beforeLoss.outOfOrder+afterLoss.outOfOrder)
+	return errors.Join(beforeLoss.firstError, afterLoss.firstError)
 }
--- a/internal/scale/list_service.go
+++ b/internal/scale/list_service.go
@@ -14,25 +14,27 @@
 	"opalhook/internal/registry"
 )
 
-// Bounds of waits; none is expected to come near them.
+// Timeouts and poll intervals. A successful measurement stays far below the timeout.
 const (
-	serviceWithin = time.Minute
-	servicePoll   = time.Millisecond
+	serviceTimeout = time.Minute
+	servicePoll    = time.Millisecond
 )
 
-// electionTimeout of a service of one replica: it has nobody to hear from.
+// electionTimeout is the election timeout of a service of one replica. It can be short, because there are no
+// other replicas whose messages could be late.
 const electionTimeout = 100 * time.Millisecond
 
-// listLease is the plan's lease; the measurements end before a full one has passed or renew none.
+// listLease is the lease duration of instances that are not meant to expire. Measurements end before it has
+// passed.
 const listLease = time.Hour
 
-// listEntry is the instance of a number. Its zone is its number's, so that a zone is spread over
-// the list.
+// listEntry returns the entry of the instance with the given number. Zones alternate by number, so that the
+// entries of a zone are spread over the list.
 func listEntry(n int) registry.Entry {
 	return registry.Entry{
 		InstanceID:  fmt.Sprintf("server-%06d", n),
 		HostPort:    fmt.Sprintf("10.%d.%d.%d:8080", n>>16, n>>8&0xff, n&0xff),
-		Zone:        fmt.Sprintf("zone-%02d", n%planZones),
+		Zone:        fmt.Sprintf("zone-%02d", n%plannedZones),
 		MachineType: "standard-8",
 		Cell:        n % 64,
 		Lifecycle:   registry.Up,
@@ -41,49 +43,51 @@
 	}
 }
 
-// firstIncarnation is the incarnation of every instance at the start.
+// firstIncarnation is the incarnation of all instances.
 const firstIncarnation = 1
 
-// listState is a list of that many entries. Those of the zone that may be lost have a lease of their own.
+// listState returns a list with a number of entries. The instances of the lost zone have the lease duration
+// zoneLease, all others listLease.
 func listState(entries int, zoneLease time.Duration) (*registry.State, error) {
 	state := registry.NewState(0)
 	for n := range entries {
 		lease := listLease
-		if n%planZones == lostZone {
+		if n%plannedZones == lostZone {
 			lease = zoneLease
 		}
 		o := state.Apply(registry.Command{Kind: registry.Register, Entry: listEntry(n), Incarnation: firstIncarnation, Lease: lease})
 		if o.Code != registry.Done {
-			return nil, fmt.Errorf("entry %d: %s: %s", n, o.Code, o.Message)
+			return nil, fmt.Errorf("registering entry %d: %s: %s", n, o.Code, o.Message)
 		}
 	}
 	return state, nil
 }
 
-// listReplica is a replica of the list service with a folder of its own.
+// listReplica is a replica of the list service with its own temporary folder.
 type listReplica struct {
 	*registry.Server
-	dir          string
-	listen, raft string
-	timeout      time.Duration
+	dir             string
+	listen, raft    string        // addresses to listen on
+	electionTimeout time.Duration // election timeout
 }
 
-// newReplica makes a replica that is not started yet.
+// newReplica returns a replica that is not started yet, with the given election timeout.
 func newReplica(timeout time.Duration) (*listReplica, error) {
 	dir, err := os.MkdirTemp("", "opalhook-scale-")
 	if err != nil {
-		return nil, fmt.Errorf("folder of a replica: %w", err)
+		return nil, fmt.Errorf("creating the folder of a replica: %w", err)
 	}
-	return &listReplica{dir: dir, listen: "127.0.0.1:0", raft: "127.0.0.1:0", timeout: timeout}, nil
+	return &listReplica{dir: dir, listen: "127.0.0.1:0", raft: "127.0.0.1:0", electionTimeout: timeout}, nil
 }
 
-// startReplica starts a service of one replica that begins with a backup, and waits until it leads.
-func startReplica(ctx context.Context, image []byte) (*listReplica, error) {
-	return startFirst(ctx, image, electionTimeout)
+// startReplica starts a service of one replica with the list of a backup, and waits until the replica is the
+// leader.
+func startReplica(ctx context.Context, backup []byte) (*listReplica, error) {
+	return startReplicaWithTimeout(ctx, backup, electionTimeout)
 }
 
-// startFirst is startReplica with the time without a word of the leader after which an election begins.
-func startFirst(ctx context.Context, image []byte, timeout time.Duration) (r *listReplica, err error) {
+// startReplicaWithTimeout is like startReplica, with the given election timeout.
+func startReplicaWithTimeout(ctx context.Context, backup []byte, timeout time.Duration) (r *listReplica, err error) {
 	if r, err = newReplica(timeout); err != nil {
 		return nil, err
 	}
@@ -92,20 +96,22 @@
 			err = errors.Join(err, r.close())
 		}
 	}()
-	if _, err := registry.Restore(r.state(), bytes.NewReader(image), 1); err != nil {
+	if _, err := registry.Restore(r.stateDir(), bytes.NewReader(backup), 1); err != nil {
 		return r, err
 	}
 	if err := r.start(ctx, ""); err != nil {
 		return r, err
 	}
-	return r, awaitReplica(ctx, "the replica to lead", r.IsLeader)
+	return r, awaitReplica(ctx, "the replica to become the leader", r.IsLeader)
 }
 
-func (r *listReplica) state() string { return filepath.Join(r.dir, "state") }
+// stateDir returns the folder of the replica's state.
+func (r *listReplica) stateDir() string { return filepath.Join(r.dir, "state") }
 
-// start starts the replica, at the address that it had if it was started before.
+// start starts the replica, which joins the service at the address join unless that is empty. A replica that
+// is started again listens on the same address as before.
 func (r *listReplica) start(ctx context.Context, join string) error {
-	server, err := registry.Start(ctx, registry.Config{Dir: r.state(), Listen: r.listen, Raft: r.raft, Join: join, ElectionTimeout: r.timeout, Logger: slog.New(slog.DiscardHandler)})
+	server, err := registry.Start(ctx, registry.Config{Dir: r.stateDir(), Listen: r.listen, Raft: r.raft, Join: join, ElectionTimeout: r.electionTimeout, Logger: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		return err
 	}
@@ -113,7 +119,7 @@
 	return nil
 }
 
-// stop ends the replica; its state stays.
+// stop stops the replica and keeps its state.
 func (r *listReplica) stop() (err error) {
 	if r.Server != nil {
 		err = r.Close()
@@ -122,18 +128,19 @@
 	return err
 }
 
-// close ends the replica and removes its state.
+// close stops the replica and removes its folder.
 func (r *listReplica) close() error {
 	return errors.Join(r.stop(), os.RemoveAll(r.dir))
 }
 
-// awaitReplica waits until a condition holds.
-func awaitReplica(ctx context.Context, what string, holds func() bool) error {
-	ctx, cancel := context.WithTimeout(ctx, serviceWithin)
+// awaitReplica polls a condition until it holds, for at most serviceTimeout. what names the condition in
+// errors.
+func awaitReplica(ctx context.Context, what string, condition func() bool) error {
+	ctx, cancel := context.WithTimeout(ctx, serviceTimeout)
 	defer cancel()
 	tick := time.NewTicker(servicePoll)
 	defer tick.Stop()
-	for !holds() {
+	for !condition() {
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("waiting for %s: %w", what, ctx.Err())
@@ -143,19 +150,19 @@
 	return nil
 }
 
-// restore starts a service of one replica with a list of that many entries.
-func (s *listSteps) restore(entries int, zoneLease, election time.Duration) (*listReplica, error) {
+// restore starts a service of one replica with a list of the given number of entries.
+func (s *listSteps) restore(entries int, zoneLease, electionTimeout time.Duration) (*listReplica, error) {
 	if err := s.next("restoring a list"); err != nil {
 		return nil, err
 	}
-	image, err := listSnapshot(entries, zoneLease)
+	backup, err := listSnapshot(entries, zoneLease)
 	if err != nil {
 		return nil, err
 	}
-	return startFirst(s.ctx, image, election)
+	return startReplicaWithTimeout(s.ctx, backup, electionTimeout)
 }
 
-// listSnapshot is the backup of a list of that many entries.
+// listSnapshot returns a backup of a list with the given number of entries.
 func listSnapshot(entries int, zoneLease time.Duration) ([]byte, error) {
 	state, err := listState(entries, zoneLease)
 	if err != nil {
--- a/internal/scale/quota.go
+++ b/internal/scale/quota.go
@@ -12,88 +12,90 @@
 
 const quotaName = "quota"
 
-// The simulated fleet of the quota measurements.
+// Parameters of the simulated fleet of the quota measurements.
 const (
-	quotaNodes          = 48 // large enough for tenants' quotas to have owners
+	quotaNodes          = 48 // enough for quotas to have owners
 	quotaServersPerNode = 2
-	quotaWarmup         = 3 * time.Second
-	quotaLoad           = 5 * time.Second
-	heapTenants         = 200 // that the heap a tenant is measured with
-	heapArrivals        = time.Second / 4
+	quotaWarmup         = 3 * time.Second // load before the measurement
+	quotaLoad           = 5 * time.Second // measured load
+	heapTenants         = 200             // tenants in the measurement of the heap per tenant
+	heapArrivals        = time.Second / 4 // time in which their requests arrive
 )
 
-// quotaEntryNodes are the numbers of nodes that tenants come in through, measured one after the other.
+// quotaEntryNodes are the numbers of entry nodes of a tenant that are measured one after the other. The
+// report calls this number the spread.
 var quotaEntryNodes = []int{1, 2, 3, 8}
 
-// quota is what the quotas' messages take, and what is admitted beyond quotas.
+// quota returns the part that measures the quota protocol: its messages, and the units admitted beyond
+// quotas.
 func quota() Part {
 	return Part{
 		Name: quotaName,
-		Title: fmt.Sprintf("Quota messages a node in a fleet of %d, inbox %g a second, against requests and spread",
+		Title: fmt.Sprintf("Quota messages per node in a fleet of %d, with an inbox of %g messages per second, against the request rate and the number of entry nodes (spread)",
 			quotaNodes, fleetSettings(1, 0).PeerMessagesPerSecond),
-		Size:    "requests a second on a node",
-		Sizes:   []int{10, 40, 160, 512},
-		Small:   []int{1, 2},
-		Memory:  func(size int) uint64 { return 256<<20 + uint64(size)<<20 },
-		Measure: measureQuota,
+		Size:      "requests a second on a node",
+		Sizes:     []int{10, 40, 160, 512},
+		TestSizes: []int{1, 2},
+		Memory:    func(size int) uint64 { return 256<<20 + uint64(size)<<20 },
+		Measure:   measureQuota,
 	}
 }
 
 func measureQuota(ctx context.Context, size int, env Env) ([]Row, error) {
 	r := rowWriter{part: quotaName, size: size}
-	tenants := 0 // the same at each spread
-	for i, spread := range quotaEntryNodes {
-		env.Progress(i, len(quotaEntryNodes), fmt.Sprintf("spread %d", spread))
-		run := quotaRun{seed: env.Seed, nodes: quotaNodes, spread: spread, requestsPerS: float64(size)}
+	tenants := 0 // does not depend on the number of entry nodes
+	for i, entryNodes := range quotaEntryNodes {
+		env.Progress(i, len(quotaEntryNodes), fmt.Sprintf("spread %d", entryNodes))
+		run := quotaRun{seed: env.Seed, nodes: quotaNodes, entryNodes: entryNodes, requestsPerS: float64(size)}
 		if err := run.run(ctx); err != nil {
 			return r.rows, err
 		}
-		heap, err := heapATenant(ctx, env.Seed, spread)
+		heap, err := heapPerTenant(ctx, env.Seed, entryNodes)
 		if err != nil {
 			return r.rows, err
 		}
 		run.addRows(&r)
 		tenants = run.tenants
-		r.add(fmt.Sprintf("heap a tenant on a node, spread %d", spread), heap, "B")
+		r.add(fmt.Sprintf("heap a tenant on a node, spread %d", entryNodes), heap, "B")
 	}
 	r.add("tenants of the fleet", float64(tenants), "")
 	env.Progress(len(quotaEntryNodes), len(quotaEntryNodes), "done")
 	return r.rows, nil
 }
 
-// quotaRun is one run of a fleet under a steady load.
+// quotaRun is one run of a fleet under a constant load.
 type quotaRun struct {
 	seed         uint64
 	nodes        int
-	spread       int
-	requestsPerS float64 // on a node
+	entryNodes   int     // entry nodes of a tenant
+	requestsPerS float64 // requests per second at a node
 
 	tenants int
-	counts  counts  // of all nodes, over quotaLoad
-	quota   float64 // units that the quotas of all tenants gave in that time
+	counts  counts  // counters of all nodes during quotaLoad
+	quota   float64 // units that the quotas of all tenants allow during quotaLoad
 }
 
-// run runs the fleet. What was counted is not valid if it returns an error.
+// run runs the fleet. If it returns an error, the counters are not valid.
 func (q *quotaRun) run(ctx context.Context) error {
-	f := newFleet(q.seed, q.nodes, q.spread)
-	if err := f.addAll(quotaServersPerNode * q.nodes); err != nil {
+	f := newFleet(q.seed, q.nodes, q.entryNodes)
+	if err := f.addAllNodes(quotaServersPerNode * q.nodes); err != nil {
 		return err
 	}
-	firsts := make([]int, q.nodes)
-	for i := range firsts {
-		firsts[i] = i
+	firstEntryNodes := make([]int, q.nodes)
+	for i := range firstEntryNodes {
+		firstEntryNodes[i] = i
 	}
-	tenants := drawTenants(f.rng, fleetPlans(), firsts, q.requestsPerS*float64(q.nodes))
+	tenants := sampleTenants(f.rng, fleetPlans(), firstEntryNodes, q.requestsPerS*float64(q.nodes))
 	q.tenants = len(tenants)
 	end := f.clock.now + quotaWarmup + quotaLoad
 	for _, t := range tenants {
-		f.arrive(t, end)
+		f.scheduleArrivals(t, end)
 		q.quota += t.plan.Rate * quotaLoad.Seconds()
 	}
 	if err := f.clock.runUntil(ctx, end-quotaLoad); err != nil {
 		return err
 	}
-	f.reset()
+	f.resetCounts()
 	if err := f.clock.runUntil(ctx, end); err != nil {
 		return err
 	}
@@ -101,17 +103,17 @@
 	if err := f.clock.runUntil(ctx, end+clientDeadline); err != nil {
 		return err
 	}
-	f.finish()
-	last := f.total()
-	q.counts.unanswered, q.counts.duplicateAnswers = last.unanswered, last.duplicateAnswers
+	f.countUnanswered()
+	final := f.total()
+	q.counts.unanswered, q.counts.duplicateResponses = final.unanswered, final.duplicateResponses
 	return nil
 }
 
-// addRows adds what was counted: of messages, a node and second.
+// addRows adds the counters. Those of requests, messages and bytes are rates per node and second.
 func (q *quotaRun) addRows(r *rowWriter) {
 	c := &q.counts
 	add := func(quantity string, value float64, unit string) {
-		r.add(fmt.Sprintf("%s, spread %d", quantity, q.spread), value, unit)
+		r.add(fmt.Sprintf("%s, spread %d", quantity, q.entryNodes), value, unit)
 	}
 	rate := func(count int) float64 { return float64(count) / quotaLoad.Seconds() / float64(q.nodes) }
 	add("requests", rate(c.requests), "1/s")
@@ -121,29 +123,30 @@
 	add("bytes sent", rate(c.bytes), "B/s")
 	add("messages arriving", rate(c.arrived), "1/s")
 	add("bytes taken in", rate(c.receivedBytes), "B/s")
-	add("lost at the inbox", share(float64(c.discarded), float64(c.arrived)), "share")
-	add("refused", share(float64(c.rejected), float64(c.requests)), "share")
-	add("refused with half of the quota unused", share(float64(c.rejectedInQuota), float64(c.requests)), "share")
-	add("units beyond quotas, of the quotas", share(c.overQuotaUnits, q.quota), "share")
-	add("units beyond quotas, of those admitted", share(c.overQuotaUnits, c.admittedUnits), "share")
+	add("lost at the inbox", ratio(float64(c.discarded), float64(c.arrived)), "share")
+	add("refused", ratio(float64(c.rejected), float64(c.requests)), "share")
+	add("refused with half of the quota unused", ratio(float64(c.rejectedInQuota), float64(c.requests)), "share")
+	add("units beyond quotas, of the quotas", ratio(c.overQuotaUnits, q.quota), "share")
+	add("units beyond quotas, of those admitted", ratio(c.overQuotaUnits, c.admittedUnits), "share")
 	add("longest message", float64(c.longestMessage), "B")
 }
 
-// share is a part of a whole; 0 of nothing.
-func share(part, whole float64) float64 {
-	if whole == 0 {
+// ratio returns part divided by total, or 0 if total is 0.
+func ratio(part, total float64) float64 {
+	if total == 0 {
 		return 0
 	}
-	return part / whole
+	return part / total
 }
 
-// heapATenant measures what one tenant takes on one node that has heard of it. Each node of one set gets
-// one request of every tenant, with inboxes that take all messages, so that owners and requesters know them.
-func heapATenant(ctx context.Context, seed uint64, spread int) (float64, error) {
-	f := newFleet(seed, quotaNodes, spread)
-	f.inboxRate = heapTenants * float64(spread) * 4
-	for number := range spread {
-		n, err := f.add(number)
+// heapPerTenant measures the heap that a tenant uses on a node that knows it, in bytes. It simulates
+// entryNodes nodes, and each of them receives one request of every tenant. Their inboxes accept all messages,
+// so that both the owners and the requesters of the quotas know the tenants.
+func heapPerTenant(ctx context.Context, seed uint64, entryNodes int) (float64, error) {
+	f := newFleet(seed, quotaNodes, entryNodes)
+	f.inboxRate = heapTenants * float64(entryNodes) * 4
+	for number := range entryNodes {
+		n, err := f.addNode(number)
 		if err != nil {
 			return 0, err
 		}
@@ -156,15 +159,15 @@
 		t := &tenants[i]
 		*t = tenant{key: uint64(i), plan: &plans[0], tokens: plans[0].Burst, refilledAt: f.clock.now}
 		for _, n := range f.added {
-			f.clock.after(time.Duration(f.rng.Int64N(int64(heapArrivals))), func() { n.requestArrives(t) })
+			f.clock.after(time.Duration(f.rng.Int64N(int64(heapArrivals))), func() { n.receiveRequest(t) })
 		}
 	}
-	// Timers of requests end with the deadline; stores are kept for longer than that.
+	// After the deadline no request has timers left, but the balancer still stores its data of the tenants.
 	if err := f.clock.runUntil(ctx, f.clock.now+heapArrivals+clientDeadline); err != nil {
 		return 0, err
 	}
 	f.clock.events = slices.Clone(f.clock.events)
 	after := max(heapInUse(), before)
 	runtime.KeepAlive(f)
-	return float64(after-before) / float64(heapTenants*spread), nil
+	return float64(after-before) / float64(heapTenants*entryNodes), nil
 }
--- a/internal/scale/simulated_node.go
+++ b/internal/scale/simulated_node.go
@@ -8,42 +8,43 @@
 	"opalhook/balancer"
 )
 
-// simulatedNode is an edge node without sockets: a real balancer, and this type as its host.
+// simulatedNode is an edge node without sockets. It hosts a real balancer and implements [balancer.Actions].
 type simulatedNode struct {
-	fleet         *fleet
-	number        int
-	balancer      *balancer.Balancer
-	classes       []balancer.Class
-	inbox         inbox
-	open          map[string]*openRequest
-	usedEndpoints map[string]bool // servers that were sent to
-	counts        counts
-	tick          uint64 // token of the node's regular timer: the first that it asked for
-	ticking       bool
-	watch         *stopwatch // times the node's calls; nil: they are not timed
+	fleet            *fleet
+	number           int // index in the fleet
+	balancer         *balancer.Balancer
+	classes          []balancer.Class
+	inbox            inbox
+	open             map[string]*openRequest // by request ID
+	usedEndpoints    map[string]bool         // IDs of the servers that received attempts
+	counts           counts
+	periodicTimer    uint64     // token of the periodic timer: the first timer that the balancer sets
+	hasPeriodicTimer bool       // periodicTimer is set
+	stopwatch        *stopwatch // times the calls into the balancer; nil: they are not timed
 }
 
-// openRequest is a request that a node has, until its answer and its last attempt's end.
+// openRequest is a request that has no final response yet, or has attempts in flight.
 type openRequest struct {
-	id           string
-	tenant       *tenant
-	units        float64 // as guessed
-	used         float64 // as the answer says
-	deadline     time.Duration
-	inQuota      bool // the quota had its units when it was sent
-	finalAnswers int
-	inFlight     int
-	attempts     []openAttempt
+	id             string
+	tenant         *tenant
+	units          float64 // estimated units of the request
+	used           float64 // actual units, which the response reports
+	deadline       time.Duration
+	inQuota        bool // the tenant's quota covered the request when it was first sent
+	finalResponses int
+	inFlight       int // attempts in flight
+	attempts       []openAttempt
 }
 
+// openAttempt is an attempt of an open request.
 type openAttempt struct {
-	server string
-	sent   time.Duration
+	server string // endpoint ID
+	sentAt time.Duration
 	done   bool
 }
 
-// requestArrives is a new request of a client of a tenant.
-func (n *simulatedNode) requestArrives(t *tenant) {
+// receiveRequest simulates the arrival of a request of a tenant, with a random class and number of units.
+func (n *simulatedNode) receiveRequest(t *tenant) {
 	f := n.fleet
 	class := &n.classes[0]
 	if f.rng.Float64() < nonIdempotentFraction {
@@ -51,49 +52,50 @@
 	}
 	f.nextID++
 	q := &openRequest{
-		id: strconv.Itoa(f.nextID), tenant: t, units: drawUnits(f.rng), deadline: f.clock.now + class.Deadline,
+		id: strconv.Itoa(f.nextID), tenant: t, units: sampleUnits(f.rng), deadline: f.clock.now + class.Deadline,
 	}
 	q.used = max(1, min(q.units+float64(f.rng.IntN(3)-1), maxUnits))
 	n.open[q.id] = q
 	n.counts.requests++
-	try := balancer.Request{
+	request := balancer.Request{
 		ID: q.id, Class: class.Name, Plan: t.plan.Name, Tenant: t.key, Timeout: class.Deadline,
 		Units: q.units, EntryNodes: f.entryNodes, FirstEntryNode: t.firstEntryNode,
 	}
-	n.call(callRequest, func() { n.balancer.RequestArrived(f.clock.now, try, n) })
-	n.forgetIfDone(q)
+	n.call(callOtherRequest, func() { n.balancer.RequestArrived(f.clock.now, request, n) })
+	n.removeIfDone(q)
 }
 
-// forgetIfDone forgets a request that has its answer and no attempt out.
-func (n *simulatedNode) forgetIfDone(q *openRequest) {
-	if q.finalAnswers > 0 && q.inFlight == 0 {
+// removeIfDone removes a request that has a final response and no attempts in flight.
+func (n *simulatedNode) removeIfDone(q *openRequest) {
+	if q.finalResponses > 0 && q.inFlight == 0 {
 		delete(n.open, q.id)
 	}
 }
 
-// call makes one call of the node and times it where that is wanted.
+// call makes a call into the balancer. If the node has a stopwatch, it records the duration, and adjusts the
+// kind of the call to the actions that the balancer took.
 func (n *simulatedNode) call(kind callKind, event func()) {
-	if n.watch == nil {
+	if n.stopwatch == nil {
 		event()
 		return
 	}
-	asked, sent := n.counts.quotaRequests, n.counts.attempts
-	began := time.Now()
+	quotaRequestsBefore, attemptsBefore := n.counts.quotaRequests, n.counts.attempts
+	start := time.Now()
 	event()
-	took := time.Since(began)
+	elapsed := time.Since(start)
 	switch {
-	case kind == callRequest && n.counts.attempts > sent:
+	case kind == callOtherRequest && n.counts.attempts > attemptsBefore:
 		kind = callRequestAdmitted
-	case kind == callRequest && n.counts.quotaRequests > asked:
+	case kind == callOtherRequest && n.counts.quotaRequests > quotaRequestsBefore:
 		kind = callRequestForwardedToOwner
-	case kind == callQuotaRejected && n.counts.attempts > sent:
+	case kind == callQuotaRejected && n.counts.attempts > attemptsBefore:
 		kind = callQuotaGranted
 	}
-	n.watch.add(kind, took)
+	n.stopwatch.add(kind, elapsed)
 }
 
-// SendAttempt implements [balancer.Actions]: the server answers after a time that is drawn. The send itself takes
-// none, so that it is always on its way in time.
+// SendAttempt implements [balancer.Actions]. The server responds after a random service time. Sending takes
+// no time, so that the attempt always meets sendBy.
 func (n *simulatedNode) SendAttempt(id, serverID string, timeout, _ time.Duration) {
 	q := n.open[id]
 	if q == nil {
@@ -106,20 +108,21 @@
 		n.chargeQuota(q)
 	}
 	number := len(q.attempts)
-	q.attempts = append(q.attempts, openAttempt{server: serverID, sent: f.clock.now})
+	q.attempts = append(q.attempts, openAttempt{server: serverID, sentAt: f.clock.now})
 	q.inFlight++
 	left := q.deadline - f.clock.now
 	if timeout > 0 {
 		left = min(left, timeout)
 	}
-	result, took := n.drawResult()
-	if took > left {
-		result, took = balancer.TimedOut, left
+	result, elapsed := n.sampleResult()
+	if elapsed > left {
+		result, elapsed = balancer.TimedOut, left
 	}
-	f.clock.after(took, func() { n.finishAttempt(q, number, result) })
+	f.clock.after(elapsed, func() { n.finishAttempt(q, number, result) })
 }
 
-// chargeQuota checks a request that is first sent on against the true state of its quota.
+// chargeQuota charges a request, when it is first sent to a server, to the exact state of its tenant's quota.
+// If the quota does not cover the request, its units count as over quota.
 func (n *simulatedNode) chargeQuota(q *openRequest) {
 	n.counts.admittedUnits += q.units
 	if q.inQuota = q.tenant.refill(n.fleet.clock.now) >= q.units; q.inQuota {
@@ -129,20 +132,21 @@
 	n.counts.overQuotaUnits += q.units
 }
 
-// drawResult draws what a server makes of an attempt.
-func (n *simulatedNode) drawResult() (balancer.Result, time.Duration) {
+// sampleResult returns a random result of an attempt and its service time.
+func (n *simulatedNode) sampleResult() (balancer.Result, time.Duration) {
 	rng := n.fleet.rng
-	took := minServiceTime + time.Duration(rng.ExpFloat64()*float64(meanExtraServiceTime))
+	serviceTime := minServiceTime + time.Duration(rng.ExpFloat64()*float64(meanExtraServiceTime))
 	switch x := rng.Float64(); {
 	case x < overloadedFraction:
 		return balancer.Overloaded, minServiceTime / 2
 	case x < overloadedFraction+errorFraction:
-		return balancer.ErrorResponse, took
+		return balancer.ErrorResponse, serviceTime
 	}
-	return balancer.OK, took
+	return balancer.OK, serviceTime
 }
 
-// finishAttempt is the end of an attempt.
+// finishAttempt ends an attempt and reports its outcome to the balancer. It does nothing if the attempt has
+// ended already.
 func (n *simulatedNode) finishAttempt(q *openRequest, number int, result balancer.Result) {
 	a := &q.attempts[number]
 	if a.done {
@@ -151,73 +155,76 @@
 	a.done = true
 	q.inFlight--
 	f := n.fleet
-	o := balancer.Outcome{ID: q.id, Attempt: number, Result: result, EndpointID: a.server, Elapsed: f.clock.now - a.sent}
-	if result == balancer.OK && q.finalAnswers == 0 {
-		q.finalAnswers++
+	o := balancer.Outcome{ID: q.id, Attempt: number, Result: result, EndpointID: a.server, Elapsed: f.clock.now - a.sentAt}
+	if result == balancer.OK && q.finalResponses == 0 {
+		q.finalResponses++
 		n.counts.served++
 		if q.inQuota {
 			q.tenant.tokens += q.units - q.used
 		}
 		o.Units = q.used
 	}
-	o.Answered = q.finalAnswers > 0
+	o.Answered = q.finalResponses > 0
 	if result == balancer.OK || result == balancer.Overloaded || result == balancer.ErrorResponse {
 		o.LoadReport = &balancer.LoadReport{InFlight: float64(f.rng.IntN(maxReportedInFlight)), Queued: -1, Utilization: -1}
 	}
-	n.call(callOutcome, func() { n.balancer.AttemptFinished(f.clock.now, o, n) })
-	n.forgetIfDone(q)
+	n.call(callAttemptFinished, func() { n.balancer.AttemptFinished(f.clock.now, o, n) })
+	n.removeIfDone(q)
 }
 
-// final counts a final answer of the node's own.
-func (n *simulatedNode) final(id string, count *int) {
+// countFinal counts a final response that the node itself generates. A second one for the same request counts
+// as a duplicate.
+func (n *simulatedNode) countFinal(id string, count *int) {
 	q := n.open[id]
-	if q == nil || q.finalAnswers > 0 {
-		n.counts.duplicateAnswers++
+	if q == nil || q.finalResponses > 0 {
+		n.counts.duplicateResponses++
 		return
 	}
-	q.finalAnswers++
+	q.finalResponses++
 	*count++
-	n.forgetIfDone(q)
+	n.removeIfDone(q)
 }
 
-// Reject implements [balancer.Actions].
+// Reject implements [balancer.Actions]. It also counts rejections of a request that has not been sent
+// although at least half of the tenant's burst was unused and the quota covered the request.
 func (n *simulatedNode) Reject(id string, _ time.Duration) {
 	if q := n.open[id]; q != nil && len(q.attempts) == 0 {
 		if level := q.tenant.refill(n.fleet.clock.now); level >= max(q.units, q.tenant.plan.Burst/2) {
 			n.counts.rejectedInQuota++
 		}
 	}
-	n.final(id, &n.counts.rejected)
+	n.countFinal(id, &n.counts.rejected)
 }
 
 // Fail implements [balancer.Actions].
-func (n *simulatedNode) Fail(id string) { n.final(id, &n.counts.failed) }
+func (n *simulatedNode) Fail(id string) { n.countFinal(id, &n.counts.failed) }
 
-// CancelAttempt implements [balancer.Actions]: the attempt ends at once, after this call.
+// CancelAttempt implements [balancer.Actions]. The attempt ends at the current time, but after this call has
+// returned.
 func (n *simulatedNode) CancelAttempt(id string, attempt int) {
 	if q := n.open[id]; q != nil && attempt < len(q.attempts) {
 		n.fleet.clock.after(0, func() { n.finishAttempt(q, attempt, balancer.Cancelled) })
 	}
 }
 
-// SetTimer implements [balancer.Actions].
+// SetTimer implements [balancer.Actions]. The first token is that of the periodic timer.
 func (n *simulatedNode) SetTimer(token uint64, after time.Duration) {
-	if !n.ticking {
-		n.tick, n.ticking = token, true
+	if !n.hasPeriodicTimer {
+		n.periodicTimer, n.hasPeriodicTimer = token, true
 	}
 	n.fleet.clock.after(after, func() {
 		kind := callTimer
-		if token == n.tick {
+		if token == n.periodicTimer {
 			kind = callTick
 		}
 		n.call(kind, func() { n.balancer.TimerFired(n.fleet.clock.now, token, n) })
 	})
 }
 
-// HealthCheck implements [balancer.Actions]; the settings allow none.
+// HealthCheck implements [balancer.Actions]. It does nothing: the settings permit no health checks.
 func (n *simulatedNode) HealthCheck(string) {}
 
-// SendPeer implements [balancer.Actions]: the message crosses a link.
+// SendPeer implements [balancer.Actions]. It sends the message to one peer or to all.
 func (n *simulatedNode) SendPeer(peer int, message []byte) {
 	if peer != balancer.AllPeers {
 		n.send(peer, message)
@@ -230,6 +237,8 @@
 	}
 }
 
+// send counts a message and delivers a copy after the delay of the link, unless the message is lost or the
+// peer is not simulated.
 func (n *simulatedNode) send(peer int, message []byte) {
 	n.counts.bytes += len(message)
 	n.counts.longestMessage = max(n.counts.longestMessage, len(message))
@@ -246,11 +255,11 @@
 	if to == nil || !arrives {
 		return
 	}
-	kept := append([]byte(nil), message...)
-	n.fleet.clock.after(delay, func() { to.receive(n.number, kept) })
+	copied := append([]byte(nil), message...)
+	n.fleet.clock.after(delay, func() { to.receive(n.number, copied) })
 }
 
-// receive takes a message in, if the inbox has room.
+// receive passes a message to the balancer if the inbox accepts it.
 func (n *simulatedNode) receive(from int, message []byte) {
 	n.counts.arrived++
 	if !n.inbox.accept(n.fleet.clock.now) {
@@ -268,13 +277,13 @@
 	n.call(kind, func() { n.balancer.PeerMessage(n.fleet.clock.now, from, message, n) })
 }
 
-// updateEndpoints brings the list of servers or changes of it.
+// updateEndpoints delivers the endpoint list, or changes to it, to the balancer.
 func (n *simulatedNode) updateEndpoints(kind callKind, form balancer.UpdateKind, entries []balancer.Endpoint) {
 	n.call(kind, func() { n.balancer.EndpointsUpdated(n.fleet.clock.now, form, entries, n) })
 }
 
-// WatchEndpoints implements [balancer.Actions]; lists come unasked.
+// WatchEndpoints implements [balancer.Actions]. It does nothing: lists are delivered without a watch.
 func (n *simulatedNode) WatchEndpoints(bool) {}
 
-// Log implements [balancer.Actions].
+// Log implements [balancer.Actions]. It discards the message.
 func (n *simulatedNode) Log(slog.Level, string, ...slog.Attr) {}
