--- a/cmd/sim-adapter/main.go
+++ b/cmd/sim-adapter/main.go
@@ -1,5 +1,5 @@
 // Command sim-adapter runs balancers for the simulator. It reads batches of events from standard input and
-// writes one reply for each batch to standard output. All decisions are the balancers'.
+// writes one reply for each batch to standard output. The balancers choose all actions in the replies.
 package main
 
 import (
@@ -25,7 +25,7 @@
 // replyBuffer is the size of the output buffer, in bytes.
 const replyBuffer = 1 << 16
 
-// Errors for messages in the wrong order or for nodes that do not run.
+// Errors for messages in the wrong order and for messages to nodes that are not running.
 var (
 	errClockInBatch   = errors.New("CLOCK inside a batch")
 	errClockBackwards = errors.New("CLOCK goes backwards")
@@ -76,7 +76,7 @@
 	reply   simwire.Reply // reply to the current batch
 }
 
-// end returns an error if the input ends inside a batch. line is its last line.
+// end returns an error if the input ends inside a batch. line is the number of the last line.
 func (h *host) end(line int) error {
 	if h.inBatch {
 		return &simwire.LineError{Line: line, Err: errEndsInBatch}
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// handle processes one event.
+// handle processes one event. It returns an error if the event is not allowed at this point of the input.
 func (h *host) handle(event simwire.Event) error {
 	if e, ok := event.(simwire.Clock); ok {
 		return h.begin(e.Now)
@@ -106,19 +106,19 @@
 	return fmt.Errorf("unknown event %T", event)
 }
 
-// begin begins a batch.
+// begin begins a batch, whose time must not be before that of the previous one.
 func (h *host) begin(now time.Duration) error {
 	if h.inBatch {
 		return errClockInBatch
 	}
 	if now < h.now {
-		return errClockBackwards
+		return fmt.Errorf("%w from %v to %v", errClockBackwards, h.now, now)
 	}
 	h.inBatch, h.now = true, now
 	return nil
 }
 
-// start starts a node.
+// start creates and starts the balancer of a node. It replaces an earlier one with the same number.
 func (h *host) start(e simwire.StartNode) error {
 	b, err := balancer.New(e.Settings, e.Seed)
 	if err != nil {
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// stop stops a node.
+// stop removes the balancer of a node, which gets no further events.
 func (h *host) stop(node int) error {
 	if _, ok := h.nodes[node]; !ok {
 		return fmt.Errorf("%w %d", errUnknownNode, node)
--- a/cmd/sim-adapter/main_test.go
+++ b/cmd/sim-adapter/main_test.go
@@ -18,16 +18,16 @@
 	}
 	if !strings.HasPrefix(out.String(), "FINISHED\n") || !strings.Contains(out.String(), "CALL_OUT 3 rq_a s.a ") ||
 		strings.Count(out.String(), "FINISHED\n") != 2 {
-		t.Errorf("%q", out.String())
+		t.Errorf("replies %q, want two, the second one with an attempt to s.a", out.String())
 	}
 }
 
-func TestBadInput(t *testing.T) {
+func TestRunRejectsInvalidInput(t *testing.T) {
 	for in, want := range map[string]string{
 		"COMMIT\n":                        "line 1: message outside a batch",
 		"CLOCK 1\nLEFT 4 rq\n":            "line 2: unknown node 4",
 		"CLOCK 1\nHALT 4\n":               "line 2: unknown node 4",
-		"CLOCK 2\nCOMMIT\nCLOCK 1\n":      "line 3: CLOCK goes backwards",
+		"CLOCK 2\nCOMMIT\nCLOCK 1\n":      "line 3: CLOCK goes backwards from 2s to 1s",
 		"CLOCK 1\nCLOCK 2\n":              "line 2: CLOCK inside a batch",
 		"CLOCK 1\n":                       "line 1: input ends inside a batch",
 		"CLOCK 1\nLAUNCH 3 1 {}\n":        "line 2: settings: instances is 0, at least 1 is expected",
--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -15,7 +15,7 @@
 	CloseWatch                      // close the watch CallID
 	FetchSnapshot                   // fetch the complete list from Replica
 	PublishList                     // send List to the nodes
-	LogEvent                        // log Event
+	WriteLog                        // log Record
 )
 
 // Action is an instruction of a [Follower] to its host. The fields that its kind does not use are zero.
@@ -25,18 +25,18 @@
 	CallID  uint64
 	From    uint64 // generation
 	List    discovery.Message
-	Event   Event
+	Record  LogRecord
 }
 
-// Event is a log record. Its message is constant; variable data is in the attributes.
-type Event struct {
+// LogRecord is a record for the log of the host. Its message is constant; variable data is in the attributes.
+type LogRecord struct {
 	Level   slog.Level
 	Message string
 	Attrs   []slog.Attr
 }
 
-// DrainActions returns the pending actions in the order in which they have to be performed, and removes them.
-func (f *Follower) DrainActions() []Action {
+// TakeActions returns the pending actions in the order in which they have to be performed, and removes them.
+func (f *Follower) TakeActions() []Action {
 	actions := f.actions
 	f.actions = nil
 	return actions
@@ -44,8 +44,8 @@
 
 func (f *Follower) emit(a Action) { f.actions = append(f.actions, a) }
 
-// warn logs an event at the warning level, which is shown by default. The end of an outage uses the same
-// level as its start, so that operators see both.
+// warn emits an action that writes a log record at the warning level, which is shown by default. The end of
+// an outage has the same level as its start, so that operators see both.
 func (f *Follower) warn(message string, attrs ...slog.Attr) {
-	f.emit(Action{Kind: LogEvent, Event: Event{slog.LevelWarn, message, attrs}})
+	f.emit(Action{Kind: WriteLog, Record: LogRecord{slog.LevelWarn, message, attrs}})
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -18,7 +18,7 @@
 	Listen   string   // address on which nodes are served, host:port
 	Name     string   // name of this machine, unique among the machines of the list service
 	Rules    Rules
-	Seed     uint64 // seed of the random backoffs
+	Seed     uint64 // seed of the follower's random delays
 	Log      *slog.Logger
 }
 
@@ -58,7 +58,7 @@
 	// Used only by the goroutine that executes run, except for sending to events.
 	follower       *Follower
 	silenceTimeout time.Duration
-	closeWatch     context.CancelFunc // ends the current watch; nil if there is none
+	cancelWatch    context.CancelFunc // ends the current watch; nil if there is none
 	events         chan func(now time.Duration)
 
 	mu           sync.Mutex
@@ -142,7 +142,7 @@
 	}
 }
 
-// run owns the follower. It passes the events of calls to the follower and performs the follower's actions
+// run owns the follower. It passes the results of calls to the follower and performs the follower's actions
 // until the agent is stopped.
 func (a *Agent) run() {
 	timer := time.NewTimer(0)
@@ -150,7 +150,7 @@
 	for {
 		select {
 		case <-a.ctx.Done():
-			a.endWatch()
+			a.closeWatch()
 			return
 		case event := <-a.events:
 			event(a.now())
@@ -158,7 +158,7 @@
 		}
 		now := a.now()
 		a.follower.Tick(now)
-		for _, action := range a.follower.DrainActions() {
+		for _, action := range a.follower.TakeActions() {
 			a.perform(action)
 		}
 		a.updateStatus(now)
@@ -178,7 +178,8 @@
 	a.status = status
 }
 
-// post sends an event to the run goroutine. It drops the event if the agent has been stopped.
+// post sends an event, which reports the result of a call to the follower, to the run goroutine. It drops the
+// event if the agent has been stopped.
 func (a *Agent) post(event func(now time.Duration)) {
 	select {
 	case a.events <- event:
@@ -192,20 +193,20 @@
 	case OpenWatch:
 		a.openWatch(action)
 	case CloseWatch:
-		a.endWatch()
+		a.closeWatch()
 	case FetchSnapshot:
-		a.openFetch(action.Replica)
+		a.startFetch(action.Replica)
 	case PublishList:
 		a.publish(action)
-	case LogEvent:
-		a.log.LogAttrs(a.ctx, action.Event.Level, action.Event.Message, action.Event.Attrs...)
+	case WriteLog:
+		a.log.LogAttrs(a.ctx, action.Record.Level, action.Record.Message, action.Record.Attrs...)
 	}
 }
 
 // openWatch starts a goroutine that opens a watch, follows it and reports its end to the follower.
 func (a *Agent) openWatch(action Action) {
 	ctx, cancel := context.WithCancel(a.ctx)
-	a.closeWatch = cancel
+	a.cancelWatch = cancel
 	a.replicaCalls.Add(1)
 	a.goroutines.Go(func() {
 		defer cancel()
@@ -214,11 +215,11 @@
 	})
 }
 
-// endWatch closes the current watch, if there is one.
-func (a *Agent) endWatch() {
-	if a.closeWatch != nil {
-		a.closeWatch()
-		a.closeWatch = nil
+// closeWatch closes the current watch, if there is one.
+func (a *Agent) closeWatch() {
+	if a.cancelWatch != nil {
+		a.cancelWatch()
+		a.cancelWatch = nil
 	}
 }
 
@@ -246,8 +247,8 @@
 	}
 }
 
-// openFetch starts a goroutine that fetches a replica's complete list for the follower.
-func (a *Agent) openFetch(replica string) {
+// startFetch starts a goroutine that fetches a replica's complete list for the follower.
+func (a *Agent) startFetch(replica string) {
 	a.replicaCalls.Add(1)
 	a.goroutines.Go(func() {
 		m, err := a.replicas.fetch(a.ctx, replica)
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -49,9 +49,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var calls, goodCalls atomic.Int64
+			var calls, healthyCalls atomic.Int64
 			bad := startReplica(t, &calls, faulty)
-			healthy := startReplica(t, &goodCalls, serveList(snapshotOf(10, 3)))
+			healthy := startReplica(t, &healthyCalls, serveList(snapshotOf(10, 3)))
 			name := "m"
 			for Rank(name, []string{bad, healthy})[0] != bad { // find a name for which the faulty replica is preferred
 				name += "m"
@@ -134,7 +134,7 @@
 				}
 				m.Generation = g
 				f.MessageReceived(time.Second, f.callID, m)
-				f.DrainActions()
+				f.TakeActions()
 			}
 		})
 	}
--- a/internal/agent/backoff.go
+++ b/internal/agent/backoff.go
@@ -13,7 +13,7 @@
 	return time.Duration(rng.Int64N(int64(limit)))
 }
 
-// backoff computes the delays between failed calls.
+// backoff computes the delays after failed calls.
 type backoff struct {
 	initial, limit time.Duration // first and longest window
 	rng            *rand.Rand
@@ -46,7 +46,7 @@
 	return wait
 }
 
-// reset restores the first window after a replica has proved healthy.
+// reset restores the first window. It is called when a replica is healthy.
 func (b *backoff) reset() { b.window, b.failures = b.initial, 0 }
 
 // callBudget is a token bucket for the calls of one follower. It bounds the follower's load on the service
--- a/internal/agent/backoff_test.go
+++ b/internal/agent/backoff_test.go
@@ -13,7 +13,7 @@
 // While no replica answers, followers keep their lists, and the backoffs and the call budget bound the number
 // of their calls. Followers whose calls fail at the same time do not repeat them at the same time.
 func TestCallsInAnOutageAreBounded(t *testing.T) {
-	var at []time.Duration
+	var callTimes []time.Duration
 	for seed := range uint64(100) {
 		follower := NewFollower(0, fmt.Sprint("m", seed), []string{"a", "b", "c"}, DefaultRules(), seed)
 		h := &followerHarness{t: t, follower: follower}
@@ -22,19 +22,19 @@
 		follower.CallFailed(h.now, follower.callID, 0, errors.New("gone"))
 		for start := h.now; h.now < start+time.Hour; h.wait(50 * time.Millisecond) {
 			if n := len(h.watches); n > 0 && follower.state != backingOff {
-				at = append(at, h.now-start)
+				callTimes = append(callTimes, h.now-start)
 				follower.CallFailed(h.now, follower.callID, 2*time.Second, errors.New("refused"))
-				h.drain()
+				h.collectActions()
 			}
 		}
 		h.expectPublished(10, 10)
 	}
-	perHour := float64(len(at)) / 100
+	perHour := float64(len(callTimes)) / 100
 	if perHour > 1900 || perHour < 300 {
 		t.Errorf("%.0f calls of a follower in an outage of one hour, want 300 to 1900", perHour)
 	}
 	bySecond := map[int]int{}
-	for _, t := range at {
+	for _, t := range callTimes {
 		bySecond[int(t/time.Second)]++
 	}
 	if worst := slices.Max(slices.Collect(maps.Values(bySecond))); worst > 100 {
@@ -94,14 +94,14 @@
 	for range 5 {
 		h.connect()
 		h.follower.CallFailed(h.now, h.follower.callID, 0, errors.New("refused"))
-		h.drain()
+		h.collectActions()
 	}
 	h.connect()
 	h.receive(snapshotOf(10, 10))
 	h.follower.HeartbeatReceived(h.now, h.follower.callID)
-	h.drain()
+	h.collectActions()
 	var messages []string
-	for _, e := range h.events {
+	for _, e := range h.records {
 		messages = append(messages, e.Message)
 	}
 	if want := []string{"replica left", "replica followed again"}; !slices.Equal(messages, want) {
--- a/internal/agent/feed.go
+++ b/internal/agent/feed.go
@@ -22,7 +22,7 @@
 	generation uint64 // generation of the snapshot; 0 before the first list
 	changes    []feedChange
 	updated    chan struct{} // closed by the next publish
-	live       bool          // the list service is reachable, so nodes get heartbeats
+	live       bool          // whether the list service is reachable; nodes get heartbeats only then
 }
 
 // feedChange is an encoded message that takes a node from one generation to a later one.
@@ -36,7 +36,7 @@
 	lines      [][]byte
 	generation uint64          // generation of the node after these lines
 	updated    <-chan struct{} // closed when newer messages may be available
-	heartbeats bool            // whether to send heartbeats until then
+	heartbeats bool            // whether to send heartbeats until updated is closed
 }
 
 func newFeed() *feed { return &feed{updated: make(chan struct{})} }
@@ -89,7 +89,7 @@
 	f.live = live
 }
 
-// since returns the update for a node that has the list of generation from, 0 for no list. A node can be
+// since returns the update for a node whose list has generation from; 0 means no list. A node can be
 // ahead of the feed if the agent was restarted and has an older list than before. Such a node gets nothing,
 // not even heartbeats, because its list must never return to an older generation.
 func (f *feed) since(from uint64) feedUpdate {
--- a/internal/agent/feed_test.go
+++ b/internal/agent/feed_test.go
@@ -12,7 +12,7 @@
 func TestFeedSince(t *testing.T) {
 	f := newFeed()
 	if update := f.since(0); len(update.lines) != 0 || update.heartbeats {
-		t.Errorf("an empty feed returns %+v", update)
+		t.Errorf("an empty feed returns %+v, want no lines and no heartbeats", update)
 	}
 	f.setLive(true)
 	var list view
@@ -51,7 +51,7 @@
 					len(update.lines), update.generation, update.heartbeats, c.lines, c.generation, c.heartbeats)
 			}
 			if c.lines > 0 && strings.Contains(string(update.lines[0]), `"reset":true`) != c.complete {
-				t.Errorf("first line %s", update.lines[0])
+				t.Errorf("first line %s, want a complete list: %v", update.lines[0], c.complete)
 			}
 		})
 	}
--- a/internal/agent/follower.go
+++ b/internal/agent/follower.go
@@ -48,7 +48,7 @@
 
 // Follower is the state machine that follows the list at one replica after the other. Its host calls
 // [Follower.Tick] when it is due, reports the results of calls, and performs the actions of
-// [Follower.DrainActions] after each of these. Times are those of a monotonic clock with any origin. A
+// [Follower.TakeActions] after each of these. Times are those of a monotonic clock with any origin. A
 // Follower is not safe for concurrent use.
 type Follower struct {
 	rules    Rules
@@ -74,8 +74,8 @@
 	publisher publisher
 }
 
-// NewFollower returns a follower whose first call is due within [Rules.StartWindow]. The replicas are ranked
-// by name, which must be unique among machines. The seed is that of the random backoffs.
+// NewFollower returns a follower whose first call is due within [Rules.StartWindow]. It ranks the replicas by
+// [Rank] with name, which must be unique among the machines. The seed determines all random delays.
 func NewFollower(now time.Duration, name string, replicas []string, rules Rules, seed uint64) *Follower {
 	const secondSeed = 0x9e3779b97f4a7c15 // makes the two seed words of the generator differ
 	rng := rand.New(rand.NewPCG(seed, seed^secondSeed))
@@ -151,8 +151,8 @@
 	f.publish(now)
 }
 
-// call opens a watch if the budget allows it, and otherwise waits for the next token. The first call of a
-// follower does not count against the budget.
+// call opens a watch if the budget allows it, and otherwise postpones the call until the next token. The
+// first call of a follower does not count against the budget.
 func (f *Follower) call(now time.Duration) {
 	if f.callID > 0 && !f.budget.spend(now) {
 		f.callAt = now + f.budget.untilNext()
--- a/internal/agent/follower_test.go
+++ b/internal/agent/follower_test.go
@@ -18,7 +18,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		h := newFollowerHarness(t, "a", "b", "c")
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		nodes, at := map[string]discovery.Entry{}, uint64(0)
+		nodes, generation := map[string]discovery.Entry{}, uint64(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rng.IntN(7) {
 			case 0:
@@ -30,7 +30,7 @@
 				h.receive(discovery.Message{Generation: h.follower.latest().generation + uint64(rng.IntN(3)), Instances: []discovery.Entry{testEntry(rng.IntN(10), []string{discovery.Up, discovery.Draining, discovery.Removed}[rng.IntN(3)])}})
 			case 5:
 				h.follower.CallFailed(h.now, h.follower.callID, time.Duration(rng.IntN(3))*time.Second, errors.New("ended"))
-				h.drain()
+				h.collectActions()
 			case 6:
 				h.wait(time.Duration(rng.IntN(5000)) * time.Millisecond)
 			}
@@ -38,13 +38,13 @@
 				h.follower.SnapshotReceived(h.now, a.Replica, snapshotOf(uint64(rng.IntN(40)), rng.IntN(10)), nil)
 			}
 			h.fetches = nil
-			h.drain()
+			h.collectActions()
 			for _, m := range h.published {
-				if m.Generation <= at {
-					t.Fatalf("generation %d is published after %d", m.Generation, at)
+				if m.Generation <= generation {
+					t.Fatalf("generation %d is published after %d", m.Generation, generation)
 				}
-				if m.Reset != (at == 0 || discovery.Epoch(m.Generation) != discovery.Epoch(at)) {
-					t.Fatalf("generation %d is published after %d with reset %v", m.Generation, at, m.Reset)
+				if m.Reset != (generation == 0 || discovery.Epoch(m.Generation) != discovery.Epoch(generation)) {
+					t.Fatalf("generation %d is published after %d with reset %v", m.Generation, generation, m.Reset)
 				}
 				if m.Reset {
 					clear(nodes)
@@ -54,7 +54,7 @@
 						delete(nodes, e.InstanceID)
 					}
 				}
-				at = m.Generation
+				generation = m.Generation
 			}
 			h.published = nil
 			if !maps.Equal(nodes, h.follower.publisher.published.entries) {
@@ -104,20 +104,20 @@
 	h := newFollowerHarness(t, "a", "b")
 	h.connect()
 	h.receive(snapshotOf(20, 10))
-	past := func(d time.Duration) {
+	offerOlderLists := func(d time.Duration) {
 		for end := h.now + d; h.now < end; {
 			h.follower.CallFailed(h.now, h.follower.callID, 0, errors.New("gone"))
 			h.connect()
 			h.receive(snapshotOf(5, 10))
 		}
 	}
-	past(time.Second)
+	offerOlderLists(time.Second)
 	h.connect() // this replica has generation 20, so it sends only heartbeats
 	for end := h.now + 2*DefaultRules().RollbackTolerance; h.now < end; h.wait(time.Second) {
 		h.follower.HeartbeatReceived(h.now, h.follower.callID)
 	}
-	past(DefaultRules().RollbackTolerance / 2)
+	offerOlderLists(DefaultRules().RollbackTolerance / 2)
 	h.expectPublished(10, 20)
-	past(DefaultRules().RollbackTolerance)
+	offerOlderLists(DefaultRules().RollbackTolerance)
 	h.expectPublished(10, 5)
 }
--- a/internal/agent/rank.go
+++ b/internal/agent/rank.go
@@ -10,8 +10,8 @@
 const hashMultiplier = 0xd6e8feb86659fd93
 
 // Rank returns the replicas without duplicates, in the order of preference of the follower with the given
-// name. It uses rendezvous hashing: each replica is the first of about the same number of followers, and the
-// followers of a failed replica spread evenly over the others.
+// name. It uses rendezvous hashing: each replica is the first choice of about the same number of followers,
+// and the followers of a failed replica spread evenly over the others.
 func Rank(name string, replicas []string) []string {
 	ranked := slices.Clone(replicas)
 	slices.SortFunc(ranked, func(a, b string) int {
--- a/internal/agent/replica_client_test.go
+++ b/internal/agent/replica_client_test.go
@@ -41,7 +41,7 @@
 	for name, err := range map[string]error{"fetch": fetchErr, "watch": watchErr} {
 		var status *StatusError
 		if !errors.As(err, &status) || status.Status != "503 Service Unavailable" || retryAfterOf(err) != 7*time.Second {
-			t.Errorf("%s: error %v, Retry-After %v", name, err, retryAfterOf(err))
+			t.Errorf("%s: error %v, Retry-After %v; want status 503 and 7s", name, err, retryAfterOf(err))
 		}
 	}
 }
--- a/internal/agent/rig_test.go
+++ b/internal/agent/rig_test.go
@@ -37,18 +37,18 @@
 	watches   []Action
 	fetches   []Action
 	published []discovery.Message
-	events    []Event
+	records   []LogRecord
 }
 
 func newFollowerHarness(t testingT, replicas ...string) *followerHarness {
 	h := &followerHarness{t: t, follower: NewFollower(0, "m", replicas, DefaultRules(), 1)}
-	h.drain()
+	h.collectActions()
 	return h
 }
 
-// drain collects the pending actions of the follower.
-func (h *followerHarness) drain() {
-	for _, a := range h.follower.DrainActions() {
+// collectActions collects the pending actions of the follower.
+func (h *followerHarness) collectActions() {
+	for _, a := range h.follower.TakeActions() {
 		switch a.Kind {
 		case OpenWatch:
 			h.watches = append(h.watches, a)
@@ -56,8 +56,8 @@
 			h.fetches = append(h.fetches, a)
 		case PublishList:
 			h.published = append(h.published, a.List)
-		case LogEvent:
-			h.events = append(h.events, a.Event)
+		case WriteLog:
+			h.records = append(h.records, a.Record)
 		}
 	}
 }
@@ -67,7 +67,7 @@
 	for end := h.now + d; h.now < end; {
 		h.now = max(min(end, h.follower.NextTick()), h.now+time.Millisecond)
 		h.follower.Tick(h.now)
-		h.drain()
+		h.collectActions()
 	}
 }
 
@@ -76,7 +76,7 @@
 	h.t.Helper()
 	for n := len(h.watches); len(h.watches) == n; h.wait(10 * time.Millisecond) {
 		if h.now > time.Hour {
-			h.t.Fatal("the follower opens no watch within an hour")
+			h.t.Fatal("the follower has opened no watch, and its clock has passed one hour")
 		}
 	}
 	a := h.watches[len(h.watches)-1]
@@ -87,7 +87,7 @@
 // receive reports a message of the current watch.
 func (h *followerHarness) receive(m discovery.Message) {
 	h.follower.MessageReceived(h.now, h.follower.callID, m)
-	h.drain()
+	h.collectActions()
 }
 
 // expectPublished checks the number of endpoints and the generation of the published list.
@@ -95,6 +95,6 @@
 	h.t.Helper()
 	m := h.follower.Published()
 	if len(m.Instances) != endpoints || m.Generation != generation {
-		h.t.Errorf("%d endpoints at generation %d are published, want %d at %d; events %v", len(m.Instances), m.Generation, endpoints, generation, h.events)
+		h.t.Errorf("%d endpoints at generation %d are published, want %d at %d; log records %v", len(m.Instances), m.Generation, endpoints, generation, h.records)
 	}
 }
--- a/internal/agent/rules.go
+++ b/internal/agent/rules.go
@@ -21,16 +21,16 @@
 	CallsPerSecond float64
 	// CallBurst is the number of calls that a follower may make at once. Its first call does not count.
 	CallBurst float64
-	// MaxLossFraction is a fraction of the endpoints that are up. A list that loses a larger fraction within
-	// LossWindow is suspect.
+	// MaxLossFraction is a fraction of the endpoints that are up. A list is suspect if it has lost more than
+	// this fraction plus one endpoint within LossWindow, or all endpoints.
 	MaxLossFraction float64
 	// LossWindow is the time over which losses of endpoints are added up.
 	LossWindow time.Duration
 	// SuspectTimeout is the time after which a suspect list is accepted unless another replica contradicts
 	// it.
 	SuspectTimeout time.Duration
-	// RollbackTolerance is the time after which an older complete list is accepted if no replica has the
-	// latest one.
+	// RollbackTolerance is the time after which an older complete list is accepted if no replica has
+	// confirmed the latest one in the meantime.
 	RollbackTolerance time.Duration
 	// RemovalDelay is the delay before the removal of an endpoint that was not draining is published.
 	RemovalDelay time.Duration
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -70,7 +70,8 @@
 	return strconv.ParseUint(text, 10, 64)
 }
 
-// serveSnapshot sends the messages that a node lacks. It waits until there are any.
+// serveSnapshot sends the complete list, or only the changes if the request names a generation whose later
+// changes are still kept. It waits until there is such a message.
 func (a *Agent) serveSnapshot(out nodeWriter, r *http.Request, from uint64) {
 	for {
 		update := a.feed.since(from)
--- a/internal/agent/suspicion.go
+++ b/internal/agent/suspicion.go
@@ -76,8 +76,8 @@
 
 // SnapshotReceived reports the result of a fetch: a replica's complete list, or the error of the fetch. A
 // list that has lost too many endpoints as well confirms the suspect list. Any other list of the same or a
-// later generation contradicts it, and its replica is followed instead. A failed or unusable response makes
-// the follower consult the next replica.
+// later generation contradicts it, and its replica is followed instead. An older list of the same epoch has
+// no effect. After a failed or unusable response the follower consults the next replica.
 func (f *Follower) SnapshotReceived(now time.Duration, replica string, m discovery.Message, err error) {
 	suspect := f.suspect
 	if suspect == nil || replica == suspect.replica {
--- a/internal/agent/suspicion_test.go
+++ b/internal/agent/suspicion_test.go
@@ -39,7 +39,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			h, fetch := newHarnessWithSuspectList(t)
 			h.follower.SnapshotReceived(h.now, fetch.Replica, c.answer, c.err)
-			h.drain()
+			h.collectActions()
 			for end := h.now + c.suspectFor; h.now < end; {
 				h.expectPublished(10, 10)
 				h.follower.HeartbeatReceived(h.now, h.follower.callID)
@@ -55,7 +55,7 @@
 func TestSuspectListIsContradicted(t *testing.T) {
 	h, fetch := newHarnessWithSuspectList(t)
 	h.follower.SnapshotReceived(h.now, fetch.Replica, snapshotOf(12, 10), nil)
-	h.drain()
+	h.collectActions()
 	if call := h.connect(); call.Replica != fetch.Replica {
 		t.Errorf("%s is followed, want %s", call.Replica, fetch.Replica)
 	}
@@ -72,7 +72,7 @@
 		h.receive(discovery.Message{Generation: uint64(11 + n), Instances: []discovery.Entry{testEntry(n, discovery.Draining)}})
 	}
 	if !h.follower.Status(h.now).Suspecting {
-		t.Error("the list is not suspected")
+		t.Error("the list is not suspect")
 	}
 	if up := (view{}).apply(h.follower.Published()).upCount(); up < 6 {
 		t.Errorf("%d endpoints are published as up, want 6 or more", up)
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -9,7 +9,7 @@
 //     with [ParseLenient], which keeps every entry that is safe to act on and reports the malformed fields.
 //   - A client of the list service can change to another replica. It reads the stream with a [LineReader],
 //     which accepts one message per line and fails on a malformed one. The agent also rejects messages that
-//     fail [Message.Validate]. The registry's own client and the testbed accept any message that decodes.
+//     fail [Message.Validate]. The list service's own client and the testbed accept any message that decodes.
 //
 // A [LineReader] gets its limit on the length of a message from the caller, because callers expect lists of
 // different sizes. A [Splitter] has the fixed limit [MaxStreamMessage].
@@ -56,10 +56,10 @@
 	Instances  []Entry `json:"instances"`  // complete list, or the entries that have changed
 }
 
-// EpochBits is the number of low bits of a generation below its epoch, in generations of the project's own
-// list service.
+// EpochBits is the number of bits of a generation below its epoch. Only the project's own list service
+// divides generations in this way.
 const EpochBits = 32
 
-// Epoch returns the epoch of a generation. A list that is restored from a backup begins a new epoch.
-// Generations can be compared only within an epoch.
+// Epoch returns the epoch of a generation. A list that is restored from a backup begins a new epoch. Changes
+// apply only to a list of the same epoch.
 func Epoch(generation uint64) uint64 { return generation >> EpochBits }
--- a/internal/discovery/fuzz_test.go
+++ b/internal/discovery/fuzz_test.go
@@ -19,10 +19,10 @@
 		}
 		for _, e := range slices.Concat(m.Entries, ParsePartial(text)) {
 			if e.ID == "" || !(e.Weight >= 0 && e.Weight <= MaxWeight) || e.StartedAt < 0 {
-				t.Errorf("entry %+v", e)
+				t.Errorf("entry %+v, want an ID, a weight from 0 to %v and a start time of at least 0", e, MaxWeight)
 			}
 			if e.Lifecycle != Up && e.Lifecycle != Draining && e.Lifecycle != Removed || e.Lifecycle == Up && !e.Addr.IsValid() {
-				t.Errorf("lifecycle %q at %v", e.Lifecycle, e.Addr)
+				t.Errorf("lifecycle %q with address %v, want a known lifecycle, and a valid address if up", e.Lifecycle, e.Addr)
 			}
 		}
 	})
--- a/internal/discovery/lenient.go
+++ b/internal/discovery/lenient.go
@@ -14,7 +14,7 @@
 // ParsedMessage is a [Message] parsed by [ParseLenient].
 type ParsedMessage struct {
 	Generation uint64
-	Snapshot   bool // the message is the complete list, so endpoints missing from it are removed
+	Snapshot   bool // whether the message is the complete list, so endpoints missing from it are removed
 	Entries    []ParsedEntry
 }
 
@@ -34,8 +34,8 @@
 // ParseLenient parses one message and keeps the parts of a malformed message that are safe to act on:
 //
 //   - An entry without a readable ID is left out.
-//   - An entry with a malformed lifecycle, address or start time counts as draining unless it is removed. The
-//     endpoint may be leaving, so it must not get new requests.
+//   - An entry counts as draining if its lifecycle or address is missing or malformed, or its start time is
+//     malformed, unless it is removed. The endpoint may be leaving, so it must not get new requests.
 //   - Other malformed fields get their zero values.
 //
 // Each element of fieldErrors is a [*FieldError]. A non-nil err means that no part of the text can be used:
--- a/internal/discovery/lines_test.go
+++ b/internal/discovery/lines_test.go
@@ -39,12 +39,12 @@
 		{name: "empty", text: ""},
 		{name: "heartbeats", text: "\n\r\n\n", heartbeats: 3},
 		{name: "messages", text: "\n" + good + "\n\n" + `{"generation":4}` + "\n", generations: []uint64{3, 4}, heartbeats: 2},
-		{name: "no line end at the end", text: good, generations: []uint64{3}},
+		{name: "no final line end", text: good, generations: []uint64{3}},
 		{name: "over two lines", text: "{\"generation\":3,\n\"instances\":[]}\n", malformed: `{"generation":3,`},
 		{name: "cut", text: good + "\n" + good[:20], generations: []uint64{3}, malformed: good[:20]},
 		{name: "blank", text: " \n", malformed: " "},
 		{name: "wrong type", text: `{"generation":"3"}` + "\n", malformed: `{"generation":"3"}`},
-		{name: "reset", text: good + "\n", end: errBroken, generations: []uint64{3}},
+		{name: "connection reset", text: good + "\n", end: errBroken, generations: []uint64{3}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var body io.Reader = strings.NewReader(c.text)
--- a/internal/discovery/partial.go
+++ b/internal/discovery/partial.go
@@ -8,7 +8,7 @@
 // Limits on the work of [ParsePartial].
 const (
 	maxPartialEntry  = 4 << 10 // largest entry, in bytes
-	maxPartialStarts = 1 << 14 // number of opening braces that are tried as the start of an entry
+	maxPartialStarts = 1 << 14 // largest number of opening braces that are tried as the start of an entry
 )
 
 // ParsePartial returns the draining and removed entries in a malformed or truncated message. The caller can
--- a/internal/discovery/splitter_test.go
+++ b/internal/discovery/splitter_test.go
@@ -13,16 +13,16 @@
 	for size := 1; size <= len(text); size++ {
 		var s Splitter
 		var got []string
-		beats := 0
+		heartbeats := 0
 		for rest := text; rest != ""; {
 			n := min(size, len(rest))
-			if err := s.Feed([]byte(rest[:n]), func(m []byte) { got = append(got, string(m)) }, func() { beats++ }); err != nil {
+			if err := s.Feed([]byte(rest[:n]), func(m []byte) { got = append(got, string(m)) }, func() { heartbeats++ }); err != nil {
 				t.Fatalf("pieces of %d: %v", size, err)
 			}
 			rest = rest[n:]
 		}
-		if want := []string{"{\"a\":\"}{\\\"[\"}", "{\r\n  \"b\": [\r\n    1\r\n  ]\r\n}", "{}", "{\"c\":1}"}; strings.Join(got, "|") != strings.Join(want, "|") || beats != 5 {
-			t.Fatalf("pieces of %d: messages %q, want %q; %d heartbeats, want 5", size, got, want, beats)
+		if want := []string{"{\"a\":\"}{\\\"[\"}", "{\r\n  \"b\": [\r\n    1\r\n  ]\r\n}", "{}", "{\"c\":1}"}; strings.Join(got, "|") != strings.Join(want, "|") || heartbeats != 5 {
+			t.Fatalf("pieces of %d: messages %q, want %q; %d heartbeats, want 5", size, got, want, heartbeats)
 		}
 	}
 	for text, want := range map[string]error{
--- a/internal/discovery/validate.go
+++ b/internal/discovery/validate.go
@@ -7,10 +7,11 @@
 	"net/netip"
 )
 
-var errZero = errors.New("is 0")
+var errZero = errors.New("must be at least 1, got 0")
 
-// Validate returns a [*FieldError] for the first field that a list service would not write. It is stricter
-// than [ParseLenient] because its callers can reject the whole message and change to another replica.
+// Validate returns a [*FieldError] for the first field with a value that the list service never writes. It
+// is stricter than [ParseLenient] because its callers can reject the whole message and change to another
+// replica.
 func (m Message) Validate() error {
 	if m.Generation == 0 {
 		return &FieldError{"generation", errZero}
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -19,8 +19,8 @@
 // Updating reports whether the test runs with -update and has to record golden files.
 func Updating() bool { return *update }
 
-// around is the number of bytes before and after the first difference that an error message shows.
-const around = 60
+// excerptMargin is the number of bytes that an error message shows before and after the first difference.
+const excerptMargin = 60
 
 // Read returns the contents of a golden file. The name is a slash-separated path below the package's folder
 // testdata.
@@ -65,4 +65,6 @@
 		name, len(got), len(want), at, excerpt(got, at), excerpt(want, at))
 }
 
-func excerpt(text []byte, at int) []byte { return text[max(at-around, 0):min(at+around, len(text))] }
+func excerpt(text []byte, at int) []byte {
+	return text[max(at-excerptMargin, 0):min(at+excerptMargin, len(text))]
+}
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -7,8 +7,8 @@
 	"opalhook/balancer"
 )
 
-// platformNames maps the balancer's names of settings to the platform's names. These are paths in the
-// settings object, or for settings of a class or a plan the key within it.
+// platformNames maps the balancer's names of settings to the platform's names. A platform's name is the path
+// in the settings object. For a setting of a class or a plan it is the key in the class or plan.
 var platformNames = map[string]string{
 	"NodeCount":                "instances",
 	"NodeIndex":                "me",
--- a/internal/settings/errors_test.go
+++ b/internal/settings/errors_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestPlatformErrorLeavesOthers(t *testing.T) {
+func TestPlatformErrorKeepsOtherErrors(t *testing.T) {
 	if got := PlatformError(io.EOF); got != io.EOF { //nolint:errorlint // the error must be returned unchanged
 		t.Errorf("error %v, want %v unchanged", got, io.EOF)
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -125,7 +125,7 @@
 	}
 }
 
-func TestParseUnknownWord(t *testing.T) {
+func TestParseUnknownValue(t *testing.T) {
 	for _, c := range []struct {
 		text string
 		want UnknownValueError
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -24,7 +24,7 @@
 // NodeNumber returns the simulator's number of the node.
 func (n nodeEvent) NodeNumber() int { return n.Node }
 
-// Clock begins a batch of events with the same time, which counts from the simulation's start.
+// Clock begins a batch of events. Now is the time of all of them, since the simulation's start.
 type Clock struct{ Now time.Duration }
 
 // Commit ends a batch. The simulator then waits for the reply to it.
@@ -86,7 +86,7 @@
 	nodeEvent
 	EndpointID string
 	Result     balancer.Result
-	Took       time.Duration
+	Elapsed    time.Duration
 	LoadReport *balancer.LoadReport // nil if there was none
 }
 
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -72,7 +72,7 @@
 	case TimerFired:
 		return fmt.Sprint("timer ", e.Node, " ", e.Token)
 	case HealthChecked:
-		return fmt.Sprintf("probe %d %q result %d took %v %s", e.Node, e.EndpointID, int(e.Result), e.Took, describeLoad(e.LoadReport))
+		return fmt.Sprintf("probe %d %q result %d took %v %s", e.Node, e.EndpointID, int(e.Result), e.Elapsed, describeLoad(e.LoadReport))
 	case PeerMessage:
 		return fmt.Sprintf("message %d from %d %x", e.Node, e.From, e.Payload)
 	case CounterRead:
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -1,6 +1,6 @@
 // Package simwire is the codec of the simulator's line protocol. It parses lines into typed events and
 // encodes the balancer's actions as lines. It is the only package that maps the simulator's names and values
-// to the balancer's. It makes no decisions.
+// to the balancer's. It contains no balancing logic.
 package simwire
 
 import (
@@ -177,7 +177,7 @@
 	e := HealthChecked{nodeEvent: node(f)}
 	e.Result = f.result("reason")
 	e.EndpointID = f.str("server")
-	e.Took = f.dur("spent")
+	e.Elapsed = f.dur("spent")
 	e.LoadReport = f.load("feedback")
 	return e
 }
@@ -222,7 +222,7 @@
 	for i := range rows {
 		text, err := r.readLine()
 		if err != nil {
-			return fmt.Errorf("PAGE: %d of %d entries: %w", i, rows, unexpectedEOF(err))
+			return fmt.Errorf("PAGE: read %d of %d entries: %w", i, rows, unexpectedEOF(err))
 		}
 		entry, err := parseItem(text)
 		if err != nil {
--- a/internal/simwire/reader_test.go
+++ b/internal/simwire/reader_test.go
@@ -41,28 +41,28 @@
 		t.Fatalf("%d events, want 10; error %v", len(events), err)
 	}
 	if c := events[0].(Clock); c.Now != 8412250*time.Microsecond {
-		t.Errorf("clock %v", c.Now)
+		t.Errorf("clock %v, want 8.41225s", c.Now)
 	}
 	l := events[1].(StartNode)
 	if s := l.Settings; l.Seed != 99 || s.NodeIndex != 1 || s.Classes[0].Idempotency != balancer.IdempotentWithKey || s.Classes[0].DedupScope != balancer.DedupCell ||
 		s.Plans[0].MaxConcurrent != 3 || s.Plans[0].Burst != 7 || s.LoadReports != balancer.LoadReportsInResponses || s.DrainTimeout != 2*time.Second {
-		t.Errorf("launch %+v", l)
+		t.Errorf("start of a node %+v, want the values of %s", l, launch)
 	}
 	list := events[2].(EndpointList)
 	if len(list.Endpoints) != 2 || list.Endpoints[1].State != balancer.Draining || list.Endpoints[1].StartedAt != 6100*time.Millisecond {
-		t.Errorf("list %+v", list)
+		t.Errorf("list %+v, want 2 endpoints, the second one draining and started at 6.1s", list)
 	}
 	if q := events[3].(RequestArrived).Request; q.Tenant != 4569004829183723 || q.Units != 2 || q.EntryNodes != 3 || q.FirstEntryNode != 1 {
-		t.Errorf("request %+v", q)
+		t.Errorf("request %+v, want tenant 4569004829183723, 2 units and 3 entry nodes from 1", q)
 	}
 	if o := events[4].(AttemptFinished).Outcome; o.Result != balancer.Overloaded || !o.Answered || o.LoadReport == nil || o.LoadReport.Queued != 3 || o.Units != 3 {
-		t.Errorf("outcome %+v", o)
+		t.Errorf("outcome %+v, want an overloaded response with 3 units and a load report with 3 queued", o)
 	}
 	if w := events[6].(PeerMessage); string(w.Payload) != "hi 7" {
-		t.Errorf("payload %q", w.Payload)
+		t.Errorf("payload %q, want %q", w.Payload, "hi 7")
 	}
 	if e := events[7].(EndpointList); e.Kind != balancer.UpdateFailed {
-		t.Errorf("form %v", e.Kind)
+		t.Errorf("kind of update %v, want %v", e.Kind, balancer.UpdateFailed)
 	}
 }
 
@@ -105,6 +105,7 @@
 	}
 }
 
+// For any input, Next returns non-nil events until an error. The length of the input bounds their number.
 func FuzzReader(f *testing.F) {
 	f.Add([]byte("CLOCK 1\nCOMMIT\n"))
 	f.Add([]byte(launch + "\n"))
@@ -118,7 +119,7 @@
 				return
 			}
 			if ev == nil || n > len(b) {
-				t.Fatalf("event %d is %v", n, ev)
+				t.Fatalf("event %d of an input of %d bytes is %v", n, len(b), ev)
 			}
 		}
 	})
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -53,10 +53,10 @@
 
 // SendAttempt implements [balancer.Actions]. It ignores the last parameter, the time by which the request has
 // to be written, because the simulator writes requests immediately.
-func (r *Reply) SendAttempt(id, server string, timeout, _ time.Duration) {
+func (r *Reply) SendAttempt(id, endpointID string, timeout, _ time.Duration) {
 	r.beginLine("CALL_OUT")
 	r.str(id)
-	r.str(server)
+	r.str(endpointID)
 	r.dur(timeout)
 	r.endLine()
 }
@@ -93,9 +93,9 @@
 }
 
 // HealthCheck implements [balancer.Actions].
-func (r *Reply) HealthCheck(server string) {
+func (r *Reply) HealthCheck(endpointID string) {
 	r.beginLine("PROBE")
-	r.str(server)
+	r.str(endpointID)
 	r.endLine()
 }
 
--- a/internal/testnet/testnet.go
+++ b/internal/testnet/testnet.go
@@ -15,8 +15,8 @@
 	"testing"
 )
 
-// maxAttempts is the number of ports that [FreeAddr] tries to find one that it has not returned before.
-const maxAttempts = 1000
+// maxPortTries is the number of ports that [FreeAddr] tries before it ends the test.
+const maxPortTries = 1000
 
 // returned contains the addresses that [FreeAddr] has returned, as strings.
 var returned sync.Map
@@ -33,11 +33,11 @@
 // AnyPort returns the address of this process's host with port 0, for a listener on any free port.
 func AnyPort() string { return net.JoinHostPort(Host(), "0") }
 
-// FreeAddr returns a TCP address of this process's host on which nothing listens and which it has not
-// returned before. It ends the test if it can't listen on the host or finds no such port.
+// FreeAddr returns a TCP address of this process's host. Nothing listens on the address, and no earlier call
+// has returned it. FreeAddr ends the test if it can't listen on the host or finds no such address.
 func FreeAddr(t testing.TB) string {
 	t.Helper()
-	for range maxAttempts {
+	for range maxPortTries {
 		listener, err := net.Listen("tcp", AnyPort())
 		if err != nil {
 			t.Fatal(err)
@@ -50,6 +50,6 @@
 			return addr
 		}
 	}
-	t.Fatalf("%s: no unused port found", Host())
+	t.Fatalf("%s: no unused port found in %d tries", Host(), maxPortTries)
 	return ""
 }
--- a/internal/testnet/testnet_test.go
+++ b/internal/testnet/testnet_test.go
@@ -43,7 +43,7 @@
 // FreeAddr does not return an address twice.
 func TestAddressesDiffer(t *testing.T) {
 	seen := map[string]bool{}
-	for range 100 { // of some ten thousand ports
+	for range 100 { // out of about ten thousand ports
 		addr := FreeAddr(t)
 		if seen[addr] {
 			t.Fatalf("%s is returned twice", addr)
