--- a/internal/registry/bench_fanout_test.go
+++ b/internal/registry/bench_fanout_test.go
@@ -33,7 +33,7 @@
 	return d[min(int(p*float64(len(d))), len(d)-1)]
 }
 
-// registerEntries registers n instances over HTTP at the leader.
+// registerEntries registers n instances over HTTP at the replica with the given address.
 func registerEntries(b *testing.B, addr string, n int) {
 	b.Helper()
 	for i := range n {
@@ -158,8 +158,9 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1e3 }
 
-// Measures one replica with 200 entries and 10,000 watches. An operation is one change until the last watch
-// has received it (one), 100 concurrent changes (hundred), or the reconnection of all watches (whole).
+// Measures one replica with 200 entries and 10,000 watches (shared) and, for comparison, a [perWatchEncoder]
+// (each). An operation is one change until the last watch has received it (one), 100 concurrent changes
+// (hundred), or the reconnection of all watches, which then read the full list (whole).
 func BenchmarkFanout(b *testing.B) {
 	for _, kind := range []string{"shared", "each"} {
 		b.Run(kind, func(b *testing.B) {
--- a/internal/registry/bench_raft_test.go
+++ b/internal/registry/bench_raft_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// Measures committed writes with fsync. Each client sends its next write after the response to the one
-// before.
+// Measures the rate of committed writes, with fsync. Each client sends its next write after the response to
+// the previous one.
 func BenchmarkWrites(b *testing.B) {
 	for _, n := range []int{1, 3, 5} {
 		all := startService(b, n)
--- a/internal/registry/bench_watchers_test.go
+++ b/internal/registry/bench_watchers_test.go
@@ -45,9 +45,10 @@
 	conns []net.Conn
 }
 
-// runWatchers opens watches and prints when the first and the last of them received each generation, in Unix
-// nanoseconds. After each line on standard input it closes the watches and opens new ones with no generation.
-// It ends at the end of standard input. text is the value of watchersEnv.
+// runWatchers opens watches and prints when the last of them received the full list, and when the first and
+// the last of them received each change, in Unix nanoseconds. After each line on standard input it closes the
+// watches and opens new ones with no generation. It ends at the end of standard input. text is the value of
+// watchersEnv.
 func runWatchers(text string) error {
 	addr, number, _ := strings.Cut(text, " ")
 	count, err := strconv.Atoi(number)
@@ -87,11 +88,11 @@
 			r.readers.Go(func() { r.read(lines) })
 			return
 		}
-		pause := 100 * time.Millisecond // the listen backlog may be full
+		delay := 100 * time.Millisecond // the listen backlog may be full
 		if errors.Is(err, errNotOpened) {
-			pause = time.Second + rand.N(2*time.Second) // like the Retry-After header of the service
+			delay = time.Second + rand.N(2*time.Second) // like the Retry-After header of the service
 		}
-		time.Sleep(pause)
+		time.Sleep(delay)
 	}
 }
 
@@ -231,7 +232,9 @@
 	}
 }
 
-// next returns the numbers in the next line that the process prints.
+// next returns the numbers in the next line that the process prints: for a change, its generation and the
+// times at which the first and the last watch received it; for the full list, the time at which the last
+// watch received it. Times are Unix times in nanoseconds.
 func (w *watchers) next(b *testing.B) (numbers []int64) {
 	b.Helper()
 	if !w.out.Scan() {
--- a/internal/registry/client_call.go
+++ b/internal/registry/client_call.go
@@ -15,11 +15,13 @@
 )
 
 const (
-	callTimeout          = 3 * time.Second        // per attempt at one replica, with the response body
-	dialTimeout          = time.Second            // part of callTimeout that connecting may take
+	callTimeout          = 3 * time.Second        // limit for one attempt, including the response body
+	dialTimeout          = time.Second            // limit for connecting, within callTimeout
 	clientRetryBackoff   = 200 * time.Millisecond // delay after all replicas failed without Retry-After
 	maxHonoredRetryAfter = 60 * time.Second       // longer values of Retry-After are ignored
-	maxResponseBytes     = 256 << 20              // per response body or line of a watch; above a full list
+
+	// maxResponseBytes limits a response body or a line of a watch. It is larger than any full list.
+	maxResponseBytes = 256 << 20
 )
 
 // ErrNoReplicas is the error of a client without replica addresses.
@@ -86,8 +88,8 @@
 	}
 }
 
-// callOnce sends a request once and returns the body of a response with status 200. The error is an
-// [unavailableError] if the request should be retried, and a [RejectedError] if the response is final.
+// callOnce sends a request once and returns the body of a response with status 200. A [RejectedError] is
+// final. After any other error the request should be retried; an [unavailableError] may contain the delay.
 func callOnce(httpClient *http.Client, req *http.Request) ([]byte, error) {
 	resp, err := httpClient.Do(req)
 	if err != nil {
--- a/internal/registry/client_call_test.go
+++ b/internal/registry/client_call_test.go
@@ -89,7 +89,7 @@
 
 // After all replicas have failed, the delay is the Retry-After header of the last response, if that is within
 // bounds.
-func TestClientPauses(t *testing.T) {
+func TestClientBackoff(t *testing.T) {
 	client := &Client{Replicas: []string{"a", "b"}}
 	for _, c := range []struct {
 		attempt    int
@@ -105,11 +105,11 @@
 		{1, "", clientRetryBackoff},
 	} {
 		err := &unavailableError{retryAfter: parseRetryAfter(http.Header{"Retry-After": {c.retryAfter}})}
-		if pause := client.backoffAfter(c.attempt, err); pause != c.want {
-			t.Errorf("attempt %d, Retry-After %q: %v, want %v", c.attempt, c.retryAfter, pause, c.want)
+		if delay := client.backoffAfter(c.attempt, err); delay != c.want {
+			t.Errorf("attempt %d, Retry-After %q: %v, want %v", c.attempt, c.retryAfter, delay, c.want)
 		}
 	}
-	if pause := client.backoffAfter(1, context.DeadlineExceeded); pause != clientRetryBackoff {
-		t.Errorf("delay after an error: %v, want %v", pause, clientRetryBackoff)
+	if delay := client.backoffAfter(1, context.DeadlineExceeded); delay != clientRetryBackoff {
+		t.Errorf("delay after an error without Retry-After: %v, want %v", delay, clientRetryBackoff)
 	}
 }
--- a/internal/registry/client_watch.go
+++ b/internal/registry/client_watch.go
@@ -15,7 +15,7 @@
 
 // Watch follows the list from a generation, or from the full list if the generation is 0. It uses the first
 // replica that accepts the watch and tries each replica once. It calls handle for each message, in order, and
-// returns an error when the watch or ctx ends.
+// returns an error when the watch or ctx ends. Without replica addresses it returns nil.
 func (c *Client) Watch(ctx context.Context, from uint64, handle func(generation uint64, reset bool, entries []Entry)) error {
 	var lastErr error
 	for _, replica := range c.Replicas {
--- a/internal/registry/cluster_test.go
+++ b/internal/registry/cluster_test.go
@@ -26,7 +26,7 @@
 	operations []porcupine.Operation // set when the clients have ended
 }
 
-// startClients starts clients. They end with the test at the latest.
+// startClients starts clients, which stop when the test ends, unless end has stopped them before.
 func startClients(t *testing.T, replicas []*testReplica) *backgroundClients {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -58,17 +58,17 @@
 	}
 }
 
-// stopLeader suspends the leader's process until another replica is the leader.
-func stopLeader(t *testing.T, all []*testReplica) {
+// suspendLeader suspends the leader's process until another replica is the leader.
+func suspendLeader(t *testing.T, all []*testReplica) {
 	t.Helper()
-	stopped := leaderOf(t, all)
-	if err := stopped.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
+	suspended := leaderOf(t, all)
+	if err := suspended.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Error(err)
 	}
 	waitFor(t, "another replica is the leader", func() bool {
-		return slices.ContainsFunc(without(all, stopped), (*testReplica).leads)
+		return slices.ContainsFunc(without(all, suspended), (*testReplica).leads)
 	})
-	if err := stopped.cmd.Process.Signal(syscall.SIGCONT); err != nil {
+	if err := suspended.cmd.Process.Signal(syscall.SIGCONT); err != nil {
 		t.Error(err)
 	}
 }
@@ -86,7 +86,7 @@
 		leader.start("")
 		checkWritable(t, all)
 	}
-	stopLeader(t, all)
+	suspendLeader(t, all)
 	checkWritable(t, all)
 	for _, cut := range []linkCut{cutBoth, cutOutgoing, cutIncoming} {
 		leader := leaderOf(t, all)
@@ -137,8 +137,8 @@
 	return ""
 }
 
-// dismiss removes a replica from the service.
-func dismiss(t *testing.T, all []*testReplica, id string) {
+// removeReplica removes a replica from the service.
+func removeReplica(t *testing.T, all []*testReplica, id string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
@@ -189,18 +189,18 @@
 	checkReceivesNoCommits(t, others, wiped)
 	wiped.wipe()
 	leader := leaderOf(t, others)
-	intruder := Replica{ID: "rx@" + wiped.listen, Raft: wiped.raft + addressNameSeparator + "rx"}
-	if body, status := joinAs(t, leader.listen, intruder); status != http.StatusConflict || !strings.Contains(body, "dismiss "+earlierID) {
+	newReplica := Replica{ID: "rx@" + wiped.listen, Raft: wiped.raft + addressNameSeparator + "rx"}
+	if body, status := joinAs(t, leader.listen, newReplica); status != http.StatusConflict || !strings.Contains(body, "dismiss "+earlierID) {
 		t.Errorf("a new replica at the address of one that has not been removed: %d %s", status, body)
 	}
-	dismiss(t, all, earlierID)
+	removeReplica(t, all, earlierID)
 	wiped.start(leader.listen)
 	waitFor(t, "the wiped replica has joined under a new ID", func() bool {
 		id := replicaID(t, others, wiped)
 		return id != "" && id != earlierID
 	})
 	earlierLeader := leaderOf(t, others)
-	dismiss(t, all, replicaID(t, others, earlierLeader))
+	removeReplica(t, all, replicaID(t, others, earlierLeader))
 	earlierLeader.kill()
 	rest := without(all, earlierLeader)
 	leaderOf(t, rest)
--- a/internal/registry/command.go
+++ b/internal/registry/command.go
@@ -22,10 +22,10 @@
 	Drain    = "drain"
 	Remove   = "remove"
 	Expire   = "expire"
-	Load     = "load" // replaces an empty list with a restored backup
+	Load     = "load" // replaces a list that has never been changed with a restored backup
 )
 
-// Command is one change to the list, as the replicated log stores it.
+// Command is a request to change the list, as the replicated log stores it.
 type Command struct {
 	Kind        string        `json:"kind"`
 	Entry       Entry         `json:"entry,omitzero"`        // Register
@@ -61,15 +61,15 @@
 
 // Codes of outcomes.
 const (
-	Done                 Code = "done"      // the list has changed
+	Done                 Code = "done"      // executed; a command with this code has changed the list
 	Unchanged            Code = "same"      // the list already was in the requested state
-	StaleIncarnation     Code = "stale"     // the incarnation was removed, or a newer one has been registered
+	StaleIncarnation     Code = "stale"     // incarnation removed or superseded; Expire: of an earlier term
 	NotFound             Code = "missing"   // no such instance
 	AddressConflict      Code = "taken"     // the address belongs to another instance
-	RegistrationConflict Code = "conflict"  // the same incarnation is registered with other properties
+	RegistrationConflict Code = "conflict"  // incarnation has other properties; Load: list has been changed
 	Invalid              Code = "invalid"   // the request or command is malformed
 	ListFull             Code = "too-many"  // the list has MaxEntries entries
-	Unavailable          Code = "later"     // not executed: the service is temporarily unable to
+	Unavailable          Code = "later"     // not executed; the service is temporarily unavailable
 	OutcomeUnknown       Code = "unknown"   // the command may have been executed, or may still be
 	NotLeader            Code = "elsewhere" // another replica is the leader
 	Failed               Code = "failed"    // an internal error
@@ -78,6 +78,6 @@
 // Outcome is the result of a command or request.
 type Outcome struct {
 	Code       Code   `json:"code"`
-	Generation uint64 `json:"generation"` // generation of the list afterwards; may be 0 in an error
+	Generation uint64 `json:"generation"` // list generation after the request; 0 in some errors
 	Message    string `json:"message,omitempty"`
 }
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -12,7 +12,7 @@
 	Dir     string            // data folder; created if it does not exist
 	Listen  string            // HTTP address for clients and watches
 	Raft    string            // address for connections from other replicas
-	DialVia map[string]string // address to dial in place of a Raft address
+	DialVia map[string]string // addresses to dial in place of Raft addresses, by Raft address
 
 	// Join is the HTTP address of a replica of the service that a new replica joins. If it is empty, a new
 	// replica starts a new service. A replica that has state in Dir ignores it.
--- a/internal/registry/data_folder_test.go
+++ b/internal/registry/data_folder_test.go
@@ -59,12 +59,12 @@
 	base := "http://" + s.Addr() + "/registry/"
 	_, list := call(t, "GET", base+"instances", "")
 	golden.Same(t, "list", []byte(list), golden.Read(t, recordedFolder+"list.json"))
-	var standings strings.Builder
+	var statuses strings.Builder
 	for _, id := range []string{"s-old", "s-weight", "s-drained", "s-leased", "s-again", "s-late"} {
 		_, text := call(t, "GET", base+"instances/"+id, "")
-		standings.WriteString(text)
+		statuses.WriteString(text)
 	}
-	golden.Same(t, "standings", []byte(standings.String()), golden.Read(t, recordedFolder+"standings.json"))
+	golden.Same(t, "instances", []byte(statuses.String()), golden.Read(t, recordedFolder+"standings.json"))
 	_, backup := call(t, "GET", base+"backup", "")
 	golden.Same(t, "backup", []byte(backup), golden.Read(t, recordedFolder+"backup.json"))
 	if m := startWatch(t, s.Addr(), 7<<epochBits|13).next(t); m.Generation != 7<<epochBits|14 || m.Reset {
--- a/internal/registry/doc.go
+++ b/internal/registry/doc.go
@@ -5,9 +5,9 @@
 //
 // The core is deterministic: it uses no clock, network or disk, and its results do not depend on the order of
 // map iteration. [State] applies commands from the replicated log: it takes a [Command] and returns an
-// [Outcome]. [Leases] runs on the leader only. It records when each lease was last renewed, by the leader's
-// monotonic clock, and finds the leases that have expired. It does not remove entries itself: an expiry is a
-// command in the log like any other change.
+// [Outcome]. [Leases] runs on the leader only. It records when each lease expires, by the leader's monotonic
+// clock, and finds the leases that have expired. It does not remove entries itself: an expiry is a command in
+// the log like any other change.
 //
 // [Server] is one replica. It runs Raft, the HTTP API and the watches, and owns the replica's files. [Client]
 // calls the HTTP API.
--- a/internal/registry/encoded_list.go
+++ b/internal/registry/encoded_list.go
@@ -39,8 +39,8 @@
 	return m.encodeList(func(list encodedList, s *State) bool { return list.generation == s.Generation() })
 }
 
-// listForWatch returns the full list for a new watch. This is the cached list, if the changes since then are
-// retained and small enough.
+// listForWatch returns the full list for a new watch. This is the cached list, if the changes since it was
+// encoded are retained and small enough.
 func (m *fsm) listForWatch() encodedList {
 	m.encodeMu.Lock()
 	defer m.encodeMu.Unlock()
--- a/internal/registry/fsm.go
+++ b/internal/registry/fsm.go
@@ -16,8 +16,8 @@
 type fsm struct {
 	mu           sync.Mutex
 	state        *State
-	restoreCount uint64                 // replacements of the state by a snapshot or a backup
-	onChange     func(Command, Outcome) // called for each change, with mu held
+	restoreCount uint64                 // number of times that a snapshot or a backup replaced the state
+	onChange     func(Command, Outcome) // called for each command that changed the list, with mu held
 
 	published       atomic.Pointer[publishedVersion]
 	publishedSignal chan struct{} // wakes the notifier
@@ -26,8 +26,8 @@
 	cachedList encodedList // most recently encoded list
 }
 
-// newFSM returns a state machine with an empty list in epoch 0. onChange is called for each change, with the
-// FSM's mutex held.
+// newFSM returns a state machine with an empty list in epoch 0. onChange is called for each command that
+// changed the list, with the FSM's mutex held.
 func newFSM(onChange func(Command, Outcome)) *fsm {
 	m := &fsm{state: NewState(0), onChange: onChange, publishedSignal: make(chan struct{}, 1)}
 	m.published.Store(&publishedVersion{updated: make(chan struct{})})
@@ -70,7 +70,7 @@
 
 // Restore implements raft.FSM.
 func (m *fsm) Restore(in io.ReadCloser) error {
-	defer func() { _ = in.Close() }() // it has only been read
+	defer func() { _ = in.Close() }() // closing a file that was only read loses no data
 	var restored State
 	if err := json.NewDecoder(in).Decode(&restored); err != nil {
 		return fmt.Errorf("snapshot: %w", err)
--- a/internal/registry/fsm_test.go
+++ b/internal/registry/fsm_test.go
@@ -115,9 +115,9 @@
 	if rest := m.readSince(second.generation); rest.generation != m.generation() || len(rest.chunks) != 1 {
 		t.Errorf("after the cached list, a watch gets %d changes up to %d", len(rest.chunks), rest.generation)
 	}
-	var now message
-	if err := json.Unmarshal(m.currentList().json(), &now); err != nil || now.Generation != m.generation() || len(now.Instances) != 400 || !now.Reset {
-		t.Errorf("a reader gets generation %d, current is %d, with %d entries, want 400: %v", now.Generation, m.generation(), len(now.Instances), err)
+	var list message
+	if err := json.Unmarshal(m.currentList().json(), &list); err != nil || list.Generation != m.generation() || len(list.Instances) != 400 || !list.Reset {
+		t.Errorf("a reader gets generation %d, want %d, with %d entries, want 400: %v", list.Generation, m.generation(), len(list.Instances), err)
 	}
 	start, changes := m.readSince(0).generation, 0
 	for ; m.readSince(0).generation == start; changes++ {
@@ -129,7 +129,7 @@
 }
 
 // After a restore, readers must get the restored list, even if the list before it has the same generation.
-func TestEncodedListIsNotSharedOverRestore(t *testing.T) {
+func TestEncodedListIsNotSharedAcrossRestore(t *testing.T) {
 	m := newFSM(func(Command, Outcome) {})
 	fillList(t, m.state, 400)
 	m.publishRestored()
@@ -147,9 +147,9 @@
 	if err := m.Restore(io.NopCloser(bytes.NewReader(text))); err != nil {
 		t.Fatal(err)
 	}
-	var now message
-	if err := json.Unmarshal(m.currentList().json(), &now); err != nil || len(now.Instances) != other.state.Len() {
-		t.Errorf("after a restore, a reader gets %d entries, want %d: %v", len(now.Instances), other.state.Len(), err)
+	var list message
+	if err := json.Unmarshal(m.currentList().json(), &list); err != nil || len(list.Instances) != other.state.Len() {
+		t.Errorf("after a restore, a reader gets %d entries, want %d: %v", len(list.Instances), other.state.Len(), err)
 	}
 }
 
--- a/internal/registry/golden_client_test.go
+++ b/internal/registry/golden_client_test.go
@@ -54,12 +54,12 @@
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	c := recordedService(t, &transcript)
-	owner := InstanceRef{"s-a", 5}
+	ref := InstanceRef{"s-a", 5}
 	registered, err1 := c.Register(ctx, Registration{Entry: entry("s-a", 1), Incarnation: 5, LeaseMs: 1000})
-	renewed, err2 := c.Renew(ctx, owner)
+	renewed, err2 := c.Renew(ctx, ref)
 	drained, err3 := c.Drain(ctx, InstanceRef{ID: "s-a"})
-	removed, err4 := c.Remove(ctx, owner)
-	dismissed, err5 := c.RemoveReplica(ctx, "r0123456789ab@127.0.0.1:8500")
+	removed, err4 := c.Remove(ctx, ref)
+	replicaRemoved, err5 := c.RemoveReplica(ctx, "r0123456789ab@127.0.0.1:8500")
 	shown, err6 := c.Show(ctx, "s-a")
 	generation, entries, err7 := c.List(ctx)
 	all, errs := c.Status(ctx)
@@ -76,9 +76,9 @@
 		t.Errorf("the watch ends with %v, want %v", watchErr, ErrWatchEnded)
 	}
 	golden.Check(t, "golden/client-requests.txt", transcript.Bytes())
-	for _, o := range []Outcome{registered, renewed, drained, removed, dismissed} {
+	for _, o := range []Outcome{registered, renewed, drained, removed, replicaRemoved} {
 		if o != (Outcome{Unchanged, 41, "why"}) {
-			t.Errorf("outcome %+v", o)
+			t.Errorf("outcome %+v, want code same, generation 41 and message why", o)
 		}
 	}
 	if shown.InstanceID != "s-a" || shown.Weight != 0.5 || shown.Incarnation != 5 || shown.LeaseMs != 1000 || shown.Generation != 41 {
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -238,13 +238,13 @@
 func checkGoldenState(t *testing.T, name string, s *State) {
 	t.Helper()
 	if s.Epoch() != 7 || s.Generation() != 7<<epochBits|8 || s.Len() != 2 {
-		t.Errorf("%s: epoch %d, generation %d, %d entries", name, s.Epoch(), s.Generation(), s.Len())
+		t.Errorf("%s: epoch %d, generation %d, %d entries; want 7, %d and 2", name, s.Epoch(), s.Generation(), s.Len(), 7<<epochBits|8)
 	}
 	if leases := s.Leases(); len(leases) != 1 || leases[0] != (Lease{InstanceRef{"s-leased", 1<<63 - 1}, MaxLease}) {
-		t.Errorf("%s: leases %v", name, leases)
+		t.Errorf("%s: leases %v, want only that of s-leased", name, leases)
 	}
 	if changes, ok := s.ChangesSince(7<<epochBits | 1); !ok || len(changes) != 7 {
-		t.Errorf("%s: %d changes, known %t", name, len(changes), ok)
+		t.Errorf("%s: %d changes, ok %t; want 7, true", name, len(changes), ok)
 	}
 	for _, c := range []struct {
 		id          string
--- a/internal/registry/harness_test.go
+++ b/internal/registry/harness_test.go
@@ -18,7 +18,7 @@
 // testTimeout limits every wait. A passing test waits far less.
 const testTimeout = 60 * time.Second
 
-// startReplica starts a replica with the data folder dir. The replica ends with the test.
+// startReplica starts a replica with the data folder dir. The replica is closed when the test ends.
 func startReplica(t testing.TB, dir, join string, change ...func(*Config)) *Server {
 	t.Helper()
 	cfg := Config{Dir: dir, Listen: testnet.AnyPort(), Raft: testnet.AnyPort(), Join: join, Logger: slog.New(slog.DiscardHandler)}
@@ -33,8 +33,8 @@
 	return s
 }
 
-// call sends a request, repeats it while the service responds with 503, and returns the status and the body
-// of the response.
+// call sends a request, repeats it while it gets no response or a 503, and returns the status and the body of
+// the final response.
 func call(t testing.TB, method, url, body string) (int, string) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(20 * time.Millisecond) {
@@ -71,7 +71,7 @@
 // testWatch is an open watch whose messages are read in the background.
 type testWatch struct{ messages chan message }
 
-// startWatch opens a watch. The watch ends with the test.
+// startWatch opens a watch, which is closed when the test ends.
 func startWatch(t testing.TB, addr string, from uint64) *testWatch {
 	t.Helper()
 	var resp *http.Response
--- a/internal/registry/history_test.go
+++ b/internal/registry/history_test.go
@@ -142,8 +142,8 @@
 		if res.unknown {
 			recorded.Return = neverReturned
 		}
-		notDone := res.code == Unavailable || op.kind == showKind && res.unknown
-		if !notDone {
+		ignored := res.code == Unavailable || op.kind == showKind && res.unknown
+		if !ignored {
 			r.add(recorded)
 		}
 		if res.unknown || res.code == Unavailable {
@@ -285,14 +285,14 @@
 }
 
 // checkHistory must accept the history of the state machine and reject the histories of faulty ones.
-func TestCheckHistoryCatchesBrokenHistories(t *testing.T) {
+func TestCheckHistoryRejectsFaultyHistories(t *testing.T) {
 	if err := checkHistory(simulatedHistory((*State).Apply)); err != nil {
 		t.Errorf("history of the state machine: %v", err)
 	}
 	acceptOlder := func(s *State, c Command) Outcome {
 		if r := s.records[c.Entry.InstanceID]; c.Kind == Register && r != nil && c.Incarnation < r.Incarnation {
 			r.Incarnation = c.Incarnation
-			return s.commit(r.Entry)
+			return s.appendChange(r.Entry)
 		}
 		return s.Apply(c)
 	}
--- a/internal/registry/http_api.go
+++ b/internal/registry/http_api.go
@@ -165,7 +165,7 @@
 )
 
 // parseInstanceRef parses the instance and the incarnation of a request. Incarnation 0 means any. If ok is
-// false, it has responded with an error.
+// false, parseInstanceRef has responded with an error.
 func parseInstanceRef(w http.ResponseWriter, r *http.Request, rule incarnationRule) (ref InstanceRef, ok bool) {
 	ref.ID = r.PathValue("id")
 	text := r.URL.Query().Get("incarnation")
--- a/internal/registry/http_messages.go
+++ b/internal/registry/http_messages.go
@@ -61,12 +61,12 @@
 	writeError(w, http.StatusServiceUnavailable, code, format, args...)
 }
 
-// decodeBody decodes a JSON body of up to maxRequestBody bytes, strictly. If that fails, it responds with the
+// decodeBody strictly decodes a JSON body of up to maxRequestBody bytes. If that fails, it responds with the
 // error and returns false.
 func decodeBody(w http.ResponseWriter, r *http.Request, into any) bool {
 	// The error is ignored: a response recorder in a test has no deadlines, and a broken connection fails at
 	// the read.
-	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(requestHeaderTimeout))
+	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(requestReadTimeout))
 	err := decodeStrictly(http.MaxBytesReader(w, r.Body, maxRequestBody), into)
 	if err == nil {
 		return true
--- a/internal/registry/identity.go
+++ b/internal/registry/identity.go
@@ -13,7 +13,7 @@
 // Files in a replica's data folder.
 const (
 	// identityFile contains the replica's ID. The ID is created together with the state: a replica that has
-	// lost its state no longer knows its votes, and must not continue under the same ID.
+	// lost its state has also lost the record of its votes, and must not continue under the same ID.
 	identityFile = "identity"
 
 	logFile     = "raft.db"      // replicated log and the replica's votes
--- a/internal/registry/join.go
+++ b/internal/registry/join.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return err
 	}
-	client := &http.Client{Timeout: applyTimeout}
+	client := &http.Client{Timeout: operationTimeout}
 	for {
 		err := s.joinOnce(client, body)
 		if err == nil {
--- a/internal/registry/leader_leases.go
+++ b/internal/registry/leader_leases.go
@@ -46,11 +46,11 @@
 }
 
 // renew extends an incarnation's lease from the given time. It returns false if no leases are being tracked
-// or the lease cannot be renewed. An entry without a lease (leaseLength 0) needs no renewal.
-func (l *leadership) renew(at time.Duration, ref InstanceRef, leaseLength time.Duration) bool {
+// or the lease cannot be renewed. An entry without a lease (leaseTerm 0) needs no renewal.
+func (l *leadership) renew(at time.Duration, ref InstanceRef, leaseTerm time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.leases != nil && (leaseLength == 0 || l.leases.Renew(at, ref))
+	return l.leases != nil && (leaseTerm == 0 || l.leases.Renew(at, ref))
 }
 
 // expirySuspended reports whether this replica tracks leases and has suspended their expiry.
--- a/internal/registry/leader_leases_test.go
+++ b/internal/registry/leader_leases_test.go
@@ -95,7 +95,7 @@
 		t.Errorf("when all leases expire: %+v, %v, want a suspension", batch, ok)
 	}
 	if batch, ok := l.checkExpired(2 * time.Second); !ok || batch.change != suspensionUnchanged {
-		t.Errorf("while suspended: %+v, %v", batch, ok)
+		t.Errorf("while suspended: %+v, %v, want no change of the suspension", batch, ok)
 	}
 	for n := range 10 {
 		if !l.renew(2*time.Second, InstanceRef{fmt.Sprintf("s-%02d", n), 1}, time.Second) {
@@ -103,6 +103,6 @@
 		}
 	}
 	if batch, ok := l.checkExpired(2*time.Second + expiryCheckInterval); !ok || batch.change != expiryResumed || l.expirySuspended() {
-		t.Errorf("after the renewals: %+v, %v", batch, ok)
+		t.Errorf("after the renewals: %+v, %v, want the end of the suspension", batch, ok)
 	}
 }
--- a/internal/registry/leadership.go
+++ b/internal/registry/leadership.go
@@ -9,7 +9,7 @@
 
 const (
 	takeOverRetryInterval = time.Second
-	idleCheckInterval     = time.Hour // while no lease can expire
+	idleCheckInterval     = time.Hour // time until the next expiry check if no lease can expire
 )
 
 // IsLeader reports whether this replica is the leader and has taken over the leases. The result may be
@@ -57,7 +57,7 @@
 // takeOver starts the work of a leader, once everything that earlier leaders committed has been applied.
 func (s *Server) takeOver() {
 	term := s.raft.CurrentTerm()
-	err := s.raft.Barrier(applyTimeout).Error()
+	err := s.raft.Barrier(operationTimeout).Error()
 	if err == nil {
 		err = s.loadRestored()
 	}
--- a/internal/registry/leases.go
+++ b/internal/registry/leases.go
@@ -37,7 +37,7 @@
 type Leases struct {
 	selfPreservation SelfPreservation
 	entries          map[string]*leaseEntry // by instance ID
-	queue            leaseQueue             // entries whose expiry is not being committed
+	queue            leaseQueue             // all entries except those with expiring set
 	suspendedAt      time.Duration          // start of the suspension of expiry; 0: not suspended
 	lastExpiry       time.Duration          // during a suspension: time of its last expiry, or of its start
 }
@@ -94,7 +94,7 @@
 	delete(l.entries, id)
 }
 
-// ExpiryFailed makes leases due again whose expiry could not be committed.
+// ExpiryFailed makes leases due again after their expiry could not be committed.
 func (l *Leases) ExpiryFailed(refs []InstanceRef) {
 	for _, ref := range refs {
 		entry := l.entries[ref.ID]
--- a/internal/registry/leases_test.go
+++ b/internal/registry/leases_test.go
@@ -51,7 +51,7 @@
 
 // When all leases expire at once, none is due during the suspension, and afterwards one after another. Leases
 // that are renewed in the meantime do not expire.
-func TestMassExpirySuspends(t *testing.T) {
+func TestMassExpiryIsSuspended(t *testing.T) {
 	l := NewLeases(0, leases(20, 10*time.Second), defaultSelfPreservation)
 	now, expired := 10*time.Second, 0
 	if due := l.Due(now); due != nil {
@@ -63,7 +63,7 @@
 	for now += time.Second; now < 30*time.Second; now += time.Second {
 		due := l.Due(now)
 		if len(due) > 1 || now < 20*time.Second && len(due) > 0 {
-			t.Errorf("due at %v: %v", now, due)
+			t.Errorf("due at %v: %v, want none before 20 s and one at most afterwards", now, due)
 		}
 		for _, ref := range due {
 			expired++
@@ -182,19 +182,19 @@
 		}
 		due := l.Due(term)
 		if suspended := l.Suspended(); suspended != c.suspended {
-			t.Errorf("%s: expiry is suspended: %v", name, suspended)
+			t.Errorf("%s: expiry is suspended: %v, want %v", name, suspended, c.suspended)
 		}
 		if c.suspended {
 			lost = nil
 		}
 		if !slices.Equal(due, lost) {
-			t.Errorf("%s: %d are due, %d were lost", name, len(due), len(lost))
+			t.Errorf("%s: %d leases due, want %d", name, len(due), len(lost))
 		}
 	}
 }
 
-// Measures what the leader reads after each change of a list with 200,000 leases: the lease that expires
-// first, from the queue and, for comparison, by a scan of all leases.
+// Measures how long the leader takes to find the lease that expires first among 200,000 leases, which it does
+// after each change: with the queue and, for comparison, with a scan of all leases.
 func BenchmarkNextLease(b *testing.B) {
 	l := NewLeases(0, nil, defaultSelfPreservation)
 	for n := range maxFleetEntries {
--- a/internal/registry/raft_host.go
+++ b/internal/registry/raft_host.go
@@ -16,7 +16,9 @@
 )
 
 const (
-	applyTimeout = 5 * time.Second // for a command, barrier or membership change, and for I/O
+	// operationTimeout limits a command, a barrier, a membership change or a join request, and I/O between
+	// replicas.
+	operationTimeout = 5 * time.Second
 
 	// maxCommitTimeout limits the delay after which an idle leader sends its commit index to the followers.
 	maxCommitTimeout = 50 * time.Millisecond
@@ -27,7 +29,7 @@
 )
 
 // errLogInUse is the error of a log file that another process has open.
-var errLogInUse = errors.New("another process has it open")
+var errLogInUse = errors.New("the file is open in another process")
 
 // discardLogger returns a logger that discards the messages of the Raft library. This package itself logs the
 // events that operators need.
@@ -100,7 +102,7 @@
 	if err != nil {
 		return Outcome{}, fmt.Errorf("command: %w", err)
 	}
-	applied := s.raft.Apply(text, applyTimeout)
+	applied := s.raft.Apply(text, operationTimeout)
 	if err := applied.Error(); err != nil {
 		return Outcome{}, err
 	}
--- a/internal/registry/replicas_api.go
+++ b/internal/registry/replicas_api.go
@@ -28,7 +28,7 @@
 	Watches                   int64     `json:"watches"`
 	ExpirySuspended           bool      `json:"expiryPaused"`
 	AppliedIndex              uint64    `json:"appliedIndex"`       // last applied entry of the Raft log
-	SecondsSinceLeaderContact float64   `json:"secondsSinceLeader"` // on followers only
+	SecondsSinceLeaderContact float64   `json:"secondsSinceLeader"` // 0 except on followers
 	Replicas                  []Replica `json:"replicas"`
 }
 
@@ -99,7 +99,7 @@
 		writeError(w, http.StatusConflict, AddressConflict, "%s is the address of %s; if that replica no longer exists: opalhook registry dismiss %s", addr, other, other)
 		return
 	}
-	if err := s.raft.AddVoter(raft.ServerID(replica.ID), raft.ServerAddress(replica.Raft), 0, applyTimeout).Error(); err != nil {
+	if err := s.raft.AddVoter(raft.ServerID(replica.ID), raft.ServerAddress(replica.Raft), 0, operationTimeout).Error(); err != nil {
 		writeUnavailable(w, "adding %s: %v", replica.ID, err)
 		return
 	}
@@ -129,7 +129,7 @@
 		writeError(w, http.StatusNotFound, NotFound, "%s is not a replica; `opalhook registry status` lists the replicas", truncate(id))
 		return
 	}
-	if err := s.raft.RemoveServer(raft.ServerID(id), 0, applyTimeout).Error(); err != nil {
+	if err := s.raft.RemoveServer(raft.ServerID(id), 0, operationTimeout).Error(); err != nil {
 		writeUnavailable(w, "removing %s: %v", id, err)
 		return
 	}
--- a/internal/registry/replication_test.go
+++ b/internal/registry/replication_test.go
@@ -47,8 +47,8 @@
 		}
 	}
 	// The closed replica is started again and catches up.
-	back := startReplica(t, dirs[0], "", func(c *Config) { c.Listen, c.Raft = first.Addr(), raftAddr(first) })
-	waitFor(t, "the restarted replica has caught up", func() bool { return back.fsm.generation() == 11 })
+	restarted := startReplica(t, dirs[0], "", func(c *Config) { c.Listen, c.Raft = first.Addr(), raftAddr(first) })
+	waitFor(t, "the restarted replica has caught up", func() bool { return restarted.fsm.generation() == 11 })
 }
 
 func raftAddr(s *Server) string {
@@ -75,12 +75,12 @@
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	same := func(c *Config) { c.Listen, c.Raft = addr, raftAt }
-	elsewhere := Config{Dir: dir, Listen: "127.0.0.1:0", Raft: raftAt, Logger: slog.New(slog.DiscardHandler)}
-	if _, err := Start(t.Context(), elsewhere); err == nil || !strings.Contains(err.Error(), "belongs to "+addr) {
+	sameAddresses := func(c *Config) { c.Listen, c.Raft = addr, raftAt }
+	otherAddress := Config{Dir: dir, Listen: "127.0.0.1:0", Raft: raftAt, Logger: slog.New(slog.DiscardHandler)}
+	if _, err := Start(t.Context(), otherAddress); err == nil || !strings.Contains(err.Error(), "belongs to "+addr) {
 		t.Errorf("start at another address: error %v, want one with the recorded address", err)
 	}
-	s = startReplica(t, dir, "", same)
+	s = startReplica(t, dir, "", sameAddresses)
 	waitFor(t, "the state is restored", func() bool { return s.fsm.generation() == 2 })
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
@@ -97,7 +97,7 @@
 		t.Fatal(err)
 	}
 	if _, err := Start(t.Context(), cfg); err == nil || !strings.Contains(err.Error(), "log is missing") {
-		t.Errorf("start without the log: error %v, want one that says so", err)
+		t.Errorf("start without the log: error %v, want one with \"log is missing\"", err)
 	}
 }
 
@@ -152,7 +152,7 @@
 	}
 	readBody(t, resp)
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
-		t.Errorf("write to a failing disk: status %s, want 503 with Retry-After", resp.Status)
+		t.Errorf("write to a failing store: status %s, Retry-After %q, want 503 with Retry-After", resp.Status, resp.Header.Get("Retry-After"))
 	}
 	if g := s.fsm.generation(); g != 1 {
 		t.Errorf("generation %d after a write that failed, want 1", g)
--- a/internal/registry/restore.go
+++ b/internal/registry/restore.go
@@ -18,7 +18,7 @@
 
 // EpochAt returns the epoch of a list that is restored at the given time. The epoch grows every 450 s, so
 // that it exceeds that of every earlier restore. Two restores of one backup less than 450 s apart may get the
-// same epoch. The caller must choose their epochs instead.
+// same epoch. In this case the caller must choose different epochs.
 func EpochAt(now time.Time) uint64 { return uint64(now.Sub(epochOrigin) / epochLength) }
 
 // Restore prepares a new or empty folder as the data folder of the first replica of a new service, whose list
--- a/internal/registry/restore_test.go
+++ b/internal/registry/restore_test.go
@@ -29,12 +29,12 @@
 	if _, err := Restore(dir, strings.NewReader(backup), EpochAt(time.Now())); err == nil {
 		t.Error("restored into a folder that is not empty")
 	}
-	n := startReplica(t, dir, "")
-	waitFor(t, "the backup is loaded", func() bool { return n.fsm.generation() > old })
-	if m := startWatch(t, n.Addr(), old).next(t); !m.Reset || m.Generation <= old || len(m.Instances) != 1 || m.Instances[0].InstanceID != "s-a" {
+	restored := startReplica(t, dir, "")
+	waitFor(t, "the backup is loaded", func() bool { return restored.fsm.generation() > old })
+	if m := startWatch(t, restored.Addr(), old).next(t); !m.Reset || m.Generation <= old || len(m.Instances) != 1 || m.Instances[0].InstanceID != "s-a" {
 		t.Errorf("a reader of the first service gets %+v", m)
 	}
-	if status, text := call(t, "POST", "http://"+n.Addr()+"/registry/instances", registration("s-a", 1, 6, 0)); status != http.StatusConflict {
+	if status, text := call(t, "POST", "http://"+restored.Addr()+"/registry/instances", registration("s-a", 1, 6, 0)); status != http.StatusConflict {
 		t.Errorf("registration of an older incarnation after a restore: %d %s, want 409", status, text)
 	}
 	if _, err := Restore(filepath.Join(t.TempDir(), "x"), strings.NewReader(backup[:len(backup)/2]), 1); err == nil {
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -20,10 +20,10 @@
 
 // Limits of the HTTP server.
 const (
-	requestHeaderTimeout = 3 * time.Second // limit for a request's header, and for the body of a write
-	idleTimeout          = time.Minute     // limit for a connection between requests
-	maxRequestHeader     = 8 << 10         // bytes
-	maxRequestBody       = 16 << 10        // bytes
+	requestReadTimeout = 3 * time.Second // limit for a request's header, and again for its JSON body
+	idleTimeout        = time.Minute     // limit for a connection between requests
+	maxRequestHeader   = 8 << 10         // bytes
+	maxRequestBody     = 16 << 10        // bytes
 )
 
 // Server is one replica of the service.
@@ -54,9 +54,9 @@
 }
 
 // Start starts the replica whose state is in the data folder, the first replica of a new service, or a
-// replica that joins a service. It returns when the HTTP API is being served and the replica has joined. The
-// end of ctx stops the replica's work, but only [Server.Close] waits until the work has stopped, and closes
-// the files.
+// replica that joins a service. It returns when the HTTP API is being served and the replica has joined. When
+// ctx ends, the watches and the replica's background goroutines stop, except the HTTP server. Only
+// [Server.Close] also stops the HTTP server and Raft, waits for the goroutines and closes the files.
 func Start(ctx context.Context, cfg Config) (*Server, error) {
 	cfg = cfg.withDefaults()
 	if err := os.MkdirAll(cfg.Dir, 0o700); err != nil {
@@ -79,8 +79,8 @@
 	return s, nil
 }
 
-// open opens the listeners and the log, and starts Raft and the replica's goroutines. After an error, Close
-// closes what open has opened.
+// open opens the listeners and the log, starts Raft and the replica's goroutines, and joins the service if
+// the replica is new and Config.Join is set. After an error, Close closes what open has opened.
 func (s *Server) open() error {
 	if err := s.listen(); err != nil {
 		return err
@@ -125,7 +125,7 @@
 	s.transport = newTransport(&raft.NetworkTransportConfig{
 		Stream:  streamLayer{raftListener, name, s.cfg.DialVia},
 		MaxPool: connectionsPerReplica,
-		Timeout: applyTimeout,
+		Timeout: operationTimeout,
 		Logger:  discardLogger(),
 	})
 	return nil
@@ -138,7 +138,7 @@
 	}
 	s.httpServer = &http.Server{
 		Handler:           s.routes(),
-		ReadHeaderTimeout: requestHeaderTimeout,
+		ReadHeaderTimeout: requestReadTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxRequestHeader,
 		ErrorLog:          slog.NewLogLogger(s.logger.Handler(), slog.LevelDebug),
--- a/internal/registry/snapshot.go
+++ b/internal/registry/snapshot.go
@@ -50,7 +50,8 @@
 	case snap.Format != snapshotFormat:
 		return nil, fmt.Errorf("state: format %d is not supported, must be %d", snap.Format, snapshotFormat)
 	case snap.Epoch > MaxEpoch || snap.Count >= 1<<epochBits:
-		return nil, fmt.Errorf("state: epoch %d or count %d is out of range", snap.Epoch, snap.Count)
+		return nil, fmt.Errorf("state: got epoch %d and count %d, must be at most %d and %d",
+			snap.Epoch, snap.Count, MaxEpoch, uint64(1)<<epochBits-1)
 	}
 	s := NewState(snap.Epoch)
 	s.changeCount, s.tombstoneOrder, s.changes = snap.Count, snap.Tombstones, snap.Changes
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -12,8 +12,8 @@
 const MaxEntries = 1 << 18
 
 // Bounds of the history in a state. A zone of 13,333 instances may be lost within one second, with one
-// change for each instance. All watches must find these changes in the history, even a watch that has just
-// taken minutes to read the full list. Otherwise they are sent the full list.
+// change for each instance. The history must retain all of these changes, even for a watch that has just
+// taken minutes to read the full list: a watch that does not find its next change is sent the full list.
 const (
 	maxTombstones = 1 << 16
 	maxChanges    = 1 << 15
@@ -88,8 +88,8 @@
 	return Outcome{Code: code, Generation: s.Generation(), Message: fmt.Sprintf(format, args...)}
 }
 
-// commit records the changed entries as the next generation.
-func (s *State) commit(entries ...Entry) Outcome {
+// appendChange records the changed entries as the next generation.
+func (s *State) appendChange(entries ...Entry) Outcome {
 	s.changeCount++
 	generation := s.Generation()
 	for _, e := range entries {
@@ -114,7 +114,7 @@
 	}
 	s.records[e.InstanceID] = &record{Entry: e, Incarnation: c.Incarnation, Lease: c.Lease}
 	s.instanceByAddr[e.HostPort] = e.InstanceID
-	return s.commit(e)
+	return s.appendChange(e)
 }
 
 // checkRegistration returns the outcome of a registration that changes nothing, or nil if the registration is
@@ -186,7 +186,7 @@
 		return s.outcome(Unchanged, "")
 	}
 	r.Entry.Lifecycle = Draining
-	return s.commit(r.Entry)
+	return s.appendChange(r.Entry)
 }
 
 func (s *State) remove(c Command) Outcome {
@@ -194,7 +194,7 @@
 	if !ok {
 		return rejection
 	}
-	return s.commit(s.removeRecord(r))
+	return s.appendChange(s.removeRecord(r))
 }
 
 // expire removes the entries whose leases have expired, all in one generation. It keeps an entry that has a
@@ -209,7 +209,7 @@
 	if len(removed) == 0 {
 		return s.outcome(Unchanged, "")
 	}
-	return s.commit(removed...)
+	return s.appendChange(removed...)
 }
 
 // removeRecord removes a record from the list, adds a tombstone, and returns the entry that announces the
@@ -243,7 +243,7 @@
 	case s.Generation() == c.Snapshot.Generation():
 		return s.outcome(Unchanged, "")
 	case s.Generation() != 0:
-		return s.outcome(RegistrationConflict, "the list has been changed already; a backup can only be loaded into a new list")
+		return s.outcome(RegistrationConflict, "generation: got %d, must be 0; a backup can only be loaded into a new list", s.Generation())
 	}
 	text, err := c.Snapshot.MarshalJSON()
 	if err != nil {
--- a/internal/registry/state_invariants_test.go
+++ b/internal/registry/state_invariants_test.go
@@ -121,7 +121,7 @@
 	list := string(text)
 	switch {
 	case o.Generation != after || after < before:
-		return "the generation decreases"
+		return "the generation decreases, or the outcome has another generation"
 	case (o.Code == Done) != (after == before+1) || o.Code != Done && after != before:
 		return "a change does not create exactly one generation"
 	case ch.seen[after] != "" && ch.seen[after] != list:
@@ -195,13 +195,13 @@
 }
 
 // The invariants must detect each of these faulty state machines.
-func TestInvariantsCatchBrokenStates(t *testing.T) {
+func TestInvariantsDetectFaultyStates(t *testing.T) {
 	for name, apply := range map[string]func(*State, Command) Outcome{
 		"older incarnation accepted": func(s *State, c Command) Outcome {
 			if r := s.records[c.Entry.InstanceID]; c.Kind == Register && r != nil && c.Incarnation < r.Incarnation {
 				r.Incarnation = c.Incarnation
 				r.Entry.Weight++
-				return s.commit(r.Entry)
+				return s.appendChange(r.Entry)
 			}
 			return s.Apply(c)
 		},
@@ -214,7 +214,7 @@
 			}
 			return o
 		},
-		"tombstones forgotten": func(s *State, c Command) Outcome {
+		"tombstones dropped": func(s *State, c Command) Outcome {
 			o := s.Apply(c)
 			clear(s.tombstones)
 			s.tombstoneOrder = nil
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -17,7 +17,8 @@
 		s.Apply(Command{Kind: Remove, ID: id, Incarnation: 1})
 	}
 	if len(s.changes) != maxChanges || len(s.tombstones) != maxTombstones || len(s.tombstoneOrder) != maxTombstones || s.Len() != 0 {
-		t.Errorf("%d changes, %d tombstones, %d in order, %d entries", len(s.changes), len(s.tombstones), len(s.tombstoneOrder), s.Len())
+		t.Errorf("%d changes, want %d; %d tombstones, %d in tombstoneOrder, want %d; %d entries, want 0",
+			len(s.changes), maxChanges, len(s.tombstones), len(s.tombstoneOrder), maxTombstones, s.Len())
 	}
 	if _, ok := s.ChangesSince(s.Generation() - maxChanges); !ok {
 		t.Error("the oldest retained change is not returned")
--- a/internal/registry/stream_layer.go
+++ b/internal/registry/stream_layer.go
@@ -18,13 +18,13 @@
 )
 
 // errWrongReplica is the error of a connection whose greeting names another replica.
-var errWrongReplica = errors.New("greeting: the connection is for another replica")
+var errWrongReplica = errors.New("the connection is for another replica")
 
 // streamLayer connects the replicas; it implements raft.StreamLayer. A replica's Raft address includes its
 // name, and each connection begins with a greeting: a line with the name of the replica that the connection
 // is for. A replica with another name closes the connection. This guards against a replica that lost its
-// state and was started again at the same address: it must not be taken for the earlier replica, since it no
-// longer knows its votes and the entries that it acknowledged.
+// state and was started again at the same address: it must not be taken for the earlier replica, since it has
+// lost the record of its votes and the entries that it acknowledged.
 type streamLayer struct {
 	net.Listener
 	name string            // name of this replica
@@ -77,8 +77,8 @@
 	return conn.SetWriteDeadline(time.Time{})
 }
 
-// Accept implements net.Listener. The first Read of the connection checks the greeting, so that a slow peer
-// does not delay other connections.
+// Accept implements net.Listener. The first Read of the connection checks the greeting, so that a slow
+// dialer does not delay other connections.
 func (s streamLayer) Accept() (net.Conn, error) {
 	conn, err := s.Listener.Accept()
 	if err != nil {
@@ -112,7 +112,7 @@
 		return fmt.Errorf("greeting: %w", err)
 	}
 	if string(greeting) != c.expectedGreeting {
-		return errWrongReplica
+		return fmt.Errorf("greeting: got %q, must be %q: %w", greeting, c.expectedGreeting, errWrongReplica)
 	}
 	c.expectedGreeting = ""
 	return c.SetReadDeadline(time.Time{})
--- a/internal/registry/watch_heartbeat.go
+++ b/internal/registry/watch_heartbeat.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	heartbeatInterval = 2 * time.Second // between the empty lines of a watch
-	heartbeatGroups   = 64              // groups of watches; their heartbeats are spread over the interval
+	heartbeatInterval = 2 * time.Second // time between the empty lines of a watch
+	heartbeatGroups   = 64              // number of groups of watches that get heartbeats in turn
 )
 
 // heartbeat wakes a group of watches to send an empty line. With a timer per watch, all watches would contend
--- a/internal/registry/watch_test.go
+++ b/internal/registry/watch_test.go
@@ -74,10 +74,10 @@
 	}
 	dialSlow(t, s.Addr(), "GET /registry/instances?watch=1&from=0 HTTP/1.1\r\nHost: x\r\n\r\n")
 	waitFor(t, "the watch that does not read is open", func() bool { return s.openWatches.Load() == 1 })
-	good := startWatch(t, s.Addr(), 0)
-	good.next(t)
+	other := startWatch(t, s.Addr(), 0)
+	other.next(t)
 	call(t, "POST", base+"/s-1/drain", "")
-	if m := good.next(t); m.Generation != 401 {
+	if m := other.next(t); m.Generation != 401 {
 		t.Errorf("with silent clients and one that does not read, another watch gets %+v, want generation 401", m)
 	}
 	waitFor(t, "the watch that does not read is dropped", func() bool { return s.openWatches.Load() == 1 })
