--- a/internal/testbed/address_block.go
+++ b/internal/testbed/address_block.go
@@ -14,9 +14,9 @@
 
 const (
 	// Ports used in a block. They are below the kernel's range of ephemeral ports.
-	claimPort = 18999
-	basePort  = 18080
-	peerPort  = 17946
+	claimPort    = 18999
+	basePort     = 18080
+	basePeerPort = 17946
 
 	// Range of the second octet of the addresses of blocks.
 	firstSecondOctet = 40
@@ -50,9 +50,9 @@
 	return fmt.Sprintf("%s:%d", b.addr(thirdOctet, number%addrsPerPort), basePort+number/addrsPerPort)
 }
 
-// peerPort returns the address on which a party receives messages from its peers.
-func (b *addressBlock) peerPort(thirdOctet, number int) string {
-	return fmt.Sprintf("%s:%d", b.addr(thirdOctet, number%addrsPerPort), peerPort+number/addrsPerPort)
+// peerHostPort returns the address on which a party receives messages from its peers.
+func (b *addressBlock) peerHostPort(thirdOctet, number int) string {
+	return fmt.Sprintf("%s:%d", b.addr(thirdOctet, number%addrsPerPort), basePeerPort+number/addrsPerPort)
 }
 
 // release makes the block available to other runs.
--- a/internal/testbed/app_server.go
+++ b/internal/testbed/app_server.go
@@ -41,7 +41,7 @@
 	closed    bool
 }
 
-// loadSample is the number of requests at an app server from a time on.
+// loadSample is the number of requests at an app server at a point in time. It is valid until the next sample.
 type loadSample struct {
 	at       time.Duration
 	inFlight int
@@ -119,7 +119,7 @@
 		if err != nil {
 			return
 		}
-		if !s.answer(c, r, string(body), overConnLimit) {
+		if !s.handle(c, r, string(body), overConnLimit) {
 			return
 		}
 	}
@@ -129,22 +129,22 @@
 // request and in this order, so that the sequence of random numbers does not depend on the outcome.
 type requestFaults struct {
 	fails, resets, malformed bool
-	malformation             int // kind of malformed response, see malformedResponse
+	malformationKind         int // kind of malformed response, see malformedResponse
 }
 
 // drawRequestFaults draws the faults of one request. The caller holds s.mu.
 func (s *appServer) drawRequestFaults() requestFaults {
 	return requestFaults{
-		fails:        s.rng.Float64() < s.faults.errors,
-		resets:       s.rng.Float64() < s.faults.resets,
-		malformed:    s.rng.Float64() < s.faults.malformed,
-		malformation: s.rng.IntN(malformations),
+		fails:            s.rng.Float64() < s.faults.errors,
+		resets:           s.rng.Float64() < s.faults.resets,
+		malformed:        s.rng.Float64() < s.faults.malformed,
+		malformationKind: s.rng.IntN(malformationKinds),
 	}
 }
 
-// answer handles one complete request. It reports whether the connection stays open. A server over its
+// handle handles one complete request. It reports whether the connection stays open. A server over its
 // connection limit rejects the request.
-func (s *appServer) answer(c net.Conn, r *http.Request, body string, overConnLimit bool) bool {
+func (s *appServer) handle(c net.Conn, r *http.Request, body string, overConnLimit bool) bool {
 	id := r.Header.Get("X-Trace-Id")
 	if id == "" {
 		return s.respond(c, "404 Not Found", "", "no id")
@@ -180,21 +180,21 @@
 	}
 	select {
 	case <-completed:
-		return s.answerCompleted(c, t, attempt, faults)
+		return s.respondCompleted(c, t, attempt, faults)
 	case <-s.env.over:
 		return false
 	}
 }
 
-// answerCompleted responds to an executed attempt. It reports whether the connection stays open.
-func (s *appServer) answerCompleted(c net.Conn, t *clientAttempt, attempt int, faults requestFaults) bool {
+// respondCompleted responds to an executed attempt. It reports whether the connection stays open.
+func (s *appServer) respondCompleted(c net.Conn, t *clientAttempt, attempt int, faults requestFaults) bool {
 	text := fmt.Sprintf("quote %s %s %d\n", t.id, s.name(), attempt)
 	switch {
 	case faults.resets:
 		reset(c)
 		return false
 	case faults.malformed:
-		s.respondMalformed(c, faults.malformation, text)
+		s.respondMalformed(c, faults.malformationKind, text)
 		return false
 	}
 	s.env.checker.responseMade(t, attempt, text, s.env.now())
@@ -215,30 +215,30 @@
 	return completed, s.model.failed && !failedBefore
 }
 
-// respondMalformed writes a malformed response. A truncated response (malformation 0) ends with the
-// connection, which the caller closes at once. After any other, respondMalformed waits up to 1 s for the
-// node to close the connection.
-func (s *appServer) respondMalformed(c net.Conn, malformation int, text string) {
-	_, _ = io.WriteString(c, malformedResponse(malformation, text)) // fails if the node has disconnected
-	if malformation != 0 {
+// respondMalformed writes a malformed response. A truncated response (kind 0) ends with the connection, which
+// the caller closes at once. After a response of another kind, respondMalformed waits up to 1 s for the node
+// to close the connection.
+func (s *appServer) respondMalformed(c net.Conn, kind int, text string) {
+	_, _ = io.WriteString(c, malformedResponse(kind, text)) // fails if the node has disconnected
+	if kind != 0 {
 		_ = c.SetReadDeadline(time.Now().Add(time.Second))
 		_, _ = io.Copy(io.Discard, c)
 	}
 }
 
-// malformations is the number of kinds of malformed responses.
-const malformations = 4
+// malformationKinds is the number of kinds of malformed responses.
+const malformationKinds = 4
 
 // malformedResponse returns a malformed response: truncated, not HTTP, with conflicting lengths, or
 // with too long a header.
-func malformedResponse(kind int, answer string) string {
+func malformedResponse(kind int, body string) string {
 	switch kind {
 	case 0:
-		return "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n" + answer
+		return "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n" + body
 	case 1:
 		return "\x85\x14\xe8 no HTTP at all\r\n\r\n"
 	case 2:
-		return "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n" + answer
+		return "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n" + body
 	}
 	return "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: pppppppppppppppp\r\n", 4000)
 }
--- a/internal/testbed/binary.go
+++ b/internal/testbed/binary.go
@@ -29,7 +29,7 @@
 		return "", err
 	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return "", fmt.Errorf("folder of the run: %w", err)
+		return "", fmt.Errorf("directory of the run: %w", err)
 	}
 	path, err := filepath.Abs(filepath.Join(dir, filepath.Base(nodePackage)))
 	if err != nil {
--- a/internal/testbed/checker.go
+++ b/internal/testbed/checker.go
@@ -19,12 +19,12 @@
 	RuleForeignRequest = "foreign" // app servers get only requests that a client sent, unchanged
 )
 
-// Limits of the rules. The nodes get answerSlack and drainGrace in their settings.
+// Limits of the rules. The nodes get responseSlack and drainGrace in their settings.
 const (
-	answerSlack  = 8 * time.Millisecond   // time after the deadline in which a response is not late
-	drainGrace   = 500 * time.Millisecond // time in which a node may still send to a draining server
-	socketSlack  = 50 * time.Millisecond  // extension of each time limit for the latency of sockets
-	hardLimitLag = 150 * time.Millisecond // reordering allowed between attempts of different nodes
+	responseSlack = 8 * time.Millisecond   // time after the deadline in which a response is not late
+	drainGrace    = 500 * time.Millisecond // time in which a node may still send to a draining server
+	socketSlack   = 50 * time.Millisecond  // extension of each time limit for the latency of sockets
+	hardLimitLag  = 150 * time.Millisecond // reordering allowed between attempts of different nodes
 
 	// informedWorkShare is the fraction of a server's work from which an overload to failure violates
 	// RuleCold. Only work from nodes that knew of the server's start counts.
@@ -165,9 +165,10 @@
 	}
 }
 
-// attemptAnswered checks and records the final response to an attempt. The response may be late only if the
-// node could not respond all the time (answerable is false).
-func (r *checker) attemptAnswered(t *clientAttempt, at time.Duration, status int, body string, answerable bool) {
+// attemptAnswered checks and records the final response to an attempt. nodeAvailable reports whether the node
+// was able to respond at all times since the attempt was sent. Only then does a late response violate
+// RuleLost.
+func (r *checker) attemptAnswered(t *clientAttempt, at time.Duration, status int, body string, nodeAvailable bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if t.finished {
@@ -176,7 +177,7 @@
 	}
 	t.finished = true
 	rec := &r.records[t.arrival]
-	if limit := t.deadline + answerSlack + socketSlack + r.slack(t.node); answerable && at > limit {
+	if limit := t.deadline + responseSlack + socketSlack + r.slack(t.node); nodeAvailable && at > limit {
 		r.recordViolation(at, RuleLost, t.node, t.id, "response %v after the deadline", (at - t.deadline).Round(time.Millisecond))
 	}
 	switch status {
@@ -218,13 +219,13 @@
 // noResponse describes why an attempt ended without a response. The zero value is an attempt whose node could
 // not be reached or could not respond.
 type noResponse struct {
-	answerable    bool   // the node could respond from the time of sending on
+	nodeAvailable bool   // the node was able to respond at all times since the attempt was sent
 	closedNewConn bool   // the node closed the connection, and the attempt was the first on it
 	reason        string // error that the client got
 }
 
 // attemptUnanswered records that an attempt ended without a response. This violates RuleLost if the node
-// accepted the attempt and could respond. The node may close a limited number of new connections
+// accepted the attempt and was able to respond. The node may close a limited number of new connections
 // without a response, see requestsPerClosedConn.
 func (r *checker) attemptUnanswered(t *clientAttempt, at time.Duration, end noResponse) {
 	r.mu.Lock()
@@ -239,7 +240,7 @@
 		rec.Unreached++
 		return
 	}
-	if !end.answerable {
+	if !end.nodeAvailable {
 		return
 	}
 	if end.closedNewConn && len(t.upstream) == 0 {
@@ -302,7 +303,7 @@
 	t.upstream[attempt].neverRan = true
 }
 
-// entryDelivered records that a node's agent has sent an entry of the list, or that the entry counts as sent
+// entryDelivered records that an entry of the list was delivered to a node, or that it counts as delivered
 // from the given time on. startKnown reports whether the entry contains the server's start time.
 func (r *checker) entryDelivered(node int, server string, state lifecycle, at time.Duration, startKnown bool) {
 	r.mu.Lock()
@@ -367,7 +368,6 @@
 }
 
 // clip shortens a text to 40 bytes for use in a message.
-
 func clip(s string) string {
 	if len(s) > 40 {
 		return s[:40] + "…"
--- a/internal/testbed/checker_test.go
+++ b/internal/testbed/checker_test.go
@@ -55,7 +55,7 @@
 }
 
 func (p *standInProxy) run() error {
-	if p.defect == "dies" {
+	if p.defect == "fails to start" {
 		return errors.New("the stand-in can't be configured")
 	}
 	text, err := os.ReadFile(os.Getenv("PROXY_CONFIG"))
@@ -76,7 +76,7 @@
 	signal.Notify(signals, syscall.SIGTERM)
 	go func() {
 		for range signals {
-			if p.defect != "stays" {
+			if p.defect != "ignores SIGTERM" {
 				os.Exit(0)
 			}
 		}
@@ -112,14 +112,14 @@
 	}
 }
 
-// pick returns the address of the next server. The defects "crowds cold servers" and "ignores drains" prefer
-// a server in slow start and a draining server.
+// pick returns the address of the next server. The defects "overloads cold servers" and "ignores drains"
+// prefer a server in slow start and a draining server.
 func (p *standInProxy) pick() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	ids := sortedKeys(p.list)
 	for _, id := range ids {
-		if p.defect == "crowds cold servers" && p.list[id].StartedAtMs > 0 {
+		if p.defect == "overloads cold servers" && p.list[id].StartedAtMs > 0 {
 			return p.list[id].HostPort
 		}
 		if p.defect == "ignores drains" && p.list[id].Lifecycle == lifecycleDraining {
@@ -137,24 +137,24 @@
 	id := r.Header.Get("X-Trace-Id")
 	switch {
 	// The client resends a request if a reused connection is closed, so the stand-in fails every copy.
-	case p.defect == "loses" && strings.HasSuffix(id, "5"):
+	case p.defect == "drops requests" && strings.HasSuffix(id, "5"):
 		panic(http.ErrAbortHandler)
-	case p.defect == "answers late":
+	case p.defect == "responds late":
 		time.Sleep(3 * time.Second)
 	case p.defect == "changes requests":
 		id = "made-up"
 	}
 	status, answer, err := p.send(r, id, string(body))
-	if p.defect == "sends twice" || err != nil && p.defect == "tries again" {
+	if p.defect == "sends twice" || err != nil && p.defect == "retries after errors" {
 		status, answer, err = p.send(r, id, string(body))
 	}
-	if p.defect == "calls it harmless" && r.Method == "POST" {
+	if p.defect == "rejects after execution" && r.Method == "POST" {
 		status = 503
 	}
 	if err != nil {
 		status = 502
 	}
-	if previous, ok := p.last.Swap(answer).(string); ok && p.defect == "swaps answers" && previous != "" {
+	if previous, ok := p.last.Swap(answer).(string); ok && p.defect == "swaps responses" && previous != "" {
 		answer = previous
 	}
 	w.WriteHeader(status)
@@ -208,15 +208,15 @@
 		change       func(*Scenario)
 	}{
 		{"correct", "", drains},
-		{"loses", RuleLost, nil},
-		{"answers late", RuleLost, nil},
+		{"drops requests", RuleLost, nil},
+		{"responds late", RuleLost, nil},
 		{"sends twice", RuleDuplicate, nil},
-		{"tries again", RuleDuplicate, func(s *Scenario) {
+		{"retries after errors", RuleDuplicate, func(s *Scenario) {
 			s.Faults = []Fault{{Kind: "reset", Share: 1, Size: 0.3}}
 		}},
-		{"calls it harmless", RuleDuplicate, nil},
+		{"rejects after execution", RuleDuplicate, nil},
 		{"ignores drains", RuleDrain, drains},
-		{"crowds cold servers", RuleCold, func(s *Scenario) {
+		{"overloads cold servers", RuleCold, func(s *Scenario) {
 			s.Duration, s.Load.WorkMS, s.Load.Rate = Duration(4*time.Second), 100, 150
 			s.Faults = []Fault{{At: Duration(200 * ms), Kind: "replace", Count: 1}}
 		}},
@@ -224,7 +224,7 @@
 			s.Duration, s.Load.Rate = Duration(12*time.Second), 30 // longer than the slack of a busy machine
 			s.Load.Bursts = []Burst{{Times: 20}}
 		}},
-		{"swaps answers", RuleWrongResponse, nil},
+		{"swaps responses", RuleWrongResponse, nil},
 		{"changes requests", RuleForeignRequest, nil},
 	} {
 		t.Run(c.defect+" "+c.rule, func(t *testing.T) {
@@ -250,10 +250,10 @@
 // If a node's process ends before it is ready, the error contains its log. A process that ignores SIGTERM is
 // killed, and does not count as crashed.
 func TestProcessThatFailsToStartOrStop(t *testing.T) {
-	if _, err := runStandIn(t, small("dies"), "dies"); err == nil || !strings.Contains(err.Error(), "can't be configured") {
+	if _, err := runStandIn(t, small("fails to start"), "fails to start"); err == nil || !strings.Contains(err.Error(), "can't be configured") {
 		t.Errorf("error %v does not show the log", err)
 	}
-	p, err := startChild(t, "stays")
+	p, err := startChild(t, "ignores SIGTERM")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/control.go
+++ b/internal/testbed/control.go
@@ -158,9 +158,9 @@
 		e.Target = -1
 	}
 	inject := func(e FaultEvent) error {
-		env.lagMu.Lock()
+		env.resultMu.Lock()
 		env.commandedFaults = append(env.commandedFaults, FaultMark{env.now().Seconds(), ft.describe(e)})
-		env.lagMu.Unlock()
+		env.resultMu.Unlock()
 		env.log.Info("fault injected by command", "fault", ft.describe(e))
 		return env.applyFault(&ft, e)
 	}
--- a/internal/testbed/edge_node.go
+++ b/internal/testbed/edge_node.go
@@ -31,9 +31,9 @@
 	stopped      bool          // stopped by SIGSTOP
 	resumedAt    time.Duration // time of the last SIGCONT; 0: none
 	endedCPU     time.Duration // CPU time of the node's processes that have ended
-	lastUsage    usage         // of the current process
+	lastUsage    usage         // latest usage of the current process
 	peakMemory   int64         // largest resident memory of any of its processes, in bytes
-	starved      time.Duration // time without a core within the last samples, see environment.sample
+	starved      time.Duration // time without a core in the period of usageSamples, see environment.sample
 	usageSamples []usage       // latest samples of the current process
 }
 
@@ -144,9 +144,9 @@
 	return n.proc
 }
 
-// answerable reports whether the node could respond to clients during the whole time since the given time:
-// its process was alive and not stopped, and its link to the clients had no fault.
-func (env *environment) answerable(node int, since time.Duration) bool {
+// nodeAvailableSince reports whether the node was able to respond to clients at all times since the given
+// time: its process was alive and not stopped, and its link to the clients had no fault.
+func (env *environment) nodeAvailableSince(node int, since time.Duration) bool {
 	if r := env.relays[route{allClients, nodeParty(node)}]; r != nil && !r.healthySince(since) {
 		return false
 	}
--- a/internal/testbed/environment.go
+++ b/internal/testbed/environment.go
@@ -11,12 +11,13 @@
 	"time"
 )
 
-// Timeouts and intervals of a run. On a healthy machine the timeouts do not affect the result.
+// Timeouts and intervals of a run. The timeouts are long enough for a busy machine. On a healthy machine they
+// do not affect the result.
 const (
-	readyWithin        = 60 * time.Second        // for a node to become ready, also on a busy machine
-	stopTimeout        = 15 * time.Second        // for a process to end after SIGTERM; then it is killed
-	oldAgentCloseDelay = 1500 * time.Millisecond // from a node's move to the end of its old discovery agent
-	listsWithin        = 10 * time.Second        // for all nodes to receive the latest changes of the list
+	readyWithin        = 60 * time.Second        // time limit for a node to become ready
+	stopTimeout        = 15 * time.Second        // time limit for a process to end before it is killed
+	oldAgentCloseDelay = 1500 * time.Millisecond // time from a node's move to the close of its old agent
+	listsWithin        = 10 * time.Second        // time limit for all nodes to receive the final list
 	lagTick            = 10 * time.Millisecond   // interval of the measurements of the testbed's own lag
 )
 
@@ -48,14 +49,14 @@
 	relays    map[route]*tcpRelay // by source and destination; empty if links are direct
 	generator *loadGenerator
 
-	ids *lockedRand // instance ids and the nodes' seeds
+	ids *lockedRand // source of instance ids and of the nodes' seeds
 
 	// Counters of connections to app servers, calls of discovery, and app servers overloaded to failure.
 	connections, listCalls, overloadFailures atomic.Int64
 	crashes                                  atomic.Int64  // edge node processes that crashed
-	commandedFaults                          []FaultMark   // faults injected by command; under lagMu
-	memory                                   []float64     // largest of a node by second, MB; under lagMu
-	lagMu                                    sync.Mutex    // guards also the next two fields
+	commandedFaults                          []FaultMark   // faults injected by command
+	memory                                   []float64     // peak resident memory of a node by second, in MB
+	resultMu                                 sync.Mutex    // guards the two fields above and the two below
 	lag                                      time.Duration // longest recent pause of the testbed itself
 	withheld                                 time.Duration // largest slack of the run so far
 }
@@ -209,7 +210,7 @@
 // links to the agent and to the clients.
 func (env *environment) buildNode(number int) (n *edgeNode, err error) {
 	n = &edgeNode{
-		number: number, name: fmt.Sprintf("n%d", number), listen: env.addresses.hostPort(1, number), peer: env.addresses.peerPort(1, number),
+		number: number, name: fmt.Sprintf("n%d", number), listen: env.addresses.hostPort(1, number), peer: env.addresses.peerHostPort(1, number),
 	}
 	if n.agent, err = startAgent(env.list, number, env.addresses.addr(3, number%250)+":0"); err != nil {
 		return nil, err
--- a/internal/testbed/fault_kinds.go
+++ b/internal/testbed/fault_kinds.go
@@ -75,7 +75,7 @@
 	FaultLink:         {faultsAll, true, "the link `from` one party `to` another, in that direction only: `does` is silence, reset, refuse, loss (share `size`), delay (`late`) or rate (`size` bytes a second)"},
 	FaultPeerLoss:     {faultsAll, false, "a share `size` of the datagrams between nodes is lost"},
 	FaultListDelay:    {faultsAll, false, "discovery sends changes with an additional delay of `late`"},
-	FaultListDown:     {faultsAll, false, "open watches fall silent and agents accept no new ones"},
+	FaultListDown:     {faultsAll, false, "open watches receive no more data and agents accept no new ones"},
 	FaultListReset:    {faultsAll, false, "the open watches are reset"},
 	FaultListSilent:   {faultsAll, false, "open watches stay connected but receive no more data"},
 	FaultListEncoding: {faultsAll, false, "changes are encoded in an unusual or invalid form: `does` is indent (over many lines), trickle (in small chunks), half (truncated), noise (preceded by invalid bytes) or entry (with one malformed entry)"},
@@ -141,7 +141,7 @@
 	case "server":
 		return oneParty(name, partyServer, arg, s.Fleet.Servers)
 	}
-	return nil, fmt.Errorf("%q names no party", name)
+	return nil, fmt.Errorf("unknown party %q, must be clients, nodes, node:N, servers, server:N, zone:Z or agent", name)
 }
 
 // partiesIn returns the parties of a kind in a zone, or in all zones if zone is "".
@@ -156,7 +156,7 @@
 func oneParty(name string, kind partyKind, number string, count int) ([]party, error) {
 	n, err := strconv.Atoi(number)
 	if err != nil || n < 0 || n >= count {
-		return nil, fmt.Errorf("%q names no party", name)
+		return nil, fmt.Errorf("party %q: number must be between 0 and %d", name, count-1)
 	}
 	return []party{{kind, n}}, nil
 }
--- a/internal/testbed/figures.go
+++ b/internal/testbed/figures.go
@@ -19,7 +19,7 @@
 // secondTally counts the arrivals that are due in one second of the run.
 type secondTally struct{ requests, served int }
 
-// tally returns the totals over the arrivals that are due from one time up to, but not including, another.
+// tally returns the totals over the arrivals that are due at or after from and before to.
 func (env *environment) tally(from, to time.Duration) *tally {
 	t := &tally{latency: newHistogram(), lateness: newHistogram(), seconds: map[int]secondTally{}}
 	for i := range env.checker.records {
@@ -30,7 +30,7 @@
 	return t
 }
 
-// add adds an arrival.
+// add adds an arrival to the totals.
 func (t *tally) add(r *Record, objective time.Duration) {
 	second := t.seconds[int(r.Due/time.Second)]
 	second.requests++
@@ -79,9 +79,9 @@
 // ratio returns part divided by total. A total of 0 counts as 1, so that 0 of 0 results in 0.
 func ratio(part float64, total int) float64 { return part / math.Max(float64(total), 1) }
 
-// figures computes figures of figureNames over the arrivals that are due from one time up to another. Figures
-// that do not relate to arrivals cover the whole run. The caller adds the figures that are only known at the
-// end of the run.
+// figures computes figures over the arrivals that are due at or after from and before to. Figures that do not
+// relate to arrivals cover the whole run. The caller adds the figures of figureNames that are only known at
+// the end of the run.
 func (env *environment) figures(from, to time.Duration) map[string]float64 {
 	t := env.tally(from, to)
 	cpu, peakMemory := env.nodeUsage()
--- a/internal/testbed/generate.go
+++ b/internal/testbed/generate.go
@@ -8,13 +8,14 @@
 	"time"
 )
 
-// TargetRules lists the rules at which generated scenarios can be aimed.
+// TargetRules lists the rules at which generated scenarios can be aimed. "drains" stands for [RuleDrain] and
+// "ceilings" for [RuleHardLimit]; the other names are those of the rules.
 var TargetRules = []string{"drains", "lost", "cold", "ceilings", "twice"}
 
 // Bounds of generated scenarios, low enough that a few cores can run several of them at once.
 const (
 	maxGeneratedRate  = 140.0           // requests per second
-	maxRelayedServers = 40              // most app servers if links use relays, one per node and server
+	maxRelayedServers = 40              // maximum number of app servers if links use relays: each node has one per server
 	tailAfterFaults   = 5 * time.Second // time from the last event to the end of the run
 	earliestFault     = time.Second     // earliest time of the first event
 )
@@ -84,8 +85,8 @@
 	return &s, nil
 }
 
-// drawDeployment draws the fleet, the classes, the plans and the load. All draw from one random stream, so
-// that a change of their order would change the scenarios of all seeds.
+// drawDeployment draws the fleet, the classes, the plans and the load. All draw from one random stream:
+// a change of their order changes the scenarios of all seeds.
 func (s *Scenario) drawDeployment(d sampler, rule string) {
 	s.Fleet.drawSize(d)
 	s.Fleet.drawConditions(d)
--- a/internal/testbed/generate_test.go
+++ b/internal/testbed/generate_test.go
@@ -33,9 +33,9 @@
 				t.Fatalf("seed %d, rule %q: scenario differs after writing and reading it", seed, rule)
 			}
 			for feature, present := range map[string]bool{
-				"asked": s.Fleet.ListPolled, "pushed": !s.Fleet.ListPolled, "line": s.Fleet.ListCallsPerS > 0,
+				"polled": s.Fleet.ListPolled, "pushed": !s.Fleet.ListPolled, "call limit": s.Fleet.ListCallsPerS > 0,
 				"no peers": s.Fleet.NoGossip, "many servers": s.Fleet.Servers > 128, "one zone": len(s.Fleet.Zones) == 1, "zones": len(s.Fleet.Zones) > 1,
-				"short": s.Load.Deadline < Duration(800*ms), "one node": s.Fleet.Nodes == 1,
+				"short deadline": s.Load.Deadline < Duration(800*ms), "one node": s.Fleet.Nodes == 1,
 			} {
 				if present {
 					seen[feature]++
@@ -47,7 +47,7 @@
 		}
 	}
 	for _, feature := range []string{
-		"asked", "pushed", "line", "no peers", "many servers", "one zone", "zones", "short", "one node", "drain", "kill", "restart",
+		"polled", "pushed", "call limit", "no peers", "many servers", "one zone", "zones", "short deadline", "one node", "drain", "kill", "restart",
 		"stall", "hup", "list-reset", "list-silent", "list-down", "list-late", "list-wordsindent", "list-wordstrickle", "list-wordshalf", "list-wordsnoise",
 		"list-wordsentry", "replace", "peer-loss", "cut-zone", "lose-zone", "slow", "hang", "error", "reset", "spoil", "dead",
 	} {
--- a/internal/testbed/link_tcp.go
+++ b/internal/testbed/link_tcp.go
@@ -60,7 +60,9 @@
 	return nil
 }
 
-// accept forwards the connections to a listener until the listener is closed or its deadline passes.
+// accept accepts connections and starts to forward them, until the listener is closed or its deadline passes.
+// It resets a connection that the link refuses. If the link is cut, it holds the connection open instead of
+// forwarding it.
 func (r *tcpRelay) accept(ln net.Listener) {
 	for {
 		c, err := ln.Accept()
@@ -179,8 +181,8 @@
 	}
 }
 
-// setFault sets whether the link refuses new connections, by a reset. If resetOpen is true, it also resets
-// the open connections.
+// setFault sets whether the link resets new connections (refuse). If resetOpen is true, it also resets the
+// open connections.
 func (r *tcpRelay) setFault(refuse, resetOpen bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testbed/link_test.go
+++ b/internal/testbed/link_test.go
@@ -43,7 +43,7 @@
 // ends stay open.
 func TestLinkEndsConnectionThatIsRegisteredAfterClose(t *testing.T) {
 	for name, relay := range map[string]func(*tcpRelay, net.Conn){
-		"carried":    (*tcpRelay).relay,
+		"relayed":    (*tcpRelay).relay,
 		"blackholed": func(r *tcpRelay, client net.Conn) { r.blackhole(&relayedConn{client: client}) },
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/testbed/link_udp.go
+++ b/internal/testbed/link_udp.go
@@ -10,9 +10,10 @@
 	"time"
 )
 
-// udpRelay forwards the datagrams between nodes. Node i sends to peers[j] to reach node j, and j receives the
-// datagram from peers[i]. One socket per node is enough: a datagram's source address identifies the sender,
-// and the socket that receives it identifies the recipient.
+// udpRelay forwards the datagrams between nodes. It has one relay address for each node. To reach a node,
+// another node sends to the recipient's relay address. The datagram arrives from the sender's relay address.
+// One socket per node is enough: a datagram's source address identifies the sender, and the socket that
+// receives it identifies the recipient.
 type udpRelay struct {
 	env     *environment
 	peers   []string       // relay address of each node
--- a/internal/testbed/list.go
+++ b/internal/testbed/list.go
@@ -41,15 +41,15 @@
 	Instances  []Entry `json:"instances"`
 }
 
-// Timing of the platform's discovery. The grace periods say from when on the rules hold a node to changes
-// that it has not received directly.
+// Timing of the platform's discovery. After the grace periods, the rules hold a node also to changes that it
+// has not received directly.
 const (
 	heartbeatInterval = 2 * time.Second // between the empty lines of a watch without changes
 
-	// silentWatchGrace is the time after a watch fell silent at which a node must know the changes that the
-	// watch did not deliver.
+	// silentWatchGrace is the time from the beginning of a watch's silence to the time at which a node must
+	// know the changes that the watch did not deliver.
 	silentWatchGrace = 6 * time.Second
-	// moveGrace is the time after SIGHUP at which a node must know the list of its new agent.
+	// moveGrace is the time from SIGHUP to the time at which a node must know the list of its new agent.
 	moveGrace = 4 * time.Second
 	// pollInterval is the interval at which a node without a watch has to poll, if lists are polled.
 	pollInterval = 10 * time.Second
@@ -136,8 +136,8 @@
 	return l.service == nil && !l.down
 }
 
-// markDelivered records a message that the agents have. It counts as delivered to the nodes after their grace
-// periods, even if a node has not received it.
+// markDelivered records a message that the agents have. The message counts as delivered to the nodes after
+// their grace periods, even if a node has not received it.
 func (l *list) markDelivered(m listMessage) {
 	for _, n := range l.env.nodes {
 		n.config.Lock()
@@ -146,7 +146,7 @@
 	}
 }
 
-// markDeliveredTo records such a message for one node. The caller holds n.config.
+// markDeliveredTo is markDelivered for a single node. The caller holds n.config.
 func (l *list) markDeliveredTo(n *edgeNode, m listMessage) {
 	if at, ok := n.agent.deliveredAt(l.env.now(), n.movedAt); ok {
 		l.env.recordDeliveredAt(n.number, m, at)
--- a/internal/testbed/list_agent.go
+++ b/internal/testbed/list_agent.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// agentPort is the base of the ports of the project's agents. The first agent gets the next higher port.
-const agentPort = 20000
+// agentBasePort is the base of the ports of the project's agents. The first agent gets the port after it.
+const agentBasePort = 20000
 
 // agent is the emulated discovery agent on one node's machine. It serves the list that the testbed holds, or
 // relays that of the list service or of the project's own agent.
@@ -96,7 +96,7 @@
 	}
 	if l.env.scenario.Fleet.ListAgents {
 		// A node that moves gets another agent, so each agent of the run has its own port.
-		own := fmt.Sprintf("%s:%d", l.env.addresses.addr(11, node%250), agentPort+l.startedAgents.Add(1))
+		own := fmt.Sprintf("%s:%d", l.env.addresses.addr(11, node%250), agentBasePort+l.startedAgents.Add(1))
 		if a.proc, err = l.service.startAgent(node, own); err != nil {
 			return nil, err
 		}
--- a/internal/testbed/list_service.go
+++ b/internal/testbed/list_service.go
@@ -30,7 +30,7 @@
 	replicas      []*replica
 	writes        [writerCount]chan Entry // queued changes; those of one server are in one queue, in order
 	pendingWrites atomic.Int64            // number of changes that the service has not yet accepted
-	calls         *http.Client
+	client        *http.Client
 
 	mu           sync.Mutex
 	incarnations map[string]uint64 // number of starts of each instance, by instance id
@@ -44,7 +44,7 @@
 	proc *process
 }
 
-// Limits of the calls of the list service.
+// Limits for the communication with the list service.
 const (
 	serviceCallTimeout = 3 * time.Second
 	serviceRetryPause  = 100 * time.Millisecond
@@ -54,11 +54,12 @@
 	maxWatchLine       = 16 << 20 // bytes
 )
 
-// startListService starts the replicas one after another. Each must know a leader before the next one starts.
+// startListService starts the replicas one after another. Each must report a leader before the next one
+// starts.
 func startListService(env *environment, binary string) (*listService, error) {
-	s := &listService{env: env, binary: binary, incarnations: map[string]uint64{}, calls: &http.Client{Timeout: serviceCallTimeout}}
+	s := &listService{env: env, binary: binary, incarnations: map[string]uint64{}, client: &http.Client{Timeout: serviceCallTimeout}}
 	for i := range env.scenario.Fleet.ListReplicas {
-		r := &replica{name: fmt.Sprintf("list-%d", i), listen: env.addresses.hostPort(10, i), raft: env.addresses.peerPort(10, i)}
+		r := &replica{name: fmt.Sprintf("list-%d", i), listen: env.addresses.hostPort(10, i), raft: env.addresses.peerHostPort(10, i)}
 		r.dir = filepath.Join(env.dir, r.name)
 		if err := os.RemoveAll(r.dir); err != nil {
 			return s, fmt.Errorf("%s: %w", r.name, err)
@@ -101,13 +102,14 @@
 			return nil
 		}
 		if r.proc.crashed() {
-			return fmt.Errorf("%s ended before it knew a leader: %s", r.name, tail(filepath.Join(s.env.dir, r.name+".log")))
+			return fmt.Errorf("%s ended before it reported a leader: %s", r.name, tail(filepath.Join(s.env.dir, r.name+".log")))
 		}
 		if !s.env.sleep(serviceRetryPause) {
 			return errors.New("the run ended before the list service had a leader")
 		}
 	}
-	return fmt.Errorf("%s knows no leader: %s", r.name, tail(filepath.Join(s.env.dir, r.name+".log")))
+	return fmt.Errorf("%s did not report a leader within %v: %s", r.name, readyWithin,
+		tail(filepath.Join(s.env.dir, r.name+".log")))
 }
 
 // replicaStatus contains the fields of a replica's status that the testbed uses.
@@ -118,7 +120,7 @@
 
 // status requests a replica's status.
 func (s *listService) status(r *replica) (st replicaStatus, err error) {
-	resp, err := s.calls.Get("http://" + r.listen + "/registry/status")
+	resp, err := s.client.Get("http://" + r.listen + "/registry/status")
 	if err != nil {
 		return st, err
 	}
@@ -198,7 +200,7 @@
 		if err != nil {
 			return err
 		}
-		resp, err := s.calls.Do(req)
+		resp, err := s.client.Do(req)
 		if err == nil {
 			text, _ := io.ReadAll(io.LimitReader(resp.Body, 4096)) // used in the error text
 			_ = resp.Body.Close()
@@ -348,5 +350,5 @@
 		}
 	}
 	stops.Wait()
-	s.calls.CloseIdleConnections()
+	s.client.CloseIdleConnections()
 }
--- a/internal/testbed/load_generator.go
+++ b/internal/testbed/load_generator.go
@@ -192,7 +192,7 @@
 	attemptServed attemptOutcome = iota
 	attemptRejected
 	attemptFailed
-	attemptUnreached // not sent to any node
+	attemptUnreached // not sent to the node
 )
 
 // attemptResult is the result of an attempt that has ended, as the client knows it.
@@ -253,7 +253,8 @@
 	}
 }
 
-// recordUnreached records an attempt that could not be sent to any node.
+// recordUnreached records an attempt that was not sent, because the connection to the node failed or because
+// connecting took longer than the client waits.
 func (g *loadGenerator) recordUnreached(t *clientAttempt) attemptResult {
 	g.env.checker.attemptUnanswered(t, g.env.now(), noResponse{})
 	return attemptResult{outcome: attemptUnreached}
@@ -307,11 +308,11 @@
 	if err != nil {
 		_ = cc.Close()
 		g.env.checker.attemptUnanswered(t, now, noResponse{
-			answerable: g.env.answerable(t.node, t.sent), closedNewConn: newConn && !timedOut(err), reason: err.Error(),
+			nodeAvailable: g.env.nodeAvailableSince(t.node, t.sent), closedNewConn: newConn && !timedOut(err), reason: err.Error(),
 		})
 		return attemptResult{outcome: attemptFailed}
 	}
-	g.env.checker.attemptAnswered(t, now, resp.StatusCode, string(body), g.env.answerable(t.node, t.sent))
+	g.env.checker.attemptAnswered(t, now, resp.StatusCode, string(body), g.env.nodeAvailableSince(t.node, t.sent))
 	if resp.Close {
 		_ = cc.Close()
 	} else {
--- a/internal/testbed/mutant.go
+++ b/internal/testbed/mutant.go
@@ -61,10 +61,10 @@
 		return "", err
 	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return "", fmt.Errorf("folder of the run: %w", err)
+		return "", fmt.Errorf("directory of the run: %w", err)
 	}
 	if dir, err = filepath.Abs(dir); err != nil {
-		return "", fmt.Errorf("folder of the run: %w", err)
+		return "", fmt.Errorf("directory of the run: %w", err)
 	}
 	source := filepath.Join(root, m.file)
 	text, err := os.ReadFile(source)
--- a/internal/testbed/report.go
+++ b/internal/testbed/report.go
@@ -190,7 +190,7 @@
 // more.
 const reportedViolations = 20
 
-// writeViolations writes the number of violations by rule, and the first of them in full.
+// writeViolations writes the number of violations by rule, and up to reportedViolations violations in full.
 func (r *Result) writeViolations(b *strings.Builder) {
 	if len(r.Broken) == 0 {
 		return
--- a/internal/testbed/report_test.go
+++ b/internal/testbed/report_test.go
@@ -32,7 +32,7 @@
 	}
 	for _, r := range rows {
 		if r.Figure == "goodput" && (math.Abs(r.Ratio-1.5) > 1e-9 || !r.Apart || r.A.Min != 0.5 || r.A.Max != 0.7 || r.A.Runs != 2) {
-			t.Errorf("%+v", r)
+			t.Errorf("comparison %+v, want ratio 1.5, disjoint ranges, and 2 runs in a from 0.5 to 0.7", r)
 		}
 	}
 	if _, err := Compare(filepath.Join(dir, "a"), writeRun("c", "d9", 1)); err == nil || !strings.Contains(err.Error(), "d9") {
--- a/internal/testbed/run.go
+++ b/internal/testbed/run.go
@@ -27,8 +27,8 @@
 	At, Of     time.Duration // time since the start of the run, and its whole duration
 	Requests   int           // requests due in the last second
 	Served     int           // requests served in the last second
-	Rejected   int           // requests not served, with a rejection and a first response in the last second
-	Failed     int           // other requests with a first response in the last second
+	Rejected   int           // rejected requests, by their first response in the last second
+	Failed     int           // other unserved requests, by their first response in the last second
 	P50, P99   time.Duration // latencies of the requests served in the last second
 	NodesUp    int           // nodes that accept requests
 	Violations int           // rule violations since the start of the run
@@ -168,13 +168,13 @@
 	return up
 }
 
-// monitorNodes samples the nodes every 500 ms and calls live, if it is not nil, at every second sample, until
-// the run ends.
-func (env *environment) monitorNodes(live func(Progress)) {
+// monitorNodes samples the nodes every 500 ms and calls onProgress, if it is not nil, at every second sample,
+// until the run ends.
+func (env *environment) monitorNodes(onProgress func(Progress)) {
 	for tick := 0; env.sleep(500 * time.Millisecond); tick++ {
 		env.sample()
-		if live != nil && tick%2 == 1 {
-			live(env.progress())
+		if onProgress != nil && tick%2 == 1 {
+			onProgress(env.progress())
 		}
 	}
 }
--- a/internal/testbed/scenario_validate.go
+++ b/internal/testbed/scenario_validate.go
@@ -114,7 +114,7 @@
 		return fieldErrorf("name", "must not be empty")
 	case f.ListAgents && f.ListReplicas == 0:
 		return fieldErrorf("fleet.list_agents",
-			"true requires list_replicas, the replicas that the agents follow, of at least 1 (usually 3 or 5), got 0")
+			"requires list_replicas of at least 1 (usually 3 or 5), which the agents follow, got 0")
 	case f.ListPolled && f.ListReplicas > 0:
 		return fieldErrorf("fleet.list_asked",
 			"must be false with list_replicas, because the list service pushes its lists; list_replicas is %d", f.ListReplicas)
--- a/internal/testbed/schedule.go
+++ b/internal/testbed/schedule.go
@@ -109,8 +109,8 @@
 // error. No tenant is created for it.
 const minTenantRate = 1e-9
 
-// drawTenants adds tenants of each plan until their rates add up to the plan's share of the load. The rate of
-// heavy tenants in excess of their quota is not counted in that sum.
+// drawTenants adds tenants of each plan until their rates add up to the plan's share of the load. If a
+// tenant requests more than its quota, only the quota counts in that sum.
 func (d *Schedule) drawTenants(s *Scenario, rng *rand.Rand) {
 	for p, plan := range s.Plans {
 		for remaining := s.Load.Rate * plan.Share; remaining > minTenantRate; {
@@ -145,8 +145,8 @@
 	}
 }
 
-// rateAt returns the factor by which the bursts multiply the request rate at a time.
-func (l *Load) rateAt(at time.Duration) float64 {
+// burstFactor returns the factor by which the bursts multiply the request rate at a time.
+func (l *Load) burstFactor(at time.Duration) float64 {
 	factor := 1.0
 	for _, b := range l.Bursts {
 		if at >= time.Duration(b.At) && (b.For == 0 || at < time.Duration(b.At+b.For)) {
@@ -178,7 +178,7 @@
 		if at >= time.Duration(s.Duration) {
 			return
 		}
-		accepted := rng.Float64()*maxFactor < s.Load.rateAt(at)
+		accepted := rng.Float64()*maxFactor < s.Load.burstFactor(at)
 		i, _ := slices.BinarySearch(sum, rng.Float64()*total)
 		c := &d.Tenants[min(i, len(sum)-1)]
 		units := drawUnits(rng)
--- a/internal/testbed/settings.go
+++ b/internal/testbed/settings.go
@@ -68,7 +68,7 @@
 		},
 		"registryMode": mode,
 		"rules": object{
-			"answerSlack": answerSlack.Seconds(), "askWithin": pollInterval.Seconds(), "coldFrom": f.SlowStartInitialFraction, "drainGrace": drainGrace.Seconds(),
+			"answerSlack": responseSlack.Seconds(), "askWithin": pollInterval.Seconds(), "coldFrom": f.SlowStartInitialFraction, "drainGrace": drainGrace.Seconds(),
 			"fallMultiple": f.OverloadFactor, "overloadFor": f.OverloadWindow.s(), "rampTime": f.SlowStartDuration.s(),
 		},
 		"stage": 0, "tariffs": plans, "tick": 0.002, "tiers": []string{"devis-pool"}, "weights": "rough",
--- a/internal/testbed/slack.go
+++ b/internal/testbed/slack.go
@@ -9,23 +9,23 @@
 // it, so that the result of a run does not depend on other load of the machine. For a number that is not a
 // node's, it returns the lag alone.
 func (env *environment) slack(node int) time.Duration {
-	env.lagMu.Lock()
+	env.resultMu.Lock()
 	lag := env.lag
-	env.lagMu.Unlock()
+	env.resultMu.Unlock()
 	if node < 0 || node >= len(env.nodes) {
 		return lag
 	}
 	n := env.nodes[node]
 	n.mu.Lock()
-	starved := n.starved
+	cpuWait := n.starved
 	n.mu.Unlock()
-	return lag + starved
+	return lag + cpuWait
 }
 
 // peakSlack returns the largest slack of the run so far.
 func (env *environment) peakSlack() time.Duration {
-	env.lagMu.Lock()
-	defer env.lagMu.Unlock()
+	env.resultMu.Lock()
+	defer env.resultMu.Unlock()
 	return env.withheld
 }
 
@@ -43,21 +43,21 @@
 		return false
 	}
 	overslept := time.Since(start) - lagTick
-	env.lagMu.Lock()
-	defer env.lagMu.Unlock()
+	env.resultMu.Lock()
+	defer env.resultMu.Unlock()
 	env.lag -= env.lag / 500 // decays to about a third in 5 s
 	env.lag = max(env.lag, overslept)
 	return true
 }
 
-// sample reads the resource usage of the nodes and updates their peak memory, their starved time and the
-// run's peak slack. Starved time is measured over the last maxSamples samples, which are taken every 500 ms.
+// sample reads the resource usage of the nodes and updates their peak memory, their CPU wait and the run's
+// peak slack. The CPU wait is measured over the last maxSamples samples, which are taken every 500 ms.
 func (env *environment) sample() {
 	const maxSamples = 10
 	peakMemory := int64(0)
 	defer func() {
-		env.lagMu.Lock()
-		defer env.lagMu.Unlock()
+		env.resultMu.Lock()
+		defer env.resultMu.Unlock()
 		for sec := int(env.now() / time.Second); len(env.memory) <= sec; {
 			env.memory = append(env.memory, 0)
 		}
@@ -84,8 +84,8 @@
 		n.starved = u.starved - n.usageSamples[0].starved
 		n.mu.Unlock()
 		slack := env.slack(n.number)
-		env.lagMu.Lock()
+		env.resultMu.Lock()
 		env.withheld = max(env.withheld, slack)
-		env.lagMu.Unlock()
+		env.resultMu.Unlock()
 	}
 }
--- a/internal/testbed/sweep.go
+++ b/internal/testbed/sweep.go
@@ -185,9 +185,9 @@
 // maxSeeds is the maximum number of seeds in a range.
 const maxSeeds = 100_000
 
-// maxSlack is the largest slack with which a generated scenario can pass. It is shorter than the shortest
+// slackLimit is the largest slack with which a generated scenario can pass. It is shorter than the shortest
 // grace period of a rule.
-const maxSlack = 200 * time.Millisecond
+const slackLimit = 200 * time.Millisecond
 
 // runSeed generates and runs the scenario of a seed, and reduces it if it breaks a rule and the deadline is
 // not reached.
@@ -251,19 +251,19 @@
 		}
 	case r.Behind:
 		run.Verdict, run.Reason = NotJudged, fmt.Sprintf("the load generator was %.0f ms late: the machine is too slow for this scenario", r.Figures["lateness_ms"])
-	case run.slack > maxSlack:
+	case run.slack > slackLimit:
 		run.Verdict, run.Reason = NotJudged, fmt.Sprintf("the machine withheld CPU for %v: it is too slow for this scenario", run.slack.Round(time.Millisecond))
 	}
 	return run
 }
 
-// reduce returns a smaller version of a failing scenario and the number of reductions applied. It attempts to
+// reduce returns a smaller version of a failing scenario and the number of reductions applied. It tries to
 // remove faults and bursts one by one, to halve the numbers of nodes and app servers, and to shorten the run.
 // It keeps each change with which the scenario still breaks one of the same rules. It makes at most o.Reduce
 // runs and starts none after the deadline.
 func (o *SweepOptions) reduce(ctx context.Context, s *Scenario, seed uint64, failed GeneratedRun, dir string, deadline time.Time) (reduced *Scenario, steps int) {
 	runs := 0
-	attempt := func(change func(c *Scenario) bool) bool {
+	try := func(change func(c *Scenario) bool) bool {
 		if runs >= o.Reduce || ctx.Err() != nil || !deadline.IsZero() && time.Now().After(deadline) {
 			return false
 		}
@@ -283,23 +283,23 @@
 		return false
 	}
 	for i := len(s.Faults) - 1; i >= 0; i-- {
-		attempt(func(c *Scenario) bool {
+		try(func(c *Scenario) bool {
 			c.Faults = slices.Delete(c.Faults, i, i+1)
 			return len(c.Faults) > 0
 		})
 	}
 	for i := len(s.Load.Bursts) - 1; i >= 0; i-- {
-		attempt(func(c *Scenario) bool { c.Load.Bursts = slices.Delete(c.Load.Bursts, i, i+1); return true })
+		try(func(c *Scenario) bool { c.Load.Bursts = slices.Delete(c.Load.Bursts, i, i+1); return true })
 	}
-	for attempt(func(c *Scenario) bool { c.Fleet.Nodes /= 2; return c.Fleet.Nodes > 0 }) {
+	for try(func(c *Scenario) bool { c.Fleet.Nodes /= 2; return c.Fleet.Nodes > 0 }) {
 	}
-	for attempt(func(c *Scenario) bool { c.Fleet.Servers /= 2; return c.Fleet.Servers > 1 }) {
+	for try(func(c *Scenario) bool { c.Fleet.Servers /= 2; return c.Fleet.Servers > 1 }) {
 	}
-	attempt(func(c *Scenario) bool {
+	try(func(c *Scenario) bool {
 		c.Duration -= Duration(tailAfterFaults / 2)
 		return c.Duration > Duration(time.Second)
 	})
-	_ = os.RemoveAll(filepath.Join(dir, "smaller")) // only the files of the last run, not needed any more
+	_ = os.RemoveAll(filepath.Join(dir, "smaller")) // the files of the last run are not needed
 	return s, steps
 }
 
--- a/internal/testbed/sweep_test.go
+++ b/internal/testbed/sweep_test.go
@@ -10,7 +10,7 @@
 func TestParseSeeds(t *testing.T) {
 	for text, want := range map[string][2]uint64{"1-200": {1, 200}, "7": {7, 7}, "3-3": {3, 3}} {
 		if from, to, err := ParseSeeds(text); err != nil || from != want[0] || to != want[1] {
-			t.Errorf("%q: %d to %d, error %v", text, from, to, err)
+			t.Errorf("%q: %d to %d, error %v; want %d to %d", text, from, to, err, want[0], want[1])
 		}
 	}
 	for _, text := range []string{"", "x", "1-", "-1", "9-3", "1-2-3", "1.5", "1-99999999999999999999999"} {
@@ -54,7 +54,7 @@
 				t.Fatal(err)
 			}
 			if got := r.Broken[RuleDrain] > 0; got != (c.mutant != "") || c.mutant == "" && len(r.Broken) > 0 {
-				t.Errorf("broken rules %v: %v", r.Broken, r.Violations[:min(3, len(r.Violations))])
+				t.Errorf("broken rules %v, want a broken drain rule: %v; violations %v", r.Broken, c.mutant != "", r.Violations[:min(3, len(r.Violations))])
 			}
 		})
 	}
@@ -77,7 +77,7 @@
 		t.Fatal(err)
 	}
 	if r.Played != 1 || calls != 1 || r.Counts[BrokeRule] != 1 || r.OK() || r.Runs[0].Rules[RuleDrain] == 0 || r.Runs[0].Command == "" {
-		t.Fatalf("report %+v", r)
+		t.Fatalf("report %+v, want one run, reported once, that broke the drain rule", r)
 	}
 	if _, err := LoadScenario(filepath.Join(dir, "seed-4", "scenario.toml")); err != nil {
 		t.Error(err)
