--- a/internal/testbed/checker.go
+++ b/internal/testbed/checker.go
@@ -166,8 +166,8 @@
 }
 
 // attemptAnswered checks and records the final response to an attempt. nodeAvailable reports whether the node
-// was able to respond at all times since the attempt was sent. Only then does a late response violate
-// RuleLost.
+// was able to respond at all times since the attempt was sent. A late response violates RuleLost only in this
+// case.
 func (r *checker) attemptAnswered(t *clientAttempt, at time.Duration, status int, body string, nodeAvailable bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
