--- a/cmd/opalhook/main_test.go
+++ b/cmd/opalhook/main_test.go
@@ -11,8 +11,8 @@
 	"github.com/spf13/cobra"
 )
 
-// call runs the command with arguments and returns its output to stdout and stderr, and its error.
-func call(t *testing.T, args ...string) (string, error) {
+// runCommand runs the command line with arguments. It returns the output to stdout and stderr, and the error.
+func runCommand(t *testing.T, args ...string) (string, error) {
 	t.Helper()
 	c := root()
 	var out bytes.Buffer
@@ -46,7 +46,7 @@
 			t.Fatal(err)
 		}
 	}
-	out, err := call(t, "lab", "list", dir, "-o", "json")
+	out, err := runCommand(t, "lab", "list", dir, "-o", "json")
 	if err == nil || !strings.Contains(err.Error(), "bad.toml:2: nodes: unknown key") {
 		t.Errorf("error %v, want one that names bad.toml", err)
 	}
@@ -74,7 +74,7 @@
 		{[]string{"lab", "scale", "--sizes", "10"}, "--sizes: requires exactly one part, because each part has its own sizes; got "},
 		{[]string{"up", "--for", "10ms"}, "duration"},
 	} {
-		if _, err := call(t, c.args...); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := runCommand(t, c.args...); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%v: error %v, want %q", c.args, err, c.want)
 		}
 	}
--- a/cmd/opalhook/registry.go
+++ b/cmd/opalhook/registry.go
@@ -60,9 +60,9 @@
 	c := &cobra.Command{
 		Use:   "serve",
 		Short: "Run a replica of the list service",
-		Long: "Run a replica of the list service until a signal. Without flags, the replica is a service of its own that listens on\n" +
-			"loopback and stores its state in a folder. Further replicas join it with --join; run three or five replicas to\n" +
-			"tolerate the failure of one or two.",
+		Long: "Run a replica of the list service until stopped by a signal. Without flags, the service consists of this replica\n" +
+			"only, which listens on loopback and stores its state in a folder. Further replicas join it with --join; run three or\n" +
+			"five replicas to tolerate the failure of one or two.",
 		Example: "  opalhook registry serve\n  opalhook registry serve --listen 127.0.0.2:8500 --raft 127.0.0.2:8501 --data r2 --join 127.0.0.1:8500",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -116,7 +116,7 @@
 func registryShow(f *registryFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:     "show ID",
-		Short:   "Show an instance, including all acknowledged writes",
+		Short:   "Show an instance with the effects of all acknowledged writes",
 		Example: "  opalhook registry show s-1 -o json",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -148,10 +148,10 @@
 		Example: "  opalhook registry watch\n  opalhook registry watch --from 41 -o json",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			var werr error
+			var writeErr error
 			err := f.client().Watch(c.Context(), from, func(generation uint64, reset bool, entries []registry.Entry) {
 				if f.json() {
-					werr = errors.Join(werr, writeJSON(c.OutOrStdout(), map[string]any{"generation": generation, "reset": reset, "instances": entries}))
+					writeErr = errors.Join(writeErr, writeJSON(c.OutOrStdout(), map[string]any{"generation": generation, "reset": reset, "instances": entries}))
 					return
 				}
 				kind := "changes"
@@ -164,12 +164,12 @@
 					fmt.Fprintf(&text, "  %s %s %s\n", e.InstanceID, e.HostPort, e.Lifecycle)
 				}
 				_, err := io.WriteString(c.OutOrStdout(), text.String())
-				werr = errors.Join(werr, err)
+				writeErr = errors.Join(writeErr, err)
 			})
 			if c.Context().Err() != nil {
-				return werr
+				return writeErr
 			}
-			return errors.Join(err, werr)
+			return errors.Join(err, writeErr)
 		},
 	}
 	c.Flags().Uint64Var(&from, "from", 0, "generation after which changes are printed; 0: print the full list first")
@@ -225,7 +225,7 @@
 func registryChange(f *registryFlags, verb, short string,
 	do func(*registry.Client, context.Context, registry.InstanceRef) (registry.Outcome, error),
 ) *cobra.Command {
-	var o registry.InstanceRef
+	var ref registry.InstanceRef
 	c := &cobra.Command{
 		Use:     verb + " ID",
 		Short:   short,
@@ -234,15 +234,15 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			ctx, cancel := f.context(c)
 			defer cancel()
-			o.ID = args[0]
-			out, err := do(f.client(), ctx, o)
+			ref.ID = args[0]
+			outcome, err := do(f.client(), ctx, ref)
 			if err != nil {
 				return err
 			}
-			return writeOutcome(f.globalFlags, c, out)
+			return writeOutcome(f.globalFlags, c, outcome)
 		},
 	}
-	c.Flags().Uint64Var(&o.Incarnation, "incarnation", 0, "change the instance only if it has this incarnation; 0: any")
+	c.Flags().Uint64Var(&ref.Incarnation, "incarnation", 0, "change the instance only if it has this incarnation; 0: any")
 	return c
 }
 
--- a/cmd/opalhook/scale.go
+++ b/cmd/opalhook/scale.go
@@ -23,7 +23,7 @@
 		Use:   "scale",
 		Short: "Measure how edge nodes and the list service scale with the fleet",
 		Long: "Measure parts of the program at increasing sizes: edge nodes without sockets on a simulated clock, and the list service.\n" +
-			"Counts depend only on the seed; times depend on this machine. After Ctrl-C, the report has the sizes measured so far.\n\n" +
+			"Counts depend only on the seed; times depend on this machine. After Ctrl-C, the report contains the sizes measured so far.\n\n" +
 			"Parts:\n" + scalePartsHelp() + "\n" +
 			"Exit codes: 0 if everything was measured, 2 if --part or --sizes is invalid or a size needs more than half of this\n" +
 			"machine's memory, 1 if a measurement failed, 130 after a signal.",
@@ -107,8 +107,8 @@
 	paths, err := report.WritePlots(dir)
 	if !s.json() {
 		for _, path := range paths {
-			_, werr := fmt.Fprintln(out, path)
-			err = errors.Join(err, werr)
+			_, writeErr := fmt.Fprintln(out, path)
+			err = errors.Join(err, writeErr)
 		}
 	}
 	return err
--- a/cmd/opalhook/scale_test.go
+++ b/cmd/opalhook/scale_test.go
@@ -23,7 +23,7 @@
 		{"--part", "node-list", "--sizes", "2000000000"},
 		{"--part", "node-list", "--sizes", "9223372036854775807"},
 	} {
-		out, err := call(t, append([]string{"lab", "scale", "--dir", t.TempDir()}, args...)...)
+		out, err := runCommand(t, append([]string{"lab", "scale", "--dir", t.TempDir()}, args...)...)
 		if !errors.As(err, new(usageError)) {
 			t.Errorf("%v: error %v, want a usageError", args, err)
 		}
@@ -31,7 +31,7 @@
 			t.Errorf("%v: wrote %q, want no output", args, out)
 		}
 	}
-	_, err := call(t, "lab", "scale", "--part", "node-list", "--sizes", "2000000000")
+	_, err := runCommand(t, "lab", "scale", "--part", "node-list", "--sizes", "2000000000")
 	var memory *scale.MemoryError
 	if !errors.As(err, &memory) || memory.Part != "node-list" || memory.Size != 2000000000 {
 		t.Errorf("error %v, want a MemoryError for node-list at 2000000000", err)
@@ -78,7 +78,7 @@
 		t.Fatalf("%q: %v", out.String(), err)
 	}
 	if report.Seed != 4 || len(report.Parts) != 1 || len(report.Parts[0].Rows) == 0 || report.Parts[0].Rows[0].Size != 50 {
-		t.Errorf("unexpected report %+v", report)
+		t.Errorf("report %+v, want seed 4 and one part with rows of size 50", report)
 	}
 }
 
--- a/cmd/opalhook/sweep.go
+++ b/cmd/opalhook/sweep.go
@@ -31,7 +31,7 @@
 		Long: "Generate a scenario (a deployment and a timeline of faults) for each seed of a range, run it with real edge nodes, and\n" +
 			"check the rules. A scenario that violates a rule is reduced to fewer faults, processes and seconds, as long as it still\n" +
 			"violates the rule. A scenario for which this machine is too slow is reported as not judged, which does not count as\n" +
-			"passed. After Ctrl-C, the report has the scenarios that were run.\n\n" +
+			"passed. After Ctrl-C, the report contains the scenarios that were run.\n\n" +
 			"Exit codes: 0 if no rule was violated, 3 if a rule was violated or a scenario could not be run, 2 if the value of a flag\n" +
 			"is invalid, 1 if the sweep could not be run, 130 after a signal.",
 		Example: "  opalhook testbed sweep --seeds 1-200 --jobs 6\n  opalhook testbed sweep --seeds 1-40 --rule drains --budget 5m -o json\n" +
--- a/cmd/opalhook/testbed_output.go
+++ b/cmd/opalhook/testbed_output.go
@@ -44,9 +44,9 @@
 // maxShownViolations is the maximum number of violations in a summary. The result file lists more.
 const maxShownViolations = 5
 
-// writeSummary writes the outcome of a run: its main figures, violations and failed expectations, and where
-// its files are.
-func writeSummary(out io.Writer, r *testbed.Result, files string) error {
+// writeSummary writes the outcome of a run: its main figures, violations and failed expectations, and the
+// location of its files.
+func writeSummary(out io.Writer, r *testbed.Result, location string) error {
 	outcome := "passed"
 	if !r.OK() {
 		outcome = "FAILED"
@@ -65,7 +65,7 @@
 			fmt.Fprintf(&text, "  expected %s %s, got %.4g\n", check.Expect.Figure, check.Expect.Bound(), check.Got)
 		}
 	}
-	fmt.Fprintf(&text, "  %s\n", files)
+	fmt.Fprintf(&text, "  %s\n", location)
 	_, err := io.WriteString(out, text.String())
 	return err
 }
--- a/internal/scale/clock.go
+++ b/internal/scale/clock.go
@@ -21,9 +21,9 @@
 }
 
 // after schedules an event to run after a delay. A negative delay counts as 0.
-func (c *clock) after(wait time.Duration, run func()) {
+func (c *clock) after(delay time.Duration, run func()) {
 	c.count++
-	heap.Push(&c.events, event{at: c.now + max(wait, 0), order: c.count, run: run})
+	heap.Push(&c.events, event{at: c.now + max(delay, 0), order: c.count, run: run})
 }
 
 // runUntil runs all events scheduled up to and including end and sets the clock to end. It returns the
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// zoneOf returns the zone of a node or an app server by its number.
+// zoneOf returns the zone of the edge node or app server with the given number.
 func zoneOf(number int) string { return "zone-" + strconv.Itoa(number%serverZones) }
 
 // server returns the list entry of the app server with the given number. It depends on the number alone.
@@ -62,20 +62,20 @@
 	return list
 }
 
-// counts are the counters of an edge node, or their sums over a fleet. They depend on the seed alone.
+// counts are the counters of an edge node, or their sums over a fleet. They are the same for the same seed.
 type counts struct {
 	requests, served, rejected, failed        int
 	duplicateResponses                        int // final responses to a request that already had one
 	unanswered                                int // requests without a final response after their deadline
 	attempts                                  int
 	quotaRequests, quotaGrants, otherMessages int     // messages sent, by kind
-	bytes                                     int     // bytes of the messages sent
+	sentBytes                                 int     // bytes of the messages sent
 	longestMessage                            int     // bytes of the longest message sent
 	arrived, discarded                        int     // messages that reached the inbox, and those discarded because of its rate limit
 	receivedBytes                             int     // bytes of the messages that the inbox accepted
 	admittedUnits                             float64 // units of the requests sent to a server
 	overQuotaUnits                            float64 // admitted units of requests that exceeded the tenant's quota
-	rejectedInQuota                           int     // requests rejected while at least half of the tenant's burst was unused
+	rejectedInQuota                           int     // requests rejected before their first attempt although the quota covered them and at least half of the tenant's burst was unused
 }
 
 func (c *counts) add(d *counts) {
@@ -89,7 +89,7 @@
 	c.quotaRequests += d.quotaRequests
 	c.quotaGrants += d.quotaGrants
 	c.otherMessages += d.otherMessages
-	c.bytes += d.bytes
+	c.sentBytes += d.sentBytes
 	c.longestMessage = max(c.longestMessage, d.longestMessage)
 	c.arrived += d.arrived
 	c.discarded += d.discarded
@@ -104,16 +104,16 @@
 // fleet is a set of simulated edge nodes with real balancers on one simulated clock. The behavior of clients,
 // app servers and links is generated from one seed, so that the same seed leads to the same decisions.
 type fleet struct {
-	clock      clock
-	rng        *rand.Rand
-	link       link
-	seed       uint64
-	nodeCount  int
-	entryNodes int
-	inboxRate  float64                // rate limit of each inbox, in messages per second
-	nodes      map[int]*simulatedNode // by number; messages to a node that is not simulated are counted and dropped
-	added      []*simulatedNode       // the same nodes in the order in which they were added
-	nextID     int                    // number of requests so far
+	clock        clock
+	rng          *rand.Rand
+	link         link
+	seed         uint64
+	nodeCount    int
+	entryNodes   int
+	inboxRate    float64                // rate limit of each inbox, in messages per second
+	nodes        map[int]*simulatedNode // by number; messages to a node that is not simulated are counted and dropped
+	added        []*simulatedNode       // the same nodes in the order in which they were added
+	requestCount int                    // number of requests so far
 }
 
 func newFleet(seed uint64, nodeCount, entryNodes int) *fleet {
@@ -142,7 +142,7 @@
 	return n, nil
 }
 
-// addAllNodes creates all edge nodes of the fleet, each with the list of the first servers.
+// addAllNodes creates all edge nodes of the fleet, each with a list of the given number of servers.
 func (f *fleet) addAllNodes(servers int) error {
 	for number := range f.nodeCount {
 		n, err := f.addNode(number)
--- a/internal/scale/fleet_test.go
+++ b/internal/scale/fleet_test.go
@@ -110,7 +110,7 @@
 	lost := 0
 	const messages = 20000
 	for range messages {
-		delay, arrives := f.link.send()
+		delay, arrives := f.link.sampleDelivery()
 		if delay < minLinkDelay || delay >= maxLinkDelay {
 			t.Fatalf("delay %v, want from %v to below %v", delay, minLinkDelay, maxLinkDelay)
 		}
--- a/internal/scale/link.go
+++ b/internal/scale/link.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// Links between edge nodes, as the platform provides them: a message is delayed or lost, and an edge node
-// discards messages that exceed the rate limit of its inbox.
+// Properties of the platform's links between edge nodes. A link delays or loses messages, and the receiving
+// edge node discards messages that exceed the rate limit of its inbox.
 const (
-	maxMessage   = 256 // bytes
+	maxMessage   = 256 // maximum length of a message, in bytes
 	minLinkDelay = 2 * time.Millisecond
 	maxLinkDelay = 15 * time.Millisecond
-	linkLoss     = 0.04 // fraction of messages; the middle of the platform's range of 0 to 0.08
+	linkLoss     = 0.04 // fraction of messages that are lost; the middle of the platform's range of 0 to 0.08
 )
 
 // link simulates the link between two edge nodes.
 type link struct{ rng *rand.Rand }
 
-// send returns the delay of a message, and whether it arrives at all.
-func (l link) send() (time.Duration, bool) {
+// sampleDelivery returns a random delay for a message, and whether the message arrives.
+func (l link) sampleDelivery() (time.Duration, bool) {
 	delay := minLinkDelay + time.Duration(l.rng.Int64N(int64(maxLinkDelay-minLinkDelay)))
 	return delay, l.rng.Float64() >= linkLoss
 }
 
-// inbox limits the rate at which an edge node accepts messages. It is a token bucket whose burst is the
-// messages of one second.
+// inbox limits the rate at which an edge node accepts messages. It is a token bucket that holds the
+// messages of one second at most.
 type inbox struct {
 	rate       float64 // messages per second
 	tokens     float64
--- a/internal/scale/list.go
+++ b/internal/scale/list.go
@@ -78,8 +78,9 @@
 	}
 }
 
-// ListState returns the part that measures the memory, snapshots and recovery of a replica without clients.
-func ListState() Part {
+// listStatePart returns the part that measures the memory, snapshots and recovery of a replica without
+// clients.
+func listStatePart() Part {
 	return Part{
 		Name:      "list-state",
 		Title:     "Memory, snapshot, restore and recovery of one replica of the list service, on loopback and with its log on disk.",
@@ -96,15 +97,15 @@
 	if err != nil {
 		return err
 	}
-	service, err := measureRestore(steps, rows, backup)
+	replica, err := measureRestore(steps, rows, backup)
 	if err != nil {
 		return err
 	}
-	defer func() { err = errors.Join(err, service.close()) }()
-	if err := measureSnapshot(steps, rows, service); err != nil {
+	defer func() { err = errors.Join(err, replica.close()) }()
+	if err := measureSnapshot(steps, rows, replica); err != nil {
 		return err
 	}
-	return measureRecovery(steps, rows, service)
+	return measureRecovery(steps, rows, replica)
 }
 
 // measureEncoding creates a list, encodes it and decodes it again. It returns the encoded list.
@@ -140,23 +141,23 @@
 	}
 	before := heapInUse()
 	start := time.Now()
-	service, err := startReplica(steps.ctx, backup)
+	replica, err := startReplica(steps.ctx, backup)
 	if err != nil {
 		return nil, err
 	}
 	rows.time("restore of a backup, until the replica leads", time.Since(start))
 	rows.bytes("heap of a replica", heapGrowth(before))
 	runtime.KeepAlive(backup)
-	return service, nil
+	return replica, nil
 }
 
 // measureSnapshot measures how long a replica takes to write a snapshot.
-func measureSnapshot(steps *listSteps, rows *listRows, service *listReplica) error {
+func measureSnapshot(steps *listSteps, rows *listRows, replica *listReplica) error {
 	if err := steps.next("writing a snapshot"); err != nil {
 		return err
 	}
 	start := time.Now()
-	if err := service.Snapshot(); err != nil {
+	if err := replica.Snapshot(); err != nil {
 		return err
 	}
 	rows.time("snapshot, to its file", time.Since(start))
@@ -164,20 +165,20 @@
 }
 
 // measureRecovery stops a replica and starts it again from its snapshot.
-func measureRecovery(steps *listSteps, rows *listRows, service *listReplica) error {
+func measureRecovery(steps *listSteps, rows *listRows, replica *listReplica) error {
 	if err := steps.next("recovering"); err != nil {
 		return err
 	}
-	generation := service.Generation()
-	if err := service.stop(); err != nil {
+	generation := replica.Generation()
+	if err := replica.stop(); err != nil {
 		return err
 	}
 	start := time.Now()
-	if err := service.start(steps.ctx, ""); err != nil {
+	if err := replica.start(steps.ctx, ""); err != nil {
 		return err
 	}
 	rows.time("recovery from a snapshot", time.Since(start))
-	if got := service.Generation(); got != generation {
+	if got := replica.Generation(); got != generation {
 		return fmt.Errorf("replica recovered at generation %d, want %d", got, generation)
 	}
 	return nil
@@ -199,9 +200,9 @@
 	lostZone           = 0   // number of the zone that is lost
 )
 
-// ListService returns the part that measures how a replica delivers changes and complete lists to its
+// listWatchesPart returns the part that measures how a replica delivers changes and complete lists to its
 // watches. The ratio of watches to entries is that of the planned fleet.
-func ListService() Part {
+func listWatchesPart() Part {
 	return Part{
 		Name: "list-watches",
 		Title: "Watches of one replica of the list service, over loopback in one process, with 41 watches per 2,000 entries as planned: " +
@@ -210,41 +211,41 @@
 		Sizes:     listSizes,
 		TestSizes: listTestSizes,
 		Memory:    func(size int) uint64 { return listServiceMemory(1, size) },
-		Measure:   measureInSteps("list-watches", 6, measureService),
+		Measure:   measureInSteps("list-watches", 6, measureWatches),
 	}
 }
 
 // watchesOf returns the number of watches of a list, in the proportion of the planned fleet.
 func watchesOf(entries int) int { return max(entries*plannedWatches/plannedEntries, 1) }
 
-func measureService(steps *listSteps, rows *listRows) (err error) {
-	service, err := steps.restore(rows.size, listLease, electionTimeout)
+func measureWatches(steps *listSteps, rows *listRows) (err error) {
+	replica, err := steps.restore(rows.size, listLease, singleElectionTimeout)
 	if err != nil {
 		return err
 	}
-	defer func() { err = errors.Join(err, service.close()) }()
-	run := serviceRun{steps: steps, rows: rows, service: service, writer: newListWriter(service.Addr()), watches: watchesOf(rows.size)}
+	defer func() { err = errors.Join(err, replica.close()) }()
+	run := watchesRun{steps: steps, rows: rows, replica: replica, writer: newListWriter(replica.Addr()), watches: watchesOf(rows.size)}
 	defer run.writer.close()
 	return errors.Join(run.measureOpenWatches(), run.measureReconnects(), run.measureSnapshots())
 }
 
-// serviceRun is a measurement of [ListService] at one size.
-type serviceRun struct {
+// watchesRun is a measurement of [listWatchesPart] at one size.
+type watchesRun struct {
 	steps      *listSteps
 	rows       *listRows
-	service    *listReplica
+	replica    *listReplica
 	writer     *listWriter
 	watches    int
 	beforeZone uint64 // generation before the first entry of the zone is removed
 }
 
 // measureOpenWatches measures the delivery of changes to open watches.
-func (r *serviceRun) measureOpenWatches() error {
+func (r *watchesRun) measureOpenWatches() error {
 	if err := r.steps.next("opening watches"); err != nil {
 		return err
 	}
 	start := time.Now()
-	watches, err := openWatches(r.steps.ctx, startsAt(r.service.Addr(), r.watches, r.service.Generation()), r.steps.env.Seed)
+	watches, err := openWatches(r.steps.ctx, startsAt(r.replica.Addr(), r.watches, r.replica.Generation()), r.steps.env.Seed)
 	if err != nil {
 		return err
 	}
@@ -258,7 +259,7 @@
 }
 
 // measureSingleChanges measures the delivery of changes that are written one after another.
-func (r *serviceRun) measureSingleChanges(watches *listWatches) error {
+func (r *watchesRun) measureSingleChanges(watches *watchSet) error {
 	if err := r.steps.next("writing single changes"); err != nil {
 		return err
 	}
@@ -283,11 +284,11 @@
 }
 
 // measureZoneLoss measures the delivery of the removals of a zone, each a separate change.
-func (r *serviceRun) measureZoneLoss(watches *listWatches) error {
+func (r *watchesRun) measureZoneLoss(watches *watchSet) error {
 	if err := r.steps.next("removing a zone"); err != nil {
 		return err
 	}
-	r.beforeZone = r.service.Generation()
+	r.beforeZone = r.replica.Generation()
 	before := watches.totals()
 	start := time.Now()
 	lost := zoneEntries(r.rows.size)
@@ -311,15 +312,16 @@
 }
 
 // syncNewWatches opens n watches that start after a generation, waits until all of them have the current
-// list, and closes them. It returns what they received and how long that took.
-func (r *serviceRun) syncNewWatches(n int, from uint64) (received watchTotals, took time.Duration, err error) {
+// list, and closes them. It returns the totals of the watches and the time until the last of them had the
+// list.
+func (r *watchesRun) syncNewWatches(n int, from uint64) (received watchTotals, took time.Duration, err error) {
 	start := time.Now()
-	watches, err := openWatches(r.steps.ctx, startsAt(r.service.Addr(), n, from), r.steps.env.Seed)
+	watches, err := openWatches(r.steps.ctx, startsAt(r.replica.Addr(), n, from), r.steps.env.Seed)
 	if err != nil {
 		return received, 0, err
 	}
 	defer watches.close()
-	last, err := watches.awaitGeneration(r.steps.ctx, r.service.Generation())
+	last, err := watches.awaitGeneration(r.steps.ctx, r.replica.Generation())
 	if err != nil {
 		return received, 0, err
 	}
@@ -328,7 +330,7 @@
 
 // measureReconnects measures how all watches catch up if they reconnect at the same time, starting from the
 // generation before the zone was lost.
-func (r *serviceRun) measureReconnects() error {
+func (r *watchesRun) measureReconnects() error {
 	if err := r.steps.next("reconnecting all watches"); err != nil {
 		return err
 	}
@@ -344,7 +346,7 @@
 }
 
 // measureSnapshots measures the delivery of complete lists to new watches.
-func (r *serviceRun) measureSnapshots() error {
+func (r *watchesRun) measureSnapshots() error {
 	if err := r.steps.next("sending complete lists"); err != nil {
 		return err
 	}
--- a/internal/scale/list_expiry.go
+++ b/internal/scale/list_expiry.go
@@ -20,9 +20,9 @@
 	return minZoneLease + time.Duration(watchesOf(entries))*zoneLeasePerWatch
 }
 
-// ListExpiry returns the part that measures how the service detects the loss of a zone: the leases of all its
-// instances expire together.
-func ListExpiry() Part {
+// listExpiryPart returns the part that measures how the service detects the loss of a zone: the leases of all
+// its instances expire together.
+func listExpiryPart() Part {
 	return Part{
 		Name: "list-expiry",
 		Title: "Loss of a zone whose leases expire, at one replica of the list service with watches as planned, over loopback in one process: " +
@@ -37,24 +37,24 @@
 
 func measureExpiry(steps *listSteps, rows *listRows) (err error) {
 	lease := zoneLease(rows.size)
-	service, err := steps.restore(rows.size, lease, electionTimeout)
+	replica, err := steps.restore(rows.size, lease, singleElectionTimeout)
 	if err != nil {
 		return err
 	}
-	defer func() { err = errors.Join(err, service.close()) }()
-	run := expiryRun{steps: steps, rows: rows, service: service, writer: newListWriter(service.Addr()), leaseTerm: lease, before: service.Generation()}
+	defer func() { err = errors.Join(err, replica.close()) }()
+	run := expiryRun{steps: steps, rows: rows, replica: replica, writer: newListWriter(replica.Addr()), leaseDuration: lease, before: replica.Generation()}
 	defer run.writer.close()
 	return run.measure()
 }
 
-// expiryRun is a measurement of [ListExpiry] at one size.
+// expiryRun is a measurement of [listExpiryPart] at one size.
 type expiryRun struct {
-	steps     *listSteps
-	rows      *listRows
-	service   *listReplica
-	writer    *listWriter
-	leaseTerm time.Duration // lease duration of the zone's instances
-	before    uint64        // generation before the first expiry
+	steps         *listSteps
+	rows          *listRows
+	replica       *listReplica
+	writer        *listWriter
+	leaseDuration time.Duration // lease duration of the zone's instances
+	before        uint64        // generation before the first expiry
 }
 
 // earlyExpiryError reports that a lease expired before all watches were open and all leases had been renewed.
@@ -69,8 +69,8 @@
 
 // checkNoneExpired returns an [earlyExpiryError] if a lease has expired.
 func (r *expiryRun) checkNoneExpired() error {
-	if now := r.service.Generation(); now != r.before {
-		return &earlyExpiryError{r.leaseTerm, r.before, now}
+	if now := r.replica.Generation(); now != r.before {
+		return &earlyExpiryError{r.leaseDuration, r.before, now}
 	}
 	return nil
 }
@@ -79,7 +79,7 @@
 	if err := r.steps.next("opening watches"); err != nil {
 		return err
 	}
-	watches, err := openWatches(r.steps.ctx, startsAt(r.service.Addr(), watchesOf(r.rows.size), r.before), r.steps.env.Seed)
+	watches, err := openWatches(r.steps.ctx, startsAt(r.replica.Addr(), watchesOf(r.rows.size), r.before), r.steps.env.Seed)
 	if err != nil {
 		return err
 	}
@@ -106,13 +106,13 @@
 	if err := errors.Join(r.checkNoneExpired(), err); err != nil {
 		return ends, err
 	}
-	r.rows.time("zone's leases", r.leaseTerm)
+	r.rows.time("zone's leases", r.leaseDuration)
 	r.rows.time("zone's leases, all renewed for the last time", renewed.Sub(start))
-	return leaseEnds{start.Add(r.leaseTerm), renewed.Add(r.leaseTerm)}, nil
+	return leaseEnds{start.Add(r.leaseDuration), renewed.Add(r.leaseDuration)}, nil
 }
 
 // expire waits until the zone's leases have expired and all watches have received the removals.
-func (r *expiryRun) expire(watches *listWatches, ends leaseEnds) error {
+func (r *expiryRun) expire(watches *watchSet, ends leaseEnds) error {
 	if err := r.steps.next("waiting for the zone's leases to expire"); err != nil {
 		return err
 	}
@@ -142,8 +142,8 @@
 func (r *expiryRun) awaitExpiry() (status registry.Status, err error) {
 	remaining := r.rows.size - zoneEntries(r.rows.size)
 	status.Entries, status.Generation = r.rows.size, r.before
-	waitErr := awaitReplica(r.steps.ctx, "the zone's leases to expire", func() bool {
-		if r.service.Generation() != status.Generation {
+	waitErr := awaitCondition(r.steps.ctx, "the zone's leases to expire", func() bool {
+		if r.replica.Generation() != status.Generation {
 			status, err = r.writer.status(r.steps.ctx)
 		}
 		return err != nil || status.Entries <= remaining
--- a/internal/scale/list_expiry_test.go
+++ b/internal/scale/list_expiry_test.go
@@ -17,7 +17,7 @@
 // the bytes of the zone's entries. They receive no complete lists.
 func TestListExpiry(t *testing.T) {
 	t.Parallel()
-	p := ListExpiry()
+	p := listExpiryPart()
 	for _, n := range p.TestSizes {
 		v := measureList(t, p, n)
 		checkValues(t, v, map[string]float64{
@@ -28,7 +28,7 @@
 		})
 		messages := v["zone expired, messages to a watch"]
 		if messages < 1 || messages > float64(zoneEntries(n)) {
-			t.Errorf("%v messages for %d expired entries", messages, zoneEntries(n))
+			t.Errorf("%v messages for %d expired entries, want 1 to %[2]d", messages, zoneEntries(n))
 		}
 		checkExpiryBytes(t, v["zone expired, most to a watch"], int(messages), removedZone(n))
 		for _, q := range []string{
@@ -67,23 +67,23 @@
 // duration.
 func startExpiry(t *testing.T, entries int, lease time.Duration) *expiryRun {
 	t.Helper()
-	backup, err := listSnapshot(entries, lease)
+	backup, err := listBackup(entries, lease)
 	if err != nil {
 		t.Fatal(err)
 	}
-	service, err := startReplica(t.Context(), backup)
+	replica, err := startReplica(t.Context(), backup)
 	if err != nil {
 		t.Fatal(err)
 	}
-	writer := newListWriter(service.Addr())
+	writer := newListWriter(replica.Addr())
 	t.Cleanup(func() {
 		writer.close()
-		if err := service.close(); err != nil {
+		if err := replica.close(); err != nil {
 			t.Error(err)
 		}
 	})
 	steps := &listSteps{ctx: t.Context(), env: Env{Seed: 1, Progress: func(int, int, string) {}}}
-	return &expiryRun{steps: steps, rows: &listRows{rowWriter{size: entries}}, service: service, writer: writer, leaseTerm: lease, before: firstGeneration}
+	return &expiryRun{steps: steps, rows: &listRows{rowWriter{size: entries}}, replica: replica, writer: writer, leaseDuration: lease, before: firstGeneration}
 }
 
 // All entries of the zone expire, and entries of other zones stay.
@@ -116,7 +116,7 @@
 func TestExpiryBeforeRenewalFails(t *testing.T) {
 	t.Parallel()
 	run := startExpiry(t, 60, registry.MinLease)
-	if err := awaitReplica(t.Context(), "the leases to expire", func() bool { return run.service.Generation() > run.before }); err != nil {
+	if err := awaitCondition(t.Context(), "the leases to expire", func() bool { return run.replica.Generation() > run.before }); err != nil {
 		t.Fatal(err)
 	}
 	_, err := run.renew()
--- a/internal/scale/list_lost.go
+++ b/internal/scale/list_lost.go
@@ -10,12 +10,13 @@
 	"opalhook/internal/registry"
 )
 
-// reconnectStream selects the random stream of the seed that chooses the replicas to which watches reconnect.
+// reconnectStream is the second word of the random seed for choosing the replicas to which watches reconnect.
+// The first word is the seed of the run.
 const reconnectStream = 0x105e
 
-// ListLostReplica returns the part that measures the loss of one of three replicas, which serves all watches
-// until then.
-func ListLostReplica() Part {
+// listLostReplicaPart returns the part that measures the loss of one of three replicas, which serves all
+// watches until then.
+func listLostReplicaPart() Part {
 	return Part{
 		Name: "list-lost-replica",
 		Title: "Loss of a replica in a service of three, over loopback in one process, with watches as planned at a follower. The follower stops and its watches " +
@@ -29,7 +30,7 @@
 }
 
 func measureLostReplica(steps *listSteps, rows *listRows) (err error) {
-	leader, err := steps.restore(rows.size, listLease, serviceElectionTimeout)
+	leader, err := steps.restore(rows.size, listLease, defaultElectionTimeout)
 	if err != nil {
 		return err
 	}
@@ -47,7 +48,7 @@
 	return run.measure()
 }
 
-// lostRun is a measurement of [ListLostReplica] at one size.
+// lostRun is a measurement of [listLostReplicaPart] at one size.
 type lostRun struct {
 	steps     *listSteps
 	rows      *listRows
@@ -63,12 +64,12 @@
 		return err
 	}
 	defer watches.close()
-	return r.lose(watches)
+	return r.measureLoss(watches)
 }
 
 // open opens the watches at the replica that will be lost, and waits until all of them have received a first
 // change.
-func (r *lostRun) open() (*listWatches, error) {
+func (r *lostRun) open() (*watchSet, error) {
 	if err := r.steps.next("opening watches"); err != nil {
 		return nil, err
 	}
@@ -77,7 +78,7 @@
 	if err != nil {
 		return nil, err
 	}
-	change, err := r.client.Drain(r.steps.ctx, firstInstance(lostZone+1))
+	change, err := r.client.Drain(r.steps.ctx, instanceRef(lostZone+1))
 	if err == nil {
 		_, err = watches.awaitGeneration(r.steps.ctx, change.Generation)
 	}
@@ -89,15 +90,15 @@
 	return watches, nil
 }
 
-// lose stops the replica while the zone's entries are removed, and reconnects its watches to the other
+// measureLoss stops the replica while the zone's entries are removed, and reconnects its watches to the other
 // replicas.
-func (r *lostRun) lose(watches *listWatches) error {
+func (r *lostRun) measureLoss(watches *watchSet) error {
 	if err := r.steps.next("losing a replica"); err != nil {
 		return err
 	}
 	before := watches.totals()
 	generation := r.leader.Generation() + uint64(zoneEntries(r.rows.size)) // after all removals
-	loss := r.begin()
+	loss := r.startLoss()
 	watches.awaitEnd()
 	loss.watchesEnded = time.Now()
 	starts := r.chooseReconnects(watches)
@@ -107,7 +108,7 @@
 	}
 	defer reconnected.close()
 	loss.watchesReopened = time.Now()
-	if err := r.catchUp(reconnected, loss, generation); err != nil {
+	if err := r.awaitCatchUp(reconnected, loss, generation); err != nil {
 		return err
 	}
 	loss.addRows(r.rows)
@@ -116,9 +117,9 @@
 	return r.countReceived(watches, reconnected, before.maxBytes)
 }
 
-// catchUp waits until all reconnected watches have the current list, and then until they have the given
+// awaitCatchUp waits until all reconnected watches have the current list, and then until they have the given
 // generation, which is that of the list without the zone.
-func (r *lostRun) catchUp(reconnected *listWatches, loss *replicaLoss, generation uint64) (err error) {
+func (r *lostRun) awaitCatchUp(reconnected *watchSet, loss *replicaLoss, generation uint64) (err error) {
 	loss.caughtUp, err = reconnected.awaitGeneration(r.steps.ctx, r.leader.Generation())
 	if err := errors.Join(err, loss.wait()); err != nil {
 		return err
@@ -155,8 +156,8 @@
 	rows.time("zone lost meanwhile, from the last removal to the last watch", max(l.complete.Sub(l.zoneRemoved), 0))
 }
 
-// begin stops the replica and starts to remove the zone, both in the background.
-func (r *lostRun) begin() *replicaLoss {
+// startLoss stops the replica and starts to remove the zone, both in the background.
+func (r *lostRun) startLoss() *replicaLoss {
 	loss := &replicaLoss{start: time.Now()}
 	loss.running.Go(func() { loss.stopErr = r.lost.stop() })
 	loss.running.Go(func() {
@@ -172,14 +173,14 @@
 	defer cancel()
 	return forEachInZone(ctx, r.rows.size, func(ctx context.Context, n int) (uint64, error) {
 		start := time.Now()
-		removed, err := r.client.Remove(ctx, firstInstance(n))
+		removed, err := r.client.Remove(ctx, instanceRef(n))
 		loss.recordRemoval(time.Since(start))
 		return removed.Generation, err
 	})
 }
 
-// firstInstance refers to the first incarnation of an instance.
-func firstInstance(n int) registry.InstanceRef {
+// instanceRef returns a reference to the first incarnation of the instance with the given number.
+func instanceRef(n int) registry.InstanceRef {
 	return registry.InstanceRef{ID: listEntry(n).InstanceID, Incarnation: firstIncarnation}
 }
 
@@ -197,7 +198,7 @@
 
 // chooseReconnects chooses one of the two other replicas at random for each watch. The watch continues after
 // the last generation that it received.
-func (r *lostRun) chooseReconnects(watches *listWatches) []watchStart {
+func (r *lostRun) chooseReconnects(watches *watchSet) []watchStart {
 	rng := rand.New(rand.NewPCG(r.steps.env.Seed, reconnectStream))
 	candidates := []string{r.leader.Addr(), r.remaining.Addr()}
 	starts := make([]watchStart, len(watches.all))
@@ -217,10 +218,10 @@
 	r.rows.count("come back, at the replica that follows", len(starts)-atLeader)
 }
 
-// countReceived adds rows for the messages that the watches receive at the lost replica and, after it, at the
-// others. before is the largest number of bytes that a watch had received before the loss. It returns an
-// error if a watch did not receive each change once and in order.
-func (r *lostRun) countReceived(watches, reconnected *listWatches, before uint64) error {
+// countReceived adds rows for the messages that the watches receive at the lost replica and, after the loss,
+// at the others. before is the largest number of bytes that a watch had received before the loss. It returns
+// an error if a watch did not receive each change once and in order.
+func (r *lostRun) countReceived(watches, reconnected *watchSet, before uint64) error {
 	var maxBytes uint64
 	for i, w := range watches.all {
 		maxBytes = max(maxBytes, w.published.Load().bytes+reconnected.all[i].published.Load().bytes)
--- a/internal/scale/list_lost_test.go
+++ b/internal/scale/list_lost_test.go
@@ -8,7 +8,7 @@
 // in order, only the bytes of the changes, and no complete lists.
 func TestListLostReplica(t *testing.T) {
 	t.Parallel()
-	p := ListLostReplica()
+	p := listLostReplicaPart()
 	for _, n := range p.TestSizes {
 		v := measureList(t, p, n)
 		checkValues(t, v, map[string]float64{
--- a/internal/scale/list_renew.go
+++ b/internal/scale/list_renew.go
@@ -16,7 +16,7 @@
 
 // Parameters of the measurement of renewals.
 const (
-	renewClients         = 32     // clients, each with a thread of its own and one connection at a time
+	renewClients         = 32     // number of clients; each has its own thread and one connection at a time
 	maxKeepAliveRenewals = 30_000 // maximum number of renewals over persistent connections
 	maxSingleRenewals    = 6_000  // maximum number of renewals with a new connection for each
 	renewalsPerTerm      = 3      // planned renewals of a lease during its term
@@ -24,8 +24,8 @@
 	rusageThread         = 1      // RUSAGE_THREAD of getrusage(2): the calling thread
 )
 
-// ListRenewals returns the part that measures the CPU time that the service spends on lease renewals.
-func ListRenewals() Part {
+// listRenewalsPart returns the part that measures the CPU time that the service spends on lease renewals.
+func listRenewalsPart() Part {
 	return Part{
 		Name: "list-renewals",
 		Title: "Lease renewals over loopback: CPU time of the replicas, without that of the clients, per renewal and per second of the " +
@@ -39,12 +39,12 @@
 }
 
 func measureRenewals(steps *listSteps, rows *listRows) (err error) {
-	leader, err := steps.restore(rows.size, listLease, serviceElectionTimeout)
+	leader, err := steps.restore(rows.size, listLease, defaultElectionTimeout)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, leader.close()) }()
-	if err := renewAll(steps, rows, leader.Addr(), "one replica"); err != nil {
+	if err := measureRenewalModes(steps, rows, leader.Addr(), "one replica"); err != nil {
 		return err
 	}
 	if err := steps.next("adding replicas"); err != nil {
@@ -57,14 +57,14 @@
 	}
 	defer func() { err = errors.Join(err, closeReplicas(followers)) }()
 	rows.time("two replicas join, until they have the list", time.Since(start))
-	if err := awaitReplica(steps.ctx, "the first replica to become the leader", leader.IsLeader); err != nil {
+	if err := awaitCondition(steps.ctx, "the first replica to become the leader", leader.IsLeader); err != nil {
 		return err
 	}
-	return renewAll(steps, rows, leader.Addr(), "three replicas")
+	return measureRenewalModes(steps, rows, leader.Addr(), "three replicas")
 }
 
-// renewAll measures renewals over persistent connections, and with a new connection for each.
-func renewAll(steps *listSteps, rows *listRows, addr, service string) error {
+// measureRenewalModes measures renewals over persistent connections, and with a new connection for each.
+func measureRenewalModes(steps *listSteps, rows *listRows, addr, service string) error {
 	if err := steps.next("renewing leases, " + service); err != nil {
 		return err
 	}
@@ -253,7 +253,7 @@
 		return fmt.Errorf("setting the receive timeout: %w", err)
 	}
 	if err := syscall.Connect(c.fd, &c.to); err != nil {
-		return fmt.Errorf("connecting: %w", err)
+		return fmt.Errorf("connecting to %v:%d: %w", netip.AddrFrom4(c.to.Addr), c.to.Port, err)
 	}
 	return nil
 }
--- a/internal/scale/list_replicas.go
+++ b/internal/scale/list_replicas.go
@@ -9,7 +9,7 @@
 // Parameters of a service of several replicas.
 const (
 	serviceReplicas        = 3
-	serviceElectionTimeout = 500 * time.Millisecond // election timeout; the service's default
+	defaultElectionTimeout = 500 * time.Millisecond // default of the list service
 )
 
 // joinReplicas adds replicas to a service of one replica until it has serviceReplicas.
@@ -35,7 +35,7 @@
 		return nil, err
 	}
 	if err = r.start(ctx, leader.Addr()); err == nil {
-		err = awaitReplica(ctx, "a new replica to receive the list", func() bool { return r.Generation() == leader.Generation() })
+		err = awaitCondition(ctx, "a new replica to receive the list", func() bool { return r.Generation() == leader.Generation() })
 	}
 	if err != nil {
 		err = errors.Join(err, r.close())
--- a/internal/scale/list_service.go
+++ b/internal/scale/list_service.go
@@ -20,9 +20,9 @@
 	servicePoll    = time.Millisecond
 )
 
-// electionTimeout is the election timeout of a service of one replica. It can be short, because there are no
-// other replicas whose messages could be late.
-const electionTimeout = 100 * time.Millisecond
+// singleElectionTimeout is the election timeout of a service of one replica. It can be short, because there
+// are no other replicas whose messages could be late.
+const singleElectionTimeout = 100 * time.Millisecond
 
 // listLease is the lease duration of instances that are not meant to expire. Measurements end before it has
 // passed.
@@ -67,8 +67,8 @@
 type listReplica struct {
 	*registry.Server
 	dir             string
-	listen, raft    string        // addresses to listen on
-	electionTimeout time.Duration // election timeout
+	listen, raft    string // addresses to listen on
+	electionTimeout time.Duration
 }
 
 // newReplica returns a replica that is not started yet, with the given election timeout.
@@ -83,7 +83,7 @@
 // startReplica starts a service of one replica with the list of a backup, and waits until the replica is the
 // leader.
 func startReplica(ctx context.Context, backup []byte) (*listReplica, error) {
-	return startReplicaWithTimeout(ctx, backup, electionTimeout)
+	return startReplicaWithTimeout(ctx, backup, singleElectionTimeout)
 }
 
 // startReplicaWithTimeout is like startReplica, with the given election timeout.
@@ -102,7 +102,7 @@
 	if err := r.start(ctx, ""); err != nil {
 		return r, err
 	}
-	return r, awaitReplica(ctx, "the replica to become the leader", r.IsLeader)
+	return r, awaitCondition(ctx, "the replica to become the leader", r.IsLeader)
 }
 
 // stateDir returns the folder of the replica's state.
@@ -133,9 +133,9 @@
 	return errors.Join(r.stop(), os.RemoveAll(r.dir))
 }
 
-// awaitReplica polls a condition until it holds, for at most serviceTimeout. what names the condition in
+// awaitCondition polls a condition until it holds, for at most serviceTimeout. what names the condition in
 // errors.
-func awaitReplica(ctx context.Context, what string, condition func() bool) error {
+func awaitCondition(ctx context.Context, what string, condition func() bool) error {
 	ctx, cancel := context.WithTimeout(ctx, serviceTimeout)
 	defer cancel()
 	tick := time.NewTicker(servicePoll)
@@ -155,15 +155,15 @@
 	if err := s.next("restoring a list"); err != nil {
 		return nil, err
 	}
-	backup, err := listSnapshot(entries, zoneLease)
+	backup, err := listBackup(entries, zoneLease)
 	if err != nil {
 		return nil, err
 	}
 	return startReplicaWithTimeout(s.ctx, backup, electionTimeout)
 }
 
-// listSnapshot returns a backup of a list with the given number of entries.
-func listSnapshot(entries int, zoneLease time.Duration) ([]byte, error) {
+// listBackup returns a backup of a list with the given number of entries.
+func listBackup(entries int, zoneLease time.Duration) ([]byte, error) {
 	state, err := listState(entries, zoneLease)
 	if err != nil {
 		return nil, err
--- a/internal/scale/list_test.go
+++ b/internal/scale/list_test.go
@@ -17,7 +17,7 @@
 
 // listParts returns the parts that measure the list service.
 func listParts() []Part {
-	return []Part{ListState(), ListRenewals(), ListService(), ListExpiry(), ListLostReplica()}
+	return []Part{listStatePart(), listRenewalsPart(), listWatchesPart(), listExpiryPart(), listLostReplicaPart()}
 }
 
 // measureList measures a part at a size and returns its values.
@@ -87,11 +87,11 @@
 func TestListPartSizes(t *testing.T) {
 	for _, p := range listParts() {
 		if len(p.Sizes) < 4 || !slices.IsSorted(p.Sizes) || p.Sizes[len(p.Sizes)-1] != plannedEntries || len(p.TestSizes) == 0 || p.Name == "" || p.Title == "" || p.Size == "" {
-			t.Errorf("unexpected part %+v", p)
+			t.Errorf("part %+v: want at least 4 sizes in ascending order up to %d, and all fields set", p, plannedEntries)
 		}
 		for i, n := range p.Sizes {
 			if limit := uint64(8 << 30); p.Memory(n) > limit || i > 0 && p.Memory(n) <= p.Memory(p.Sizes[i-1]) {
-				t.Errorf("%s: memory estimate is %d bytes at size %d", p.Name, p.Memory(n), n)
+				t.Errorf("%s: memory estimate is %d bytes at size %d, want at most %d and more than at smaller sizes", p.Name, p.Memory(n), n, limit)
 			}
 		}
 	}
@@ -104,7 +104,7 @@
 // itself checks the recovered generation.
 func TestListState(t *testing.T) {
 	t.Parallel()
-	p := ListState()
+	p := listStatePart()
 	for _, n := range p.TestSizes {
 		v := measureList(t, p, n)
 		if each := v["snapshot"] / float64(n); each < 150 || each > 600 {
@@ -112,7 +112,7 @@
 		}
 		for _, q := range []string{"heap of the state", "heap of a replica", "recovery from a snapshot", "restore of a backup, until the replica leads", "snapshot, to its file"} {
 			if _, ok := v[q]; !ok {
-				t.Errorf("%s: no row", q)
+				t.Errorf("%q: no row", q)
 			}
 		}
 	}
@@ -120,9 +120,9 @@
 
 // Every watch receives each change once and in order, and only the bytes of the changes. A reconnected watch
 // receives the missed changes; only a new watch receives a complete list.
-func TestListService(t *testing.T) {
+func TestListWatches(t *testing.T) {
 	t.Parallel()
-	p := ListService()
+	p := listWatchesPart()
 	for _, n := range p.TestSizes {
 		v := measureList(t, p, n)
 		lost := zoneEntries(n)
@@ -151,7 +151,7 @@
 // follows from that of one renewal.
 func TestListRenewals(t *testing.T) {
 	t.Parallel()
-	p := ListRenewals()
+	p := listRenewalsPart()
 	for _, n := range p.TestSizes {
 		v := measureList(t, p, n)
 		for _, service := range []string{"one replica", "three replicas"} {
@@ -170,7 +170,7 @@
 // The measurement fails if the service does not know a lease.
 func TestRenewalsOfUnknownLeasesFail(t *testing.T) {
 	t.Parallel()
-	backup, err := listSnapshot(4, listLease)
+	backup, err := listBackup(4, listLease)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -237,12 +237,12 @@
 func TestListMeasurementCancelled(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithCancel(t.Context())
-	rows, err := ListService().Measure(ctx, 200, Env{Progress: func(done, _ int, _ string) {
+	rows, err := listWatchesPart().Measure(ctx, 200, Env{Progress: func(done, _ int, _ string) {
 		if done == 3 {
 			cancel()
 		}
 	}})
 	if !errors.Is(err, context.Canceled) || !slices.ContainsFunc(rows, func(r Row) bool { return r.Quantity == "one change, most to a watch" }) {
-		t.Errorf("error %v, %d rows", err, len(rows))
+		t.Errorf("error %v, %d rows, want context.Canceled and the rows of the single changes", err, len(rows))
 	}
 }
--- a/internal/scale/list_watch.go
+++ b/internal/scale/list_watch.go
@@ -127,10 +127,10 @@
 		line, err := w.lines.ReadSlice('\n')
 		length := len(line)
 		rest := bytes.TrimPrefix(line, messageHead)
-		message := len(rest) < len(line)
+		isMessage := len(rest) < len(line)
 		var generation uint64
 		reset := false
-		if message {
+		if isMessage {
 			digits := rest[:max(bytes.IndexByte(rest, ','), 0)]
 			generation, _ = strconv.ParseUint(string(digits), 10, 64) // 0 is recorded as out of order
 			reset = bytes.HasPrefix(rest[len(digits):], messageReset)
@@ -142,7 +142,7 @@
 		if err != nil {
 			return
 		}
-		if message { // not an empty line
+		if isMessage { // not an empty line
 			w.record(generation, reset, length)
 		}
 		if w.state.bytes != w.published.Load().bytes && !w.lineBuffered() {
@@ -178,8 +178,8 @@
 	w.published.Store(&state)
 }
 
-// listWatches are the watches of all edge nodes of a fleet.
-type listWatches struct {
+// watchSet holds the watches of all edge nodes of a fleet.
+type watchSet struct {
 	all      []*listWatch
 	readers  sync.WaitGroup
 	progress chan struct{} // receives a value after a watch has published its state
@@ -202,8 +202,8 @@
 }
 
 // openWatches opens watches concurrently. It returns an error if any of them cannot be opened.
-func openWatches(ctx context.Context, starts []watchStart, seed uint64) (*listWatches, error) {
-	ws := &listWatches{all: make([]*listWatch, len(starts)), progress: make(chan struct{}, 1)}
+func openWatches(ctx context.Context, starts []watchStart, seed uint64) (*watchSet, error) {
+	ws := &watchSet{all: make([]*listWatch, len(starts)), progress: make(chan struct{}, 1)}
 	errs := make([]error, len(starts))
 	var opening sync.WaitGroup
 	slots := make(chan struct{}, maxConcurrentDials)
@@ -238,7 +238,7 @@
 }
 
 // notify wakes up awaitGeneration.
-func (ws *listWatches) notify() {
+func (ws *watchSet) notify() {
 	select {
 	case ws.progress <- struct{}{}:
 	default:
@@ -246,10 +246,10 @@
 }
 
 // awaitEnd waits until the replica has closed all watches.
-func (ws *listWatches) awaitEnd() { ws.readers.Wait() }
+func (ws *watchSet) awaitEnd() { ws.readers.Wait() }
 
 // close closes all watches and waits for their goroutines.
-func (ws *listWatches) close() {
+func (ws *watchSet) close() {
 	for _, w := range ws.all {
 		if w != nil {
 			_ = w.conn.Close()
@@ -260,7 +260,7 @@
 
 // awaitGeneration waits until all watches have reached a generation, for at most 2*serviceTimeout, and
 // returns the time at which the last of them had received its latest message.
-func (ws *listWatches) awaitGeneration(ctx context.Context, generation uint64) (last time.Time, err error) {
+func (ws *watchSet) awaitGeneration(ctx context.Context, generation uint64) (last time.Time, err error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*serviceTimeout)
 	defer cancel()
 	behind := ws.all
@@ -274,7 +274,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return last, fmt.Errorf("%d of %d watches have not reached generation %d: %w", len(behind), len(ws.all), generation, ctx.Err())
+			return last, fmt.Errorf("at most %d of %d watches have not reached generation %d: %w", len(behind), len(ws.all), generation, ctx.Err())
 		case <-ws.progress:
 		}
 	}
@@ -282,7 +282,7 @@
 }
 
 // totals returns the totals over all watches.
-func (ws *listWatches) totals() (t watchTotals) {
+func (ws *watchSet) totals() (t watchTotals) {
 	t.minBytes = ^uint64(0)
 	for _, w := range ws.all {
 		state := w.published.Load()
--- a/internal/scale/list_write.go
+++ b/internal/scale/list_write.go
@@ -39,17 +39,17 @@
 	return w.send(ctx, http.MethodPost, listEntry(n).InstanceID+"/renew")
 }
 
-// send sends a change for the first incarnation of an instance and returns the resulting generation. what is
-// the path of the change below the instances.
-func (w *listWriter) send(ctx context.Context, method, what string) (generation uint64, err error) {
-	path := fmt.Sprintf("instances/%s?incarnation=%d", what, firstIncarnation)
+// send sends a change for the first incarnation of an instance and returns the resulting generation. change
+// is the path of the change, relative to the path of the instances.
+func (w *listWriter) send(ctx context.Context, method, change string) (generation uint64, err error) {
+	path := fmt.Sprintf("instances/%s?incarnation=%d", change, firstIncarnation)
 	var o registry.Outcome
 	httpStatus, err := w.call(ctx, method, path, &o)
 	if err != nil {
 		return 0, err
 	}
 	if o.Code != registry.Done {
-		return 0, fmt.Errorf("writing %s: got %s: %s %s", what, httpStatus, o.Code, o.Message)
+		return 0, fmt.Errorf("writing %s: got status %s with outcome %s (%s), want outcome %s", change, httpStatus, o.Code, o.Message, registry.Done)
 	}
 	return o.Generation, nil
 }
--- a/internal/scale/nodelist_test.go
+++ b/internal/scale/nodelist_test.go
@@ -36,7 +36,7 @@
 // The measurement times each kind of call, the node serves most requests, and its inbox accepts at most its
 // rate.
 func TestNodeList(t *testing.T) {
-	p := nodeList()
+	p := nodeListPart()
 	for _, size := range p.TestSizes {
 		rows, err := p.Measure(t.Context(), size, silentEnv(1))
 		if err != nil {
@@ -55,7 +55,7 @@
 		if requests < 0.9*plannedRequestRate || requests > 1.1*plannedRequestRate {
 			t.Errorf("size %d: %v requests per second, want about %v", size, requests, plannedRequestRate)
 		}
-		maxAccepted := fleetSettings(1, 0).PeerMessagesPerSecond * (1 + 1/listLoad(size).Seconds()) // rate plus burst
+		maxAccepted := fleetSettings(1, 0).PeerMessagesPerSecond * (1 + 1/nodeListLoad(size).Seconds()) // rate plus burst
 		if accepted := value(t, rows, "messages taken in"); accepted == 0 || accepted > maxAccepted {
 			t.Errorf("size %d: %v messages per second accepted, want above 0 and at most %v", size, accepted, maxAccepted)
 		}
@@ -82,7 +82,7 @@
 
 // The same seed leads to the same counts, another seed to different ones.
 func TestNodeListIsDeterministic(t *testing.T) {
-	size := nodeList().TestSizes[0]
+	size := nodeListPart().TestSizes[0]
 	var runs [3][]Row
 	for i, seed := range []uint64{5, 5, 6} {
 		rows, err := measureNodeList(t.Context(), size, silentEnv(seed))
@@ -124,13 +124,13 @@
 func TestHeapGrowsWithTheList(t *testing.T) {
 	var heap [2]float64
 	for i, size := range []int{100, 4000} {
-		b := &listBench{ctx: t.Context(), env: silentEnv(1), size: size, lastServer: size - 1}
-		if err := b.start(); err != nil {
+		n := &nodeListRun{ctx: t.Context(), env: silentEnv(1), size: size, lastServer: size - 1}
+		if err := n.start(); err != nil {
 			t.Fatal(err)
 		}
-		heap[i] = float64(b.heapWithList)
-		if len(b.fleet.added) != 2*plannedEntryNodes-1 {
-			t.Errorf("%d nodes, want %d", len(b.fleet.added), 2*plannedEntryNodes-1)
+		heap[i] = float64(n.heapWithList)
+		if len(n.fleet.added) != 2*plannedEntryNodes-1 {
+			t.Errorf("%d nodes, want %d", len(n.fleet.added), 2*plannedEntryNodes-1)
 		}
 	}
 	if heap[1] <= heap[0] {
--- a/internal/scale/plot.go
+++ b/internal/scale/plot.go
@@ -78,7 +78,7 @@
 	return out.Bytes(), nil
 }
 
-// units returns the units of the rows, each once, in the order of the rows.
+// units returns the distinct units of the rows, in the order of their first rows.
 func (p *PartReport) units() []string {
 	return p.distinct(func(r *Row) string { return r.Unit })
 }
--- a/internal/scale/quota.go
+++ b/internal/scale/quota.go
@@ -22,13 +22,13 @@
 	heapArrivals        = time.Second / 4 // time in which their requests arrive
 )
 
-// quotaEntryNodes are the numbers of entry nodes of a tenant that are measured one after the other. The
-// report calls this number the spread.
-var quotaEntryNodes = []int{1, 2, 3, 8}
+// quotaEntryNodeCounts lists the numbers of entry nodes per tenant. Each is measured separately. The report
+// calls this number the spread.
+var quotaEntryNodeCounts = []int{1, 2, 3, 8}
 
-// quota returns the part that measures the quota protocol: its messages, and the units admitted beyond
+// quotaPart returns the part that measures the quota protocol: its messages, and the units admitted beyond
 // quotas.
-func quota() Part {
+func quotaPart() Part {
 	return Part{
 		Name: quotaName,
 		Title: fmt.Sprintf("Quota messages per node in a fleet of %d, with an inbox of %g messages per second, against the request rate and the number of entry nodes (spread)",
@@ -44,8 +44,8 @@
 func measureQuota(ctx context.Context, size int, env Env) ([]Row, error) {
 	r := rowWriter{part: quotaName, size: size}
 	tenants := 0 // does not depend on the number of entry nodes
-	for i, entryNodes := range quotaEntryNodes {
-		env.Progress(i, len(quotaEntryNodes), fmt.Sprintf("spread %d", entryNodes))
+	for i, entryNodes := range quotaEntryNodeCounts {
+		env.Progress(i, len(quotaEntryNodeCounts), fmt.Sprintf("spread %d", entryNodes))
 		run := quotaRun{seed: env.Seed, nodes: quotaNodes, entryNodes: entryNodes, requestsPerS: float64(size)}
 		if err := run.run(ctx); err != nil {
 			return r.rows, err
@@ -59,7 +59,7 @@
 		r.add(fmt.Sprintf("heap a tenant on a node, spread %d", entryNodes), heap, "B")
 	}
 	r.add("tenants of the fleet", float64(tenants), "")
-	env.Progress(len(quotaEntryNodes), len(quotaEntryNodes), "done")
+	env.Progress(len(quotaEntryNodeCounts), len(quotaEntryNodeCounts), "done")
 	return r.rows, nil
 }
 
@@ -70,7 +70,7 @@
 	entryNodes   int     // entry nodes of a tenant
 	requestsPerS float64 // requests per second at a node
 
-	tenants int
+	tenants int     // number of tenants
 	counts  counts  // counters of all nodes during quotaLoad
 	quota   float64 // units that the quotas of all tenants allow during quotaLoad
 }
@@ -120,7 +120,7 @@
 	add("asks sent", rate(c.quotaRequests), "1/s")
 	add("answers sent", rate(c.quotaGrants), "1/s")
 	add("other messages sent", rate(c.otherMessages), "1/s")
-	add("bytes sent", rate(c.bytes), "B/s")
+	add("bytes sent", rate(c.sentBytes), "B/s")
 	add("messages arriving", rate(c.arrived), "1/s")
 	add("bytes taken in", rate(c.receivedBytes), "B/s")
 	add("lost at the inbox", ratio(float64(c.discarded), float64(c.arrived)), "share")
@@ -139,9 +139,9 @@
 	return part / total
 }
 
-// heapPerTenant measures the heap that a tenant uses on a node that knows it, in bytes. It simulates
+// heapPerTenant measures the heap that a node uses for the state of one tenant, in bytes. It simulates
 // entryNodes nodes, and each of them receives one request of every tenant. Their inboxes accept all messages,
-// so that both the owners and the requesters of the quotas know the tenants.
+// so that both the owners and the requesters of the quotas store the state of the tenants.
 func heapPerTenant(ctx context.Context, seed uint64, entryNodes int) (float64, error) {
 	f := newFleet(seed, quotaNodes, entryNodes)
 	f.inboxRate = heapTenants * float64(entryNodes) * 4
@@ -162,10 +162,11 @@
 			f.clock.after(time.Duration(f.rng.Int64N(int64(heapArrivals))), func() { n.receiveRequest(t) })
 		}
 	}
-	// After the deadline no request has timers left, but the balancer still stores its data of the tenants.
+	// After the deadline no request has timers left, but the balancer still stores its state of the tenants.
 	if err := f.clock.runUntil(ctx, f.clock.now+heapArrivals+clientDeadline); err != nil {
 		return 0, err
 	}
+	// The clone frees the unused capacity of the event queue, which is not part of a tenant's state.
 	f.clock.events = slices.Clone(f.clock.events)
 	after := max(heapInUse(), before)
 	runtime.KeepAlive(f)
--- a/internal/scale/quota_test.go
+++ b/internal/scale/quota_test.go
@@ -11,13 +11,13 @@
 // Each number of entry nodes (spread) has its own rows. Quota messages do not exceed the maximum length, and
 // a single entry node sends no quota requests and does not exceed quotas.
 func TestQuota(t *testing.T) {
-	p := quota()
+	p := quotaPart()
 	for _, size := range p.TestSizes {
 		rows, err := p.Measure(t.Context(), size, silentEnv(1))
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, spread := range quotaEntryNodes {
+		for _, spread := range quotaEntryNodeCounts {
 			get := func(quantity string) float64 { return value(t, rows, fmt.Sprintf("%s, spread %d", quantity, spread)) }
 			if got := get("requests"); got < 0.7*float64(size) || got > 1.3*float64(size) {
 				t.Errorf("size %d, spread %d: %v requests per second, want about %d", size, spread, got, size)
@@ -58,7 +58,7 @@
 
 // The same seed leads to the same counts.
 func TestQuotaIsDeterministic(t *testing.T) {
-	size := quota().TestSizes[0]
+	size := quotaPart().TestSizes[0]
 	var runs [2][]Row
 	for i := range runs {
 		rows, err := measureQuota(t.Context(), size, silentEnv(9))
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -65,16 +65,16 @@
 	}
 }
 
-// quantities returns the quantities of the rows, each once, in the order of the rows.
+// quantities returns the distinct quantities of the rows, in the order of their first rows.
 func (p *PartReport) quantities() []string {
 	return p.distinct(func(r *Row) string { return r.Quantity })
 }
 
-// distinct returns the distinct names of the rows, in the order of the rows.
-func (p *PartReport) distinct(name func(*Row) string) (names []string) {
+// distinct returns the distinct keys of the rows, in the order of their first rows.
+func (p *PartReport) distinct(key func(*Row) string) (names []string) {
 	seen := map[string]bool{}
 	for i := range p.Rows {
-		if n := name(&p.Rows[i]); !seen[n] {
+		if n := key(&p.Rows[i]); !seen[n] {
 			seen[n] = true
 			names = append(names, n)
 		}
@@ -110,7 +110,7 @@
 		}
 	}
 	if r.Ended != "" {
-		_, err := fmt.Fprintf(out, "%s: the tables above have the results until then\n", r.Ended)
+		_, err := fmt.Fprintf(out, "%s: the tables above contain the results up to that point\n", r.Ended)
 		return err
 	}
 	return nil
--- a/internal/scale/restart.go
+++ b/internal/scale/restart.go
@@ -26,23 +26,23 @@
 	restartMemory       = 4 << 10                    // estimated memory of a node, in bytes
 )
 
-// RestartFleet returns the part that measures how all edge nodes of the planned fleet get their list if they
-// start at the same time.
-func RestartFleet() Part {
-	return restartPart("restart-fleet", "all edge nodes of the planned fleet", plannedWatches)
+// restartFleetPart returns the part that measures how all edge nodes of the planned fleet get their list if
+// they start at the same time.
+func restartFleetPart() Part {
+	return newRestartPart("restart-fleet", "all edge nodes of the planned fleet", plannedWatches)
 }
 
-// RestartRack returns the part that measures how the edge nodes of a rack get their list if they start at the
-// same time.
-func RestartRack() Part {
-	return restartPart("restart-rack", fmt.Sprintf("the edge nodes of a rack (%d, a guess)", rackNodes), rackNodes)
+// restartRackPart returns the part that measures how the edge nodes of a rack get their list if they start at
+// the same time.
+func restartRackPart() Part {
+	return newRestartPart("restart-rack", fmt.Sprintf("the edge nodes of a rack (%d, a guess)", rackNodes), rackNodes)
 }
 
-func restartPart(name, who string, nodes int) Part {
+func newRestartPart(name, description string, nodes int) Part {
 	return Part{
 		Name: name,
 		Title: fmt.Sprintf("Restart of %s without a cached list, for up to ten minutes on a simulated clock: each has the real follower of the list "+
-			"and a link of %d bytes per second, and one replica accepts %d watches per second.", who, controlRate, watchOpensPerSecond),
+			"and a link of %d bytes per second, and one replica accepts %d watches per second.", description, controlRate, watchOpensPerSecond),
 		Size:      "entries in the list",
 		Sizes:     []int{200, 350, 2_000, 20_000, 200_000},
 		TestSizes: []int{200},
@@ -77,15 +77,16 @@
 	message   int         // length of the message with the complete list, in bytes
 	openLimit openLimiter // rate limit of the service for new watches
 	rng       *rand.Rand  // for the Retry-After times of the service
-	open      int         // messages that are being sent
+	open      int         // number of open calls
 	maxOpen   int         // maximum of open so far
 	rejected  int         // calls rejected because of the rate limit
 }
 
-// simulatedFollower is an edge node that does nothing except follow the list.
+// simulatedFollower is an edge node that only follows the list. Each call that its follower opens transfers
+// the complete list.
 type simulatedFollower struct {
 	follower    *follower.Follower
-	call        uint64        // ID of the open watch; 0: none
+	call        uint64        // ID of the open call; 0: none
 	callStarted time.Duration // when the service started to send its message
 	lastWake    uint64        // ID of the last scheduled wake-up; earlier ones are ignored
 	calls       int           // calls opened
@@ -107,7 +108,7 @@
 type restartKind int
 
 const (
-	wakeUp         restartKind = iota // the follower asked to be called at this time
+	wakeUp         restartKind = iota // the follower must be advanced at this time
 	partArrived                       // a further part of the message has arrived
 	messageArrived                    // the message is complete
 )
@@ -140,8 +141,8 @@
 	heap.Push(q, e)
 }
 
-// openLimiter limits the rate of new watches to watchOpensPerSecond. It is a token bucket whose burst is the
-// watches of one second.
+// openLimiter limits the rate of new watches to watchOpensPerSecond. It is a token bucket that holds the
+// watches of one second at most.
 type openLimiter struct {
 	tokens     float64
 	refilledAt time.Duration // time of the last refill
@@ -158,19 +159,19 @@
 	return true
 }
 
-// newRestart returns a restart of a number of nodes of a fleet. message is the length of the message with the
-// complete list, in bytes.
-func newRestart(nodes, fleet, message int, seed uint64) *restart {
+// newRestart returns a restart of a number of nodes in a fleet of fleetSize nodes. message is the length of
+// the message with the complete list, in bytes.
+func newRestart(nodes, fleetSize, message int, seed uint64) *restart {
 	r := &restart{message: message, openLimit: openLimiter{tokens: watchOpensPerSecond}, rng: rand.New(rand.NewPCG(seed, 0))}
 	for n := range nodes {
 		rng := rand.New(rand.NewPCG(seed, uint64(n)+1))
-		r.nodes = append(r.nodes, &simulatedFollower{follower: follower.New(follower.Config{FleetSize: fleet, PollInterval: restartPollInterval, Rand: rng})})
+		r.nodes = append(r.nodes, &simulatedFollower{follower: follower.New(follower.Config{FleetSize: fleetSize, PollInterval: restartPollInterval, Rand: rng})})
 	}
 	return r
 }
 
-// run simulates the restart until all nodes have their list, or up to the simulated time until.
-func (r *restart) run(ctx context.Context, until time.Duration, progress func(done, total int, doing string)) error {
+// run simulates the restart until all nodes have their list or the simulated time reaches the limit.
+func (r *restart) run(ctx context.Context, limit time.Duration, progress func(done, total int, doing string)) error {
 	for n, node := range r.nodes {
 		node.follower.Start(0)
 		r.advance(n)
@@ -178,11 +179,11 @@
 	withList := 0
 	for processed := 0; r.queue.Len() > 0 && withList < len(r.nodes); processed++ {
 		e := heap.Pop(&r.queue).(restartEvent)
-		if e.at > until {
+		if e.at > limit {
 			break
 		}
 		if processed%10_000 == 0 {
-			progress(int(e.at.Seconds()), int(until.Seconds()), "simulated seconds")
+			progress(int(e.at.Seconds()), int(limit.Seconds()), "simulated seconds")
 			if err := ctx.Err(); err != nil {
 				return err
 			}
@@ -229,7 +230,7 @@
 				r.endCall(node)
 			}
 		}
-		if len(commands) == 0 { // otherwise the response to a command may lead to further commands
+		if len(commands) == 0 { // the responses to commands can no longer cause further commands
 			node.lastWake++
 			r.queue.add(restartEvent{at: max(wake, r.now+1), node: n, kind: wakeUp, id: node.lastWake})
 			return
--- a/internal/scale/restart_test.go
+++ b/internal/scale/restart_test.go
@@ -66,10 +66,10 @@
 
 // The limiter permits a burst of one second's watches and then its rate.
 func TestOpenLimiter(t *testing.T) {
-	p := openLimiter{tokens: watchOpensPerSecond}
+	limiter := openLimiter{tokens: watchOpensPerSecond}
 	allowed := 0
 	for at := time.Duration(0); at < 2*time.Second; at += 100 * time.Microsecond {
-		allowed += boolToInt(p.allow(at))
+		allowed += boolToInt(limiter.allow(at))
 	}
 	if want := 3 * watchOpensPerSecond; allowed < want-2 || allowed > want {
 		t.Errorf("%d watches allowed in two seconds, want %d to %d", allowed, want-2, want)
@@ -78,7 +78,7 @@
 
 // All nodes receive the complete list once, and a cancelled measurement returns the context's error.
 func TestRestartParts(t *testing.T) {
-	for _, p := range []Part{RestartFleet(), RestartRack()} {
+	for _, p := range []Part{restartFleetPart(), restartRackPart()} {
 		for _, n := range p.TestSizes {
 			v := measureList(t, p, n)
 			if v["nodes that have their list"] != v["nodes"] || v["control to a node, most"] != v["whole list"] {
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -54,8 +54,8 @@
 // overflow.
 const maxSize = 1 << 31
 
-// memoryDivisor divides the machine's memory into the part that a measurement may use. The rest is left to
-// other processes.
+// memoryDivisor sets the memory limit of a measurement: the machine's memory divided by memoryDivisor. The
+// rest is left to other processes.
 const memoryDivisor = 2
 
 // Run measures the selected parts one after the other. It returns an [InputError] or a [MemoryError] and
@@ -132,7 +132,7 @@
 		case size < 1:
 			return nil, &InputError{"sizes", fmt.Sprintf("must be at least 1, got %d", size)}
 		case size > maxSize:
-			return nil, &InputError{"sizes", fmt.Sprintf("got %d, must be at most %d", size, maxSize)}
+			return nil, &InputError{"sizes", fmt.Sprintf("must be at most %d, got %d", maxSize, size)}
 		}
 	}
 	parts[0].Sizes = slices.Compact(slices.Sorted(slices.Values(o.Sizes)))
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -42,14 +42,14 @@
 		t.Errorf("measured sizes %v, want 20, 30 and 40", measured)
 	}
 	if len(progress) != 3 || progress[0] != (Progress{"squares", 20, 1, 1, "done"}) {
-		t.Errorf("progress %v", progress)
+		t.Errorf("progress %v, want 3 reports, the first for size 20 of squares", progress)
 	}
 	p := report.Parts[0]
 	if report.Seed != 3 || len(p.Rows) != 6 || len(p.Fits) != 1 {
-		t.Fatalf("report %+v", report)
+		t.Fatalf("report %+v, want seed 3, 6 rows and 1 fit", report)
 	}
 	if f := p.Fits[0]; f.Quantity != "square" || math.Abs(f.Exponent-2) > 1e-9 || math.Abs(f.Factor-1) > 1e-9 || f.Sizes != 3 {
-		t.Errorf("fit %+v", f)
+		t.Errorf("fit %+v, want exponent 2 and factor 1 over 3 sizes", f)
 	}
 }
 
@@ -108,7 +108,7 @@
 		t.Fatal(err)
 	}
 	if report.Ended == "" || len(report.Parts) != 1 || len(report.Parts[0].Rows) != 3 {
-		t.Errorf("report %+v", report)
+		t.Errorf("report %+v, want an interrupted one with 3 rows of one part", report)
 	}
 	var out bytes.Buffer
 	if err := report.WriteText(&out); err != nil {
@@ -127,7 +127,7 @@
 	failing.Measure = func(context.Context, int, Env) ([]Row, error) { return nil, errors.New("no servers") }
 	report, err := Run(t.Context(), Options{Parts: []Part{failing}})
 	if err == nil || err.Error() != "squares: size 10: no servers" || report == nil {
-		t.Errorf("report %v, error %v", report, err)
+		t.Errorf("report %v, error %v, want a report and error \"squares: size 10: no servers\"", report, err)
 	}
 }
 
@@ -153,11 +153,11 @@
 	}
 	var decoded Report
 	if err := json.Unmarshal(written, &decoded); err != nil || len(decoded.Parts) != 1 || decoded.Parts[0].Rows[0] != report.Parts[0].Rows[0] {
-		t.Errorf("%s: %v", written, err)
+		t.Errorf("decoding %s: error %v, got %+v, want %+v", written, err, decoded, *report)
 	}
 	paths, err := report.WritePlots(t.TempDir())
 	if err != nil || len(paths) != 1 {
-		t.Fatalf("plots %v: %v", paths, err)
+		t.Fatalf("plots %v, error %v, want one plot", paths, err)
 	}
 	chart, err := os.ReadFile(paths[0])
 	if err != nil || !strings.Contains(string(chart), "<svg") || !strings.Contains(string(chart), "square") {
@@ -172,7 +172,7 @@
 		t.Fatal(err)
 	}
 	if paths, err := report.WritePlots(t.TempDir()); err != nil || len(paths) > 0 {
-		t.Errorf("plots %v: %v", paths, err)
+		t.Errorf("plots %v, error %v, want neither", paths, err)
 	}
 }
 
@@ -209,11 +209,11 @@
 	seen := map[string]bool{}
 	for _, p := range Parts() {
 		if p.Name == "" || seen[p.Name] || p.Title == "" || p.Size == "" || p.Measure == nil || p.Memory == nil {
-			t.Errorf("incomplete part %+v", p)
+			t.Errorf("part %+v: a field is not set, or the name is a duplicate", p)
 		}
 		seen[p.Name] = true
 		if len(p.Sizes) < 4 || len(p.TestSizes) == 0 {
-			t.Errorf("%s: sizes %v, test sizes %v", p.Name, p.Sizes, p.TestSizes)
+			t.Errorf("%s: sizes %v, test sizes %v, want at least 4 and 1", p.Name, p.Sizes, p.TestSizes)
 		}
 		for i := 1; i < len(p.Sizes); i++ {
 			if p.Sizes[i] <= p.Sizes[i-1] {
--- a/internal/scale/simulated_node.go
+++ b/internal/scale/simulated_node.go
@@ -50,9 +50,9 @@
 	if f.rng.Float64() < nonIdempotentFraction {
 		class = &n.classes[1]
 	}
-	f.nextID++
+	f.requestCount++
 	q := &openRequest{
-		id: strconv.Itoa(f.nextID), tenant: t, units: sampleUnits(f.rng), deadline: f.clock.now + class.Deadline,
+		id: strconv.Itoa(f.requestCount), tenant: t, units: sampleUnits(f.rng), deadline: f.clock.now + class.Deadline,
 	}
 	q.used = max(1, min(q.units+float64(f.rng.IntN(3)-1), maxUnits))
 	n.open[q.id] = q
@@ -61,7 +61,7 @@
 		ID: q.id, Class: class.Name, Plan: t.plan.Name, Tenant: t.key, Timeout: class.Deadline,
 		Units: q.units, EntryNodes: f.entryNodes, FirstEntryNode: t.firstEntryNode,
 	}
-	n.call(callOtherRequest, func() { n.balancer.RequestArrived(f.clock.now, request, n) })
+	n.call(callRequestRejected, func() { n.balancer.RequestArrived(f.clock.now, request, n) })
 	n.removeIfDone(q)
 }
 
@@ -84,10 +84,10 @@
 	event()
 	elapsed := time.Since(start)
 	switch {
-	case kind == callOtherRequest && n.counts.attempts > attemptsBefore:
+	case kind == callRequestRejected && n.counts.attempts > attemptsBefore:
 		kind = callRequestAdmitted
-	case kind == callOtherRequest && n.counts.quotaRequests > quotaRequestsBefore:
-		kind = callRequestForwardedToOwner
+	case kind == callRequestRejected && n.counts.quotaRequests > quotaRequestsBefore:
+		kind = callRequestAwaitingQuota
 	case kind == callQuotaRejected && n.counts.attempts > attemptsBefore:
 		kind = callQuotaGranted
 	}
@@ -95,7 +95,7 @@
 }
 
 // SendAttempt implements [balancer.Actions]. The server responds after a random service time. Sending takes
-// no time, so that the attempt always meets sendBy.
+// no time, so the time limit for sending the request is ignored.
 func (n *simulatedNode) SendAttempt(id, serverID string, timeout, _ time.Duration) {
 	q := n.open[id]
 	if q == nil {
@@ -185,11 +185,11 @@
 	n.removeIfDone(q)
 }
 
-// Reject implements [balancer.Actions]. It also counts rejections of a request that has not been sent
-// although at least half of the tenant's burst was unused and the quota covered the request.
+// Reject implements [balancer.Actions]. It counts the rejection in rejectedInQuota, too, if the request was
+// never sent to a server, the quota covers it, and at least half of the tenant's burst is unused.
 func (n *simulatedNode) Reject(id string, _ time.Duration) {
 	if q := n.open[id]; q != nil && len(q.attempts) == 0 {
-		if level := q.tenant.refill(n.fleet.clock.now); level >= max(q.units, q.tenant.plan.Burst/2) {
+		if tokens := q.tenant.refill(n.fleet.clock.now); tokens >= max(q.units, q.tenant.plan.Burst/2) {
 			n.counts.rejectedInQuota++
 		}
 	}
@@ -240,7 +240,7 @@
 // send counts a message and delivers a copy after the delay of the link, unless the message is lost or the
 // peer is not simulated.
 func (n *simulatedNode) send(peer int, message []byte) {
-	n.counts.bytes += len(message)
+	n.counts.sentBytes += len(message)
 	n.counts.longestMessage = max(n.counts.longestMessage, len(message))
 	switch kindOf(message) {
 	case messageQuotaRequest:
@@ -251,7 +251,7 @@
 		n.counts.otherMessages++
 	}
 	to := n.fleet.nodes[peer]
-	delay, arrives := n.fleet.link.send()
+	delay, arrives := n.fleet.link.sampleDelivery()
 	if to == nil || !arrives {
 		return
 	}
@@ -278,8 +278,8 @@
 }
 
 // updateEndpoints delivers the endpoint list, or changes to it, to the balancer.
-func (n *simulatedNode) updateEndpoints(kind callKind, form balancer.UpdateKind, entries []balancer.Endpoint) {
-	n.call(kind, func() { n.balancer.EndpointsUpdated(n.fleet.clock.now, form, entries, n) })
+func (n *simulatedNode) updateEndpoints(kind callKind, updateKind balancer.UpdateKind, entries []balancer.Endpoint) {
+	n.call(kind, func() { n.balancer.EndpointsUpdated(n.fleet.clock.now, updateKind, entries, n) })
 }
 
 // WatchEndpoints implements [balancer.Actions]. It does nothing: lists are delivered without a watch.
--- a/internal/scale/simulated_node_test.go
+++ b/internal/scale/simulated_node_test.go
@@ -38,7 +38,7 @@
 		n.Reject(q.id, 0)
 		second(n, q)
 		if c := n.counts; c.rejected != 1 || c.failed != 0 || c.duplicateResponses != 1 {
-			t.Errorf("%s: %+v", name, c)
+			t.Errorf("%s: counters %+v, want 1 rejected, 0 failed and 1 duplicate response", name, c)
 		}
 	}
 }
@@ -53,7 +53,7 @@
 		t.Fatal(err)
 	}
 	if q.inFlight != 0 || !q.attempts[0].done || n.counts.served != 0 {
-		t.Errorf("%d attempts in flight, attempts %+v, counters %+v", q.inFlight, q.attempts, n.counts)
+		t.Errorf("%d attempts in flight, attempts %+v, counters %+v, want one ended attempt and none served", q.inFlight, q.attempts, n.counts)
 	}
 	n.fleet.countUnanswered()
 	if n.counts.unanswered != 1 {
@@ -65,13 +65,13 @@
 // as over quota.
 func TestTenantQuota(t *testing.T) {
 	plan := &balancer.Plan{Rate: 2, Burst: 10}
-	q := &tenant{plan: plan, tokens: 10}
-	q.tokens -= 10
+	tenant := &tenant{plan: plan, tokens: 10}
+	tenant.tokens -= 10
 	for _, c := range []struct {
 		at   time.Duration
 		want float64
 	}{{time.Second, 2}, {time.Second, 2}, {3 * time.Second, 6}, {time.Minute, 10}} {
-		if got := q.refill(c.at); math.Abs(got-c.want) > 1e-9 {
+		if got := tenant.refill(c.at); math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("%v tokens at %v, want %v", got, c.at, c.want)
 		}
 	}
@@ -80,6 +80,6 @@
 	n.chargeQuota(r)
 	n.chargeQuota(r)
 	if n.counts.admittedUnits != 8 || n.counts.overQuotaUnits != 4 || math.Abs(r.tenant.tokens-2) > 1e-9 {
-		t.Errorf("counters %+v, %v tokens left", n.counts, r.tenant.tokens)
+		t.Errorf("counters %+v, %v tokens left, want 8 admitted units, 4 over quota and 2 tokens", n.counts, r.tenant.tokens)
 	}
 }
--- a/internal/scale/stopwatch.go
+++ b/internal/scale/stopwatch.go
@@ -9,20 +9,20 @@
 type callKind int
 
 const (
-	callOtherRequest            callKind = iota // a request of neither kind below: it is rejected at once, or waits on the node that owns its quota
-	callRequestAdmitted                         // a request for which a server was selected at once
-	callRequestForwardedToOwner                 // a request for whose units the node first asks the quota's owner
-	callAttemptFinished                         // the end of an attempt
-	callQuotaRequest                            // a peer's quota request, including the response to it
-	callQuotaRejected                           // a response to a quota request that led to no attempt: the owner rejected it, or it arrived too late
-	callQuotaGranted                            // a response to a quota request that led to an attempt, including the selection of a server
-	callMessage                                 // any other peer message
-	callTick                                    // the periodic timer
-	callTimer                                   // any other timer
-	callEndpointChange                          // a change to one entry of the list
-	callUsedEndpointChange                      // a change to the entry of a server that the node has sent attempts to
-	callFirstSnapshot                           // the first complete list
-	callNextSnapshot                            // a further complete list
+	callRequestRejected      callKind = iota // a request that the node rejects at once
+	callRequestAdmitted                      // a request for which a server was selected at once
+	callRequestAwaitingQuota                 // a request for which the node sends a quota request to the owner, and no attempt at once
+	callAttemptFinished                      // the end of an attempt
+	callQuotaRequest                         // a peer's quota request, including the response to it
+	callQuotaRejected                        // a response to a quota request that led to no attempt: the owner rejected it, or it arrived too late
+	callQuotaGranted                         // a response to a quota request that led to an attempt, including the selection of a server
+	callMessage                              // any other peer message
+	callTick                                 // the periodic timer
+	callTimer                                // any other timer
+	callEndpointChange                       // a change to one entry of the list
+	callUsedEndpointChange                   // a change to the entry of a server that the node has sent attempts to
+	callFirstSnapshot                        // the first complete list
+	callNextSnapshot                         // a further complete list
 )
 
 // stopwatch records the durations of calls into a balancer.
@@ -30,16 +30,16 @@
 
 func newStopwatch() *stopwatch { return &stopwatch{durations: map[callKind][]time.Duration{}} }
 
-func (s *stopwatch) add(kind callKind, took time.Duration) {
-	s.durations[kind] = append(s.durations[kind], took)
+func (s *stopwatch) add(kind callKind, duration time.Duration) {
+	s.durations[kind] = append(s.durations[kind], duration)
 }
 
 // quantile returns a quantile of the durations of a kind of calls, in seconds, or false if no such call was
 // timed.
 func (s *stopwatch) quantile(kind callKind, fraction float64) (float64, bool) {
-	took := slices.Sorted(slices.Values(s.durations[kind]))
-	if len(took) == 0 {
+	sorted := slices.Sorted(slices.Values(s.durations[kind]))
+	if len(sorted) == 0 {
 		return 0, false
 	}
-	return took[min(int(fraction*float64(len(took))), len(took)-1)].Seconds(), true
+	return sorted[min(int(fraction*float64(len(sorted))), len(sorted)-1)].Seconds(), true
 }
--- a/internal/scale/tenant.go
+++ b/internal/scale/tenant.go
@@ -39,7 +39,7 @@
 type tenant struct {
 	key            uint64
 	plan           *balancer.Plan
-	firstEntryNode int     // number of its first entry node; the others follow it
+	firstEntryNode int     // number of its first entry node; the other entry nodes have the following numbers
 	demand         float64 // requests per second
 	tokens         float64 // tokens left of its quota, in units
 	refilledAt     time.Duration
@@ -66,18 +66,18 @@
 }
 
 // sampleIndex returns a random index, weighted by fractions that sum to 1.
-func sampleIndex(rng *rand.Rand, weights []float64) int {
+func sampleIndex(rng *rand.Rand, fractions []float64) int {
 	x := rng.Float64()
-	for i, fraction := range weights {
+	for i, fraction := range fractions {
 		if x -= fraction; x < 0 {
 			return i
 		}
 	}
-	return len(weights) - 1
+	return len(fractions) - 1
 }
 
-// sampleTenants generates random tenants until their total demand reaches a rate, then scales all demands so
-// that the total equals it. Their first entry nodes are chosen from firstEntryNodes.
+// sampleTenants generates random tenants until their total demand reaches requestsPerS, then scales all
+// demands so that the total equals requestsPerS. Their first entry nodes are chosen from firstEntryNodes.
 func sampleTenants(rng *rand.Rand, plans []balancer.Plan, firstEntryNodes []int, requestsPerS float64) []*tenant {
 	var all []*tenant
 	sum := 0.0
