--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -160,7 +160,7 @@
 	b.AttemptFinished(testStart, Outcome{ID: "r1", Result: OK, Answered: true}, r)
 	b.AttemptFinished(testStart, Outcome{ID: "none", Attempt: 9}, r)
 	b.AttemptFinished(testStart, Outcome{ID: "r1", Attempt: -1}, r)
-	b.ClientGone(testStart, "r1", r)
+	b.ClientDisconnected(testStart, "r1", r)
 	b.ResponseStarted(testStart, "r1", 0, r)
 	b.TimerFired(testStart, 1<<40|timerDeadline, r)
 	b.TimerFired(testStart, 7, r)
--- a/balancer/decisions_world_test.go
+++ b/balancer/decisions_world_test.go
@@ -277,7 +277,7 @@
 
 func (n *node) clientGone(id string) {
 	n.recordEvent("client of %s has disconnected", id)
-	n.balancer.ClientGone(n.sim.now, id, n)
+	n.balancer.ClientDisconnected(n.sim.now, id, n)
 }
 
 func (n *node) responseStarted(id string, attempt int) {
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -112,9 +112,9 @@
 	r.attempts[attempt].endpoint.recordProgress(now)
 }
 
-// ClientGone handles a client that no longer waits for the response. The request's attempts are cancelled,
-// unless a streamed response has begun.
-func (b *Balancer) ClientGone(now time.Duration, requestID string, out Actions) {
+// ClientDisconnected handles a client that no longer waits for the response. The request's attempts are
+// cancelled, unless a streamed response has begun.
+func (b *Balancer) ClientDisconnected(now time.Duration, requestID string, out Actions) {
 	b.now, b.actions = now, out
 	r := b.requests.byID[requestID]
 	if r == nil || r.answered {
--- a/cmd/sim-adapter/main.go
+++ b/cmd/sim-adapter/main.go
@@ -171,7 +171,7 @@
 	case simwire.AttemptFinished:
 		b.AttemptFinished(now, e.Outcome, out)
 	case simwire.ClientGone:
-		b.ClientGone(now, e.ID, out)
+		b.ClientDisconnected(now, e.ID, out)
 	case simwire.TimerFired:
 		b.TimerFired(now, e.Token, out)
 	case simwire.HealthChecked:
--- a/internal/edgenode/inflight.go
+++ b/internal/edgenode/inflight.go
@@ -96,7 +96,7 @@
 func (n *Node) abortRequest(request *inflightRequest) {
 	ok := n.handleEvent(func(now time.Duration, out balancer.Actions) {
 		n.finishRequest(request, clientResponse{kind: responseFailed})
-		n.balancer.ClientGone(now, request.id, out)
+		n.balancer.ClientDisconnected(now, request.id, out)
 	})
 	if !ok {
 		n.mu.Lock()
