--- a/internal/edgenode/conn_cross_test.go
+++ b/internal/edgenode/conn_cross_test.go
@@ -267,10 +267,10 @@
 // connection of its first attempt, while the client closes or resets its connection or closes only the
 // sending side. Bytes that the client sent after the request must not hide that.
 func TestClientDisconnectsBeforeTheFirstAttempt(t *testing.T) {
-	blocked := nodetest.Blocked(t)
+	unresponsive := nodetest.UnresponsiveAddr(t)
 	var servers []endpointlist.Endpoint
 	for i := range 300 { // enough endpoints that no request is rejected because of the attempts in progress
-		servers = append(servers, endpointlist.Endpoint{Endpoint: balancer.Endpoint{ID: fmt.Sprint("s", i), Weight: 1, MachineType: "k", Zone: "z"}, Addr: blocked})
+		servers = append(servers, endpointlist.Endpoint{Endpoint: balancer.Endpoint{ID: fmt.Sprint("s", i), Weight: 1, MachineType: "k", Zone: "z"}, Addr: unresponsive})
 	}
 	cfg := testConfig(servers...)
 	cfg.Transport.ConnectTimeout = time.Hour
--- a/internal/edgenode/nodetest/blocked.go
+++ b/internal/edgenode/nodetest/blocked.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Blocked returns the address of a server whose machine does not respond: connections to it are never
-// established. It is a listener with a full accept queue, for which the kernel drops further connection
-// attempts.
-func Blocked(t *testing.T) netip.AddrPort {
+// UnresponsiveAddr returns the address of a server whose machine does not respond: connections to it are
+// never established. It is a listener with a full accept queue, for which the kernel drops further
+// connection attempts.
+func UnresponsiveAddr(t *testing.T) netip.AddrPort {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
--- a/internal/edgenode/nodetest/nodetest.go
+++ b/internal/edgenode/nodetest/nodetest.go
@@ -246,35 +246,35 @@
 	return v
 }
 
-// EndingContext is a context that the test ends by [EndingContext.End], with an error of its choice.
-type EndingContext struct {
+// ManualContext is a context that the test ends by [ManualContext.End], with an error of its choice.
+type ManualContext struct {
 	context.Context
 	done chan struct{}
 	err  error // result of Err; set before done is closed
 }
 
-// NewEndingContext returns a context that has not ended.
-func NewEndingContext() *EndingContext {
-	return &EndingContext{Context: context.Background(), done: make(chan struct{})}
+// NewManualContext returns a context that has not ended.
+func NewManualContext() *ManualContext {
+	return &ManualContext{Context: context.Background(), done: make(chan struct{})}
 }
 
 // Done implements context.Context.
-func (e *EndingContext) Done() <-chan struct{} { return e.done }
+func (c *ManualContext) Done() <-chan struct{} { return c.done }
 
 // Err implements context.Context.
-func (e *EndingContext) Err() error {
+func (c *ManualContext) Err() error {
 	select {
-	case <-e.done:
-		return e.err
+	case <-c.done:
+		return c.err
 	default:
 		return nil
 	}
 }
 
 // End ends the context. Err returns err from then on. End must be called only once.
-func (e *EndingContext) End(err error) {
-	e.err = err
-	close(e.done)
+func (c *ManualContext) End(err error) {
+	c.err = err
+	close(c.done)
 }
 
 // ReceiveBufferEmpty reports whether the socket of a connection holds no unread bytes.
--- a/internal/edgenode/upstream/pool_test.go
+++ b/internal/edgenode/upstream/pool_test.go
@@ -141,7 +141,7 @@
 // has a timeout of its own, after which the request has not run.
 func TestDialTimeout(t *testing.T) {
 	pool := New(settings.Transport{ConnIdle: time.Minute, ConnectTimeout: 50 * time.Millisecond}, 100)
-	pool.update([]endpointlist.Endpoint{{Endpoint: balancer.Endpoint{ID: "a"}, Addr: nodetest.Blocked(t)}}, true)
+	pool.update([]endpointlist.Endpoint{{Endpoint: balancer.Endpoint{ID: "a"}, Addr: nodetest.UnresponsiveAddr(t)}}, true)
 	ctx, cancel := context.WithTimeout(context.Background(), nodetest.WaitTimeout)
 	defer cancel()
 	_, result := pool.Exchange(ctx, "a", &getRequest, WriteLimits{})
@@ -167,7 +167,7 @@
 	}
 	exchange(t, pool, "a")
 	pool.release(c)
-	ctx, results := nodetest.NewEndingContext(), make(chan balancer.Result, 1)
+	ctx, results := nodetest.NewManualContext(), make(chan balancer.Result, 1)
 	go func() {
 		_, result := pool.Exchange(ctx, "a", &Message{Method: "GET", Target: "/check", ID: "silent"}, WriteLimits{})
 		results <- result
--- a/internal/edgenode/upstream/response_test.go
+++ b/internal/edgenode/upstream/response_test.go
@@ -165,7 +165,7 @@
 	pool.open++
 	pool.release(other)
 	pool.ageIdle()
-	ctx, results := nodetest.NewEndingContext(), make(chan balancer.Result, 1)
+	ctx, results := nodetest.NewManualContext(), make(chan balancer.Result, 1)
 	go func() {
 		_, result := pool.Exchange(ctx, "a", &getRequest, WriteLimits{})
 		results <- result
--- a/internal/edgenode/upstream/upstream_test.go
+++ b/internal/edgenode/upstream/upstream_test.go
@@ -78,7 +78,7 @@
 	} {
 		s := nodetest.NewAppServer(t, func(net.Conn, *http.Request, []byte) bool { select {} })
 		pool := newTestPool(s.Endpoint("a"))
-		ctx, results := nodetest.NewEndingContext(), make(chan balancer.Result, 1)
+		ctx, results := nodetest.NewManualContext(), make(chan balancer.Result, 1)
 		go func() {
 			_, result := pool.Exchange(ctx, "a", &getRequest, WriteLimits{})
 			results <- result
