--- a/internal/edgenode/drain_test.go
+++ b/internal/edgenode/drain_test.go
@@ -83,7 +83,7 @@
 }
 
 // Connections that are in the listener's accept queue when it is about to close are accepted and answered.
-func TestQueueIsEmptiedBeforeTheListenerCloses(t *testing.T) {
+func TestAcceptQueueIsEmptiedBeforeListenerCloses(t *testing.T) {
 	f := idleFrontend(t, testConfig())
 	f.ready.Store(true)
 	ln := newClientListener(nodetest.Listen(t), f.conns)
--- a/internal/edgenode/inflight_test.go
+++ b/internal/edgenode/inflight_test.go
@@ -14,7 +14,7 @@
 
 // Guards against HTTP handlers that never return. The handler of a request must return both if its node
 // closes while the request is in flight and if the request arrives after the close.
-func TestHandlersEndWithTheNode(t *testing.T) {
+func TestHandlersReturnWhenNodeCloses(t *testing.T) {
 	s := nodetest.NewAppServer(t, func(net.Conn, *http.Request, []byte) bool { select {} })
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
--- a/internal/edgenode/process_test.go
+++ b/internal/edgenode/process_test.go
@@ -16,7 +16,7 @@
 )
 
 // A SIGTERM before the node is ready ends it, without opening the listener.
-func TestEndBeforeReady(t *testing.T) {
+func TestTerminationBeforeReady(t *testing.T) {
 	cfg := testConfig()
 	cfg.listWait = nodetest.WaitTimeout
 	var called chan struct{}
@@ -53,7 +53,7 @@
 }
 
 // A reload takes effect at any time, also before the node is ready and while it drains.
-func TestReloadAtAnyMoment(t *testing.T) {
+func TestReloadAtAnyTime(t *testing.T) {
 	t.Run("before it is ready", func(t *testing.T) {
 		s := nodetest.NewAppServer(t, nodetest.Respond(nodetest.OKResponse))
 		cfg := testConfig()
--- a/internal/edgenode/ready_test.go
+++ b/internal/edgenode/ready_test.go
@@ -43,7 +43,7 @@
 
 // A restarted node is ready in time whatever discovery does, even if it is reloaded continuously. The test
 // runs on the clock of [synctest].
-func TestRestartedNodesAreReadyInTime(t *testing.T) {
+func TestRestartedNodesBecomeReadyInTime(t *testing.T) {
 	const nodes, hour = 20, time.Hour
 	list := nodetest.ListJSON(8, true)
 	response := func(text string) string {
