--- a/internal/edgenode/follower/client.go
+++ b/internal/edgenode/follower/client.go
@@ -36,7 +36,7 @@
 	// DialContext opens the connections of calls. It must not be changed after Run has been called.
 	DialContext func(ctx context.Context, network, addr string) (net.Conn, error)
 
-	addresses chan netip.AddrPort // new address of discovery, from Move to Run
+	addresses chan netip.AddrPort // new address of discovery, from SetAddress to Run
 	events    chan callEvent      // from the goroutines of the calls to Run
 	responded chan struct{}       // closed after the first list or heartbeat
 
@@ -87,12 +87,12 @@
 // the list has not changed.
 func (d *Client) Responded() <-chan struct{} { return d.responded }
 
-// Move makes the client follow the list at another address. If the address is the current one, the list is
-// read again where that costs other nodes nothing. Move returns when Run has received the address or ctx has
-// ended.
-func (d *Client) Move(ctx context.Context, to netip.AddrPort) {
+// SetAddress makes the client follow the list at another address. If the address is the current one, the
+// list is read again where that costs other nodes nothing. SetAddress returns when Run has received the
+// address or ctx has ended.
+func (d *Client) SetAddress(ctx context.Context, addr netip.AddrPort) {
 	select {
-	case d.addresses <- to:
+	case d.addresses <- addr:
 	case <-ctx.Done():
 	}
 }
@@ -228,9 +228,9 @@
 func (d *Client) handleMessage(now time.Duration, e callEvent) {
 	malformed := len(e.fieldErrors) > 0
 	if !d.follower.Message(now, e.id, Update{
-		Version:   e.list.Generation,
-		Snapshot:  e.list.Snapshot,
-		Malformed: malformed,
+		Generation: e.list.Generation,
+		Snapshot:   e.list.Snapshot,
+		Malformed:  malformed,
 	}) {
 		return
 	}
--- a/internal/edgenode/follower/client_test.go
+++ b/internal/edgenode/follower/client_test.go
@@ -95,7 +95,7 @@
 	}()
 	nodetest.Await(t, "the first watch", s.broken)
 	if s.moves {
-		client.Move(ctx, s.serve(t, false))
+		client.SetAddress(ctx, s.serve(t, false))
 	}
 	for {
 		for _, e := range nodetest.Await(t, "the drain", applied).Endpoints {
--- a/internal/edgenode/follower/follower.go
+++ b/internal/edgenode/follower/follower.go
@@ -105,9 +105,9 @@
 
 // Update describes a complete message.
 type Update struct {
-	Version   uint64 // generation of the list after the message
-	Snapshot  bool   // the message is the complete list
-	Malformed bool   // some of its fields could not be read
+	Generation uint64 // generation of the list after the message
+	Snapshot   bool   // the message is the complete list
+	Malformed  bool   // some of its fields could not be read
 }
 
 // New returns a follower. It does nothing until [Follower.Start] is called.
@@ -208,7 +208,7 @@
 	}
 	if c.kind == fetchCall {
 		u.Snapshot = true
-		if !f.completeFetch(now, u.Version) {
+		if !f.completeFetch(now, u.Generation) {
 			return false
 		}
 	} else {
@@ -217,7 +217,7 @@
 	if u.Snapshot {
 		f.freshness = listCurrent
 	}
-	f.generation = u.Version
+	f.generation = u.Generation
 	f.scheduleReread(now, u)
 	return true
 }
--- a/internal/edgenode/follower/follower_test.go
+++ b/internal/edgenode/follower/follower_test.go
@@ -277,14 +277,14 @@
 	if fetch == 0 || watch == 0 || f.fetch.id != fetch {
 		t.Fatalf("fetch %d and watch %d, want both open", fetch, watch)
 	}
-	if !f.Message(pushedMessageTimeout+1, watch, Update{Version: 6}) {
+	if !f.Message(pushedMessageTimeout+1, watch, Update{Generation: 6}) {
 		t.Error("the watch's message is not applied")
 	}
-	if f.Message(pushedMessageTimeout+2, fetch, Update{Version: 5, Snapshot: true}) ||
+	if f.Message(pushedMessageTimeout+2, fetch, Update{Generation: 5, Snapshot: true}) ||
 		f.generation != 6 || f.watch.id != watch {
 		t.Errorf("an older list is applied: generation %d, want 6", f.generation)
 	}
-	if f.Message(pushedMessageTimeout+3, fetch, Update{Version: 9, Snapshot: true}) {
+	if f.Message(pushedMessageTimeout+3, fetch, Update{Generation: 9, Snapshot: true}) {
 		t.Error("a message of a closed call is applied")
 	}
 }
--- a/internal/edgenode/run.go
+++ b/internal/edgenode/run.go
@@ -169,6 +169,6 @@
 		return
 	}
 	p.log.Info("reloaded", "discovery", cfg.Discovery, "previous", p.discoveryAddr)
-	p.discovery.Move(p.ctx, cfg.Discovery)
+	p.discovery.SetAddress(p.ctx, cfg.Discovery)
 	p.discoveryAddr = cfg.Discovery
 }
--- a/internal/scale/restart.go
+++ b/internal/scale/restart.go
@@ -208,7 +208,7 @@
 		r.queue.add(restartEvent{at: r.now + partInterval, node: e.node, kind: partArrived, id: e.id})
 	case e.kind == messageArrived:
 		r.endCall(node)
-		if node.follower.Message(r.now, e.id, follower.Update{Version: restartGeneration, Snapshot: true}) {
+		if node.follower.Message(r.now, e.id, follower.Update{Generation: restartGeneration, Snapshot: true}) {
 			node.hasList, node.receivedAt = true, r.now
 			return true
 		}
