--- a/cmd/opalhook/registry.go
+++ b/cmd/opalhook/registry.go
@@ -105,7 +105,7 @@
 			var table strings.Builder
 			fmt.Fprintln(&table, "INSTANCE\tADDRESS\tLIFECYCLE\tZONE\tKIND\tWEIGHT")
 			for _, e := range entries {
-				fmt.Fprintf(&table, "%s\t%s\t%s\t%s\t%s\t%g\n", e.InstanceID, e.HostPort, e.Lifecycle, e.Zone, e.MachineType, e.Weight)
+				fmt.Fprintf(&table, "%s\t%s\t%s\t%s\t%s\t%g\n", e.ID, e.Addr, e.Lifecycle, e.Zone, e.MachineType, e.Weight)
 			}
 			fmt.Fprintf(&table, "generation %d, %d instances\n", generation, len(entries))
 			return writeTable(c.OutOrStdout(), table.String())
@@ -134,7 +134,7 @@
 				lease = (time.Duration(st.LeaseMs) * time.Millisecond).String()
 			}
 			_, err = fmt.Fprintf(c.OutOrStdout(), "%s %s %s, zone %s, incarnation %d, lease %s, generation %d\n",
-				st.InstanceID, st.HostPort, st.Lifecycle, st.Zone, st.Incarnation, lease, st.Generation)
+				st.ID, st.Addr, st.Lifecycle, st.Zone, st.Incarnation, lease, st.Generation)
 			return err
 		},
 	}
@@ -161,7 +161,7 @@
 				var text strings.Builder
 				fmt.Fprintf(&text, "generation %d, %s:\n", generation, kind)
 				for _, e := range entries {
-					fmt.Fprintf(&text, "  %s %s %s\n", e.InstanceID, e.HostPort, e.Lifecycle)
+					fmt.Fprintf(&text, "  %s %s %s\n", e.ID, e.Addr, e.Lifecycle)
 				}
 				_, err := io.WriteString(c.OutOrStdout(), text.String())
 				writeErr = errors.Join(writeErr, err)
@@ -200,7 +200,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			ctx, cancel := f.context(c)
 			defer cancel()
-			r.InstanceID, r.HostPort, r.Lifecycle, r.LeaseMs = args[0], args[1], registry.Up, lease.Milliseconds()
+			r.ID, r.Addr, r.Lifecycle, r.LeaseMs = args[0], args[1], registry.Up, lease.Milliseconds()
 			if r.Incarnation == 0 {
 				r.Incarnation = uint64(time.Now().UnixMicro())
 			}
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -57,7 +57,7 @@
 				name += "m"
 			}
 			a := startAgent(t, name, fastRules(), bad, healthy)
-			if m := nextMessage(t, watchAsNode(t, a, 0)); m.Generation != 10 || len(m.Instances) != 3 || !m.Reset {
+			if m := nextMessage(t, watchAsNode(t, a, 0)); m.Generation != 10 || len(m.Entries) != 3 || !m.Snapshot {
 				t.Errorf("a node receives %+v, want the complete list of the healthy replica", m)
 			}
 			if n := calls.Load(); n < 1 || n > 3 { // 1, unless the healthy replica answers late on a busy machine
@@ -88,13 +88,13 @@
 	a := startAgent(t, "m", fastRules(), at)
 	nextMessage(t, watchAsNode(t, a, 0))
 	ahead := watchAsNode(t, a, 11)
-	changes <- discovery.Message{Generation: 12, Instances: []discovery.Entry{testEntry(1, discovery.Draining)}}
-	if m := nextMessage(t, ahead); m.Generation != 12 || !m.Reset || len(m.Instances) != 3 {
+	changes <- discovery.Message{Generation: 12, Entries: []discovery.Entry{testEntry(1, discovery.Draining)}}
+	if m := nextMessage(t, ahead); m.Generation != 12 || !m.Snapshot || len(m.Entries) != 3 {
 		t.Errorf("a node at generation 11 receives %+v first, want the complete list of generation 12", m)
 	}
 	upToDate := watchAsNode(t, a, 12)
 	changes <- snapshotOf(1<<discovery.EpochBits|1, 2)
-	if m := nextMessage(t, upToDate); m.Generation != 1<<discovery.EpochBits|1 || !m.Reset || len(m.Instances) != 2 {
+	if m := nextMessage(t, upToDate); m.Generation != 1<<discovery.EpochBits|1 || !m.Snapshot || len(m.Entries) != 2 {
 		t.Errorf("after a restore a node receives %+v, want the complete list of the new epoch", m)
 	}
 }
@@ -111,7 +111,7 @@
 			t.Fatalf("the agent does not report the outage: status %+v", a.Status())
 		}
 	}
-	if m := nextMessage(t, watchAsNode(t, a, 0)); len(m.Instances) != 3 {
+	if m := nextMessage(t, watchAsNode(t, a, 0)); len(m.Entries) != 3 {
 		t.Errorf("during the outage a node receives %+v, want a list of 3 endpoints", m)
 	}
 	if st := a.Status(); st.Endpoints != 3 || st.Generation != 10 {
--- a/internal/agent/feed.go
+++ b/internal/agent/feed.go
@@ -54,7 +54,7 @@
 	f.published.Add(1)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if m.Reset {
+	if m.Snapshot {
 		f.changes = nil
 	} else {
 		f.addChange(feedChange{f.generation, m.Generation, line})
--- a/internal/agent/feed_test.go
+++ b/internal/agent/feed_test.go
@@ -25,7 +25,7 @@
 	}
 	publish(snapshotOf(10, 3))
 	for generation := range uint64(maxChanges + 1) {
-		publish(discovery.Message{Generation: 11 + generation, Instances: []discovery.Entry{testEntry(1, discovery.Up)}})
+		publish(discovery.Message{Generation: 11 + generation, Entries: []discovery.Entry{testEntry(1, discovery.Up)}})
 	}
 	const last = 11 + maxChanges
 	for _, c := range []struct {
--- a/internal/agent/follower.go
+++ b/internal/agent/follower.go
@@ -250,7 +250,7 @@
 // first such list and no replica has confirmed the latest list in the meantime.
 func (f *Follower) checkGeneration(now time.Duration, m discovery.Message) error {
 	current := f.latest().generation
-	if !m.Reset {
+	if !m.Snapshot {
 		if current == 0 || discovery.Epoch(m.Generation) != discovery.Epoch(current) ||
 			m.Generation <= current {
 			return &GenerationError{Generation: m.Generation, Latest: current}
--- a/internal/agent/follower_test.go
+++ b/internal/agent/follower_test.go
@@ -27,7 +27,7 @@
 				m := snapshotOf(uint64(rng.IntN(2))<<discovery.EpochBits|uint64(rng.IntN(40)), rng.IntN(10))
 				h.receive(m)
 			case 3, 4:
-				h.receive(discovery.Message{Generation: h.follower.latest().generation + uint64(rng.IntN(3)), Instances: []discovery.Entry{testEntry(rng.IntN(10), []string{discovery.Up, discovery.Draining, discovery.Removed}[rng.IntN(3)])}})
+				h.receive(discovery.Message{Generation: h.follower.latest().generation + uint64(rng.IntN(3)), Entries: []discovery.Entry{testEntry(rng.IntN(10), []string{discovery.Up, discovery.Draining, discovery.Removed}[rng.IntN(3)])}})
 			case 5:
 				h.follower.CallFailed(h.now, h.follower.callID, time.Duration(rng.IntN(3))*time.Second, errors.New("ended"))
 				h.collectActions()
@@ -43,15 +43,15 @@
 				if m.Generation <= generation {
 					t.Fatalf("generation %d is published after %d", m.Generation, generation)
 				}
-				if m.Reset != (generation == 0 || discovery.Epoch(m.Generation) != discovery.Epoch(generation)) {
-					t.Fatalf("generation %d is published after %d with reset %v", m.Generation, generation, m.Reset)
+				if m.Snapshot != (generation == 0 || discovery.Epoch(m.Generation) != discovery.Epoch(generation)) {
+					t.Fatalf("generation %d is published after %d with snapshot %v", m.Generation, generation, m.Snapshot)
 				}
-				if m.Reset {
+				if m.Snapshot {
 					clear(nodes)
 				}
-				for _, e := range m.Instances {
-					if nodes[e.InstanceID] = e; e.Lifecycle == discovery.Removed {
-						delete(nodes, e.InstanceID)
+				for _, e := range m.Entries {
+					if nodes[e.ID] = e; e.Lifecycle == discovery.Removed {
+						delete(nodes, e.ID)
 					}
 				}
 				generation = m.Generation
@@ -80,13 +80,13 @@
 	if third.Replica == second.Replica {
 		t.Errorf("replica %s with an older list is called again", third.Replica)
 	}
-	h.receive(discovery.Message{Generation: 21, Instances: []discovery.Entry{testEntry(3, discovery.Draining)}})
+	h.receive(discovery.Message{Generation: 21, Entries: []discovery.Entry{testEntry(3, discovery.Draining)}})
 	h.expectPublished(10, 21)
-	h.receive(discovery.Message{Generation: 1<<discovery.EpochBits | 5, Instances: []discovery.Entry{testEntry(4, discovery.Draining)}}) // changes to a list of another epoch
+	h.receive(discovery.Message{Generation: 1<<discovery.EpochBits | 5, Entries: []discovery.Entry{testEntry(4, discovery.Draining)}}) // changes to a list of another epoch
 	h.connect()
 	h.receive(snapshotOf(1<<discovery.EpochBits|2, 9)) // complete list of another epoch, as after a restore
 	h.expectPublished(9, 1<<discovery.EpochBits|2)
-	if m := h.published[len(h.published)-1]; !m.Reset {
+	if m := h.published[len(h.published)-1]; !m.Snapshot {
 		t.Error("a new epoch is not published as a complete list")
 	}
 	for range 3 { // each replica sends the old epoch, which is rejected
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -137,12 +137,12 @@
 	requests := nextLine(t, "first request", replica.requests)
 	first := testEntry(1, discovery.Up)
 	first.Zone, first.MachineType, first.Cell, first.Weight, first.StartedAtMs = "a", "std-4c", 3, 0.25, 1700000000123
-	replica.lines <- line(discovery.Message{Generation: 7<<discovery.EpochBits | 10, Reset: true, Instances: []discovery.Entry{testEntry(3, discovery.Draining), first, testEntry(2, discovery.Up)}})
+	replica.lines <- line(discovery.Message{Generation: 7<<discovery.EpochBits | 10, Snapshot: true, Entries: []discovery.Entry{testEntry(3, discovery.Draining), first, testEntry(2, discovery.Up)}})
 	node := watchLines(t, a, 0)
 	sent := nextLine(t, "complete list", node)
 	first.Lifecycle = discovery.Draining
 	for i, entries := range [][]discovery.Entry{{first, testEntry(0, discovery.Up)}, {testEntry(3, discovery.Removed)}, {}, {testEntry(9, discovery.Up), testEntry(2, discovery.Removed)}} {
-		replica.lines <- line(discovery.Message{Generation: 7<<discovery.EpochBits | uint64(11+i), Instances: entries})
+		replica.lines <- line(discovery.Message{Generation: 7<<discovery.EpochBits | uint64(11+i), Entries: entries})
 		if len(entries) > 0 {
 			sent += nextLine(t, "change", node)
 		}
@@ -162,7 +162,7 @@
 	golden.Check(t, "golden/list.txt", list)
 	replica.lines <- ""
 	requests += nextLine(t, "request after the end of the watch", replica.requests)
-	if m, err := a.replicas.fetch(t.Context(), replica.addr); err != nil || m.Generation != 20 || !m.Reset || len(m.Instances) != 2 || m.Instances[1] != testEntry(1, discovery.Up) {
+	if m, err := a.replicas.fetch(t.Context(), replica.addr); err != nil || m.Generation != 20 || !m.Snapshot || len(m.Entries) != 2 || m.Entries[1] != testEntry(1, discovery.Up) {
 		t.Errorf("fetched list: %+v, error %v", m, err)
 	}
 	golden.Check(t, "golden/requests.txt", []byte(requests+nextLine(t, "request for the list", replica.requests)))
--- a/internal/agent/publisher.go
+++ b/internal/agent/publisher.go
@@ -63,7 +63,7 @@
 		m = accepted.deltaFrom(p.published)
 	}
 	clear(p.removedAt)
-	if len(m.Instances) == 0 && !snapshot { // no difference, as after a flap
+	if len(m.Entries) == 0 && !snapshot { // no difference, as after a flap
 		return discovery.Message{}, false
 	}
 	p.published = accepted
--- a/internal/agent/publisher_test.go
+++ b/internal/agent/publisher_test.go
@@ -15,25 +15,25 @@
 	h.receive(snapshotOf(10, 10))
 	n := len(h.published)
 	for g := uint64(11); g < 31; g += 2 {
-		h.receive(discovery.Message{Generation: g, Instances: []discovery.Entry{testEntry(3, discovery.Removed)}})
+		h.receive(discovery.Message{Generation: g, Entries: []discovery.Entry{testEntry(3, discovery.Removed)}})
 		h.wait(300 * time.Millisecond)
-		h.receive(discovery.Message{Generation: g + 1, Instances: []discovery.Entry{testEntry(3, discovery.Up)}})
+		h.receive(discovery.Message{Generation: g + 1, Entries: []discovery.Entry{testEntry(3, discovery.Up)}})
 		h.wait(time.Second)
 		h.follower.HeartbeatReceived(h.now, h.follower.callID)
 	}
 	if len(h.published) != n {
 		t.Errorf("a flapping endpoint causes %d messages, want none", len(h.published)-n)
 	}
-	h.receive(discovery.Message{Generation: 40, Instances: []discovery.Entry{testEntry(3, discovery.Removed)}})
+	h.receive(discovery.Message{Generation: 40, Entries: []discovery.Entry{testEntry(3, discovery.Removed)}})
 	h.wait(DefaultRules().RemovalDelay + time.Millisecond)
 	h.expectPublished(9, 40)
-	h.receive(discovery.Message{Generation: 41, Instances: []discovery.Entry{testEntry(4, discovery.Draining)}})
-	h.receive(discovery.Message{Generation: 42, Instances: []discovery.Entry{testEntry(4, discovery.Removed)}}) // it was draining, so the removal is not delayed
+	h.receive(discovery.Message{Generation: 41, Entries: []discovery.Entry{testEntry(4, discovery.Draining)}})
+	h.receive(discovery.Message{Generation: 42, Entries: []discovery.Entry{testEntry(4, discovery.Removed)}}) // it was draining, so the removal is not delayed
 	h.expectPublished(8, 42)
 	moved := testEntry(5, discovery.Up)
-	moved.HostPort = "127.0.0.2:7"
-	h.receive(discovery.Message{Generation: 43, Instances: []discovery.Entry{moved}})
-	if m := h.published[len(h.published)-1]; len(m.Instances) != 1 || m.Instances[0] != moved {
+	moved.Addr = "127.0.0.2:7"
+	h.receive(discovery.Message{Generation: 43, Entries: []discovery.Entry{moved}})
+	if m := h.published[len(h.published)-1]; len(m.Entries) != 1 || m.Entries[0] != moved {
 		t.Errorf("an endpoint with a new address is published as %+v, want %+v", m, moved)
 	}
 }
--- a/internal/agent/rig_test.go
+++ b/internal/agent/rig_test.go
@@ -9,14 +9,14 @@
 
 // testEntry returns the entry of endpoint number n.
 func testEntry(n int, lifecycle string) discovery.Entry {
-	return discovery.Entry{InstanceID: fmt.Sprint("s-", n), HostPort: fmt.Sprintf("127.0.0.1:%d", 1000+n), Lifecycle: lifecycle, Weight: 1}
+	return discovery.Entry{ID: fmt.Sprint("s-", n), Addr: fmt.Sprintf("127.0.0.1:%d", 1000+n), Lifecycle: lifecycle, Weight: 1}
 }
 
 // snapshotOf returns a message with a complete list: the first n endpoints, all of them up.
 func snapshotOf(generation uint64, n int) discovery.Message {
-	m := discovery.Message{Generation: generation, Reset: true}
+	m := discovery.Message{Generation: generation, Snapshot: true}
 	for i := range n {
-		m.Instances = append(m.Instances, testEntry(i, discovery.Up))
+		m.Entries = append(m.Entries, testEntry(i, discovery.Up))
 	}
 	return m
 }
@@ -94,7 +94,7 @@
 func (h *followerHarness) expectPublished(endpoints int, generation uint64) {
 	h.t.Helper()
 	m := h.follower.Published()
-	if len(m.Instances) != endpoints || m.Generation != generation {
-		h.t.Errorf("%d endpoints at generation %d are published, want %d at %d; log records %v", len(m.Instances), m.Generation, endpoints, generation, h.records)
+	if len(m.Entries) != endpoints || m.Generation != generation {
+		h.t.Errorf("%d endpoints at generation %d are published, want %d at %d; log records %v", len(m.Entries), m.Generation, endpoints, generation, h.records)
 	}
 }
--- a/internal/agent/suspicion.go
+++ b/internal/agent/suspicion.go
@@ -84,7 +84,7 @@
 		return
 	}
 	switch {
-	case err != nil || m.Validate() != nil || !m.Reset ||
+	case err != nil || m.Validate() != nil || !m.Snapshot ||
 		discovery.Epoch(m.Generation) < discovery.Epoch(suspect.generation):
 		f.consultNextReplica(now)
 	case f.losses.suspects(view{}.apply(m).upCount()):
--- a/internal/agent/suspicion_test.go
+++ b/internal/agent/suspicion_test.go
@@ -59,7 +59,7 @@
 	if call := h.connect(); call.Replica != fetch.Replica {
 		t.Errorf("%s is followed, want %s", call.Replica, fetch.Replica)
 	}
-	h.receive(discovery.Message{Generation: 12, Instances: []discovery.Entry{testEntry(1, discovery.Draining)}})
+	h.receive(discovery.Message{Generation: 12, Entries: []discovery.Entry{testEntry(1, discovery.Draining)}})
 	h.expectPublished(10, 12)
 }
 
@@ -69,7 +69,7 @@
 	h.connect()
 	h.receive(snapshotOf(10, 10))
 	for n := range 10 {
-		h.receive(discovery.Message{Generation: uint64(11 + n), Instances: []discovery.Entry{testEntry(n, discovery.Draining)}})
+		h.receive(discovery.Message{Generation: uint64(11 + n), Entries: []discovery.Entry{testEntry(n, discovery.Draining)}})
 	}
 	if !h.follower.Status(h.now).Suspecting {
 		t.Error("the list is not suspect")
--- a/internal/agent/view.go
+++ b/internal/agent/view.go
@@ -28,14 +28,14 @@
 // apply returns a new view with the changes or the complete list of a message.
 func (v view) apply(m discovery.Message) view {
 	next := view{generation: m.Generation, entries: map[string]discovery.Entry{}}
-	if !m.Reset {
+	if !m.Snapshot {
 		maps.Copy(next.entries, v.entries)
 	}
-	for _, e := range m.Instances {
+	for _, e := range m.Entries {
 		if e.Lifecycle == discovery.Removed {
-			delete(next.entries, e.InstanceID)
+			delete(next.entries, e.ID)
 		} else {
-			next.entries[e.InstanceID] = e
+			next.entries[e.ID] = e
 		}
 	}
 	return next
@@ -45,33 +45,33 @@
 func (v view) snapshot() discovery.Message {
 	m := discovery.Message{
 		Generation: v.generation,
-		Reset:      true,
-		Instances:  slices.Collect(maps.Values(v.entries)),
+		Snapshot:   true,
+		Entries:    slices.Collect(maps.Values(v.entries)),
 	}
-	sortEntries(m.Instances)
+	sortEntries(m.Entries)
 	return m
 }
 
 // deltaFrom returns the message of changes from an older view of the same epoch to v, sorted by instance ID.
 func (v view) deltaFrom(old view) discovery.Message {
-	m := discovery.Message{Generation: v.generation, Instances: []discovery.Entry{}}
+	m := discovery.Message{Generation: v.generation, Entries: []discovery.Entry{}}
 	for id, e := range v.entries {
 		if was, ok := old.entries[id]; !ok || was != e {
-			m.Instances = append(m.Instances, e)
+			m.Entries = append(m.Entries, e)
 		}
 	}
 	for id, e := range old.entries {
 		if _, ok := v.entries[id]; !ok {
 			e.Lifecycle = discovery.Removed
-			m.Instances = append(m.Instances, e)
+			m.Entries = append(m.Entries, e)
 		}
 	}
-	sortEntries(m.Instances)
+	sortEntries(m.Entries)
 	return m
 }
 
 func sortEntries(entries []discovery.Entry) {
 	slices.SortFunc(entries, func(a, b discovery.Entry) int {
-		return cmp.Compare(a.InstanceID, b.InstanceID)
+		return cmp.Compare(a.ID, b.ID)
 	})
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -39,8 +39,8 @@
 
 // Entry describes an app server in a [Message].
 type Entry struct {
-	InstanceID  string  `json:"instanceId"`
-	HostPort    string  `json:"hostPort"` // IP address and port
+	ID          string  `json:"instanceId"`
+	Addr        string  `json:"hostPort"` // IP address and port
 	Zone        string  `json:"zone"`
 	MachineType string  `json:"machineType"`
 	Cell        int     `json:"cell"`
@@ -52,8 +52,8 @@
 // Message is either the complete list or the changes since an earlier generation.
 type Message struct {
 	Generation uint64  `json:"generation"` // generation of the list after this message
-	Reset      bool    `json:"reset"`      // whether Instances is the complete list
-	Instances  []Entry `json:"instances"`  // complete list, or the entries that have changed
+	Snapshot   bool    `json:"reset"`      // whether Entries is the complete list
+	Entries    []Entry `json:"instances"`  // complete list, or the entries that have changed
 }
 
 // EpochBits is the number of bits of a generation below its epoch. Only the project's own list service
--- a/internal/discovery/splitter.go
+++ b/internal/discovery/splitter.go
@@ -12,8 +12,8 @@
 var (
 	// ErrTooLong means that a message exceeds [MaxStreamMessage].
 	ErrTooLong = fmt.Errorf("message exceeds %d bytes", MaxStreamMessage)
-	// ErrNoMessage means that a message does not begin with an opening brace.
-	ErrNoMessage = errors.New("not a JSON object")
+	// ErrNotObject means that a message does not begin with an opening brace.
+	ErrNotObject = errors.New("not a JSON object")
 	// ErrTruncated means that a message is incomplete: an empty line or the end of the stream follows it, or
 	// one of its strings contains a control character such as a line end.
 	ErrTruncated = errors.New("message is truncated")
@@ -60,7 +60,7 @@
 				heartbeat()
 			case !isBlank(c):
 				s.partial = append(s.partial[:0], text[i:]...)
-				return ErrNoMessage
+				return ErrNotObject
 			}
 			continue
 		}
--- a/internal/discovery/splitter_bench_test.go
+++ b/internal/discovery/splitter_bench_test.go
@@ -10,9 +10,9 @@
 // BenchmarkSplitter splits a stream with a complete list of 1,024 entries, in one piece and in pieces of 48
 // bytes.
 func BenchmarkSplitter(b *testing.B) {
-	m := Message{Generation: 9, Reset: true}
+	m := Message{Generation: 9, Snapshot: true}
 	for i := range 1024 {
-		m.Instances = append(m.Instances, Entry{InstanceID: fmt.Sprintf("s-%08x", i), HostPort: "127.0.0.1:8080", Zone: "a", Lifecycle: Up, Weight: 1})
+		m.Entries = append(m.Entries, Entry{ID: fmt.Sprintf("s-%08x", i), Addr: "127.0.0.1:8080", Zone: "a", Lifecycle: Up, Weight: 1})
 	}
 	text, err := json.Marshal(m)
 	if err != nil {
--- a/internal/discovery/splitter_test.go
+++ b/internal/discovery/splitter_test.go
@@ -26,7 +26,7 @@
 		}
 	}
 	for text, want := range map[string]error{
-		"x": ErrNoMessage, "{\"a\n": ErrTruncated, "{\"a\":1,\n\n": ErrTruncated,
+		"x": ErrNotObject, "{\"a\n": ErrTruncated, "{\"a\":1,\n\n": ErrTruncated,
 		"{" + strings.Repeat(" ", MaxStreamMessage): ErrTooLong,
 	} {
 		var s Splitter
--- a/internal/discovery/validate.go
+++ b/internal/discovery/validate.go
@@ -16,8 +16,8 @@
 	if m.Generation == 0 {
 		return &FieldError{"generation", errZero}
 	}
-	for i, e := range m.Instances {
-		if name, err := e.validate(m.Reset); err != nil {
+	for i, e := range m.Entries {
+		if name, err := e.validate(m.Snapshot); err != nil {
 			return &FieldError{entryField(i, name), err}
 		}
 	}
@@ -28,14 +28,14 @@
 // message of changes.
 func (e Entry) validate(snapshot bool) (field string, err error) {
 	switch {
-	case e.InstanceID == "":
+	case e.ID == "":
 		return "instanceId", errEmpty
 	case e.Lifecycle != Up && e.Lifecycle != Draining && (e.Lifecycle != Removed || snapshot):
 		return "lifecycle", fmt.Errorf("must be up, draining or (in changes) removed, got %q", e.Lifecycle)
 	case !(e.Weight >= 0) || math.IsInf(e.Weight, 0):
 		return "weight", fmt.Errorf("must be a finite number of at least 0, got %v", e.Weight)
 	}
-	if _, err := netip.ParseAddrPort(e.HostPort); err != nil && e.Lifecycle != Removed {
+	if _, err := netip.ParseAddrPort(e.Addr); err != nil && e.Lifecycle != Removed {
 		return "hostPort", err
 	}
 	return "", nil
--- a/internal/discovery/validate_test.go
+++ b/internal/discovery/validate_test.go
@@ -7,11 +7,11 @@
 
 // Validate rejects messages that a list service would not write. The error names the field.
 func TestValidate(t *testing.T) {
-	good := Entry{InstanceID: "a", HostPort: "127.0.0.1:1", Lifecycle: Up, Weight: 1}
-	message := func(reset bool, change func(e *Entry)) Message {
+	good := Entry{ID: "a", Addr: "127.0.0.1:1", Lifecycle: Up, Weight: 1}
+	message := func(snapshot bool, change func(e *Entry)) Message {
 		e := good
 		change(&e)
-		return Message{Generation: 1, Reset: reset, Instances: []Entry{good, e}}
+		return Message{Generation: 1, Snapshot: snapshot, Entries: []Entry{good, e}}
 	}
 	for _, c := range []struct {
 		name  string
@@ -19,14 +19,14 @@
 		field string // field named by the error; "" if the message is valid
 	}{
 		{"snapshot", message(true, func(*Entry) {}), ""},
-		{"empty snapshot", Message{Generation: 1, Reset: true}, ""},
-		{"removal without an address", message(false, func(e *Entry) { e.Lifecycle, e.HostPort = Removed, "" }), ""},
-		{"no generation", Message{Reset: true}, "generation"},
-		{"no id", message(true, func(e *Entry) { e.InstanceID = "" }), "instances[1].instanceId"},
+		{"empty snapshot", Message{Generation: 1, Snapshot: true}, ""},
+		{"removal without an address", message(false, func(e *Entry) { e.Lifecycle, e.Addr = Removed, "" }), ""},
+		{"no generation", Message{Snapshot: true}, "generation"},
+		{"no id", message(true, func(e *Entry) { e.ID = "" }), "instances[1].instanceId"},
 		{"removal in a snapshot", message(true, func(e *Entry) { e.Lifecycle = Removed }), "instances[1].lifecycle"},
 		{"unknown lifecycle", message(false, func(e *Entry) { e.Lifecycle = "odd" }), "instances[1].lifecycle"},
 		{"negative weight", message(false, func(e *Entry) { e.Weight = -1 }), "instances[1].weight"},
-		{"no address", message(false, func(e *Entry) { e.HostPort = "nowhere" }), "instances[1].hostPort"},
+		{"no address", message(false, func(e *Entry) { e.Addr = "nowhere" }), "instances[1].hostPort"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			err := c.m.Validate()
--- a/internal/edgenode/follower/golden_test.go
+++ b/internal/edgenode/follower/golden_test.go
@@ -98,7 +98,7 @@
 		return fmt.Sprintf("end: %v\n", e.err)
 	case eventMalformed:
 		text = fmt.Sprintf("malformed %t %t %t\n", errors.Is(e.err, discovery.ErrTruncated),
-			errors.Is(e.err, discovery.ErrNoMessage), errors.Is(e.err, discovery.ErrTooLong))
+			errors.Is(e.err, discovery.ErrNotObject), errors.Is(e.err, discovery.ErrTooLong))
 	case eventMessage:
 		text = fmt.Sprintf("list %d whole %t, %d spoilt\n", e.list.Generation, e.list.Snapshot, len(e.fieldErrors))
 	}
--- a/internal/registry/bench_encoder_test.go
+++ b/internal/registry/bench_encoder_test.go
@@ -67,14 +67,14 @@
 	defer l.mu.Unlock()
 	generation = l.state.Generation()
 	if from == 0 {
-		return []message{{Generation: generation, Reset: true, Instances: l.state.List()}}, generation, l.updated
+		return []message{{Generation: generation, Snapshot: true, Entries: l.state.List()}}, generation, l.updated
 	}
 	changes, ok := l.state.ChangesSince(from)
 	if !ok {
-		return []message{{Generation: generation, Reset: true}}, generation, l.updated
+		return []message{{Generation: generation, Snapshot: true}}, generation, l.updated
 	}
 	for _, c := range changes {
-		messages = append(messages, message{Generation: c.Generation, Instances: c.Entries})
+		messages = append(messages, message{Generation: c.Generation, Entries: c.Entries})
 	}
 	return messages, generation, l.updated
 }
--- a/internal/registry/bench_raft_test.go
+++ b/internal/registry/bench_raft_test.go
@@ -154,7 +154,7 @@
 			for i := int(next.Add(1) - 1); i < c.log; i = int(next.Add(1) - 1) {
 				n := i % c.entries
 				e := entry(fmt.Sprint("s-", n), 0)
-				e.HostPort = fmt.Sprintf("127.%d.%d.%d:%d", n/50_000, n/200%250, n%200, 1+n%60_000)
+				e.Addr = fmt.Sprintf("127.%d.%d.%d:%d", n/50_000, n/200%250, n%200, 1+n%60_000)
 				o, err := s.commit(Command{Kind: Register, Entry: e, Incarnation: uint64(i + 1)})
 				if err != nil || o.Code != Done && o.Code != StaleIncarnation {
 					b.Error(o, err)
--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -95,7 +95,7 @@
 	if err := json.Unmarshal(text, &m); err != nil {
 		return 0, nil, fmt.Errorf("decoding the list: %w", err)
 	}
-	return m.Generation, m.Instances, nil
+	return m.Generation, m.Entries, nil
 }
 
 // Status requests the status of each replica. The results are in the order of Replicas. For a replica that
--- a/internal/registry/client_watch.go
+++ b/internal/registry/client_watch.go
@@ -16,7 +16,7 @@
 // Watch follows the list from a generation, or from the full list if the generation is 0. It uses the first
 // replica that accepts the watch and tries each replica once. It calls handle for each message, in order, and
 // returns an error when the watch or ctx ends. Without replica addresses it returns nil.
-func (c *Client) Watch(ctx context.Context, from uint64, handle func(generation uint64, reset bool, entries []Entry)) error {
+func (c *Client) Watch(ctx context.Context, from uint64, handle func(generation uint64, snapshot bool, entries []Entry)) error {
 	var lastErr error
 	for _, replica := range c.Replicas {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, discovery.WatchURL(replica, from), nil)
@@ -41,7 +41,7 @@
 }
 
 // readWatch calls handle for each message until the watch ends. It always returns an error.
-func readWatch(body io.Reader, handle func(generation uint64, reset bool, entries []Entry)) error {
+func readWatch(body io.Reader, handle func(generation uint64, snapshot bool, entries []Entry)) error {
 	lines := discovery.NewLineReader(body, maxResponseBytes)
 	for {
 		m, heartbeat, err := lines.Next()
@@ -54,7 +54,7 @@
 		case err != nil:
 			return errors.Join(err, ErrWatchEnded)
 		case !heartbeat:
-			handle(m.Generation, m.Reset, m.Instances)
+			handle(m.Generation, m.Snapshot, m.Entries)
 		}
 	}
 }
--- a/internal/registry/cluster_test.go
+++ b/internal/registry/cluster_test.go
@@ -221,7 +221,7 @@
 		}
 	}
 	_, list, err := (&Client{Replicas: []string{wiped.listen}}).List(ctx)
-	if err != nil || slices.ContainsFunc(list, func(e Entry) bool { return e.InstanceID == "s-x0" }) {
+	if err != nil || slices.ContainsFunc(list, func(e Entry) bool { return e.ID == "s-x0" }) {
 		t.Errorf("a replica that lost its state receives commits for the earlier one: %v", err)
 	}
 }
@@ -281,7 +281,7 @@
 	lagging.cut(all, cutNone)
 	w := startWatch(t, lagging.listen, ahead)
 	next := register(3)
-	if m := w.next(t); m.Reset || m.Generation != next {
+	if m := w.next(t); m.Snapshot || m.Generation != next {
 		t.Errorf("after the replica has caught up, the watch gets %+v, want generation %d", m, next)
 	}
 }
--- a/internal/registry/data_folder_test.go
+++ b/internal/registry/data_folder_test.go
@@ -67,7 +67,7 @@
 	golden.Same(t, "instances", []byte(statuses.String()), golden.Read(t, recordedFolder+"standings.json"))
 	_, backup := call(t, "GET", base+"backup", "")
 	golden.Same(t, "backup", []byte(backup), golden.Read(t, recordedFolder+"backup.json"))
-	if m := startWatch(t, s.Addr(), 7<<epochBits|13).next(t); m.Generation != 7<<epochBits|14 || m.Reset {
+	if m := startWatch(t, s.Addr(), 7<<epochBits|13).next(t); m.Generation != 7<<epochBits|14 || m.Snapshot {
 		t.Errorf("the watch continues with %+v, want generation %d", m, uint64(7<<epochBits|14))
 	}
 	for path, want := range map[string]int{"s-expired/renew?incarnation=6": 409, "s-leased/renew?incarnation=5": 200} {
--- a/internal/registry/encoded_list.go
+++ b/internal/registry/encoded_list.go
@@ -74,7 +74,7 @@
 	generation, restoreCount, entries := m.state.Generation(), m.restoreCount, m.state.unsortedEntries()
 	m.mu.Unlock()
 	sortEntries(entries)
-	chunk := encodeMessage(message{Generation: generation, Reset: true, Instances: entries})
+	chunk := encodeMessage(message{Generation: generation, Snapshot: true, Entries: entries})
 	m.cachedList = encodedList{generation, restoreCount, chunk}
 	return m.cachedList
 }
--- a/internal/registry/fsm_test.go
+++ b/internal/registry/fsm_test.go
@@ -40,7 +40,7 @@
 	m.publishRestored()
 	before := m.generation()
 	for n := range maxZoneEntries {
-		text, err := json.Marshal(Command{Kind: Remove, ID: numberedEntry(n).InstanceID, Incarnation: 1})
+		text, err := json.Marshal(Command{Kind: Remove, ID: numberedEntry(n).ID, Incarnation: 1})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -116,8 +116,8 @@
 		t.Errorf("after the cached list, a watch gets %d changes up to %d", len(rest.chunks), rest.generation)
 	}
 	var list message
-	if err := json.Unmarshal(m.currentList().json(), &list); err != nil || list.Generation != m.generation() || len(list.Instances) != 400 || !list.Reset {
-		t.Errorf("a reader gets generation %d, want %d, with %d entries, want 400: %v", list.Generation, m.generation(), len(list.Instances), err)
+	if err := json.Unmarshal(m.currentList().json(), &list); err != nil || list.Generation != m.generation() || len(list.Entries) != 400 || !list.Snapshot {
+		t.Errorf("a reader gets generation %d, want %d, with %d entries, want 400: %v", list.Generation, m.generation(), len(list.Entries), err)
 	}
 	start, changes := m.readSince(0).generation, 0
 	for ; m.readSince(0).generation == start; changes++ {
@@ -134,7 +134,7 @@
 	fillList(t, m.state, 400)
 	m.publishRestored()
 	for n := range 50 {
-		m.state.Apply(Command{Kind: Drain, ID: numberedEntry(n).InstanceID})
+		m.state.Apply(Command{Kind: Drain, ID: numberedEntry(n).ID})
 		m.publish()
 	}
 	m.currentList()
@@ -148,8 +148,8 @@
 		t.Fatal(err)
 	}
 	var list message
-	if err := json.Unmarshal(m.currentList().json(), &list); err != nil || len(list.Instances) != other.state.Len() {
-		t.Errorf("after a restore, a reader gets %d entries, want %d: %v", len(list.Instances), other.state.Len(), err)
+	if err := json.Unmarshal(m.currentList().json(), &list); err != nil || len(list.Entries) != other.state.Len() {
+		t.Errorf("after a restore, a reader gets %d entries, want %d: %v", len(list.Entries), other.state.Len(), err)
 	}
 }
 
@@ -174,8 +174,8 @@
 		t.Fatal(err)
 	}
 	for n := range 30 {
-		m.state.Apply(Command{Kind: Drain, ID: numberedEntry(n).InstanceID})
-		m.state.Apply(Command{Kind: Remove, ID: numberedEntry(n + 20).InstanceID})
+		m.state.Apply(Command{Kind: Drain, ID: numberedEntry(n).ID})
+		m.state.Apply(Command{Kind: Remove, ID: numberedEntry(n + 20).ID})
 	}
 	var written memorySink
 	if err := taken.Persist(&written); err != nil {
@@ -207,7 +207,7 @@
 	}
 	for _, m := range []*fsm{lost, other} { // changes after the snapshot
 		for n := range 10 {
-			m.state.Apply(Command{Kind: Remove, ID: numberedEntry(n).InstanceID})
+			m.state.Apply(Command{Kind: Remove, ID: numberedEntry(n).ID})
 			m.publish()
 		}
 	}
--- a/internal/registry/golden_client_test.go
+++ b/internal/registry/golden_client_test.go
@@ -67,8 +67,8 @@
 		t.Fatal(err)
 	}
 	var watched uint64
-	watchErr := c.Watch(ctx, 40, func(generation uint64, reset bool, entries []Entry) {
-		if reset && len(entries) == 2 {
+	watchErr := c.Watch(ctx, 40, func(generation uint64, snapshot bool, entries []Entry) {
+		if snapshot && len(entries) == 2 {
 			watched = generation
 		}
 	})
@@ -81,7 +81,7 @@
 			t.Errorf("outcome %+v, want code same, generation 41 and message why", o)
 		}
 	}
-	if shown.InstanceID != "s-a" || shown.Weight != 0.5 || shown.Incarnation != 5 || shown.LeaseMs != 1000 || shown.Generation != 41 {
+	if shown.ID != "s-a" || shown.Weight != 0.5 || shown.Incarnation != 5 || shown.LeaseMs != 1000 || shown.Generation != 41 {
 		t.Errorf("instance %+v", shown)
 	}
 	if generation != 7<<epochBits|8 || len(entries) != 2 || entries[1].StartedAtMs != 1700000000123 || watched != generation {
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -35,7 +35,7 @@
 func goldenCommands(t *testing.T) []goldenCommand {
 	t.Helper()
 	earlier := NewState(0)
-	old := Entry{InstanceID: "s-old", HostPort: "127.0.0.1:9000", Zone: "a", MachineType: "std-4c", Cell: 2, Lifecycle: Up, Weight: 1.5, StartedAtMs: 1700000000123}
+	old := Entry{ID: "s-old", Addr: "127.0.0.1:9000", Zone: "a", MachineType: "std-4c", Cell: 2, Lifecycle: Up, Weight: 1.5, StartedAtMs: 1700000000123}
 	earlier.Apply(Command{Kind: Register, Entry: old, Incarnation: 3})
 	earlier.Apply(Command{Kind: Register, Entry: entry("s-back", 9009), Incarnation: 1})
 	earlier.Apply(Command{Kind: Remove, ID: "s-back"})
@@ -43,12 +43,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	leased := Entry{InstanceID: "s-leased", HostPort: "[::1]:9001", Zone: "b", MachineType: "std-8c", Cell: 1 << 30, Lifecycle: Up, Weight: 1e6, StartedAtMs: 1 << 52}
+	leased := Entry{ID: "s-leased", Addr: "[::1]:9001", Zone: "b", MachineType: "std-8c", Cell: 1 << 30, Lifecycle: Up, Weight: 1e6, StartedAtMs: 1 << 52}
 	return []goldenCommand{
 		{"load", Command{Kind: Load, Snapshot: restored}, Done},
 		{"register", Command{Kind: Register, Entry: entry("s-plain", 9002), Incarnation: 1}, Done},
 		{"register-leased", Command{Kind: Register, Entry: leased, Incarnation: 1<<63 - 1, Lease: MaxLease}, Done},
-		{"register-unweighted", Command{Kind: Register, Entry: Entry{InstanceID: "s-bare", HostPort: "127.0.0.1:9003", Lifecycle: Up}, Incarnation: 2, Lease: MinLease * 5000}, Done},
+		{"register-unweighted", Command{Kind: Register, Entry: Entry{ID: "s-bare", Addr: "127.0.0.1:9003", Lifecycle: Up}, Incarnation: 2, Lease: MinLease * 5000}, Done},
 		{"drain", Command{Kind: Drain, ID: "s-old", Incarnation: 3}, Done},
 		{"drain-any", Command{Kind: Drain, ID: "s-plain"}, Done},
 		{"remove", Command{Kind: Remove, ID: "s-plain", Incarnation: 1}, Done},
--- a/internal/registry/harness_test.go
+++ b/internal/registry/harness_test.go
@@ -138,7 +138,7 @@
 
 // entry returns an app server at the given port of 127.0.0.1.
 func entry(id string, port int) Entry {
-	return Entry{InstanceID: id, HostPort: fmt.Sprintf("127.0.0.1:%d", port), Zone: "a", MachineType: "m", Lifecycle: Up, Weight: 1}
+	return Entry{ID: id, Addr: fmt.Sprintf("127.0.0.1:%d", port), Zone: "a", MachineType: "m", Lifecycle: Up, Weight: 1}
 }
 
 // Sizes of the largest fleet that the service is designed for.
@@ -150,7 +150,7 @@
 // numberedEntry returns an app server with a unique address, for n below 500,000.
 func numberedEntry(n int) Entry {
 	e := entry(fmt.Sprintf("s-%06d", n), 0)
-	e.HostPort = fmt.Sprintf("127.%d.%d.1:%d", n/50_000, n/200%250, 1+n%200)
+	e.Addr = fmt.Sprintf("127.%d.%d.1:%d", n/50_000, n/200%250, 1+n%200)
 	return e
 }
 
--- a/internal/registry/history_test.go
+++ b/internal/registry/history_test.go
@@ -290,7 +290,7 @@
 		t.Errorf("history of the state machine: %v", err)
 	}
 	acceptOlder := func(s *State, c Command) Outcome {
-		if r := s.records[c.Entry.InstanceID]; c.Kind == Register && r != nil && c.Incarnation < r.Incarnation {
+		if r := s.records[c.Entry.ID]; c.Kind == Register && r != nil && c.Incarnation < r.Incarnation {
 			r.Incarnation = c.Incarnation
 			return s.appendChange(r.Entry)
 		}
--- a/internal/registry/http_api_test.go
+++ b/internal/registry/http_api_test.go
@@ -45,17 +45,17 @@
 	var seen []string
 	for range 3 {
 		m := w.next(t)
-		seen = append(seen, fmt.Sprintf("%d %v %s", m.Generation, m.Reset, m.Instances[0].Lifecycle))
+		seen = append(seen, fmt.Sprintf("%d %v %s", m.Generation, m.Snapshot, m.Entries[0].Lifecycle))
 	}
 	if got, want := fmt.Sprint(seen), "[2 false draining 3 false removed 4 false up]"; got != want {
 		t.Errorf("the watch gets %s, want %s", got, want)
 	}
-	if m := startWatch(t, s.Addr(), 0).next(t); !m.Reset || m.Generation != 4 || len(m.Instances) != 1 {
+	if m := startWatch(t, s.Addr(), 0).next(t); !m.Snapshot || m.Generation != 4 || len(m.Entries) != 1 {
 		t.Errorf("a new watch gets %+v", m)
 	}
 	// The leader never had this generation. It belongs to another list, and the reader gets the full list of
 	// this one.
-	if m := startWatch(t, s.Addr(), 1<<40).next(t); !m.Reset || m.Generation != 4 {
+	if m := startWatch(t, s.Addr(), 1<<40).next(t); !m.Snapshot || m.Generation != 4 {
 		t.Errorf("a reader of another list gets %+v", m)
 	}
 }
@@ -102,7 +102,7 @@
 	}
 	call(t, "POST", base, registration("s-short", 99, 1, time.Second))
 	w := startWatch(t, s.Addr(), 6)
-	if m := w.next(t); len(m.Instances) != 1 || m.Instances[0].InstanceID != "s-short" || m.Instances[0].Lifecycle != Removed {
+	if m := w.next(t); len(m.Entries) != 1 || m.Entries[0].ID != "s-short" || m.Entries[0].Lifecycle != Removed {
 		t.Errorf("the watch gets %+v, want the removal of s-short", m)
 	}
 	if status, text := call(t, "POST", base+"/s-short/renew?incarnation=1", ""); status != http.StatusConflict {
--- a/internal/registry/leader_leases.go
+++ b/internal/registry/leader_leases.go
@@ -70,9 +70,9 @@
 	switch c.Kind {
 	case Register:
 		if c.Lease > 0 {
-			l.leases.Grant(now, Lease{InstanceRef{c.Entry.InstanceID, c.Incarnation}, c.Lease})
+			l.leases.Grant(now, Lease{InstanceRef{c.Entry.ID, c.Incarnation}, c.Lease})
 		} else {
-			l.leases.Drop(c.Entry.InstanceID)
+			l.leases.Drop(c.Entry.ID)
 		}
 	case Remove:
 		l.leases.Drop(c.ID)
--- a/internal/registry/leases_test.go
+++ b/internal/registry/leases_test.go
@@ -164,7 +164,7 @@
 		l := NewLeases(0, nil, defaultSelfPreservation)
 		var lost []InstanceRef
 		for n := range entries {
-			ref := InstanceRef{numberedEntry(n).InstanceID, 1}
+			ref := InstanceRef{numberedEntry(n).ID, 1}
 			l.Grant(0, Lease{ref, term})
 			if n%c.lostOneIn == 0 {
 				lost = append(lost, ref)
@@ -172,7 +172,7 @@
 		}
 		for at := term / 3; at < term; at += term / 3 {
 			for n := range entries {
-				if n%c.lostOneIn != 0 && !l.Renew(at, InstanceRef{numberedEntry(n).InstanceID, 1}) {
+				if n%c.lostOneIn != 0 && !l.Renew(at, InstanceRef{numberedEntry(n).ID, 1}) {
 					t.Fatalf("%s: %d is not renewed", name, n)
 				}
 			}
@@ -198,7 +198,7 @@
 func BenchmarkNextLease(b *testing.B) {
 	l := NewLeases(0, nil, defaultSelfPreservation)
 	for n := range maxFleetEntries {
-		l.Grant(time.Duration(n)*time.Microsecond, Lease{InstanceRef{numberedEntry(n).InstanceID, 1}, 10 * time.Second})
+		l.Grant(time.Duration(n)*time.Microsecond, Lease{InstanceRef{numberedEntry(n).ID, 1}, 10 * time.Second})
 	}
 	b.Run("queue", func(b *testing.B) {
 		for b.Loop() {
--- a/internal/registry/published.go
+++ b/internal/registry/published.go
@@ -91,7 +91,7 @@
 }
 
 func encodeChange(c Change) encodedChange {
-	return encodedChange{generation: c.Generation, chunk: encodeMessage(message{Generation: c.Generation, Instances: c.Entries})}
+	return encodedChange{generation: c.Generation, chunk: encodeMessage(message{Generation: c.Generation, Entries: c.Entries})}
 }
 
 // encodeMessage returns an HTTP chunk with a message as one line of JSON.
--- a/internal/registry/replication_test.go
+++ b/internal/registry/replication_test.go
@@ -28,10 +28,10 @@
 	followers := []*testWatch{startWatch(t, all[1].Addr(), 0), startWatch(t, all[2].Addr(), 0)}
 	for _, w := range followers {
 		for got := 0; got < 10; {
-			if m := w.next(t); m.Reset {
-				got = len(m.Instances)
+			if m := w.next(t); m.Snapshot {
+				got = len(m.Entries)
 			} else {
-				got += len(m.Instances)
+				got += len(m.Entries)
 			}
 		}
 	}
@@ -42,7 +42,7 @@
 		t.Fatalf("drain after the leader has closed: %d %s", status, text)
 	}
 	for _, w := range followers {
-		if m := w.next(t); m.Reset || m.Generation != 11 || m.Instances[0].InstanceID != "s-3" {
+		if m := w.next(t); m.Snapshot || m.Generation != 11 || m.Entries[0].ID != "s-3" {
 			t.Errorf("a watch gets %+v, want the change to s-3 at generation 11", m)
 		}
 	}
--- a/internal/registry/snapshot.go
+++ b/internal/registry/snapshot.go
@@ -40,7 +40,7 @@
 // encode returns the snapshot as JSON. The result depends only on the content, since encode sorts the
 // records.
 func (snap stateSnapshot) encode() ([]byte, error) {
-	slices.SortFunc(snap.Records, func(a, b record) int { return cmp.Compare(a.Entry.InstanceID, b.Entry.InstanceID) })
+	slices.SortFunc(snap.Records, func(a, b record) int { return cmp.Compare(a.Entry.ID, b.Entry.ID) })
 	return json.Marshal(snap)
 }
 
@@ -57,7 +57,7 @@
 	s.changeCount, s.tombstoneOrder, s.changes = snap.Count, snap.Tombstones, snap.Changes
 	for i := range snap.Records {
 		r := snap.Records[i]
-		id, addr := r.Entry.InstanceID, r.Entry.HostPort
+		id, addr := r.Entry.ID, r.Entry.Addr
 		if s.records[id] != nil || s.instanceByAddr[addr] != "" {
 			return nil, fmt.Errorf("state: records[%d]: instance %s or its address occurs twice", i, id)
 		}
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -93,7 +93,7 @@
 	s.changeCount++
 	generation := s.Generation()
 	for _, e := range entries {
-		if r := s.records[e.InstanceID]; r != nil {
+		if r := s.records[e.ID]; r != nil {
 			r.Changed = generation
 		}
 	}
@@ -109,11 +109,11 @@
 		return *rejection
 	}
 	e := c.Entry
-	if earlier := s.records[e.InstanceID]; earlier != nil {
-		delete(s.instanceByAddr, earlier.Entry.HostPort)
+	if earlier := s.records[e.ID]; earlier != nil {
+		delete(s.instanceByAddr, earlier.Entry.Addr)
 	}
-	s.records[e.InstanceID] = &record{Entry: e, Incarnation: c.Incarnation, Lease: c.Lease}
-	s.instanceByAddr[e.HostPort] = e.InstanceID
+	s.records[e.ID] = &record{Entry: e, Incarnation: c.Incarnation, Lease: c.Lease}
+	s.instanceByAddr[e.Addr] = e.ID
 	return s.appendChange(e)
 }
 
@@ -128,23 +128,23 @@
 	if err := ValidateRegistration(c); err != nil {
 		return rejection(Invalid, "%v", err)
 	}
-	if removed := s.tombstones[e.InstanceID]; c.Incarnation <= removed {
+	if removed := s.tombstones[e.ID]; c.Incarnation <= removed {
 		return rejection(StaleIncarnation, "%s: got incarnation %d, must be above the removed incarnation %d",
-			e.InstanceID, c.Incarnation, removed)
+			e.ID, c.Incarnation, removed)
 	}
-	r := s.records[e.InstanceID]
+	r := s.records[e.ID]
 	if r != nil && c.Incarnation < r.Incarnation {
-		return rejection(StaleIncarnation, "%s: incarnation %d is registered", e.InstanceID, r.Incarnation)
+		return rejection(StaleIncarnation, "%s: incarnation %d is registered", e.ID, r.Incarnation)
 	}
 	if r != nil && c.Incarnation == r.Incarnation {
 		if r.registeredBy(c) {
 			return rejection(Unchanged, "")
 		}
 		return rejection(RegistrationConflict, "%s: incarnation %d is registered otherwise; register changes under a larger one",
-			e.InstanceID, c.Incarnation)
+			e.ID, c.Incarnation)
 	}
-	if other, used := s.instanceByAddr[e.HostPort]; used && other != e.InstanceID {
-		return rejection(AddressConflict, "hostPort: %s belongs to %s", e.HostPort, other)
+	if other, used := s.instanceByAddr[e.Addr]; used && other != e.ID {
+		return rejection(AddressConflict, "hostPort: %s belongs to %s", e.Addr, other)
 	}
 	if r == nil && len(s.records) >= MaxEntries {
 		return rejection(ListFull, "the list is full: %d entries is the maximum", MaxEntries)
@@ -216,9 +216,9 @@
 // removal to readers.
 func (s *State) removeRecord(r *record) Entry {
 	e := r.Entry
-	delete(s.records, e.InstanceID)
-	delete(s.instanceByAddr, e.HostPort)
-	s.addTombstone(tombstone{e.InstanceID, r.Incarnation})
+	delete(s.records, e.ID)
+	delete(s.instanceByAddr, e.Addr)
+	s.addTombstone(tombstone{e.ID, r.Incarnation})
 	e.Lifecycle = Removed
 	return e
 }
--- a/internal/registry/state_invariants_test.go
+++ b/internal/registry/state_invariants_test.go
@@ -40,13 +40,13 @@
 	if !ok {
 		r.list = map[string]Entry{}
 		for _, e := range s.List() {
-			r.list[e.InstanceID] = e
+			r.list[e.ID] = e
 		}
 	}
 	for _, c := range changes {
 		for _, e := range c.Entries {
-			if r.list[e.InstanceID] = e; e.Lifecycle == Removed {
-				delete(r.list, e.InstanceID)
+			if r.list[e.ID] = e; e.Lifecycle == Removed {
+				delete(r.list, e.ID)
 			}
 		}
 	}
@@ -134,10 +134,10 @@
 func (ch *invariantChecker) checkIncarnations(c Command, o Outcome) (violated string) {
 	const violation = "an older incarnation affects a newer one"
 	if c.Kind == Register && o.Code == Done {
-		if c.Incarnation < ch.newest[c.Entry.InstanceID] {
+		if c.Incarnation < ch.newest[c.Entry.ID] {
 			return violation
 		}
-		ch.newest[c.Entry.InstanceID] = c.Incarnation
+		ch.newest[c.Entry.ID] = c.Incarnation
 	}
 	for id, r := range ch.state.records {
 		if r.Incarnation < ch.newest[id] {
@@ -150,10 +150,10 @@
 func (ch *invariantChecker) checkAddresses() (violated string) {
 	used := map[string]bool{}
 	for _, e := range ch.state.List() {
-		if used[e.HostPort] {
+		if used[e.Addr] {
 			return "two instances have the same address"
 		}
-		used[e.HostPort] = true
+		used[e.Addr] = true
 	}
 	return ""
 }
@@ -198,7 +198,7 @@
 func TestInvariantsDetectFaultyStates(t *testing.T) {
 	for name, apply := range map[string]func(*State, Command) Outcome{
 		"older incarnation accepted": func(s *State, c Command) Outcome {
-			if r := s.records[c.Entry.InstanceID]; c.Kind == Register && r != nil && c.Incarnation < r.Incarnation {
+			if r := s.records[c.Entry.ID]; c.Kind == Register && r != nil && c.Incarnation < r.Incarnation {
 				r.Incarnation = c.Incarnation
 				r.Entry.Weight++
 				return s.appendChange(r.Entry)
--- a/internal/registry/state_queries.go
+++ b/internal/registry/state_queries.go
@@ -32,7 +32,7 @@
 }
 
 func sortEntries(entries []Entry) {
-	slices.SortFunc(entries, func(a, b Entry) int { return cmp.Compare(a.InstanceID, b.InstanceID) })
+	slices.SortFunc(entries, func(a, b Entry) int { return cmp.Compare(a.ID, b.ID) })
 }
 
 // ChangesSince returns the changes after a generation, oldest first. ok is false if some of them are no
@@ -65,7 +65,7 @@
 	var leases []Lease
 	for _, r := range s.records {
 		if r.Lease > 0 {
-			leases = append(leases, Lease{InstanceRef{r.Entry.InstanceID, r.Incarnation}, r.Lease})
+			leases = append(leases, Lease{InstanceRef{r.Entry.ID, r.Incarnation}, r.Lease})
 		}
 	}
 	slices.SortFunc(leases, func(a, b Lease) int { return cmp.Compare(a.ID, b.ID) })
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -31,8 +31,8 @@
 // An invalid registration is rejected with the name of the field, and changes nothing.
 func TestInvalidRegistrations(t *testing.T) {
 	for field, change := range map[string]func(*Command){
-		"instanceId":  func(c *Command) { c.Entry.InstanceID = strings.Repeat("x", 1<<20) },
-		"hostPort":    func(c *Command) { c.Entry.HostPort = "nowhere" },
+		"instanceId":  func(c *Command) { c.Entry.ID = strings.Repeat("x", 1<<20) },
+		"hostPort":    func(c *Command) { c.Entry.Addr = "nowhere" },
 		"zone":        func(c *Command) { c.Entry.Zone = "a\nb" },
 		"machineType": func(c *Command) { c.Entry.MachineType = strings.Repeat("m", 65) },
 		"lifecycle":   func(c *Command) { c.Entry.Lifecycle = "odd" },
@@ -63,7 +63,7 @@
 	if err := ValidateRegistration(c); !errors.As(err, &field) || field.Field != "incarnation" || field.Reason == "" {
 		t.Errorf("error %v, want a FieldError for incarnation", err)
 	}
-	c.Entry.InstanceID, c.Entry.Zone = "", "a\nb"
+	c.Entry.ID, c.Entry.Zone = "", "a\nb"
 	err := ValidateRegistration(c)
 	if !errors.As(err, &field) || field.Field != "instanceId" || !strings.Contains(err.Error(), "zone: ") {
 		t.Errorf("two invalid names: error %v, want both fields", err)
@@ -87,7 +87,7 @@
 	if o := s.Apply(Command{Kind: Register, Entry: again, Incarnation: 2}); o.Code != Done {
 		t.Errorf("new incarnation of a registered instance: %+v", o)
 	}
-	s.Apply(Command{Kind: Remove, ID: again.InstanceID})
+	s.Apply(Command{Kind: Remove, ID: again.ID})
 	if o := s.Apply(next); o.Code != Done || s.Len() != MaxEntries {
 		t.Errorf("after the removal of another entry: %+v, %d entries", o, s.Len())
 	}
--- a/internal/registry/validate.go
+++ b/internal/registry/validate.go
@@ -41,15 +41,15 @@
 // all names are valid, it contains one for the first other invalid field.
 func ValidateRegistration(c Command) error {
 	err := errors.Join(
-		validateID(c.Entry.InstanceID),
+		validateID(c.Entry.ID),
 		validateName("zone", c.Entry.Zone, maxNameLength),
 		validateName("machineType", c.Entry.MachineType, maxNameLength),
 	)
 	if err != nil {
 		return err
 	}
-	if _, err := netip.ParseAddrPort(c.Entry.HostPort); err != nil {
-		return fieldError("hostPort", "%q is no address with a port, such as 127.0.0.1:8080", truncate(c.Entry.HostPort))
+	if _, err := netip.ParseAddrPort(c.Entry.Addr); err != nil {
+		return fieldError("hostPort", "%q is no address with a port, such as 127.0.0.1:8080", truncate(c.Entry.Addr))
 	}
 	return validateNumbers(c)
 }
--- a/internal/scale/list_expiry_test.go
+++ b/internal/scale/list_expiry_test.go
@@ -48,7 +48,7 @@
 func checkExpiryBytes(t *testing.T, got float64, messages int, entries []discovery.Entry) {
 	t.Helper()
 	const extraDigits = 2 // length in hexadecimal: 2 digits for an empty message, 4 for one with all entries
-	frame := messageBytes(t, discovery.Message{Generation: firstGeneration, Instances: []discovery.Entry{}})
+	frame := messageBytes(t, discovery.Message{Generation: firstGeneration, Entries: []discovery.Entry{}})
 	commas := len(entries) - messages
 	minBytes := float64(messages)*frame + float64(commas)
 	for _, e := range entries {
@@ -99,8 +99,8 @@
 		t.Fatal(err)
 	}
 	want := slices.DeleteFunc(serviceEntries(entries), func(e discovery.Entry) bool { return e.Zone == listEntry(lostZone).Zone })
-	if !slices.Equal(list.Instances, want) {
-		t.Errorf("list has instances %v, want %v", list.Instances, want)
+	if !slices.Equal(list.Entries, want) {
+		t.Errorf("list has entries %v, want %v", list.Entries, want)
 	}
 }
 
--- a/internal/scale/list_lost.go
+++ b/internal/scale/list_lost.go
@@ -181,7 +181,7 @@
 
 // instanceRef returns a reference to the first incarnation of the instance with the given number.
 func instanceRef(n int) registry.InstanceRef {
-	return registry.InstanceRef{ID: listEntry(n).InstanceID, Incarnation: firstIncarnation}
+	return registry.InstanceRef{ID: listEntry(n).ID, Incarnation: firstIncarnation}
 }
 
 func (l *replicaLoss) recordRemoval(removal time.Duration) {
--- a/internal/scale/list_renew.go
+++ b/internal/scale/list_renew.go
@@ -190,7 +190,7 @@
 	if !c.keepAlive {
 		closing = "Connection: close\r\n"
 	}
-	id := listEntry(c.rng.IntN(c.leases)).InstanceID
+	id := listEntry(c.rng.IntN(c.leases)).ID
 	request := fmt.Appendf(nil, "POST /registry/instances/%s/renew?incarnation=%d HTTP/1.1\r\nHost: list\r\nContent-Length: 0\r\n%s\r\n", id, firstIncarnation, closing)
 	for len(request) > 0 {
 		n, err := uninterrupted(syscall.Write, c.fd, request)
--- a/internal/scale/list_service.go
+++ b/internal/scale/list_service.go
@@ -32,8 +32,8 @@
 // entries of a zone are spread over the list.
 func listEntry(n int) registry.Entry {
 	return registry.Entry{
-		InstanceID:  fmt.Sprintf("server-%06d", n),
-		HostPort:    fmt.Sprintf("10.%d.%d.%d:8080", n>>16, n>>8&0xff, n&0xff),
+		ID:          fmt.Sprintf("server-%06d", n),
+		Addr:        fmt.Sprintf("10.%d.%d.%d:8080", n>>16, n>>8&0xff, n&0xff),
 		Zone:        fmt.Sprintf("zone-%02d", n%plannedZones),
 		MachineType: "standard-8",
 		Cell:        n % 64,
--- a/internal/scale/list_test.go
+++ b/internal/scale/list_test.go
@@ -67,7 +67,7 @@
 func removalBytes(t *testing.T, entries int) (zone float64) {
 	t.Helper()
 	for _, e := range removedZone(entries) {
-		zone += messageBytes(t, discovery.Message{Generation: firstGeneration, Instances: []discovery.Entry{e}})
+		zone += messageBytes(t, discovery.Message{Generation: firstGeneration, Entries: []discovery.Entry{e}})
 	}
 	return zone
 }
--- a/internal/scale/list_write.go
+++ b/internal/scale/list_write.go
@@ -26,17 +26,17 @@
 
 // drain drains an instance.
 func (w *listWriter) drain(ctx context.Context, n int) (generation uint64, err error) {
-	return w.send(ctx, http.MethodPost, listEntry(n).InstanceID+"/drain")
+	return w.send(ctx, http.MethodPost, listEntry(n).ID+"/drain")
 }
 
 // remove removes an instance from the list.
 func (w *listWriter) remove(ctx context.Context, n int) (generation uint64, err error) {
-	return w.send(ctx, http.MethodDelete, listEntry(n).InstanceID)
+	return w.send(ctx, http.MethodDelete, listEntry(n).ID)
 }
 
 // renew renews the lease of an instance, which does not change the generation of the list.
 func (w *listWriter) renew(ctx context.Context, n int) (generation uint64, err error) {
-	return w.send(ctx, http.MethodPost, listEntry(n).InstanceID+"/renew")
+	return w.send(ctx, http.MethodPost, listEntry(n).ID+"/renew")
 }
 
 // send sends a change for the first incarnation of an instance and returns the resulting generation. change
--- a/internal/scale/restart.go
+++ b/internal/scale/restart.go
@@ -61,9 +61,9 @@
 
 // snapshotMessageBytes returns the length of the message with the complete list, in bytes.
 func snapshotMessageBytes(entries int) (int, error) {
-	m := discovery.Message{Generation: restartGeneration, Reset: true}
+	m := discovery.Message{Generation: restartGeneration, Snapshot: true}
 	for n := range entries {
-		m.Instances = append(m.Instances, listEntry(n))
+		m.Entries = append(m.Entries, listEntry(n))
 	}
 	text, err := json.Marshal(m)
 	return len(text) + 1, err
--- a/internal/testbed/list_service.go
+++ b/internal/testbed/list_service.go
@@ -329,16 +329,16 @@
 // toListMessage converts a message of the list service to the testbed's type.
 func toListMessage(m discovery.Message) *listMessage {
 	var entries []Entry
-	if m.Instances != nil {
-		entries = make([]Entry, 0, len(m.Instances)) // encodes an empty list as [], not as null
+	if m.Entries != nil {
+		entries = make([]Entry, 0, len(m.Entries)) // encodes an empty list as [], not as null
 	}
-	for _, e := range m.Instances {
+	for _, e := range m.Entries {
 		entries = append(entries, Entry{
-			InstanceID: e.InstanceID, HostPort: e.HostPort, Zone: e.Zone, MachineType: e.MachineType, Cell: e.Cell,
+			InstanceID: e.ID, HostPort: e.Addr, Zone: e.Zone, MachineType: e.MachineType, Cell: e.Cell,
 			Lifecycle: lifecycle(e.Lifecycle), Weight: e.Weight, StartedAtMs: e.StartedAtMs,
 		})
 	}
-	return &listMessage{Generation: m.Generation, Reset: m.Reset, Instances: entries}
+	return &listMessage{Generation: m.Generation, Reset: m.Snapshot, Instances: entries}
 }
 
 // stop stops the replicas and waits for their end.
