--- a/balancer/datagrams_test.go
+++ b/balancer/datagrams_test.go
@@ -165,7 +165,7 @@
 			}
 			live := run(nil)
 			transcript := golden.Check(t, name, live.transcript.Bytes())
-			golden.Same(t, name+" with the recorded messages", run(transcriptMessages(t, transcript)).transcript.Bytes(), transcript)
+			golden.Compare(t, name+" with the recorded messages", run(transcriptMessages(t, transcript)).transcript.Bytes(), transcript)
 			for _, kind := range c.want {
 				if live.sentKinds[kind] == 0 {
 					t.Errorf("no message of kind %d", kind)
--- a/internal/edgenode/follower/golden_test.go
+++ b/internal/edgenode/follower/golden_test.go
@@ -62,7 +62,7 @@
 		want := readStream(text, len(text))
 		golden.Check(t, "golden/"+name+"-read.txt", []byte(want))
 		if name != "garbage" {
-			golden.Same(t, name+" in small pieces", []byte(readStream(text, 7)), []byte(want))
+			golden.Compare(t, name+" in small pieces", []byte(readStream(text, 7)), []byte(want))
 		}
 	}
 }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -47,12 +47,13 @@
 		}
 	}
 	want := Read(t, name)
-	Same(t, name, got, want)
+	Compare(t, name, got, want)
 	return want
 }
 
-// Same fails the test if got differs from want, and shows the first difference. The name identifies the data.
-func Same(t testing.TB, name string, got, want []byte) {
+// Compare fails the test if got differs from want, and shows the first difference. The name identifies the
+// data.
+func Compare(t testing.TB, name string, got, want []byte) {
 	t.Helper()
 	if bytes.Equal(got, want) {
 		return
--- a/internal/registry/data_folder_test.go
+++ b/internal/registry/data_folder_test.go
@@ -58,15 +58,15 @@
 	waitFor(t, "the log is applied", func() bool { return s.Generation() == 7<<epochBits|15 })
 	base := "http://" + s.Addr() + "/registry/"
 	_, list := call(t, "GET", base+"instances", "")
-	golden.Same(t, "list", []byte(list), golden.Read(t, recordedFolder+"list.json"))
+	golden.Compare(t, "list", []byte(list), golden.Read(t, recordedFolder+"list.json"))
 	var statuses strings.Builder
 	for _, id := range []string{"s-old", "s-weight", "s-drained", "s-leased", "s-again", "s-late"} {
 		_, text := call(t, "GET", base+"instances/"+id, "")
 		statuses.WriteString(text)
 	}
-	golden.Same(t, "instances", []byte(statuses.String()), golden.Read(t, recordedFolder+"standings.json"))
+	golden.Compare(t, "instances", []byte(statuses.String()), golden.Read(t, recordedFolder+"standings.json"))
 	_, backup := call(t, "GET", base+"backup", "")
-	golden.Same(t, "backup", []byte(backup), golden.Read(t, recordedFolder+"backup.json"))
+	golden.Compare(t, "backup", []byte(backup), golden.Read(t, recordedFolder+"backup.json"))
 	if m := startWatch(t, s.Addr(), 7<<epochBits|13).next(t); m.Generation != 7<<epochBits|14 || m.Snapshot {
 		t.Errorf("the watch continues with %+v, want generation %d", m, uint64(7<<epochBits|14))
 	}
--- a/internal/registry/golden_client_test.go
+++ b/internal/registry/golden_client_test.go
@@ -90,7 +90,7 @@
 	if len(all) != 1 || all[0].AppliedIndex != 17 || !all[0].ExpirySuspended || all[0].SecondsSinceLeaderContact != 0.25 || !all[0].Replicas[0].Leader {
 		t.Errorf("status %+v", all)
 	}
-	golden.Same(t, "backup", backup.Bytes(), golden.Read(t, "golden/backup.json"))
+	golden.Compare(t, "backup", backup.Bytes(), golden.Read(t, "golden/backup.json"))
 }
 
 // The first line of a connection between replicas matches the golden file.
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -197,12 +197,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		golden.Same(t, g.name, again, data)
+		golden.Compare(t, g.name, again, data)
 		if o := m.Apply(&raft.Log{Term: goldenTerm, Data: data}).(Outcome); o.Code != g.code {
 			t.Errorf("%s: %s %s, want %s", g.name, o.Code, o.Message, g.code)
 		}
 	}
-	golden.Same(t, "state", persisted(t, m), golden.Read(t, "golden/snapshot.json"))
+	golden.Compare(t, "state", persisted(t, m), golden.Read(t, "golden/snapshot.json"))
 }
 
 // persisted returns the bytes of a snapshot.
@@ -227,8 +227,8 @@
 		if err := m.Restore(io.NopCloser(bytes.NewReader(text))); err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		golden.Same(t, name, persisted(t, m), text)
-		golden.Same(t, name+" as a list", m.currentList().json(), golden.Read(t, "golden/list.json"))
+		golden.Compare(t, name, persisted(t, m), text)
+		golden.Compare(t, name+" as a list", m.currentList().json(), golden.Read(t, "golden/list.json"))
 		checkGoldenState(t, name, m.state)
 	}
 }
@@ -341,5 +341,5 @@
 	if text, err = json.Marshal(decoded); err != nil {
 		t.Fatal(err)
 	}
-	golden.Same(t, name+" read and written", text, golden.Read(t, name))
+	golden.Compare(t, name+" read and written", text, golden.Read(t, name))
 }
