--- a/cmd/opalhook/sweep.go
+++ b/cmd/opalhook/sweep.go
@@ -60,7 +60,7 @@
 	if f.options.Binary, err = findSweepNode(c.Context(), f.binary, f.mutant, f.dir); err != nil {
 		return err
 	}
-	f.options.Rule, f.options.Dir, f.options.Log, f.options.Live = f.rule, f.dir, s.logger(), sweepProgress(os.Stderr)
+	f.options.Rule, f.options.Dir, f.options.Log, f.options.OnRun = f.rule, f.dir, s.logger(), sweepProgress(os.Stderr)
 	r, err := testbed.Sweep(c.Context(), f.options)
 	if err != nil {
 		return err
@@ -121,10 +121,10 @@
 
 // sweepProgress returns a function that writes a line for each finished scenario. Write errors are ignored:
 // they must not stop the sweep.
-func sweepProgress(out io.Writer) func(done, of int, run testbed.GeneratedRun) {
+func sweepProgress(out io.Writer) func(done, total int, run testbed.GeneratedRun) {
 	start := time.Now()
-	return func(done, of int, run testbed.GeneratedRun) {
-		_, _ = fmt.Fprintf(out, "%5.0f s  %d of %d  seed %d: %s%s\n", time.Since(start).Seconds(), done, of, run.Seed, run.Verdict, failureReason(run))
+	return func(done, total int, run testbed.GeneratedRun) {
+		_, _ = fmt.Fprintf(out, "%5.0f s  %d of %d  seed %d: %s%s\n", time.Since(start).Seconds(), done, total, run.Seed, run.Outcome, failureReason(run))
 	}
 }
 
@@ -144,22 +144,22 @@
 	return ": " + strings.Join(reasons, ", ")
 }
 
-// writeSweep writes the scenarios that failed, the number of scenarios by verdict, and the path of the
+// writeSweep writes the scenarios that failed, the number of scenarios by outcome, and the path of the
 // report.
 func writeSweep(out io.Writer, r *testbed.SweepReport, dir string) error {
 	var table strings.Builder
 	headerWritten := false
 	for _, run := range r.Runs {
-		if run.Verdict != testbed.BrokeRule && run.Verdict != testbed.NotPlayed {
+		if run.Outcome != testbed.BrokeRule && run.Outcome != testbed.NotRun {
 			continue
 		}
 		if !headerWritten {
 			headerWritten = true
 			fmt.Fprintln(&table, "seed\tverdict\tdeployment\treproduce with")
 		}
-		fmt.Fprintf(&table, "%d\t%s%s\t%s\t%s\n", run.Seed, run.Verdict, failureReason(run), run.Size, run.Command)
-		if run.First != "" {
-			fmt.Fprintf(&table, "\t  %s\t\t\n", strings.TrimSpace(run.First))
+		fmt.Fprintf(&table, "%d\t%s%s\t%s\t%s\n", run.Seed, run.Outcome, failureReason(run), run.Size, run.Command)
+		if run.FirstViolation != "" {
+			fmt.Fprintf(&table, "\t  %s\t\t\n", strings.TrimSpace(run.FirstViolation))
 		}
 		if run.Reduced != "" {
 			fmt.Fprintf(&table, "\t  reduced\t%s\t\n", run.Reduced)
@@ -169,8 +169,8 @@
 		return err
 	}
 	var text strings.Builder
-	fmt.Fprintf(&text, "%d scenarios run of seeds %d-%d: %d passed, %d broke a rule, %d not judged, %d not played\n", r.Played, r.From, r.To,
-		r.Counts[testbed.Passed], r.Counts[testbed.BrokeRule], r.Counts[testbed.NotJudged], r.Counts[testbed.NotPlayed])
+	fmt.Fprintf(&text, "%d scenarios run of seeds %d-%d: %d passed, %d broke a rule, %d not judged, %d not played\n", r.Completed, r.From, r.To,
+		r.Counts[testbed.Passed], r.Counts[testbed.BrokeRule], r.Counts[testbed.NotJudged], r.Counts[testbed.NotRun])
 	if r.Ended != "" {
 		fmt.Fprintln(&text, r.Ended)
 	}
--- a/cmd/opalhook/testbed.go
+++ b/cmd/opalhook/testbed.go
@@ -82,7 +82,7 @@
 	var results []*testbed.Result
 	for i := range f.runs {
 		o := testbed.Options{
-			Seed: f.seed + uint64(i), Binary: node, Service: program, Dir: f.dir, Log: s.logger(), Control: f.control, Live: showProgress(os.Stderr),
+			Seed: f.seed + uint64(i), Binary: node, Service: program, Dir: f.dir, Log: s.logger(), Control: f.control, OnProgress: showProgress(os.Stderr),
 		}
 		if f.runs > 1 {
 			o.Dir = filepath.Join(f.dir, strconv.FormatUint(o.Seed, 10))
@@ -145,10 +145,10 @@
 	c.Flags().DurationVar(&delay, "late", 0, "delay that the fault adds")
 	c.Flags().Float64Var(&f.Size, "size", 0, "size of the fault: a slowdown factor, a fraction or a rate in bytes per second, depending on its kind")
 	c.Flags().StringVar(&f.Zone, "zone", "", "zone, for faults that affect a zone")
-	c.Flags().StringVar(&f.Way, "way", "", "direction of a cut: both, in or out")
+	c.Flags().StringVar(&f.Direction, "way", "", "direction of a cut: both, in or out")
 	c.Flags().StringVar(&f.From, "from", "", "source of the link, for link faults")
 	c.Flags().StringVar(&f.To, "to", "", "destination of the link, for link faults")
-	c.Flags().StringVar(&f.Does, "does", "", "effect of a link fault: silence, reset, refuse, loss, delay or rate")
+	c.Flags().StringVar(&f.Effect, "does", "", "effect of a link fault: silence, reset, refuse, loss, delay or rate")
 	return c
 }
 
@@ -259,7 +259,7 @@
 			fmt.Fprintln(&table, "figure\tfirst (min to max)\tsecond (min to max)\tratio\t")
 			for _, r := range rows {
 				note := ""
-				if r.Apart {
+				if r.Disjoint {
 					note = "apart"
 				}
 				fmt.Fprintf(&table, "%s\t%.4g (%.4g to %.4g)\t%.4g (%.4g to %.4g)\t%.3f\t%s\n", r.Figure, r.A.Mean, r.A.Min, r.A.Max, r.B.Mean, r.B.Min, r.B.Max, r.Ratio, note)
--- a/cmd/opalhook/testbed_output.go
+++ b/cmd/opalhook/testbed_output.go
@@ -25,7 +25,7 @@
 		switch {
 		case !terminal:
 			line += "\n"
-		case p.At >= p.Of-time.Second:
+		case p.At >= p.Total-time.Second:
 			line = rewriteLine + line + "\n"
 		default:
 			line = rewriteLine + line
@@ -38,7 +38,7 @@
 // are due, their outcomes in the second in which they end.
 func progressLine(p testbed.Progress) string {
 	return fmt.Sprintf("%5.0f of %.0f s  requests %5d  served %5d  rejected %4d  failed %3d  p50 %4d ms  p99 %5d ms  nodes up %d  violations %d",
-		p.At.Seconds(), p.Of.Seconds(), p.Requests, p.Served, p.Rejected, p.Failed, p.P50.Milliseconds(), p.P99.Milliseconds(), p.NodesUp, p.Violations)
+		p.At.Seconds(), p.Total.Seconds(), p.Requests, p.Served, p.Rejected, p.Failed, p.P50.Milliseconds(), p.P99.Milliseconds(), p.NodesUp, p.Violations)
 }
 
 // maxShownViolations is the maximum number of violations in a summary. The result file lists more.
@@ -54,7 +54,7 @@
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s seed %d: %s  goodput %.3f  requests served %.3f  attempts rejected %.3f  p99 %.0f ms  schedule %s\n", r.Scenario, r.Seed, outcome,
 		r.Figures["goodput"], r.Figures["served"], r.Figures["refused"], r.Figures["p99_ms"], r.Digest)
-	if r.Behind {
+	if r.GeneratorBehind {
 		fmt.Fprintf(&text, "  the load generator fell behind by %.1f ms (99th percentile): this machine is too small for the load\n", r.Figures["lateness_ms"])
 	}
 	for _, v := range r.Violations[:min(len(r.Violations), maxShownViolations)] {
--- a/cmd/opalhook/testbed_output_test.go
+++ b/cmd/opalhook/testbed_output_test.go
@@ -11,7 +11,7 @@
 
 func TestProgressLine(t *testing.T) {
 	got := progressLine(testbed.Progress{
-		At: 3 * time.Second, Of: 12 * time.Second, Requests: 133, Served: 106, Rejected: 20, Failed: 2,
+		At: 3 * time.Second, Total: 12 * time.Second, Requests: 133, Served: 106, Rejected: 20, Failed: 2,
 		P50: 59 * time.Millisecond, P99: 699 * time.Millisecond, NodesUp: 4, Violations: 1,
 	})
 	want := "    3 of 12 s  requests   133  served   106  rejected   20  failed   2  p50   59 ms  p99   699 ms  nodes up 4  violations 1"
@@ -27,9 +27,9 @@
 		Figures: map[string]float64{"goodput": 0.976, "served": 0.898, "refused": 0.207, "p99_ms": 575},
 	}
 	failed := passed
-	failed.Behind = true
+	failed.GeneratorBehind = true
 	failed.Violations = make([]testbed.Violation, maxShownViolations+2)
-	failed.Checks = []testbed.Checked{{Expect: testbed.Expect{Figure: "served", Max: &maxServed}, Got: 0.898}}
+	failed.Checks = []testbed.ExpectResult{{Expect: testbed.Expect{Figure: "served", Max: &maxServed}, Got: 0.898}}
 	for _, c := range []struct {
 		name   string
 		result *testbed.Result
--- a/cmd/opalhook/up.go
+++ b/cmd/opalhook/up.go
@@ -59,7 +59,7 @@
 		return err
 	}
 	r, err := testbed.Run(c.Context(), scenario, testbed.Options{
-		Seed: uint64(time.Now().UnixNano()), Binary: node, Dir: dir, Log: s.logger(), Control: f.control, Live: showProgress(os.Stderr),
+		Seed: uint64(time.Now().UnixNano()), Binary: node, Dir: dir, Log: s.logger(), Control: f.control, OnProgress: showProgress(os.Stderr),
 	})
 	if errors.Is(err, context.Canceled) {
 		_, _ = fmt.Fprintln(c.ErrOrStderr(), "\nstopped: all processes have ended")
--- a/internal/testbed/app_server.go
+++ b/internal/testbed/app_server.go
@@ -41,7 +41,8 @@
 	closed    bool
 }
 
-// loadSample is the number of requests at an app server at a point in time. It is valid until the next sample.
+// loadSample is the number of requests at an app server at a point in time. It is valid until the next
+// sample.
 type loadSample struct {
 	at       time.Duration
 	inFlight int
@@ -73,7 +74,7 @@
 	s.mu.Lock()
 	s.ln = ln
 	s.mu.Unlock()
-	s.env.work.Go(func() {
+	s.env.goroutines.Go(func() {
 		for {
 			c, err := ln.Accept()
 			if errors.Is(err, net.ErrClosed) {
@@ -83,7 +84,7 @@
 				s.env.fail(fmt.Errorf("app server %d: %w", s.number, err))
 				return
 			}
-			s.env.work.Go(func() { s.serve(c) })
+			s.env.goroutines.Go(func() { s.serve(c) })
 		}
 	})
 	return nil
@@ -181,7 +182,7 @@
 	select {
 	case <-completed:
 		return s.respondCompleted(c, t, attempt, faults)
-	case <-s.env.over:
+	case <-s.env.done:
 		return false
 	}
 }
@@ -319,8 +320,8 @@
 	return e
 }
 
-// fault applies a change to the server's faults or to its model.
-func (s *appServer) fault(change func(f *serverFaults, m *model)) {
+// changeFaults applies a change to the server's faults or to its model.
+func (s *appServer) changeFaults(change func(f *serverFaults, m *model)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.model.advance(s.env.now())
--- a/internal/testbed/checker.go
+++ b/internal/testbed/checker.go
@@ -33,15 +33,15 @@
 
 // Violation is one violation of a rule.
 type Violation struct {
-	At   time.Duration `json:"at_ns"`
-	Rule string        `json:"rule"`
-	Node int           `json:"node"`         // number of the node; -1: not attributed to a node
-	ID   string        `json:"id,omitempty"` // of the client's attempt
-	What string        `json:"what"`
+	At          time.Duration `json:"at_ns"`
+	Rule        string        `json:"rule"`
+	Node        int           `json:"node"`         // number of the node; -1: not attributed to a node
+	ID          string        `json:"id,omitempty"` // of the client's attempt
+	Description string        `json:"what"`
 }
 
 func (v Violation) String() string {
-	return fmt.Sprintf("%8.3fs node %d: %s: %s %s", v.At.Seconds(), v.Node, v.Rule, v.What, v.ID)
+	return fmt.Sprintf("%8.3fs node %d: %s: %s %s", v.At.Seconds(), v.Node, v.Rule, v.Description, v.ID)
 }
 
 // maxViolations is the number of violations that are recorded in full. Later ones are only counted.
@@ -354,8 +354,8 @@
 	return n
 }
 
-// verdict returns the number of violations by rule, and the recorded violations in order of time.
-func (r *checker) verdict() (map[string]int, []Violation) {
+// violationSummary returns the number of violations by rule, and the recorded violations in order of time.
+func (r *checker) violationSummary() (map[string]int, []Violation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	counts := map[string]int{}
--- a/internal/testbed/checker_quota.go
+++ b/internal/testbed/checker_quota.go
@@ -30,14 +30,14 @@
 	a := &r.schedule.Arrivals[t.arrival]
 	p := r.scenario.Plans[r.schedule.Tenants[a.Tenant].Plan]
 	q := r.refill(a.Tenant, at)
-	if overQuota = q.tokens < a.Guess; overQuota {
-		r.unitsOverQuota += a.Guess
+	if overQuota = q.tokens < a.EstimatedUnits; overQuota {
+		r.unitsOverQuota += a.EstimatedUnits
 	} else {
-		q.tokens -= a.Guess
-		r.unitsInQuota += a.Guess
+		q.tokens -= a.EstimatedUnits
+		r.unitsInQuota += a.EstimatedUnits
 	}
 	if p.HardLimitRate > 0 {
-		q.hardLimitTokens -= a.Guess
+		q.hardLimitTokens -= a.EstimatedUnits
 		// Attempts that two nodes send within the lag may arrive in either order.
 		lag := (hardLimitLag + r.slack(t.node)).Seconds()
 		if slack := p.HardLimitSlack + p.HardLimitRate*lag; q.hardLimitTokens < -slack {
@@ -57,6 +57,6 @@
 	a := &r.schedule.Arrivals[t.arrival]
 	if !u.overQuota {
 		q := r.refill(a.Tenant, at)
-		q.tokens = math.Min(q.tokens+a.Guess-a.Units, r.scenario.Plans[r.schedule.Tenants[a.Tenant].Plan].Burst)
+		q.tokens = math.Min(q.tokens+a.EstimatedUnits-a.Units, r.scenario.Plans[r.schedule.Tenants[a.Tenant].Plan].Burst)
 	}
 }
--- a/internal/testbed/checker_test.go
+++ b/internal/testbed/checker_test.go
@@ -179,8 +179,8 @@
 	return resp.StatusCode, string(answer), err
 }
 
-// small returns a short scenario with two nodes, four servers and a low rate.
-func small(name string) *Scenario {
+// shortScenario returns a short scenario with two nodes, four servers and a low rate.
+func shortScenario(name string) *Scenario {
 	s := defaults()
 	s.Name, s.Duration = name, Duration(2*time.Second)
 	s.Fleet.Nodes, s.Fleet.Servers, s.Load.Rate, s.Load.WorkMS = 2, 4, 60, 10
@@ -222,14 +222,14 @@
 		}},
 		{"correct", RuleHardLimit, func(s *Scenario) { // the stand-in enforces no quotas
 			s.Duration, s.Load.Rate = Duration(12*time.Second), 30 // longer than the slack of a busy machine
-			s.Load.Bursts = []Burst{{Times: 20}}
+			s.Load.Bursts = []Burst{{Factor: 20}}
 		}},
 		{"swaps responses", RuleWrongResponse, nil},
 		{"changes requests", RuleForeignRequest, nil},
 	} {
 		t.Run(c.defect+" "+c.rule, func(t *testing.T) {
 			t.Parallel()
-			s := small(c.defect)
+			s := shortScenario(c.defect)
 			if c.change != nil {
 				c.change(s)
 			}
@@ -237,8 +237,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if c.rule == "" && len(r.Broken) > 0 || c.rule != "" && r.Broken[c.rule] == 0 {
-				t.Errorf("broken rules %v, want %q; %v", r.Broken, c.rule, r.Violations)
+			if c.rule == "" && len(r.BrokenRules) > 0 || c.rule != "" && r.BrokenRules[c.rule] == 0 {
+				t.Errorf("broken rules %v, want %q; %v", r.BrokenRules, c.rule, r.Violations)
 			}
 			if r.OK() != (c.rule == "") {
 				t.Errorf("Result.OK returned %v, want %v", r.OK(), c.rule == "")
@@ -250,7 +250,7 @@
 // If a node's process ends before it is ready, the error contains its log. A process that ignores SIGTERM is
 // killed, and does not count as crashed.
 func TestProcessThatFailsToStartOrStop(t *testing.T) {
-	if _, err := runStandIn(t, small("fails to start"), "fails to start"); err == nil || !strings.Contains(err.Error(), "can't be configured") {
+	if _, err := runStandIn(t, shortScenario("fails to start"), "fails to start"); err == nil || !strings.Contains(err.Error(), "can't be configured") {
 		t.Errorf("error %v does not show the log", err)
 	}
 	p, err := startChild(t, "ignores SIGTERM")
@@ -299,11 +299,11 @@
 // When its context is canceled, a run ends at once and leaves no process running.
 func TestCanceledRunLeavesNoProcess(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	s := small("interrupted")
+	s := shortScenario("interrupted")
 	s.Duration = Duration(time.Hour)
 	s.Load.Rate = 5
 	pids := make(chan []int, 1)
-	live := func(Progress) {
+	onProgress := func(Progress) {
 		select {
 		case pids <- children(t):
 			cancel()
@@ -312,7 +312,7 @@
 	}
 	_, err := Run(ctx, s, Options{
 		Seed: 3, Binary: os.Args[0], Env: []string{standInEnv + "=correct"}, Dir: t.TempDir(),
-		Log: slog.New(slog.DiscardHandler), Live: live,
+		Log: slog.New(slog.DiscardHandler), OnProgress: onProgress,
 	})
 	if !errors.Is(err, context.Canceled) {
 		t.Errorf("Run returned the error %v, want context.Canceled", err)
--- a/internal/testbed/control.go
+++ b/internal/testbed/control.go
@@ -69,7 +69,7 @@
 		outcomes["unreached"] += r.Unreached
 		if r.Served {
 			outcomes["served"]++
-			record(h, r.Done-r.Due)
+			recordDuration(h, r.Done-r.Due)
 		}
 	}
 	for rule, n := range m.env.checker.violationCount {
@@ -116,13 +116,13 @@
 	mux.HandleFunc("POST /fault", env.handleFault)
 	srv := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
 	env.log.Info("control address open", "metrics", "http://"+ln.Addr().String()+"/metrics")
-	env.work.Go(func() {
+	env.goroutines.Go(func() {
 		if err := srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
 			env.fail(fmt.Errorf("control: %w", err))
 		}
 	})
-	env.work.Go(func() {
-		<-env.over
+	env.goroutines.Go(func() {
+		<-env.done
 		_ = srv.Close()
 	})
 	return nil
@@ -138,13 +138,13 @@
 		http.Error(rw, "fault: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	ft := Fault{Kind: c.Kind, Zone: c.Zone, Size: c.Size, Delay: c.Delay, Way: c.Way, From: c.From, To: c.To, Does: c.Does, For: c.For}
+	ft := Fault{Kind: c.Kind, Zone: c.Zone, Size: c.Size, Delay: c.Delay, Direction: c.Direction, From: c.From, To: c.To, Effect: c.Effect, For: c.For}
 	kind := faultKinds[ft.Kind]
-	targets := map[faultTarget]int{faultsNodes: len(env.nodes), faultsServers: len(env.servers)}[kind.target]
+	targets := map[faultTarget]int{targetNodes: len(env.nodes), targetServers: len(env.servers)}[kind.target]
 	err := env.scenario.validateFault("fault.", &ft)
 	switch {
 	case err != nil:
-	case kind.relays && len(env.relays) == 0:
+	case kind.needsRelays && len(env.relays) == 0:
 		err = fieldErrorf("fault.kind", "%s wants links through relays, which this run has not: give its scenario a link fault", ft.Kind)
 	case targets > 0 && (c.Target < 0 || c.Target >= targets):
 		err = fieldErrorf("fault.target", "%d is not from 0 to %d", c.Target, targets-1)
@@ -182,16 +182,16 @@
 // CommandedFault is a fault that a command injects at run time. The fields are those of [Fault], but it has a
 // single target.
 type CommandedFault struct {
-	Kind   FaultKind `json:"kind"`
-	Target int       `json:"target"` // number of the node or app server; ignored for kinds without a target
-	For    Duration  `json:"for"`
-	Zone   string    `json:"zone"`
-	Size   float64   `json:"size"`
-	Delay  Duration  `json:"late"`
-	Way    string    `json:"way"`
-	From   string    `json:"from"`
-	To     string    `json:"to"`
-	Does   string    `json:"does"`
+	Kind      FaultKind `json:"kind"`
+	Target    int       `json:"target"` // number of the node or app server; ignored for kinds without a target
+	For       Duration  `json:"for"`
+	Zone      string    `json:"zone"`
+	Size      float64   `json:"size"`
+	Delay     Duration  `json:"late"`
+	Direction string    `json:"way"`
+	From      string    `json:"from"`
+	To        string    `json:"to"`
+	Effect    string    `json:"does"`
 }
 
 // InjectFault injects a fault into the run with the given control address. It returns the run's
--- a/internal/testbed/control_test.go
+++ b/internal/testbed/control_test.go
@@ -15,10 +15,10 @@
 // error that names the field.
 func TestFaultsByCommand(t *testing.T) {
 	addr := testnet.FreeAddr(t)
-	s := small("commanded")
+	s := shortScenario("commanded")
 	var errs []error
 	injected := false
-	live := func(Progress) {
+	onProgress := func(Progress) {
 		if injected {
 			return
 		}
@@ -39,7 +39,7 @@
 	}
 	r, err := Run(t.Context(), s, Options{
 		Seed: 3, Binary: os.Args[0], Env: []string{standInEnv + "=correct"}, Dir: t.TempDir(), Control: addr,
-		Log: slog.New(slog.DiscardHandler), Live: live,
+		Log: slog.New(slog.DiscardHandler), OnProgress: onProgress,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -52,7 +52,7 @@
 			t.Errorf("error %v does not contain %q", errs[i], want)
 		}
 	}
-	if len(r.Marks) == 0 || r.Marks[0].What != "slow 1" {
+	if len(r.Marks) == 0 || r.Marks[0].Description != "slow 1" {
 		t.Errorf("marks %v, want \"slow 1\" first", r.Marks)
 	}
 }
--- a/internal/testbed/edge_node.go
+++ b/internal/testbed/edge_node.go
@@ -19,7 +19,7 @@
 	listen, peer string
 	clientAddr   string // address to which clients connect: listen, or a relay to it
 
-	config    sync.Mutex    // guards the configuration file and the next three fields; faults are concurrent
+	configMu  sync.Mutex    // guards the configuration file and the next three fields; faults are concurrent
 	discovery string        // address at which the node reaches its discovery agent
 	agent     *agent        // current discovery agent
 	movedAt   time.Duration // time of the last move to another agent; 0: never moved
@@ -33,7 +33,7 @@
 	endedCPU     time.Duration // CPU time of the node's processes that have ended
 	lastUsage    usage         // latest usage of the current process
 	peakMemory   int64         // largest resident memory of any of its processes, in bytes
-	starved      time.Duration // time without a core in the period of usageSamples, see environment.sample
+	cpuWait      time.Duration // time without a core in the period of usageSamples, see environment.sampleUsage
 	usageSamples []usage       // latest samples of the current process
 }
 
@@ -56,14 +56,14 @@
 	n.mu.Lock()
 	n.proc, n.lastUsage, n.usageSamples = p, usage{}, nil
 	n.mu.Unlock()
-	env.work.Go(func() { env.awaitExit(n, p) })
+	env.goroutines.Go(func() { env.awaitExit(n, p) })
 	return env.awaitReady(n, p)
 }
 
 // awaitExit waits for the end of a node's process and records whether it crashed.
 func (env *environment) awaitExit(n *edgeNode, p *process) {
 	select {
-	case <-env.over:
+	case <-env.done:
 		return
 	case <-p.ended:
 	}
@@ -98,12 +98,12 @@
 				return nil
 			}
 			return fmt.Errorf("%s ended before it was ready: %w\n%s", n.name, cmp.Or(p.err, errExitedWithoutError), tail(env.logPath(n)))
-		case <-env.over:
+		case <-env.done:
 			return nil
 		case <-time.After(readyPollInterval):
 		}
-		if time.Since(start) > readyWithin {
-			return fmt.Errorf("%s is not ready after %v\n%s", n.name, readyWithin, tail(env.logPath(n)))
+		if time.Since(start) > readyTimeout {
+			return fmt.Errorf("%s is not ready after %v\n%s", n.name, readyTimeout, tail(env.logPath(n)))
 		}
 	}
 }
@@ -201,7 +201,7 @@
 	})
 	select {
 	case <-p.ended:
-	case <-env.over:
+	case <-env.done:
 		return nil
 	case <-time.After(time.Duration(env.scenario.Load.Deadline) + stopTimeout):
 		env.log.Warn("node ignores SIGTERM, killing it", "node", n.name)
@@ -219,10 +219,10 @@
 	if err != nil {
 		return err
 	}
-	n.config.Lock()
+	n.configMu.Lock()
 	old := n.agent
 	n.agent, n.discovery, n.movedAt = a, a.addr, env.now()
-	n.config.Unlock()
+	n.configMu.Unlock()
 	if _, err := env.writeConfig(n); err != nil {
 		return err
 	}
--- a/internal/testbed/environment.go
+++ b/internal/testbed/environment.go
@@ -14,11 +14,11 @@
 // Timeouts and intervals of a run. The timeouts are long enough for a busy machine. On a healthy machine they
 // do not affect the result.
 const (
-	readyWithin        = 60 * time.Second        // time limit for a node to become ready
-	stopTimeout        = 15 * time.Second        // time limit for a process to end before it is killed
-	oldAgentCloseDelay = 1500 * time.Millisecond // time from a node's move to the close of its old agent
-	listsWithin        = 10 * time.Second        // time limit for all nodes to receive the final list
-	lagTick            = 10 * time.Millisecond   // interval of the measurements of the testbed's own lag
+	readyTimeout        = 60 * time.Second        // time limit for a node to become ready
+	stopTimeout         = 15 * time.Second        // time limit for a process to end before it is killed
+	oldAgentCloseDelay  = 1500 * time.Millisecond // time from a node's move to the close of its old agent
+	listDeliveryTimeout = 10 * time.Second        // time limit for all nodes to receive the final list
+	lagInterval         = 10 * time.Millisecond   // interval of the measurements of the testbed's own lag
 )
 
 // environment is the state of one run: its clock, the emulated parties and the edge nodes.
@@ -32,12 +32,12 @@
 	nodeEnv       []string // added to the nodes' environment
 	log           *slog.Logger
 
-	origin time.Time               // creation of the environment, with a monotonic clock reading
-	begun  atomic.Int64            // nanoseconds from origin to the start of the schedule; 0: not started
-	over   chan struct{}           // closed when the run ends
-	cancel context.CancelCauseFunc // cancels ctx; the cause is an error of the testbed
-	ctx    context.Context
-	work   sync.WaitGroup // the run's goroutines
+	origin      time.Time               // creation of the environment, with a monotonic clock reading
+	startOffset atomic.Int64            // nanoseconds from origin to the start of the schedule; 0: not started
+	done        chan struct{}           // closed when the run ends
+	cancel      context.CancelCauseFunc // cancels ctx; the cause is an error of the testbed
+	ctx         context.Context
+	goroutines  sync.WaitGroup // the run's goroutines
 
 	checker   *checker
 	list      *list
@@ -55,10 +55,10 @@
 	connections, listCalls, overloadFailures atomic.Int64
 	crashes                                  atomic.Int64  // edge node processes that crashed
 	commandedFaults                          []FaultMark   // faults injected by command
-	memory                                   []float64     // peak resident memory of a node by second, in MB
+	peakMemoryMB                             []float64     // peak resident memory of a node by second, in MB
 	resultMu                                 sync.Mutex    // guards the two fields above and the two below
 	lag                                      time.Duration // longest recent pause of the testbed itself
-	withheld                                 time.Duration // largest slack of the run so far
+	maxSlack                                 time.Duration // largest slack of the run so far
 }
 
 // lockedRand is a random source that is safe for concurrent use. Its numbers are not part of the schedule.
@@ -82,7 +82,7 @@
 func newEnvironment(ctx context.Context, s *Scenario, o Options) *environment {
 	ctx, cancel := context.WithCancelCause(ctx)
 	env := &environment{
-		scenario: s, schedule: Draw(s, o.Seed), seed: o.Seed, dir: o.Dir, nodeBinary: o.Binary, serviceBinary: o.Service, nodeEnv: o.Env, log: o.Log, origin: time.Now(), over: make(chan struct{}),
+		scenario: s, schedule: Draw(s, o.Seed), seed: o.Seed, dir: o.Dir, nodeBinary: o.Binary, serviceBinary: o.Service, nodeEnv: o.Env, log: o.Log, origin: time.Now(), done: make(chan struct{}),
 		ctx: ctx, cancel: cancel, relays: map[route]*tcpRelay{},
 		ids: &lockedRand{rng: random(o.Seed, streamServers)},
 	}
@@ -94,12 +94,12 @@
 
 // now returns the time since the start of the schedule.
 func (env *environment) now() time.Duration {
-	return time.Since(env.origin) - time.Duration(env.begun.Load())
+	return time.Since(env.origin) - time.Duration(env.startOffset.Load())
 }
 
 // wallTime converts a time of the run to a [time.Time].
 func (env *environment) wallTime(at time.Duration) time.Time {
-	return env.origin.Add(time.Duration(env.begun.Load()) + at)
+	return env.origin.Add(time.Duration(env.startOffset.Load()) + at)
 }
 
 // fail aborts the run because of an error of the testbed itself.
@@ -112,13 +112,13 @@
 	select {
 	case <-t.C:
 		return true
-	case <-env.over:
+	case <-env.done:
 		return false
 	}
 }
 
 // spawn runs f in a goroutine. The run's end waits for f to return.
-func (env *environment) spawn(f func()) { env.work.Go(f) }
+func (env *environment) spawn(f func()) { env.goroutines.Go(f) }
 
 // after runs f after the delay d, unless the run ends first. Without a delay, it runs f before it returns.
 func (env *environment) after(d time.Duration, f func()) {
@@ -128,7 +128,7 @@
 	}
 	time.AfterFunc(d, func() {
 		select {
-		case <-env.over:
+		case <-env.done:
 		default:
 			f()
 		}
@@ -161,7 +161,7 @@
 		addrs = append(addrs, n.clientAddr)
 	}
 	env.generator = newLoadGenerator(env, addrs)
-	env.list.atStart, _ = env.list.since(0, true)
+	env.list.listAtRunStart, _ = env.list.changesSince(0, true)
 	return nil
 }
 
@@ -245,21 +245,21 @@
 // is so if a fault or the delay between zones needs them.
 func (s *Scenario) needsRelays() bool {
 	for _, ft := range s.Faults {
-		if faultKinds[ft.Kind].relays {
+		if faultKinds[ft.Kind].needsRelays {
 			return true
 		}
 	}
 	return s.Fleet.CrossDelay > 0
 }
 
-// descriptors estimates the number of file descriptors that a run needs in the testbed's process: for
-// listeners, for the requests in flight if responses take as long as the latency objective, and for the
+// estimatedDescriptors estimates the number of file descriptors that a run needs in the testbed's process:
+// for listeners, for the requests in flight if responses take as long as the latency objective, and for the
 // connections of nodes to app servers.
-func (s *Scenario) descriptors() int {
+func (s *Scenario) estimatedDescriptors() int {
 	f := &s.Fleet
 	maxBurst := 1.0
 	for _, b := range s.Load.Bursts {
-		maxBurst = max(maxBurst, b.Times)
+		maxBurst = max(maxBurst, b.Factor)
 	}
 	n := 200 + f.Nodes*4 + f.Servers*2 + int(2*maxBurst*s.Load.Rate*s.Load.LatencyObjective.s()) + f.Nodes*min(f.Servers, 60)
 	if s.needsRelays() {
@@ -268,9 +268,9 @@
 	return n
 }
 
-// addressedFor returns the message with the addresses at which the node reaches the servers: those of the
-// node's relays, if there are any.
-func (env *environment) addressedFor(node int, m listMessage) listMessage {
+// withNodeAddresses returns the message with the addresses at which the node reaches the servers: those of
+// the node's relays, if there are any.
+func (env *environment) withNodeAddresses(node int, m listMessage) listMessage {
 	if len(env.relays) == 0 {
 		return m
 	}
@@ -299,15 +299,15 @@
 	}
 }
 
-// end stops the run: first the nodes' processes, then the emulated parties and the list service. When it
+// stop ends the run: it stops first the nodes' processes, then the emulated parties and the list service. When it
 // returns, no process, socket or goroutine of the run is left.
-func (env *environment) end() {
+func (env *environment) stop() {
 	select {
-	case <-env.over:
+	case <-env.done:
 		return
 	default:
 	}
-	close(env.over)
+	close(env.done)
 	var stops sync.WaitGroup
 	for _, n := range env.nodes {
 		if p := n.process(); p != nil {
@@ -331,7 +331,7 @@
 	if env.list.service != nil {
 		env.list.service.stop()
 	}
-	env.work.Wait()
+	env.goroutines.Wait()
 	if env.starter != nil {
 		env.starter.stop()
 	}
--- a/internal/testbed/fault.go
+++ b/internal/testbed/fault.go
@@ -16,10 +16,10 @@
 		env.log.Info("fault injected", "at", e.At.Seconds(), "fault", ft.describe(e))
 		// Applying a fault may block: a restart waits for the old process to exit. Later events must not wait
 		// for it.
-		env.work.Go(func() {
+		env.goroutines.Go(func() {
 			if err := env.applyFault(ft, e); err != nil {
 				select {
-				case <-env.over: // the run's end interrupts faults in progress
+				case <-env.done: // the run's end interrupts faults in progress
 				default:
 					env.fail(fmt.Errorf("fault %s at %v: %w", ft.describe(e), e.At, err))
 				}
@@ -33,11 +33,11 @@
 	switch {
 	case strings.HasPrefix(string(ft.Kind), "list-"):
 		return env.applyListFault(ft, e.End)
-	case faultKinds[ft.Kind].relays, ft.Kind == FaultPeerLoss:
+	case faultKinds[ft.Kind].needsRelays, ft.Kind == FaultPeerLoss:
 		return env.applyNetworkFault(ft, e)
-	case faultKinds[ft.Kind].target == faultsNodes:
+	case faultKinds[ft.Kind].target == targetNodes:
 		return env.applyNodeFault(ft, env.nodes[e.Target], e.End)
-	case faultKinds[ft.Kind].target == faultsServers:
+	case faultKinds[ft.Kind].target == targetServers:
 		return applyServerFault(ft, env.servers[e.Target], e.End)
 	case ft.Kind == FaultLoseZone:
 		return env.loseZone(ft.Zone, e.End)
@@ -82,7 +82,7 @@
 			return s.restart(true)
 		}
 	default:
-		s.fault(func(f *serverFaults, m *model) { f.set(ft, m, end) })
+		s.changeFaults(func(f *serverFaults, m *model) { f.set(ft, m, end) })
 	}
 	return nil
 }
@@ -95,8 +95,8 @@
 	}
 	switch ft.Kind {
 	case FaultSlow:
-		if m.slow = ft.Size; end {
-			m.slow = 1
+		if m.slowdown = ft.Size; end {
+			m.slowdown = 1
 		}
 	case FaultHang:
 		f.hang = !end
@@ -128,9 +128,9 @@
 	switch ft.Kind {
 	case FaultCutZone:
 		inside := func(i int) bool { return env.scenario.Fleet.zoneOf(i) == ft.Zone }
-		return env.setLinksCut(ft.Way, !e.End, inside, inside)
+		return env.setLinksCut(ft.Direction, !e.End, inside, inside)
 	case FaultCutNode:
-		return env.setLinksCut(ft.Way, !e.End, func(i int) bool { return i == e.Target }, func(int) bool { return false })
+		return env.setLinksCut(ft.Direction, !e.End, func(i int) bool { return i == e.Target }, func(int) bool { return false })
 	case FaultLink:
 		return env.applyLinkFault(ft, e.End)
 	}
@@ -154,7 +154,7 @@
 			env.list.breakWatches(ft.Kind == FaultListSilent)
 		}
 	case FaultListEncoding:
-		if env.list.setEncoding(ft.Does); end {
+		if env.list.setEncoding(ft.Effect); end {
 			env.list.setEncoding("")
 		}
 	case FaultListKill:
@@ -167,10 +167,10 @@
 }
 
 // setLinksCut cuts or restores the links between the nodes and servers inside a group and those outside it.
-// The direction way is "out" (from inside to outside), "in" (from outside to inside), or both for any other
+// The direction is "out" (from inside to outside), "in" (from outside to inside), or both for any other
 // value.
-func (env *environment) setLinksCut(way string, cut bool, nodeInside, serverInside func(int) bool) error {
-	out, in := way != "in", way != "out"
+func (env *environment) setLinksCut(direction string, cut bool, nodeInside, serverInside func(int) bool) error {
+	out, in := direction != "in", direction != "out"
 	for k, r := range env.relays {
 		if k.from.kind != partyNode || k.to.kind != partyServer {
 			continue
@@ -218,7 +218,7 @@
 		if end {
 			scale = 0
 		}
-		switch ft.Does {
+		switch ft.Effect {
 		case "silence":
 			l.Cut = !end
 		case "loss":
@@ -240,8 +240,8 @@
 			forward, reverse := env.relays[route{a, b}], env.relays[route{b, a}]
 			var err error
 			switch {
-			case forward != nil && (ft.Does == "reset" || ft.Does == "refuse"):
-				forward.setFault(ft.Does == "refuse" && !end, ft.Does == "reset" && !end)
+			case forward != nil && (ft.Effect == "reset" || ft.Effect == "refuse"):
+				forward.setFault(ft.Effect == "refuse" && !end, ft.Effect == "reset" && !end)
 			case forward != nil:
 				err = forward.set(func(out, _ *LinkState) { change(out) })
 			case reverse != nil:
--- a/internal/testbed/fault_kinds.go
+++ b/internal/testbed/fault_kinds.go
@@ -41,45 +41,45 @@
 type faultTarget int
 
 const (
-	faultsAll     faultTarget = iota // no numbered target, such as all watches or the link that a fault names
-	faultsNodes                      // individual edge nodes
-	faultsServers                    // individual app servers
-	faultsZone                       // a whole zone
+	targetOther   faultTarget = iota // no numbered target, such as all watches or the link that a fault names
+	targetNodes                      // individual edge nodes
+	targetServers                    // individual app servers
+	targetZone                       // a whole zone
 )
 
 // faultDescription describes a kind of fault.
 type faultDescription struct {
-	target faultTarget
-	relays bool   // the fault needs the links to go through relays
-	about  string // help text; words in backquotes are fields of a fault
+	target      faultTarget
+	needsRelays bool   // the fault needs the links to go through relays
+	about       string // help text; words in backquotes are fields of a fault
 }
 
 // faultKinds describes the kinds of faults. A new kind must also be implemented in applyFault and checked in
 // validateFault. To occur in sweeps it must be drawn in drawTimeline as well.
 var faultKinds = map[FaultKind]faultDescription{
-	FaultKill:         {faultsNodes, false, "SIGKILL of a node; restarted after `for` under the same name"},
-	FaultRestart:      {faultsNodes, false, "SIGTERM of nodes, `step` apart; each is restarted when its process has exited"},
-	FaultStall:        {faultsNodes, false, "SIGSTOP of a node, SIGCONT after `for`"},
-	FaultReload:       {faultsNodes, false, "a node's configuration file is changed to name another discovery agent, then SIGHUP"},
-	FaultSlow:         {faultsServers, false, "an app server is `size` times slower"},
-	FaultHang:         {faultsServers, false, "an app server accepts requests and never responds"},
-	FaultError:        {faultsServers, false, "an app server responds to a share `size` of the requests with status 500"},
-	FaultReset:        {faultsServers, false, "an app server resets the connection instead of responding, for a share `size` of the requests"},
-	FaultMalformed:    {faultsServers, false, "a share `size` of an app server's responses is malformed"},
-	FaultServerCrash:  {faultsServers, false, "an app server resets its connections and refuses new ones; it returns in slow start"},
-	FaultDrain:        {faultsServers, false, "an app server drains for `for`, then is removed"},
-	FaultReplace:      {faultsServers, false, "an app server is removed and replaced at the same address by one with a new id, in slow start"},
-	FaultCutZone:      {faultsZone, true, "no packets between the zone and the other zones"},
-	FaultLoseZone:     {faultsZone, false, "the zone's app servers crash and return in slow start"},
-	FaultCutNode:      {faultsNodes, true, "no packets between a node and app servers or peers"},
-	FaultLink:         {faultsAll, true, "the link `from` one party `to` another, in that direction only: `does` is silence, reset, refuse, loss (share `size`), delay (`late`) or rate (`size` bytes a second)"},
-	FaultPeerLoss:     {faultsAll, false, "a share `size` of the datagrams between nodes is lost"},
-	FaultListDelay:    {faultsAll, false, "discovery sends changes with an additional delay of `late`"},
-	FaultListDown:     {faultsAll, false, "open watches receive no more data and agents accept no new ones"},
-	FaultListReset:    {faultsAll, false, "the open watches are reset"},
-	FaultListSilent:   {faultsAll, false, "open watches stay connected but receive no more data"},
-	FaultListEncoding: {faultsAll, false, "changes are encoded in an unusual or invalid form: `does` is indent (over many lines), trickle (in small chunks), half (truncated), noise (preceded by invalid bytes) or entry (with one malformed entry)"},
-	FaultListKill:     {faultsAll, false, "SIGKILL of the list service's leader, or of all replicas if `share` is 1; restarted after `for`"},
+	FaultKill:         {targetNodes, false, "SIGKILL of a node; restarted after `for` under the same name"},
+	FaultRestart:      {targetNodes, false, "SIGTERM of nodes, `step` apart; each is restarted when its process has exited"},
+	FaultStall:        {targetNodes, false, "SIGSTOP of a node, SIGCONT after `for`"},
+	FaultReload:       {targetNodes, false, "a node's configuration file is changed to name another discovery agent, then SIGHUP"},
+	FaultSlow:         {targetServers, false, "an app server is `size` times slower"},
+	FaultHang:         {targetServers, false, "an app server accepts requests and never responds"},
+	FaultError:        {targetServers, false, "an app server responds to a share `size` of the requests with status 500"},
+	FaultReset:        {targetServers, false, "an app server resets the connection instead of responding, for a share `size` of the requests"},
+	FaultMalformed:    {targetServers, false, "a share `size` of an app server's responses is malformed"},
+	FaultServerCrash:  {targetServers, false, "an app server resets its connections and refuses new ones; it returns in slow start"},
+	FaultDrain:        {targetServers, false, "an app server drains for `for`, then is removed"},
+	FaultReplace:      {targetServers, false, "an app server is removed and replaced at the same address by one with a new id, in slow start"},
+	FaultCutZone:      {targetZone, true, "no packets between the zone and the other zones"},
+	FaultLoseZone:     {targetZone, false, "the zone's app servers crash and return in slow start"},
+	FaultCutNode:      {targetNodes, true, "no packets between a node and app servers or peers"},
+	FaultLink:         {targetOther, true, "the link `from` one party `to` another, in that direction only: `does` is silence, reset, refuse, loss (share `size`), delay (`late`) or rate (`size` bytes a second)"},
+	FaultPeerLoss:     {targetOther, false, "a share `size` of the datagrams between nodes is lost"},
+	FaultListDelay:    {targetOther, false, "discovery sends changes with an additional delay of `late`"},
+	FaultListDown:     {targetOther, false, "open watches receive no more data and agents accept no new ones"},
+	FaultListReset:    {targetOther, false, "the open watches are reset"},
+	FaultListSilent:   {targetOther, false, "open watches stay connected but receive no more data"},
+	FaultListEncoding: {targetOther, false, "changes are encoded in an unusual or invalid form: `does` is indent (over many lines), trickle (in small chunks), half (truncated), noise (preceded by invalid bytes) or entry (with one malformed entry)"},
+	FaultListKill:     {targetOther, false, "SIGKILL of the list service's leader, or of all replicas if `share` is 1; restarted after `for`"},
 }
 
 // FaultKinds returns a description of each kind of fault. Words in backquotes are the names of fields of a
--- a/internal/testbed/fault_kinds_test.go
+++ b/internal/testbed/fault_kinds_test.go
@@ -42,7 +42,7 @@
 		if described[name] == "" {
 			t.Errorf("%s: no description", name)
 		}
-		if kind.target < faultsAll || kind.target > faultsZone {
+		if kind.target < targetOther || kind.target > targetZone {
 			t.Errorf("%s: invalid target %d", name, kind.target)
 		}
 	}
--- a/internal/testbed/figures.go
+++ b/internal/testbed/figures.go
@@ -41,12 +41,12 @@
 	t.failed += r.Failed
 	t.offeredValue += r.OfferedValue
 	if r.Attempts > 0 {
-		record(t.lateness, r.Lateness)
+		recordDuration(t.lateness, r.Lateness)
 	}
 	if r.Served {
 		t.served++
 		second.served++
-		record(t.latency, r.Done-r.Due)
+		recordDuration(t.latency, r.Done-r.Due)
 		if r.Done-r.Due <= objective && r.InQuota {
 			t.value += r.Value
 		}
--- a/internal/testbed/generate.go
+++ b/internal/testbed/generate.go
@@ -214,7 +214,7 @@
 	case 5:
 		s.addFault(Fault{At: at, Kind: FaultReload, Share: 1})
 	case 6:
-		s.addFault(Fault{At: at, Kind: FaultListEncoding, For: d.duration(3*time.Second, 8*time.Second), Does: oneOf(d, listEncodings...)})
+		s.addFault(Fault{At: at, Kind: FaultListEncoding, For: d.duration(3*time.Second, 8*time.Second), Effect: oneOf(d, listEncodings...)})
 	default:
 		s.addFault(Fault{At: at, Kind: FaultListDelay, For: d.duration(time.Second, 5*time.Second), Delay: d.duration(100*time.Millisecond, 2*time.Second)})
 	}
@@ -290,7 +290,7 @@
 }
 
 func (s *Scenario) drawBurst(d sampler, at Duration) {
-	s.Load.Bursts = append(s.Load.Bursts, Burst{At: at, For: d.duration(500*time.Millisecond, 4*time.Second), Times: round(d.uniform(1.3, 2.5))})
+	s.Load.Bursts = append(s.Load.Bursts, Burst{At: at, For: d.duration(500*time.Millisecond, 4*time.Second), Factor: round(d.uniform(1.3, 2.5))})
 }
 
 // drawZoneFault crashes the app servers of a zone or, if the fleet is small enough for relays, may cut the
@@ -302,5 +302,5 @@
 		s.addFault(Fault{At: at, Kind: FaultLoseZone, Zone: zone, For: length})
 		return
 	}
-	s.addFault(Fault{At: at, Kind: FaultCutZone, Zone: zone, For: length, Way: oneOf(d, "both", "in", "out")})
+	s.addFault(Fault{At: at, Kind: FaultCutZone, Zone: zone, For: length, Direction: oneOf(d, "both", "in", "out")})
 }
--- a/internal/testbed/generate_test.go
+++ b/internal/testbed/generate_test.go
@@ -42,7 +42,7 @@
 				}
 			}
 			for _, ft := range s.Faults {
-				seen[string(ft.Kind)+ft.Does]++
+				seen[string(ft.Kind)+ft.Effect]++
 			}
 		}
 	}
--- a/internal/testbed/link_udp.go
+++ b/internal/testbed/link_udp.go
@@ -15,20 +15,20 @@
 // One socket per node is enough: a datagram's source address identifies the sender, and the socket that
 // receives it identifies the recipient.
 type udpRelay struct {
-	env     *environment
-	peers   []string       // relay address of each node
-	all     string         // relay address that reaches all other nodes
-	sockets []*net.UDPConn // by node; the last one receives the datagrams for all nodes
+	env           *environment
+	peerAddrs     []string       // relay address of each node
+	broadcastAddr string         // relay address that reaches all other nodes
+	sockets       []*net.UDPConn // by node; the last one receives the datagrams for all nodes
 
-	mu          sync.Mutex
-	rng         *rand.Rand
-	nodeByAddr  map[netip.AddrPort]int
-	nodeAddrs   []netip.AddrPort                  // address on which each node listens
-	links       map[[2]int]LinkState              // by sender and recipient
-	loss        float64                           // fraction of the datagrams lost on any link
-	inboxTokens []float64                         // number of datagrams that each node may receive now
-	inAt        []time.Duration                   // time of the last update of each node's inboxTokens
-	counts      struct{ sent, lost, refused int } // numbers of datagrams; refused: over the recipient's rate
+	mu             sync.Mutex
+	rng            *rand.Rand
+	nodeByAddr     map[netip.AddrPort]int
+	nodeAddrs      []netip.AddrPort                  // address on which each node listens
+	links          map[[2]int]LinkState              // by sender and recipient
+	loss           float64                           // fraction of the datagrams lost on any link
+	inboxTokens    []float64                         // number of datagrams that each node may receive now
+	inboxUpdatedAt []time.Duration                   // time of the last update of each node's inboxTokens
+	counts         struct{ sent, lost, refused int } // numbers of datagrams; refused: over the recipient's rate
 }
 
 // startUDPRelay opens the relay's sockets on the IP address ip and starts to forward datagrams.
@@ -36,7 +36,7 @@
 	n := env.scenario.Fleet.Nodes
 	u := &udpRelay{
 		env: env, rng: random(env.seed, streamLinks), nodeByAddr: map[netip.AddrPort]int{}, links: map[[2]int]LinkState{}, loss: env.scenario.Fleet.PeerLoss,
-		inboxTokens: make([]float64, n), inAt: make([]time.Duration, n), nodeAddrs: make([]netip.AddrPort, n),
+		inboxTokens: make([]float64, n), inboxUpdatedAt: make([]time.Duration, n), nodeAddrs: make([]netip.AddrPort, n),
 	}
 	for i := range n + 1 {
 		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(ip)})
@@ -46,13 +46,13 @@
 		}
 		u.sockets = append(u.sockets, c)
 		if addr := c.LocalAddr().String(); i < n {
-			u.peers = append(u.peers, addr)
+			u.peerAddrs = append(u.peerAddrs, addr)
 		} else {
-			u.all = addr
+			u.broadcastAddr = addr
 		}
 	}
 	for to, c := range u.sockets {
-		env.work.Go(func() { u.serve(to, c) })
+		env.goroutines.Go(func() { u.serve(to, c) })
 	}
 	return u, nil
 }
@@ -108,8 +108,8 @@
 	u.counts.sent++
 	now := u.env.now()
 	rate := u.env.scenario.Fleet.PeerMessagesPerSecond
-	u.inboxTokens[to] = min(u.inboxTokens[to]+rate*(now-u.inAt[to]).Seconds(), rate)
-	u.inAt[to] = now
+	u.inboxTokens[to] = min(u.inboxTokens[to]+rate*(now-u.inboxUpdatedAt[to]).Seconds(), rate)
+	u.inboxUpdatedAt[to] = now
 	link := u.links[[2]int{from, to}]
 	switch {
 	case link.Cut || u.rng.Float64() < u.loss || u.rng.Float64() < link.Loss:
--- a/internal/testbed/list.go
+++ b/internal/testbed/list.go
@@ -69,23 +69,23 @@
 type list struct {
 	env *environment
 
-	mu            sync.Mutex
-	generation    uint64
-	entries       map[string]Entry        // servers that are not removed, by instance id
-	history       []Entry                 // history[i] created generation i+1
-	changes       chan struct{}           // closed at the next change
-	extraDelay    time.Duration           // added to the scenario's ListDelay by a fault
-	down          bool                    // discovery does not respond
-	encoding      string                  // one of listEncodings; "": each message on one line
-	atStart       listMessage             // list at the start of the run
-	nextCallAt    time.Time               // time at which the service will have processed its queued calls
-	service       *listService            // service that provides the list; nil: the testbed's agents do
-	eventTimes    map[listEvent]time.Time // time at which each change was applied
-	serverNumbers map[string]int          // index of the app server, by each instance id that it has had
-	startedAgents atomic.Int64            // number of the project's agents that were started
-	agents        []*agent                // all agents of the run, including closed ones
-	rollbacks     atomic.Int64            // number of messages with an older generation than the one before
-	delays        *hdrhistogram.Histogram // from a change to its delivery to a node, in microseconds
+	mu             sync.Mutex
+	generation     uint64
+	entries        map[string]Entry        // servers that are not removed, by instance id
+	history        []Entry                 // history[i] created generation i+1
+	changes        chan struct{}           // closed at the next change
+	extraDelay     time.Duration           // added to the scenario's ListDelay by a fault
+	down           bool                    // discovery does not respond
+	encoding       string                  // one of listEncodings; "": each message on one line
+	listAtRunStart listMessage             // list at the start of the run
+	nextCallAt     time.Time               // time at which the service will have processed its queued calls
+	service        *listService            // service that provides the list; nil: the testbed's agents do
+	eventTimes     map[listEvent]time.Time // time at which each change was applied
+	serverNumbers  map[string]int          // index of the app server, by each instance id that it has had
+	startedAgents  atomic.Int64            // number of the project's agents that were started
+	agents         []*agent                // all agents of the run, including closed ones
+	rollbacks      atomic.Int64            // number of messages with an older generation than the one before
+	delays         *hdrhistogram.Histogram // from a change to its delivery to a node, in microseconds
 }
 
 // listEvent identifies a change of an app server's lifecycle state.
@@ -140,22 +140,22 @@
 // their grace periods, even if a node has not received it.
 func (l *list) markDelivered(m listMessage) {
 	for _, n := range l.env.nodes {
-		n.config.Lock()
+		n.configMu.Lock()
 		l.markDeliveredTo(n, m)
-		n.config.Unlock()
+		n.configMu.Unlock()
 	}
 }
 
-// markDeliveredTo is markDelivered for a single node. The caller holds n.config.
+// markDeliveredTo is markDelivered for a single node. The caller holds n.configMu.
 func (l *list) markDeliveredTo(n *edgeNode, m listMessage) {
 	if at, ok := n.agent.deliveredAt(l.env.now(), n.movedAt); ok {
 		l.env.recordDeliveredAt(n.number, m, at)
 	}
 }
 
-// since returns the changes after a generation, and a channel that is closed at the next change. It returns
-// the full list instead if full is true or if the generation is 0 or unknown.
-func (l *list) since(from uint64, full bool) (listMessage, chan struct{}) {
+// changesSince returns the changes after a generation, and a channel that is closed at the next change. It
+// returns the full list instead if full is true or if the generation is 0 or unknown.
+func (l *list) changesSince(from uint64, full bool) (listMessage, chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	m := listMessage{Generation: l.generation, Reset: full || from == 0 || from > l.generation, Instances: []Entry{}}
@@ -177,10 +177,11 @@
 	return m, l.changes
 }
 
-// initial returns the list that a node starts with. If the list service provides the list, its generation is
-// 0: the service has its own generations, and sends the full list to a node that has generation 0.
-func (l *list) initial() listMessage {
-	m, _ := l.since(0, true)
+// nodeStartList returns the list that a node starts with. If the list service provides the list, its
+// generation is 0: the service has its own generations, and sends the full list to a node that has
+// generation 0.
+func (l *list) nodeStartList() listMessage {
+	m, _ := l.changesSince(0, true)
 	if l.service != nil {
 		m.Generation = 0
 	}
@@ -195,13 +196,13 @@
 	defer l.mu.Unlock()
 	for _, e := range m.Instances {
 		if at, ok := l.eventTimes[listEvent{e.InstanceID, e.Lifecycle, e.StartedAtMs}]; ok && !m.Reset {
-			record(l.delays, now.Sub(at))
+			recordDuration(l.delays, now.Sub(at))
 		}
 	}
 }
 
-// upToDate returns the number of nodes to which the current list was delivered.
-func (l *list) upToDate() (n int) {
+// upToDateNodes returns the number of nodes to which the current list was delivered.
+func (l *list) upToDateNodes() (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.env.checker.mu.Lock()
@@ -252,7 +253,7 @@
 			}
 			a.mu.Unlock()
 		}
-		full, _ := l.since(0, true)
+		full, _ := l.changesSince(0, true)
 		l.markDelivered(full)
 	}
 }
@@ -301,7 +302,7 @@
 	case <-time.After(wait):
 		return true
 	case <-ctx.Done():
-	case <-l.env.over:
+	case <-l.env.done:
 	}
 	return false
 }
--- a/internal/testbed/list_agent.go
+++ b/internal/testbed/list_agent.go
@@ -105,7 +105,7 @@
 	l.mu.Lock()
 	l.agents = append(l.agents, a)
 	l.mu.Unlock()
-	l.env.work.Go(func() {
+	l.env.goroutines.Go(func() {
 		if err := a.srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
 			l.env.fail(fmt.Errorf("discovery agent of node %d: %w", node, err))
 		}
@@ -128,7 +128,7 @@
 		a.relay(w, r, 0, true)
 		return
 	case !watch:
-		m, _ := a.list.since(0, true)
+		m, _ := a.list.changesSince(0, true)
 		a.send(w, m)
 		return
 	}
@@ -167,7 +167,7 @@
 	rc := http.NewResponseController(w)
 	open, end := a.addWatch()
 	defer end()
-	m, changes := a.list.since(from, false)
+	m, changes := a.list.changesSince(from, false)
 	heartbeat := time.NewTicker(heartbeatInterval)
 	defer heartbeat.Stop()
 	for {
@@ -187,7 +187,7 @@
 		select {
 		case <-r.Context().Done():
 			return
-		case <-a.list.env.over:
+		case <-a.list.env.done:
 			return
 		case <-open.reset:
 			panic(http.ErrAbortHandler) // makes net/http abort the connection
@@ -200,7 +200,7 @@
 			}
 			m = listMessage{}
 		case <-changes:
-			m, changes = a.list.since(from, false)
+			m, changes = a.list.changesSince(from, false)
 		}
 	}
 }
@@ -243,14 +243,14 @@
 func (a *agent) holdOpen(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-a.list.env.over:
+	case <-a.list.env.done:
 	}
 }
 
 // send sends a message with the addresses that this node must use, and records the delivery. It reports
 // whether the message was written.
 func (a *agent) send(w http.ResponseWriter, m listMessage) bool {
-	m = a.list.env.addressedFor(a.node, m)
+	m = a.list.env.withNodeAddresses(a.node, m)
 	chunks, err := a.list.encode(m)
 	if err != nil {
 		a.list.env.fail(fmt.Errorf("encoding a list message: %w", err))
--- a/internal/testbed/list_service.go
+++ b/internal/testbed/list_service.go
@@ -97,7 +97,7 @@
 
 // awaitLeader waits until a replica reports a leader.
 func (s *listService) awaitLeader(r *replica) error {
-	for end := time.Now().Add(readyWithin); time.Now().Before(end); {
+	for end := time.Now().Add(readyTimeout); time.Now().Before(end); {
 		if st, err := s.status(r); err == nil && st.Leader != "" {
 			return nil
 		}
@@ -108,7 +108,7 @@
 			return errors.New("the run ended before the list service had a leader")
 		}
 	}
-	return fmt.Errorf("%s did not report a leader within %v: %s", r.name, readyWithin,
+	return fmt.Errorf("%s did not report a leader within %v: %s", r.name, readyTimeout,
 		tail(filepath.Join(s.env.dir, r.name+".log")))
 }
 
@@ -143,7 +143,7 @@
 func (s *listService) writeLoop(changes <-chan Entry) {
 	for {
 		select {
-		case <-s.env.over:
+		case <-s.env.done:
 			return
 		case e := <-changes:
 			if err := s.apply(e); err != nil {
@@ -155,10 +155,10 @@
 	}
 }
 
-// awaitWritten waits until the service has accepted all queued changes. It returns false after readyWithin or
+// awaitWritten waits until the service has accepted all queued changes. It returns false after readyTimeout or
 // if the run ends first.
 func (s *listService) awaitWritten() bool {
-	for end := time.Now().Add(readyWithin); time.Now().Before(end); {
+	for end := time.Now().Add(readyTimeout); time.Now().Before(end); {
 		if s.pendingWrites.Load() == 0 {
 			return true
 		}
--- a/internal/testbed/load_generator.go
+++ b/internal/testbed/load_generator.go
@@ -62,7 +62,7 @@
 
 // run starts each arrival of the schedule when it is due, and returns when all arrivals have ended.
 func (g *loadGenerator) run() {
-	g.env.work.Go(g.readmitNodes)
+	g.env.goroutines.Go(g.readmitNodes)
 	// Under load, the Go runtime's timers are late by a millisecond or more, because they share threads with
 	// the sockets of thousands of connections. The pacing therefore uses its own thread and a kernel timer.
 	runtime.LockOSThread()
@@ -80,7 +80,7 @@
 func (g *loadGenerator) waitUntil(at time.Duration) bool {
 	for {
 		select {
-		case <-g.env.over:
+		case <-g.env.done:
 			return false
 		default:
 		}
@@ -104,7 +104,7 @@
 			if up {
 				continue
 			}
-			g.env.work.Go(func() {
+			g.env.goroutines.Go(func() {
 				if isReady(client, n.addr) {
 					n.setUp(true)
 				}
@@ -147,9 +147,9 @@
 			t.id = fmt.Sprintf("%s-%d", a.ID, number)
 		}
 		now := g.env.now()
-		wait := min(a.Wait, deadline-now)
+		wait := min(a.Timeout, deadline-now)
 		if number == 0 {
-			wait = min(a.Wait, deadline-a.At)
+			wait = min(a.Timeout, deadline-a.At)
 		}
 		if wait <= 0 {
 			return
@@ -280,7 +280,7 @@
 func (g *loadGenerator) encodeRequest(t *clientAttempt, a *Arrival, tenant *Tenant, wait time.Duration) string {
 	class := g.env.scenario.Classes[a.Class]
 	text := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Contract: %s\r\nX-Expires-In: %.3f\r\n"+
-		"X-Metering: units=%.0f,spread=%d,first=%d\r\n", t.method, t.target, t.id, class.Name, g.env.scenario.Plans[tenant.Plan].Name, wait.Seconds(), a.Guess, tenant.EntryNodes, tenant.FirstEntryNode)
+		"X-Metering: units=%.0f,spread=%d,first=%d\r\n", t.method, t.target, t.id, class.Name, g.env.scenario.Plans[tenant.Plan].Name, wait.Seconds(), a.EstimatedUnits, tenant.EntryNodes, tenant.FirstEntryNode)
 	if t.number > 0 && g.env.scenario.Load.MarkRetry {
 		text += "X-Second-Try: 1\r\n"
 	}
--- a/internal/testbed/model.go
+++ b/internal/testbed/model.go
@@ -19,7 +19,7 @@
 	meanWork      float64         // mean work of a request, in core seconds
 	now           time.Duration   // time to which the model has advanced
 	startedAt     time.Duration   // start of the slow start; negative: warm from the beginning
-	slow          float64         // factor by which a fault slows the server down; 1: no fault
+	slowdown      float64         // factor by which a fault slows the server down; 1: no fault
 	progress      float64         // work done for a request in a slot since the start, in core seconds
 	running       jobs            // requests in slots
 	queue         []*job          // requests that wait for a slot, oldest first
@@ -45,7 +45,7 @@
 // newModel returns a model at time now. A server with a startedAt that is not negative is in slow start from
 // then on; otherwise it is warm. meanWork is the mean work of a request, in core seconds.
 func newModel(cfg *Fleet, meanWork float64, now, startedAt time.Duration) *model {
-	return &model{cfg: cfg, meanWork: meanWork, now: now, startedAt: startedAt, slow: 1}
+	return &model{cfg: cfg, meanWork: meanWork, now: now, startedAt: startedAt, slowdown: 1}
 }
 
 // warmUpFraction returns the fraction of its full capacity that the server has at the given time.
@@ -70,7 +70,7 @@
 	cores := float64(m.cfg.Cores)
 	excess := float64(m.inFlight())/cores - m.cfg.ContentionFrom
 	efficiency := 1 / (1 + m.cfg.ContentionLoss*math.Max(excess, 0))
-	return math.Min(1, cores/n) * m.warmUpFraction(m.now) * efficiency / m.slow
+	return math.Min(1, cores/n) * m.warmUpFraction(m.now) * efficiency / m.slowdown
 }
 
 // advance advances the model to the given time. It calls onComplete of the jobs that end until then, in the
@@ -83,7 +83,7 @@
 		}
 		r := m.rate()
 		if m.handshakeDebt > 0 {
-			cores := float64(m.cfg.Cores) / m.slow
+			cores := float64(m.cfg.Cores) / m.slowdown
 			if needed := time.Duration(m.handshakeDebt / cores * float64(time.Second)); needed < step {
 				step, m.handshakeDebt = max(needed, 1), 0
 			} else {
@@ -175,7 +175,7 @@
 	if len(m.running) == 0 {
 		return 0, false
 	}
-	wait := m.handshakeDebt * m.slow / float64(m.cfg.Cores)
+	wait := m.handshakeDebt * m.slowdown / float64(m.cfg.Cores)
 	if r := m.rate(); r > 0 {
 		wait += (m.running[0].endProgress - m.progress) / r
 	}
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -155,7 +155,7 @@
 type usage struct {
 	cpu     time.Duration // total CPU time
 	memory  int64         // resident memory, in bytes
-	starved time.Duration // total time in which its threads were ready to run but had no core
+	cpuWait time.Duration // total time in which its threads were ready to run but had no core
 }
 
 // usage reads the process's usage from /proc. It returns zero values once the process has ended.
@@ -180,7 +180,7 @@
 		text, err := os.ReadFile(root + "/task/" + t.Name() + "/schedstat")
 		if f := strings.Fields(string(text)); err == nil && len(f) > 1 {
 			ns, _ := strconv.ParseInt(f[1], 10, 64)
-			u.starved += time.Duration(ns)
+			u.cpuWait += time.Duration(ns)
 		}
 	}
 	return u
--- a/internal/testbed/real_test.go
+++ b/internal/testbed/real_test.go
@@ -26,10 +26,10 @@
 			s.Faults = []Fault{
 				{At: Duration(time.Second), For: Duration(1500 * ms), Kind: "cut-zone", Zone: "a"},
 				{At: Duration(2 * time.Second), Kind: "replace", Count: 2},
-				{At: Duration(500 * ms), For: Duration(time.Second), Kind: "link", From: "clients", To: "node:1", Does: "silence"},
-				{At: Duration(3 * time.Second), For: Duration(time.Second), Kind: "link", From: "node:0", To: "servers", Does: "reset"},
-				{At: Duration(3 * time.Second), For: Duration(time.Second), Kind: "link", From: "nodes", To: "nodes", Does: "loss", Size: 0.5},
-				{At: Duration(3 * time.Second), For: Duration(time.Second), Kind: "link", From: "nodes", To: "agent", Does: "silence"},
+				{At: Duration(500 * ms), For: Duration(time.Second), Kind: "link", From: "clients", To: "node:1", Effect: "silence"},
+				{At: Duration(3 * time.Second), For: Duration(time.Second), Kind: "link", From: "node:0", To: "servers", Effect: "reset"},
+				{At: Duration(3 * time.Second), For: Duration(time.Second), Kind: "link", From: "nodes", To: "nodes", Effect: "loss", Size: 0.5},
+				{At: Duration(3 * time.Second), For: Duration(time.Second), Kind: "link", From: "nodes", To: "agent", Effect: "silence"},
 				{At: Duration(2 * time.Second), For: Duration(time.Second), Kind: "spoil", Count: 2, Size: 0.3},
 				{At: Duration(3 * time.Second), For: Duration(time.Second), Kind: "lose-zone", Zone: "b"},
 			}
@@ -37,7 +37,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := small(name)
+			s := shortScenario(name)
 			s.Duration = Duration(5 * time.Second)
 			s.Fleet.Nodes, s.Fleet.Servers = 3, 9
 			change(s)
@@ -45,8 +45,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if len(r.Broken) > 0 || r.Figures["crashes"] > 0 {
-				t.Errorf("broken rules %v, %v crashes: %v", r.Broken, r.Figures["crashes"], r.Violations)
+			if len(r.BrokenRules) > 0 || r.Figures["crashes"] > 0 {
+				t.Errorf("broken rules %v, %v crashes: %v", r.BrokenRules, r.Figures["crashes"], r.Violations)
 			}
 			if r.Figures["restored_nodes"] != 3 || r.Figures["served"] == 0 {
 				t.Errorf("%v of 3 nodes ready at the end, share %v of requests served", r.Figures["restored_nodes"], r.Figures["served"])
--- a/internal/testbed/report.go
+++ b/internal/testbed/report.go
@@ -181,7 +181,7 @@
 	}
 	fmt.Fprintf(b, "# %s: %s\n\n%s\n\n", r.Scenario, outcome, r.About)
 	fmt.Fprintf(b, "%d edge nodes, %d app servers, %.0f s, seed %d, schedule %s\n\n", r.Nodes, r.Servers, r.Duration, r.Seed, r.Digest)
-	if r.Behind {
+	if r.GeneratorBehind {
 		fmt.Fprintf(b, "**The load generator fell behind** (99th percentile %.1f ms): the machine is too small for this load. Latencies still count from when requests were due.\n\n", r.Figures["lateness_ms"])
 	}
 }
@@ -192,12 +192,12 @@
 
 // writeViolations writes the number of violations by rule, and up to reportedViolations violations in full.
 func (r *Result) writeViolations(b *strings.Builder) {
-	if len(r.Broken) == 0 {
+	if len(r.BrokenRules) == 0 {
 		return
 	}
 	b.WriteString("## Broken rules\n\n")
-	for _, rule := range sortedKeys(r.Broken) {
-		fmt.Fprintf(b, "- %s: %d\n", rule, r.Broken[rule])
+	for _, rule := range sortedKeys(r.BrokenRules) {
+		fmt.Fprintf(b, "- %s: %d\n", rule, r.BrokenRules[rule])
 	}
 	b.WriteString("\n```\n")
 	for _, v := range r.Violations[:min(len(r.Violations), reportedViolations)] {
@@ -237,7 +237,7 @@
 	}
 	b.WriteString("\n## Faults\n\n")
 	for _, m := range r.Marks {
-		fmt.Fprintf(b, "- %.1f s: %s\n", m.At, m.What)
+		fmt.Fprintf(b, "- %.1f s: %s\n", m.At, m.Description)
 	}
 }
 
@@ -291,11 +291,11 @@
 
 // Comparison compares a figure between two sets of runs.
 type Comparison struct {
-	Figure string      `json:"figure"`
-	A      FigureStats `json:"a"`
-	B      FigureStats `json:"b"`
-	Ratio  float64     `json:"ratio"` // mean of b divided by the mean of a; 0 if the mean of a is 0
-	Apart  bool        `json:"apart"` // the ranges of a and b do not overlap
+	Figure   string      `json:"figure"`
+	A        FigureStats `json:"a"`
+	B        FigureStats `json:"b"`
+	Ratio    float64     `json:"ratio"` // mean of b divided by the mean of a; 0 if the mean of a is 0
+	Disjoint bool        `json:"apart"` // the ranges of a and b do not overlap
 }
 
 // readRuns reads the result in a directory, or else the results in all its subdirectories.
@@ -338,7 +338,7 @@
 		if c.A.Mean != 0 {
 			c.Ratio = c.B.Mean / c.A.Mean
 		}
-		c.Apart = c.A.Max < c.B.Min || c.B.Max < c.A.Min
+		c.Disjoint = c.A.Max < c.B.Min || c.B.Max < c.A.Min
 		out = append(out, c)
 	}
 	return out, nil
--- a/internal/testbed/report_test.go
+++ b/internal/testbed/report_test.go
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	for _, r := range rows {
-		if r.Figure == "goodput" && (math.Abs(r.Ratio-1.5) > 1e-9 || !r.Apart || r.A.Min != 0.5 || r.A.Max != 0.7 || r.A.Runs != 2) {
+		if r.Figure == "goodput" && (math.Abs(r.Ratio-1.5) > 1e-9 || !r.Disjoint || r.A.Min != 0.5 || r.A.Max != 0.7 || r.A.Runs != 2) {
 			t.Errorf("comparison %+v, want ratio 1.5, disjoint ranges, and 2 runs in a from 0.5 to 0.7", r)
 		}
 	}
--- a/internal/testbed/result.go
+++ b/internal/testbed/result.go
@@ -34,12 +34,12 @@
 
 // FaultMark is the time and the description of the beginning or the end of a fault.
 type FaultMark struct {
-	At   float64 `json:"at_s"`
-	What string  `json:"what"`
+	At          float64 `json:"at_s"`
+	Description string  `json:"what"`
 }
 
-// Checked is an expectation with the measured value of its figure.
-type Checked struct {
+// ExpectResult is an expectation with the measured value of its figure.
+type ExpectResult struct {
 	Expect Expect  `json:"expect"`
 	Got    float64 `json:"got"`
 	OK     bool    `json:"ok"`
@@ -47,22 +47,22 @@
 
 // Result is the result of a run, as stored in its directory.
 type Result struct {
-	Scenario   string             `json:"scenario"`
-	About      string             `json:"about"`
-	Seed       uint64             `json:"seed"`
-	Digest     string             `json:"digest"` // digest of the schedule
-	Binary     string             `json:"binary"` // path of the edge node
-	Nodes      int                `json:"nodes"`
-	Servers    int                `json:"servers"`
-	Duration   float64            `json:"duration_s"`
-	Figures    map[string]float64 `json:"figures"`
-	Series     []Series           `json:"series"`
-	Marks      []FaultMark        `json:"marks"`
-	Broken     map[string]int     `json:"broken_rules"` // number of violations by rule
-	Violations []Violation        `json:"violations"`   // the first maxViolations, in order of time
-	Checks     []Checked          `json:"checks"`
-	Behind     bool               `json:"generator_behind"` // the load generator was late by more than maxLateness
-	Error      string             `json:"error,omitempty"`
+	Scenario        string             `json:"scenario"`
+	About           string             `json:"about"`
+	Seed            uint64             `json:"seed"`
+	Digest          string             `json:"digest"` // digest of the schedule
+	Binary          string             `json:"binary"` // path of the edge node
+	Nodes           int                `json:"nodes"`
+	Servers         int                `json:"servers"`
+	Duration        float64            `json:"duration_s"`
+	Figures         map[string]float64 `json:"figures"`
+	Series          []Series           `json:"series"`
+	Marks           []FaultMark        `json:"marks"`
+	BrokenRules     map[string]int     `json:"broken_rules"` // number of violations by rule
+	Violations      []Violation        `json:"violations"`   // the first maxViolations, in order of time
+	Checks          []ExpectResult     `json:"checks"`
+	GeneratorBehind bool               `json:"generator_behind"` // the load generator was late by more than maxLateness
+	Error           string             `json:"error,omitempty"`
 }
 
 // maxLateness is the 99th percentile of the load generator's lateness above which a result reports that the
@@ -71,7 +71,7 @@
 
 // OK reports whether the run had no error, no rule was broken, no node crashed and every expectation was met.
 func (r *Result) OK() bool {
-	if r.Error != "" || len(r.Broken) > 0 || r.Figures["crashes"] > 0 {
+	if r.Error != "" || len(r.BrokenRules) > 0 || r.Figures["crashes"] > 0 {
 		return false
 	}
 	for _, c := range r.Checks {
@@ -86,8 +86,8 @@
 // significant digits.
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 120_000_000, 3) }
 
-// record adds a duration to a histogram, limited to the histogram's range.
-func record(h *hdrhistogram.Histogram, d time.Duration) {
+// recordDuration adds a duration to a histogram, limited to the histogram's range.
+func recordDuration(h *hdrhistogram.Histogram, d time.Duration) {
 	// The value is within the histogram's range, so the error is always nil.
 	_ = h.RecordValue(min(max(d.Microseconds(), 1), 120_000_000))
 }
@@ -106,7 +106,7 @@
 		Scenario: env.scenario.Name, About: env.scenario.About, Seed: env.seed, Digest: env.schedule.Digest(), Binary: env.nodeBinary, Nodes: env.scenario.Fleet.Nodes,
 		Servers: env.scenario.Fleet.Servers, Duration: env.scenario.Duration.s(),
 	}
-	r.Broken, r.Violations = env.checker.verdict()
+	r.BrokenRules, r.Violations = env.checker.violationSummary()
 	for _, e := range env.schedule.Faults {
 		r.Marks = append(r.Marks, FaultMark{e.At.Seconds(), env.scenario.Faults[e.Fault].describe(e)})
 	}
@@ -115,12 +115,12 @@
 	r.Figures = env.figures(0, time.Duration(env.scenario.Duration))
 	delayMS := func(q float64) float64 { return quantile(env.list.delays, q).Seconds() * 1e3 }
 	wholeRun := map[string]float64{ // these cover the whole run, whatever the window of an expectation
-		"restored_nodes": float64(readyNodes), "lists_right": float64(env.list.upToDate()) / float64(len(env.nodes)),
+		"restored_nodes": float64(readyNodes), "lists_right": float64(env.list.upToDateNodes()) / float64(len(env.nodes)),
 		"versions_back": float64(env.list.rollbacks.Load()), "slack_ms": env.peakSlack().Seconds() * 1e3,
 		"list_p50_ms": delayMS(50), "list_p99_ms": delayMS(99), "list_max_ms": delayMS(100),
 	}
 	maps.Copy(r.Figures, wholeRun)
-	r.Behind = r.Figures["lateness_ms"] > maxLateness.Seconds()*1000
+	r.GeneratorBehind = r.Figures["lateness_ms"] > maxLateness.Seconds()*1000
 	for _, e := range env.scenario.Expect {
 		to := time.Duration(e.To)
 		if to == 0 {
@@ -129,7 +129,7 @@
 		f := env.figures(time.Duration(e.From), to)
 		maps.Copy(f, wholeRun)
 		got := f[e.Figure]
-		r.Checks = append(r.Checks, Checked{e, got, (e.Min == nil || got >= *e.Min) && (e.Max == nil || got <= *e.Max)})
+		r.Checks = append(r.Checks, ExpectResult{e, got, (e.Min == nil || got >= *e.Min) && (e.Max == nil || got <= *e.Max)})
 	}
 	return r
 }
@@ -155,15 +155,15 @@
 		if r.Served {
 			s.Served++
 			s.ZoneServed[zone]++
-			record(s.hist, r.Done-r.Due)
+			recordDuration(s.hist, r.Done-r.Due)
 			if r.Done-r.Due <= objective && r.InQuota {
 				s.Value += r.Value
 			}
 		}
 	}
 	for i := range out {
-		if i < len(env.memory) {
-			out[i].Memory = env.memory[i]
+		if i < len(env.peakMemoryMB) {
+			out[i].Memory = env.peakMemoryMB[i]
 		}
 		out[i].P50 = quantile(out[i].hist, 50).Seconds() * 1000
 		out[i].P99 = quantile(out[i].hist, 99).Seconds() * 1000
--- a/internal/testbed/run.go
+++ b/internal/testbed/run.go
@@ -12,19 +12,19 @@
 
 // Options are the parameters of a run in addition to its scenario.
 type Options struct {
-	Seed    uint64         // seed of all random choices
-	Binary  string         // path of the edge node's binary
-	Service string         // path of the opalhook binary, for scenarios with a list service
-	Env     []string       // additional environment variables of the nodes, as KEY=VALUE
-	Dir     string         // directory for configurations, logs and the result; created if it does not exist
-	Control string         // address that serves metrics and accepts faults; "": none
-	Log     *slog.Logger   // logger for faults and problems of the testbed
-	Live    func(Progress) // called about once per second; may be nil
+	Seed       uint64         // seed of all random choices
+	Binary     string         // path of the edge node's binary
+	Service    string         // path of the opalhook binary, for scenarios with a list service
+	Env        []string       // additional environment variables of the nodes, as KEY=VALUE
+	Dir        string         // directory for configurations, logs and the result; created if it does not exist
+	Control    string         // address that serves metrics and accepts faults; "": none
+	Log        *slog.Logger   // logger for faults and problems of the testbed
+	OnProgress func(Progress) // called about once per second; may be nil
 }
 
 // Progress is the state of a run in progress.
 type Progress struct {
-	At, Of     time.Duration // time since the start of the run, and its whole duration
+	At, Total  time.Duration // time since the start of the run, and its whole duration
 	Requests   int           // requests due in the last second
 	Served     int           // requests served in the last second
 	Rejected   int           // rejected requests, by their first response in the last second
@@ -38,14 +38,14 @@
 // of the testbed itself. Violations by the nodes are part of the result. In all cases, the processes and
 // goroutines of the run have ended when Run returns.
 func Run(ctx context.Context, s *Scenario, o Options) (res *Result, err error) {
-	if err := ensureDescriptorLimit(s.descriptors()); err != nil {
+	if err := ensureDescriptorLimit(s.estimatedDescriptors()); err != nil {
 		return nil, err
 	}
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
 		return nil, fmt.Errorf("directory of the run: %w", err)
 	}
 	env := newEnvironment(ctx, s, o)
-	defer env.end()
+	defer env.stop()
 	if err := env.build(); err != nil {
 		return nil, err
 	}
@@ -58,9 +58,9 @@
 		}
 	}
 	env.startClock()
-	env.work.Go(env.monitorLag)
-	env.work.Go(func() { env.monitorNodes(o.Live) })
-	env.work.Go(env.injectFaults)
+	env.goroutines.Go(env.monitorLag)
+	env.goroutines.Go(func() { env.monitorNodes(o.OnProgress) })
+	env.goroutines.Go(env.injectFaults)
 	finished := make(chan struct{})
 	go func() {
 		defer close(finished)
@@ -70,16 +70,16 @@
 	case <-finished:
 	case <-env.ctx.Done():
 		cause := context.Cause(env.ctx)
-		env.end()
+		env.stop()
 		<-finished
 		if !errors.Is(cause, context.Canceled) {
 			return nil, cause
 		}
 		return nil, ctx.Err()
 	}
-	env.sample()
+	env.sampleUsage()
 	readyNodes := env.awaitRecovery()
-	env.end()
+	env.stop()
 	res = env.result(readyNodes)
 	return res, res.write(o.Dir)
 }
@@ -87,7 +87,7 @@
 // startClock sets the run's clock to zero and resets the times recorded while the nodes started. No request
 // has been sent at that time.
 func (env *environment) startClock() {
-	env.begun.Store(int64(time.Since(env.origin)))
+	env.startOffset.Store(int64(time.Since(env.origin)))
 	for _, s := range env.servers {
 		s.mu.Lock()
 		s.model.now = 0
@@ -95,7 +95,7 @@
 		s.mu.Unlock()
 	}
 	env.udp.mu.Lock()
-	clear(env.udp.inAt)
+	clear(env.udp.inboxUpdatedAt)
 	env.udp.mu.Unlock()
 	env.checker.mu.Lock()
 	for _, m := range env.checker.delivered {
@@ -143,12 +143,12 @@
 			want--
 		}
 	}
-	for end := time.Now().Add(readyWithin); time.Now().Before(end); {
+	for end := time.Now().Add(readyTimeout); time.Now().Before(end); {
 		if up = env.nodesUp(); up >= want || !env.sleep(readinessInterval) {
 			break
 		}
 	}
-	for end := time.Now().Add(listsWithin); time.Now().Before(end) && env.list.upToDate() < want; {
+	for end := time.Now().Add(listDeliveryTimeout); time.Now().Before(end) && env.list.upToDateNodes() < want; {
 		if env.list.isDown() || !env.sleep(readinessInterval) {
 			break
 		}
@@ -172,7 +172,7 @@
 // until the run ends.
 func (env *environment) monitorNodes(onProgress func(Progress)) {
 	for tick := 0; env.sleep(500 * time.Millisecond); tick++ {
-		env.sample()
+		env.sampleUsage()
 		if onProgress != nil && tick%2 == 1 {
 			onProgress(env.progress())
 		}
@@ -182,7 +182,7 @@
 // progress returns the state of the run, with counts over the last second.
 func (env *environment) progress() Progress {
 	now := env.now()
-	p := Progress{At: now, Of: time.Duration(env.scenario.Duration), NodesUp: env.nodesUp()}
+	p := Progress{At: now, Total: time.Duration(env.scenario.Duration), NodesUp: env.nodesUp()}
 	h := newHistogram()
 	env.checker.mu.Lock()
 	for i := range env.checker.records {
@@ -197,7 +197,7 @@
 			switch {
 			case r.Served:
 				p.Served++
-				record(h, r.Done-r.Due)
+				recordDuration(h, r.Done-r.Due)
 			case r.Rejected > 0:
 				p.Rejected++
 			default:
--- a/internal/testbed/scenario.go
+++ b/internal/testbed/scenario.go
@@ -128,29 +128,29 @@
 
 // Burst multiplies the request rate for a limited time.
 type Burst struct {
-	At    Duration `toml:"at"`
-	For   Duration `toml:"for"` // 0: until the end of the run
-	Times float64  `toml:"times"`
+	At     Duration `toml:"at"`
+	For    Duration `toml:"for"` // 0: until the end of the run
+	Factor float64  `toml:"times"`
 }
 
 // Fault describes a fault: its kind, its targets, and when it begins and ends.
 type Fault struct {
-	At    Duration  `toml:"at"`
-	For   Duration  `toml:"for"` // duration; 0: until the end of the run
-	Kind  FaultKind `toml:"kind"`
-	Zone  string    `toml:"zone"`  // zone to which the fault applies, or in which its targets are chosen
-	Count int       `toml:"count"` // number of targets; 0 without a share: one
-	Share float64   `toml:"share"` // share of the nodes or app servers that are targets
-	Size  float64   `toml:"size"`  // slowdown factor, affected share or bytes per second, by kind
-	Step  Duration  `toml:"step"`  // delay between one target and the next
-	Delay Duration  `toml:"late"`  // delay added by list-late and by links with does = "delay"
-	Way   string    `toml:"way"`   // cut-zone and cut-node: both, in or out, relative to the zone or node
+	At        Duration  `toml:"at"`
+	For       Duration  `toml:"for"` // duration; 0: until the end of the run
+	Kind      FaultKind `toml:"kind"`
+	Zone      string    `toml:"zone"`  // zone to which the fault applies, or in which its targets are chosen
+	Count     int       `toml:"count"` // number of targets; 0 without a share: one
+	Share     float64   `toml:"share"` // share of the nodes or app servers that are targets
+	Size      float64   `toml:"size"`  // slowdown factor, affected share or bytes per second, by kind
+	Step      Duration  `toml:"step"`  // delay between one target and the next
+	Delay     Duration  `toml:"late"`  // delay added by list-late and by links with does = "delay"
+	Direction string    `toml:"way"`   // cut-zone and cut-node: both, in or out, relative to the zone or node
 
 	// Link faults: the parties, and the effect on the data sent from one to the other.
 
-	From string `toml:"from"` // clients, node:N, nodes or zone:Z
-	To   string `toml:"to"`   // node:N, nodes, server:N, servers, zone:Z or agent
-	Does string `toml:"does"` // silence, reset, refuse, loss, delay or rate; for list-words an encoding
+	From   string `toml:"from"` // clients, node:N, nodes or zone:Z
+	To     string `toml:"to"`   // node:N, nodes, server:N, servers, zone:Z or agent
+	Effect string `toml:"does"` // silence, reset, refuse, loss, delay or rate; for list-words an encoding
 }
 
 // Expect bounds a figure of the run, computed over the requests that are due in a window of time. Figures
--- a/internal/testbed/scenario_validate.go
+++ b/internal/testbed/scenario_validate.go
@@ -132,8 +132,8 @@
 
 func (s *Scenario) validateBursts() error {
 	for i, b := range s.Load.Bursts {
-		if b.Times <= 0 || b.Times > 100 {
-			return fieldErrorf(fmt.Sprintf("load.burst[%d].times", i), "must be above 0 and at most 100, got %v", b.Times)
+		if b.Factor <= 0 || b.Factor > 100 {
+			return fieldErrorf(fmt.Sprintf("load.burst[%d].times", i), "must be above 0 and at most 100, got %v", b.Factor)
 		}
 	}
 	return nil
@@ -227,7 +227,7 @@
 func (s *Scenario) validateFault(field string, ft *Fault) error {
 	kind, ok := faultKinds[ft.Kind]
 	targets := s.Fleet.Nodes
-	if kind.target == faultsServers {
+	if kind.target == targetServers {
 		targets = s.Fleet.Servers
 	}
 	switch {
@@ -236,7 +236,7 @@
 	case ft.At > s.Duration:
 		return fieldErrorf(field+"at",
 			"must be at most %v, the run's duration, got %v", time.Duration(s.Duration), time.Duration(ft.At))
-	case kind.target == faultsZone && ft.Zone == "":
+	case kind.target == targetZone && ft.Zone == "":
 		return fieldErrorf(field+"kind",
 			"%s requires a zone, one of %s", ft.Kind, strings.Join(s.Fleet.Zones, ", "))
 	case ft.Zone != "" && !slices.Contains(s.Fleet.Zones, ft.Zone):
@@ -263,14 +263,14 @@
 	case strings.HasPrefix(string(ft.Kind), "list-") && ft.Kind != FaultListKill && ft.Kind != FaultListDown && ft.Kind != FaultListDelay && s.Fleet.ListReplicas > 0:
 		return fieldErrorf(field+"kind",
 			"%s requires the testbed's own list service: leave out fleet.list_replicas, got %d", ft.Kind, s.Fleet.ListReplicas)
-	case ft.Kind == FaultListEncoding && !slices.Contains(listEncodings, ft.Does):
+	case ft.Kind == FaultListEncoding && !slices.Contains(listEncodings, ft.Effect):
 		return fieldErrorf(field+"does",
-			"unknown encoding %q, must be one of %s", ft.Does, strings.Join(listEncodings, ", "))
+			"unknown encoding %q, must be one of %s", ft.Effect, strings.Join(listEncodings, ", "))
 	case ft.Kind == FaultStall && ft.For <= 0:
 		return fieldErrorf(field+"kind",
 			"stall requires for, a duration above 0, got %v", time.Duration(ft.For))
-	case !slices.Contains([]string{"", "both", "in", "out"}, ft.Way):
-		return fieldErrorf(field+"way", "must be both, in or out, got %q", ft.Way)
+	case !slices.Contains([]string{"", "both", "in", "out"}, ft.Direction):
+		return fieldErrorf(field+"way", "must be both, in or out, got %q", ft.Direction)
 	}
 	if ft.Kind == FaultLink {
 		return s.validateLink(field, ft)
@@ -292,7 +292,7 @@
 	if from[0].kind == partyClients && to[0].kind != partyNode {
 		return fieldErrorf(field+"to", "must be nodes or node:N for links from clients, got %q", ft.To)
 	}
-	switch ft.Does {
+	switch ft.Effect {
 	case "silence", "reset", "refuse":
 	case "loss":
 		if !(ft.Size > 0 && ft.Size <= 1) {
@@ -311,7 +311,7 @@
 		}
 	default:
 		return fieldErrorf(field+"does",
-			"must be silence, reset, refuse, loss, delay or rate, got %q", ft.Does)
+			"must be silence, reset, refuse, loss, delay or rate, got %q", ft.Effect)
 	}
 	return nil
 }
--- a/internal/testbed/schedule.go
+++ b/internal/testbed/schedule.go
@@ -47,15 +47,15 @@
 
 // Arrival is a request of a client. Its fields apply to the first attempt.
 type Arrival struct {
-	At     time.Duration // time at which the request is due
-	ID     string
-	Tenant int           // index in Schedule.Tenants
-	Class  int           // index in Scenario.Classes
-	Node   int           // number of the entry node
-	Units  float64       // units that the app server reports as consumed
-	Guess  float64       // units that the client estimates
-	Work   float64       // core time, in seconds
-	Wait   time.Duration // time that the client waits for a response to an attempt
+	At             time.Duration // time at which the request is due
+	ID             string
+	Tenant         int           // index in Schedule.Tenants
+	Class          int           // index in Scenario.Classes
+	Node           int           // number of the entry node
+	Units          float64       // units that the app server reports as consumed
+	EstimatedUnits float64       // units that the client estimates
+	Work           float64       // core time, in seconds
+	Timeout        time.Duration // time that the client waits for a response to an attempt
 }
 
 // Schedule contains the random choices of a run that are made before it begins. Arrivals and Faults are in
@@ -150,7 +150,7 @@
 	factor := 1.0
 	for _, b := range l.Bursts {
 		if at >= time.Duration(b.At) && (b.For == 0 || at < time.Duration(b.At+b.For)) {
-			factor *= b.Times
+			factor *= b.Factor
 		}
 	}
 	return factor
@@ -167,7 +167,7 @@
 		sum[i] = total
 	}
 	for _, b := range s.Load.Bursts { // bursts may overlap
-		maxFactor *= math.Max(1, b.Times)
+		maxFactor *= math.Max(1, b.Factor)
 	}
 	gap := distuv.Exponential{Rate: total * maxFactor, Src: rng}
 	estimateError := distuv.LogNormal{Mu: -estimateCV * estimateCV / 2, Sigma: estimateCV, Src: rng}
@@ -184,10 +184,10 @@
 		units := drawUnits(rng)
 		a := Arrival{
 			At: at, ID: fmt.Sprintf("%016x", rng.Uint64()), Tenant: min(i, len(sum)-1), Units: units,
-			Guess: math.Min(math.Max(math.Round(units*estimateError.Rand()), 1), maxUnits),
-			Work:  s.Load.WorkMS / 1000 * units / meanUnits() * workFactor.Rand(),
-			Wait:  time.Duration((0.5 + 0.5*rng.Float64()) * float64(s.Load.Deadline)),
-			Node:  c.pick(rng.Float64(), int(at/time.Duration(s.Load.ShiftEvery)), s.Fleet.Nodes),
+			EstimatedUnits: math.Min(math.Max(math.Round(units*estimateError.Rand()), 1), maxUnits),
+			Work:           s.Load.WorkMS / 1000 * units / meanUnits() * workFactor.Rand(),
+			Timeout:        time.Duration((0.5 + 0.5*rng.Float64()) * float64(s.Load.Deadline)),
+			Node:           c.pick(rng.Float64(), int(at/time.Duration(s.Load.ShiftEvery)), s.Fleet.Nodes),
 		}
 		a.Class = s.pickClass(rng.Float64())
 		if accepted {
@@ -229,14 +229,14 @@
 		kind := faultKinds[ft.Kind]
 		var targets []int
 		switch kind.target {
-		case faultsNodes:
+		case targetNodes:
 			targets = s.Fleet.inZone(s.Fleet.Nodes, ft.Zone)
-		case faultsServers:
+		case targetServers:
 			targets = s.Fleet.inZone(s.Fleet.Servers, ft.Zone)
 		default:
 			targets = []int{-1}
 		}
-		if kind.target == faultsNodes || kind.target == faultsServers {
+		if kind.target == targetNodes || kind.target == targetServers {
 			rng.Shuffle(len(targets), func(a, b int) { targets[a], targets[b] = targets[b], targets[a] })
 			n := max(ft.Count, int(math.Round(ft.Share*float64(len(targets)))), 1)
 			targets = targets[:min(n, len(targets))]
@@ -280,8 +280,8 @@
 	}
 	for _, a := range d.Arrivals {
 		h.Write([]byte(a.ID))
-		put(uint64(a.At), uint64(a.Tenant), uint64(a.Class), uint64(a.Node), math.Float64bits(a.Units), math.Float64bits(a.Guess),
-			math.Float64bits(a.Work), uint64(a.Wait))
+		put(uint64(a.At), uint64(a.Tenant), uint64(a.Class), uint64(a.Node), math.Float64bits(a.Units), math.Float64bits(a.EstimatedUnits),
+			math.Float64bits(a.Work), uint64(a.Timeout))
 	}
 	for _, e := range d.Faults {
 		end := uint64(0)
--- a/internal/testbed/schedule_test.go
+++ b/internal/testbed/schedule_test.go
@@ -11,7 +11,7 @@
 func TestDraw(t *testing.T) {
 	s := defaults()
 	s.Name, s.Duration, s.Load.Rate, s.Load.OverQuotaTenants = "x", Duration(60*time.Second), 400, 0
-	s.Load.Bursts = []Burst{{At: Duration(20 * time.Second), For: Duration(10 * time.Second), Times: 2}}
+	s.Load.Bursts = []Burst{{At: Duration(20 * time.Second), For: Duration(10 * time.Second), Factor: 2}}
 	s.Faults = []Fault{{At: Duration(5 * time.Second), For: Duration(time.Second), Kind: "kill", Share: 0.5}}
 	a, b, other := Draw(&s, 7), Draw(&s, 7), Draw(&s, 8)
 	if a.Digest() != b.Digest() || a.Digest() == other.Digest() {
--- a/internal/testbed/settings.go
+++ b/internal/testbed/settings.go
@@ -78,16 +78,16 @@
 // writeConfig writes the configuration file of a node and returns its path. The file is replaced atomically,
 // so that the node never reads a partly written one.
 func (env *environment) writeConfig(n *edgeNode) (string, error) {
-	n.config.Lock()
-	defer n.config.Unlock()
-	m := env.list.initial()
+	n.configMu.Lock()
+	defer n.configMu.Unlock()
+	m := env.list.nodeStartList()
 	if env.scenario.Fleet.StaleStartList && env.now() > 0 {
-		m = env.list.atStart
+		m = env.list.listAtRunStart
 	}
 	c := nodeConfig{
 		Name: n.name, Listen: n.listen, Discovery: n.discovery, Seed: fmt.Sprintf("%016x", env.ids.Uint64()),
-		Limits: limits{1, env.scenario.Fleet.MemoryMB, env.scenario.Fleet.Sockets}, PeerListen: n.peer, Peers: env.udp.peers, PeersAll: env.udp.all,
-		Known: env.addressedFor(n.number, m), Settings: env.scenario.settings(n.number),
+		Limits: limits{1, env.scenario.Fleet.MemoryMB, env.scenario.Fleet.Sockets}, PeerListen: n.peer, Peers: env.udp.peerAddrs, PeersAll: env.udp.broadcastAddr,
+		Known: env.withNodeAddresses(n.number, m), Settings: env.scenario.settings(n.number),
 	}
 	text, err := json.MarshalIndent(c, "", " ")
 	if err != nil {
@@ -103,7 +103,7 @@
 	env.recordDelivered(n.number, c.Known)
 	if env.scenario.Fleet.StaleStartList && !env.list.isDown() {
 		// The agent's current list counts as delivered to the new process at once.
-		snapshot, _ := env.list.since(0, true)
+		snapshot, _ := env.list.changesSince(0, true)
 		env.list.markDeliveredTo(n, snapshot)
 	}
 	return path, nil
--- a/internal/testbed/slack.go
+++ b/internal/testbed/slack.go
@@ -17,7 +17,7 @@
 	}
 	n := env.nodes[node]
 	n.mu.Lock()
-	cpuWait := n.starved
+	cpuWait := n.cpuWait
 	n.mu.Unlock()
 	return lag + cpuWait
 }
@@ -26,7 +26,7 @@
 func (env *environment) peakSlack() time.Duration {
 	env.resultMu.Lock()
 	defer env.resultMu.Unlock()
-	return env.withheld
+	return env.maxSlack
 }
 
 // monitorLag measures the testbed's scheduling lag until the run ends.
@@ -39,10 +39,10 @@
 // exponentially, so that a peak still counts for some seconds. It returns false if the run has ended.
 func (env *environment) measureLag() bool {
 	start := time.Now()
-	if !env.sleep(lagTick) {
+	if !env.sleep(lagInterval) {
 		return false
 	}
-	overslept := time.Since(start) - lagTick
+	overslept := time.Since(start) - lagInterval
 	env.resultMu.Lock()
 	defer env.resultMu.Unlock()
 	env.lag -= env.lag / 500 // decays to about a third in 5 s
@@ -50,18 +50,18 @@
 	return true
 }
 
-// sample reads the resource usage of the nodes and updates their peak memory, their CPU wait and the run's
-// peak slack. The CPU wait is measured over the last maxSamples samples, which are taken every 500 ms.
-func (env *environment) sample() {
+// sampleUsage reads the resource usage of the nodes and updates their peak memory, their CPU wait and the
+// run's peak slack. The CPU wait is measured over the last maxSamples samples, which are taken every 500 ms.
+func (env *environment) sampleUsage() {
 	const maxSamples = 10
 	peakMemory := int64(0)
 	defer func() {
 		env.resultMu.Lock()
 		defer env.resultMu.Unlock()
-		for sec := int(env.now() / time.Second); len(env.memory) <= sec; {
-			env.memory = append(env.memory, 0)
+		for sec := int(env.now() / time.Second); len(env.peakMemoryMB) <= sec; {
+			env.peakMemoryMB = append(env.peakMemoryMB, 0)
 		}
-		current := &env.memory[len(env.memory)-1]
+		current := &env.peakMemoryMB[len(env.peakMemoryMB)-1]
 		*current = max(*current, float64(peakMemory)/(1<<20))
 	}()
 	for _, n := range env.nodes {
@@ -81,11 +81,11 @@
 		if len(n.usageSamples) > maxSamples {
 			n.usageSamples = n.usageSamples[1:]
 		}
-		n.starved = u.starved - n.usageSamples[0].starved
+		n.cpuWait = u.cpuWait - n.usageSamples[0].cpuWait
 		n.mu.Unlock()
 		slack := env.slack(n.number)
 		env.resultMu.Lock()
-		env.withheld = max(env.withheld, slack)
+		env.maxSlack = max(env.maxSlack, slack)
 		env.resultMu.Unlock()
 	}
 }
--- a/internal/testbed/sweep.go
+++ b/internal/testbed/sweep.go
@@ -27,50 +27,50 @@
 	Dir      string        // directory for the report and a subdirectory per failing scenario
 	Log      *slog.Logger  // logger of the runs
 
-	// Live is called after each run, concurrently if Jobs is above 1. It may be nil.
-	Live func(done, of int, t GeneratedRun)
+	// OnRun is called after each run, concurrently if Jobs is above 1. It may be nil.
+	OnRun func(done, total int, run GeneratedRun)
 }
 
-// Verdict is the outcome of a generated scenario.
-type Verdict string
+// Outcome says how the run of a generated scenario ended.
+type Outcome string
 
 // Outcomes of a generated scenario. They are keys and values of the report's JSON. A scenario is NotJudged if
 // the machine was too slow for the absence of violations to be conclusive.
 const (
-	Passed    Verdict = "passed"       // no rule was broken
-	BrokeRule Verdict = "broke a rule" // a rule was broken or a node crashed
-	NotJudged Verdict = "not judged"   // no rule was broken, but the machine was too slow
-	NotPlayed Verdict = "not played"   // the scenario could not be generated or run
+	Passed    Outcome = "passed"       // no rule was broken
+	BrokeRule Outcome = "broke a rule" // a rule was broken or a node crashed
+	NotJudged Outcome = "not judged"   // no rule was broken, but the machine was too slow
+	NotRun    Outcome = "not played"   // the scenario could not be generated or run
 )
 
 // GeneratedRun is the result of one generated scenario.
 type GeneratedRun struct {
-	Seed    uint64         `json:"seed"`
-	Verdict Verdict        `json:"verdict"`
-	Rules   map[string]int `json:"rules,omitempty"`   // number of violations by rule, and crashes as "crash"
-	First   string         `json:"first,omitempty"`   // first violation
-	Reason  string         `json:"why,omitempty"`     // why the scenario was not judged or not run
-	Command string         `json:"again,omitempty"`   // command that runs the scenario again
-	Reduced string         `json:"reduced,omitempty"` // reduced scenario, and the command that runs it
-	Size    string         `json:"size"`              // summary of the deployment
-	Faults  []string       `json:"faults"`            // summaries of the faults
-	slack   time.Duration  // largest slack of the run
+	Seed           uint64         `json:"seed"`
+	Outcome        Outcome        `json:"verdict"`
+	Rules          map[string]int `json:"rules,omitempty"`   // number of violations by rule, and crashes as "crash"
+	FirstViolation string         `json:"first,omitempty"`   // first violation
+	Reason         string         `json:"why,omitempty"`     // why the scenario was not judged or not run
+	Command        string         `json:"again,omitempty"`   // command that runs the scenario again
+	Reduced        string         `json:"reduced,omitempty"` // reduced scenario, and the command that runs it
+	Size           string         `json:"size"`              // summary of the deployment
+	Faults         []string       `json:"faults"`            // summaries of the faults
+	slack          time.Duration  // largest slack of the run
 }
 
 // SweepReport is the report of a sweep.
 type SweepReport struct {
-	Rule   string          `json:"rule,omitempty"`
-	From   uint64          `json:"from"`
-	To     uint64          `json:"to"`
-	Played int             `json:"played"`          // number of scenarios in Runs
-	Counts map[Verdict]int `json:"verdicts"`        // number of scenarios by outcome
-	Ended  string          `json:"ended,omitempty"` // why the sweep ended before the last seed
-	Runs   []GeneratedRun  `json:"trials"`          // in order of seeds
+	Rule      string          `json:"rule,omitempty"`
+	From      uint64          `json:"from"`
+	To        uint64          `json:"to"`
+	Completed int             `json:"played"`          // number of scenarios in Runs
+	Counts    map[Outcome]int `json:"verdicts"`        // number of scenarios by outcome
+	Ended     string          `json:"ended,omitempty"` // why the sweep ended before the last seed
+	Runs      []GeneratedRun  `json:"trials"`          // in order of seeds
 }
 
 // OK reports whether no scenario broke a rule and all could be run. Scenarios that were not judged do not
 // count as failures here, although they have not passed.
-func (r *SweepReport) OK() bool { return r.Counts[BrokeRule] == 0 && r.Counts[NotPlayed] == 0 }
+func (r *SweepReport) OK() bool { return r.Counts[BrokeRule] == 0 && r.Counts[NotRun] == 0 }
 
 // Sweep generates and runs the scenarios of a range of seeds and writes a report to the directory of the
 // options. If ctx is canceled or the budget is used up, it ends early with a report of the scenarios run
@@ -82,7 +82,7 @@
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
 		return nil, fmt.Errorf("directory of the sweep: %w", err)
 	}
-	s := sweeper{options: &o, next: o.From, report: &SweepReport{Rule: o.Rule, From: o.From, To: o.To, Counts: map[Verdict]int{}}}
+	s := sweeper{options: &o, next: o.From, report: &SweepReport{Rule: o.Rule, From: o.From, To: o.To, Counts: map[Outcome]int{}}}
 	if o.Budget > 0 {
 		s.deadline = time.Now().Add(o.Budget)
 	}
@@ -136,12 +136,12 @@
 			return
 		}
 		r := s.options.runSeed(ctx, seed, s.deadline)
-		if ctx.Err() != nil && r.Verdict == NotPlayed {
+		if ctx.Err() != nil && r.Outcome == NotRun {
 			return // interrupted by the cancellation of ctx
 		}
 		done := s.addRun(r)
-		if s.options.Live != nil {
-			s.options.Live(done, int(s.options.To-s.options.From+1), r)
+		if s.options.OnRun != nil {
+			s.options.OnRun(done, int(s.options.To-s.options.From+1), r)
 		}
 	}
 }
@@ -162,9 +162,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.report.Runs = append(s.report.Runs, r)
-	s.report.Played++
-	s.report.Counts[r.Verdict]++
-	return s.report.Played
+	s.report.Completed++
+	s.report.Counts[r.Outcome]++
+	return s.report.Completed
 }
 
 // sweepFile is the name of the report in a sweep's directory.
@@ -194,12 +194,12 @@
 func (o *SweepOptions) runSeed(ctx context.Context, seed uint64, deadline time.Time) GeneratedRun {
 	s, err := GenerateScenario(seed, o.Rule)
 	if err != nil {
-		return GeneratedRun{Seed: seed, Verdict: NotPlayed, Reason: err.Error()}
+		return GeneratedRun{Seed: seed, Outcome: NotRun, Reason: err.Error()}
 	}
 	dir := filepath.Join(o.Dir, fmt.Sprintf("seed-%d", seed))
 	run := o.runOnce(ctx, s, seed, dir)
-	if run.Verdict != BrokeRule {
-		if run.Verdict != NotPlayed {
+	if run.Outcome != BrokeRule {
+		if run.Outcome != NotRun {
 			// Directories that cannot be removed do no harm: the report names the scenarios that failed.
 			_ = os.RemoveAll(dir)
 		}
@@ -229,30 +229,30 @@
 
 // runOnce runs a scenario and determines its outcome.
 func (o *SweepOptions) runOnce(ctx context.Context, s *Scenario, seed uint64, dir string) GeneratedRun {
-	run := GeneratedRun{Seed: seed, Verdict: Passed, Size: s.summary()}
+	run := GeneratedRun{Seed: seed, Outcome: Passed, Size: s.summary()}
 	for _, ft := range s.Faults {
 		run.Faults = append(run.Faults, ft.summary())
 	}
 	r, err := Run(ctx, s, Options{Seed: seed, Binary: o.Binary, Dir: dir, Log: o.Log})
 	if err != nil {
-		run.Verdict, run.Reason = NotPlayed, err.Error()
+		run.Outcome, run.Reason = NotRun, err.Error()
 		return run
 	}
-	run.Rules = maps.Clone(r.Broken)
+	run.Rules = maps.Clone(r.BrokenRules)
 	if n := int(r.Figures["crashes"]); n > 0 {
 		run.Rules["crash"] = n
 	}
 	run.slack = time.Duration(r.Figures["slack_ms"] * float64(time.Millisecond))
 	switch {
 	case len(run.Rules) > 0:
-		run.Verdict = BrokeRule
+		run.Outcome = BrokeRule
 		if len(r.Violations) > 0 {
-			run.First = r.Violations[0].String()
+			run.FirstViolation = r.Violations[0].String()
 		}
-	case r.Behind:
-		run.Verdict, run.Reason = NotJudged, fmt.Sprintf("the load generator was %.0f ms late: the machine is too slow for this scenario", r.Figures["lateness_ms"])
+	case r.GeneratorBehind:
+		run.Outcome, run.Reason = NotJudged, fmt.Sprintf("the load generator was %.0f ms late: the machine is too slow for this scenario", r.Figures["lateness_ms"])
 	case run.slack > slackLimit:
-		run.Verdict, run.Reason = NotJudged, fmt.Sprintf("the machine withheld CPU for %v: it is too slow for this scenario", run.slack.Round(time.Millisecond))
+		run.Outcome, run.Reason = NotJudged, fmt.Sprintf("the machine withheld CPU for %v: it is too slow for this scenario", run.slack.Round(time.Millisecond))
 	}
 	return run
 }
@@ -326,7 +326,7 @@
 // summary describes a fault in one line: its time, its kind, its main parameters and its duration.
 func (ft *Fault) summary() string {
 	words := []string{fmt.Sprintf("%.2gs", ft.At.s()), string(ft.Kind)}
-	for _, w := range []string{ft.Does, ft.Zone, ft.Way} {
+	for _, w := range []string{ft.Effect, ft.Zone, ft.Direction} {
 		if w != "" {
 			words = append(words, w)
 		}
--- a/internal/testbed/sweep_test.go
+++ b/internal/testbed/sweep_test.go
@@ -53,8 +53,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := r.Broken[RuleDrain] > 0; got != (c.mutant != "") || c.mutant == "" && len(r.Broken) > 0 {
-				t.Errorf("broken rules %v, want a broken drain rule: %v; violations %v", r.Broken, c.mutant != "", r.Violations[:min(3, len(r.Violations))])
+			if got := r.BrokenRules[RuleDrain] > 0; got != (c.mutant != "") || c.mutant == "" && len(r.BrokenRules) > 0 {
+				t.Errorf("broken rules %v, want a broken drain rule: %v; violations %v", r.BrokenRules, c.mutant != "", r.Violations[:min(3, len(r.Violations))])
 			}
 		})
 	}
@@ -71,12 +71,12 @@
 	calls := 0
 	r, err := Sweep(t.Context(), SweepOptions{
 		From: watchLossSeed, To: watchLossSeed, Rule: "drains", Jobs: 2, Reduce: 1, Binary: binary, Dir: dir,
-		Log: slog.New(slog.DiscardHandler), Live: func(int, int, GeneratedRun) { calls++ },
+		Log: slog.New(slog.DiscardHandler), OnRun: func(int, int, GeneratedRun) { calls++ },
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Played != 1 || calls != 1 || r.Counts[BrokeRule] != 1 || r.OK() || r.Runs[0].Rules[RuleDrain] == 0 || r.Runs[0].Command == "" {
+	if r.Completed != 1 || calls != 1 || r.Counts[BrokeRule] != 1 || r.OK() || r.Runs[0].Rules[RuleDrain] == 0 || r.Runs[0].Command == "" {
 		t.Fatalf("report %+v, want one run, reported once, that broke the drain rule", r)
 	}
 	if _, err := LoadScenario(filepath.Join(dir, "seed-4", "scenario.toml")); err != nil {
