--- a/internal/testbed/environment.go
+++ b/internal/testbed/environment.go
@@ -299,8 +299,8 @@
 	}
 }
 
-// stop ends the run: it stops first the nodes' processes, then the emulated parties and the list service. When it
-// returns, no process, socket or goroutine of the run is left.
+// stop ends the run. It stops first the nodes' processes, then the emulated parties and the list service.
+// When it returns, no process, socket or goroutine of the run is left.
 func (env *environment) stop() {
 	select {
 	case <-env.done:
--- a/internal/testbed/list_service.go
+++ b/internal/testbed/list_service.go
@@ -155,8 +155,8 @@
 	}
 }
 
-// awaitWritten waits until the service has accepted all queued changes. It returns false after readyTimeout or
-// if the run ends first.
+// awaitWritten waits until the service has accepted all queued changes. It returns false after readyTimeout
+// or if the run ends first.
 func (s *listService) awaitWritten() bool {
 	for end := time.Now().Add(readyTimeout); time.Now().Before(end); {
 		if s.pendingWrites.Load() == 0 {
