--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// retryAfterDivisor determines the retry delay of a throttled request: the latency objective of its
-	// class divided by retryAfterDivisor.
+	// retryAfterDivisor determines the retry delay of a request that is shed or throttled: the latency
+	// objective of its class divided by retryAfterDivisor.
 	retryAfterDivisor = 4
 	// initialTimeoutStepDivisor determines the largest increase of a class's initial timeout per request:
 	// the latency objective divided by initialTimeoutStepDivisor.
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -100,7 +100,7 @@
 	b.codec = codec{b.settings.Plans, s.NodeCount}
 	b.gossip = newGossiper(&s, uint64(b.rng.Uint32()>>16))
 	// Request numbers start at a random value, so that a late grant for a request of the node's previous
-	// process matches no request of this one.
+	// process is unlikely to match a request of this one.
 	b.requests.lastNumber = uint64(b.rng.Uint32() >> 12)
 	return b, nil
 }
--- a/balancer/concurrency_test.go
+++ b/balancer/concurrency_test.go
@@ -102,7 +102,7 @@
 	}
 }
 
-// With few attempts in flight, pooled means distinguish overload from chance, but they lag by seconds. Guards
+// With few responses, pooled means distinguish overload from chance, but they lag by seconds. Guards
 // against a burst that is sent in full before the pooled means show it.
 func TestBurstIsLimitedBeforePooledMeansShowIt(t *testing.T) {
 	const n = 4
--- a/balancer/datagrams_test.go
+++ b/balancer/datagrams_test.go
@@ -17,7 +17,8 @@
 // of the two transcripts then checks both the messages that nodes send and their reaction to the recorded
 // messages.
 //
-// The words of the transcript (for example tell and refuse) are those of the golden files.
+// The transcript keeps the words of the golden files: tell for a message to a peer, refuse for a rejection
+// and probe for a health check.
 type network struct {
 	t          *testing.T
 	now        time.Duration
--- a/balancer/decisions_endpoints_test.go
+++ b/balancer/decisions_endpoints_test.go
@@ -56,12 +56,12 @@
 
 // endpoint is a simulated endpoint with its entry in the endpoint list.
 type endpoint struct {
-	listed    balancer.Endpoint
-	speed     float64 // factor on the latency
-	capacity  float64 // number of requests that run at once; others queue
-	inFlight  float64
-	faultRank float64       // from 0 to 1; with endpoints.faultOffset it selects the faults of the endpoint
-	downUntil time.Duration // end of the restart; connections are refused before
+	listed        balancer.Endpoint
+	latencyFactor float64 // multiple of the usual latency; below 1 is faster
+	capacity      float64 // number of requests that run at once; others queue
+	inFlight      float64
+	faultRank     float64       // from 0 to 1; with endpoints.faultOffset it selects the endpoint's faults
+	downUntil     time.Duration // end of the restart; connections are refused before
 }
 
 // endpoints holds all simulated endpoints, including those that are not listed.
@@ -80,10 +80,10 @@
 			listed: balancer.Endpoint{
 				ID: fmt.Sprintf("e%d", i), MachineType: "small", Zone: zones[i%len(zones)], Cell: i % 7,
 			},
-			speed: 1, capacity: 8, faultRank: random.Float64(),
+			latencyFactor: 1, capacity: 8, faultRank: random.Float64(),
 		}
 		if large {
-			e.listed.MachineType, e.speed, e.capacity = "large", 0.7, 16
+			e.listed.MachineType, e.latencyFactor, e.capacity = "large", 0.7, 16
 		}
 		if large && count != 12 { // scenarios with 12 endpoints list no weights
 			e.listed.Weight = 2
@@ -112,7 +112,7 @@
 }
 
 // randomOutcome returns a random outcome of an attempt or health check at an endpoint. usual is the median
-// latency of an idle endpoint of speed 1.
+// latency of an idle endpoint with a latency factor of 1.
 func (sim *simulation) randomOutcome(e *endpoint, usual, timeout time.Duration) outcome {
 	const ms = time.Millisecond
 	rank := math.Mod(e.faultRank+sim.endpoints.faultOffset, 1)
@@ -138,7 +138,7 @@
 	if sim.scenario.variant.name == hedged.name { // with a small deviation, slow attempts are hedged early
 		deviation = 0.05
 	}
-	elapsed := time.Duration(float64(usual) * e.speed * sim.conditions.latencyFactor * load *
+	elapsed := time.Duration(float64(usual) * e.latencyFactor * sim.conditions.latencyFactor * load *
 		math.Exp(deviation*sim.random.NormFloat64()))
 	switch {
 	case elapsed > timeout:
--- a/balancer/endpoint_load_test.go
+++ b/balancer/endpoint_load_test.go
@@ -31,22 +31,23 @@
 	var load endpointLoad
 	load.record(3, 5, testStart)
 	if load.requests != 3 || load.otherRequests != 0 || load.reportedAt != testStart || !load.known() {
-		t.Errorf("fewer requests than this node's own: %+v", load)
+		t.Errorf("fewer requests than this node's own: got %+v, want 3 requests, none of them by other nodes",
+			load)
 	}
 	load.recordError(testStart + ms)
 	if !load.lastResponseFailed || load.reportedAt != testStart+ms || load.requests != 3 || !load.known() {
-		t.Errorf("after an error: %+v", load)
+		t.Errorf("after an error: got %+v, want a failed response and an unchanged, known load", load)
 	}
 	load.recordRefusal(testStart + 2*ms)
 	if !load.refusesConnections || load.reportedAt != testStart+2*ms || load.known() {
-		t.Errorf("after a refused connection: %+v", load)
+		t.Errorf("after a refused connection: got %+v, want an unknown load reported 2ms later", load)
 	}
 	load.record(1, 0, testStart+3*ms)
 	if load.refusesConnections || load.lastResponseFailed || !load.known() {
-		t.Errorf("after another report: %+v", load)
+		t.Errorf("after another report: got %+v, want a known load without an error or refusal", load)
 	}
 	if load.reset(); load.known() || load.reportedAt != 0 || load.queued >= 0 {
-		t.Errorf("after a reset: %+v", load)
+		t.Errorf("after a reset: got %+v, want an unreported load", load)
 	}
 }
 
@@ -55,11 +56,11 @@
 	e := newEndpoint(Endpoint{ID: "s0"})
 	e.recordLoadReport(&LoadReport{InFlight: -1, Queued: 2, Utilization: -1}, testStart)
 	if e.load.queued != 2 || e.load.known() || e.load.utilizationReportedAt != 0 {
-		t.Errorf("queued only: %+v", e.load)
+		t.Errorf("queued only: got %+v, want 2 queued and no other field reported", e.load)
 	}
 	e.recordLoadReport(&LoadReport{InFlight: 4, Queued: -1, Utilization: 0}, testStart+ms)
 	if e.load.queued != 2 || e.load.requests != 4 || e.load.utilizationReportedAt != testStart+ms {
-		t.Errorf("all but queued: %+v", e.load)
+		t.Errorf("all but queued: got %+v, want 2 queued as before, 4 requests and a utilization", e.load)
 	}
 }
 
@@ -69,11 +70,12 @@
 	e := newEndpoint(Endpoint{ID: "s0"})
 	e.recordPeerLoad(4, true, testStart)
 	if e.load.requests != 4 || !e.load.lastResponseFailed || e.health.errorRate != errorSmoothing {
-		t.Errorf("after a peer's error: %+v, error rate %v", e.load, e.health.errorRate)
+		t.Errorf("after a peer's error: got %+v and error rate %v, want 4 requests, a failed response and %v",
+			e.load, e.health.errorRate, errorSmoothing)
 	}
 	e.recordPeerRefusal(testStart+ms, testStart)
 	if !e.health.ejected(testStart+ms) || e.health.consecutiveEjections != 1 || e.load.reportedAt != testStart {
-		t.Errorf("after a peer's refused connection: %+v", e.health)
+		t.Errorf("after a peer's refused connection: got %+v, want one ejection", e.health)
 	}
 	if e.recordPeerRefusal(testStart+2*ms, testStart+ms); e.health.consecutiveEjections != 1 {
 		t.Errorf("%d ejections, want no further one during the first", e.health.consecutiveEjections)
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -151,7 +151,7 @@
 		sent += host.count("send")
 		warmUpFraction = node.warmUpFraction(node.endpoints.tracked[0])
 	}
-	// Assumed work of a request of the longest class, as long as no latency was measured.
+	// Assumed work of a request of the class with the longest latency objective, while no latency is known.
 	work := settings.Classes[1].LatencyObjective.Seconds() / 4
 	limit := settings.OverloadFactor * warmUpFraction * known.Seconds() / work
 	initial := settings.OverloadFactor * settings.SlowStartInitialFraction * known.Seconds() / work
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// hostRecorder is a host that records the actions of a balancer: timers and peer messages as they are, others
-// as text.
+// hostRecorder is a host that records the actions of a balancer: timers and peer messages by value, all
+// others except log lines as text.
 type hostRecorder struct {
 	actions  []string
 	timers   []timerRequest
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -4,7 +4,7 @@
 
 const (
 	errorSmoothing    = 0.2  // weight of a new outcome in an endpoint's error rate
-	ejectionErrorRate = 0.35 // error rate above which an endpoint is ejected: about three failures in a row
+	ejectionErrorRate = 0.35 // error rate above which an endpoint is ejected; two errors in a row exceed it
 
 	baseEjection         = 500 * time.Millisecond // first ejection; each further one lasts twice as long
 	maxEjection          = 8 * time.Second        // longest ejection
@@ -44,14 +44,15 @@
 	h.ejectedUntil = max(h.ejectedUntil, now+duration)
 }
 
-// ejectAsUnresponsive ejects the endpoint for unresponsiveEjection, or until it responds or a node reports
-// its load.
+// ejectAsUnresponsive ejects the endpoint for at least unresponsiveEjection, or until it responds or a node
+// reports its load.
 func (h *endpointHealth) ejectAsUnresponsive(now time.Duration) {
 	h.ejectedAsUnresponsive = true
 	h.ejectFor(now, unresponsiveEjection)
 }
 
-// endUnresponsiveEjection ends an ejection by ejectAsUnresponsive.
+// endUnresponsiveEjection ends an ejection by ejectAsUnresponsive, and with it any other ejection that
+// overlaps.
 func (h *endpointHealth) endUnresponsiveEjection() {
 	if h.ejectedAsUnresponsive {
 		h.ejectedAsUnresponsive, h.ejectedUntil = false, 0
--- a/balancer/health_test.go
+++ b/balancer/health_test.go
@@ -23,7 +23,7 @@
 		b.recordOutcome(q, e, Outcome{Result: ConnectFailed})
 		duration := e.health.ejectedUntil - b.now
 		if duration <= last && duration != maxEjection {
-			t.Errorf("ejection %d lasts %v, the one before lasted %v", i, duration, last)
+			t.Errorf("ejection %d lasts %v, want more than the %v of the one before", i, duration, last)
 		}
 		last = duration
 	}
@@ -164,7 +164,7 @@
 	}
 	if !health.recordResponse(testStart+3*ms) || health.unreachable || health.ejected(testStart+4*ms) ||
 		health.consecutiveEjections != 0 {
-		t.Errorf("after a response: %+v", health)
+		t.Errorf("after a response: got %+v, want a reachable endpoint without an ejection", health)
 	}
 	if health.recordResponse(testStart + 5*ms) {
 		t.Error("a reachable endpoint became reachable again")
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -7,7 +7,7 @@
 
 const (
 	latencySmoothing   = 0.15 // weight of a new sample in an endpoint's latency ratio
-	meanSmoothing      = 0.05 // weight of a new sample in the means of classes and machine types
+	meanSmoothing      = 0.05 // weight of a new sample in the means of classes, machine types and warm work
 	minBaselineSamples = 16   // samples in a batch; also the minimum for decisions based on a class mean
 	baselineGrowth     = 0.01 // growth of the lowest batch mean with each batch, as a fraction
 	minMeanLatency     = 1e-6 // lower bound of a mean in seconds; keeps ratios to the mean finite
--- a/balancer/load_codec.go
+++ b/balancer/load_codec.go
@@ -129,7 +129,8 @@
 func decodeAge(age byte) time.Duration { return time.Duration(age) * ageUnit }
 
 // tenantHash returns a two-byte hash of a tenant. If the hashes of two tenants collide and one of them is
-// over its quota, the other is treated as over its quota too while its quota requests get no answer.
+// over its quota, the other is treated as over its quota too: some of its requests are rejected while its
+// quota requests get no answer, and the bucket of a restarted owner starts empty.
 func tenantHash(tenant uint64) uint16 {
 	hash := (tenant + 1) * 0x9e3779b97f4a7c15
 	return uint16(hash >> 48)
--- a/balancer/load_gossip.go
+++ b/balancer/load_gossip.go
@@ -12,7 +12,8 @@
 	// peerMessageDelay is the delay of a message between nodes that is rarely exceeded. It is added to the
 	// age of received reports.
 	peerMessageDelay = 10 * time.Millisecond
-	// maxLoadEntries is the maximum number of loads in one message. A few messages cover all endpoints.
+	// maxLoadEntries is the maximum number of loads in one message. A few messages cover the endpoints of
+	// a subset.
 	maxLoadEntries = 12
 )
 
@@ -86,8 +87,8 @@
 }
 
 // expectedOtherLoad estimates the number of requests that other nodes have in flight at the endpoint. A
-// reported load loses weight with its age, in favor of the mean over all endpoints. The estimate is 0 in a
-// small fleet.
+// reported load loses weight with its age, in favor of the mean of the known loads. The estimate is 0 in a
+// small fleet, and for an endpoint without a reported load.
 func (b *Balancer) expectedOtherLoad(e *endpoint) float64 {
 	if !b.hasQuotaOwners() {
 		return 0 // In a small fleet a node's own attempts give better and earlier information.
--- a/balancer/owned_quota_test.go
+++ b/balancer/owned_quota_test.go
@@ -69,7 +69,7 @@
 		requester.PeerMessage(testStart+30*ms, from, ownerHost.messages[10][0], host)
 	}
 	if len(host.actions) != 0 {
-		t.Errorf("repeated grant caused actions %v", host.actions)
+		t.Errorf("a repeated grant or one from another node caused actions %v, want none", host.actions)
 	}
 }
 
@@ -217,9 +217,9 @@
 	}
 }
 
-// The load of a tenant's entry nodes differs. If its quota is divided into parts, one part rejects requests
-// while another still has tokens. Guards against more owners than the inboxes need for the quota requests
-// that the rate can grant.
+// The load differs between a tenant's entry nodes. If its quota is divided into parts, one part rejects
+// requests while another still has tokens. Guards against more owners than are needed to receive the quota
+// requests that the rate can grant.
 func TestNumberOfOwners(t *testing.T) {
 	for _, c := range []struct {
 		rate, perSecond, maxUnits float64
@@ -231,7 +231,7 @@
 		node, _ := newTestBalancer(t, settings, equalEndpoints(4)...)
 		bucket := node.quotaFor(ownedTenant, node.ratePlan(), entryNodes{0, 7})
 		if !bucket.owned || bucket.quotaShares != c.owners {
-			t.Errorf("%+v: owned %v, by %d owners", c, bucket.owned, bucket.quotaShares)
+			t.Errorf("%+v: owned %v by %d owners, want %d", c, bucket.owned, bucket.quotaShares, c.owners)
 		}
 	}
 }
@@ -256,13 +256,13 @@
 			t.Fatalf("actions %v, want a rejection", host.actions)
 		}
 		if got := requester.quotas.buckets[ownedTenant].requester.rejectedUntil > testStart+time.Second; got != c.pause {
-			t.Errorf("inbox at %v of its capacity: no quota request until %v", c.inbox, requester.quotas.buckets[ownedTenant].requester.rejectedUntil-testStart)
+			t.Errorf("inbox at %v of its capacity: no quota request for %v, want more than a second: %v",
+				c.inbox, requester.quotas.buckets[ownedTenant].requester.rejectedUntil-testStart, c.pause)
 		}
 	}
 }
 
-// Guards against units that a request was granted and did not use, and that are not returned to the owner's
-// bucket or returned twice.
+// Guards against unused granted units that are not returned to the owner's bucket, or are returned twice.
 func TestUnusedUnitsReturnToOwner(t *testing.T) {
 	settings := testSettings()
 	settings.NodeCount, settings.PeerMessagesPerSecond, settings.PostPaid = 300, 40, true
@@ -379,7 +379,7 @@
 	owner.now = now + 5*time.Second
 	owner.refill(bucket)
 	if full := bucket.plan.Burst / bucket.ownerCount; bucket.tokens > before+full/4 {
-		t.Errorf("%v tokens after a partition, %v before, full at %v", bucket.tokens, before, full)
+		t.Errorf("%v tokens after a partition, %v before, limit %v", bucket.tokens, before, before+full/4)
 	}
 }
 
--- a/balancer/peer_messages.go
+++ b/balancer/peer_messages.go
@@ -28,8 +28,8 @@
 // underPressure reports whether the message rate is close to the node's capacity or above it.
 func (i *peerInbox) underPressure() bool { return i.rate > inboxPressureFraction*i.capacity }
 
-// PeerMessage handles a message from another node. It ignores a malformed message entirely, and messages
-// whose sender is unknown or this node.
+// PeerMessage handles a message from another node. It ignores empty messages and messages whose sender is
+// unknown or this node. A malformed message only counts as received; no part of it is applied.
 func (b *Balancer) PeerMessage(now time.Duration, from int, message []byte, out Actions) {
 	b.now, b.actions = now, out
 	if from < 0 || from >= b.settings.NodeCount || from == b.settings.NodeIndex || len(message) == 0 {
--- a/balancer/quota_bucket.go
+++ b/balancer/quota_bucket.go
@@ -185,7 +185,7 @@
 	q.tokens = math.Max(math.Min(q.tokens+units, q.plan.Burst/q.ownerCount), -q.plan.Burst)
 }
 
-// restore returns units to an owner's tokens that a requester was granted and did not use.
+// restore adds unused granted units to an owner's tokens, up to the owner's share of the burst.
 func (q *quotaBucket) restore(units float64) {
 	q.tokens = math.Min(q.tokens+units, q.plan.Burst/q.ownerCount)
 }
--- a/balancer/quota_bucket_test.go
+++ b/balancer/quota_bucket_test.go
@@ -80,7 +80,7 @@
 		}
 		bucket.tokens = c.tokens
 		if granted, _ := bucket.check(testStart+c.after, 1, gossipEvery); granted != c.want {
-			t.Errorf("%+v: granted %v", c, granted)
+			t.Errorf("%+v: granted %v, want %v", c, granted, c.want)
 		}
 	}
 }
@@ -96,7 +96,7 @@
 		{"refill of an owner", ownedBucket(Plan{Rate: 2, Burst: 10}, 2), 0, time.Second},
 		{"next gossip round", splitBucket(Plan{Rate: 1000, Burst: 10}, 2), 0, gossipEvery},
 		{"maximum", splitBucket(Plan{Rate: 0.001, Burst: 10}, 2), 0, maxRefillTime},
-		{"attempts", splitBucket(Plan{MaxConcurrent: 0, Rate: 1000, Burst: 1}, 2), 0, gossipEvery},
+		{"burst of one unit", splitBucket(Plan{MaxConcurrent: 0, Rate: 1000, Burst: 1}, 2), 0, gossipEvery},
 	} {
 		c.bucket.tokens = c.tokens
 		if granted, retryAfter := c.bucket.check(testStart, 1, gossipEvery); granted || retryAfter != c.want {
@@ -205,7 +205,7 @@
 			t.Errorf("%s: idle in less than %v", c.name, c.after)
 		}
 		if bucket.idle(testStart+c.after) != (c.after != never) {
-			t.Errorf("%s: idle after %v: %v", c.name, c.after, c.after == never)
+			t.Errorf("%s: idle after %v: %v, want %v", c.name, c.after, c.after == never, c.after != never)
 		}
 	}
 }
--- a/balancer/quota_codec.go
+++ b/balancer/quota_codec.go
@@ -123,7 +123,7 @@
 	return appendReconciliation(binary.AppendUvarint([]byte{kindReconciliation, 0}, tenant), sum)
 }
 
-// decodeReconciliationMessage decodes a message of [encodeReconciliation].
+// decodeReconciliationMessage decodes a message of [encodeReconciliationMessage].
 func decodeReconciliationMessage(message []byte) (tenant uint64, sum reconciliation, ok bool) {
 	reader := varintReader{rest: message[1:]}
 	_, tenant = reader.uint(), reader.uint()
--- a/balancer/quota_requester.go
+++ b/balancer/quota_requester.go
@@ -110,7 +110,7 @@
 }
 
 // mayRepeat reports whether a quota request to the owner may be repeated. The owner must have answered the
-// last one, and inboxes must not be under pressure, which repeated messages would increase.
+// last one, and this node's inbox must not be under pressure, because repeated messages add to the pressure.
 func (q *quotaRequester) mayRepeat(owner int, inboxPressure bool) bool {
 	return q.unanswered[owner] == 0 && !inboxPressure
 }
@@ -257,7 +257,8 @@
 	b.quotaRequester.recordDecision(r.number, decision)
 }
 
-// isolated reports whether this node's quota requests go unanswered by all owners.
+// isolated reports whether this node's last quota requests went unanswered and no peer has sent it any
+// message since.
 func (b *Balancer) isolated() bool { return b.quotaRequester.isolated() }
 
 // receiveQuotaGrant admits or rejects the request that an owner has answered. An answer for which no request
@@ -310,10 +311,10 @@
 	}
 }
 
-// reconcileUnits returns the estimated units of a request that it did not use. Negative units were used in
-// addition. An owner receives the correction with the tenant's next quota request, because a message for
-// each response would increase the number of messages by half. A separate message is sent only if the quota
-// can grant just a fraction of the demand and the correction is large.
+// reconcileUnits corrects the quota by the units that a request did not use. Negative units are units that
+// it used beyond the estimate. An owner receives the correction with the tenant's next quota request,
+// because a message for each response would increase the number of messages by half. A separate message is
+// sent only if the quota can grant just a fraction of the demand and the correction is large.
 func (b *Balancer) reconcileUnits(r *request, units float64) {
 	b.refill(r.quota)
 	if !r.quota.owned || r.quotaOwner == b.settings.NodeIndex {
--- a/balancer/quota_requester_test.go
+++ b/balancer/quota_requester_test.go
@@ -21,7 +21,7 @@
 	}
 	requester.recordAnswer(1)
 	if !requester.waitsFor(1) || !requester.mayRepeat(1, false) {
-		t.Errorf("%+v: must wait for owner 1 after its grant", requester)
+		t.Errorf("%+v: must wait for owner 1 after its answer", requester)
 	}
 }
 
@@ -44,8 +44,8 @@
 
 func TestUnansweredDecisionCorrections(t *testing.T) {
 	for _, c := range []struct {
-		sent                    bool
-		granted, rejected, half float64 // corrections if granted, if rejected, and expected at a granted fraction of 0.5
+		sent                        bool
+		granted, rejected, expected float64 // corrections; expected is for a granted fraction of 0.5
 	}{{true, 0, -8, -6}, {false, 8, 0, 2}} {
 		decision := unansweredDecision{units: 8, sent: c.sent}
 		if got := decision.correction(true); got != c.granted {
@@ -54,8 +54,8 @@
 		if got := decision.correction(false); got != c.rejected {
 			t.Errorf("sent %v, rejected: %v units, want %v", c.sent, got, c.rejected)
 		}
-		if got := decision.expectedCorrection(0.5); got != c.half {
-			t.Errorf("sent %v, unknown: %v units, want %v", c.sent, got, c.half)
+		if got := decision.expectedCorrection(0.5); got != c.expected {
+			t.Errorf("sent %v, unknown: %v units, want %v", c.sent, got, c.expected)
 		}
 	}
 }
--- a/balancer/rendezvous_test.go
+++ b/balancer/rendezvous_test.go
@@ -36,7 +36,7 @@
 	key := endpointKey("endpoint")
 	for node := range 40 {
 		if all, some := nodePosition(key, node, 40, 40), nodePosition(key, node, 40, 5); some != min(all, 5) {
-			t.Errorf("node %d: position %d, and %d with a limit of 5", node, all, some)
+			t.Errorf("node %d: position %d, and %d with a limit of 5, want %d", node, all, some, min(all, 5))
 		}
 	}
 }
--- a/balancer/reserve_test.go
+++ b/balancer/reserve_test.go
@@ -72,11 +72,12 @@
 		for _, n := range requestsTo {
 			most = max(most, n)
 		}
-		// Half of the 400 endpoints have ten times the weight of the others. These get nearly all requests,
-		// and some of them get several by chance.
+		// Half of the 400 endpoints have ten times the weight of the others. The heavy ones get nearly all
+		// requests, and some of them get several by chance.
 		if len(requestsTo) < endpoints/3 || most > 15 || toLarge < nodes*each*3/4 {
-			t.Errorf("%s: %d endpoints used, at most %d of %d requests to one, %d to large ones", name,
-				len(requestsTo), most, nodes*each, toLarge)
+			t.Errorf("%s: %d endpoints used, at most %d of %d requests to one, %d to large ones; "+
+				"want at least %d, at most 15 and at least %d", name, len(requestsTo), most, nodes*each,
+				toLarge, endpoints/3, nodes*each*3/4)
 		}
 	}
 }
@@ -114,8 +115,9 @@
 		most = max(most, n)
 	}
 	if mean := nodes * each / float64(left); len(requestsTo) < left/2 || float64(most) > 10*mean {
-		t.Errorf("%d of %d endpoints used, at most %d requests to one, %.1f on average", len(requestsTo),
-			left, most, mean)
+		t.Errorf("%d of %d endpoints used, at most %d requests to one, %.1f on average; "+
+			"want at least %d endpoints and at most %.1f requests", len(requestsTo), left, most, mean, left/2,
+			10*mean)
 	}
 	t.Logf("%d of %d endpoints used, at most %d of %d requests to one", len(requestsTo), left, most,
 		nodes*each)
@@ -148,7 +150,7 @@
 	}
 }
 
-// entryReadsOf counts the list entries that find reads to find an endpoint outside the subset.
+// entryReadsOf returns the number of list entries that find reads to select an endpoint outside the subset.
 func entryReadsOf(b *Balancer, find func(*request) *endpoint) int {
 	before := b.endpoints.list.entryReads
 	find(&request{Request: newRequest(1, "safe", "rate", 1)})
--- a/balancer/restart_evidence_test.go
+++ b/balancer/restart_evidence_test.go
@@ -109,6 +109,6 @@
 	r.confirm()
 	r.stopConfirming()
 	if r.latest != 0 || !r.startConfirming(testStart+ms) {
-		t.Errorf("after the response: %+v", r)
+		t.Errorf("after the response: got %+v, want no suspected restart and no pending health check", r)
 	}
 }
--- a/balancer/rules_checker_test.go
+++ b/balancer/rules_checker_test.go
@@ -14,7 +14,8 @@
 // maxDatagram is the maximum size of a message to a peer, in bytes.
 const maxDatagram = 256
 
-// endpointRate is the number of requests per second that an endpoint answers. It rejects more as Overloaded.
+// endpointRate is the number of requests per second that an endpoint answers. It rejects further
+// ones as Overloaded.
 const endpointRate = 40
 
 // attemptRecord is the checker's record of an attempt.
--- a/balancer/selection_law_test.go
+++ b/balancer/selection_law_test.go
@@ -272,10 +272,10 @@
 	for _, c := range []struct {
 		name      string
 		got, want weightCounts
-	}{{"the list", m.balancer.endpoints.list.activeWeights, listed}, {
-		"the subset",
-		m.balancer.endpoints.subsetWeights, members,
-	}} {
+	}{
+		{"the list", m.balancer.endpoints.list.activeWeights, listed},
+		{"the subset", m.balancer.endpoints.subsetWeights, members},
+	} {
 		if c.got.total != c.want.total || c.got.largest != c.want.largest || !maps.Equal(c.got.byWeight,
 			c.want.byWeight) {
 			t.Fatalf("weights of %s: %+v, want %+v", c.name, c.got, c.want)
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -47,7 +47,7 @@
 	Rate           float64 // units per second; 0: unlimited
 	Burst          float64 // capacity of the quota's bucket, in units
 	MaxConcurrent  int     // maximum number of attempts in flight; 0: unlimited
-	HardLimitRate  float64 // units per second that must never be exceeded; 0: no hard limit
+	HardLimitRate  float64 // hard limit on units per second, with a tolerance of HardLimitSlack; 0: none
 	HardLimitBurst float64 // capacity of the hard limit's bucket, in units
 	HardLimitSlack float64 // units by which the hard limit may be exceeded at any time
 	WeightFactor   float64 // factor on the priority weight of the plan's requests
--- a/balancer/slow_start_test.go
+++ b/balancer/slow_start_test.go
@@ -38,8 +38,9 @@
 			(1-s.SlowStartInitialFraction)*s.OverloadWindow.Seconds()/s.SlowStartDuration.Seconds()
 		budget := s.OverloadFactor * fraction * s.OverloadWindow.Seconds()
 		if sent == 0 && n > 100 || work > math.Max(budget, 2*s.Classes[0].LatencyObjective.Seconds()) {
-			t.Errorf("%d nodes sent %d requests with %.2f s of work to a cold endpoint, budget %.2f s", n,
-				sent, work, budget)
+			t.Errorf("%d nodes sent %d requests with %.2f s of work to a cold endpoint, want at most %.2f s "+
+				"and, in a fleet of more than 100 nodes, at least one request", n, sent, work,
+				math.Max(budget, 2*s.Classes[0].LatencyObjective.Seconds()))
 		}
 	}
 }
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -79,7 +79,7 @@
 const (
 	subsetUnchanged          subsetChange = iota // no endpoint enters or leaves the subset
 	subsetResized                                // endpoints may enter or leave the subset
-	subsetThresholdsOutdated                     // likewise, and all thresholds have to be recomputed
+	subsetThresholdsOutdated                     // subset may change, and all thresholds must be recomputed
 )
 
 // resize adapts the number of subsets per endpoint to the length of the list, with hysteresis, and returns
--- a/balancer/subset_changes_test.go
+++ b/balancer/subset_changes_test.go
@@ -82,8 +82,12 @@
 			changes.overTwice > steps/50 || changes.unchangedSizes < steps/4 {
 			t.Errorf("%d nodes, %d endpoints: changes of memberships: %v, needed: %v; "+
 				"more than twice the needed changes in %d of %d steps; "+
-				"the number of subsets per endpoint stays the same in %d",
-				c.nodes, c.endpoints, changed, needed, changes.overTwice, steps, changes.unchangedSizes)
+				"the number of subsets per endpoint stays the same in %d; "+
+				"want at least 3 needed changes, a mean of at most 1.4 and a maximum of at most 3 times "+
+				"the needed one, more than twice the needed changes in at most %d steps, "+
+				"and the same number of subsets in at least %d",
+				c.nodes, c.endpoints, changed, needed, changes.overTwice, steps, changes.unchangedSizes,
+				steps/50, steps/4)
 		}
 	}
 }
--- a/balancer/subset_sizing_test.go
+++ b/balancer/subset_sizing_test.go
@@ -50,8 +50,8 @@
 			t.Errorf("%s: subset change %v, want %v (%+v)", step.name, got, step.want, sizing)
 		}
 		if sizing.rankedNodes < min(int(sizing.subsetsPerEndpoint)+1, sizing.nodeCount) {
-			t.Errorf("%s: %d nodes ranked for %v subsets", step.name, sizing.rankedNodes,
-				sizing.subsetsPerEndpoint)
+			t.Errorf("%s: %d nodes ranked for %v subsets, want at least %d", step.name, sizing.rankedNodes,
+				sizing.subsetsPerEndpoint, min(int(sizing.subsetsPerEndpoint)+1, sizing.nodeCount))
 		}
 	}
 }
@@ -64,7 +64,7 @@
 	}{{100, 400, 7.5, 30}, {100, 3, 7.5, 1}, {1, 12, 1, 12}, {100, 0, 100, 1}} {
 		sizing := subsetSizing{nodeCount: test.nodes, subsetsPerEndpoint: test.subsets}
 		if got := sizing.size(test.listed); got != test.want {
-			t.Errorf("%+v: subset size %d", test, got)
+			t.Errorf("%+v: subset size %d, want %d", test, got, test.want)
 		}
 	}
 }
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// checkEvenness counts the subsets that contain each endpoint. It returns an error if an endpoint is in fewer
-// than three subsets (with fewer than three nodes: not in all), or if the counts differ by more than 1.
+// checkEvenness counts the subsets that contain each endpoint. It returns an error if the counts differ by
+// more than 1, or if an endpoint is in fewer than three subsets. In a fleet of one or two nodes, an endpoint
+// must be in all subsets.
 func checkEvenness(endpoints, nodes int, holds func(endpoint, node int) bool) (spread, error) {
 	counts := make([]float64, endpoints)
 	for endpoint := range counts {
@@ -34,11 +35,11 @@
 		{1, 1, 1}, {2, 9, 9}, {25, 3, 3}, {300, 200, 200}, {1024, 1024, 256}, {4100, 200_000, 64},
 	} {
 		b, _ := newTestBalancer(t, subsetSettings(c.nodes))
-		per := b.endpoints.sizing.subsetsFor(float64(c.endpoints))
+		meanSubsets := b.endpoints.sizing.subsetsFor(float64(c.endpoints))
 		list := testEndpoints(c.endpoints)
 		s, err := checkEvenness(c.sample, c.nodes, func(endpoint, node int) bool {
 			key := endpointKey(list[endpoint*(c.endpoints/c.sample)].ID)
-			subsets := int(per + keyFraction(key))
+			subsets := int(meanSubsets + keyFraction(key))
 			return nodePosition(key, node, c.nodes, subsets) < subsets
 		})
 		if err != nil {
@@ -48,9 +49,7 @@
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
 	const nodes, endpoints, each = 300, 200, 18
-	if _, err := checkEvenness(endpoints, nodes, func(int,
-		int,
-	) bool {
+	if _, err := checkEvenness(endpoints, nodes, func(int, int) bool {
 		return rng.IntN(nodes) < each
 	}); err == nil {
 		t.Error("uneven subsets are not detected")
@@ -98,13 +97,12 @@
 		small.mean, small.min, small.max, large.mean, large.min, large.max)
 }
 
-// In fleets of all sizes the sizes of subsets vary by chance around the mean size that is intended, and each
-// zone has its fraction of the subsets.
+// In fleets of all sizes the sizes of subsets vary by chance around the intended mean size, and each zone
+// has its fraction of the subsets.
 func TestSubsetSizeInFleetsOfAllSizes(t *testing.T) {
-	for _, c := range []struct{ nodes, endpoints, sample int }{{300, 200, 100}, {1024, 1024, 64}, {
-		4100,
-		200_000, 8,
-	}} {
+	for _, c := range []struct{ nodes, endpoints, sample int }{
+		{300, 200, 100}, {1024, 1024, 64}, {4100, 200_000, 8},
+	} {
 		list := testEndpoints(c.endpoints)
 		var sizes, inZoneA []float64
 		for n := range c.sample {
@@ -143,16 +141,17 @@
 	const nodes, endpoints, sample = 4100, 200_000, 4000
 	b, _ := newTestBalancer(t, subsetSettings(nodes))
 	larger, _ := newTestBalancer(t, subsetSettings(nodes+1))
-	per := b.endpoints.sizing.subsetsFor(endpoints)
-	if per != minSubsetSize || b.endpoints.sizing.subsetsFor(endpoints+1) != per ||
-		larger.endpoints.sizing.subsetsFor(endpoints) != per {
-		t.Fatalf("%v subsets per endpoint, %v with one more endpoint, %v with one more node", per,
-			b.endpoints.sizing.subsetsFor(endpoints+1), larger.endpoints.sizing.subsetsFor(endpoints))
+	meanSubsets := b.endpoints.sizing.subsetsFor(endpoints)
+	if meanSubsets != minSubsetSize || b.endpoints.sizing.subsetsFor(endpoints+1) != meanSubsets ||
+		larger.endpoints.sizing.subsetsFor(endpoints) != meanSubsets {
+		t.Fatalf("%v subsets per endpoint, %v with one more endpoint, %v with one more node, want %v each",
+			meanSubsets, b.endpoints.sizing.subsetsFor(endpoints+1),
+			larger.endpoints.sizing.subsetsFor(endpoints), minSubsetSize)
 	}
 	entered, left := 0, 0
 	for n := range sample {
 		key := endpointKey(fmt.Sprintf("server-%06d", n*(endpoints/sample)))
-		first := int(per + keyFraction(key))
+		first := int(meanSubsets + keyFraction(key))
 		before, after := lastRank(key, nodes, first), lastRank(key, nodes+1, first)
 		for node := range nodes + 1 {
 			wasHolder := node < nodes && nodeRank(key, node) <= before
@@ -166,7 +165,8 @@
 		}
 	}
 	if entered == 0 || left != entered {
-		t.Errorf("%d endpoints enter the new node's subset, but %d leave other subsets", entered, left)
+		t.Errorf("%d endpoints enter the new node's subset and %d leave other subsets, want equal numbers "+
+			"above 0", entered, left)
 	}
 	t.Logf("of %d endpoints %d enter the new node's subset, %d leave other subsets", sample, entered, left)
 }
@@ -192,7 +192,8 @@
 		}
 		if st := b.Stats(); st.ListedEndpoints != n || st.SubsetEndpoints != len(own) ||
 			st.TrackedEndpoints > len(own) {
-			t.Fatalf("%d endpoints: %+v, %d in the subset", n, st, len(own))
+			t.Fatalf("%d endpoints: got %+v, want all listed, %d in the subset and no others tracked", n, st,
+				len(own))
 		}
 	}
 	for n := few; n < many; n++ {
@@ -238,12 +239,12 @@
 		}
 		peak = max(peak, live)
 		if len(b.endpoints.list.subsetCandidates) > 2*peak {
-			t.Errorf("%s: %d candidates, but %d endpoints can enter the subset", when,
-				len(b.endpoints.list.subsetCandidates), live)
+			t.Errorf("%s: %d candidates while %d endpoints can enter the subset, want at most %d", when,
+				len(b.endpoints.list.subsetCandidates), live, 2*peak)
 		}
 		if st := b.Stats(); live < st.SubsetEndpoints || live*10 > st.ListedEndpoints {
-			t.Errorf("%s: %d of %d endpoints can enter the subset, which has %d", when, live,
-				st.ListedEndpoints, st.SubsetEndpoints)
+			t.Errorf("%s: %d of %d endpoints can enter the subset, want at least its %d and at most a tenth "+
+				"of the list", when, live, st.ListedEndpoints, st.SubsetEndpoints)
 		}
 	}
 	check("initially")
