--- a/cmd/edge-node/main_test.go
+++ b/cmd/edge-node/main_test.go
@@ -54,7 +54,7 @@
 func TestBadConfigExits(t *testing.T) {
 	cmd, logs := program(t, `{"name":"n0","listen":"nowhere"}`)
 	if err := cmd.Run(); cmd.ProcessState.ExitCode() != 1 || !strings.Contains(logs(), "listen") {
-		t.Errorf("run: %v, logged %q", err, logs())
+		t.Errorf("run: %v, logged %q; want exit status 1 and a log that names listen", err, logs())
 	}
 }
 
@@ -120,8 +120,8 @@
 
 // Guards against a SIGHUP that ends the process, or has no effect, because it arrives before the program
 // handles the signal. The deploy file's command starts the program, and the test sends the signal as soon as
-// the program is executed. The program must then use the configuration file that was replaced before the
-// signal.
+// the program is executed. The program must then use the new configuration file, which has replaced the old
+// one before the signal.
 func TestHangupDuringStart(t *testing.T) {
 	command, dir := deployedCommand(t)
 	config := func(discovery string) string {
--- a/internal/edgenode/actions.go
+++ b/internal/edgenode/actions.go
@@ -14,15 +14,15 @@
 type actions Node
 
 // SendAttempt starts an attempt in a goroutine of its own. The attempt ends after timeout, unless that is 0,
-// and at the client's deadline at the latest. If sendBy is not 0, the last byte of the request must be
+// and at the request's deadline at the latest. If sendBy is not 0, the last byte of the request must be
 // written before the node's clock reads sendBy. If the request is not in flight or is already answered,
 // SendAttempt only logs an error.
 func (a *actions) SendAttempt(id, endpointID string, timeout, sendBy time.Duration) {
 	n := (*Node)(a)
 	request := n.inflight[id]
 	if request == nil || request.answered {
-		n.logDeferred(slog.LevelError, "attempt for a request that is not in flight", "request", id,
-			"endpoint", endpointID)
+		n.logDeferred(slog.LevelError, "attempt for a request that is answered or not in flight",
+			"request", id, "endpoint", endpointID)
 		return
 	}
 	deadline := request.deadline
--- a/internal/edgenode/client_listener.go
+++ b/internal/edgenode/client_listener.go
@@ -83,7 +83,9 @@
 				return nc, err
 			}
 			if closingSince == nil || time.Since(now) >= 2*queueEmptyFor {
-				continue // resumed so late that the deadline may have passed before Accept checked the queue
+				// Either closeWhenQueueEmpty has just set the deadline, or this goroutine resumed so late
+				// that the deadline may have passed before Accept checked the queue.
+				continue
 			}
 		}
 		_ = l.Close() // an error changes nothing: no further connection is accepted
--- a/internal/edgenode/client_response.go
+++ b/internal/edgenode/client_response.go
@@ -55,8 +55,8 @@
 	}
 	if r.ContentLength != 0 {
 		w.Header().Set("Connection", "close")
-		// Before net/http closes the connection, it reads the rest of the body if that is short. Otherwise
-		// the client could miss the response. The deadline ends that read if the client never sends the
+		// Before net/http closes the connection, it reads the rest of a short body, because a close with
+		// unread bytes could destroy the response. The deadline ends that read if the client never sends the
 		// rest. Setting the deadline fails only on a closed connection.
 		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(unreadBodyTimeout))
 	}
--- a/internal/edgenode/config_test.go
+++ b/internal/edgenode/config_test.go
@@ -12,7 +12,8 @@
 func TestDescriptorLimits(t *testing.T) {
 	for _, total := range []int{minSockets, 1024} {
 		if c, s := maxClientConns(total), maxServerConns(total); c < 1 || s < c || c+s+reservedDescriptors > total {
-			t.Errorf("of %d descriptors: %d for clients, %d for app servers", total, c, s)
+			t.Errorf("%d descriptors: %d for clients, %d for app servers; want at least 1 for clients, "+
+				"at least as many for app servers, and %d left", total, c, s, reservedDescriptors)
 		}
 	}
 }
--- a/internal/edgenode/conn_table.go
+++ b/internal/edgenode/conn_table.go
@@ -55,7 +55,7 @@
 	rankNever     = iota // request being received or in flight, or response on its way
 	rankIdle             // idle for at least justWrittenGrace
 	rankNew              // new for less than newConnGrace
-	rankSlow             // slow to send a header or to read a response
+	rankSlow             // slow to send a request or to read a response
 	rankIdleLong         // idle for at least idleGrace
 	rankSilent           // new for at least newConnGrace
 	rankLingering        // lingering
--- a/internal/edgenode/crowd_test.go
+++ b/internal/edgenode/crowd_test.go
@@ -23,7 +23,7 @@
 	"opalhook/internal/edgenode/nodetest"
 )
 
-// How runLimited starts the test binary as an edge node.
+// Parameters that runLimited passes to the test binary when it starts it as an edge node.
 const (
 	limitVariable      = "NODE_TEST_DESCRIPTORS" // environment variable with the limit on file descriptors
 	listenerDescriptor = 3                       // file descriptor of the inherited listener
--- a/internal/edgenode/endpointlist/endpointlist.go
+++ b/internal/edgenode/endpointlist/endpointlist.go
@@ -22,8 +22,8 @@
 }
 
 // Parse parses one message of discovery by the rules of [discovery.ParseLenient]. fieldErrors has one error
-// for each malformed field of an otherwise usable message. A non-nil err means that the text is not a
-// message at all.
+// for each malformed field of an otherwise usable message. A non-nil err means that no part of the text can
+// be used.
 func Parse(text []byte) (l List, fieldErrors []error, err error) {
 	m, fieldErrors, err := discovery.ParseLenient(text)
 	if err != nil {
--- a/internal/edgenode/follower/client.go
+++ b/internal/edgenode/follower/client.go
@@ -21,8 +21,8 @@
 
 // Limits on the data that a call reads.
 const (
-	readBufferSize = 16 << 10 // bytes
-	maxRetryAfter  = 1e6      // seconds; a larger Retry-After is ignored
+	readBufferSize = 16 << 10 // largest single read of a response, in bytes
+	maxRetryAfter  = 1e6      // exclusive limit of Retry-After, in seconds; other values are ignored
 )
 
 // Client keeps a node's list of endpoints current. It is the host of a [Follower]: it supplies the clock and
@@ -66,8 +66,9 @@
 	eventMalformed                            // the call has ended: the data is not a valid message
 )
 
-// NewClient returns a client of the discovery server at an address. It calls apply with each message that is
-// to be applied, from the goroutine that calls Run.
+// NewClient returns a client of the discovery server at an address. The client calls apply with each message
+// that is to be applied, and with the draining and removed endpoints of malformed messages. It does so from
+// the goroutine that calls Run.
 func NewClient(addr netip.AddrPort, f *Follower, apply func(endpointlist.List), log *slog.Logger) *Client {
 	return &Client{
 		addr:          addr,
@@ -139,8 +140,8 @@
 	}
 }
 
-// logTransition logs a change of discovery's reachability: one line for an outage, however many calls fail
-// during it, and one for its end.
+// logTransition logs a change of discovery's reachability: one line when it becomes unreachable or rejects
+// calls, however many calls fail after that, and one when it is reachable again.
 func (d *Client) logTransition(previous reachability, cause error) {
 	current := d.follower.reachability
 	if current == previous {
@@ -208,7 +209,7 @@
 	if f.callByID(e.id) == nil { // also after the only message of a fetch
 		closeCall(d.calls, e.id)
 	}
-	// The follower has set lastContact to now if the event belongs to an open call.
+	// The follower has set lastContact to now, unless it has ignored the event.
 	if (e.kind == eventMessage || e.kind == eventHeartbeat) && f.lastContact == now {
 		d.markResponded()
 	}
--- a/internal/edgenode/follower/follower.go
+++ b/internal/edgenode/follower/follower.go
@@ -20,14 +20,15 @@
 //   - Lists are pushed. The address is that of an agent on the edge node's own machine, which answers at
 //     once and at no cost. A change that the agent has counts as delivered to the node, whether or not a
 //     watch is open. Whenever the node may lack a change that the agent has, it therefore sends a fetch at
-//     once, and further ones at intervals of at most maxFetchInterval until one is answered, whatever the
-//     size of the fleet. Meanwhile one watch stays open with a longer timeout, for an agent that answers
-//     late.
+//     once, whatever the size of the fleet. If the fetch fails or times out, the next one follows at once,
+//     but no earlier than a random wait of at most maxFetchInterval after the previous one began. This
+//     repeats until a fetch is answered. Meanwhile one watch stays open with a longer timeout, for an agent
+//     that answers late.
 //   - Lists are polled. One service answers the calls of the whole fleet one after the other and has a short
 //     queue. Nodes whose watches it drops all at once must not return all at once, and rejected nodes must
 //     call less often the larger the fleet is. A node makes one call at a time, at a random time within a
-//     backoff window that grows with the fleet. A change that a watch misses counts as delivered
-//     once the watch has been silent for deliveryLimit, so the first new call is made before that.
+//     backoff window that grows with the fleet. A change that a watch misses counts as delivered once the
+//     watch has been silent for deliveryLimit, so the first new call is made before that.
 //
 // An agent that rejects calls evidently has a queue, so the node then calls it like a service.
 type Follower struct {
@@ -70,7 +71,7 @@
 
 const (
 	discoveryReachable   reachability = iota
-	discoveryUnreachable              // a call failed or a watch was silent since the last contact
+	discoveryUnreachable              // a watch failed or was silent since the last contact
 	discoveryRejecting                // a call was rejected since the last contact
 )
 
@@ -257,8 +258,9 @@
 	}
 }
 
-// Rejected reports that discovery has rejected a call with status 503 or 429. No call is to be made for
-// retryAfter, which is 0 if the response did not give it.
+// Rejected reports that discovery has rejected a call with status 503 or 429. The wait until the watch is
+// reopened is at least retryAfter, up to the longest backoff. retryAfter is 0 if the response did not give
+// it.
 func (f *Follower) Rejected(now time.Duration, id uint64, retryAfter time.Duration) {
 	c := f.callByID(id)
 	if c == nil {
--- a/internal/edgenode/follower/follower_test.go
+++ b/internal/edgenode/follower/follower_test.go
@@ -230,8 +230,8 @@
 			Endpoints:  []endpointlist.Endpoint{{Endpoint: balancer.Endpoint{ID: "a", State: balancer.Draining}}},
 		}})
 		if n.drainSeenAt == 0 || n.client.follower.generation == 900 {
-			t.Errorf("pushed %v: drain from the previous address applied at %v, generation %d",
-				pushed, n.drainSeenAt, n.client.follower.generation)
+			t.Errorf("pushed %v: drain from the previous address applied at %v, generation %d; "+
+				"want not 0, not 900", pushed, n.drainSeenAt, n.client.follower.generation)
 		}
 		s.silent = false
 		s.forEachCall(s.respond)
--- a/internal/edgenode/follower/schedule.go
+++ b/internal/edgenode/follower/schedule.go
@@ -27,7 +27,7 @@
 	pushedMessageTimeout = 200 * time.Millisecond
 	polledMessageTimeout = 3 * time.Second
 
-	maxFetchInterval    = 150 * time.Millisecond // between fetches; the smallest interval is half of it
+	maxFetchInterval    = 150 * time.Millisecond // random wait between calls to an agent; at least half
 	responseAllowance   = time.Second            // part of deliveryLimit left for a call's response
 	fleetCallInterval   = 100 * time.Millisecond // mean interval between calls over the whole fleet
 	smallFleetMaxWindow = time.Second            // largest backoff window of a small fleet
@@ -103,7 +103,7 @@
 }
 
 // closePushedWatchIfDue marks the list as suspect when the watch of an agent becomes suspect, so that a fetch
-// begins. It closes the watch only after MaxCallDuration, because the agent may merely be late.
+// begins. It closes the watch only after CallTimeout, because the agent may merely be late.
 func (f *Follower) closePushedWatchIfDue(s *schedule) {
 	w := &f.watch
 	if s.due(w.suspectDeadline()) {
@@ -175,9 +175,9 @@
 	*c = call{}
 }
 
-// scheduleReopen sets the time at which the watch is reopened after a call has ended or timed out. opened is
-// when that call was opened. Discovery may have become reachable again at any time after that, or after the
-// last contact if that is later. A polled watch is reopened early enough for the response to arrive within
+// scheduleReopen sets the time at which the watch is reopened after it has ended or timed out. opened is when
+// the watch was opened. Discovery may have become reachable again at any time after that, or after the last
+// contact if that is later. A polled watch is reopened early enough for the response to arrive within
 // deliveryLimit of that time.
 func (f *Follower) scheduleReopen(now, opened time.Duration) {
 	f.markUnreachable()
--- a/internal/edgenode/frontend.go
+++ b/internal/edgenode/frontend.go
@@ -171,8 +171,8 @@
 }
 
 // recoverPanic answers a request whose handler panicked, and logs the panic with its stack. It must be
-// deferred. It panics again with [http.ErrAbortHandler], which makes net/http close the connection without a
-// response.
+// deferred. It passes a panic with [http.ErrAbortHandler] on to net/http, which closes the connection without
+// a response.
 func (f *frontend) recoverPanic(w http.ResponseWriter) {
 	switch cause := recover(); cause {
 	case nil:
--- a/internal/edgenode/frontend_test.go
+++ b/internal/edgenode/frontend_test.go
@@ -26,14 +26,14 @@
 	n := run(t, testConfig(s.Endpoint("a")))
 	a := nodetest.Dial(t, n.addr).Do(request("book", "t1", "Connection", "keep-alive, X-Hop", "X-Hop", "1", "TE", "trailers"))
 	if a.Status != 200 || a.Body != "body" || a.Header.Get("Content-Type") != "a/b" {
-		t.Errorf("response %+v", a)
+		t.Errorf("response %+v, want status 200, body %q and Content-Type %q", a, "body", "a/b")
 	}
 	r := nodetest.Await(t, "request at the app server", got)
 	if want := []string{"POST /book/a%2fb?customer=00000000b4d65521&x=%41+ slot"}; fmt.Sprint(s.Requests()) != fmt.Sprint(want) {
 		t.Errorf("app server received %q, want %q", s.Requests(), want)
 	}
 	if r.Header.Get("X-Trace-Id") != "t1" || r.Header.Get("Idempotency-Key") != "key-t1" {
-		t.Errorf("app server received the header %v", r.Header)
+		t.Errorf("app server received the header %v, want id %q and key %q", r.Header, "t1", "key-t1")
 	}
 	for _, hop := range []string{"Connection", "X-Hop", "TE"} {
 		if v := r.Header.Get(hop); v != "" {
@@ -110,7 +110,7 @@
 		if a := client.Do(request(c.class, "t1", c.replace...)); a.Status != c.status {
 			t.Errorf("%s: status %d, want %d, body %s", c.name, a.Status, c.status, a.Body)
 		} else if c.status == 405 && a.Header.Get("Allow") != "GET" {
-			t.Errorf("%s: Allow %q", c.name, a.Header.Get("Allow"))
+			t.Errorf("%s: Allow %q, want %q", c.name, a.Header.Get("Allow"), "GET")
 		} else if len(s.Requests()) != 0 {
 			t.Fatalf("%s: %q was passed on", c.name, s.Requests())
 		} else if a.Close {
@@ -146,7 +146,7 @@
 		t.Errorf("largest body: status %d, want 200", a.Status)
 	}
 	if a := nodetest.Dial(t, n.addr).Do(request("book", "t2", "Content-Length", strconv.Itoa(maxBody+1), "body", largest+"x")); a.Status != 413 || !a.Close {
-		t.Errorf("one byte over the limit: status %d, closed %v", a.Status, a.Close)
+		t.Errorf("one byte over the limit: status %d, closed %v; want 413, true", a.Status, a.Close)
 	}
 	if got := len(s.Requests()); got != 1 {
 		t.Errorf("%d requests were passed on, want 1", got)
@@ -200,7 +200,8 @@
 	a := c.Do(request("check", "t2", "X-Contract", "tight"))
 	wait, err := strconv.ParseFloat(a.Header.Get("Retry-After"), 64)
 	if a.Status != 429 || err != nil || wait <= 0 || wait > 2 {
-		t.Errorf("over the quota: status %d, Retry-After %q", a.Status, a.Header.Get("Retry-After"))
+		t.Errorf("over the quota: status %d, Retry-After %q; want 429, over 0 and up to 2",
+			a.Status, a.Header.Get("Retry-After"))
 	}
 	if got := len(s.Requests()); got != 1 {
 		t.Errorf("%d requests were passed on, want 1", got)
@@ -293,7 +294,8 @@
 	serveClients(t, f, newClientListener(ln, f.conns))
 	a := nodetest.Dial(t, ln.Addr().String()).Do(request("check", "t1"))
 	if a.Status != 502 || !strings.Contains(logs.String(), "balancer.(*Balancer).RequestArrived") {
-		t.Errorf("panic in the balancer: status %d, logged %q", a.Status, logs.String())
+		t.Errorf("panic in the balancer: status %d, logged %q; want 502 and the stack",
+			a.Status, logs.String())
 	}
 	// A panic in the frontend.
 	f.settings = nil
--- a/internal/edgenode/gone_test.go
+++ b/internal/edgenode/gone_test.go
@@ -95,7 +95,7 @@
 					t.Errorf("requests sent after the client disconnected: %q", got)
 				}
 				if got := len(first.Requests()) - before; retry != (got == 1) {
-					t.Errorf("%d attempts before the client disconnected", got)
+					t.Errorf("%d attempts at the first app server, want 1 only for a retry", got)
 				}
 			})
 		}
--- a/internal/edgenode/inflight.go
+++ b/internal/edgenode/inflight.go
@@ -10,7 +10,7 @@
 )
 
 // inflightRequest is the state of a client's request from its arrival until it is answered and all of its
-// attempts have ended. The node's mutex guards its fields.
+// attempts have ended. The node's mutex guards answered, attempts and openAttempts.
 type inflightRequest struct {
 	id           string
 	message      upstream.Message
@@ -51,7 +51,7 @@
 
 // handleRequest passes a client's request to the balancer and returns the final response. It aborts a request
 // whose client disconnects or that is not answered by the deadline. A client that closed only its sending
-// side still receives the response. The only error is errIDInUse.
+// side counts as disconnected, but still receives the failure. The only error is errIDInUse.
 func (n *Node) handleRequest(ctx context.Context, q balancer.Request, m upstream.Message, deadline time.Time) (clientResponse, error) {
 	request := n.startRequest(q, m, deadline)
 	if request == nil {
--- a/internal/edgenode/node.go
+++ b/internal/edgenode/node.go
@@ -9,7 +9,7 @@
 //   - The frontend parses the request and passes it to the [Node], which passes it to the balancer.
 //   - The balancer starts attempts through its actions. Each attempt is one exchange of the upstream pool.
 //   - The frontend writes the final response to the client: the first successful response of an app server,
-//     or the rejection or failure that the balancer decided on.
+//     the rejection or failure that the balancer decided on, or a failure at the deadline.
 //
 // Meanwhile a discovery client keeps the endpoint list up to date.
 package edgenode
--- a/internal/edgenode/nodetest/record.go
+++ b/internal/edgenode/nodetest/record.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// RecordRequests starts a server that accepts one request per connection and answers it with the text
+// RecordRequests starts a server that accepts one request per connection and answers it with the given
 // response. It sends the bytes of each request to the channel, with HOST in place of the server's address.
 // The server stops when the test ends.
 func RecordRequests(t *testing.T, response string) (addr netip.AddrPort, requests <-chan string) {
--- a/internal/edgenode/side_test.go
+++ b/internal/edgenode/side_test.go
@@ -210,7 +210,7 @@
 	write("127.0.0.1:3")
 	reloaded, err := cfg.reload()
 	if err != nil || reloaded.Discovery != netip.MustParseAddrPort("127.0.0.1:3") || reloaded.Name != "n1" {
-		t.Errorf("reloaded: %+v, error %v", reloaded, err)
+		t.Errorf("reloaded: %+v, error %v; want discovery 127.0.0.1:3 and name n1", reloaded, err)
 	}
 	write("nowhere")
 	if _, err := cfg.reload(); err == nil || !strings.Contains(err.Error(), "discovery") {
@@ -285,6 +285,7 @@
 	before := time.Duration(time.Now().UnixNano())
 	now := n.now()
 	if d := now - before; d < -time.Second || d > nodetest.WaitTimeout || n.now() < now {
-		t.Errorf("the clock differs from Unix time by %v, or went back", d)
+		t.Errorf("the clock differs from Unix time by %v, or went back; want from -1s to %v",
+			d, nodetest.WaitTimeout)
 	}
 }
--- a/internal/edgenode/upstream/attempt_test.go
+++ b/internal/edgenode/upstream/attempt_test.go
@@ -198,7 +198,7 @@
 	c := nodetest.Await(t, "a connection", conns)
 	nodetest.SetDeadline(t, c)
 	if n, _ := io.Copy(io.Discard, c); n >= int64(len(longRequest.Body)) {
-		t.Errorf("%d bytes arrived, want fewer than the request has", n)
+		t.Errorf("%d bytes arrived, want fewer than %d", n, len(longRequest.Body))
 	}
 	// After the limit no request begins.
 	_, result := pool.Exchange(ctx, "a", &getRequest, WriteLimits{CompleteBefore: time.Now()})
--- a/internal/edgenode/upstream/request.go
+++ b/internal/edgenode/upstream/request.go
@@ -190,8 +190,8 @@
 func isPast(t, now time.Time) bool { return !t.IsZero() && !now.Before(t) }
 
 // socketIdle reports whether a socket is open and has no data to read. If the server has closed a
-// connection, or has sent unsolicited data on it, a request written to it would end with a reset. Such a
-// request may have run, so it may not be freely retried.
+// connection, a request written to it would end with a reset. Such a request may have run, so it may not be
+// freely retried. Unsolicited data on a connection would be taken for the response to the next request.
 func socketIdle(fd uintptr) bool {
 	var b [1]byte
 	_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
--- a/internal/edgenode/upstream/upstream.go
+++ b/internal/edgenode/upstream/upstream.go
@@ -168,8 +168,8 @@
 	stopInterrupt func() bool // detaches the connection from the context; false: the context has ended
 }
 
-// send writes a request on an idle or new connection. If an idle connection turns out to be closed before
-// the first byte, it uses another one.
+// send writes a request on an idle or new connection. If an idle connection turns out to be closed or to have
+// received unsolicited data before the first byte, it uses another one.
 func (p *Pool) send(
 	ctx context.Context, endpointID string, m *Message, limits WriteLimits,
 ) (sentRequest, error) {
