--- a/balancer/datagrams_test.go
+++ b/balancer/datagrams_test.go
@@ -17,7 +17,8 @@
 // of the two transcripts then checks both the messages that nodes send and their reaction to the recorded
 // messages.
 //
-// The words of the transcript (for example tell and refuse) are those of the golden files.
+// The transcript keeps the words of the golden files: tell for a message to a peer, refuse for a rejection
+// and probe for a health check.
 type network struct {
 	t          *testing.T
 	now        time.Duration
@@ -165,7 +166,7 @@
 			}
 			live := run(nil)
 			transcript := golden.Check(t, name, live.transcript.Bytes())
-			golden.Same(t, name+" with the recorded messages", run(transcriptMessages(t, transcript)).transcript.Bytes(), transcript)
+			golden.Compare(t, name+" with the recorded messages", run(transcriptMessages(t, transcript)).transcript.Bytes(), transcript)
 			for _, kind := range c.want {
 				if live.sentKinds[kind] == 0 {
 					t.Errorf("no message of kind %d", kind)
--- a/internal/edgenode/follower/client.go
+++ b/internal/edgenode/follower/client.go
@@ -21,8 +21,8 @@
 
 // Limits on the data that a call reads.
 const (
-	readBufferSize = 16 << 10 // bytes
-	maxRetryAfter  = 1e6      // seconds; a larger Retry-After is ignored
+	readBufferSize = 16 << 10 // largest single read of a response, in bytes
+	maxRetryAfter  = 1e6      // exclusive limit of Retry-After, in seconds; other values are ignored
 )
 
 // Client keeps a node's list of endpoints current. It is the host of a [Follower]: it supplies the clock and
@@ -36,7 +36,7 @@
 	// DialContext opens the connections of calls. It must not be changed after Run has been called.
 	DialContext func(ctx context.Context, network, addr string) (net.Conn, error)
 
-	addresses chan netip.AddrPort // new address of discovery, from Move to Run
+	addresses chan netip.AddrPort // new address of discovery, from SetAddress to Run
 	events    chan callEvent      // from the goroutines of the calls to Run
 	responded chan struct{}       // closed after the first list or heartbeat
 
@@ -66,8 +66,9 @@
 	eventMalformed                            // the call has ended: the data is not a valid message
 )
 
-// NewClient returns a client of the discovery server at an address. It calls apply with each message that is
-// to be applied, from the goroutine that calls Run.
+// NewClient returns a client of the discovery server at an address. The client calls apply with each message
+// that is to be applied, and with the draining and removed endpoints of malformed messages. It does so from
+// the goroutine that calls Run.
 func NewClient(addr netip.AddrPort, f *Follower, apply func(endpointlist.List), log *slog.Logger) *Client {
 	return &Client{
 		addr:          addr,
@@ -87,12 +88,12 @@
 // the list has not changed.
 func (d *Client) Responded() <-chan struct{} { return d.responded }
 
-// Move makes the client follow the list at another address. If the address is the current one, the list is
-// read again where that costs other nodes nothing. Move returns when Run has received the address or ctx has
-// ended.
-func (d *Client) Move(ctx context.Context, to netip.AddrPort) {
+// SetAddress makes the client follow the list at another address. If the address is the current one, the
+// list is read again where that costs other nodes nothing. SetAddress returns when Run has received the
+// address or ctx has ended.
+func (d *Client) SetAddress(ctx context.Context, addr netip.AddrPort) {
 	select {
-	case d.addresses <- to:
+	case d.addresses <- addr:
 	case <-ctx.Done():
 	}
 }
@@ -139,8 +140,8 @@
 	}
 }
 
-// logTransition logs a change of discovery's reachability: one line for an outage, however many calls fail
-// during it, and one for its end.
+// logTransition logs a change of discovery's reachability: one line when it becomes unreachable or rejects
+// calls, however many calls fail after that, and one when it is reachable again.
 func (d *Client) logTransition(previous reachability, cause error) {
 	current := d.follower.reachability
 	if current == previous {
@@ -208,7 +209,7 @@
 	if f.callByID(e.id) == nil { // also after the only message of a fetch
 		closeCall(d.calls, e.id)
 	}
-	// The follower has set lastContact to now if the event belongs to an open call.
+	// The follower has set lastContact to now, unless it has ignored the event.
 	if (e.kind == eventMessage || e.kind == eventHeartbeat) && f.lastContact == now {
 		d.markResponded()
 	}
@@ -228,9 +229,9 @@
 func (d *Client) handleMessage(now time.Duration, e callEvent) {
 	malformed := len(e.fieldErrors) > 0
 	if !d.follower.Message(now, e.id, Update{
-		Version:   e.list.Generation,
-		Snapshot:  e.list.Snapshot,
-		Malformed: malformed,
+		Generation: e.list.Generation,
+		Snapshot:   e.list.Snapshot,
+		Malformed:  malformed,
 	}) {
 		return
 	}
--- a/internal/edgenode/follower/golden_test.go
+++ b/internal/edgenode/follower/golden_test.go
@@ -62,7 +62,7 @@
 		want := readStream(text, len(text))
 		golden.Check(t, "golden/"+name+"-read.txt", []byte(want))
 		if name != "garbage" {
-			golden.Same(t, name+" in small pieces", []byte(readStream(text, 7)), []byte(want))
+			golden.Compare(t, name+" in small pieces", []byte(readStream(text, 7)), []byte(want))
 		}
 	}
 }
@@ -98,7 +98,7 @@
 		return fmt.Sprintf("end: %v\n", e.err)
 	case eventMalformed:
 		text = fmt.Sprintf("malformed %t %t %t\n", errors.Is(e.err, discovery.ErrTruncated),
-			errors.Is(e.err, discovery.ErrNoMessage), errors.Is(e.err, discovery.ErrTooLong))
+			errors.Is(e.err, discovery.ErrNotObject), errors.Is(e.err, discovery.ErrTooLong))
 	case eventMessage:
 		text = fmt.Sprintf("list %d whole %t, %d spoilt\n", e.list.Generation, e.list.Snapshot, len(e.fieldErrors))
 	}
--- a/internal/testbed/checker_test.go
+++ b/internal/testbed/checker_test.go
@@ -55,7 +55,7 @@
 }
 
 func (p *standInProxy) run() error {
-	if p.defect == "dies" {
+	if p.defect == "fails to start" {
 		return errors.New("the stand-in can't be configured")
 	}
 	text, err := os.ReadFile(os.Getenv("PROXY_CONFIG"))
@@ -76,7 +76,7 @@
 	signal.Notify(signals, syscall.SIGTERM)
 	go func() {
 		for range signals {
-			if p.defect != "stays" {
+			if p.defect != "ignores SIGTERM" {
 				os.Exit(0)
 			}
 		}
@@ -112,14 +112,14 @@
 	}
 }
 
-// pick returns the address of the next server. The defects "crowds cold servers" and "ignores drains" prefer
-// a server in slow start and a draining server.
+// pick returns the address of the next server. The defects "overloads cold servers" and "ignores drains"
+// prefer a server in slow start and a draining server.
 func (p *standInProxy) pick() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	ids := sortedKeys(p.list)
 	for _, id := range ids {
-		if p.defect == "crowds cold servers" && p.list[id].StartedAtMs > 0 {
+		if p.defect == "overloads cold servers" && p.list[id].StartedAtMs > 0 {
 			return p.list[id].HostPort
 		}
 		if p.defect == "ignores drains" && p.list[id].Lifecycle == lifecycleDraining {
@@ -137,24 +137,24 @@
 	id := r.Header.Get("X-Trace-Id")
 	switch {
 	// The client resends a request if a reused connection is closed, so the stand-in fails every copy.
-	case p.defect == "loses" && strings.HasSuffix(id, "5"):
+	case p.defect == "drops requests" && strings.HasSuffix(id, "5"):
 		panic(http.ErrAbortHandler)
-	case p.defect == "answers late":
+	case p.defect == "responds late":
 		time.Sleep(3 * time.Second)
 	case p.defect == "changes requests":
 		id = "made-up"
 	}
 	status, answer, err := p.send(r, id, string(body))
-	if p.defect == "sends twice" || err != nil && p.defect == "tries again" {
+	if p.defect == "sends twice" || err != nil && p.defect == "retries after errors" {
 		status, answer, err = p.send(r, id, string(body))
 	}
-	if p.defect == "calls it harmless" && r.Method == "POST" {
+	if p.defect == "rejects after execution" && r.Method == "POST" {
 		status = 503
 	}
 	if err != nil {
 		status = 502
 	}
-	if previous, ok := p.last.Swap(answer).(string); ok && p.defect == "swaps answers" && previous != "" {
+	if previous, ok := p.last.Swap(answer).(string); ok && p.defect == "swaps responses" && previous != "" {
 		answer = previous
 	}
 	w.WriteHeader(status)
@@ -179,8 +179,8 @@
 	return resp.StatusCode, string(answer), err
 }
 
-// small returns a short scenario with two nodes, four servers and a low rate.
-func small(name string) *Scenario {
+// shortScenario returns a short scenario with two nodes, four servers and a low rate.
+func shortScenario(name string) *Scenario {
 	s := defaults()
 	s.Name, s.Duration = name, Duration(2*time.Second)
 	s.Fleet.Nodes, s.Fleet.Servers, s.Load.Rate, s.Load.WorkMS = 2, 4, 60, 10
@@ -208,28 +208,28 @@
 		change       func(*Scenario)
 	}{
 		{"correct", "", drains},
-		{"loses", RuleLost, nil},
-		{"answers late", RuleLost, nil},
+		{"drops requests", RuleLost, nil},
+		{"responds late", RuleLost, nil},
 		{"sends twice", RuleDuplicate, nil},
-		{"tries again", RuleDuplicate, func(s *Scenario) {
+		{"retries after errors", RuleDuplicate, func(s *Scenario) {
 			s.Faults = []Fault{{Kind: "reset", Share: 1, Size: 0.3}}
 		}},
-		{"calls it harmless", RuleDuplicate, nil},
+		{"rejects after execution", RuleDuplicate, nil},
 		{"ignores drains", RuleDrain, drains},
-		{"crowds cold servers", RuleCold, func(s *Scenario) {
+		{"overloads cold servers", RuleCold, func(s *Scenario) {
 			s.Duration, s.Load.WorkMS, s.Load.Rate = Duration(4*time.Second), 100, 150
 			s.Faults = []Fault{{At: Duration(200 * ms), Kind: "replace", Count: 1}}
 		}},
 		{"correct", RuleHardLimit, func(s *Scenario) { // the stand-in enforces no quotas
 			s.Duration, s.Load.Rate = Duration(12*time.Second), 30 // longer than the slack of a busy machine
-			s.Load.Bursts = []Burst{{Times: 20}}
+			s.Load.Bursts = []Burst{{Factor: 20}}
 		}},
-		{"swaps answers", RuleWrongResponse, nil},
+		{"swaps responses", RuleWrongResponse, nil},
 		{"changes requests", RuleForeignRequest, nil},
 	} {
 		t.Run(c.defect+" "+c.rule, func(t *testing.T) {
 			t.Parallel()
-			s := small(c.defect)
+			s := shortScenario(c.defect)
 			if c.change != nil {
 				c.change(s)
 			}
@@ -237,8 +237,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if c.rule == "" && len(r.Broken) > 0 || c.rule != "" && r.Broken[c.rule] == 0 {
-				t.Errorf("broken rules %v, want %q; %v", r.Broken, c.rule, r.Violations)
+			if c.rule == "" && len(r.BrokenRules) > 0 || c.rule != "" && r.BrokenRules[c.rule] == 0 {
+				t.Errorf("broken rules %v, want %q; %v", r.BrokenRules, c.rule, r.Violations)
 			}
 			if r.OK() != (c.rule == "") {
 				t.Errorf("Result.OK returned %v, want %v", r.OK(), c.rule == "")
@@ -250,10 +250,10 @@
 // If a node's process ends before it is ready, the error contains its log. A process that ignores SIGTERM is
 // killed, and does not count as crashed.
 func TestProcessThatFailsToStartOrStop(t *testing.T) {
-	if _, err := runStandIn(t, small("dies"), "dies"); err == nil || !strings.Contains(err.Error(), "can't be configured") {
+	if _, err := runStandIn(t, shortScenario("fails to start"), "fails to start"); err == nil || !strings.Contains(err.Error(), "can't be configured") {
 		t.Errorf("error %v does not show the log", err)
 	}
-	p, err := startChild(t, "stays")
+	p, err := startChild(t, "ignores SIGTERM")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -299,11 +299,11 @@
 // When its context is canceled, a run ends at once and leaves no process running.
 func TestCanceledRunLeavesNoProcess(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	s := small("interrupted")
+	s := shortScenario("interrupted")
 	s.Duration = Duration(time.Hour)
 	s.Load.Rate = 5
 	pids := make(chan []int, 1)
-	live := func(Progress) {
+	onProgress := func(Progress) {
 		select {
 		case pids <- children(t):
 			cancel()
@@ -312,7 +312,7 @@
 	}
 	_, err := Run(ctx, s, Options{
 		Seed: 3, Binary: os.Args[0], Env: []string{standInEnv + "=correct"}, Dir: t.TempDir(),
-		Log: slog.New(slog.DiscardHandler), Live: live,
+		Log: slog.New(slog.DiscardHandler), OnProgress: onProgress,
 	})
 	if !errors.Is(err, context.Canceled) {
 		t.Errorf("Run returned the error %v, want context.Canceled", err)
--- a/internal/testbed/generate.go
+++ b/internal/testbed/generate.go
@@ -8,13 +8,14 @@
 	"time"
 )
 
-// TargetRules lists the rules at which generated scenarios can be aimed.
+// TargetRules lists the rules at which generated scenarios can be aimed. "drains" stands for [RuleDrain] and
+// "ceilings" for [RuleHardLimit]; the other names are those of the rules.
 var TargetRules = []string{"drains", "lost", "cold", "ceilings", "twice"}
 
 // Bounds of generated scenarios, low enough that a few cores can run several of them at once.
 const (
 	maxGeneratedRate  = 140.0           // requests per second
-	maxRelayedServers = 40              // most app servers if links use relays, one per node and server
+	maxRelayedServers = 40              // maximum number of app servers if links use relays: each node has one per server
 	tailAfterFaults   = 5 * time.Second // time from the last event to the end of the run
 	earliestFault     = time.Second     // earliest time of the first event
 )
@@ -84,8 +85,8 @@
 	return &s, nil
 }
 
-// drawDeployment draws the fleet, the classes, the plans and the load. All draw from one random stream, so
-// that a change of their order would change the scenarios of all seeds.
+// drawDeployment draws the fleet, the classes, the plans and the load. All draw from one random stream:
+// a change of their order changes the scenarios of all seeds.
 func (s *Scenario) drawDeployment(d sampler, rule string) {
 	s.Fleet.drawSize(d)
 	s.Fleet.drawConditions(d)
@@ -213,7 +214,7 @@
 	case 5:
 		s.addFault(Fault{At: at, Kind: FaultReload, Share: 1})
 	case 6:
-		s.addFault(Fault{At: at, Kind: FaultListEncoding, For: d.duration(3*time.Second, 8*time.Second), Does: oneOf(d, listEncodings...)})
+		s.addFault(Fault{At: at, Kind: FaultListEncoding, For: d.duration(3*time.Second, 8*time.Second), Effect: oneOf(d, listEncodings...)})
 	default:
 		s.addFault(Fault{At: at, Kind: FaultListDelay, For: d.duration(time.Second, 5*time.Second), Delay: d.duration(100*time.Millisecond, 2*time.Second)})
 	}
@@ -289,7 +290,7 @@
 }
 
 func (s *Scenario) drawBurst(d sampler, at Duration) {
-	s.Load.Bursts = append(s.Load.Bursts, Burst{At: at, For: d.duration(500*time.Millisecond, 4*time.Second), Times: round(d.uniform(1.3, 2.5))})
+	s.Load.Bursts = append(s.Load.Bursts, Burst{At: at, For: d.duration(500*time.Millisecond, 4*time.Second), Factor: round(d.uniform(1.3, 2.5))})
 }
 
 // drawZoneFault crashes the app servers of a zone or, if the fleet is small enough for relays, may cut the
@@ -301,5 +302,5 @@
 		s.addFault(Fault{At: at, Kind: FaultLoseZone, Zone: zone, For: length})
 		return
 	}
-	s.addFault(Fault{At: at, Kind: FaultCutZone, Zone: zone, For: length, Way: oneOf(d, "both", "in", "out")})
+	s.addFault(Fault{At: at, Kind: FaultCutZone, Zone: zone, For: length, Direction: oneOf(d, "both", "in", "out")})
 }
--- a/internal/testbed/list_service.go
+++ b/internal/testbed/list_service.go
@@ -30,7 +30,7 @@
 	replicas      []*replica
 	writes        [writerCount]chan Entry // queued changes; those of one server are in one queue, in order
 	pendingWrites atomic.Int64            // number of changes that the service has not yet accepted
-	calls         *http.Client
+	client        *http.Client
 
 	mu           sync.Mutex
 	incarnations map[string]uint64 // number of starts of each instance, by instance id
@@ -44,7 +44,7 @@
 	proc *process
 }
 
-// Limits of the calls of the list service.
+// Limits for the communication with the list service.
 const (
 	serviceCallTimeout = 3 * time.Second
 	serviceRetryPause  = 100 * time.Millisecond
@@ -54,11 +54,12 @@
 	maxWatchLine       = 16 << 20 // bytes
 )
 
-// startListService starts the replicas one after another. Each must know a leader before the next one starts.
+// startListService starts the replicas one after another. Each must report a leader before the next one
+// starts.
 func startListService(env *environment, binary string) (*listService, error) {
-	s := &listService{env: env, binary: binary, incarnations: map[string]uint64{}, calls: &http.Client{Timeout: serviceCallTimeout}}
+	s := &listService{env: env, binary: binary, incarnations: map[string]uint64{}, client: &http.Client{Timeout: serviceCallTimeout}}
 	for i := range env.scenario.Fleet.ListReplicas {
-		r := &replica{name: fmt.Sprintf("list-%d", i), listen: env.addresses.hostPort(10, i), raft: env.addresses.peerPort(10, i)}
+		r := &replica{name: fmt.Sprintf("list-%d", i), listen: env.addresses.hostPort(10, i), raft: env.addresses.peerHostPort(10, i)}
 		r.dir = filepath.Join(env.dir, r.name)
 		if err := os.RemoveAll(r.dir); err != nil {
 			return s, fmt.Errorf("%s: %w", r.name, err)
@@ -96,18 +97,19 @@
 
 // awaitLeader waits until a replica reports a leader.
 func (s *listService) awaitLeader(r *replica) error {
-	for end := time.Now().Add(readyWithin); time.Now().Before(end); {
+	for end := time.Now().Add(readyTimeout); time.Now().Before(end); {
 		if st, err := s.status(r); err == nil && st.Leader != "" {
 			return nil
 		}
 		if r.proc.crashed() {
-			return fmt.Errorf("%s ended before it knew a leader: %s", r.name, tail(filepath.Join(s.env.dir, r.name+".log")))
+			return fmt.Errorf("%s ended before it reported a leader: %s", r.name, tail(filepath.Join(s.env.dir, r.name+".log")))
 		}
 		if !s.env.sleep(serviceRetryPause) {
 			return errors.New("the run ended before the list service had a leader")
 		}
 	}
-	return fmt.Errorf("%s knows no leader: %s", r.name, tail(filepath.Join(s.env.dir, r.name+".log")))
+	return fmt.Errorf("%s did not report a leader within %v: %s", r.name, readyTimeout,
+		tail(filepath.Join(s.env.dir, r.name+".log")))
 }
 
 // replicaStatus contains the fields of a replica's status that the testbed uses.
@@ -118,7 +120,7 @@
 
 // status requests a replica's status.
 func (s *listService) status(r *replica) (st replicaStatus, err error) {
-	resp, err := s.calls.Get("http://" + r.listen + "/registry/status")
+	resp, err := s.client.Get("http://" + r.listen + "/registry/status")
 	if err != nil {
 		return st, err
 	}
@@ -141,7 +143,7 @@
 func (s *listService) writeLoop(changes <-chan Entry) {
 	for {
 		select {
-		case <-s.env.over:
+		case <-s.env.done:
 			return
 		case e := <-changes:
 			if err := s.apply(e); err != nil {
@@ -153,10 +155,10 @@
 	}
 }
 
-// awaitWritten waits until the service has accepted all queued changes. It returns false after readyWithin or
-// if the run ends first.
+// awaitWritten waits until the service has accepted all queued changes. It returns false after readyTimeout
+// or if the run ends first.
 func (s *listService) awaitWritten() bool {
-	for end := time.Now().Add(readyWithin); time.Now().Before(end); {
+	for end := time.Now().Add(readyTimeout); time.Now().Before(end); {
 		if s.pendingWrites.Load() == 0 {
 			return true
 		}
@@ -198,7 +200,7 @@
 		if err != nil {
 			return err
 		}
-		resp, err := s.calls.Do(req)
+		resp, err := s.client.Do(req)
 		if err == nil {
 			text, _ := io.ReadAll(io.LimitReader(resp.Body, 4096)) // used in the error text
 			_ = resp.Body.Close()
@@ -327,16 +329,16 @@
 // toListMessage converts a message of the list service to the testbed's type.
 func toListMessage(m discovery.Message) *listMessage {
 	var entries []Entry
-	if m.Instances != nil {
-		entries = make([]Entry, 0, len(m.Instances)) // encodes an empty list as [], not as null
+	if m.Entries != nil {
+		entries = make([]Entry, 0, len(m.Entries)) // encodes an empty list as [], not as null
 	}
-	for _, e := range m.Instances {
+	for _, e := range m.Entries {
 		entries = append(entries, Entry{
-			InstanceID: e.InstanceID, HostPort: e.HostPort, Zone: e.Zone, MachineType: e.MachineType, Cell: e.Cell,
+			InstanceID: e.ID, HostPort: e.Addr, Zone: e.Zone, MachineType: e.MachineType, Cell: e.Cell,
 			Lifecycle: lifecycle(e.Lifecycle), Weight: e.Weight, StartedAtMs: e.StartedAtMs,
 		})
 	}
-	return &listMessage{Generation: m.Generation, Reset: m.Reset, Instances: entries}
+	return &listMessage{Generation: m.Generation, Reset: m.Snapshot, Instances: entries}
 }
 
 // stop stops the replicas and waits for their end.
@@ -348,5 +350,5 @@
 		}
 	}
 	stops.Wait()
-	s.calls.CloseIdleConnections()
+	s.client.CloseIdleConnections()
 }
--- a/internal/testbed/slack.go
+++ b/internal/testbed/slack.go
@@ -9,24 +9,24 @@
 // it, so that the result of a run does not depend on other load of the machine. For a number that is not a
 // node's, it returns the lag alone.
 func (env *environment) slack(node int) time.Duration {
-	env.lagMu.Lock()
+	env.resultMu.Lock()
 	lag := env.lag
-	env.lagMu.Unlock()
+	env.resultMu.Unlock()
 	if node < 0 || node >= len(env.nodes) {
 		return lag
 	}
 	n := env.nodes[node]
 	n.mu.Lock()
-	starved := n.starved
+	cpuWait := n.cpuWait
 	n.mu.Unlock()
-	return lag + starved
+	return lag + cpuWait
 }
 
 // peakSlack returns the largest slack of the run so far.
 func (env *environment) peakSlack() time.Duration {
-	env.lagMu.Lock()
-	defer env.lagMu.Unlock()
-	return env.withheld
+	env.resultMu.Lock()
+	defer env.resultMu.Unlock()
+	return env.maxSlack
 }
 
 // monitorLag measures the testbed's scheduling lag until the run ends.
@@ -39,29 +39,29 @@
 // exponentially, so that a peak still counts for some seconds. It returns false if the run has ended.
 func (env *environment) measureLag() bool {
 	start := time.Now()
-	if !env.sleep(lagTick) {
+	if !env.sleep(lagInterval) {
 		return false
 	}
-	overslept := time.Since(start) - lagTick
-	env.lagMu.Lock()
-	defer env.lagMu.Unlock()
+	overslept := time.Since(start) - lagInterval
+	env.resultMu.Lock()
+	defer env.resultMu.Unlock()
 	env.lag -= env.lag / 500 // decays to about a third in 5 s
 	env.lag = max(env.lag, overslept)
 	return true
 }
 
-// sample reads the resource usage of the nodes and updates their peak memory, their starved time and the
-// run's peak slack. Starved time is measured over the last maxSamples samples, which are taken every 500 ms.
-func (env *environment) sample() {
+// sampleUsage reads the resource usage of the nodes and updates their peak memory, their CPU wait and the
+// run's peak slack. The CPU wait is measured over the last maxSamples samples, which are taken every 500 ms.
+func (env *environment) sampleUsage() {
 	const maxSamples = 10
 	peakMemory := int64(0)
 	defer func() {
-		env.lagMu.Lock()
-		defer env.lagMu.Unlock()
-		for sec := int(env.now() / time.Second); len(env.memory) <= sec; {
-			env.memory = append(env.memory, 0)
+		env.resultMu.Lock()
+		defer env.resultMu.Unlock()
+		for sec := int(env.now() / time.Second); len(env.peakMemoryMB) <= sec; {
+			env.peakMemoryMB = append(env.peakMemoryMB, 0)
 		}
-		current := &env.memory[len(env.memory)-1]
+		current := &env.peakMemoryMB[len(env.peakMemoryMB)-1]
 		*current = max(*current, float64(peakMemory)/(1<<20))
 	}()
 	for _, n := range env.nodes {
@@ -81,11 +81,11 @@
 		if len(n.usageSamples) > maxSamples {
 			n.usageSamples = n.usageSamples[1:]
 		}
-		n.starved = u.starved - n.usageSamples[0].starved
+		n.cpuWait = u.cpuWait - n.usageSamples[0].cpuWait
 		n.mu.Unlock()
 		slack := env.slack(n.number)
-		env.lagMu.Lock()
-		env.withheld = max(env.withheld, slack)
-		env.lagMu.Unlock()
+		env.resultMu.Lock()
+		env.maxSlack = max(env.maxSlack, slack)
+		env.resultMu.Unlock()
 	}
 }
