--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -37,8 +37,8 @@
 // statusInterval is the longest time between two updates of the status.
 const statusInterval = time.Second
 
-// minTimer is the shortest time between two ticks of the follower. It prevents a busy loop when a tick is
-// overdue.
+// minTimer is the shortest delay until the next tick of the follower if no event arrives. It prevents a busy
+// loop when a tick is overdue.
 const minTimer = time.Millisecond
 
 // Agent follows the list service and serves the list to the nodes on its machine. Use [Start] to create one.
--- a/internal/agent/doc.go
+++ b/internal/agent/doc.go
@@ -44,10 +44,9 @@
 //   - Heartbeats: this package has one timeout for a watch, counted from its last complete line. In the edge
 //     node the timeout depends on the kind of discovery, on whether the watch has received anything, and on
 //     how long a message has been incomplete, because part of a message counts as activity.
-//   - Generations: in this package they decrease only after the rollback tolerance.
-//     In the edge node a watch may return to an older list, because the platform's agent decides which list
-//     is current. Only a fetched list that is older than the list received by the watch in the meantime is
-//     dropped.
+//   - Generations: in this package they decrease only after the rollback tolerance. In the edge node a watch
+//     may return to an older list, because the platform's agent decides which list is current. Only a fetched
+//     list that is older than the list received by the watch in the meantime is dropped.
 //   - Calls: this package has one watch, plus a fetch from a second replica to confirm a suspect list. In the
 //     edge node a watch and a fetch run concurrently.
 package agent
--- a/internal/agent/feed.go
+++ b/internal/agent/feed.go
@@ -9,7 +9,7 @@
 	"opalhook/internal/discovery"
 )
 
-// maxChanges is the number of latest messages of changes that are kept for nodes with an older generation.
+// maxChanges is the number of latest change messages that are kept for nodes with an older generation.
 const maxChanges = 512
 
 // feed holds the messages for nodes: the complete list and the latest changes, encoded once for all nodes. It
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -163,7 +163,7 @@
 	replica.lines <- ""
 	requests += nextLine(t, "request after the end of the watch", replica.requests)
 	if m, err := a.replicas.fetch(t.Context(), replica.addr); err != nil || m.Generation != 20 || !m.Snapshot || len(m.Entries) != 2 || m.Entries[1] != testEntry(1, discovery.Up) {
-		t.Errorf("fetched list: %+v, error %v", m, err)
+		t.Errorf("fetched list: %+v, error %v; want the complete list of 2 entries at generation 20", m, err)
 	}
 	golden.Check(t, "golden/requests.txt", []byte(requests+nextLine(t, "request for the list", replica.requests)))
 }
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -71,7 +71,7 @@
 }
 
 // serveSnapshot sends the complete list, or only the changes if the request names a generation whose later
-// changes are still kept. It waits until there is such a message.
+// changes are still kept. It waits until the agent has a list that is newer than the node's.
 func (a *Agent) serveSnapshot(out nodeWriter, r *http.Request, from uint64) {
 	for {
 		update := a.feed.since(from)
--- a/internal/agent/suspicion_test.go
+++ b/internal/agent/suspicion_test.go
@@ -63,7 +63,7 @@
 	h.expectPublished(10, 12)
 }
 
-// Losses add up over the window: a list becomes suspect also if its endpoints start draining one by one.
+// Losses add up over the window: a list also becomes suspect if its endpoints start draining one by one.
 func TestGradualLossIsSuspected(t *testing.T) {
 	h := newFollowerHarness(t, "a", "b")
 	h.connect()
--- a/internal/registry/bench_raft_test.go
+++ b/internal/registry/bench_raft_test.go
@@ -157,7 +157,7 @@
 				e.Addr = fmt.Sprintf("127.%d.%d.%d:%d", n/50_000, n/200%250, n%200, 1+n%60_000)
 				o, err := s.commit(Command{Kind: Register, Entry: e, Incarnation: uint64(i + 1)})
 				if err != nil || o.Code != Done && o.Code != StaleIncarnation {
-					b.Error(o, err)
+					b.Errorf("registration of entry %d: outcome %+v, error %v", n, o, err)
 				}
 			}
 		})
--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -98,8 +98,9 @@
 	return m.Generation, m.Entries, nil
 }
 
-// Status requests the status of each replica. The results are in the order of Replicas. For a replica that
-// does not respond, the error is set and the status is empty.
+// Status requests the status of each replica, one after another. The results are in the order of Replicas.
+// For a replica that does not respond, the error is set and the status is empty. Status waits for such a
+// replica until ctx ends, and the requests to the replicas after it then fail, too.
 func (c *Client) Status(ctx context.Context) (statuses []Status, errs []error) {
 	for _, replica := range c.Replicas {
 		status, err := replicaStatus(ctx, replica)
--- a/internal/registry/cluster_test.go
+++ b/internal/registry/cluster_test.go
@@ -191,7 +191,7 @@
 	leader := leaderOf(t, others)
 	newReplica := Replica{ID: "rx@" + wiped.listen, Raft: wiped.raft + addressNameSeparator + "rx"}
 	if body, status := joinAs(t, leader.listen, newReplica); status != http.StatusConflict || !strings.Contains(body, "dismiss "+earlierID) {
-		t.Errorf("a new replica at the address of one that has not been removed: %d %s", status, body)
+		t.Errorf("a new replica at the address of one that has not been removed: %d %s, want 409 with the command to dismiss it", status, body)
 	}
 	removeReplica(t, all, earlierID)
 	wiped.start(leader.listen)
--- a/internal/registry/command.go
+++ b/internal/registry/command.go
@@ -22,7 +22,7 @@
 	Drain    = "drain"
 	Remove   = "remove"
 	Expire   = "expire"
-	Load     = "load" // replaces a list that has never been changed with a restored backup
+	Load     = "load" // loads a restored backup into a list that has never been changed
 )
 
 // Command is a request to change the list, as the replicated log stores it.
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -19,7 +19,7 @@
 	Join string
 
 	WatchOpensPerSecond float64       // limit on opening watches; 0: 2,000
-	ElectionTimeout     time.Duration // time without contact to the leader before an election; 0: 500 ms
+	ElectionTimeout     time.Duration // time without contact with the leader before an election; 0: 500 ms
 	Logger              *slog.Logger  // must not be nil
 	WrapStores          WrapStores    // nil: Raft uses the durable stores directly
 }
--- a/internal/registry/data_folder_test.go
+++ b/internal/registry/data_folder_test.go
@@ -79,7 +79,7 @@
 		t.Errorf("registration of a removed incarnation: %d %s, want 409", status, text)
 	}
 	if status, text := call(t, "POST", base+"instances", registration("s-new", 9100, 1, 0)); status != 200 || s.Generation() != 7<<epochBits|16 {
-		t.Errorf("registration of a new entry: %d %s, generation %d", status, text, s.Generation())
+		t.Errorf("registration of a new entry: %d %s, generation %d; want 200 and %d", status, text, s.Generation(), uint64(7<<epochBits|16))
 	}
 }
 
--- a/internal/registry/encoded_list.go
+++ b/internal/registry/encoded_list.go
@@ -7,8 +7,9 @@
 )
 
 // maxCachedListLag limits how far the cached list may lag behind the current one: the total size of the
-// changes since it was encoded, as a fraction of the size of the list. Below the limit, a new watch is sent
-// the cached list followed by the changes. Slow readers then share few copies of the list.
+// changes since it was encoded, as a fraction of the size of the list. Below the limit, a watch that needs
+// the full list is sent the cached list followed by the changes. Slow readers then share few copies of the
+// list.
 const maxCachedListLag = 1.0 / 8
 
 // encodedList is the full list at a generation, encoded for watches.
@@ -39,7 +40,7 @@
 	return m.encodeList(func(list encodedList, s *State) bool { return list.generation == s.Generation() })
 }
 
-// listForWatch returns the full list for a new watch. This is the cached list, if the changes since it was
+// listForWatch returns the full list for a watch. This is the cached list, if the changes since it was
 // encoded are retained and small enough.
 func (m *fsm) listForWatch() encodedList {
 	m.encodeMu.Lock()
--- a/internal/registry/fsm_test.go
+++ b/internal/registry/fsm_test.go
@@ -26,10 +26,10 @@
 	apply(2, Command{Kind: Register, Entry: entry("s-a", 1), Incarnation: 1, Lease: time.Minute})
 	late := Command{Kind: Expire, Expired: []InstanceRef{{"s-a", 1}}, Term: 2}
 	if code := apply(3, late); code != StaleIncarnation || m.generation() != 1 {
-		t.Errorf("an expiry of term 2 in term 3: code %s, generation %d", code, m.generation())
+		t.Errorf("an expiry of term 2 in term 3: code %s, generation %d; want stale and 1", code, m.generation())
 	}
 	if late.Term = 3; apply(3, late) != Done || m.generation() != 2 {
-		t.Errorf("an expiry of the current term is not applied: generation %d", m.generation())
+		t.Errorf("an expiry of the current term is not applied: generation %d, want 2", m.generation())
 	}
 }
 
@@ -113,7 +113,7 @@
 		t.Error("a watch that begins with the cached list waits instead of reading the changes")
 	}
 	if rest := m.readSince(second.generation); rest.generation != m.generation() || len(rest.chunks) != 1 {
-		t.Errorf("after the cached list, a watch gets %d changes up to %d", len(rest.chunks), rest.generation)
+		t.Errorf("after the cached list, a watch gets %d changes up to %d; want 1 up to %d", len(rest.chunks), rest.generation, m.generation())
 	}
 	var list message
 	if err := json.Unmarshal(m.currentList().json(), &list); err != nil || list.Generation != m.generation() || len(list.Entries) != 400 || !list.Snapshot {
@@ -124,7 +124,8 @@
 		change(1, uint64(changes)+2)
 	}
 	if changes < 400/16 || changes > 400/4 {
-		t.Errorf("a list of 400 entries was encoded again after %d changes", changes)
+		t.Errorf("a list of 400 entries was encoded again after %d changes, want %d to %d",
+			changes, 400/16, 400/4)
 	}
 }
 
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -310,8 +310,8 @@
 	golden.Check(t, "golden/answers.txt", transcript.Bytes())
 }
 
-// A status, a join request and outcomes with each code match the golden files and are decoded to the same
-// values.
+// A status, a join request and outcomes with every code except NotLeader and Failed match the golden files
+// and are decoded to the same values.
 func TestGoldenStatus(t *testing.T) {
 	status := Status{
 		Replica: "r0123456789ab@127.0.0.1:8500", State: "follower", Leader: "127.0.0.2:8500", Epoch: 7, Generation: 7<<epochBits | 8, Entries: 3,
--- a/internal/registry/http_api_test.go
+++ b/internal/registry/http_api_test.go
@@ -51,12 +51,12 @@
 		t.Errorf("the watch gets %s, want %s", got, want)
 	}
 	if m := startWatch(t, s.Addr(), 0).next(t); !m.Snapshot || m.Generation != 4 || len(m.Entries) != 1 {
-		t.Errorf("a new watch gets %+v", m)
+		t.Errorf("a new watch gets %+v, want the full list of 1 entry at generation 4", m)
 	}
 	// The leader never had this generation. It belongs to another list, and the reader gets the full list of
 	// this one.
 	if m := startWatch(t, s.Addr(), 1<<40).next(t); !m.Snapshot || m.Generation != 4 {
-		t.Errorf("a reader of another list gets %+v", m)
+		t.Errorf("a reader of another list gets %+v, want the full list at generation 4", m)
 	}
 }
 
--- a/internal/registry/leader_leases.go
+++ b/internal/registry/leader_leases.go
@@ -10,8 +10,8 @@
 const expiryCheckInterval = 100 * time.Millisecond
 
 // leadership is the state that a replica has only while it is the leader: the leases, and the Raft term in
-// which it took them over. It is safe for concurrent use. The FSM calls it with its mutex held, so it must
-// not call the FSM.
+// which it took them over. It is safe for concurrent use. It must not call the FSM, because the FSM calls it
+// with the mutex of the FSM held.
 type leadership struct {
 	changed chan struct{} // wakes the replica's leadership loop
 
--- a/internal/registry/lease_queue.go
+++ b/internal/registry/lease_queue.go
@@ -3,7 +3,7 @@
 import "container/heap"
 
 // leaseQueue is a heap of leases ordered by queueKey; it implements [heap.Interface]. A renewal does not move
-// a lease in the queue. The lease is moved when it reaches the front, at most once per lease term.
+// a lease in the queue. The lease is moved when it reaches the front, at most once per renewal.
 type leaseQueue []*leaseEntry
 
 // Len implements sort.Interface.
--- a/internal/registry/published.go
+++ b/internal/registry/published.go
@@ -34,7 +34,7 @@
 }
 
 // changesSince returns the changes after a generation, oldest first. ok is false if some of them are no
-// longer retained, or if the generation does not belong to this list.
+// longer retained, if the generation does not belong to this list, or if it is 0 and the list has changed.
 func (v *publishedVersion) changesSince(from uint64) (changes []encodedChange, ok bool) {
 	if from == v.generation {
 		return nil, true
@@ -167,8 +167,8 @@
 	return read
 }
 
-// readFullList returns the full list for a watch. v must have been loaded before the call, so that the watch
-// reads any change in between next.
+// readFullList returns the full list for a watch. v must have been loaded before the call: a change that is
+// published in the meantime then closes v.updated, and the watch reads again.
 func (m *fsm) readFullList(v *publishedVersion) watchRead {
 	list := m.listForWatch()
 	read := watchRead{chunks: [][]byte{list.chunk}, generation: list.generation, updated: v.updated}
--- a/internal/registry/raft_host.go
+++ b/internal/registry/raft_host.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// operationTimeout limits a command, a barrier, a membership change or a join request, and I/O between
-	// replicas.
+	// operationTimeout limits the time until Raft starts a command, a barrier or a membership change. It also
+	// limits a join request and I/O between replicas.
 	operationTimeout = 5 * time.Second
 
 	// maxCommitTimeout limits the delay after which an idle leader sends its commit index to the followers.
--- a/internal/registry/replica_process_test.go
+++ b/internal/registry/replica_process_test.go
@@ -28,7 +28,7 @@
 	links               map[*testReplica]*testbed.Link // links to the other replicas
 }
 
-// newTestReplica reserves addresses and folders for a replica, which start starts.
+// newTestReplica reserves addresses and folders for a replica. It does not start the process.
 func newTestReplica(t testing.TB) *testReplica {
 	m := &testReplica{t: t, dir: t.TempDir(), listen: testnet.FreeAddr(t), raft: testnet.FreeAddr(t)}
 	m.logPath = filepath.Join(t.TempDir(), "log")
--- a/internal/registry/replication_test.go
+++ b/internal/registry/replication_test.go
@@ -15,7 +15,7 @@
 )
 
 // Runs three replicas. A write at a follower reaches the leader, a new leader has every acknowledged write,
-// and the watches of all replicas continue with changes.
+// and the watches at the two remaining replicas continue with changes.
 func TestReplication(t *testing.T) {
 	dirs := []string{t.TempDir(), t.TempDir(), t.TempDir()}
 	first := startReplica(t, dirs[0], "")
@@ -62,7 +62,7 @@
 }
 
 // Acknowledged writes survive a restart. A replica does not start at another address, with a damaged log or
-// without its log, and the error says which file is affected and how to repair it.
+// without its log, and the error says why. For a damaged log, it also names the file and the repair.
 func TestStateSurvivesRestart(t *testing.T) {
 	dir := t.TempDir()
 	s := startReplica(t, dir, "")
--- a/internal/registry/restore_test.go
+++ b/internal/registry/restore_test.go
@@ -32,7 +32,7 @@
 	restored := startReplica(t, dir, "")
 	waitFor(t, "the backup is loaded", func() bool { return restored.fsm.generation() > old })
 	if m := startWatch(t, restored.Addr(), old).next(t); !m.Snapshot || m.Generation <= old || len(m.Entries) != 1 || m.Entries[0].ID != "s-a" {
-		t.Errorf("a reader of the first service gets %+v", m)
+		t.Errorf("a reader of the first service gets %+v, want a full list after generation %d with only s-a", m, old)
 	}
 	if status, text := call(t, "POST", "http://"+restored.Addr()+"/registry/instances", registration("s-a", 1, 6, 0)); status != http.StatusConflict {
 		t.Errorf("registration of an older incarnation after a restore: %d %s, want 409", status, text)
--- a/internal/registry/slow_readers.go
+++ b/internal/registry/slow_readers.go
@@ -11,8 +11,8 @@
 const (
 	writeTimeout = 5 * time.Second // limit for one write to a client
 
-	// maxWriteSize is the size of one write, in bytes. A client that reads 7 KB a second receives it within
-	// writeTimeout.
+	// maxWriteSize is the largest size of one write, in bytes. A client that reads 7 KB a second receives it
+	// within writeTimeout.
 	maxWriteSize = 32 << 10
 
 	// sendBufferSize is the size of a connection's send buffer, in bytes. By default, the kernel would buffer
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -98,7 +98,7 @@
 		}
 	}
 	if len(s.changes) == maxChanges {
-		s.changes = s.changes[1:] // append reallocates the array about once per maxChanges changes
+		s.changes = s.changes[1:] // append reallocates the array about once per maxChanges/4 changes
 	}
 	s.changes = append(s.changes, Change{generation, entries})
 	return Outcome{Code: Done, Generation: generation}
@@ -235,7 +235,7 @@
 	}
 }
 
-// load replaces a list that has never been changed with a restored state.
+// load replaces the state with a restored one, if the list has never been changed.
 func (s *State) load(c Command) Outcome {
 	switch {
 	case c.Snapshot == nil || c.Snapshot.Epoch() == 0:
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -46,13 +46,13 @@
 		c := Command{Kind: Register, Entry: entry("s-a", 1), Incarnation: 1}
 		change(&c)
 		if o := s.Apply(c); o.Code != Invalid || !strings.HasPrefix(o.Message, field+":") || s.Generation() != 0 {
-			t.Errorf("invalid %s: %+v", field, o)
+			t.Errorf("invalid %s: %+v, want code invalid, a message with the field and generation 0", field, o)
 		}
 	}
 	s := NewState(0)
 	s.Apply(Command{Kind: Register, Entry: entry("s-a", 1), Incarnation: 1})
 	if o := s.Apply(Command{Kind: Register, Entry: entry("s-b", 1), Incarnation: 1}); o.Code != AddressConflict || !strings.Contains(o.Message, "s-a") {
-		t.Errorf("registration of an address in use: %+v", o)
+		t.Errorf("registration of an address in use: %+v, want code taken and a message with s-a", o)
 	}
 }
 
@@ -81,14 +81,14 @@
 	next := Command{Kind: Register, Entry: numberedEntry(MaxEntries), Incarnation: 1}
 	before := s.Generation()
 	if o := s.Apply(next); o.Code != ListFull || !strings.Contains(o.Message, fmt.Sprint(MaxEntries)) || s.Generation() != before || s.Len() != MaxEntries {
-		t.Errorf("one entry above the maximum: %+v, %d entries", o, s.Len())
+		t.Errorf("one entry above the maximum: %+v, %d entries; want code too-many with %d entries", o, s.Len(), MaxEntries)
 	}
 	again := numberedEntry(0) // a registered instance
 	if o := s.Apply(Command{Kind: Register, Entry: again, Incarnation: 2}); o.Code != Done {
-		t.Errorf("new incarnation of a registered instance: %+v", o)
+		t.Errorf("new incarnation of a registered instance: %+v, want code done", o)
 	}
 	s.Apply(Command{Kind: Remove, ID: again.ID})
 	if o := s.Apply(next); o.Code != Done || s.Len() != MaxEntries {
-		t.Errorf("after the removal of another entry: %+v, %d entries", o, s.Len())
+		t.Errorf("after the removal of another entry: %+v, %d entries; want code done with %d entries", o, s.Len(), MaxEntries)
 	}
 }
--- a/internal/registry/validate.go
+++ b/internal/registry/validate.go
@@ -26,7 +26,7 @@
 
 // FieldError reports an invalid field of a registration.
 type FieldError struct {
-	Field  string // its JSON key
+	Field  string // JSON key
 	Reason string
 }
 
--- a/internal/registry/watch.go
+++ b/internal/registry/watch.go
@@ -67,8 +67,8 @@
 }
 
 // awaitGeneration waits until this replica reaches the generation of a reader that is ahead of it. A leader
-// that a quorum confirms cannot be behind. In that case the reader's generation belongs to another list, and
-// the reader gets the full list of this one.
+// that a quorum confirms cannot be behind. If this replica is such a leader, the reader's generation belongs
+// to another list, and the reader gets the full list of this one.
 func (s *Server) awaitGeneration(r *http.Request, from uint64) watchRead {
 	if s.raft.State() == raft.Leader && s.raft.VerifyLeader().Error() == nil {
 		return s.fsm.readSince(0)
@@ -95,7 +95,7 @@
 // serveWatch writes the response of a watch until the client disconnects or the replica closes, and then
 // closes the connection.
 func (s *Server) serveWatch(conn net.Conn, read watchRead) {
-	defer func() { _ = conn.Close() }() // no data remains to be written
+	defer func() { _ = conn.Close() }() // the watch has ended
 	stop := context.AfterFunc(s.ctx, func() {
 		_ = conn.SetDeadline(time.Now()) // fails only if the connection has ended already
 	})
--- a/internal/registry/watch_test.go
+++ b/internal/registry/watch_test.go
@@ -35,8 +35,8 @@
 	return conn
 }
 
-// checkClosed checks that the service closes a connection without a complete request, after a 4xx response at
-// most.
+// checkClosed checks that the service closes a connection without a complete request. The service may send a
+// 4xx response first.
 func checkClosed(t *testing.T, conn net.Conn) {
 	t.Helper()
 	if err := conn.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
