--- a/cmd/opalhook/agent.go
+++ b/cmd/opalhook/agent.go
@@ -28,7 +28,8 @@
 		Short: "Run the list service's agent for the edge nodes on this machine",
 		Long: "Watch the list of app servers at a replica of the list service, and serve it to the edge nodes on this machine over the\n" +
 			"platform's discovery protocol, until stopped by a signal. While the service is unreachable, nodes keep the last list\n" +
-			"that they received. A list that is much shorter than the previous one is accepted only after a second replica confirms it.",
+			"that they received. A list that is much shorter than the previous one is accepted only after a second replica confirms it\n" +
+			"or a timeout has passed.",
 		Example: "  opalhook agent --replicas 127.0.0.1:8500,127.0.0.2:8500,127.0.0.3:8500\n  opalhook agent status",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
--- a/cmd/opalhook/main.go
+++ b/cmd/opalhook/main.go
@@ -15,7 +15,7 @@
 )
 
 // errChecksFailed ends the command with exitChecksFailed. main prints no message for it: the command has
-// already reported the violated rules and the failed expectations.
+// already reported the failed runs, with the violated rules and the failed expectations.
 var errChecksFailed = errors.New("a rule was violated or an expectation was not met")
 
 // usageError is an error in the user's input, such as an invalid scenario, range or name. It ends the command
@@ -28,7 +28,7 @@
 const (
 	exitError        = 1   // the command failed
 	exitUsage        = 2   // invalid input
-	exitChecksFailed = 3   // the command completed, but a rule was violated or an expectation was not met
+	exitChecksFailed = 3   // completed, but a run failed its checks, or a sweep could not run a scenario
 	exitSignal       = 130 // terminated by a signal, as shells report SIGINT
 )
 
--- a/cmd/opalhook/registry.go
+++ b/cmd/opalhook/registry.go
@@ -20,11 +20,12 @@
 	defaultRaft     = "127.0.0.1:8501" // for the other replicas, over Raft
 )
 
-// registryFlags are the flags that the subcommands of `registry` share.
+// registryFlags are the flags that the subcommands of `registry` share, except serve and restore, which call
+// no replica.
 type registryFlags struct {
 	*globalFlags
 	at     []string      // HTTP addresses of replicas
-	within time.Duration // time limit of a subcommand, including retries
+	within time.Duration // time limit of a subcommand, including retries; watch has none
 }
 
 // client returns a client for the replicas.
@@ -46,7 +47,7 @@
 		RunE:    func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
 	c.PersistentFlags().StringSliceVar(&f.at, "at", []string{defaultRegistry}, "HTTP addresses of the list service's replicas")
-	c.PersistentFlags().DurationVar(&f.within, "within", 15*time.Second, "time limit, including retries")
+	c.PersistentFlags().DurationVar(&f.within, "within", 15*time.Second, "time limit, including retries; not used by serve, restore and watch")
 	c.AddCommand(registryServe(s), registryList(&f), registryShow(&f), registryWatch(&f), registryRegister(&f),
 		registryChange(&f, "drain", "Drain an instance: it gets no new requests and finishes its current ones", (*registry.Client).Drain),
 		registryChange(&f, "remove", "Remove an instance from the list", (*registry.Client).Remove),
--- a/cmd/opalhook/scale.go
+++ b/cmd/opalhook/scale.go
@@ -23,7 +23,8 @@
 		Use:   "scale",
 		Short: "Measure how edge nodes and the list service scale with the fleet",
 		Long: "Measure parts of the program at increasing sizes: edge nodes without sockets on a simulated clock, and the list service.\n" +
-			"Counts depend only on the seed; times depend on this machine. After Ctrl-C, the report contains the sizes measured so far.\n\n" +
+			"On the simulated clock, counts depend only on the seed. Times of real calls, the heap and some counts of the list service\n" +
+			"depend on this machine. After Ctrl-C, the report contains the sizes measured so far.\n\n" +
 			"Parts:\n" + scalePartsHelp() + "\n" +
 			"Exit codes: 0 if everything was measured, 2 if --part or --sizes is invalid or a size needs more than half of this\n" +
 			"machine's memory, 1 if a measurement failed, 130 after a signal.",
--- a/cmd/opalhook/testbed.go
+++ b/cmd/opalhook/testbed.go
@@ -58,8 +58,8 @@
 	return c
 }
 
-// run runs a scenario f.runs times and writes a summary of each run. It returns errChecksFailed if a run
-// violated a rule or failed an expectation.
+// run runs a scenario f.runs times and writes a summary of each run. It returns errChecksFailed unless all
+// runs passed, see [testbed.Result.OK].
 func (f *runFlags) run(c *cobra.Command, s *globalFlags, file string) error {
 	scenario, err := testbed.LoadScenario(file)
 	if err != nil {
--- a/cmd/opalhook/testbed_output.go
+++ b/cmd/opalhook/testbed_output.go
@@ -15,7 +15,7 @@
 // rewriteLine is the terminal escape sequence that clears the current line and returns to its start.
 const rewriteLine = "\r\x1b[K"
 
-// showProgress returns a function that shows the figures of the last second of a run. On a terminal it
+// showProgress returns a function that shows the figures of the most recent second of a run. On a terminal it
 // overwrites a single line; otherwise it writes a new line each time. Write errors are ignored: they must not
 // stop the run.
 func showProgress(out *os.File) func(testbed.Progress) {
@@ -34,8 +34,8 @@
 	}
 }
 
-// progressLine formats the figures of the last second of a run. Requests count in the second in which they
-// are due, their outcomes in the second in which they end.
+// progressLine formats the figures of one second of a run. Requests count in the second in which they are
+// due, their outcomes in the second in which they end.
 func progressLine(p testbed.Progress) string {
 	return fmt.Sprintf("%5.0f of %.0f s  requests %5d  served %5d  rejected %4d  failed %3d  p50 %4d ms  p99 %5d ms  nodes up %d  violations %d",
 		p.At.Seconds(), p.Total.Seconds(), p.Requests, p.Served, p.Rejected, p.Failed, p.P50.Milliseconds(), p.P99.Milliseconds(), p.NodesUp, p.Violations)
--- a/cmd/opalhook/up.go
+++ b/cmd/opalhook/up.go
@@ -52,7 +52,7 @@
 	}
 	defer func() { _ = os.RemoveAll(dir) }() // a temporary folder
 	// Errors of writing to stderr are ignored: they must not stop the run.
-	_, _ = fmt.Fprintf(c.ErrOrStderr(), "building the edge node, then running %d nodes and %d app servers until Ctrl-C\n%s\n",
+	_, _ = fmt.Fprintf(c.ErrOrStderr(), "preparing the edge node's binary, then running %d nodes and %d app servers until Ctrl-C\n%s\n",
 		scenario.Fleet.Nodes, scenario.Fleet.Servers, rejectionsNote)
 	node, err := testbed.FindNode(c.Context(), f.binary, dir)
 	if err != nil {
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -25,7 +25,7 @@
 const clientDeadline = 4 * time.Second
 
 // fleetSettings returns the settings of an edge node of a large fleet: two request classes, three plans and
-// at most 40 peer messages per second.
+// at most 40 received peer messages per second.
 func fleetSettings(nodeCount, nodeIndex int) balancer.Settings {
 	return balancer.Settings{
 		NodeIndex: nodeIndex, NodeCount: nodeCount, Zone: zoneOf(nodeIndex),
--- a/internal/scale/fleet_test.go
+++ b/internal/scale/fleet_test.go
@@ -9,7 +9,7 @@
 
 // runFleet runs a fleet under constant load until all requests are finished. Counters are never reset, so
 // that their sums must be consistent.
-func runFleet(t *testing.T, seed uint64, entryNodes int, requestsPerS float64) (*fleet, counts) {
+func runFleet(t *testing.T, seed uint64, entryNodes int, requestsPerSecond float64) (*fleet, counts) {
 	t.Helper()
 	const nodes, load = 24, 4 * time.Second
 	f := newFleet(seed, nodes, entryNodes)
@@ -21,7 +21,7 @@
 		firstEntryNodes = append(firstEntryNodes, i)
 	}
 	end := f.clock.now + load
-	for _, tenant := range sampleTenants(f.rng, fleetPlans(), firstEntryNodes, requestsPerS*nodes) {
+	for _, tenant := range sampleTenants(f.rng, fleetPlans(), firstEntryNodes, requestsPerSecond*nodes) {
 		f.scheduleArrivals(tenant, end)
 	}
 	if err := f.clock.runUntil(t.Context(), end+clientDeadline); err != nil {
--- a/internal/scale/link.go
+++ b/internal/scale/link.go
@@ -53,7 +53,7 @@
 // Kinds of messages that are counted separately, as the balancer encodes them.
 const (
 	messageQuotaRequest messageKind = 1 // a requester asks the owner of a quota for the units of a request
-	messageQuotaGrant   messageKind = 2 // the owner's response
+	messageQuotaGrant   messageKind = 2 // the owner's response, granted or not
 )
 
 func kindOf(message []byte) messageKind {
--- a/internal/scale/list.go
+++ b/internal/scale/list.go
@@ -25,7 +25,7 @@
 	plannedZones   = 15
 )
 
-// Memory estimates. They are higher than the measured values.
+// Memory estimates in bytes. They are higher than the measured values.
 const (
 	listEntryMemory = 6 << 10   // per entry: its state, and its encoded forms in memory and in a snapshot
 	listWatchMemory = 256 << 10 // per watch: the buffers of both ends, including the kernel's socket buffers
@@ -206,7 +206,7 @@
 	return Part{
 		Name: "list-watches",
 		Title: "Watches of one replica of the list service, over loopback in one process, with 41 watches per 2,000 entries as planned: " +
-			"a single change, the removal of a zone entry by entry, all watches reconnecting from before it, and complete lists to at most 128 watches.",
+			"single changes, the removal of a zone entry by entry, the reconnection of all watches from the generation before it, and complete lists to at most 128 watches.",
 		Size:      "entries in the list",
 		Sizes:     listSizes,
 		TestSizes: listTestSizes,
--- a/internal/scale/list_expiry_test.go
+++ b/internal/scale/list_expiry_test.go
@@ -126,8 +126,8 @@
 	}
 }
 
-// If the leases do not expire, the wait ends with an expiryError that has the number of entries.
-func TestMissingExpiryFails(t *testing.T) {
+// If the wait is cancelled before the leases expire, it returns an expiryError with the number of entries.
+func TestCancelledWaitForExpiryFails(t *testing.T) {
 	t.Parallel()
 	run := startExpiry(t, 60, listLease)
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/scale/list_renew.go
+++ b/internal/scale/list_renew.go
@@ -16,12 +16,12 @@
 
 // Parameters of the measurement of renewals.
 const (
-	renewClients         = 32     // number of clients; each has its own thread and one connection at a time
-	maxKeepAliveRenewals = 30_000 // maximum number of renewals over persistent connections
-	maxSingleRenewals    = 6_000  // maximum number of renewals with a new connection for each
-	renewalsPerTerm      = 3      // planned renewals of a lease during its term
-	plannedLeaseSeconds  = 10     // planned lease duration, in seconds
-	rusageThread         = 1      // RUSAGE_THREAD of getrusage(2): the calling thread
+	renewClients             = 32     // number of clients; each has its own thread and one connection at a time
+	maxKeepAliveRenewals     = 30_000 // maximum number of renewals over persistent connections
+	maxSingleRenewals        = 6_000  // maximum number of renewals with a new connection for each
+	renewalsPerLeaseDuration = 3      // planned renewals of a lease in the time of its duration
+	plannedLeaseSeconds      = 10     // planned lease duration, in seconds
+	rusageThread             = 1      // RUSAGE_THREAD of getrusage(2): the calling thread
 )
 
 // listRenewalsPart returns the part that measures the CPU time that the service spends on lease renewals.
@@ -79,7 +79,7 @@
 		}
 		prefix := fmt.Sprintf("renewals, %s, %s: ", service, mode.name)
 		rows.time(prefix+"processor time of one", cost)
-		perSecond := float64(rows.size) * renewalsPerTerm / plannedLeaseSeconds
+		perSecond := float64(rows.size) * renewalsPerLeaseDuration / plannedLeaseSeconds
 		rows.time(prefix+"processor time of a second of the plan's", time.Duration(perSecond*float64(cost)))
 	}
 	return nil
--- a/internal/scale/list_service.go
+++ b/internal/scale/list_service.go
@@ -14,7 +14,7 @@
 	"opalhook/internal/registry"
 )
 
-// Timeouts and poll intervals. A successful measurement stays far below the timeout.
+// Timeout and poll interval. A successful measurement stays far below the timeout.
 const (
 	serviceTimeout = time.Minute
 	servicePoll    = time.Millisecond
--- a/internal/scale/list_test.go
+++ b/internal/scale/list_test.go
@@ -64,12 +64,12 @@
 
 // removalBytes returns the size of the messages that remove a zone, one for each entry, in bytes. The order
 // of the removals does not matter.
-func removalBytes(t *testing.T, entries int) (zone float64) {
+func removalBytes(t *testing.T, entries int) (total float64) {
 	t.Helper()
 	for _, e := range removedZone(entries) {
-		zone += messageBytes(t, discovery.Message{Generation: firstGeneration, Entries: []discovery.Entry{e}})
+		total += messageBytes(t, discovery.Message{Generation: firstGeneration, Entries: []discovery.Entry{e}})
 	}
-	return zone
+	return total
 }
 
 // checkValues checks that quantities have the expected values.
@@ -83,7 +83,7 @@
 }
 
 // Each part has at least four sizes up to that of the planned fleet, and a memory estimate that grows with
-// the size.
+// the size and is at most 8 GiB.
 func TestListPartSizes(t *testing.T) {
 	for _, p := range listParts() {
 		if len(p.Sizes) < 4 || !slices.IsSorted(p.Sizes) || p.Sizes[len(p.Sizes)-1] != plannedEntries || len(p.TestSizes) == 0 || p.Name == "" || p.Title == "" || p.Size == "" {
@@ -126,14 +126,14 @@
 	for _, n := range p.TestSizes {
 		v := measureList(t, p, n)
 		lost := zoneEntries(n)
-		zone := removalBytes(t, n)
+		zoneBytes := removalBytes(t, n)
 		checkValues(t, v, map[string]float64{
 			"watches":            float64(watchesOf(n)),
 			"zone lost, entries": float64(lost),
 			"watches told otherwise than each change once and in order":        0,
 			"whole lists to watches that were open":                            0,
-			"zone lost, most to a watch":                                       zone,
-			"all come back, most to a watch":                                   zone,
+			"zone lost, most to a watch":                                       zoneBytes,
+			"all come back, most to a watch":                                   zoneBytes,
 			"all come back, whole lists":                                       0,
 			"all come back, told otherwise than each change once and in order": 0,
 			"whole list, whole lists told":                                     v["whole list, watches that take it at once"],
--- a/internal/scale/list_watch.go
+++ b/internal/scale/list_watch.go
@@ -178,15 +178,16 @@
 	w.published.Store(&state)
 }
 
-// watchSet holds the watches of all edge nodes of a fleet.
+// watchSet is a set of watches that are opened and closed together.
 type watchSet struct {
 	all      []*listWatch
 	readers  sync.WaitGroup
 	progress chan struct{} // receives a value after a watch has published its state
 }
 
-// maxConcurrentDials is the maximum number of connections that are being opened at the same time. More could
-// overflow the listener's backlog.
+// maxConcurrentDials is the maximum number of first attempts to open a watch that run at the same time. More
+// could overflow the listener's backlog. Further attempts are not limited: [openWatch] delays each by a random
+// time.
 const maxConcurrentDials = 512
 
 // watchStart is the address of a replica at which a watch is opened, and the generation after which it
--- a/internal/scale/list_write.go
+++ b/internal/scale/list_write.go
@@ -24,7 +24,7 @@
 
 func (w *listWriter) close() { w.http.CloseIdleConnections() }
 
-// drain drains an instance.
+// drain marks an instance as draining.
 func (w *listWriter) drain(ctx context.Context, n int) (generation uint64, err error) {
 	return w.send(ctx, http.MethodPost, listEntry(n).ID+"/drain")
 }
--- a/internal/scale/node_list.go
+++ b/internal/scale/node_list.go
@@ -11,7 +11,7 @@
 
 const nodeListName = "node-list"
 
-// Load of an edge node in the planned fleet.
+// Size of the planned fleet, and load of an edge node in it.
 const (
 	plannedNodes       = 4100  // edge nodes
 	plannedRequestRate = 512.0 // requests per second at a node
@@ -23,7 +23,7 @@
 	measuredNode      = plannedNodes / 2       // number of the measured node
 	peerServers       = 200                    // servers in the peers' lists: enough for their gossip messages to have content
 	nodeListWarmup    = 500 * time.Millisecond // load before the measurement
-	serverRestarts    = 20                     // server restarts, each a drain, a removal and a new entry
+	serverRestarts    = 20                     // number of restarted servers, and maximum number of used servers to drain
 	restartGap        = 50 * time.Millisecond  // simulated time between changes
 	repeatedSnapshots = 3                      // complete lists after the first one
 	nodeListStages    = 4                      // stages of the measurement, for progress reports
@@ -146,7 +146,8 @@
 	return nil
 }
 
-// change drains servers that the node has used and brings them up again. Then it restarts other servers.
+// change drains servers that the node has used and brings them up again. Then it restarts servers that are
+// spread over the list.
 func (n *nodeListRun) change() error {
 	for _, used := range n.usedServers(serverRestarts) {
 		for _, state := range []balancer.EndpointState{balancer.Draining, balancer.Up} {
@@ -169,7 +170,7 @@
 	return used
 }
 
-// restart restarts servers one by one. Each returns under a new ID.
+// restart restarts servers one by one: each is drained and removed, and returns under a new ID.
 func (n *nodeListRun) restart() error {
 	restarts := min(serverRestarts, n.size)
 	for i := range restarts {
@@ -205,7 +206,7 @@
 	n.node.stopwatch = nil
 }
 
-// resync delivers the complete list again, as after a lost watch.
+// resync delivers the initial complete list repeatedly, as after lost watches.
 func (n *nodeListRun) resync() error {
 	for range repeatedSnapshots {
 		if err := n.ctx.Err(); err != nil {
--- a/internal/scale/part.go
+++ b/internal/scale/part.go
@@ -2,8 +2,9 @@
 // without sockets, thousands of them in one process on a simulated clock, and the list service.
 //
 // A [Part] is a group of measurements. It is measured at several sizes, one after the other, and yields
-// [Row]s, each with one quantity at one size. Counts and sizes in bytes are the same for the same seed; times
-// (unit "s") and the heap depend on the machine.
+// [Row]s, each with one quantity at one size. On the simulated clock, counts and sizes in bytes are the same
+// for the same seed. Times (unit "s") of real calls and the heap depend on the machine, and so do some counts
+// of the list service, for example the number of messages in which leases expire.
 package scale
 
 import "context"
@@ -14,7 +15,7 @@
 	Title     string // one-sentence description, shown above the table
 	Size      string // what a size counts, for example "servers in the list"
 	Sizes     []int  // default sizes in ascending order; the largest is that of the planned fleet
-	TestSizes []int  // sizes for tests, which take a fraction of a second each
+	TestSizes []int  // small sizes for tests
 	// Memory estimates the peak memory that a size needs, in bytes. [Run] rejects sizes that need more than
 	// half of the machine's memory.
 	Memory func(size int) uint64
--- a/internal/scale/quota.go
+++ b/internal/scale/quota.go
@@ -14,7 +14,7 @@
 
 // Parameters of the simulated fleet of the quota measurements.
 const (
-	quotaNodes          = 48 // enough for quotas to have owners
+	quotaNodes          = 48 // enough for all entry nodes of a tenant, among which its quota has owners
 	quotaServersPerNode = 2
 	quotaWarmup         = 3 * time.Second // load before the measurement
 	quotaLoad           = 5 * time.Second // measured load
@@ -46,7 +46,7 @@
 	tenants := 0 // does not depend on the number of entry nodes
 	for i, entryNodes := range quotaEntryNodeCounts {
 		env.Progress(i, len(quotaEntryNodeCounts), fmt.Sprintf("spread %d", entryNodes))
-		run := quotaRun{seed: env.Seed, nodes: quotaNodes, entryNodes: entryNodes, requestsPerS: float64(size)}
+		run := quotaRun{seed: env.Seed, nodes: quotaNodes, entryNodes: entryNodes, requestsPerSecond: float64(size)}
 		if err := run.run(ctx); err != nil {
 			return r.rows, err
 		}
@@ -65,14 +65,14 @@
 
 // quotaRun is one run of a fleet under a constant load.
 type quotaRun struct {
-	seed         uint64
-	nodes        int
-	entryNodes   int     // entry nodes of a tenant
-	requestsPerS float64 // requests per second at a node
+	seed              uint64
+	nodes             int
+	entryNodes        int     // entry nodes of a tenant
+	requestsPerSecond float64 // at each node
 
 	tenants int     // number of tenants
 	counts  counts  // counters of all nodes during quotaLoad
-	quota   float64 // units that the quotas of all tenants allow during quotaLoad
+	quota   float64 // units by which the quotas of all tenants refill during quotaLoad
 }
 
 // run runs the fleet. If it returns an error, the counters are not valid.
@@ -85,7 +85,7 @@
 	for i := range firstEntryNodes {
 		firstEntryNodes[i] = i
 	}
-	tenants := sampleTenants(f.rng, fleetPlans(), firstEntryNodes, q.requestsPerS*float64(q.nodes))
+	tenants := sampleTenants(f.rng, fleetPlans(), firstEntryNodes, q.requestsPerSecond*float64(q.nodes))
 	q.tenants = len(tenants)
 	end := f.clock.now + quotaWarmup + quotaLoad
 	for _, t := range tenants {
--- a/internal/scale/quota_test.go
+++ b/internal/scale/quota_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// Each number of entry nodes (spread) has its own rows. Quota messages do not exceed the maximum length, and
-// a single entry node sends no quota requests and does not exceed quotas.
+// Each number of entry nodes (spread) has its own rows. Messages do not exceed the maximum length, and a
+// single entry node sends no quota requests and does not exceed quotas.
 func TestQuota(t *testing.T) {
 	p := quotaPart()
 	for _, size := range p.TestSizes {
@@ -42,7 +42,7 @@
 
 // Under high load, inboxes accept at most their rate, and the discarded messages are counted.
 func TestQuotaCountsDiscardedMessages(t *testing.T) {
-	run := quotaRun{seed: 1, nodes: 24, entryNodes: 3, requestsPerS: 60}
+	run := quotaRun{seed: 1, nodes: 24, entryNodes: 3, requestsPerSecond: 60}
 	if err := run.run(t.Context()); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scale/restart.go
+++ b/internal/scale/restart.go
@@ -89,7 +89,7 @@
 	call        uint64        // ID of the open call; 0: none
 	callStarted time.Duration // when the service started to send its message
 	lastWake    uint64        // ID of the last scheduled wake-up; earlier ones are ignored
-	calls       int           // calls opened
+	calls       int           // calls opened or rejected
 	bytes       float64       // bytes received
 	receivedAt  time.Duration // when it received its list
 	hasList     bool          // has received its list
--- a/internal/scale/simulated_node.go
+++ b/internal/scale/simulated_node.go
@@ -121,8 +121,8 @@
 	f.clock.after(elapsed, func() { n.finishAttempt(q, number, result) })
 }
 
-// chargeQuota charges a request, when it is first sent to a server, to the exact state of its tenant's quota.
-// If the quota does not cover the request, its units count as over quota.
+// chargeQuota deducts the units of a request from the exact state of its tenant's quota when the request is
+// first sent to a server. If the quota does not cover the units, they count as over quota instead.
 func (n *simulatedNode) chargeQuota(q *openRequest) {
 	n.counts.admittedUnits += q.units
 	if q.inQuota = q.tenant.refill(n.fleet.clock.now) >= q.units; q.inQuota {
--- a/internal/scale/tenant.go
+++ b/internal/scale/tenant.go
@@ -76,12 +76,13 @@
 	return len(fractions) - 1
 }
 
-// sampleTenants generates random tenants until their total demand reaches requestsPerS, then scales all
-// demands so that the total equals requestsPerS. Their first entry nodes are chosen from firstEntryNodes.
-func sampleTenants(rng *rand.Rand, plans []balancer.Plan, firstEntryNodes []int, requestsPerS float64) []*tenant {
+// sampleTenants generates random tenants until their total demand reaches requestsPerSecond, then scales all
+// demands so that the total equals requestsPerSecond. Their first entry nodes are chosen from
+// firstEntryNodes.
+func sampleTenants(rng *rand.Rand, plans []balancer.Plan, firstEntryNodes []int, requestsPerSecond float64) []*tenant {
 	var all []*tenant
 	sum := 0.0
-	for sum < requestsPerS {
+	for sum < requestsPerSecond {
 		plan := &plans[sampleIndex(rng, planFractions)]
 		demandFraction := minNormalDemand + (maxNormalDemand-minNormalDemand)*rng.Float64()
 		if rng.Float64() < heavyFraction {
@@ -95,7 +96,7 @@
 		all = append(all, t)
 	}
 	for _, t := range all {
-		t.demand *= requestsPerS / sum
+		t.demand *= requestsPerSecond / sum
 	}
 	return all
 }
