--- a/internal/testbed/app_server.go
+++ b/internal/testbed/app_server.go
@@ -36,7 +36,7 @@
 	faults    serverFaults
 	ln        net.Listener
 	conns     map[net.Conn]bool
-	wake      *time.Timer  // advances the model to the end of the next request
+	wake      *time.Timer  // advances the model when the next running request ends
 	loads     []loadSample // in order of time
 	closed    bool
 }
@@ -143,8 +143,8 @@
 	}
 }
 
-// handle handles one complete request. It reports whether the connection stays open. A server over its
-// connection limit rejects the request.
+// handle handles one complete request. It reports whether the connection stays open. overConnLimit reports
+// whether the connection was opened beyond the server's limit; the server then executes none of its requests.
 func (s *appServer) handle(c net.Conn, r *http.Request, body string, overConnLimit bool) bool {
 	id := r.Header.Get("X-Trace-Id")
 	if id == "" {
@@ -255,7 +255,7 @@
 	return err == nil
 }
 
-// scheduleWake sets the timer to the end of the next request in the model. The caller holds s.mu.
+// scheduleWake sets the timer to the time at which the next running request ends. The caller holds s.mu.
 func (s *appServer) scheduleWake() {
 	if s.wake != nil {
 		s.wake.Stop()
@@ -329,7 +329,8 @@
 	s.scheduleWake()
 }
 
-// drain makes the server finish its current requests, reject new ones and report itself as draining.
+// drain puts the server into the draining state: it finishes its current requests and rejects new ones. The
+// list shows the state after the delay of discovery.
 func (s *appServer) drain() {
 	s.mu.Lock()
 	s.state = lifecycleDraining
--- a/internal/testbed/checker.go
+++ b/internal/testbed/checker.go
@@ -36,7 +36,7 @@
 	At          time.Duration `json:"at_ns"`
 	Rule        string        `json:"rule"`
 	Node        int           `json:"node"`         // number of the node; -1: not attributed to a node
-	ID          string        `json:"id,omitempty"` // of the client's attempt
+	ID          string        `json:"id,omitempty"` // id of the client's attempt; "": none
 	Description string        `json:"what"`
 }
 
@@ -69,7 +69,7 @@
 	server    string // instance id
 	neverRan  bool   // the server rejected the attempt without running it
 	response  string // body of the server's response; "": no response yet
-	overQuota bool   // the tenant's quota was exhausted when the attempt was first sent upstream
+	overQuota bool   // the attempt exceeded the tenant's quota when it first reached an app server
 }
 
 // delivery is the latest information on an app server that a node has, or must have, received.
@@ -98,8 +98,8 @@
 	closedNewConns int                          // attempts whose new connection was closed without a response
 }
 
-// requestsPerClosedConn limits how often a node that has no room for an attempt may close its new connection
-// without a response: once per this number of scheduled requests.
+// requestsPerClosedConn limits how often nodes that have no room for an attempt may close its new connection
+// without a response: once per this number of scheduled requests, over all nodes.
 const requestsPerClosedConn = 200
 
 func newChecker(s *Scenario, d *Schedule) *checker {
@@ -296,7 +296,7 @@
 	return t, len(t.upstream) - 1, true
 }
 
-// upstreamRejected records that the app server responds that the attempt never ran.
+// upstreamRejected records that the app server rejected the attempt without running it.
 func (r *checker) upstreamRejected(t *clientAttempt, attempt int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -314,7 +314,8 @@
 	r.delivered[node][server] = delivery{state, at, startKnown}
 }
 
-// snapshotDelivered records that a node was sent the full list. Servers that are not listed count as removed.
+// snapshotDelivered records that the full list was delivered to a node, or that it counts as delivered from
+// the given time on. Servers that are not listed count as removed.
 func (r *checker) snapshotDelivered(node int, listed map[string]bool, at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testbed/checker_test.go
+++ b/internal/testbed/checker_test.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// pick returns the address of the next server. The defects "overloads cold servers" and "ignores drains"
-// prefer a server in slow start and a draining server.
+// pick returns the address of the next server. With the defect "overloads cold servers" it prefers a server
+// in slow start, and with "ignores drains" a draining server.
 func (p *standInProxy) pick() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testbed/doc.go
+++ b/internal/testbed/doc.go
@@ -32,8 +32,8 @@
 //
 // # Time
 //
-// All times in this package are relative to the start of the run, on the monotonic clock. Latency
-// counts from the time at which a request was due, not from the time at which it was sent. A load
-// generator that falls behind therefore does not make the nodes look faster (coordinated omission).
-// The generator's lateness is a figure of its own, and a run with too much lateness is marked.
+// The times of a run are relative to its start, on the monotonic clock. Latency counts from the time
+// at which a request was due, not from the time at which it was sent. A load generator that falls
+// behind therefore does not make the nodes look faster (coordinated omission). The generator's
+// lateness is a figure of its own, and a run with too much lateness is marked.
 package testbed
--- a/internal/testbed/environment.go
+++ b/internal/testbed/environment.go
@@ -28,12 +28,12 @@
 	seed          uint64
 	dir           string
 	nodeBinary    string
-	serviceBinary string   // binary of the operators' command, which also runs the list service
+	serviceBinary string   // path of the opalhook binary, which runs the list service and its agents
 	nodeEnv       []string // added to the nodes' environment
 	log           *slog.Logger
 
 	origin      time.Time               // creation of the environment, with a monotonic clock reading
-	startOffset atomic.Int64            // nanoseconds from origin to the start of the schedule; 0: not started
+	startOffset atomic.Int64            // nanoseconds from origin to the start of the run; 0: not started
 	done        chan struct{}           // closed when the run ends
 	cancel      context.CancelCauseFunc // cancels ctx; the cause is an error of the testbed
 	ctx         context.Context
@@ -92,7 +92,8 @@
 	return env
 }
 
-// now returns the time since the start of the schedule.
+// now returns the time since the start of the run. Before startClock, it returns the time since the creation
+// of the environment.
 func (env *environment) now() time.Duration {
 	return time.Since(env.origin) - time.Duration(env.startOffset.Load())
 }
@@ -299,8 +300,8 @@
 	}
 }
 
-// stop ends the run. It stops first the nodes' processes, then the emulated parties and the list service.
-// When it returns, no process, socket or goroutine of the run is left.
+// stop ends the run. It first stops the nodes' processes and the load generator, then the other emulated
+// parties and the list service. When it returns, no process, socket or goroutine of the run is left.
 func (env *environment) stop() {
 	select {
 	case <-env.done:
--- a/internal/testbed/fault.go
+++ b/internal/testbed/fault.go
@@ -202,8 +202,9 @@
 }
 
 // applyLinkFault begins or ends a FaultLink on the links between the parties that its From and To name.
-// Silence, loss, delay and rate affect only the data sent from From to To. Reset and refuse affect the
-// connections that From opens to To.
+// Silence, loss, delay and rate affect only the data sent from From to To, except that a silent TCP link also
+// establishes no new connections. Reset and refuse affect the connections that From opens to To. Links
+// between nodes carry datagrams: only silence, loss and delay affect them.
 func (env *environment) applyLinkFault(ft *Fault, end bool) error {
 	from, err := env.scenario.parties(ft.From)
 	if err != nil {
--- a/internal/testbed/figures.go
+++ b/internal/testbed/figures.go
@@ -79,9 +79,9 @@
 // ratio returns part divided by total. A total of 0 counts as 1, so that 0 of 0 results in 0.
 func ratio(part float64, total int) float64 { return part / math.Max(float64(total), 1) }
 
-// figures computes figures over the arrivals that are due at or after from and before to. Figures that do not
-// relate to arrivals cover the whole run. The caller adds the figures of figureNames that are only known at
-// the end of the run.
+// figures computes figures over the arrivals that are due at or after from and before to. The figures that
+// are not computed by tally cover the whole run. The caller adds the figures of figureNames that are only
+// known at the end of the run.
 func (env *environment) figures(from, to time.Duration) map[string]float64 {
 	t := env.tally(from, to)
 	cpu, peakMemory := env.nodeUsage()
--- a/internal/testbed/generate.go
+++ b/internal/testbed/generate.go
@@ -168,8 +168,9 @@
 }
 
 // drawTimeline draws one to three disturbances and the duration of the run. A disturbance is a fault, a
-// burst, or several related faults. The run continues for tailAfterFaults after the last of them ends. A
-// silenced watch counts as ended after silentWatchGrace.
+// burst, or several related faults. The run continues for at least tailAfterFaults after the last of them
+// ends, not counting the steps between the targets of a fault. A silenced watch counts as ended after
+// silentWatchGrace.
 func (s *Scenario) drawTimeline(d sampler, rule string) {
 	byRule := map[string][]func(sampler, Duration){
 		"drains":   {s.drawDrain},
@@ -293,8 +294,8 @@
 	s.Load.Bursts = append(s.Load.Bursts, Burst{At: at, For: d.duration(500*time.Millisecond, 4*time.Second), Factor: round(d.uniform(1.3, 2.5))})
 }
 
-// drawZoneFault crashes the app servers of a zone or, if the fleet is small enough for relays, may cut the
-// zone off from the others.
+// drawZoneFault crashes the app servers of a zone. If the fleet has several zones and is small enough for
+// relays, it may cut the zone off from the others instead.
 func (s *Scenario) drawZoneFault(d sampler, at Duration) {
 	zone := oneOf(d, s.Fleet.Zones...)
 	length := d.duration(time.Second, 5*time.Second)
--- a/internal/testbed/link.go
+++ b/internal/testbed/link.go
@@ -8,9 +8,9 @@
 // LinkState is the state of one direction of a link. The zero value is a link without faults.
 type LinkState struct {
 	Cut   bool          // data is dropped without an error; open connections stay open
-	Delay time.Duration // minimum delay of each chunk of data; up to half of it is added at random
+	Delay time.Duration // minimum delay of each chunk of data; on TCP, up to half is added at random
 	Loss  float64       // fraction of the packets lost; on TCP, a loss delays the data by a retransmission
-	Rate  float64       // bytes per second; 0: unlimited
+	Rate  float64       // bytes per second, only on TCP; 0: unlimited
 }
 
 // runClock provides the time of a run and starts its goroutines.
@@ -28,13 +28,13 @@
 
 // linkClock is the [runClock] of a [Link].
 type linkClock struct {
-	origin time.Time
-	over   chan struct{}
-	work   sync.WaitGroup
+	origin     time.Time
+	done       chan struct{} // closed when the link is closed
+	goroutines sync.WaitGroup
 }
 
 func (c *linkClock) now() time.Duration { return time.Since(c.origin) }
-func (c *linkClock) spawn(f func())     { c.work.Go(f) }
+func (c *linkClock) spawn(f func())     { c.goroutines.Go(f) }
 
 func (c *linkClock) sleep(d time.Duration) bool {
 	t := time.NewTimer(d)
@@ -42,7 +42,7 @@
 	select {
 	case <-t.C:
 		return true
-	case <-c.over:
+	case <-c.done:
 		return false
 	}
 }
@@ -50,7 +50,7 @@
 // NewLink starts a link to a target address, on a loopback port that the kernel chooses. The seed determines
 // the random delays and losses.
 func NewLink(target string, seed uint64) (*Link, error) {
-	l := &Link{clock: &linkClock{origin: time.Now(), over: make(chan struct{})}}
+	l := &Link{clock: &linkClock{origin: time.Now(), done: make(chan struct{})}}
 	var err error
 	l.relay, err = startTCPRelay(l.clock, seed, "127.0.0.1:0", target, 0)
 	return l, err
@@ -70,7 +70,7 @@
 
 // Close closes the link and its connections, and waits for their goroutines to return.
 func (l *Link) Close() {
-	close(l.clock.over)
+	close(l.clock.done)
 	l.relay.close()
-	l.clock.work.Wait()
+	l.clock.goroutines.Wait()
 }
--- a/internal/testbed/link_udp.go
+++ b/internal/testbed/link_udp.go
@@ -67,7 +67,7 @@
 
 // serve forwards the datagrams that arrive at one socket. They are for the node with the number to, or for
 // all nodes except the sender if to is the number of nodes. serve drops datagrams from unknown senders, and
-// aborts the run if a node sends more than 256 bytes.
+// aborts the run if a node sends a datagram of more than 256 bytes.
 func (u *udpRelay) serve(to int, c *net.UDPConn) {
 	buf := make([]byte, 2048)
 	for {
--- a/internal/testbed/list.go
+++ b/internal/testbed/list.go
@@ -44,7 +44,7 @@
 // Timing of the platform's discovery. After the grace periods, the rules hold a node also to changes that it
 // has not received directly.
 const (
-	heartbeatInterval = 2 * time.Second // between the empty lines of a watch without changes
+	heartbeatInterval = 2 * time.Second // interval of the empty lines that a watch sends as heartbeats
 
 	// silentWatchGrace is the time from the beginning of a watch's silence to the time at which a node must
 	// know the changes that the watch did not deliver.
@@ -59,7 +59,7 @@
 	// heartbeat is overdue.
 	silenceDetectionTime = 2500 * time.Millisecond
 
-	maxCallWait  = 2 * time.Second // a call that would queue at the service for longer is rejected
+	maxCallWait  = 2 * time.Second // longest time for which a call may queue at the service
 	trickleChunk = 48              // bytes per write of a message with the encoding "trickle"
 )
 
--- a/internal/testbed/list_service.go
+++ b/internal/testbed/list_service.go
@@ -265,9 +265,9 @@
 }
 
 // follow watches the list from a generation on and calls handle for each message, with nil for a heartbeat.
-// When a watch ends, it continues at the next address. The index first selects the first address. follow
-// returns when ctx ends or handle returns false. It does not check the order of generations: the caller
-// counts rollbacks.
+// It begins with addrs[first%len(addrs)] and continues at the next address when a watch ends. follow returns
+// when ctx ends, when handle returns false or when a line is malformed. It does not check the order of
+// generations: the caller counts rollbacks.
 func (s *listService) follow(ctx context.Context, addrs []string, first int, from uint64, handle func(m *listMessage) bool) {
 	for i := first; ; i++ {
 		if !s.followOne(ctx, addrs[i%len(addrs)], &from, handle) {
--- a/internal/testbed/load_generator.go
+++ b/internal/testbed/load_generator.go
@@ -31,7 +31,7 @@
 type loadGenerator struct {
 	env      *environment
 	nodes    []*targetNode
-	attempts sync.WaitGroup // goroutines of the arrivals
+	arrivals sync.WaitGroup // goroutines of runArrival
 }
 
 // targetNode is the clients' view of a node.
@@ -40,7 +40,7 @@
 
 	mu           sync.Mutex
 	up           bool          // clients send to the node
-	failingSince time.Duration // time of the first failed connection since the node was last up; 0: none
+	failingSince time.Duration // time of the first failed connection since the last setUp; 0: none
 	idle         []*clientConn // most recently used last
 }
 
@@ -71,9 +71,9 @@
 		if !g.waitUntil(g.env.schedule.Arrivals[i].At) {
 			break
 		}
-		g.attempts.Go(func() { g.runArrival(i) })
+		g.arrivals.Go(func() { g.runArrival(i) })
 	}
-	g.attempts.Wait()
+	g.arrivals.Wait()
 }
 
 // waitUntil blocks the calling thread until the given time. It returns false if the run ends first.
@@ -120,8 +120,8 @@
 	n.mu.Unlock()
 }
 
-// recordUnreachable records a failed connection. The node is marked as down once connections have failed for
-// the detection time.
+// recordUnreachable records a failed connection. It marks the node as down if the first failed connection
+// since the last setUp was at least detectionTime ago. Connections that succeeded since then do not matter.
 func (n *targetNode) recordUnreachable(now, detectionTime time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/testbed/model.go
+++ b/internal/testbed/model.go
@@ -8,8 +8,7 @@
 
 // model simulates the execution of requests on one app server: a processor-sharing machine with cores, slots
 // and a queue. It is a state machine that works with real or simulated time. The caller passes the current
-// time, which must not decrease, and next returns the time until the model's state changes without further
-// calls.
+// time, which must not decrease. With real time, it calls advance again after the time that next returns.
 //
 // All requests in slots progress at the same rate. One number therefore determines the order in which they
 // end: the work that a request in a slot since the start would have received (progress). A request that gets
@@ -170,7 +169,8 @@
 	m.handshakeDebt += m.cfg.HandshakeWork.s()
 }
 
-// next returns the time from now until the next running request ends, and false if no request is running.
+// next returns the time from m.now until the next running request ends, at the current rate. During slow
+// start the rate rises, so the request may end earlier. next returns false if no request is running.
 func (m *model) next() (time.Duration, bool) {
 	if len(m.running) == 0 {
 		return 0, false
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -95,7 +95,7 @@
 	return p, nil
 }
 
-// signal sends a signal to the process. It does nothing if the process has ended.
+// signal sends a signal to the process. It returns nil if the process has already ended.
 func (p *process) signal(sig syscall.Signal) error {
 	p.mu.Lock()
 	if sig == syscall.SIGTERM || sig == syscall.SIGKILL {
--- a/internal/testbed/result.go
+++ b/internal/testbed/result.go
@@ -92,7 +92,7 @@
 	_ = h.RecordValue(min(max(d.Microseconds(), 1), 120_000_000))
 }
 
-// quantile returns the quantile q of a histogram, in percent, and 0 if the histogram is empty.
+// quantile returns the quantile q of a histogram, with q in percent. It returns 0 if the histogram is empty.
 func quantile(h *hdrhistogram.Histogram, q float64) time.Duration {
 	if h.TotalCount() == 0 {
 		return 0
--- a/internal/testbed/run.go
+++ b/internal/testbed/run.go
@@ -27,8 +27,8 @@
 	At, Total  time.Duration // time since the start of the run, and its whole duration
 	Requests   int           // requests due in the last second
 	Served     int           // requests served in the last second
-	Rejected   int           // rejected requests, by their first response in the last second
-	Failed     int           // other unserved requests, by their first response in the last second
+	Rejected   int           // rejected, unserved requests whose first response came in the last second
+	Failed     int           // other unserved requests whose first response came in the last second
 	P50, P99   time.Duration // latencies of the requests served in the last second
 	NodesUp    int           // nodes that accept requests
 	Violations int           // rule violations since the start of the run
--- a/internal/testbed/scenario.go
+++ b/internal/testbed/scenario.go
@@ -94,7 +94,10 @@
 	PeerMessagesPerSecond float64  `toml:"inbox_per_s"` // datagrams per second that a node accepts
 	PeerLoss              float64  `toml:"peer_loss"`   // share of the datagrams lost
 	PeerDelay             Duration `toml:"peer_delay"`  // delay of a datagram
-	CrossDelay            Duration `toml:"cross_delay"` // one-way delay between zones; needs relays
+
+	// Links between nodes and app servers in different zones.
+
+	CrossDelay Duration `toml:"cross_delay"` // one-way delay; needs relays
 
 	// Resource limits of a node.
 
@@ -139,7 +142,7 @@
 	For       Duration  `toml:"for"` // duration; 0: until the end of the run
 	Kind      FaultKind `toml:"kind"`
 	Zone      string    `toml:"zone"`  // zone to which the fault applies, or in which its targets are chosen
-	Count     int       `toml:"count"` // number of targets; 0 without a share: one
+	Count     int       `toml:"count"` // number of targets; one if neither count nor share is set
 	Share     float64   `toml:"share"` // share of the nodes or app servers that are targets
 	Size      float64   `toml:"size"`  // slowdown factor, affected share or bytes per second, by kind
 	Step      Duration  `toml:"step"`  // delay between one target and the next
@@ -153,8 +156,9 @@
 	Effect string `toml:"does"` // silence, reset, refuse, loss, delay or rate; for list-words an encoding
 }
 
-// Expect bounds a figure of the run, computed over the requests that are due in a window of time. Figures
-// that do not relate to requests always cover the whole run.
+// Expect bounds a figure of the run. The figures goodput, served, refused, refused_room, failed, answers,
+// p50_ms, p99_ms, lateness_ms and worst_second are computed over the requests that are due in a window of
+// time. All other figures always cover the whole run.
 type Expect struct {
 	Figure string   `toml:"figure"`
 	Min    *float64 `toml:"min"`
--- a/internal/testbed/settings.go
+++ b/internal/testbed/settings.go
@@ -102,7 +102,7 @@
 	}
 	env.recordDelivered(n.number, c.Known)
 	if env.scenario.Fleet.StaleStartList && !env.list.isDown() {
-		// The agent's current list counts as delivered to the new process at once.
+		// The agent has the current list. It counts as delivered to the new process after the grace periods.
 		snapshot, _ := env.list.changesSince(0, true)
 		env.list.markDeliveredTo(n, snapshot)
 	}
--- a/internal/testbed/sweep.go
+++ b/internal/testbed/sweep.go
@@ -49,7 +49,7 @@
 	Outcome        Outcome        `json:"verdict"`
 	Rules          map[string]int `json:"rules,omitempty"`   // number of violations by rule, and crashes as "crash"
 	FirstViolation string         `json:"first,omitempty"`   // first violation
-	Reason         string         `json:"why,omitempty"`     // why the scenario was not judged or not run
+	Reason         string         `json:"why,omitempty"`     // why the scenario was not judged, run or saved
 	Command        string         `json:"again,omitempty"`   // command that runs the scenario again
 	Reduced        string         `json:"reduced,omitempty"` // reduced scenario, and the command that runs it
 	Size           string         `json:"size"`              // summary of the deployment
--- a/internal/testbed/sweep_test.go
+++ b/internal/testbed/sweep_test.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// The edge node obeys the drain rule in the scenarios about drains. Each scenario detects the mutants with
-// the bug that it is meant to detect.
+// In the drain scenarios, the edge node breaks no rule, and each mutant that is listed with a scenario breaks
+// the drain rule in it.
 func TestDrainScenarios(t *testing.T) {
 	dir := t.TempDir()
 	node, err := FindNode(t.Context(), "", dir)
@@ -60,8 +60,8 @@
 	}
 }
 
-// A sweep runs all seeds of its range, reports the outcome of each and reduces a scenario that fails. It
-// rejects invalid options.
+// A sweep runs the seed of its range, reports the rule that the scenario breaks, and writes the scenario and
+// the report to files. It rejects invalid options.
 func TestSweep(t *testing.T) {
 	dir := t.TempDir()
 	binary, err := BuildMutant(t.Context(), "late-watch", dir)
